--- a/src/main/java/kitemux/disk/Disk.java
+++ b/src/main/java/kitemux/disk/Disk.java
@@ -4,43 +4,44 @@
 import java.util.List;
 
 /**
- * A folder that lasting records are kept in, and the few things that they need of one. What is written is
- * safe once {@link OutputFile#sync} has returned, a file's being there once {@link #syncDirectory} has.
+ * A directory for durable records, with the operations that they need. Written data is durable once
+ * {@link OutputFile#sync} has returned; the creation, renaming or deletion of a file is durable once
+ * {@link #syncDirectory} has returned.
  */
 public interface Disk {
-    /** A file that is written to at its end. */
+    /** A file that is open for appending. */
     interface OutputFile extends AutoCloseable {
-        /** Writes all of it, or fails with any part of it written. */
+        /** Writes all bytes; after a failure any part of them may have been written. */
         void write(byte[] bytes) throws IOException;
 
-        /** Waits until all that was written is safe. */
+        /** Waits until all written data is durable. */
         void sync() throws IOException;
 
         @Override
         void close() throws IOException;
     }
 
-    /** Names of the files in it, in no order. */
+    /** Returns the names of the files in the directory, in no particular order. */
     List<String> list() throws IOException;
 
-    /** All of a file. */
+    /** Returns the complete contents of a file. */
     byte[] read(String name) throws IOException;
 
-    /** Bytes of a file. */
+    /** Returns the size of a file in bytes. */
     long size(String name) throws IOException;
 
-    /** A new file; fails if there is one of this name. */
+    /** Creates a file; fails if a file of this name exists. */
     OutputFile create(String name) throws IOException;
 
-    /** A file, cut to so many bytes first. */
-    OutputFile append(String name, long from) throws IOException;
+    /** Truncates an existing file to the given length in bytes and opens it for appending. */
+    OutputFile append(String name, long length) throws IOException;
 
-    /** Gives a file another name; one that has it already goes. */
+    /** Renames a file and replaces a file that already has the new name. */
     void rename(String from, String to) throws IOException;
 
-    /** Takes a file away. */
+    /** Deletes a file. */
     void delete(String name) throws IOException;
 
-    /** Waits until files that were made, renamed or deleted are safely so. */
+    /** Waits until all creations, renamings and deletions of files are durable. */
     void syncDirectory() throws IOException;
 }
--- a/src/main/java/kitemux/disk/FolderDisk.java
+++ b/src/main/java/kitemux/disk/FolderDisk.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the system's; writers hold its lock. */
+/** A directory in the file system. A writer holds a lock on it. */
 public final class FolderDisk implements Disk, AutoCloseable {
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE_NAME = "lock";
 
     private final Path folder;
     private final FileChannel lockFile;
@@ -24,24 +24,25 @@
         this.lockFile = lockFile;
     }
 
-    /** To read only; nothing is made or locked. */
+    /** Opens a directory for reading only; nothing is created or locked. */
     public static FolderDisk openForReading(Path folder) {
         return new FolderDisk(folder, null);
     }
 
     /**
-     * To write to; the folder is made where it is not there.
+     * Opens a directory for writing and locks it; the directory is created if it does not exist.
      *
-     * @throws IOException if another process, or another part of this one, writes to it
+     * @throws IOException if the directory is locked by another process or by another instance in this process
      */
     public static FolderDisk openForWriting(Path folder) throws IOException {
         Files.createDirectories(folder);
-        FileChannel file = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel file =
+                FileChannel.open(folder.resolve(LOCK_FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
             lock = file.tryLock();
         } catch (OverlappingFileLockException e) {
-            // Held by this process, which is as good as by another.
+            // The lock is held by this process, which is treated like a lock of another process.
         } finally {
             if (lock == null) {
                 file.close();
@@ -53,9 +54,9 @@
         return new FolderDisk(folder, file);
     }
 
-    /** Whether somebody writes to this folder now. */
+    /** Whether a writer holds the lock of this directory. */
     public static boolean isLockedByWriter(Path folder) throws IOException {
-        Path file = folder.resolve(LOCK);
+        Path file = folder.resolve(LOCK_FILE_NAME);
         if (!Files.exists(file)) {
             return false;
         }
@@ -86,17 +87,17 @@
 
     @Override
     public OutputFile create(String name) throws IOException {
-        return new ChannelOut(
+        return new ChannelOutputFile(
                 FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
     }
 
     @Override
-    public OutputFile append(String name, long from) throws IOException {
+    public OutputFile append(String name, long length) throws IOException {
         FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE);
         try {
-            file.truncate(from);
-            file.position(from);
-            return new ChannelOut(file);
+            file.truncate(length);
+            file.position(length);
+            return new ChannelOutputFile(file);
         } catch (IOException e) {
             file.close();
             throw e;
@@ -115,12 +116,12 @@
 
     @Override
     public void syncDirectory() throws IOException {
-        try (FileChannel entries = FileChannel.open(folder, StandardOpenOption.READ)) {
-            entries.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
-    /** Lets go of the lock. */
+    /** Releases the lock, if this instance holds it. */
     @Override
     public void close() throws IOException {
         if (lockFile != null) {
@@ -128,16 +129,16 @@
         }
     }
 
-    private record ChannelOut(FileChannel file) implements OutputFile {
+    private record ChannelOutputFile(FileChannel file) implements OutputFile {
         @Override
         public void write(byte[] bytes) throws IOException {
-            ByteBuffer left = ByteBuffer.wrap(bytes);
-            while (left.hasRemaining()) {
-                file.write(left);
+            ByteBuffer remaining = ByteBuffer.wrap(bytes);
+            while (remaining.hasRemaining()) {
+                file.write(remaining);
             }
         }
 
-        /** As fdatasync(2): what is needed to read the bytes back, and no times. */
+        /** Like fdatasync(2), syncs the data and the metadata needed to read it back, but not the timestamps. */
         @Override
         public void sync() throws IOException {
             file.force(false);
--- a/src/main/java/kitemux/engine/Clock.java
+++ b/src/main/java/kitemux/engine/Clock.java
@@ -1,24 +1,28 @@
 package kitemux.engine;
 
-/** The clock and the timers of the one thread that a node runs on. */
+/** The clock and timers of the event loop thread that a node runs on. */
 public interface Clock {
-    /** A task that has not run yet. */
+    /** A scheduled task. */
     interface Timer {
-        /** Calls it off; without effect once it has run. */
+        /** Cancels the task; has no effect once the task has run. */
         void cancel();
     }
 
-    /** Unix time in microseconds that never goes back. */
+    /** Returns the current Unix time in microseconds; it never goes backwards. */
     long nowUs();
 
     /**
-     * How long what is read from a socket now may have lain there unread, at most, in microseconds: 0 while
-     * the loop keeps up. True of what comes from sockets, and not inside timers.
+     * Returns the longest time, in microseconds, that data read from a socket now may have waited to be read;
+     * 0 while the loop keeps up. The value is valid while socket events are handled, not inside timers.
      */
     default long readLagUs() {
         return 0;
     }
 
-    /** Runs a task on the loop so many microseconds from now or soon after, never from inside this call. */
-    Timer schedule(long us, Runnable task);
+    /**
+     * Runs a task on the loop once the delay has passed, never from inside this call.
+     *
+     * @param delayUs delay in microseconds
+     */
+    Timer schedule(long delayUs, Runnable task);
 }
--- a/src/main/java/kitemux/engine/Engine.java
+++ b/src/main/java/kitemux/engine/Engine.java
@@ -16,56 +16,70 @@
 import kitemux.Balancer.ServerEntry;
 
 /**
- * Carries requests from their coming to the end of their last attempt: what happens goes to the decision
- * module as events, what the module asks for goes to the transport and the clients. It decides nothing and
- * knows no protocol, socket or clock but those that it is given. One thread calls it.
+ * Manages requests from their arrival to the end of their last attempt. It reports what happens to the
+ * {@link Balancer} as events and carries out the balancer's actions through the transport and the clients. It
+ * makes no decisions itself and is independent of the protocol, the sockets and the clock that it is given.
+ * This class is not thread-safe; all calls must come from the event loop thread.
  *
- * @param <Q> requests of the protocol
- * @param <A> answers of the protocol
+ * @param <Q> type of the protocol's requests
+ * @param <A> type of the protocol's responses
  */
 public final class Engine<Q extends RequestInfo, A> implements Balancer.Actions {
-    /** A server that has not answered a probe in this time is not going to. */
-    private static final long PROBE_US = 1_000_000;
-    /** A timer that is so late tells of a loop that stood still, or of one that has much to read: what it
-     * waited for may have come. */
-    private static final long LATE_US = 50_000;
-    /** For one that met a defect to be woken once more: far apart, as it may meet it again. */
-    private static final long WAKE_AFTER_DEFECT_US = 100_000;
+    /** Time allowed for the response to a probe. */
+    private static final long PROBE_TIMEOUT_US = 1_000_000;
+    /**
+     * An expiry timer that runs this much too late shows that the event loop was blocked or has a backlog of
+     * input, so that the awaited response may have arrived without having been read.
+     */
+    private static final long LATE_EXPIRY_THRESHOLD_US = 50_000;
+    /**
+     * Delay before the balancer is woken after an internal error. It is long because the same error may occur
+     * again.
+     */
+    private static final long DEFECT_WAKE_DELAY_US = 100_000;
 
     private final int maxAttempts;
-    private final Clock time;
+    private final Clock clock;
     private final Transport<Q, A> transport;
-    private final ServerListSource lists;
+    private final ServerListSource serverListSource;
     private final Observer observer;
-    private final SendGate<Q> gate;
+    private final SendGate<Q> sendGate;
     private final Log log;
     private final Balancer balancer;
 
-    private final Map<Long, PendingRequest<Q, A>> held = new HashMap<>();
-    /** The ids of those that are owed an answer. A second one of the same id could have its effect twice. */
-    private final Set<String> openTxns = new HashSet<>();
+    private final Map<Long, PendingRequest<Q, A>> pendingRequests = new HashMap<>();
+    /**
+     * Transaction ids of the unanswered requests. A second request with the same id is not accepted, because
+     * it could take effect twice.
+     */
+    private final Set<String> openTxnIds = new HashSet<>();
 
-    private long lastId;
-    /** What the module is still to be told: nothing is fed back into it from inside one of its events. */
+    private long lastRequestId;
+    /** Events not yet delivered to the balancer, which must not be called from inside one of its events. */
     private final ArrayDeque<Event<Q, A>> events = new ArrayDeque<>();
 
-    private boolean telling;
-    private int probing;
-    private Clock.Timer wake;
+    private boolean delivering;
+    private int inFlightProbeCount;
+    private Clock.Timer wakeTimer;
     private long wakeAtUs;
     private boolean closed;
-    /** Every request has its final answer by then: the process ends. Without end while it serves. */
-    private long answerByUs = Long.MAX_VALUE;
+    /** Time by which every request has its final answer, because the process ends; unlimited before that. */
+    private long answerDeadlineUs = Long.MAX_VALUE;
 
-    /** Something to tell the module, the request that it is about, or null, and what is to be done where the
-     * module does not get through with it. */
-    private record Event<Q extends RequestInfo, A>(PendingRequest<Q, A> about, Runnable call, Runnable onDefect) {}
+    /**
+     * An event for the balancer.
+     *
+     * @param pending the request that the event concerns, or null
+     * @param action delivers the event
+     * @param onFailure runs if the delivery throws
+     */
+    private record Event<Q extends RequestInfo, A>(PendingRequest<Q, A> pending, Runnable action, Runnable onFailure) {}
 
     /**
-     * A client's request from its coming until its last attempt has ended.
+     * A client's request from its arrival until its last attempt has ended.
      *
-     * @param <Q> requests of the protocol
-     * @param <A> answers of the protocol
+     * @param <Q> type of the protocol's requests
+     * @param <A> type of the protocol's responses
      */
     public static final class PendingRequest<Q extends RequestInfo, A> {
         private final long id;
@@ -73,10 +87,10 @@
         private final ResponseSink<A> client;
         private final long deadlineUs;
         private final List<Engine<Q, A>.Attempt> attempts = new ArrayList<>(1);
-        private int outstanding;
-        private boolean ended;
-        /** The attempt whose answer has begun, or null. */
-        private Engine<Q, A>.Attempt answering;
+        private int inFlightAttempts;
+        private boolean answered;
+        /** The attempt whose response has started, or null. */
+        private Engine<Q, A>.Attempt answeringAttempt;
 
         private PendingRequest(long id, Q request, ResponseSink<A> client, long deadlineUs) {
             this.id = id;
@@ -87,127 +101,128 @@
     }
 
     /**
-     * An engine that has been told nothing.
+     * Creates an engine without servers or requests.
      *
-     * @param maxAttempts most attempts for a request
-     * @param gate stands before each attempt
-     * @param module makes the decision module, which is to call the actions that it is given
+     * @param maxAttempts maximum number of attempts for a request
+     * @param sendGate admits each attempt before it is sent
+     * @param balancerFactory creates the balancer, which must use the actions that it is given
      */
     public Engine(
             int maxAttempts,
-            Clock time,
+            Clock clock,
             Transport<Q, A> transport,
-            ServerListSource lists,
+            ServerListSource serverListSource,
             Observer observer,
-            SendGate<Q> gate,
+            SendGate<Q> sendGate,
             Log log,
-            Function<Balancer.Actions, Balancer> module) {
-        this.gate = gate;
+            Function<Balancer.Actions, Balancer> balancerFactory) {
+        this.sendGate = sendGate;
         this.maxAttempts = maxAttempts;
-        this.time = time;
+        this.clock = clock;
         this.transport = transport;
-        this.lists = lists;
+        this.serverListSource = serverListSource;
         this.observer = observer;
         this.log = log;
-        balancer = module.apply(this);
+        balancer = balancerFactory.apply(this);
     }
 
-    // ---------------------------------------------------------------- events for the module
+    // ---------------------------------------------------------------- events for the balancer
 
-    private void tell(PendingRequest<Q, A> about, Runnable call) {
-        tell(about, call, () -> {});
+    private void emit(PendingRequest<Q, A> pending, Runnable action) {
+        emit(pending, action, () -> {});
     }
 
-    private void tell(PendingRequest<Q, A> about, Runnable call, Runnable onDefect) {
-        events.add(new Event<>(about, call, onDefect));
-        if (telling) {
+    private void emit(PendingRequest<Q, A> pending, Runnable action, Runnable onFailure) {
+        events.add(new Event<>(pending, action, onFailure));
+        if (delivering) {
             return;
         }
-        telling = true;
+        delivering = true;
         try {
             Event<Q, A> event;
             while ((event = events.poll()) != null) {
-                tellOne(event);
+                deliver(event);
             }
         } finally {
-            telling = false;
+            delivering = false;
         }
     }
 
-    private void tellOne(Event<Q, A> event) {
+    private void deliver(Event<Q, A> event) {
         try {
-            event.call.run();
+            event.action.run();
         } catch (RuntimeException e) {
-            // A defect met by one request must neither end the node nor leave it without an answer.
+            // An internal error in one request must neither end the node nor leave the request unanswered.
             log.error("event", e);
-            PendingRequest<Q, A> about = event.about;
-            if (about != null && !about.ended) {
-                end(about, Observer.RequestOutcome.BROKEN);
-                about.client.onInternalError();
-                withdraw(about);
-                forgetIfOver(about);
-                tell(null, () -> balancer.onClientGone(time.nowUs(), about.id));
+            PendingRequest<Q, A> pending = event.pending;
+            if (pending != null && !pending.answered) {
+                markAnswered(pending, Observer.RequestOutcome.BROKEN);
+                pending.client.onInternalError();
+                withdrawUnsentAttempts(pending);
+                releaseIfFinished(pending);
+                emit(null, () -> balancer.onClientGone(clock.nowUs(), pending.id));
             }
-            event.onDefect.run();
-            if (wake == null) {
-                // It was about to say when it wants to be woken: whoever waits would wait for good.
-                wakeAt(time.nowUs() + WAKE_AFTER_DEFECT_US);
+            event.onFailure.run();
+            if (wakeTimer == null) {
+                // The balancer may have failed before it set its wake-up; queued requests would wait forever.
+                wakeAt(clock.nowUs() + DEFECT_WAKE_DELAY_US);
             }
         }
     }
 
     /**
-     * The list of servers as it is now.
+     * Passes a server list to the balancer.
      *
-     * @param before run just before the module is told, in turn with all other events: the transport follows
-     *     the list first, as the module sends to new servers at once. What it frees from a draining server
-     *     is told after the list: the module would else send it there again
+     * @param beforeUpdate runs in event order immediately before the balancer receives the list. It updates the
+     *     transport, because the balancer may send to new servers at once. Exchanges that the transport ends on
+     *     a draining server are reported after the list; otherwise the balancer would send them there again
      */
-    public void updateServers(ListKind kind, List<ServerEntry> entries, Runnable before) {
-        tell(
+    public void updateServers(ListKind kind, List<ServerEntry> entries, Runnable beforeUpdate) {
+        emit(
                 null,
                 () -> {
-                    before.run();
-                    balancer.onServers(time.nowUs(), kind, entries);
-                    // Taken in by half it would be neither the old list nor the new: all of it has to come again.
+                    beforeUpdate.run();
+                    balancer.onServers(clock.nowUs(), kind, entries);
+                    // A partly applied list would be neither the old nor the new one, so a failure requests
+                    // the full list again.
                 },
-                lists::requestFullList);
+                serverListSource::requestFullList);
     }
 
-    /** The list could not be had; the old one stands. */
+    /** Tells the balancer that the server list could not be fetched; the previous list stays in force. */
     public void reportListFailure() {
-        tell(null, () -> balancer.onListFailed(time.nowUs()));
+        emit(null, () -> balancer.onListFailed(clock.nowUs()));
     }
 
     /**
-     * Takes a request in, for which the client is owed an answer from now on.
+     * Accepts a request; from now on the client is owed an answer.
      *
-     * @return what to pass to {@link #dispatch} and {@link #clientDisconnected}, or null if one of its id is open: nothing is
-     *     owed then
+     * @return the handle to pass to {@link #dispatch} and {@link #clientDisconnected}, or null if a request with
+     *     the same id is open; no answer is owed in that case
      */
     public PendingRequest<Q, A> accept(ResponseSink<A> client, Q request) {
-        if (!openTxns.add(request.txn())) {
+        if (!openTxnIds.add(request.txn())) {
             return null;
         }
-        long deadlineUs = Math.min(time.nowUs() + request.remainingUs(), answerByUs);
-        PendingRequest<Q, A> taken = new PendingRequest<>(++lastId, request, client, deadlineUs);
-        held.put(taken.id, taken);
-        observer.onRequestAccepted(taken.id, request);
-        return taken;
+        long deadlineUs = Math.min(clock.nowUs() + request.remainingUs(), answerDeadlineUs);
+        PendingRequest<Q, A> pending = new PendingRequest<>(++lastRequestId, request, client, deadlineUs);
+        pendingRequests.put(pending.id, pending);
+        observer.onRequestAccepted(pending.id, request);
+        return pending;
     }
 
-    /** Puts a request that was taken before the module; its answer may come from inside this call. */
-    public void dispatch(PendingRequest<Q, A> taken) {
-        Q request = taken.request;
-        tell(taken, () -> {
-            long now = time.nowUs();
+    /** Passes an accepted request to the balancer; the client may be answered before this call returns. */
+    public void dispatch(PendingRequest<Q, A> pending) {
+        Q request = pending.request;
+        emit(pending, () -> {
+            long now = clock.nowUs();
             balancer.onRequest(
                     now,
                     new Request(
-                            taken.id,
+                            pending.id,
                             request.classIndex(),
                             request.tenant(),
-                            Math.max(0, taken.deadlineUs - now),
+                            Math.max(0, pending.deadlineUs - now),
                             request.workUs(),
                             request.isRetry(),
                             request.key(),
@@ -215,171 +230,180 @@
         });
     }
 
-    /** A client has left before it had its answer: nothing is owed any more. */
-    public void clientDisconnected(PendingRequest<Q, A> gone) {
-        tell(gone, () -> {
-            end(gone, Observer.RequestOutcome.LEFT);
-            if (gone.answering != null && gone.answering.told) {
-                // The module knows it no more.
-                gone.answering.cancel();
+    /** Ends a request whose client disconnected before its answer; no answer is owed any more. */
+    public void clientDisconnected(PendingRequest<Q, A> pending) {
+        emit(pending, () -> {
+            markAnswered(pending, Observer.RequestOutcome.LEFT);
+            if (pending.answeringAttempt != null && pending.answeringAttempt.outcomeReported) {
+                // The balancer no longer knows this attempt and cannot cancel it.
+                pending.answeringAttempt.cancel();
             }
-            balancer.onClientGone(time.nowUs(), gone.id);
-            withdraw(gone);
-            forgetIfOver(gone);
+            balancer.onClientGone(clock.nowUs(), pending.id);
+            withdrawUnsentAttempts(pending);
+            releaseIfFinished(pending);
         });
     }
 
     /**
-     * Every request that is held then, and every one that is taken from now on, has its final answer by this
-     * time; an answer that has begun to be passed on goes on.
+     * Sets the time by which every pending request and every request accepted later has its final answer. A
+     * response that has started to be forwarded continues beyond it.
+     *
+     * @param atUs the deadline, in microseconds of the engine's clock
      */
     public void setAnswerDeadline(long atUs) {
-        answerByUs = atUs;
-        time.schedule(
-                Math.max(0, atUs - time.nowUs()),
-                () -> List.copyOf(held.values()).forEach(this::answerNow));
+        answerDeadlineUs = atUs;
+        clock.schedule(
+                Math.max(0, atUs - clock.nowUs()),
+                () -> List.copyOf(pendingRequests.values()).forEach(this::answerAtDeadline));
     }
 
-    private void answerNow(PendingRequest<Q, A> request) {
-        tell(request, () -> {
-            if (request.ended || request.answering != null) {
+    private void answerAtDeadline(PendingRequest<Q, A> pending) {
+        emit(pending, () -> {
+            if (pending.answered || pending.answeringAttempt != null) {
                 return;
             }
-            if (request.attempts.stream().anyMatch(Attempt::mayHaveRun)) {
-                end(request, Observer.RequestOutcome.FAILED);
-                request.client.onFailed();
+            if (pending.attempts.stream().anyMatch(Attempt::mayHaveRun)) {
+                markAnswered(pending, Observer.RequestOutcome.FAILED);
+                pending.client.onFailed();
             } else {
-                end(request, Observer.RequestOutcome.REFUSED);
-                request.client.onRefused(0);
+                markAnswered(pending, Observer.RequestOutcome.REFUSED);
+                pending.client.onRefused(0);
             }
-            balancer.onClientGone(time.nowUs(), request.id);
-            withdraw(request);
-            forgetIfOver(request);
+            balancer.onClientGone(clock.nowUs(), pending.id);
+            withdrawUnsentAttempts(pending);
+            releaseIfFinished(pending);
         });
     }
 
     /**
-     * Takes back what was never sent of a request that is over: what stands at the gate, and what a
-     * connection is being opened for. The settings may forbid to call off what a server has; it has none of
-     * this.
+     * Withdraws the unsent attempts of an answered request: those that wait at the gate or for a connection.
+     * Settings that forbid cancellation do not apply to them, because no server has received them.
      */
-    private void withdraw(PendingRequest<Q, A> over) {
-        for (Attempt attempt : List.copyOf(over.attempts)) {
+    private void withdrawUnsentAttempts(PendingRequest<Q, A> pending) {
+        for (Attempt attempt : List.copyOf(pending.attempts)) {
             attempt.withdraw();
         }
     }
 
-    /** How many servers of the list the module avoids of its own choice. */
+    /** Returns the number of listed servers that the balancer has ejected. */
     public int ejectedServerCount() {
         return balancer.avoided();
     }
 
-    /** Tells the module nothing more by itself; the transport is to be closed before. */
+    /** Stops waking the balancer. The transport must be closed first. */
     public void close() {
         closed = true;
-        if (wake != null) {
-            wake.cancel();
-            wake = null;
+        if (wakeTimer != null) {
+            wakeTimer.cancel();
+            wakeTimer = null;
         }
     }
 
     // ---------------------------------------------------------------- attempts
 
+    /** One sending of a request to a server. */
     private final class Attempt implements Transport.Exchange<Q, A> {
-        private final PendingRequest<Q, A> of;
+        private final PendingRequest<Q, A> pending;
         private final int number;
         private final String serverId;
-        private final long sentAtUs = time.nowUs();
-        private final long untilUs;
-        private Clock.Timer expiry;
-        /** When its answer began; 0 before. */
-        private long begunAtUs;
-        /** Whether the module was told of its end as its answer began. */
-        private boolean told;
-
-        private boolean over;
+        private final long sentAtUs = clock.nowUs();
+        private final long expiresAtUs;
+        private Clock.Timer expiryTimer;
+        /** Time at which the response started; 0 before that. */
+        private long responseStartedAtUs;
+        /** Whether the balancer received the outcome when the response started. */
+        private boolean outcomeReported;
+
+        private boolean finished;
         private Result result;
         private boolean sent;
-        /** Whether it was given up much later than it should have been. */
-        private boolean late;
+        /** Whether the expiry timer ran much later than it was due. */
+        private boolean expiredLate;
 
-        Attempt(PendingRequest<Q, A> of, int number, String serverId, long untilUs) {
-            this.of = of;
+        Attempt(PendingRequest<Q, A> pending, int number, String serverId, long expiresAtUs) {
+            this.pending = pending;
             this.number = number;
             this.serverId = serverId;
-            this.untilUs = untilUs;
+            this.expiresAtUs = expiresAtUs;
         }
 
         @Override
         public Q request() {
-            return of.request;
+            return pending.request;
         }
 
         @Override
         public long expiresAtUs() {
-            return untilUs;
+            return expiresAtUs;
         }
 
         @Override
         public long deadlineUs() {
-            return of.deadlineUs;
+            return pending.deadlineUs;
         }
 
-        void begin() {
-            of.outstanding++;
-            observer.onAttemptStarted(of.id, number, serverId, untilUs);
-            if (untilUs <= sentAtUs || number >= maxAttempts || of.ended) {
+        void requestAdmission() {
+            pending.inFlightAttempts++;
+            observer.onAttemptStarted(pending.id, number, serverId, expiresAtUs);
+            if (expiresAtUs <= sentAtUs || number >= maxAttempts || pending.answered) {
                 onEnded(Result.MOOT, null);
                 return;
             }
-            expiry = time.schedule(untilUs - sentAtUs, this::expire);
-            gate.admit(of.id, of.request, number, serverId, () -> transport.endpoint(serverId), untilUs, this::passed);
-        }
-
-        /** The gate has opened, or is not going to. */
-        private void passed(boolean open) {
-            if (over) {
+            expiryTimer = clock.schedule(expiresAtUs - sentAtUs, this::expire);
+            sendGate.admit(
+                    pending.id,
+                    pending.request,
+                    number,
+                    serverId,
+                    () -> transport.endpoint(serverId),
+                    expiresAtUs,
+                    this::onGateDecision);
+        }
+
+        /** Handles the decision of the gate. */
+        private void onGateDecision(boolean admitted) {
+            if (finished) {
                 return;
             }
-            if (open && time.readLagUs() > 0) {
-                // A loop that is behind has not read all that has come: that its client has left may lie
-                // there. It is read in this turn, and told in the next.
-                time.schedule(0, () -> time.schedule(0, this::start));
-            } else if (open) {
-                start();
+            if (admitted && clock.readLagUs() > 0) {
+                // A loop that is behind has unread input, which may include the disconnect of this client. It is
+                // read in this loop iteration and reported in the next.
+                clock.schedule(0, () -> clock.schedule(0, this::startExchange));
+            } else if (admitted) {
+                startExchange();
             } else {
-                if (!of.ended && of.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
-                    // Nothing of it has been sent anywhere: trying again is harmless, and at once.
-                    end(of, Observer.RequestOutcome.REFUSED);
-                    of.client.onRefused(gate.retryAfterUs());
-                    Engine.this.withdraw(of);
+                if (!pending.answered && pending.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
+                    // No part of the request has been sent, so the client can safely retry immediately.
+                    markAnswered(pending, Observer.RequestOutcome.REFUSED);
+                    pending.client.onRefused(sendGate.retryAfterUs());
+                    Engine.this.withdrawUnsentAttempts(pending);
                 }
                 onEnded(Result.MOOT, null);
             }
         }
 
-        private void start() {
-            if (!over) {
+        private void startExchange() {
+            if (!finished) {
                 sent = true;
                 transport.start(serverId, this);
             }
         }
 
         /**
-         * What the module is to know of the server. Where a request lay unread here for longer than the
-         * server then had for it, that it was over there tells of this node: counted as full or silent,
-         * servers with room would lose their share. So would those whose answers lie unread as this node
-         * gives up late.
+         * Returns the result to report to the balancer for this server. If the request waited unread in this
+         * node for longer than the server had to serve it, a full or silent server is this node's fault:
+         * reporting it would take traffic from servers that have capacity. The same holds for servers whose
+         * responses are unread because this node ran the expiry timer late.
          */
-        private Result known(Result how) {
-            if (of.request.ageUs() <= untilUs - sentAtUs && !late) {
-                return how;
+        private Result resultForServer(Result actual) {
+            if (pending.request.ageUs() <= expiresAtUs - sentAtUs && !expiredLate) {
+                return actual;
             }
-            return switch (how) {
+            return switch (actual) {
                 case FULL -> Result.MOOT;
                 case TIMEOUT -> Result.CANCELLED;
-                case CONNECT_FAILED -> late ? Result.MOOT : how;
-                default -> how;
+                case CONNECT_FAILED -> expiredLate ? Result.MOOT : actual;
+                default -> actual;
             };
         }
 
@@ -388,168 +412,178 @@
         }
 
         private void expire() {
-            late = time.nowUs() - untilUs > LATE_US;
-            // What never left for want of a connection is known not to have run.
-            giveUp(transport.abandon(serverId, this) ? Result.TIMEOUT : Result.CONNECT_FAILED);
+            expiredLate = clock.nowUs() - expiresAtUs > LATE_EXPIRY_THRESHOLD_US;
+            // A request that was not written because no connection opened is known not to have run.
+            endWithoutResponse(transport.abandon(serverId, this) ? Result.TIMEOUT : Result.CONNECT_FAILED);
         }
 
         void cancel() {
-            if (!over) {
+            if (!finished) {
                 transport.abandon(serverId, this);
-                giveUp(Result.CANCELLED);
+                endWithoutResponse(Result.CANCELLED);
             }
         }
 
-        /** Takes it back if it was not sent; what was sent goes on. */
+        /** Withdraws the attempt if it was not sent; a sent attempt continues. */
         void withdraw() {
-            if (!over && (!sent || transport.withdraw(serverId, this))) {
+            if (!finished && (!sent || transport.withdraw(serverId, this))) {
                 onEnded(Result.MOOT, null);
             }
         }
 
-        /** What still waits at the gate has not run, and says nothing of its server. */
-        private void giveUp(Result ifSent) {
-            onEnded(sent ? ifSent : Result.MOOT, null);
+        /** Ends the attempt; one that still waits at the gate has not run and says nothing about its server. */
+        private void endWithoutResponse(Result resultIfSent) {
+            onEnded(sent ? resultIfSent : Result.MOOT, null);
         }
 
         @Override
         public boolean onResponseStarted(A answer) {
-            if (over) {
+            if (finished) {
                 return false;
             }
-            if (of.ended || of.answering != null) {
-                // Called off, whatever came of it.
+            if (pending.answered || pending.answeringAttempt != null) {
+                // The response is not needed, whatever its status.
                 onEnded(Result.CANCELLED, null);
                 return false;
             }
-            of.answering = this;
-            begunAtUs = time.nowUs();
-            // What is timed of a long answer is its first bytes. A server that goes on giving is heard to the
-            // last, past the client's time; one that stops or has no end is broken off by the transport.
-            expiry.cancel();
-            of.client.onResponseStarted(answer);
-            if (of.request.isStreamed()) {
-                tell(of, () -> balancer.onFirstByte(time.nowUs(), of.id, number));
+            pending.answeringAttempt = this;
+            responseStartedAtUs = clock.nowUs();
+            // The deadline of a long response applies to its first bytes. While data keeps arriving it is
+            // forwarded to its end, also past the client's deadline; the transport aborts a response that
+            // stalls or does not end.
+            expiryTimer.cancel();
+            pending.client.onResponseStarted(answer);
+            if (pending.request.isStreamed()) {
+                emit(pending, () -> balancer.onFirstByte(clock.nowUs(), pending.id, number));
                 return true;
             }
-            // For whoever decides it is served: nothing can be decided any more, and a server that only has
-            // to pass on what it made has its place free. Harm: who breaks off long answers is not blamed.
-            told = true;
-            tell(
-                    of,
+            // For the balancer the request is served: there is nothing left to decide, and a server that only
+            // sends a finished response has a free slot. The drawback is that servers which truncate long
+            // responses are not penalised.
+            outcomeReported = true;
+            emit(
+                    pending,
                     () -> balancer.onOutcome(
-                            time.nowUs(), new Outcome(of.id, number, Result.OK, begunAtUs - sentAtUs, true, null)));
+                            clock.nowUs(),
+                            new Outcome(pending.id, number, Result.OK, responseStartedAtUs - sentAtUs, true, null)));
             return true;
         }
 
         @Override
-        public void onEnded(Result ended, A answer) {
-            if (over) {
+        public void onEnded(Result transportResult, A answer) {
+            if (finished) {
                 return;
             }
-            // Another's answer is on its way to the client: this one is not served, but may have run.
-            Result how = ended == Result.OK && of.answering != null && of.answering != this ? Result.CANCELLED : ended;
-            over = true;
-            result = how;
-            if (expiry != null) {
-                expiry.cancel();
+            // If another attempt is answering the client, this response is not used, but the request may have run.
+            Result finalResult =
+                    transportResult == Result.OK && pending.answeringAttempt != null && pending.answeringAttempt != this
+                            ? Result.CANCELLED
+                            : transportResult;
+            finished = true;
+            result = finalResult;
+            if (expiryTimer != null) {
+                expiryTimer.cancel();
             }
-            observer.onAttemptEnded(of.id, number, how);
-            if (how == Result.OK && !of.ended) {
-                end(of, Observer.RequestOutcome.SERVED);
-                of.client.onServed(answer);
-            } else if (told && !of.ended) {
-                end(of, Observer.RequestOutcome.FAILED);
-                of.client.onFailed();
+            observer.onAttemptEnded(pending.id, number, finalResult);
+            if (finalResult == Result.OK && !pending.answered) {
+                markAnswered(pending, Observer.RequestOutcome.SERVED);
+                pending.client.onServed(answer);
+            } else if (outcomeReported && !pending.answered) {
+                markAnswered(pending, Observer.RequestOutcome.FAILED);
+                pending.client.onFailed();
             }
-            tell(of, () -> {
-                of.outstanding--;
-                forgetIfOver(of);
-                if (told) {
+            emit(pending, () -> {
+                pending.inFlightAttempts--;
+                releaseIfFinished(pending);
+                if (outcomeReported) {
                     return;
                 }
-                // How long a long answer takes to pass is the client's affair as much as the server's.
-                long latencyUs = begunAtUs > 0 ? begunAtUs - sentAtUs : latencyUs(how, sentAtUs);
-                balancer.onOutcome(time.nowUs(), new Outcome(of.id, number, known(how), latencyUs, of.ended, null));
+                // The transfer time of a long response depends on the client as much as on the server.
+                long latencyUs =
+                        responseStartedAtUs > 0 ? responseStartedAtUs - sentAtUs : latencyUs(finalResult, sentAtUs);
+                balancer.onOutcome(
+                        clock.nowUs(),
+                        new Outcome(
+                                pending.id, number, resultForServer(finalResult), latencyUs, pending.answered, null));
             });
-            if (of.ended) {
-                Engine.this.withdraw(of);
+            if (pending.answered) {
+                Engine.this.withdrawUnsentAttempts(pending);
             }
         }
     }
 
     /**
-     * How long a server took for what ends now. An answer that a loop which is behind comes to read may have
-     * lain there since it last looked or have come just now: the middle of the two, as all of it would make
-     * servers slow that are not, and none of it quicker than any server is.
+     * Returns the server's latency for an attempt that ends now. When the loop is behind, the response may have
+     * arrived at any time since the last poll. Half of that read lag is subtracted: keeping all of it would make
+     * fast servers appear slow, and subtracting all of it would make them appear faster than possible.
      */
     private long latencyUs(Result result, long sentAtUs) {
-        long sinceUs = time.nowUs() - sentAtUs;
-        boolean isRead = result == Result.OK || result == Result.ERROR || result == Result.FULL;
-        return isRead ? sinceUs - Math.min(sinceUs, time.readLagUs()) / 2 : sinceUs;
+        long elapsedUs = clock.nowUs() - sentAtUs;
+        boolean isResponse = result == Result.OK || result == Result.ERROR || result == Result.FULL;
+        return isResponse ? elapsedUs - Math.min(elapsedUs, clock.readLagUs()) / 2 : elapsedUs;
     }
 
-    private void forgetIfOver(PendingRequest<Q, A> request) {
-        if (request.ended && request.outstanding == 0) {
-            held.remove(request.id);
-            observer.onRequestReleased(request.id);
+    private void releaseIfFinished(PendingRequest<Q, A> pending) {
+        if (pending.answered && pending.inFlightAttempts == 0) {
+            pendingRequests.remove(pending.id);
+            observer.onRequestReleased(pending.id);
         }
     }
 
-    /** The request has its one final answer; nothing is sent for it after it. */
-    private void end(PendingRequest<Q, A> request, Observer.RequestOutcome answer) {
-        request.ended = true;
-        openTxns.remove(request.request.txn());
-        observer.onRequestAnswered(request.id, answer);
+    /** Records the final answer of a request; no attempt is sent for it afterwards. */
+    private void markAnswered(PendingRequest<Q, A> pending, Observer.RequestOutcome outcome) {
+        pending.answered = true;
+        openTxnIds.remove(pending.request.txn());
+        observer.onRequestAnswered(pending.id, outcome);
     }
 
-    // ---------------------------------------------------------------- what the module asks for
+    // ---------------------------------------------------------------- actions of the balancer
 
     @Override
     public void send(long requestId, String serverId, long untilUs) {
-        PendingRequest<Q, A> request = held.get(requestId);
-        long until = untilUs == 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
-        Attempt attempt = new Attempt(request, request.attempts.size(), serverId, until);
-        request.attempts.add(attempt);
-        attempt.begin();
+        PendingRequest<Q, A> pending = pendingRequests.get(requestId);
+        long expiresAtUs = untilUs == 0 ? pending.deadlineUs : Math.min(untilUs, pending.deadlineUs);
+        Attempt attempt = new Attempt(pending, pending.attempts.size(), serverId, expiresAtUs);
+        pending.attempts.add(attempt);
+        attempt.requestAdmission();
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-        PendingRequest<Q, A> request = held.get(requestId);
-        if (request != null) {
-            request.attempts.get(attempt).cancel();
+        PendingRequest<Q, A> pending = pendingRequests.get(requestId);
+        if (pending != null) {
+            pending.attempts.get(attempt).cancel();
         }
     }
 
     @Override
     public void refuse(long requestId, long retryAfterUs) {
-        PendingRequest<Q, A> request = held.get(requestId);
-        if (request != null && !request.ended) {
-            end(request, Observer.RequestOutcome.REFUSED);
-            request.client.onRefused(retryAfterUs);
-            withdraw(request);
-            forgetIfOver(request);
+        PendingRequest<Q, A> pending = pendingRequests.get(requestId);
+        if (pending != null && !pending.answered) {
+            markAnswered(pending, Observer.RequestOutcome.REFUSED);
+            pending.client.onRefused(retryAfterUs);
+            withdrawUnsentAttempts(pending);
+            releaseIfFinished(pending);
         }
     }
 
     @Override
     public void fail(long requestId) {
-        PendingRequest<Q, A> request = held.get(requestId);
-        if (request != null && !request.ended) {
-            end(request, Observer.RequestOutcome.FAILED);
-            request.client.onFailed();
-            withdraw(request);
-            forgetIfOver(request);
+        PendingRequest<Q, A> pending = pendingRequests.get(requestId);
+        if (pending != null && !pending.answered) {
+            markAnswered(pending, Observer.RequestOutcome.FAILED);
+            pending.client.onFailed();
+            withdrawUnsentAttempts(pending);
+            releaseIfFinished(pending);
         }
     }
 
-    /** The module keeps one wake-up pending at most: an earlier one takes the place of a later. */
+    /** Schedules the balancer's wake-up and replaces the pending one, if any; at most one is pending. */
     @Override
     public void wakeAt(long atUs) {
-        if (wake != null) {
-            wake.cancel();
-            wake = null;
+        if (wakeTimer != null) {
+            wakeTimer.cancel();
+            wakeTimer = null;
         }
         wakeAtUs = atUs;
         if (!closed) {
@@ -558,34 +592,34 @@
     }
 
     private void scheduleWake() {
-        wake = time.schedule(Math.max(0, wakeAtUs - time.nowUs()), () -> {
-            wake = null;
-            if (time.nowUs() < wakeAtUs) {
+        wakeTimer = clock.schedule(Math.max(0, wakeAtUs - clock.nowUs()), () -> {
+            wakeTimer = null;
+            if (clock.nowUs() < wakeAtUs) {
                 scheduleWake();
                 return;
             }
-            tell(null, () -> balancer.onWake(time.nowUs()));
+            emit(null, () -> balancer.onWake(clock.nowUs()));
         });
     }
 
     @Override
     public void probe(String serverId) {
-        new Probe(serverId).begin();
+        new Probe(serverId).start();
     }
 
-    /** A check of one server. */
+    /** A probe of one server. */
     private final class Probe implements Transport.Exchange<Q, A> {
         private final String serverId;
-        private final long sentAtUs = time.nowUs();
-        private Clock.Timer expiry;
+        private final long sentAtUs = clock.nowUs();
+        private Clock.Timer timeoutTimer;
 
         Probe(String serverId) {
             this.serverId = serverId;
         }
 
-        void begin() {
-            probing++;
-            expiry = time.schedule(PROBE_US, () -> {
+        void start() {
+            inFlightProbeCount++;
+            timeoutTimer = clock.schedule(PROBE_TIMEOUT_US, () -> {
                 transport.abandon(serverId, this);
                 onEnded(Result.TIMEOUT, null);
             });
@@ -599,14 +633,14 @@
 
         @Override
         public long expiresAtUs() {
-            return sentAtUs + PROBE_US;
+            return sentAtUs + PROBE_TIMEOUT_US;
         }
 
         @Override
         public void onEnded(Result result, A answer) {
-            probing--;
-            expiry.cancel();
-            tell(null, () -> balancer.onProbe(time.nowUs(), serverId, result, time.nowUs() - sentAtUs, null));
+            inFlightProbeCount--;
+            timeoutTimer.cancel();
+            emit(null, () -> balancer.onProbe(clock.nowUs(), serverId, result, clock.nowUs() - sentAtUs, null));
         }
     }
 
@@ -617,7 +651,7 @@
 
     @Override
     public void subscribe() {
-        lists.subscribe();
+        serverListSource.subscribe();
     }
 
     @Override
@@ -625,19 +659,19 @@
         log.info(line);
     }
 
-    // ---------------------------------------------------------------- what stands, for whoever checks
+    // ---------------------------------------------------------------- state for monitoring and tests
 
-    /** Requests that are owed an answer or have attempts out. */
+    /** Returns the number of requests that are unanswered or have attempts in flight. */
     public int pendingCount() {
-        return held.size();
+        return pendingRequests.size();
     }
 
-    /** Attempts and probes whose end has not been told. */
+    /** Returns the number of attempts and probes whose end has not been reported. */
     public int inFlightCount() {
-        int out = probing;
-        for (PendingRequest<Q, A> request : held.values()) {
-            out += request.outstanding;
+        int count = inFlightProbeCount;
+        for (PendingRequest<Q, A> pending : pendingRequests.values()) {
+            count += pending.inFlightAttempts;
         }
-        return out;
+        return count;
     }
 }
--- a/src/main/java/kitemux/engine/Log.java
+++ b/src/main/java/kitemux/engine/Log.java
@@ -1,10 +1,10 @@
 package kitemux.engine;
 
-/** Lines for the operators; safe to call from any thread, never blocks for long. */
+/** The operators' log. Implementations are thread-safe and never block for long. */
 public interface Log {
-    /** One line; breaks in it are taken out. */
+    /** Logs one line; line breaks in the text are removed. */
     void info(String text);
 
-    /** A defect of this program, with its cause. */
-    void error(String what, Throwable cause);
+    /** Logs an internal error, with the operation that met it and its cause. */
+    void error(String context, Throwable cause);
 }
--- a/src/main/java/kitemux/engine/Observer.java
+++ b/src/main/java/kitemux/engine/Observer.java
@@ -3,51 +3,51 @@
 import kitemux.Balancer.Result;
 
 /**
- * Told what becomes of requests, on the loop's thread. It must neither block nor throw, and must not call
- * the engine. Ids are the engine's own, new with each request of a process. All methods do nothing unless
- * they are taken over.
+ * Observes the progress of requests. All methods are called on the event loop thread; they must neither block
+ * nor throw, and must not call the engine. Request ids are assigned by the engine and are unique within the
+ * process. The default implementations do nothing.
  */
 public interface Observer {
-    /** Told of nothing. */
+    /** An observer that ignores all events. */
     Observer NONE = new Observer() {};
 
-    /** Tells both, this one first. */
-    default Observer andThen(Observer other) {
-        Observer first = this;
+    /** Returns an observer that notifies this observer first and the given one second. */
+    default Observer andThen(Observer next) {
+        Observer current = this;
         return new Observer() {
             @Override
             public void onRequestAccepted(long id, RequestInfo request) {
-                first.onRequestAccepted(id, request);
-                other.onRequestAccepted(id, request);
+                current.onRequestAccepted(id, request);
+                next.onRequestAccepted(id, request);
             }
 
             @Override
-            public void onAttemptStarted(long id, int attempt, String serverId, long untilUs) {
-                first.onAttemptStarted(id, attempt, serverId, untilUs);
-                other.onAttemptStarted(id, attempt, serverId, untilUs);
+            public void onAttemptStarted(long id, int attempt, String serverId, long expiresAtUs) {
+                current.onAttemptStarted(id, attempt, serverId, expiresAtUs);
+                next.onAttemptStarted(id, attempt, serverId, expiresAtUs);
             }
 
             @Override
             public void onAttemptEnded(long id, int attempt, Result result) {
-                first.onAttemptEnded(id, attempt, result);
-                other.onAttemptEnded(id, attempt, result);
+                current.onAttemptEnded(id, attempt, result);
+                next.onAttemptEnded(id, attempt, result);
             }
 
             @Override
             public void onRequestAnswered(long id, RequestOutcome answer) {
-                first.onRequestAnswered(id, answer);
-                other.onRequestAnswered(id, answer);
+                current.onRequestAnswered(id, answer);
+                next.onRequestAnswered(id, answer);
             }
 
             @Override
             public void onRequestReleased(long id) {
-                first.onRequestReleased(id);
-                other.onRequestReleased(id);
+                current.onRequestReleased(id);
+                next.onRequestReleased(id);
             }
         };
     }
 
-    /** How a request was answered. */
+    /** The final outcome of a request. */
     enum RequestOutcome {
         SERVED,
         REFUSED,
@@ -56,18 +56,22 @@
         LEFT
     }
 
-    /** A request is held from now on. */
+    /** The engine has accepted a request. */
     default void onRequestAccepted(long id, RequestInfo request) {}
 
-    /** An attempt begins, given up at this time; its request may not have been written yet. */
-    default void onAttemptStarted(long id, int attempt, String serverId, long untilUs) {}
+    /**
+     * An attempt has started; its request may not have been written yet.
+     *
+     * @param expiresAtUs when the attempt times out, in microseconds of the engine's clock
+     */
+    default void onAttemptStarted(long id, int attempt, String serverId, long expiresAtUs) {}
 
-    /** An attempt has ended; told once for each that was {@link #onAttemptStarted}. */
+    /** An attempt has ended; called exactly once for each {@link #onAttemptStarted}. */
     default void onAttemptEnded(long id, int attempt, Result result) {}
 
-    /** The request has its one answer, or its client has left. */
+    /** The request has its final answer, or its client has disconnected. */
     default void onRequestAnswered(long id, RequestOutcome answer) {}
 
-    /** Nothing more will be told of a request: it is answered, and no attempt is out. */
+    /** The request is answered and has no attempt in flight; no more events follow for it. */
     default void onRequestReleased(long id) {}
 }
--- a/src/main/java/kitemux/engine/RequestInfo.java
+++ b/src/main/java/kitemux/engine/RequestInfo.java
@@ -2,51 +2,51 @@
 
 import java.util.List;
 
-/** What the engine must know of a request, whatever the protocol that it came by. */
+/** The properties of a client's request that the engine needs, independent of the protocol. */
 public interface RequestInfo {
-    /** The client's id for it: of two requests that are open at once none may have the same. */
+    /** Returns the client's id for the request; it is unique among the requests that are open at the same time. */
     String txn();
 
-    /** Its class, an index into the settings' classes. */
+    /** Returns the index of the request's class in the settings. */
     int classIndex();
 
-    /** Its tenant, an index into the settings' tenants, or -1. */
+    /** Returns the index of the request's tenant in the settings, or -1 if it has none. */
     int tenant();
 
-    /** How long the client waits from now on, in microseconds, 0 or more. */
+    /** Returns how much longer the client waits for its answer, in microseconds; never negative. */
     long remainingUs();
 
-    /** How long ago it came, as far as that can be told, in microseconds: 0 where the node keeps up. */
+    /** Returns the estimated time since the request arrived, in microseconds; 0 while the event loop keeps up. */
     default long ageUs() {
         return 0;
     }
 
-    /** Whether answers of its class are streams, of which the module is told the first byte and the end. */
+    /** Whether responses of the request's class are streams, whose first byte and end are reported separately. */
     default boolean isStreamed() {
         return false;
     }
 
-    /** A guess at the work in microseconds on a standard core, or 0. */
+    /** Returns the estimated work in microseconds on a standard core, or 0 if it is unknown. */
     default long workUs() {
         return 0;
     }
 
-    /** Whether the client marks it as a repeat. */
+    /** Whether the client marks the request as a retry. */
     default boolean isRetry() {
         return false;
     }
 
-    /** What it is about, or null. */
+    /** Returns the key that identifies the subject of the request, or null. */
     default String key() {
         return null;
     }
 
-    /** The client's own key for its effect, or null. */
+    /** Returns the client's idempotency key, or null. */
     default String idempotencyKey() {
         return null;
     }
 
-    /** What it carries, in parts; not to be changed. */
+    /** Returns the parts of the request body; callers must not modify them. */
     default List<byte[]> body() {
         return List.of();
     }
--- a/src/main/java/kitemux/engine/ResponseSink.java
+++ b/src/main/java/kitemux/engine/ResponseSink.java
@@ -1,29 +1,38 @@
 package kitemux.engine;
 
 /**
- * A client that is owed one answer to a request: exactly one of the others is called, once, unless the client
- * has left before; {@link #onResponseStarted} once before it at most.
+ * Receives the final answer to a client's request. Exactly one of {@link #onServed}, {@link #onRefused},
+ * {@link #onFailed} and {@link #onInternalError} is called, once, unless the client disconnects first.
+ * {@link #onResponseStarted} is called at most once, before the final answer.
  *
- * @param <A> what servers answer
+ * @param <A> type of the servers' responses
  */
 public interface ResponseSink<A> {
     /**
-     * An answer begins that comes through this object; it is whole once {@link #onServed} is called with null,
-     * and broken off where anything else is.
+     * A response has started whose remaining data arrives through the given object. The response is complete
+     * once {@link #onServed} is called with null, and truncated if any other final method is called.
      */
     default void onResponseStarted(A answer) {
-        throw new IllegalStateException("answers of this protocol come whole");
+        throw new IllegalStateException("this protocol does not stream responses");
     }
 
-    /** Served: what a server made for it; null for the end of one that has begun. */
+    /**
+     * The request was served.
+     *
+     * @param answer the server's response, or null at the end of a response that was started before
+     */
     void onServed(A answer);
 
-    /** Turned away: trying again is harmless, after so many microseconds; 0 gives no advice. */
+    /**
+     * The request was refused and did not run, so the client can retry it safely.
+     *
+     * @param retryAfterUs the advised delay before a retry in microseconds, or 0 for no advice
+     */
     void onRefused(long retryAfterUs);
 
-    /** Failed: nothing is promised about its effect. */
+    /** The request failed; it may or may not have taken effect. */
     void onFailed();
 
-    /** A defect of this program was met; nothing is promised either. */
+    /** An internal error occurred in the node; the request may or may not have taken effect. */
     void onInternalError();
 }
--- a/src/main/java/kitemux/engine/SendGate.java
+++ b/src/main/java/kitemux/engine/SendGate.java
@@ -4,21 +4,21 @@
 import java.util.function.Supplier;
 
 /**
- * Stands before each attempt: what must be so before the first byte of it is written to a server. While it
- * waits the attempt is known not to have run, and its time runs.
+ * Admits each attempt before its first byte is written to a server. An attempt that waits at the gate is
+ * known not to have run; its deadline is not extended by the wait.
  *
- * @param <Q> requests of the protocol
+ * @param <Q> type of the protocol's requests
  */
 public interface SendGate<Q> {
     /**
-     * Asks whether an attempt may be sent.
+     * Decides whether an attempt may be sent.
      *
-     * @param id the request's number with the engine
-     * @param attempt its number among the request's, from 0
-     * @param endpoint tells the address of the server; empty if it has none any more
-     * @param untilUs when it is given up, in microseconds of the engine's clock
-     * @param then to be told once, on the loop, from inside this call or later: true to send it; false if it
-     *     cannot be sent in time, which turns the request away as harmless to try again
+     * @param id the request's id in the engine
+     * @param attempt number of the attempt within the request, from 0
+     * @param endpoint supplies the server's address; empty if the server no longer has one
+     * @param expiresAtUs when the attempt times out, in microseconds of the engine's clock
+     * @param onDecision called once, on the event loop, from inside this call or later: with true to send the
+     *     attempt, or with false if it cannot be sent in time; the request is then refused as safe to retry
      */
     void admit(
             long id,
@@ -26,13 +26,13 @@
             int attempt,
             String serverId,
             Supplier<String> endpoint,
-            long untilUs,
-            Consumer<Boolean> then);
+            long expiresAtUs,
+            Consumer<Boolean> onDecision);
 
-    /** When to come back for a client that was turned away, in microseconds; 0 for none. */
+    /** Returns the advised retry delay for a request that the gate rejected, in microseconds; 0 for no advice. */
     long retryAfterUs();
 
-    /** One that is always open. */
+    /** Returns a gate that admits every attempt immediately. */
     static <Q> SendGate<Q> alwaysOpen() {
         return new SendGate<>() {
             @Override
@@ -42,9 +42,9 @@
                     int attempt,
                     String serverId,
                     Supplier<String> endpoint,
-                    long untilUs,
-                    Consumer<Boolean> then) {
-                then.accept(true);
+                    long expiresAtUs,
+                    Consumer<Boolean> onDecision) {
+                onDecision.accept(true);
             }
 
             @Override
--- a/src/main/java/kitemux/engine/ServerListSource.java
+++ b/src/main/java/kitemux/engine/ServerListSource.java
@@ -1,10 +1,10 @@
 package kitemux.engine;
 
-/** Where the list of servers is had. */
+/** The source of the server list. */
 public interface ServerListSource {
-    /** Asks for all changes from now on; lists and failures come to the engine as events. */
+    /** Subscribes to changes of the list; lists and failures are delivered to the engine as events. */
     void subscribe();
 
-    /** A list that was told could not be taken in: all of it is to be told once more. */
+    /** Requests the full list again, because a delivered list could not be applied. */
     default void requestFullList() {}
 }
--- a/src/main/java/kitemux/engine/Transport.java
+++ b/src/main/java/kitemux/engine/Transport.java
@@ -3,64 +3,77 @@
 import kitemux.Balancer.Result;
 
 /**
- * Carries attempts to servers. All calls come from the loop's thread, and an exchange's end may be told from
- * inside them.
+ * Sends attempts to servers. All methods are called on the event loop thread and may report the end of an
+ * exchange before they return.
  *
- * @param <Q> requests of its protocol
- * @param <A> answers of its protocol
+ * @param <Q> type of the protocol's requests
+ * @param <A> type of the protocol's responses
  */
 public interface Transport<Q, A> {
     /**
-     * What is sent to a server and waits for its answer.
+     * One request sent to a server and the response to it.
      *
-     * @param <Q> requests
-     * @param <A> answers
+     * @param <Q> type of the protocol's requests
+     * @param <A> type of the protocol's responses
      */
     interface Exchange<Q, A> {
-        /** What to send. */
+        /** Returns the request to send. */
         Q request();
 
-        /** When it is given up, in microseconds of the engine's clock. */
+        /** Returns when the exchange times out, in microseconds of the engine's clock. */
         long expiresAtUs();
 
-        /** When its client's time is over, on the same clock: then or later than it is given up. */
+        /** Returns the client's deadline on the same clock; it is never before {@link #expiresAtUs}. */
         default long deadlineUs() {
             return expiresAtUs();
         }
 
         /**
-         * An answer has begun to come that nobody holds whole: the rest of it comes through the answer
-         * itself, and the end is told as ever. Nothing is tried again: what has been passed on cannot be
-         * taken back. The client's time holds no longer: what keeps coming is passed on to its end. What
-         * stops or has no end the transport breaks off, as {@link Result#RESET}.
+         * A response has started that is not buffered: its remaining data arrives through the response object,
+         * and its end is reported by {@link #onEnded} as usual. The request is not retried from here on,
+         * because data that was forwarded cannot be taken back. The client's deadline no longer applies as
+         * long as data keeps arriving. The transport ends a response that stalls or does not end, with
+         * {@link Result#RESET}.
          *
-         * @return false if nobody wants it: the client has left, or has another attempt's answer. The
-         *     transport is to break it off, and tells no end
+         * @return false if the response is not wanted because the client has disconnected or another attempt
+         *     is answering it. The transport must then abort the exchange without reporting its end
          */
         default boolean onResponseStarted(A answer) {
             return false;
         }
 
-        /** Its one end; the answer is the server's where the result is OK and none has begun, else null. */
+        /**
+         * The exchange has ended; called at most once.
+         *
+         * @param answer the server's response if the result is OK and no response was started before; otherwise
+         *     null
+         */
         void onEnded(Result result, A answer);
     }
 
-    /** Starts an exchange, which is told its end unless it is given up. */
+    /** Starts an exchange; its end is reported unless it is abandoned or withdrawn first. */
     void start(String serverId, Exchange<Q, A> exchange);
 
-    /** Gives an exchange up without telling its end. True if its request may have been written whole. */
+    /**
+     * Abandons an exchange without reporting its end.
+     *
+     * @return true if its request may have been written completely
+     */
     boolean abandon(String serverId, Exchange<Q, A> exchange);
 
-    /** Takes back an exchange of which nothing has been written, without telling its end. False if any of it
-     * may have been. */
+    /**
+     * Withdraws an exchange of which nothing has been written, without reporting its end.
+     *
+     * @return false if any part of it may have been written; the exchange then continues
+     */
     boolean withdraw(String serverId, Exchange<Q, A> exchange);
 
-    /** What checks a server, where the settings allow probes. */
+    /** Returns the request that probes a server, where the settings allow probes. */
     Q probeRequest();
 
-    /** A server's address as text; empty if it is not known, or no more. */
+    /** Returns a server's address as text, or an empty string if the server is unknown. */
     String endpoint(String serverId);
 
-    /** Closes the idle connections to a server. */
+    /** Closes the idle connections to the server. */
     void closeIdle(String serverId);
 }
--- a/src/main/java/kitemux/net/Addresses.java
+++ b/src/main/java/kitemux/net/Addresses.java
@@ -6,25 +6,26 @@
 import java.net.InetSocketAddress;
 import kitemux.config.ConfigException;
 
-/** Addresses as configuration and lists write them. */
+/** Parses socket addresses as written in configuration and server lists. */
 public final class Addresses {
     private Addresses() {}
 
     /**
-     * An IP address with a port. There are no host names: looking one up would block.
+     * Parses an IP address with a port. Host names are not supported, because resolving them would block.
      *
-     * @param field its name, for the message
-     * @throws ConfigException if it is anything else
+     * @param field name of the field, for the error message
+     * @throws ConfigException if the text is not an IP address with a port
      */
     public static InetSocketAddress parse(String field, String text) throws ConfigException {
         int colon = text.lastIndexOf(':');
-        byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        byte[] ipBytes = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
-            if (ip != null) {
-                return new InetSocketAddress(InetAddress.getByAddress(ip), Integer.parseInt(text.substring(colon + 1)));
+            if (ipBytes != null) {
+                return new InetSocketAddress(
+                        InetAddress.getByAddress(ipBytes), Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IOException | IllegalArgumentException e) {
-            // Named below.
+            // Reported below.
         }
         throw new ConfigException(field, "is not address:port: " + text);
     }
--- a/src/main/java/kitemux/net/ClientListener.java
+++ b/src/main/java/kitemux/net/ClientListener.java
@@ -11,52 +11,55 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Listens for clients, whose connections can be asked whether anything has come that was not read yet. */
+/** A listening socket whose accepted connections can tell whether they have unread input. */
 class ClientListener extends NioServerSocketChannel {
-    /** For the loop to look at its sockets once more. */
-    private static final long TURN_MS = 1;
+    /** Interval between checks whether the selector has released a socket that is being closed. */
+    private static final long DEREGISTRATION_POLL_MS = 1;
 
-    /** Between an accept that failed and the next. */
-    private static final long PAUSE_MS = 10;
+    /** Delay between a failed accept and the next one. */
+    private static final long ACCEPT_RETRY_DELAY_MS = 10;
 
-    private final Network.AcceptGate gate;
-    private boolean pausing;
+    private final Network.AcceptGate acceptGate;
+    private boolean acceptPaused;
 
-    ClientListener(Network.AcceptGate gate) {
-        this.gate = gate;
+    ClientListener(Network.AcceptGate acceptGate) {
+        this.acceptGate = acceptGate;
     }
 
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
-        SocketChannel socket = gate.canAccept() ? acceptOrPause() : null;
+        SocketChannel socket = acceptGate.canAccept() ? acceptOrPause() : null;
         if (socket == null) {
             return 0;
         }
-        gate.onAccepted();
-        accepted.add(new Accepted(this, socket));
+        acceptGate.onAccepted();
+        accepted.add(new AcceptedChannel(this, socket));
         return 1;
     }
 
-    /** The system call; null if none waits. */
+    /** Accepts a connection with the system call; returns null if none is waiting. */
     SocketChannel accept() throws IOException {
         return javaChannel().accept();
     }
 
-    /** A call that fails may do so for a while, and the selector would tell of it again at once. */
+    /**
+     * Accepts a connection, or pauses after a failure: the call may keep failing for a while, and the selector
+     * would report the waiting connection again immediately.
+     */
     private SocketChannel acceptOrPause() {
         try {
             return accept();
         } catch (IOException e) {
-            gate.onAcceptFailed(e);
-            pausing = true;
-            eventLoop().schedule(this::goOn, PAUSE_MS, TimeUnit.MILLISECONDS);
+            acceptGate.onAcceptFailed(e);
+            acceptPaused = true;
+            eventLoop().schedule(this::resumeAccepting, ACCEPT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
             clearReadPending();
             return null;
         }
     }
 
-    private void goOn() {
-        pausing = false;
+    private void resumeAccepting() {
+        acceptPaused = false;
         if (isOpen() && config().isAutoRead()) {
             read();
         }
@@ -64,7 +67,7 @@
 
     @Override
     protected void doBeginRead() throws Exception {
-        if (!pausing) {
+        if (!acceptPaused) {
             super.doBeginRead();
         }
     }
@@ -75,29 +78,31 @@
     }
 
     /**
-     * Closes once the selector has let go of the socket, in one of the loop's next turns. What is still
-     * registered is closed by the selector's next look only: until then connections come up, and are reset.
+     * Closes the socket once the selector has released it, in one of the next loop iterations. A socket that is
+     * still registered is only closed by the selector's next poll; until then the system would complete
+     * connections and then reset them.
      */
     @Override
     public ChannelFuture close(ChannelPromise promise) {
         if (isRegistered()) {
-            deregister().addListener(done -> closeOnceReleased(promise));
+            deregister().addListener(done -> closeAfterDeregistration(promise));
             return promise;
         }
         return super.close(promise);
     }
 
-    private void closeOnceReleased(ChannelPromise promise) {
+    private void closeAfterDeregistration(ChannelPromise promise) {
         if (javaChannel().isRegistered()) {
-            eventLoop().schedule(() -> closeOnceReleased(promise), TURN_MS, TimeUnit.MILLISECONDS);
+            eventLoop()
+                    .schedule(() -> closeAfterDeregistration(promise), DEREGISTRATION_POLL_MS, TimeUnit.MILLISECONDS);
         } else {
             super.close(promise);
         }
     }
 
     /**
-     * Accepts what waits, as far as the gate allows, and closes: the system resets the rest. Where connections
-     * keep coming it would go on without end: it accepts as many as can have waited.
+     * Accepts the waiting connections, as far as the gate allows, and closes; the system resets the rest. The
+     * number accepted is limited to the backlog, because this would not end while new connections keep arriving.
      */
     @Override
     protected void doClose() throws Exception {
@@ -108,20 +113,20 @@
         super.doClose();
     }
 
-    /** A client's socket. */
-    static final class Accepted extends NioSocketChannel implements InputAwareChannel {
+    /** A connection from a client. */
+    static final class AcceptedChannel extends NioSocketChannel implements InputAwareChannel {
 
-        Accepted(Channel listener, SocketChannel socket) {
+        AcceptedChannel(Channel listener, SocketChannel socket) {
             super(listener, socket);
         }
 
-        /** Whether all that has come is read; nothing is taken from the socket. */
+        /** Whether all received data has been read, or the connection has ended; reads nothing from the socket. */
         @Override
         public boolean hasNoUnreadInput() {
             try {
                 return !isActive() || javaChannel().socket().getInputStream().available() == 0;
             } catch (IOException e) {
-                // Broken: nothing more is owed.
+                // The connection is broken, so there is nothing left to read.
                 return true;
             }
         }
--- a/src/main/java/kitemux/net/ConnectErrorHandler.java
+++ b/src/main/java/kitemux/net/ConnectErrorHandler.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 
 /**
- * Stands at the end of a connection that comes up until somebody takes it over. One that is reset in between,
- * as a server does that holds as many as it may, is no defect: the network library would write fourteen
- * lines for each, which takes a node that has just started longer than a request.
+ * The last handler of a connection from its opening until its {@link ServerPool.ServerConnection} replaces this
+ * handler. A reset in this time, as caused by a server at its connection limit, is not an internal error. Netty
+ * would log 14 lines for each, which takes longer than a request on a node that has just started.
  */
 final class ConnectErrorHandler extends ChannelInboundHandlerAdapter {
     @Override
--- a/src/main/java/kitemux/net/EventLoopClock.java
+++ b/src/main/java/kitemux/net/EventLoopClock.java
@@ -8,45 +8,48 @@
 import kitemux.engine.Clock;
 
 /**
- * The time of an event loop: Unix time in microseconds that never goes back. Wall time is read once, what
- * follows is measured. A wall clock that is set while requests are held would move their deadlines.
+ * The clock of an event loop: Unix time in microseconds that never goes backwards. The wall clock is read once;
+ * after that, elapsed time is measured with the loop's ticker, because setting the wall clock would shift the
+ * deadlines of pending requests.
  */
 public final class EventLoopClock implements Clock {
-    /** Between two beats: short against any deadline, long against the cost of a timer. */
+    /** Interval between two ticks: short compared with any deadline, long compared with the cost of a timer. */
     public static final long TICK_INTERVAL_MS = 10;
-    /** From here on a timer is overdue. Early enough that its request's final answer is there within half a
-     * second of its time, after which it counts as none; late enough that the server's answer, which may be
-     * among what is there to be read, mostly has been: at 100 ms slow nodes of the virtual clock told four
-     * times as many clients that nobody knows what became of their request. */
+    /**
+     * Delay after which a due timer is overdue. It is short enough for the request's final answer to arrive
+     * within half a second of its deadline, after which it no longer counts. It is long enough that a server's
+     * response among the unread input has usually been read: with 100 ms, slow simulated nodes reported an
+     * unknown outcome to four times as many clients.
+     */
     public static final long OVERDUE_TIMER_MS = 350;
-    /** Later than any process lives, and early enough to be added to any reading of the clock. */
-    private static final long NEVER_NANOS = Long.MAX_VALUE / 4;
+    /** Maximum delay of a timer: longer than any process runs, and safe to add to any reading of the ticker. */
+    private static final long MAX_DELAY_NANOS = Long.MAX_VALUE / 4;
 
     private final PollingLoop loop;
     private final Ticker ticker;
     private final long originUs;
     private final long originNanos;
     private final TimerQueue timers = new TimerQueue();
-    /** The loop's timer for the first of them, and when it runs; null if none is set. */
-    private Future<?> armed;
+    /** The loop's own timer for the earliest deadline, or null if no timer is scheduled. */
+    private Future<?> loopTimer;
 
-    private long armedNanos;
-    private long beatNanos;
+    private long loopTimerDueNanos;
+    private long lastTickNanos;
 
     private EventLoopClock(PollingLoop loop, long originUs) {
         this.loop = loop;
         this.originUs = originUs;
         ticker = loop.ticker();
         originNanos = ticker.nanoTime();
-        beatNanos = originNanos;
+        lastTickNanos = originNanos;
     }
 
-    /** From the system's wall clock on. */
+    /** Returns a clock that starts at the system's wall clock time. */
     public static EventLoopClock of(PollingLoop loop) {
         return startingAt(loop, ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()));
     }
 
-    /** From this Unix time in microseconds on, which is the loop's now. */
+    /** Returns a clock that starts at the given Unix time in microseconds. */
     public static EventLoopClock startingAt(PollingLoop loop, long nowUs) {
         return new EventLoopClock(loop, nowUs);
     }
@@ -57,83 +60,89 @@
     }
 
     /**
-     * To be called from a timer on the loop every {@link #TICK_INTERVAL_MS}.
+     * Records a tick; must be called from a timer on the loop every {@link #TICK_INTERVAL_MS}.
      *
-     * @return how much later than that it comes, in microseconds: for so long the loop was held up
+     * @return how long the loop was blocked, in microseconds: the time since the last tick beyond the interval
      */
     public long tick() {
         long now = ticker.nanoTime();
-        long lateUs = laterThanBeatUs(now - beatNanos);
-        beatNanos = now;
+        long lateUs = beyondTickIntervalUs(now - lastTickNanos);
+        lastTickNanos = now;
         return lateUs;
     }
 
     /**
-     * How long what is read from a socket now may have lain there unread, at most, in microseconds. Only a
-     * poll of the sockets tells since when the loop has not looked: a beat does not, which may have waited,
-     * as any timer that is due, behind the very task that held the loop up. The beats bound how long a loop
-     * that keeps up goes without a poll. A request's time runs from when it came: a node that was a tenth of
-     * a second behind would else answer a tenth of a second after the client's time was over.
+     * {@inheritDoc}
+     *
+     * <p>The lag is measured from the last poll of the sockets. The last tick cannot be used, because a tick,
+     * like any due timer, may have waited behind the very task that blocked the loop. The ticks bound the time
+     * between polls of a loop that keeps up. A request's time limit runs from its arrival: without this
+     * correction, a node that was 100 ms behind would answer 100 ms after the client's deadline.
      */
     @Override
     public long readLagUs() {
-        return laterThanBeatUs(ticker.nanoTime() - loop.lastPollNanos());
+        return beyondTickIntervalUs(ticker.nanoTime() - loop.lastPollNanos());
     }
 
-    private static long laterThanBeatUs(long nanos) {
-        return Math.max(0, nanos / 1_000 - TICK_INTERVAL_MS * 1_000);
+    private static long beyondTickIntervalUs(long elapsedNanos) {
+        return Math.max(0, elapsedNanos / 1_000 - TICK_INTERVAL_MS * 1_000);
     }
 
-    /** Runs from the loop's timers, behind what there is to be read; see {@link #runOverdueTimers}. */
+    /**
+     * {@inheritDoc}
+     *
+     * <p>The task runs among the loop's timers, after the available input has been read; see
+     * {@link #runOverdueTimers}.
+     */
     @Override
-    public Timer schedule(long us, Runnable task) {
-        long nanos = Math.min(TimeUnit.MICROSECONDS.toNanos(us), NEVER_NANOS);
-        Timer set = timers.set(ticker.nanoTime() + nanos, task);
-        arm();
+    public Timer schedule(long delayUs, Runnable task) {
+        long delayNanos = Math.min(TimeUnit.MICROSECONDS.toNanos(delayUs), MAX_DELAY_NANOS);
+        Timer timer = timers.schedule(ticker.nanoTime() + delayNanos, task);
+        scheduleLoopTimer();
         return () -> {
-            set.cancel();
-            if (timers.isEmpty() && armed != null) {
-                disarm();
+            timer.cancel();
+            if (timers.isEmpty() && loopTimer != null) {
+                cancelLoopTimer();
             }
         };
     }
 
     /**
-     * Runs the timers of {@link #schedule} that are due since {@link #OVERDUE_TIMER_MS} and more. To be called on the
-     * loop before each thing that takes time, never from inside an event: a loop that is far behind has much
-     * to read, and runs its timers only behind all of that. Whoever's time is over would wait for those whose
-     * time has just begun. Not at once when they are due: the answer that a request waits for may be among
-     * what is there to be read.
+     * Runs the timers of {@link #schedule} that have been due for {@link #OVERDUE_TIMER_MS} or longer. This must be
+     * called on the loop before each operation that takes time, never from inside an event. A loop that is far
+     * behind has much input to read and runs its timers only after that, so requests past their deadline would
+     * wait for requests that have just arrived. Timers do not run here as soon as they are due, because the
+     * awaited response may be among the unread input.
      */
     public void runOverdueTimers() {
         if (!timers.isEmpty()) {
-            timers.run(ticker.nanoTime() - TimeUnit.MILLISECONDS.toNanos(OVERDUE_TIMER_MS));
+            timers.runDue(ticker.nanoTime() - TimeUnit.MILLISECONDS.toNanos(OVERDUE_TIMER_MS));
         }
     }
 
-    private void arm() {
-        if (timers.isEmpty() || armed != null && armedNanos - timers.firstNanos() <= 0) {
+    private void scheduleLoopTimer() {
+        if (timers.isEmpty() || loopTimer != null && loopTimerDueNanos - timers.nextDeadlineNanos() <= 0) {
             return;
         }
-        if (armed != null) {
-            disarm();
+        if (loopTimer != null) {
+            cancelLoopTimer();
         }
-        armedNanos = timers.firstNanos();
-        armed = loop.schedule(
+        loopTimerDueNanos = timers.nextDeadlineNanos();
+        loopTimer = loop.schedule(
                 () -> {
-                    armed = null;
+                    loopTimer = null;
                     try {
-                        timers.run(ticker.nanoTime());
+                        timers.runDue(ticker.nanoTime());
                     } finally {
-                        arm();
+                        scheduleLoopTimer();
                     }
                 },
-                Math.max(0, armedNanos - ticker.nanoTime()),
+                Math.max(0, loopTimerDueNanos - ticker.nanoTime()),
                 TimeUnit.NANOSECONDS);
     }
 
-    private void disarm() {
-        armed.cancel(false);
-        armed = null;
+    private void cancelLoopTimer() {
+        loopTimer.cancel(false);
+        loopTimer = null;
     }
 }
--- a/src/main/java/kitemux/net/HostList.java
+++ b/src/main/java/kitemux/net/HostList.java
@@ -5,23 +5,23 @@
 import kitemux.Balancer.ServerEntry;
 
 /**
- * A server list.
+ * A list of servers, or of changes to one.
  *
- * @param revision its version
- * @param isFull whether it holds all servers or only those that changed
- * @param hosts its entries, in order
+ * @param revision version of the list
+ * @param isFull whether it contains all servers rather than only those that changed
+ * @param hosts the entries, in order
  */
 public record HostList(long revision, boolean isFull, List<Host> hosts) {
 
     /**
-     * One entry.
+     * A server in the list.
      *
-     * @param entry what the module is told
-     * @param endpoint the address, which it is not told; null for a server that has gone
+     * @param entry the entry for the balancer
+     * @param endpoint the server's address, which the balancer does not receive; null for a server that is gone
      */
     public record Host(ServerEntry entry, InetSocketAddress endpoint) {}
 
-    /** What the module is told. */
+    /** Returns the entries for the balancer. */
     public List<ServerEntry> entries() {
         return hosts.stream().map(Host::entry).toList();
     }
--- a/src/main/java/kitemux/net/InputAwareChannel.java
+++ b/src/main/java/kitemux/net/InputAwareChannel.java
@@ -2,11 +2,11 @@
 
 import io.netty.channel.socket.DuplexChannel;
 
-/** A connection that can be asked whether anything has come that was not read yet. */
+/** A connection that can tell whether it has received data that has not been read yet. */
 public interface InputAwareChannel extends DuplexChannel {
     /**
-     * Whether all that has come is read. What holds of a connection that has ended, and what becomes of a
-     * byte that has come, differs from one side to the other; see there.
+     * Whether all received data has been read. Implementations for accepted and for outbound connections differ
+     * in their result for a connection that has ended and in whether they consume a received byte.
      */
     boolean hasNoUnreadInput();
 }
--- a/src/main/java/kitemux/net/JsonFrameReader.java
+++ b/src/main/java/kitemux/net/JsonFrameReader.java
@@ -5,63 +5,67 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts what comes on a watch into lists and beats, however it is split and whatever way it is indented: an
- * object ends with its last brace, an empty line between two of them is a beat. What cannot be a list is
- * found as soon as that is certain, and no later than with the next beat: an empty line within an object says
- * that the rest of it is not going to come.
+ * Splits a watch stream into JSON objects and heartbeats, independent of how the bytes are split into buffers
+ * and how the objects are indented. An object ends with its closing brace; an empty line between objects is a
+ * heartbeat. Input that cannot be an object is detected as soon as possible, and with the next heartbeat at the
+ * latest: an empty line inside an object means that the rest of the object will not arrive.
  */
 public final class JsonFrameReader {
-    /** No list is so long; an object without an end must not fill the memory. */
+    /** Maximum size of an object; a longer one is rejected so that it cannot exhaust the memory. */
     public static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     private int depth;
-    private boolean inText;
+    private boolean inString;
     private boolean escaped;
-    /** Whether anything but blanks stands on the line that is read. */
-    private boolean lineUsed;
+    /** Whether the current line contains anything other than white space. */
+    private boolean lineHasContent;
 
-    /** What has come. */
+    /** The result of reading from the stream. */
     public enum Frame {
+        /** All bytes are read, and the next frame is not complete. */
         INCOMPLETE,
+        /** An empty line between objects. */
         HEARTBEAT,
+        /** A complete object; see {@link JsonFrameReader#takeObject}. */
         OBJECT,
+        /** Input that is not an object; see {@link JsonFrameReader#malformedText}. */
         MALFORMED
     }
 
-    /** Reads up to and with the next thing that is whole; {@link Frame#INCOMPLETE} once all is read. */
+    /** Reads up to the end of the next frame; returns {@link Frame#INCOMPLETE} once all bytes are read. */
     public Frame nextFrame(ByteBuf bytes) {
         while (bytes.isReadable()) {
-            Frame what = take(bytes.readByte());
-            if (what != Frame.INCOMPLETE) {
-                return what;
+            Frame frame = consume(bytes.readByte());
+            if (frame != Frame.INCOMPLETE) {
+                return frame;
             }
         }
         return Frame.INCOMPLETE;
     }
 
-    /** The list that was found last, as it came. */
+    /** Returns the bytes of the last complete object and clears the buffer. */
     public byte[] takeObject() {
-        byte[] whole = object.toByteArray();
+        byte[] bytes = object.toByteArray();
         object.reset();
-        return whole;
+        return bytes;
     }
 
-    /** What is spoilt, as far as it came, for the operators: 40 characters at most. */
+    /** Returns the malformed input for a log message, shortened to its first 40 characters. */
     public String malformedText() {
         String text = object.toString(StandardCharsets.US_ASCII);
         return text.length() <= 40 ? text : text.substring(0, 40) + " ...";
     }
 
-    private Frame take(byte b) {
+    private Frame consume(byte b) {
         if (b == '\n') {
-            boolean empty = !lineUsed;
-            lineUsed = false;
+            boolean empty = !lineHasContent;
+            lineHasContent = false;
             if (depth == 0) {
                 return empty ? Frame.HEARTBEAT : Frame.INCOMPLETE;
             }
             object.write(b);
-            return empty || inText ? Frame.MALFORMED : Frame.INCOMPLETE;
+            return empty || inString ? Frame.MALFORMED : Frame.INCOMPLETE;
         }
         if (b == ' ' || b == '\r' || b == '\t') {
             if (depth > 0) {
@@ -69,18 +73,18 @@
             }
             return Frame.INCOMPLETE;
         }
-        lineUsed = true;
+        lineHasContent = true;
         object.write(b);
         if (depth == 0 && b != '{' || object.size() > MAX_OBJECT_BYTES) {
             return Frame.MALFORMED;
         }
-        if (inText) {
-            inText = escaped || b != '"';
+        if (inString) {
+            inString = escaped || b != '"';
             escaped = !escaped && b == '\\';
             return Frame.INCOMPLETE;
         }
         switch (b) {
-            case '"' -> inText = true;
+            case '"' -> inString = true;
             case '{', '[' -> depth++;
             case '}', ']' -> depth--;
             default -> {}
--- a/src/main/java/kitemux/net/MillisecondTimerIoHandler.java
+++ b/src/main/java/kitemux/net/MillisecondTimerIoHandler.java
@@ -9,45 +9,45 @@
 import io.netty.util.concurrent.Ticker;
 
 /**
- * The selector of a node's loop, which waits for timers in whole milliseconds, rounded up. Selectors know no
- * finer time; the network library rounds to the nearest, so with less than half a millisecond to go it looks
- * again and again until the timer is due. With a timer every few milliseconds that was most of what a node
- * used of its processor. Harm: timers are up to a millisecond later. It also notes when it has polled the
- * sockets, for {@link PollingLoop}.
+ * Wraps the selector of an event loop and rounds the wait for timers up to whole milliseconds. Selectors have a
+ * resolution of one millisecond. Netty rounds to the nearest, so in the last half millisecond it polls
+ * continuously until the timer is due; with a timer every few milliseconds this took most of a node's processor
+ * time. The drawback is that timers run up to one millisecond late. This class also records when the sockets
+ * were polled, for {@link PollingLoop}.
  */
 public final class MillisecondTimerIoHandler implements IoHandler {
-    private static final long MILLI = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
 
     private final IoHandler selector;
     private final Ticker ticker = Ticker.systemTicker();
-    /** When the selector last said what there is to be read. */
-    private long saidNanos = ticker.nanoTime();
+    /** Time at which the selector last returned the ready sockets. */
+    private long lastSelectNanos = ticker.nanoTime();
 
-    private long polledNanos = saidNanos;
+    private long lastPollNanos = lastSelectNanos;
 
     private MillisecondTimerIoHandler(IoHandler selector) {
         this.selector = selector;
     }
 
-    /** For an event loop over the system's selector. */
+    /** Returns a factory for event loops that use the system's selector. */
     public static IoHandlerFactory factory() {
-        return over(NioIoHandler.newFactory());
+        return wrapping(NioIoHandler.newFactory());
     }
 
-    static IoHandlerFactory over(IoHandlerFactory selectors) {
+    static IoHandlerFactory wrapping(IoHandlerFactory selectors) {
         return executor -> new MillisecondTimerIoHandler(selectors.newHandler(executor));
     }
 
-    /** As {@link PollingLoop#lastPollNanos}. */
-    long polledNanos() {
-        return polledNanos;
+    /** Returns the time of {@link PollingLoop#lastPollNanos}. */
+    long lastPollNanos() {
+        return lastPollNanos;
     }
 
-    /** What the loop tells of its timers, rounded. */
-    private final class Rounded implements IoHandlerContext {
+    /** The loop's context with timer delays rounded up to whole milliseconds. */
+    private final class RoundedTimerContext implements IoHandlerContext {
         private final IoHandlerContext loop;
 
-        Rounded(IoHandlerContext loop) {
+        RoundedTimerContext(IoHandlerContext loop) {
             this.loop = loop;
         }
 
@@ -58,9 +58,11 @@
 
         @Override
         public long delayNanos(long currentTimeNanos) {
-            long nanos = loop.delayNanos(currentTimeNanos);
-            // Also up to where the sum would run over: that is no delay at all but "none is set".
-            return nanos <= 0 || nanos > Long.MAX_VALUE - MILLI ? nanos : (nanos + MILLI - 1) / MILLI * MILLI;
+            long delayNanos = loop.delayNanos(currentTimeNanos);
+            // Values near the maximum mean that no timer is set; rounding them would overflow.
+            return delayNanos <= 0 || delayNanos > Long.MAX_VALUE - NANOS_PER_MS
+                    ? delayNanos
+                    : (delayNanos + NANOS_PER_MS - 1) / NANOS_PER_MS * NANOS_PER_MS;
         }
 
         @Override
@@ -73,10 +75,10 @@
             loop.reportActiveIoTime(activeNanos);
         }
 
-        /** Asked once a turn, behind the wait and before anything is read. */
+        /** Netty calls this once per loop iteration, after the wait and before any input is read. */
         @Override
         public boolean shouldReportActiveIoTime() {
-            saidNanos = ticker.nanoTime();
+            lastSelectNanos = ticker.nanoTime();
             return loop.shouldReportActiveIoTime();
         }
     }
@@ -88,8 +90,8 @@
 
     @Override
     public int run(IoHandlerContext context) {
-        int handled = selector.run(new Rounded(context));
-        polledNanos = saidNanos;
+        int handled = selector.run(new RoundedTimerContext(context));
+        lastPollNanos = lastSelectNanos;
         return handled;
     }
 
--- a/src/main/java/kitemux/net/Network.java
+++ b/src/main/java/kitemux/net/Network.java
@@ -4,34 +4,35 @@
 import io.netty.channel.ServerChannel;
 import java.io.IOException;
 
-/** Where a node's channels come from: the system's sockets, or a world that plays them. */
+/** Creates a node's channels, from the system's sockets or from a simulation of them. */
 public interface Network {
-    /** Connections that wait for an accept, at most; listeners are bound with it. */
+    /** Maximum number of connections that wait to be accepted; listeners are bound with it. */
     int BACKLOG = 1_024;
 
-    /** Says how many connections a listener may take in. */
+    /** Limits how many connections a listener accepts. */
     interface AcceptGate {
-        /** Whether one more may be taken; while not, the listener takes none, and is to be told to stop
-         * reading. */
+        /**
+         * Whether one more connection may be accepted. While this is false the listener accepts none, and the
+         * caller should stop its reading.
+         */
         boolean canAccept();
 
-        /** One was taken; it will be heard of as a channel in the same turn of the loop. */
+        /** A connection was accepted; its channel is registered in the same loop iteration. */
         void onAccepted();
 
-        /** The system could not hand one over; the listener tries again within tens of milliseconds. */
+        /** The system failed to accept a connection; the listener tries again within tens of milliseconds. */
         void onAcceptFailed(IOException cause);
     }
 
     /**
-     * A channel that listens; those that it takes in are {@link InputAwareChannel}s. As it closes it first takes in
-     * what waits, as far as the gate allows.
+     * Creates a listening channel, whose accepted channels are {@link InputAwareChannel}s. When it closes, it
+     * first accepts the waiting connections, as far as the gate allows.
      */
     ServerChannel newListener(AcceptGate gate);
 
-    /** A channel to a server or to discovery, not yet connected. */
+    /** Creates an unconnected channel to a server or to discovery. */
     InputAwareChannel newOutboundChannel();
 
-    /** Makes all buffers for what is read and written; they belong to whoever holds them last, by Netty's
-     * rules. */
+    /** Returns the allocator of all buffers; their ownership follows Netty's reference counting rules. */
     ByteBufAllocator allocator();
 }
--- a/src/main/java/kitemux/net/NioNetwork.java
+++ b/src/main/java/kitemux/net/NioNetwork.java
@@ -6,10 +6,10 @@
 
 /** The system's TCP sockets. */
 public final class NioNetwork implements Network {
-    /** The one that a process needs: it holds nothing. */
+    /** The only instance, which is stateless. */
     public static final NioNetwork SYSTEM = new NioNetwork();
 
-    /** Buffers of just the size needed, on the heap: memory is short, and loads are small. */
+    /** Allocates unpooled heap buffers of the exact size, because memory is limited and messages are small. */
     private static final ByteBufAllocator ALLOCATOR = new UnpooledByteBufAllocator(false, true);
 
     private NioNetwork() {}
--- a/src/main/java/kitemux/net/OutboundChannel.java
+++ b/src/main/java/kitemux/net/OutboundChannel.java
@@ -4,18 +4,18 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A socket that this node opens; it can be asked whether anything has come that was not read yet. */
+/** A connection opened by this node that can tell whether it has unread input. */
 final class OutboundChannel extends NioSocketChannel implements InputAwareChannel {
-    private final ByteBuffer one = ByteBuffer.allocate(1);
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(1);
 
     /**
-     * Whether the connection is open and nothing is to be read on it. For use between two exchanges alone:
-     * a byte that has come, which nobody has asked for, is gone then, and the connection must be closed.
+     * Whether the connection is open and has no unread input. This may only be called between two exchanges: it
+     * discards a byte that was received without a request, and the connection must then be closed.
      */
     @Override
     public boolean hasNoUnreadInput() {
         try {
-            return isActive() && javaChannel().read(one.clear()) == 0;
+            return isActive() && javaChannel().read(readBuffer.clear()) == 0;
         } catch (IOException e) {
             return false;
         }
--- a/src/main/java/kitemux/net/PollingLoop.java
+++ b/src/main/java/kitemux/net/PollingLoop.java
@@ -2,13 +2,13 @@
 
 import io.netty.channel.EventLoop;
 
-/** An event loop that knows when it has polled its sockets. */
+/** An event loop that records when it polls its sockets. */
 public interface PollingLoop extends EventLoop {
     /**
-     * When it last polled its sockets and then read what had come on them, on its ticker's clock. While it
-     * reads that is the poll before: what it reads may have come since then. In tasks and timers it is the
-     * poll of the same turn: whatever came before that has been read, as far as one turn reads. To be asked
-     * on the loop alone.
+     * Returns the time, on the loop's ticker, of the last poll whose input has been read. While the loop reads,
+     * this is the previous poll, because the input may have arrived at any time since then. In tasks and timers
+     * it is the poll of the same iteration: input that arrived before it has been read, as far as one iteration
+     * reads. This must only be called on the loop.
      */
     long lastPollNanos();
 }
--- a/src/main/java/kitemux/net/SelectorLoop.java
+++ b/src/main/java/kitemux/net/SelectorLoop.java
@@ -7,14 +7,14 @@
 import io.netty.channel.SingleThreadIoEventLoop;
 import java.util.concurrent.Executor;
 
-/** The event loop of a node: one thread over the system's selector. */
+/** The event loop of a node: a single thread that uses the system's selector. */
 public final class SelectorLoop extends SingleThreadIoEventLoop implements PollingLoop {
 
     private SelectorLoop(IoEventLoopGroup group, Executor executor, IoHandlerFactory selectors) {
         super(group, executor, selectors);
     }
 
-    /** A new one, the only one of its group; its thread begins with its first task. */
+    /** Creates a loop as the only member of its group; its thread starts with the first task. */
     public static SelectorLoop open() {
         return (SelectorLoop)
                 new MultiThreadIoEventLoopGroup(1, MillisecondTimerIoHandler.factory()) {
@@ -27,6 +27,6 @@
 
     @Override
     public long lastPollNanos() {
-        return ((MillisecondTimerIoHandler) ioHandler()).polledNanos();
+        return ((MillisecondTimerIoHandler) ioHandler()).lastPollNanos();
     }
 }
--- a/src/main/java/kitemux/net/ServerPool.java
+++ b/src/main/java/kitemux/net/ServerPool.java
@@ -21,66 +21,66 @@
 import kitemux.engine.Transport;
 
 /**
- * The connections to servers, of whatever protocol: one exchange at a time on each, the most recently used
- * first. It follows the list of servers, and knows which connections are of use; what goes over them is the
- * protocol's, by its {@link ServerConnection}s.
+ * A pool of connections to servers. Each connection carries one exchange at a time, and the most recently used
+ * idle connection is reused first. The pool follows the server list and decides which connections are usable;
+ * the protocol's {@link ServerConnection}s read and write the messages.
  *
- * @param <Q> requests of the protocol
- * @param <A> answers of the protocol
+ * @param <Q> type of the protocol's requests
+ * @param <A> type of the protocol's responses
  */
 public final class ServerPool<Q, A> implements Transport<Q, A> {
-    private final Bootstrap dialer;
+    private final Bootstrap bootstrap;
     private final EventLoop loop;
-    private final SocketBudget sockets;
+    private final SocketBudget socketBudget;
     private final long connIdleUs;
     private final Clock clock;
     private final Protocol<Q, A> protocol;
     private final Map<String, Upstream<Q, A>> upstreams = new HashMap<>();
-    /** Requests written whole to servers, probes aside. */
-    private long written;
-    /** The connections that carry an exchange. */
-    private final Map<Exchange<Q, A>, ServerConnection<Q, A>> carriers = new HashMap<>();
+    /** Requests written completely to servers, not counting probes. */
+    private long writtenRequestCount;
+    /** The connections with an exchange in flight. */
+    private final Map<Exchange<Q, A>, ServerConnection<Q, A>> connectionsByExchange = new HashMap<>();
 
     /**
-     * What is spoken with servers.
+     * The protocol spoken with servers.
      *
-     * @param <Q> its requests
-     * @param <A> its answers
+     * @param <Q> type of its requests
+     * @param <A> type of its responses
      */
     public interface Protocol<Q, A> {
-        /** Puts what reads and writes it into a channel that is not connected yet; a link will follow. */
+        /** Adds the protocol's codecs to an unconnected channel; a connection from {@link #newConnection} follows. */
         void initPipeline(ChannelPipeline pipeline);
 
-        /** A link for a channel that has just connected. */
+        /** Creates the connection for a channel that has just connected. */
         ServerConnection<Q, A> newConnection();
 
-        /** What checks a server, where the settings allow probes. */
+        /** Returns the request that probes a server, where the settings allow probes. */
         Q probeRequest();
     }
 
     /**
-     * No server is known yet.
+     * Creates a pool without servers.
      *
-     * @param connectTimeoutUs time allowed to open a connection
-     * @param connIdleUs after so many microseconds servers close idle connections
+     * @param connectTimeoutUs time allowed to open a connection, in microseconds
+     * @param connIdleUs time after which servers close idle connections, in microseconds
      */
     public ServerPool(
             EventLoop loop,
             Network network,
-            SocketBudget sockets,
+            SocketBudget socketBudget,
             Clock clock,
             long connectTimeoutUs,
             long connIdleUs,
             Protocol<Q, A> protocol) {
         this.loop = loop;
         this.protocol = protocol;
-        this.sockets = sockets;
+        this.socketBudget = socketBudget;
         this.clock = clock;
         this.connIdleUs = connIdleUs;
-        dialer = new Bootstrap()
+        bootstrap = new Bootstrap()
                 .group(loop)
                 .channelFactory(network::newOutboundChannel)
-                // Addresses only: no name is ever looked up, and no resolver kept for the loop.
+                // Servers have IP addresses only, so no name resolver is needed.
                 .disableResolver()
                 .option(ChannelOption.ALLOCATOR, network.allocator())
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -94,27 +94,27 @@
                 });
     }
 
-    /** A server, at the address that discovery last gave. */
+    /** A server at its last listed address. */
     private static final class Upstream<Q, A> {
         final String id;
-        final ArrayDeque<ServerConnection<Q, A>> idle = new ArrayDeque<>();
-        /** Exchanges for which a connection is being opened; they take the first that is free. */
-        final ArrayDeque<Exchange<Q, A>> awaiting = new ArrayDeque<>();
+        final ArrayDeque<ServerConnection<Q, A>> idleConnections = new ArrayDeque<>();
+        /** Exchanges that wait for a connection; they take the first one that becomes available. */
+        final ArrayDeque<Exchange<Q, A>> waitingExchanges = new ArrayDeque<>();
 
         InetSocketAddress endpoint;
         long startedAtUs;
         boolean ready;
-        /** Connections that are being opened, up to where they can carry something. */
-        int dialing;
+        /** Connections that are being opened and cannot carry an exchange yet. */
+        int connectingCount;
 
         Upstream(String id) {
             this.id = id;
         }
     }
 
-    // ---------------------------------------------------------------- the list
+    // ---------------------------------------------------------------- server list
 
-    /** Follows the list. Word of a drain takes effect at once, also for what awaits a connection. */
+    /** Applies a server list. A drain takes effect immediately, also for exchanges that wait for a connection. */
     public void update(HostList list) {
         Map<String, Upstream<Q, A>> missing = list.isFull() ? new HashMap<>(upstreams) : Map.of();
         for (HostList.Host host : list.hosts()) {
@@ -127,20 +127,20 @@
                 continue;
             }
             Upstream<Q, A> upstream = upstreams.computeIfAbsent(id, Upstream::new);
-            // What was opened to another address, or to a process that has ended, is of no more use: a
-            // request written to it would end as a reset, which may not be repeated.
-            boolean moved =
+            // Connections to a former address, or to a process that has ended, are not usable: a request written
+            // to one would end in a reset, after which it might not be allowed to run again.
+            boolean replaced =
                     !host.endpoint().equals(upstream.endpoint) || host.entry().startedAtUs() > upstream.startedAtUs;
             upstream.endpoint = host.endpoint();
             upstream.startedAtUs = host.entry().startedAtUs();
             upstream.ready = host.entry().state() == ServerState.READY;
-            if (moved || !upstream.ready) {
-                List.copyOf(upstream.idle).stream()
-                        .filter(link -> !link.isUsable())
+            if (replaced || !upstream.ready) {
+                List.copyOf(upstream.idleConnections).stream()
+                        .filter(connection -> !connection.isUsable())
                         .forEach(ServerConnection::close);
             }
             if (!upstream.ready) {
-                turnAway(upstream);
+                endWaitingExchanges(upstream);
             }
         }
         missing.keySet().forEach(this::remove);
@@ -150,26 +150,26 @@
         Upstream<Q, A> upstream = upstreams.remove(id);
         if (upstream != null) {
             upstream.ready = false;
-            closeAll(upstream.idle);
-            turnAway(upstream);
+            closeAll(upstream.idleConnections);
+            endWaitingExchanges(upstream);
         }
     }
 
-    /** Ends what awaits a connection to a server that wants nothing new: it never ran. */
-    private static <Q, A> void turnAway(Upstream<Q, A> upstream) {
+    /** Ends the exchanges that wait for a connection to a server that takes no new requests; they never ran. */
+    private static <Q, A> void endWaitingExchanges(Upstream<Q, A> upstream) {
         Exchange<Q, A> exchange;
-        while ((exchange = upstream.awaiting.poll()) != null) {
+        while ((exchange = upstream.waitingExchanges.poll()) != null) {
             exchange.onEnded(Result.MOOT, null);
         }
     }
 
-    private static <Q, A> void closeAll(ArrayDeque<ServerConnection<Q, A>> idle) {
-        new ArrayList<>(idle).forEach(ServerConnection::close);
+    private static <Q, A> void closeAll(ArrayDeque<ServerConnection<Q, A>> connections) {
+        new ArrayList<>(connections).forEach(ServerConnection::close);
     }
 
     // ---------------------------------------------------------------- exchanges
 
-    /** Starts an exchange; the connection that carries it tells its end. */
+    /** Starts an exchange on an idle connection, or opens a new one for it. */
     @Override
     public void start(String serverId, Exchange<Q, A> exchange) {
         Upstream<Q, A> upstream = upstreams.get(serverId);
@@ -177,43 +177,43 @@
             exchange.onEnded(Result.MOOT, null);
             return;
         }
-        ServerConnection<Q, A> free;
-        while ((free = upstream.idle.peek()) != null) {
-            if (free.channel.hasNoUnreadInput()) {
-                free.carry(exchange);
+        ServerConnection<Q, A> connection;
+        while ((connection = upstream.idleConnections.peek()) != null) {
+            if (connection.channel.hasNoUnreadInput()) {
+                connection.sendRequest(exchange);
                 return;
             }
-            // What has come behind the last answer, or the end of the connection, waits to be read: it would
-            // pass for the answer to this request, or reset it.
-            free.close();
+            // Unread bytes after the last response, or the end of the connection, would be taken for the response
+            // to this request or reset it.
+            connection.close();
         }
-        if (!sockets.canOpenServerConnection() && !closeOldestIdle()) {
+        if (!socketBudget.canOpenServerConnection() && !closeOldestIdle()) {
             exchange.onEnded(Result.CONNECT_FAILED, null);
             return;
         }
-        upstream.awaiting.add(exchange);
-        dial(upstream);
+        upstream.waitingExchanges.add(exchange);
+        openConnection(upstream);
     }
 
     @Override
     public boolean abandon(String serverId, Exchange<Q, A> exchange) {
         Upstream<Q, A> upstream = upstreams.get(serverId);
-        if (upstream != null && upstream.awaiting.remove(exchange)) {
+        if (upstream != null && upstream.waitingExchanges.remove(exchange)) {
             return false;
         }
-        ServerConnection<Q, A> link = carriers.remove(exchange);
-        if (link == null) {
+        ServerConnection<Q, A> connection = connectionsByExchange.remove(exchange);
+        if (connection == null) {
             return false;
         }
-        link.exchange = null;
-        link.close();
-        return link.written;
+        connection.exchange = null;
+        connection.close();
+        return connection.requestWritten;
     }
 
     @Override
     public boolean withdraw(String serverId, Exchange<Q, A> exchange) {
         Upstream<Q, A> upstream = upstreams.get(serverId);
-        return upstream != null && upstream.awaiting.remove(exchange);
+        return upstream != null && upstream.waitingExchanges.remove(exchange);
     }
 
     @Override
@@ -221,34 +221,35 @@
         return protocol.probeRequest();
     }
 
-    private void dial(Upstream<Q, A> upstream) {
-        upstream.dialing++;
-        sockets.serverConnectionOpened();
-        InetSocketAddress to = upstream.endpoint;
-        ChannelFuture opening = dialer.connect(to);
-        opening.channel().closeFuture().addListener(closed -> sockets.serverConnectionClosed());
-        // Also a dial that fails on the spot is heard of from the loop, never from inside this call. And
-        // behind the ends of connections that were read in the same turn, which are told by tasks of the loop
-        // as well: whoever waits for this one may have left.
-        opening.addListener(done -> loop.execute(() -> loop.execute(() -> dialed(upstream, to, opening))));
+    private void openConnection(Upstream<Q, A> upstream) {
+        upstream.connectingCount++;
+        socketBudget.serverConnectionOpened();
+        InetSocketAddress endpoint = upstream.endpoint;
+        ChannelFuture opening = bootstrap.connect(endpoint);
+        opening.channel().closeFuture().addListener(closed -> socketBudget.serverConnectionClosed());
+        // The result is always handled in a later task of the loop, even if the connect fails immediately. Two
+        // tasks are needed to run after the ends of connections that were read in the same iteration, which are
+        // also reported by tasks: the client that waits for this connection may have disconnected.
+        opening.addListener(
+                done -> loop.execute(() -> loop.execute(() -> onConnectFinished(upstream, endpoint, opening))));
     }
 
-    private void dialed(Upstream<Q, A> upstream, InetSocketAddress to, ChannelFuture opening) {
+    private void onConnectFinished(Upstream<Q, A> upstream, InetSocketAddress endpoint, ChannelFuture opening) {
         if (!opening.isSuccess() || !opening.channel().isActive()) {
-            notOpened(upstream);
+            onConnectFailed(upstream);
             return;
         }
-        ServerConnection<Q, A> link = protocol.newConnection();
-        link.join(this, upstream, to, (InputAwareChannel) opening.channel());
-        opening.channel().pipeline().addLast(link).remove(ConnectErrorHandler.class);
-        link.onConnected();
+        ServerConnection<Q, A> connection = protocol.newConnection();
+        connection.attach(this, upstream, endpoint, (InputAwareChannel) opening.channel());
+        opening.channel().pipeline().addLast(connection).remove(ConnectErrorHandler.class);
+        connection.onConnected();
     }
 
-    private void notOpened(Upstream<Q, A> upstream) {
-        upstream.dialing--;
-        if (upstream.awaiting.size() > upstream.dialing) {
-            // One dial was made for each that waits; some may have found a connection that came free.
-            upstream.awaiting.poll().onEnded(Result.CONNECT_FAILED, null);
+    private void onConnectFailed(Upstream<Q, A> upstream) {
+        upstream.connectingCount--;
+        if (upstream.waitingExchanges.size() > upstream.connectingCount) {
+            // One connection was opened for each waiting exchange, but some may have taken one that became idle.
+            upstream.waitingExchanges.poll().onEnded(Result.CONNECT_FAILED, null);
         }
     }
 
@@ -266,30 +267,36 @@
     public void closeIdle(String serverId) {
         Upstream<Q, A> upstream = upstreams.get(serverId);
         if (upstream != null) {
-            closeAll(upstream.idle);
+            closeAll(upstream.idleConnections);
         }
     }
 
-    /** Requests written whole to servers so far, probes aside. */
+    /** Returns the number of requests written completely to servers so far, not counting probes. */
     public long writtenRequestCount() {
-        return written;
+        return writtenRequestCount;
     }
 
-    /** Closes what is idle; what awaits a connection has ended, what is on one ends with its loop. */
+    /**
+     * Removes all servers: idle connections are closed, and exchanges that wait for a connection end. Exchanges in
+     * flight end with their event loop.
+     */
     public void close() {
         List.copyOf(upstreams.keySet()).forEach(this::remove);
     }
 
-    /** Closes what has been idle for half of what servers allow: a request that met their close resets. And
-     * what carries an answer that does not go on. */
+    /**
+     * Closes stalled connections, and those that have been idle for half of the time that servers allow. A request
+     * sent while the server closes its idle connection would be reset.
+     */
     public void closeExpiredConnections() {
-        List.copyOf(carriers.values()).stream()
+        List.copyOf(connectionsByExchange.values()).stream()
                 .filter(ServerConnection::isStalled)
                 .forEach(ServerConnection::close);
-        long before = clock.nowUs() - connIdleUs / 2;
+        long idleBeforeUs = clock.nowUs() - connIdleUs / 2;
         for (Upstream<Q, A> upstream : upstreams.values()) {
-            while (!upstream.idle.isEmpty() && upstream.idle.peekLast().idleSinceUs < before) {
-                upstream.idle.peekLast().close();
+            while (!upstream.idleConnections.isEmpty()
+                    && upstream.idleConnections.peekLast().idleSinceUs < idleBeforeUs) {
+                upstream.idleConnections.peekLast().close();
             }
         }
     }
@@ -297,7 +304,7 @@
     private boolean closeOldestIdle() {
         ServerConnection<Q, A> oldest = null;
         for (Upstream<Q, A> upstream : upstreams.values()) {
-            ServerConnection<Q, A> last = upstream.idle.peekLast();
+            ServerConnection<Q, A> last = upstream.idleConnections.peekLast();
             if (last != null && (oldest == null || last.idleSinceUs < oldest.idleSinceUs)) {
                 oldest = last;
             }
@@ -308,13 +315,14 @@
         return oldest != null;
     }
 
-    // ---------------------------------------------------------------- a connection
+    // ---------------------------------------------------------------- server connections
 
     /**
-     * A connection to a server, the last in its channel's pipeline: the protocol's part reads what comes.
+     * A connection to a server. It is the last handler in its channel's pipeline; protocol-specific subclasses
+     * read the responses.
      *
-     * @param <Q> requests of the protocol
-     * @param <A> answers of the protocol
+     * @param <Q> type of the protocol's requests
+     * @param <A> type of the protocol's responses
      */
     public abstract static class ServerConnection<Q, A> extends ChannelInboundHandlerAdapter {
         private ServerPool<Q, A> pool;
@@ -322,69 +330,74 @@
         private InetSocketAddress endpoint;
         private InputAwareChannel channel;
         private long openedAtUs;
-        private boolean up;
+        private boolean established;
         private Exchange<Q, A> exchange;
-        private boolean written;
-        private boolean closedHere;
+        private boolean requestWritten;
+        private boolean closedLocally;
         private long idleSinceUs;
 
-        private void join(
-                ServerPool<Q, A> to, Upstream<Q, A> server, InetSocketAddress at, InputAwareChannel connected) {
-            pool = to;
-            upstream = server;
-            endpoint = at;
-            channel = connected;
-            openedAtUs = to.clock.nowUs();
+        private void attach(
+                ServerPool<Q, A> owner,
+                Upstream<Q, A> connectedUpstream,
+                InetSocketAddress connectedEndpoint,
+                InputAwareChannel connectedChannel) {
+            pool = owner;
+            upstream = connectedUpstream;
+            endpoint = connectedEndpoint;
+            channel = connectedChannel;
+            openedAtUs = owner.clock.nowUs();
         }
 
-        /** The connection is up: {@link #markAvailable} is due once it can carry an exchange. */
+        /**
+         * The connection is open. The subclass must call {@link #markAvailable} once it can carry an exchange.
+         */
         protected abstract void onConnected();
 
-        /** What to write for an exchange, as late as a connection is there to carry it. */
+        /** Creates the message for an exchange; called only when a connection is available to send it. */
         protected abstract Object createMessage(Exchange<Q, A> next);
 
-        /** Whether what it carries has begun to be answered and will not go on. */
+        /** Whether the response to the current exchange has started and no longer makes progress. */
         protected boolean isStalled() {
             return false;
         }
 
         /**
-         * Tells that an answer begins which nobody holds whole.
+         * Reports that an unbuffered response has started.
          *
-         * @return false if nobody wants it: the connection is closed then and carries nothing more
+         * @return false if the response is not wanted; the connection is then closed
          */
         protected final boolean startResponse(A answer) {
-            Exchange<Q, A> begun = exchange;
-            if (begun.onResponseStarted(answer)) {
+            Exchange<Q, A> current = exchange;
+            if (current.onResponseStarted(answer)) {
                 return true;
             }
-            pool.carriers.remove(begun);
+            pool.connectionsByExchange.remove(current);
             exchange = null;
             close();
             return false;
         }
 
-        /** What it carries, or null. */
+        /** Returns the current exchange, or null. */
         protected final Exchange<Q, A> exchange() {
             return exchange;
         }
 
-        /** Whether the request that it carries, or carried last, was written whole. */
+        /** Whether the request of the current or last exchange was written completely. */
         protected final boolean isRequestWritten() {
-            return written;
+            return requestWritten;
         }
 
-        /** Whether this side has ended it. */
+        /** Whether this node closed the connection. */
         protected final boolean isClosedLocally() {
-            return closedHere;
+            return closedLocally;
         }
 
-        /** Its channel. */
+        /** Returns the connection's channel. */
         protected final InputAwareChannel channel() {
             return channel;
         }
 
-        /** The server's id. */
+        /** Returns the server's id. */
         protected final String serverId() {
             return upstream.id;
         }
@@ -396,74 +409,74 @@
                     && openedAtUs >= upstream.startedAtUs;
         }
 
-        /** It can carry an exchange: takes up what awaits a connection, or stays idle. */
+        /** Makes the connection available: it takes a waiting exchange, or becomes idle if there is none. */
         protected final void markAvailable() {
-            if (!up) {
-                up = true;
-                upstream.dialing--;
+            if (!established) {
+                established = true;
+                upstream.connectingCount--;
             }
             if (!isUsable()) {
                 close();
-                // Its dial was for one that still waits, perhaps at an address that has changed since.
-                if (upstream.ready && upstream.awaiting.size() > upstream.dialing) {
-                    upstream.awaiting.poll().onEnded(Result.CONNECT_FAILED, null);
+                // It was opened for an exchange that still waits, possibly at an address that has since changed.
+                if (upstream.ready && upstream.waitingExchanges.size() > upstream.connectingCount) {
+                    upstream.waitingExchanges.poll().onEnded(Result.CONNECT_FAILED, null);
                 }
                 return;
             }
             idleSinceUs = pool.clock.nowUs();
-            upstream.idle.push(this);
-            Exchange<Q, A> next = upstream.awaiting.poll();
+            upstream.idleConnections.push(this);
+            Exchange<Q, A> next = upstream.waitingExchanges.poll();
             if (next != null) {
-                carry(next);
+                sendRequest(next);
             }
         }
 
-        private void carry(Exchange<Q, A> next) {
-            // First, as a message that cannot be made must not cost the connection.
+        private void sendRequest(Exchange<Q, A> next) {
+            // Created first, so that a failure here does not lose the connection.
             Object message = createMessage(next);
-            upstream.idle.remove(this);
+            upstream.idleConnections.remove(this);
             exchange = next;
-            written = false;
-            pool.carriers.put(next, this);
+            requestWritten = false;
+            pool.connectionsByExchange.put(next, this);
             channel.writeAndFlush(message).addListener(done -> {
                 if (done.isSuccess()) {
-                    pool.written += next.request() == pool.protocol.probeRequest() ? 0 : 1;
-                    written |= exchange == next;
+                    pool.writtenRequestCount += next.request() == pool.protocol.probeRequest() ? 0 : 1;
+                    requestWritten |= exchange == next;
                 } else {
                     close();
                 }
             });
         }
 
-        /** Ends the connection; what it carries is told so. */
+        /** Closes the connection; the current exchange ends when the channel becomes inactive. */
         protected final void close() {
-            closedHere = true;
-            upstream.idle.remove(this);
+            closedLocally = true;
+            upstream.idleConnections.remove(this);
             channel.close();
         }
 
-        /** Tells the end of what it carries, if anything. */
+        /** Reports the end of the current exchange, if there is one. */
         protected final void completeExchange(Result result, A answer) {
-            Exchange<Q, A> over = exchange;
+            Exchange<Q, A> completed = exchange;
             exchange = null;
-            if (over != null) {
-                pool.carriers.remove(over);
-                over.onEnded(result, answer);
+            if (completed != null) {
+                pool.connectionsByExchange.remove(completed);
+                completed.onEnded(result, answer);
             }
         }
 
-        /** The connection has ended: what the protocol holds of an answer is let go. */
+        /** Releases what the protocol holds of a response. */
         protected abstract void releaseResponse();
 
         @Override
         public final void channelInactive(ChannelHandlerContext context) {
-            upstream.idle.remove(this);
+            upstream.idleConnections.remove(this);
             releaseResponse();
-            if (!up) {
-                up = true;
-                pool.notOpened(upstream);
+            if (!established) {
+                established = true;
+                pool.onConnectFailed(upstream);
             }
-            completeExchange(written ? Result.RESET : Result.CONNECT_FAILED, null);
+            completeExchange(requestWritten ? Result.RESET : Result.CONNECT_FAILED, null);
         }
     }
 }
--- a/src/main/java/kitemux/net/ServerResponse.java
+++ b/src/main/java/kitemux/net/ServerResponse.java
@@ -3,70 +3,70 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * What a server answered: whole, or as it comes where it is long. One that comes is passed from the server's
- * connection to the client's on the loop, and whoever takes it says when to go on reading, so that it never
- * lies here but for a few reads.
+ * A server's response body, either buffered completely or, if it is long, streamed. A streamed body is forwarded
+ * from the server's connection to the client's on the event loop. The receiver controls when reading continues,
+ * so that no more than a few reads are buffered.
  */
 public final class ServerResponse {
-    /** Takes what comes; its buffers are its own from then on. */
+    /** Receives a streamed body. */
     public interface BodySink {
-        /** The next bytes of the body. */
+        /** Receives the next bytes of the body and takes ownership of the buffer. */
         void onBodyBytes(ByteBuf bytes);
     }
 
-    /** Where it comes from. */
+    /** The connection that a streamed body is read from. */
     public interface BodySource {
-        /** Whether to go on reading. */
-        void setReading(boolean on);
+        /** Enables or disables reading from the connection. */
+        void setReading(boolean enabled);
     }
 
-    private final byte[] whole;
+    private final byte[] bufferedBody;
     private final long length;
-    private final BodySource source;
-    private BodySink sink;
+    private final BodySource bodySource;
+    private BodySink bodySink;
 
-    private ServerResponse(byte[] whole, long length, BodySource source) {
-        this.whole = whole;
+    private ServerResponse(byte[] bufferedBody, long length, BodySource bodySource) {
+        this.bufferedBody = bufferedBody;
         this.length = length;
-        this.source = source;
+        this.bodySource = bodySource;
     }
 
-    /** One that has come whole. */
+    /** Returns a response whose body has been received completely. */
     public static ServerResponse buffered(byte[] body) {
         return new ServerResponse(body, body.length, null);
     }
 
     /**
-     * One that begins to come.
+     * Returns a response whose body is streamed.
      *
-     * @param length of its body in bytes, or -1 where only its end will tell
+     * @param length length of the body in bytes, or -1 if it is not known in advance
      */
-    public static ServerResponse streaming(long length, BodySource source) {
-        return new ServerResponse(null, length, source);
+    public static ServerResponse streaming(long length, BodySource bodySource) {
+        return new ServerResponse(null, length, bodySource);
     }
 
-    /** Its body; null for one that comes. */
+    /** Returns the body, or null if it is streamed. */
     public byte[] body() {
-        return whole;
+        return bufferedBody;
     }
 
-    /** Of its body in bytes, or -1 where only its end will tell. */
+    /** Returns the length of the body in bytes, or -1 if it is not known in advance. */
     public long length() {
         return length;
     }
 
-    /** Whoever takes it does so from now on. */
-    public void streamTo(BodySink taker) {
-        sink = taker;
+    /** Sets the receiver of a streamed body; must be called before {@link #deliver}. */
+    public void streamTo(BodySink sink) {
+        bodySink = sink;
     }
 
-    /** More has come. */
+    /** Passes the next bytes of a streamed body to the receiver. */
     public void deliver(ByteBuf bytes) {
-        sink.onBodyBytes(bytes);
+        bodySink.onBodyBytes(bytes);
     }
 
-    /** Whether to go on reading; to be called by whoever takes it. */
-    public void setReading(boolean on) {
-        source.setReading(on);
+    /** Enables or disables reading of a streamed body; called by its receiver. */
+    public void setReading(boolean enabled) {
+        bodySource.setReading(enabled);
     }
 }
--- a/src/main/java/kitemux/net/SocketBudget.java
+++ b/src/main/java/kitemux/net/SocketBudget.java
@@ -1,114 +1,127 @@
 package kitemux.net;
 
-/** Counts open sockets against the process's limit, so that no side takes what the other needs. */
+/**
+ * Counts open sockets against the process's descriptor limit, so that client connections and server connections
+ * do not exhaust the descriptors that the other side needs.
+ */
 public final class SocketBudget {
-    /** Connections taken in one turn of the loop. Netty's sixteen were fewer than came while a turn took
-     * 100 ms: clients gave up in the backlog, and the next turn met only those. More would need more
-     * descriptors at once, before any can be closed to make room. */
+    /**
+     * Maximum number of connections accepted in one loop iteration. Netty's default of 16 is less than what
+     * arrives during an iteration of 100 ms: clients timed out in the backlog, and the next iteration accepted only
+     * those. A higher number needs more descriptors at once, before any can be closed to make room.
+     */
     public static final int MAX_ACCEPTS_PER_TURN = 64;
-    /** Descriptors that the JVM, the jar, the listener and discovery hold, and those of new connections that
-     * have been taken together and are looked at one by one. */
-    private static final int RESERVED = 32 + MAX_ACCEPTS_PER_TURN;
-    /** The part that clients may keep; a request in work needs a connection to a server too. */
-    private static final double CLIENT_PART = 0.6;
-    /** The part that clients may hold while each beyond {@link #CLIENT_PART} is let go with its next
-     * answer: what has come on it is owed one, so it cannot be closed, and the rest is for connections
-     * to servers. Beyond this part they are turned away, from what is kept for connections that are
-     * taken together. */
-    private static final double CROWDED_PART = 0.75;
-
-    /** The part of the limit that idle clients may hold: half of what clients may open for requests at all,
-     * so that some can always be opened anew. */
-    private static final double IDLE_PART = 1.0 / 6;
-
-    private final int most;
+    /**
+     * Descriptors reserved for the JVM, the jar, the listener and discovery, and for connections that were
+     * accepted in the same iteration and are registered one by one.
+     */
+    private static final int RESERVED_DESCRIPTOR_COUNT = 32 + MAX_ACCEPTS_PER_TURN;
+    /** Share of the budget for client connections kept open; a request in flight needs a server connection too. */
+    private static final double KEPT_CLIENT_RATIO = 0.6;
+    /**
+     * Share of the budget for client connections that are served. Connections beyond
+     * {@link #KEPT_CLIENT_RATIO} are closed after their next answer: they cannot be closed before it, because a
+     * received request is owed an answer. The rest is for server connections. Client connections beyond this
+     * share are rejected, using the descriptors reserved for connections accepted together.
+     */
+    private static final double SERVED_CLIENT_RATIO = 0.75;
+
+    /**
+     * Share of the limit for idle client connections: half of what clients may open for requests, so that new
+     * ones can always be opened.
+     */
+    private static final double IDLE_CLIENT_RATIO = 1.0 / 6;
+
+    private final int maxOpenCount;
     private final int maxIdleClients;
-    private int open;
-    private int clients;
-    /** Taken in together and not looked at yet: those that were looked at must not make room for them. */
-    private int taken;
-    /** Looked at and turned away; they end with their answer. */
-    private int leaving;
+    private int openCount;
+    private int registeredClients;
+    /** Connections accepted but not registered yet; registered connections must not be closed to make room for them. */
+    private int acceptedClients;
+    /** Connections registered and rejected; they close after their answer. */
+    private int rejectedClients;
 
     /**
-     * None open yet.
+     * Creates a budget with no open sockets.
      *
-     * @param limit how many descriptors the process may hold
+     * @param limit number of descriptors that the process may hold
      */
     public SocketBudget(int limit) {
-        most = Math.max(8, limit - RESERVED);
-        maxIdleClients = (int) (IDLE_PART * limit);
+        maxOpenCount = Math.max(8, limit - RESERVED_DESCRIPTOR_COUNT);
+        maxIdleClients = (int) (IDLE_CLIENT_RATIO * limit);
     }
 
-    /** One more to a server. */
+    /** Records that a connection to a server was opened. */
     public void serverConnectionOpened() {
-        open++;
+        openCount++;
     }
 
-    /** One to a server less. */
+    /** Records that a connection to a server was closed. */
     public void serverConnectionClosed() {
-        open--;
+        openCount--;
     }
 
-    /** One more from a client was taken in; it is {@link #clientRegistered} in the same turn of the loop. */
+    /**
+     * Records that a client connection was accepted; {@link #clientRegistered} follows in the same loop iteration.
+     */
     public void clientAccepted() {
-        open++;
-        taken++;
+        openCount++;
+        acceptedClients++;
     }
 
-    /** One that was taken in is looked at. */
+    /** Records that an accepted client connection was registered. */
     public void clientRegistered() {
-        taken--;
-        clients++;
+        acceptedClients--;
+        registeredClients++;
     }
 
-    /** One that was looked at is turned away. */
+    /** Records that a registered client connection is rejected. */
     public void clientRejected() {
-        leaving++;
+        rejectedClients++;
     }
 
-    /** One that was turned away is {@link #clientClosed}. */
+    /** Records that a rejected client connection was closed; called in addition to {@link #clientClosed}. */
     public void rejectedClientClosed() {
-        leaving--;
+        rejectedClients--;
     }
 
-    /** One from a client less. */
+    /** Records that a client connection was closed. */
     public void clientClosed() {
-        open--;
-        clients--;
+        openCount--;
+        registeredClients--;
     }
 
-    /** How many clients' connections may be idle. */
+    /** Returns the maximum number of idle client connections. */
     public int maxIdleClients() {
         return maxIdleClients;
     }
 
     /**
-     * Whether one more to a server may be opened. What is taken together is kept for those that are looked at
-     * one by one or turned away: a burst of them would else leave those that are served no server, and all
-     * would be refused.
+     * Whether another connection to a server may be opened. Connections that are accepted but not registered, or
+     * are rejected, count against the reserved descriptors: otherwise a burst of them would prevent server
+     * connections for the clients that are served, and all requests would be refused.
      */
     public boolean canOpenServerConnection() {
-        return open - Math.min(MAX_ACCEPTS_PER_TURN, taken + leaving) < most;
+        return openCount - Math.min(MAX_ACCEPTS_PER_TURN, acceptedClients + rejectedClients) < maxOpenCount;
     }
 
-    /** Whether one more from a client may be taken at all, be it to turn it away. */
+    /** Whether another client connection may be accepted, even if only to reject it. */
     public boolean canAcceptClient() {
-        return clients + taken < CROWDED_PART * most + MAX_ACCEPTS_PER_TURN;
+        return registeredClients + acceptedClients < SERVED_CLIENT_RATIO * maxOpenCount + MAX_ACCEPTS_PER_TURN;
     }
 
-    /** Whether one that was taken may be served. */
+    /** Whether a registered client connection may be served. */
     public boolean canServeClient() {
-        return clients <= CROWDED_PART * most;
+        return registeredClients <= SERVED_CLIENT_RATIO * maxOpenCount;
     }
 
-    /** Whether one that was taken may be kept for further requests. */
+    /** Whether a client connection may be kept open for further requests. */
     public boolean canKeepClient() {
-        return open - taken <= most && clients <= CLIENT_PART * most;
+        return openCount - acceptedClients <= maxOpenCount && registeredClients <= KEPT_CLIENT_RATIO * maxOpenCount;
     }
 
-    /** Descriptors that are open now. */
+    /** Returns the number of open sockets. */
     public int openCount() {
-        return open;
+        return openCount;
     }
 }
--- a/src/main/java/kitemux/net/TimerQueue.java
+++ b/src/main/java/kitemux/net/TimerQueue.java
@@ -4,28 +4,29 @@
 import kitemux.engine.Clock;
 
 /**
- * The timers of one thread, in the order in which they are due; those of one moment in the order in which
- * they were set. It knows no clock and sleeps for nobody. Most timers are called off, and rest here until
- * they would have been due or make up half of all: an answer must not cost a search for its request's timer.
+ * The timers of one thread, ordered by deadline and, for equal deadlines, by the order in which they were
+ * scheduled. The queue has no clock of its own and does not wait. Most timers are cancelled; they stay in the
+ * queue until their deadline or until they make up half of the queue, so that a response does not cost a search
+ * for the timer of its request.
  */
 final class TimerQueue {
-    /** Up to here those called off are not worth clearing out. */
-    private static final int FEW = 64;
+    /** Up to this many cancelled timers the queue is not compacted. */
+    private static final int MIN_CANCELLED_TO_COMPACT_COUNT = 64;
 
-    private final PriorityQueue<Set> queue = new PriorityQueue<>();
-    private long lastNumber;
-    private int calledOff;
+    private final PriorityQueue<ScheduledTimer> queue = new PriorityQueue<>();
+    private long lastSequence;
+    private int cancelledCount;
     private boolean running;
 
-    /** A timer that was set. */
-    private final class Set implements Clock.Timer, Comparable<Set> {
-        private final long atNanos;
-        private final long number = ++lastNumber;
-        /** Null once it has run or was called off. */
+    /** A timer in the queue. */
+    private final class ScheduledTimer implements Clock.Timer, Comparable<ScheduledTimer> {
+        private final long deadlineNanos;
+        private final long sequence = ++lastSequence;
+        /** Null once the timer has run or was cancelled. */
         private Runnable task;
 
-        Set(long atNanos, Runnable task) {
-            this.atNanos = atNanos;
+        ScheduledTimer(long deadlineNanos, Runnable task) {
+            this.deadlineNanos = deadlineNanos;
             this.task = task;
         }
 
@@ -33,68 +34,75 @@
         public void cancel() {
             if (task != null) {
                 task = null;
-                calledOff++;
-                clearOut();
+                cancelledCount++;
+                removeCancelled();
             }
         }
 
         @Override
-        public int compareTo(Set other) {
-            // Clocks of nanoseconds may run over: the difference tells.
-            int byTime = Long.signum(atNanos - other.atNanos);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+        public int compareTo(ScheduledTimer other) {
+            // Nanosecond clocks may overflow, so the difference is compared.
+            int byTime = Long.signum(deadlineNanos - other.deadlineNanos);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** Sets a timer; the clock's nanoseconds must be less than 292 years apart. */
-    Clock.Timer set(long atNanos, Runnable task) {
-        Set set = new Set(atNanos, task);
-        queue.add(set);
-        return set;
+    /** Schedules a task; all deadlines in the queue must be less than 292 years apart. */
+    Clock.Timer schedule(long deadlineNanos, Runnable task) {
+        ScheduledTimer timer = new ScheduledTimer(deadlineNanos, task);
+        queue.add(timer);
+        return timer;
     }
 
-    private void clearOut() {
+    private void removeCancelled() {
         while (!queue.isEmpty() && queue.peek().task == null) {
             queue.poll();
-            calledOff--;
+            cancelledCount--;
         }
-        if (calledOff > FEW && 2 * calledOff > queue.size()) {
-            queue.removeIf(set -> set.task == null);
-            calledOff = 0;
+        if (cancelledCount > MIN_CANCELLED_TO_COMPACT_COUNT && 2 * cancelledCount > queue.size()) {
+            queue.removeIf(timer -> timer.task == null);
+            cancelledCount = 0;
         }
     }
 
-    /** Whether none is set that may still run. */
+    /** Whether no timer is left to run. */
     boolean isEmpty() {
         return queue.isEmpty();
     }
 
-    /** When the first is due. There must be one. */
-    long firstNanos() {
-        return queue.element().atNanos;
+    /**
+     * Returns the earliest deadline.
+     *
+     * @throws java.util.NoSuchElementException if the queue is empty
+     */
+    long nextDeadlineNanos() {
+        return queue.element().deadlineNanos;
     }
 
-    /** How many are kept, those called off among them. */
+    /** Returns the number of timers in the queue, including cancelled ones. */
     int size() {
         return queue.size();
     }
 
     /**
-     * Runs all that were due by then and were set before this call, in order. What they set waits for the
-     * next call, so that none can hold the thread for good. A call from inside one of them does nothing.
+     * Runs the timers, in order, that are due at the given time and were scheduled before this call. Timers that
+     * they schedule wait for the next call, so that timers cannot block the thread forever. A call from inside
+     * a timer does nothing.
      */
-    void run(long dueByNanos) {
+    void runDue(long nowNanos) {
         if (running) {
             return;
         }
         running = true;
-        long upTo = lastNumber;
+        long lastRunnableSequence = lastSequence;
         try {
-            while (!queue.isEmpty() && queue.peek().atNanos - dueByNanos <= 0 && queue.peek().number <= upTo) {
-                Set due = queue.poll();
+            while (!queue.isEmpty()
+                    && queue.peek().deadlineNanos - nowNanos <= 0
+                    && queue.peek().sequence <= lastRunnableSequence) {
+                ScheduledTimer due = queue.poll();
                 Runnable task = due.task;
                 due.task = null;
-                clearOut();
+                removeCancelled();
                 task.run();
             }
         } finally {
--- a/src/main/java/kitemux/sim/ColdStartLoad.java
+++ b/src/main/java/kitemux/sim/ColdStartLoad.java
@@ -3,87 +3,89 @@
 import java.util.ArrayDeque;
 
 /**
- * What comes to a server that has just started, from all nodes together, against what the settings let come:
- * the rule on cold servers, for whoever judges by it. N is what the settings allow within their time, in
- * requests of mean work; what is beyond by no more than 2 x root of N + 2 is chance.
+ * The load on a server during its slow start, from all nodes together, compared with the limit in the settings.
+ * If the settings allow N requests of mean work within their time window, the server is not overloaded up to
+ * N + 2 * sqrt(N) + 2, because a smaller excess can be random.
  */
 public final class ColdStartLoad {
-    /** At the first fall more than this part has to have come from nodes that knew of the start, for it to be
-     * their fault. */
-    private static final double FROM_TOLD = 2.0 / 3;
+    /**
+     * The nodes are responsible for an overload if, when it begins, more than this share of the work came from
+     * nodes that knew of the server's start.
+     */
+    private static final double INFORMED_WORK_RATIO = 2.0 / 3;
 
     private final double meanWorkUs;
-    private final long withinUs;
-    /** Time, work and how much of that came from nodes that knew, in order of time. */
-    private final ArrayDeque<double[]> in = new ArrayDeque<>();
+    private final long windowUs;
+    /** Arrivals in the window, in order of time: time, work, and the work from informed nodes, in microseconds. */
+    private final ArrayDeque<double[]> arrivals = new ArrayDeque<>();
 
-    private double sumUs;
-    private double toldUs;
+    private double windowWorkUs;
+    private double informedWorkUs;
     private double peakRatio;
 
-    /** What became of a server by what came to it. */
+    /** The effect of the load on the server. */
     public enum Verdict {
-        /** It stands. */
+        /** The load is within the limit. */
         WITHIN_LIMIT,
-        /** It falls, by what came from nodes that could not know. */
+        /** The server is overloaded, by work from nodes that could not know of its start. */
         OVERLOADED,
-        /** It falls, and the nodes are to blame. */
+        /** The server is overloaded, and the nodes are responsible. */
         OVERLOADED_BY_NODES
     }
 
     /**
-     * Nothing has come yet.
+     * Creates a load without arrivals.
      *
-     * @param meanWorkUs mean work of a request, in microseconds on a core of speed 1, above 0
-     * @param withinUs the stretch of time that the settings name, in microseconds
+     * @param meanWorkUs mean work of a request, in microseconds on a core of speed 1; must be positive
+     * @param windowUs length of the time window in the settings, in microseconds
      */
-    public ColdStartLoad(double meanWorkUs, long withinUs) {
+    public ColdStartLoad(double meanWorkUs, long windowUs) {
         this.meanWorkUs = meanWorkUs;
-        this.withinUs = withinUs;
+        this.windowUs = windowUs;
     }
 
-    /** How many requests of mean work a cold server stands where the settings allow {@code n}. */
-    public static double maxRequests(double n) {
-        return n + 2 * Math.sqrt(n) + 2;
+    /** Returns how many requests of mean work do not overload a cold server whose limit is the given number. */
+    public static double maxRequests(double allowedRequests) {
+        return allowedRequests + 2 * Math.sqrt(allowedRequests) + 2;
     }
 
-    /** A new process: what came to the one before is of no concern. */
+    /** Discards the arrivals because a new server process has started. */
     public void reset() {
-        in.clear();
-        sumUs = 0;
-        toldUs = 0;
+        arrivals.clear();
+        windowWorkUs = 0;
+        informedWorkUs = 0;
     }
 
     /**
-     * Something has come to it while it is cold. Times do not run backwards.
+     * Records a request that arrives while the server is cold. Times must not decrease.
      *
-     * @param workUs the work of it, in microseconds on a core of speed 1
-     * @param fromTold whether its node had been told of the start
-     * @param allowedUs work that the settings allow it in their time, as warm as it is now
+     * @param workUs work of the request, in microseconds on a core of speed 1
+     * @param fromInformedNode whether the sending node had been notified of the server's start
+     * @param allowedWorkUs work that the settings allow within the window at the server's current warmth
      */
-    public Verdict recordArrival(long nowUs, double workUs, boolean fromTold, double allowedUs) {
-        in.add(new double[] {nowUs, workUs, fromTold ? workUs : 0});
-        sumUs += workUs;
-        toldUs += fromTold ? workUs : 0;
-        while (in.peek()[0] <= nowUs - withinUs) {
-            double[] old = in.poll();
-            sumUs -= old[1];
-            toldUs -= old[2];
+    public Verdict recordArrival(long nowUs, double workUs, boolean fromInformedNode, double allowedWorkUs) {
+        arrivals.add(new double[] {nowUs, workUs, fromInformedNode ? workUs : 0});
+        windowWorkUs += workUs;
+        informedWorkUs += fromInformedNode ? workUs : 0;
+        while (arrivals.peek()[0] <= nowUs - windowUs) {
+            double[] expired = arrivals.poll();
+            windowWorkUs -= expired[1];
+            informedWorkUs -= expired[2];
         }
-        double part = sumUs / meanWorkUs / maxRequests(allowedUs / meanWorkUs);
-        peakRatio = Math.max(peakRatio, part);
-        if (part <= 1) {
+        double ratio = windowWorkUs / meanWorkUs / maxRequests(allowedWorkUs / meanWorkUs);
+        peakRatio = Math.max(peakRatio, ratio);
+        if (ratio <= 1) {
             return Verdict.WITHIN_LIMIT;
         }
-        return toldUs > FROM_TOLD * sumUs ? Verdict.OVERLOADED_BY_NODES : Verdict.OVERLOADED;
+        return informedWorkUs > INFORMED_WORK_RATIO * windowWorkUs ? Verdict.OVERLOADED_BY_NODES : Verdict.OVERLOADED;
     }
 
-    /** What has come within the time that is looked at, in requests of mean work. */
+    /** Returns the work that arrived within the window, in requests of mean work. */
     public double recentRequests() {
-        return sumUs / meanWorkUs;
+        return windowWorkUs / meanWorkUs;
     }
 
-    /** The most that came in any such stretch, as a part of what a server then stands; 0 if nothing came. */
+    /** Returns the highest ratio of the load in any window to the limit at that time; 0 without arrivals. */
     public double peakRatio() {
         return peakRatio;
     }
--- a/src/main/java/kitemux/sim/Scheduler.java
+++ b/src/main/java/kitemux/sim/Scheduler.java
@@ -3,160 +3,167 @@
 import java.util.Arrays;
 
 /**
- * Virtual time: what is to happen, in order of time and then of having been asked for. One thread calls it.
+ * A scheduler of events in virtual time. Events run in the order of their time and, for equal times, in the order
+ * in which they were scheduled. This class is not thread-safe.
  *
- * <p>A heap of four children a place that knows where each event stands, so that what is called off leaves it
- * at once: of the timers that a node sets, all but few are called off, and a plain priority queue would hold
- * them until their time.
+ * <p>The events are kept in a four-ary heap in which each event knows its index, so that a cancelled event is
+ * removed immediately: nodes cancel most of their timers, and a plain priority queue would keep them until they
+ * are due.
  */
 public final class Scheduler {
-    private static final int CHILDREN = 4;
-    private static final int FIRST_ROOM = 64;
+    private static final int CHILD_COUNT = 4;
+    private static final int INITIAL_CAPACITY = 64;
 
-    private Event[] heap = new Event[FIRST_ROOM];
+    private Event[] heap = new Event[INITIAL_CAPACITY];
     private int size;
     private long nowNanos;
-    private long asked;
+    private long scheduledEventCount;
     private long executedEventCount;
 
-    /** Something that is to happen. */
+    /** A scheduled event. */
     public static final class Event {
-        private final long at;
+        private final long timeNanos;
         private final long order;
-        private Runnable what;
-        /** Where it stands in the heap. */
-        private int place;
+        private Runnable action;
+        /** Index of the event in the heap. */
+        private int heapIndex;
 
-        private final Scheduler of;
+        private final Scheduler scheduler;
 
-        private Event(Scheduler of, long at, long order, Runnable what) {
-            this.of = of;
-            this.at = at;
+        private Event(Scheduler scheduler, long timeNanos, long order, Runnable action) {
+            this.scheduler = scheduler;
+            this.timeNanos = timeNanos;
             this.order = order;
-            this.what = what;
+            this.action = action;
         }
 
-        /** It does not happen; without effect once it has. */
+        /** Cancels the event; has no effect once it has run. */
         public void cancel() {
-            if (what != null) {
-                what = null;
-                of.remove(place);
+            if (action != null) {
+                action = null;
+                scheduler.remove(heapIndex);
             }
         }
 
         private boolean isBefore(Event other) {
-            return at < other.at || at == other.at && order < other.order;
+            return timeNanos < other.timeNanos || timeNanos == other.timeNanos && order < other.order;
         }
     }
 
-    /** Nanoseconds since the world began. */
+    /** Returns the virtual time in nanoseconds since the start of the simulation. */
     public long nowNanos() {
         return nowNanos;
     }
 
-    /** The same in microseconds. */
+    /** Returns the virtual time in microseconds since the start of the simulation. */
     public long nowUs() {
         return nowNanos / 1_000;
     }
 
-    /** How many events have happened. */
+    /** Returns the number of events that have run. */
     public long executedEventCount() {
         return executedEventCount;
     }
 
-    /** How many are to happen. */
+    /** Returns the number of events that are scheduled. */
     public int pendingEventCount() {
         return size;
     }
 
-    /** When the next event happens, in nanoseconds; the clock's end if there is none. */
+    /** Returns the time of the next event in nanoseconds, or {@link Long#MAX_VALUE} if there is none. */
     public long nextEventNanos() {
-        return size == 0 ? Long.MAX_VALUE : heap[0].at;
+        return size == 0 ? Long.MAX_VALUE : heap[0].timeNanos;
     }
 
-    /** At this time, or now if it has passed; behind all that was asked for before at the same time. */
-    public Event scheduleAt(long nanos, Runnable what) {
-        Event event = new Event(this, Math.max(nowNanos, nanos), asked++, what);
+    /** Schedules an action at the given time in nanoseconds, or now if that time has passed. */
+    public Event scheduleAt(long timeNanos, Runnable action) {
+        Event event = new Event(this, Math.max(nowNanos, timeNanos), scheduledEventCount++, action);
         if (size == heap.length) {
             heap = Arrays.copyOf(heap, 2 * size);
         }
-        raise(size++, event);
+        siftUp(size++, event);
         return event;
     }
 
-    /** So many microseconds from now; what is too far off for the clock is at its end. */
-    public Event scheduleAfterUs(long us, Runnable what) {
-        return scheduleAt(us > (Long.MAX_VALUE - nowNanos) / 1_000 ? Long.MAX_VALUE : nowNanos + us * 1_000, what);
+    /** Schedules an action after a delay in microseconds; a time beyond the clock's range is set to its end. */
+    public Event scheduleAfterUs(long delayUs, Runnable action) {
+        return scheduleAt(
+                delayUs > (Long.MAX_VALUE - nowNanos) / 1_000 ? Long.MAX_VALUE : nowNanos + delayUs * 1_000, action);
     }
 
-    /** So many milliseconds from now. */
-    public Event scheduleAfterMs(long ms, Runnable what) {
-        return scheduleAt(nowNanos + ms * 1_000_000, what);
+    /** Schedules an action after a delay in milliseconds. */
+    public Event scheduleAfterMs(long delayMs, Runnable action) {
+        return scheduleAt(nowNanos + delayMs * 1_000_000, action);
     }
 
-    /** Lets the next event happen; false if there is none, or none up to this time. */
+    /**
+     * Runs the next event and advances the time to it.
+     *
+     * @param untilNanos the latest time of an event to run; without such an event the time advances to it
+     * @return false if no event is due by that time
+     */
     public boolean runNext(long untilNanos) {
-        if (size == 0 || heap[0].at > untilNanos) {
+        if (size == 0 || heap[0].timeNanos > untilNanos) {
             nowNanos = Math.max(nowNanos, untilNanos);
             return false;
         }
         Event next = heap[0];
         remove(0);
-        nowNanos = next.at;
+        nowNanos = next.timeNanos;
         executedEventCount++;
-        Runnable what = next.what;
-        next.what = null;
-        what.run();
+        Runnable action = next.action;
+        next.action = null;
+        action.run();
         return true;
     }
 
-    private void remove(int place) {
+    private void remove(int index) {
         Event last = heap[--size];
         heap[size] = null;
-        if (place < size) {
-            if (place > 0 && last.isBefore(heap[(place - 1) / CHILDREN])) {
-                raise(place, last);
+        if (index < size) {
+            if (index > 0 && last.isBefore(heap[(index - 1) / CHILD_COUNT])) {
+                siftUp(index, last);
             } else {
-                lower(place, last);
+                siftDown(index, last);
             }
         }
     }
 
-    private void raise(int from, Event event) {
-        int place = from;
-        while (place > 0) {
-            int parent = (place - 1) / CHILDREN;
+    private void siftUp(int from, Event event) {
+        int index = from;
+        while (index > 0) {
+            int parent = (index - 1) / CHILD_COUNT;
             if (!event.isBefore(heap[parent])) {
                 break;
             }
-            put(place, heap[parent]);
-            place = parent;
+            put(index, heap[parent]);
+            index = parent;
         }
-        put(place, event);
+        put(index, event);
     }
 
-    private void lower(int from, Event event) {
-        int place = from;
+    private void siftDown(int from, Event event) {
+        int index = from;
         while (true) {
-            int first = place * CHILDREN + 1;
-            if (first >= size) {
+            int firstChild = index * CHILD_COUNT + 1;
+            if (firstChild >= size) {
                 break;
             }
-            int least = first;
-            for (int child = first + 1; child < Math.min(first + CHILDREN, size); child++) {
-                least = heap[child].isBefore(heap[least]) ? child : least;
+            int earliestChild = firstChild;
+            for (int child = firstChild + 1; child < Math.min(firstChild + CHILD_COUNT, size); child++) {
+                earliestChild = heap[child].isBefore(heap[earliestChild]) ? child : earliestChild;
             }
-            if (!heap[least].isBefore(event)) {
+            if (!heap[earliestChild].isBefore(event)) {
                 break;
             }
-            put(place, heap[least]);
-            place = least;
+            put(index, heap[earliestChild]);
+            index = earliestChild;
         }
-        put(place, event);
+        put(index, event);
     }
 
-    private void put(int place, Event event) {
-        heap[place] = event;
-        event.place = place;
+    private void put(int index, Event event) {
+        heap[index] = event;
+        event.heapIndex = index;
     }
 }
--- a/src/main/java/kitemux/sim/package-info.java
+++ b/src/main/java/kitemux/sim/package-info.java
@@ -1,2 +1,2 @@
-/** What all virtual worlds share: their time. */
+/** Building blocks shared by all simulations: virtual time and the slow start rule. */
 package kitemux.sim;
--- a/src/test/java/kitemux/disk/MemoryDisk.java
+++ b/src/test/java/kitemux/disk/MemoryDisk.java
@@ -17,9 +17,9 @@
     /** What the machine sees. */
     private final Map<String, ByteArrayOutputStream> files = new LinkedHashMap<>();
     /** What is on the platter: names as of the last sync of the folder, bytes as of the file's. */
-    private final Map<String, ByteArrayOutputStream> safeNames = new LinkedHashMap<>();
+    private final Map<String, ByteArrayOutputStream> syncedFiles = new LinkedHashMap<>();
 
-    private final Map<ByteArrayOutputStream, byte[]> safeBytes = new LinkedHashMap<>();
+    private final Map<ByteArrayOutputStream, byte[]> syncedBytes = new LinkedHashMap<>();
     /** Operations until all fail; negative for never. */
     public int operationsUntilFailure = -1;
 
@@ -27,7 +27,7 @@
     /** Segments read. */
     public int segmentReadCount;
 
-    private void step() throws IOException {
+    private void countOperation() throws IOException {
         operationCount++;
         if (operationsUntilFailure == 0) {
             throw new IOException("the power is off");
@@ -42,19 +42,19 @@
      *     same; a name that was not synced is there if any are asked for
      */
     public MemoryDisk afterPowerCut(int unsynced) {
-        MemoryDisk found = new MemoryDisk();
-        Map<String, ByteArrayOutputStream> names = unsynced > 0 ? files : safeNames;
+        MemoryDisk recovered = new MemoryDisk();
+        Map<String, ByteArrayOutputStream> names = unsynced > 0 ? files : syncedFiles;
         names.forEach((name, file) -> {
-            byte[] safe = safeBytes.getOrDefault(file, new byte[0]);
-            byte[] seen = file.toByteArray();
-            ByteArrayOutputStream left = new ByteArrayOutputStream();
-            left.writeBytes(safe);
-            if (seen.length > safe.length) {
-                left.write(seen, safe.length, Math.min(unsynced, seen.length - safe.length));
+            byte[] synced = syncedBytes.getOrDefault(file, new byte[0]);
+            byte[] written = file.toByteArray();
+            ByteArrayOutputStream content = new ByteArrayOutputStream();
+            content.writeBytes(synced);
+            if (written.length > synced.length) {
+                content.write(written, synced.length, Math.min(unsynced, written.length - synced.length));
             }
-            found.put(name, left.toByteArray());
+            recovered.put(name, content.toByteArray());
         });
-        return found;
+        return recovered;
     }
 
     /** What the machine sees, to be changed. */
@@ -67,8 +67,8 @@
         ByteArrayOutputStream file = new ByteArrayOutputStream();
         file.writeBytes(bytes);
         files.put(name, file);
-        safeNames.put(name, file);
-        safeBytes.put(file, bytes);
+        syncedFiles.put(name, file);
+        syncedBytes.put(file, bytes);
     }
 
     @Override
@@ -93,7 +93,7 @@
 
     @Override
     public OutputFile create(String name) throws IOException {
-        step();
+        countOperation();
         if (files.containsKey(name)) {
             throw new FileAlreadyExistsException(name);
         }
@@ -103,14 +103,14 @@
     }
 
     @Override
-    public OutputFile append(String name, long from) throws IOException {
-        step();
+    public OutputFile append(String name, long length) throws IOException {
+        countOperation();
         ByteArrayOutputStream file = files.get(name);
         byte[] kept = file.toByteArray();
         file.reset();
-        file.write(kept, 0, (int) from);
-        byte[] safe = safeBytes.getOrDefault(file, new byte[0]);
-        safeBytes.put(file, java.util.Arrays.copyOf(safe, (int) Math.min(safe.length, from)));
+        file.write(kept, 0, (int) length);
+        byte[] synced = syncedBytes.getOrDefault(file, new byte[0]);
+        syncedBytes.put(file, java.util.Arrays.copyOf(synced, (int) Math.min(synced.length, length)));
         return out(file);
     }
 
@@ -122,14 +122,14 @@
                 if (operationsUntilFailure == 0) {
                     file.write(bytes, 0, bytes.length / 2);
                 }
-                step();
+                countOperation();
                 file.writeBytes(bytes);
             }
 
             @Override
             public void sync() throws IOException {
-                step();
-                safeBytes.put(file, file.toByteArray());
+                countOperation();
+                syncedBytes.put(file, file.toByteArray());
             }
 
             @Override
@@ -141,20 +141,20 @@
 
     @Override
     public void rename(String from, String to) throws IOException {
-        step();
+        countOperation();
         files.put(to, files.remove(from));
     }
 
     @Override
     public void delete(String name) throws IOException {
-        step();
+        countOperation();
         files.remove(name);
     }
 
     @Override
     public void syncDirectory() throws IOException {
-        step();
-        safeNames.clear();
-        safeNames.putAll(files);
+        countOperation();
+        syncedFiles.clear();
+        syncedFiles.putAll(files);
     }
 }
