--- a/src/test/java/kitemux/engine/EngineTest.java
+++ b/src/test/java/kitemux/engine/EngineTest.java
@@ -27,21 +27,21 @@
 
 /** What the engine does at its gate and at deadlines. */
 class EngineTest {
-    private static final long AGO_US = 31;
+    private static final long AGE_US = 31;
 
-    private static final long LEFT_US = 100_000;
+    private static final long REMAINING_US = 100_000;
 
     /** What the module is to hear of the request that is asked. */
-    private long agoUs = AGO_US;
+    private long expectedAgeUs = AGE_US;
 
     /** Asked for by a test: what it cannot say stands still. */
-    private record Ask(long remainingUs, long ageUs, boolean isStreamed) implements RequestInfo {
-        Ask(long leftUs, long agoUs) {
+    private record TestRequest(long remainingUs, long ageUs, boolean isStreamed) implements RequestInfo {
+        TestRequest(long leftUs, long agoUs) {
             this(leftUs, agoUs, true);
         }
 
-        Ask(long leftUs) {
-            this(leftUs, AGO_US);
+        TestRequest(long leftUs) {
+            this(leftUs, AGE_US);
         }
 
         @Override
@@ -86,12 +86,12 @@
     }
 
     /** Timers that run when a test says so, as late as it likes. */
-    private static final class HandTime implements Clock {
-        private record Due(long atUs, Runnable task) {}
+    private static final class ManualClock implements Clock {
+        private record ScheduledTask(long atUs, Runnable task) {}
 
-        private final List<Due> due = new ArrayList<>();
+        private final List<ScheduledTask> scheduled = new ArrayList<>();
         private long nowUs = 1_000_000;
-        private long unreadUs;
+        private long readLagUs;
 
         @Override
         public long nowUs() {
@@ -100,56 +100,56 @@
 
         @Override
         public long readLagUs() {
-            return unreadUs;
+            return readLagUs;
         }
 
         @Override
-        public Timer schedule(long us, Runnable task) {
-            Due timer = new Due(nowUs + us, task);
-            due.add(timer);
-            return () -> due.remove(timer);
+        public Timer schedule(long delayUs, Runnable task) {
+            ScheduledTask timer = new ScheduledTask(nowUs + delayUs, task);
+            scheduled.add(timer);
+            return () -> scheduled.remove(timer);
         }
 
         /** One turn's timers: those that are due now, and none that they set. */
         void runDue() {
-            List<Due> now = due.stream()
+            List<ScheduledTask> due = scheduled.stream()
                     .filter(t -> t.atUs <= nowUs)
-                    .sorted(Comparator.comparingLong(Due::atUs))
+                    .sorted(Comparator.comparingLong(ScheduledTask::atUs))
                     .toList();
-            due.removeAll(now);
-            now.forEach(t -> t.task.run());
+            scheduled.removeAll(due);
+            due.forEach(t -> t.task.run());
         }
     }
 
-    private final HandTime time = new HandTime();
-    private final List<Outcome> told = new ArrayList<>();
-    private final List<String> answers = new ArrayList<>();
-    private Transport.Exchange<Ask, String> exchange;
-    private final List<Transport.Exchange<Ask, String>> exchanges = new ArrayList<>();
-    private final List<String> heard = new ArrayList<>();
+    private final ManualClock clock = new ManualClock();
+    private final List<Outcome> outcomes = new ArrayList<>();
+    private final List<String> responses = new ArrayList<>();
+    private Transport.Exchange<TestRequest, String> exchange;
+    private final List<Transport.Exchange<TestRequest, String>> exchanges = new ArrayList<>();
+    private final List<String> firstBytes = new ArrayList<>();
     /** Whether the server's connection is still coming up, and what was taken back meanwhile. */
-    private boolean dialing;
+    private boolean connecting;
 
-    private final List<Transport.Exchange<Ask, String>> withdrawn = new ArrayList<>();
+    private final List<Transport.Exchange<TestRequest, String>> withdrawn = new ArrayList<>();
     /** Attempts that the module begins at once. */
-    private int sends = 1;
+    private int attemptsPerRequest = 1;
     /** What waits at the gate; a test that puts nothing here has one that is open. */
-    private List<Consumer<Boolean>> atGate;
+    private List<Consumer<Boolean>> gateCallbacks;
 
-    private final SendGate<Ask> gate = new SendGate<>() {
+    private final SendGate<TestRequest> sendGate = new SendGate<>() {
         @Override
         public void admit(
                 long id,
-                Ask request,
+                TestRequest request,
                 int attempt,
                 String serverId,
                 Supplier<String> endpoint,
                 long untilUs,
                 Consumer<Boolean> then) {
-            if (atGate == null) {
+            if (gateCallbacks == null) {
                 then.accept(true);
             } else {
-                atGate.add(then);
+                gateCallbacks.add(then);
             }
         }
 
@@ -159,25 +159,25 @@
         }
     };
 
-    private final Transport<Ask, String> transport = new Transport<>() {
+    private final Transport<TestRequest, String> transport = new Transport<>() {
         @Override
-        public void start(String serverId, Exchange<Ask, String> started) {
+        public void start(String serverId, Exchange<TestRequest, String> started) {
             exchange = started;
             exchanges.add(started);
         }
 
         @Override
-        public boolean abandon(String serverId, Exchange<Ask, String> given) {
+        public boolean abandon(String serverId, Exchange<TestRequest, String> given) {
             return given == exchange;
         }
 
         @Override
-        public boolean withdraw(String serverId, Exchange<Ask, String> unsent) {
-            return dialing && withdrawn.add(unsent);
+        public boolean withdraw(String serverId, Exchange<TestRequest, String> unsent) {
+            return connecting && withdrawn.add(unsent);
         }
 
         @Override
-        public Ask probeRequest() {
+        public TestRequest probeRequest() {
             throw new AssertionError("nobody asked for a probe");
         }
 
@@ -195,27 +195,27 @@
     private final ResponseSink<String> client = new ResponseSink<>() {
         @Override
         public void onResponseStarted(String answer) {
-            answers.add("begun " + answer);
+            responses.add("begun " + answer);
         }
 
         @Override
         public void onServed(String answer) {
-            answers.add(answer);
+            responses.add(answer);
         }
 
         @Override
         public void onRefused(long retryAfterUs) {
-            answers.add("refused " + retryAfterUs);
+            responses.add("refused " + retryAfterUs);
         }
 
         @Override
         public void onFailed() {
-            answers.add("failed");
+            responses.add("failed");
         }
 
         @Override
         public void onInternalError() {
-            answers.add("broken");
+            responses.add("broken");
         }
     };
 
@@ -224,15 +224,15 @@
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                     if (method.getName().equals("onRequest")) {
-                        assertEquals(agoUs, ((Request) args[1]).agoUs(), "as the protocol has it");
-                        for (int i = 0; i < sends; i++) {
+                        assertEquals(expectedAgeUs, ((Request) args[1]).agoUs(), "as the protocol has it");
+                        for (int i = 0; i < attemptsPerRequest; i++) {
                             actions.send(((Request) args[1]).id(), "s", 0);
                         }
                     } else if (method.getName().equals("onFirstByte")) {
-                        heard.add("first byte " + args[2]);
+                        firstBytes.add("first byte " + args[2]);
                     } else if (method.getName().equals("onOutcome")) {
                         Outcome outcome = (Outcome) args[1];
-                        told.add(outcome);
+                        outcomes.add(outcome);
                         if (!outcome.requestEnded() && outcome.result() != Result.CANCELLED) {
                             actions.fail(outcome.requestId());
                         }
@@ -241,14 +241,14 @@
                 });
     }
 
-    private Engine<Ask, String> engine(Function<Balancer.Actions, Balancer> module) {
+    private Engine<TestRequest, String> engine(Function<Balancer.Actions, Balancer> module) {
         return new Engine<>(
                 3,
-                time,
+                clock,
                 transport,
                 () -> {},
                 Observer.NONE,
-                gate,
+                sendGate,
                 new Log() {
                     @Override
                     public void info(String text) {
@@ -263,253 +263,255 @@
                 module);
     }
 
-    private void ask(long leftUs) {
-        ask(new Ask(leftUs));
+    private void dispatch(long remainingUs) {
+        dispatch(new TestRequest(remainingUs));
     }
 
-    private void ask(Ask asked) {
-        agoUs = asked.ageUs();
-        Engine<Ask, String> engine = engine(this::module);
-        engine.dispatch(engine.accept(client, asked));
+    private void dispatch(TestRequest request) {
+        expectedAgeUs = request.ageUs();
+        Engine<TestRequest, String> engine = engine(this::module);
+        engine.dispatch(engine.accept(client, request));
     }
 
     // ---------------------------------------------------------------- a node that is late itself
 
     @Test
-    void anAnswerThatMayHaveLainUnreadCountsFromTheMiddleOfThatTime() {
-        ask(LEFT_US);
-        time.nowUs += 50_000;
-        time.unreadUs = 40_000;
+    void latencyExcludesHalfOfTheReadLag() {
+        dispatch(REMAINING_US);
+        clock.nowUs += 50_000;
+        clock.readLagUs = 40_000;
         exchange.onEnded(Result.OK, "yes");
-        assertEquals(30_000, told.get(0).latencyUs());
+        assertEquals(30_000, outcomes.get(0).latencyUs());
     }
 
     @Test
-    void noAnswerCountsAsReadBeforeItWasAskedFor() {
-        ask(LEFT_US);
-        time.nowUs += 10_000;
-        time.unreadUs = 40_000;
+    void readLagIsLimitedToTheAttemptDuration() {
+        dispatch(REMAINING_US);
+        clock.nowUs += 10_000;
+        clock.readLagUs = 40_000;
         exchange.onEnded(Result.OK, "yes");
-        assertEquals(5_000, told.get(0).latencyUs());
+        assertEquals(5_000, outcomes.get(0).latencyUs());
     }
 
     @Test
-    void aLoopThatKeepsUpTakesNothingOffAndNeitherDoesWhatWasNeverRead() {
-        ask(LEFT_US);
-        time.nowUs += 50_000;
+    void latencyIsUnadjustedWithoutReadLagOrResponse() {
+        dispatch(REMAINING_US);
+        clock.nowUs += 50_000;
         exchange.onEnded(Result.OK, "yes");
-        assertEquals(50_000, told.get(0).latencyUs());
-        ask(LEFT_US);
-        time.nowUs += 50_000;
-        time.unreadUs = 40_000;
+        assertEquals(50_000, outcomes.get(0).latencyUs());
+        dispatch(REMAINING_US);
+        clock.nowUs += 50_000;
+        clock.readLagUs = 40_000;
         exchange.onEnded(Result.RESET, null);
-        assertEquals(50_000, told.get(1).latencyUs());
+        assertEquals(50_000, outcomes.get(1).latencyUs());
     }
 
     @Test
-    void aServerThatWasLeftTooLittleTimeByThisNodeIsNeitherFullNorSilent() {
-        ask(new Ask(5_000, 80_000));
-        time.nowUs += 1_000;
+    void delayedRequestDoesNotCountAsFullOrTimeout() {
+        dispatch(new TestRequest(5_000, 80_000));
+        clock.nowUs += 1_000;
         exchange.onEnded(Result.FULL, null);
-        assertEquals(Result.MOOT, told.get(0).result());
-        ask(new Ask(5_000, 80_000));
-        time.nowUs += 5_000;
-        time.runDue();
-        assertEquals(Result.CANCELLED, told.get(1).result());
+        assertEquals(Result.MOOT, outcomes.get(0).result());
+        dispatch(new TestRequest(5_000, 80_000));
+        clock.nowUs += 5_000;
+        clock.runDue();
+        assertEquals(Result.CANCELLED, outcomes.get(1).result());
     }
 
     @Test
-    void aServerThatHadMoreOfTheTimeThanThisNodeIsFullAndAnErrorIsAlwaysOne() {
-        ask(new Ask(LEFT_US, 80_000));
-        time.nowUs += 1_000;
+    void sufficientServerTimeCountsAsFullAndErrorsAlwaysCount() {
+        dispatch(new TestRequest(REMAINING_US, 80_000));
+        clock.nowUs += 1_000;
         exchange.onEnded(Result.FULL, null);
-        assertEquals(Result.FULL, told.get(0).result());
-        ask(new Ask(5_000, 80_000));
+        assertEquals(Result.FULL, outcomes.get(0).result());
+        dispatch(new TestRequest(5_000, 80_000));
         exchange.onEnded(Result.ERROR, null);
-        assertEquals(Result.ERROR, told.get(1).result());
+        assertEquals(Result.ERROR, outcomes.get(1).result());
     }
 
     // ---------------------------------------------------------------- gate and deadlines
 
     @Test
-    void aLoopThatKeepsUpGivesUpAtOnce() {
-        ask(LEFT_US);
-        time.nowUs += LEFT_US;
-        time.runDue();
-        assertEquals(List.of("failed"), answers);
-        assertEquals(Result.TIMEOUT, told.get(0).result());
+    void attemptTimesOutAtItsDeadline() {
+        dispatch(REMAINING_US);
+        clock.nowUs += REMAINING_US;
+        clock.runDue();
+        assertEquals(List.of("failed"), responses);
+        assertEquals(Result.TIMEOUT, outcomes.get(0).result());
     }
 
     @Test
-    void anAnswerThatHasBegunIsServedAtItsEndAndHasNoDeadline() {
-        ask(LEFT_US);
+    void startedStreamIsServedWithoutDeadline() {
+        dispatch(REMAINING_US);
         assertTrue(exchange.onResponseStarted("rows"));
-        assertEquals(List.of("first byte 0"), heard);
-        time.nowUs += 10 * LEFT_US;
-        time.runDue();
-        assertEquals(List.of("begun rows"), answers);
+        assertEquals(List.of("first byte 0"), firstBytes);
+        clock.nowUs += 10 * REMAINING_US;
+        clock.runDue();
+        assertEquals(List.of("begun rows"), responses);
         exchange.onEnded(Result.OK, null);
-        assertEquals(Arrays.asList("begun rows", null), answers);
-        assertTrue(told.get(0).requestEnded());
+        assertEquals(Arrays.asList("begun rows", null), responses);
+        assertTrue(outcomes.get(0).requestEnded());
     }
 
     /** The module is told its end as it begins; who carries it tells where it stops. */
     @Test
-    void aLongAnswerIsServedAtItsEndAndHasNoDeadline() {
-        ask(new Ask(LEFT_US, AGO_US, false));
-        assertEquals(1_000_000 + LEFT_US, exchange.deadlineUs());
+    void startedLongResponseIsServedWithoutDeadline() {
+        dispatch(new TestRequest(REMAINING_US, AGE_US, false));
+        assertEquals(1_000_000 + REMAINING_US, exchange.deadlineUs());
         assertTrue(exchange.onResponseStarted("long"));
-        assertEquals(Result.OK, told.get(0).result());
-        assertTrue(told.get(0).requestEnded());
-        time.nowUs += 10 * LEFT_US;
-        time.runDue();
-        assertEquals(List.of("begun long"), answers);
+        assertEquals(Result.OK, outcomes.get(0).result());
+        assertTrue(outcomes.get(0).requestEnded());
+        clock.nowUs += 10 * REMAINING_US;
+        clock.runDue();
+        assertEquals(List.of("begun long"), responses);
         exchange.onEnded(Result.OK, null);
-        assertEquals(Arrays.asList("begun long", null), answers);
-        assertEquals(1, told.size());
+        assertEquals(Arrays.asList("begun long", null), responses);
+        assertEquals(1, outcomes.size());
     }
 
     @Test
-    void anAnswerThatBreaksOffHasOneEndAndBeginsNoSecondTime() {
-        ask(LEFT_US);
-        Transport.Exchange<Ask, String> first = exchange;
+    void interruptedResponseEndsOnceAndCannotRestart() {
+        dispatch(REMAINING_US);
+        Transport.Exchange<TestRequest, String> first = exchange;
         assertTrue(first.onResponseStarted("rows"));
         first.onEnded(Result.RESET, null);
-        assertEquals(List.of("begun rows", "failed"), answers);
-        assertEquals(Result.RESET, told.get(0).result());
+        assertEquals(List.of("begun rows", "failed"), responses);
+        assertEquals(Result.RESET, outcomes.get(0).result());
         assertFalse(first.onResponseStarted("more"));
         first.onEnded(Result.OK, "late");
-        assertEquals(List.of("begun rows", "failed"), answers);
-        assertEquals(1, told.size());
+        assertEquals(List.of("begun rows", "failed"), responses);
+        assertEquals(1, outcomes.size());
     }
 
     @Test
-    void ofTwoAttemptsTheOneThatBeganFirstAnswers() {
-        sends = 2;
-        ask(LEFT_US);
+    void firstAttemptToStartRespondingWins() {
+        attemptsPerRequest = 2;
+        dispatch(REMAINING_US);
         assertEquals(2, exchanges.size());
         assertTrue(exchanges.get(1).onResponseStarted("rows"));
         assertFalse(exchanges.get(0).onResponseStarted("other rows"), "told to break it off");
-        assertEquals(Result.CANCELLED, told.get(0).result());
+        assertEquals(Result.CANCELLED, outcomes.get(0).result());
         exchanges.get(1).onEnded(Result.OK, null);
-        assertEquals(Arrays.asList("begun rows", null), answers);
+        assertEquals(Arrays.asList("begun rows", null), responses);
     }
 
     @Test
-    void aWholeAnswerBesideOneThatHasBegunIsNotServed() {
-        sends = 2;
-        ask(LEFT_US);
+    void completeResponseIsDiscardedWhenAnotherHasStarted() {
+        attemptsPerRequest = 2;
+        dispatch(REMAINING_US);
         assertTrue(exchanges.get(0).onResponseStarted("rows"));
         exchanges.get(1).onEnded(Result.OK, "whole");
-        assertEquals(Result.CANCELLED, told.get(0).result(), "it may have run");
-        assertEquals(List.of("begun rows"), answers);
+        assertEquals(Result.CANCELLED, outcomes.get(0).result(), "it may have run");
+        assertEquals(List.of("begun rows"), responses);
         exchanges.get(0).onEnded(Result.OK, null);
-        assertEquals(Arrays.asList("begun rows", null), answers);
+        assertEquals(Arrays.asList("begun rows", null), responses);
     }
 
     @Test
-    void anAnswerThatBeginsAfterItsClientHasLeftIsNotWanted() {
-        Engine<Ask, String> engine = engine(this::module);
-        Engine.PendingRequest<Ask, String> held = engine.accept(client, new Ask(LEFT_US));
-        engine.dispatch(held);
-        engine.clientDisconnected(held);
+    void responseAfterClientDisconnectIsRejected() {
+        Engine<TestRequest, String> engine = engine(this::module);
+        Engine.PendingRequest<TestRequest, String> pending = engine.accept(client, new TestRequest(REMAINING_US));
+        engine.dispatch(pending);
+        engine.clientDisconnected(pending);
         assertFalse(exchange.onResponseStarted("rows"));
-        assertEquals(List.of(), answers);
+        assertEquals(List.of(), responses);
         assertEquals(0, engine.pendingCount());
     }
 
     @Test
-    void theDecisionModuleTriesNothingAgainOnceAnAnswerHasBegun() {
+    void balancerDoesNotRetryAfterResponseHasStarted() {
         Settings settings = new Settings();
         settings.zones.add("z");
         settings.classes.add(new RequestClass("select", 200_000, 0, 1_000_000, 1, 0, Repeat.SAFE, null, 0, true));
-        Engine<Ask, String> engine = engine(actions -> new ServiceQBalancer(settings, 1, actions));
+        Engine<TestRequest, String> engine = engine(actions -> new ServiceQBalancer(settings, 1, actions));
         engine.updateServers(
                 ListKind.FULL,
                 List.of(
                         new ServerEntry("a", 0, 0, ServerState.READY, 1, 0),
                         new ServerEntry("b", 0, 0, ServerState.READY, 1, 0)),
                 () -> {});
-        engine.dispatch(engine.accept(client, new Ask(LEFT_US)));
+        engine.dispatch(engine.accept(client, new TestRequest(REMAINING_US)));
         assertTrue(exchange.onResponseStarted("rows"));
         exchange.onEnded(Result.RESET, null);
         assertEquals(1, exchanges.size(), "a safe one is tried again only while nothing has come of it");
-        assertEquals(List.of("begun rows", "refused 0"), answers);
-        engine.dispatch(engine.accept(client, new Ask(LEFT_US)));
+        assertEquals(List.of("begun rows", "refused 0"), responses);
+        engine.dispatch(engine.accept(client, new TestRequest(REMAINING_US)));
         exchange.onEnded(Result.RESET, null);
         assertEquals(3, exchanges.size(), "without a begin it passes on");
     }
 
     @Test
-    void nothingIsSentBeforeTheGateOpens() {
-        atGate = new ArrayList<>();
-        ask(LEFT_US);
+    void nothingIsSentBeforeGateAdmitsAttempt() {
+        gateCallbacks = new ArrayList<>();
+        dispatch(REMAINING_US);
         assertEquals(null, exchange);
-        atGate.get(0).accept(true);
+        gateCallbacks.get(0).accept(true);
         exchange.onEnded(Result.OK, "yes");
-        assertEquals(List.of("yes"), answers);
+        assertEquals(List.of("yes"), responses);
     }
 
-    private Engine.PendingRequest<Ask, String> askAndLeave() {
-        agoUs = AGO_US;
-        Engine<Ask, String> engine = engine(this::module);
-        Engine.PendingRequest<Ask, String> held = engine.accept(client, new Ask(LEFT_US));
-        engine.dispatch(held);
-        engine.clientDisconnected(held);
+    private Engine.PendingRequest<TestRequest, String> dispatchAndDisconnect() {
+        expectedAgeUs = AGE_US;
+        Engine<TestRequest, String> engine = engine(this::module);
+        Engine.PendingRequest<TestRequest, String> pending = engine.accept(client, new TestRequest(REMAINING_US));
+        engine.dispatch(pending);
+        engine.clientDisconnected(pending);
         assertEquals(0, engine.pendingCount());
-        return held;
+        return pending;
     }
 
     /** The module calls nothing off here, as where the settings forbid it. */
     @Test
-    void whatStandsAtTheGateIsTakenBackOnceItsClientHasLeft() {
-        atGate = new ArrayList<>();
-        askAndLeave();
-        assertEquals(List.of(Result.MOOT), told.stream().map(Outcome::result).toList());
-        atGate.get(0).accept(true);
+    void attemptAtGateIsWithdrawnAfterClientDisconnect() {
+        gateCallbacks = new ArrayList<>();
+        dispatchAndDisconnect();
+        assertEquals(
+                List.of(Result.MOOT), outcomes.stream().map(Outcome::result).toList());
+        gateCallbacks.get(0).accept(true);
         assertEquals(0, exchanges.size());
     }
 
     @Test
-    void whatWaitsForAConnectionIsTakenBackOnceItsClientHasLeft() {
-        dialing = true;
-        askAndLeave();
+    void attemptWaitingForConnectionIsWithdrawnAfterClientDisconnect() {
+        connecting = true;
+        dispatchAndDisconnect();
         assertEquals(exchanges, withdrawn);
-        assertEquals(List.of(Result.MOOT), told.stream().map(Outcome::result).toList());
+        assertEquals(
+                List.of(Result.MOOT), outcomes.stream().map(Outcome::result).toList());
     }
 
     @Test
-    void theOtherAttemptIsTakenBackWhereItWasNotSentWhenOneIsServed() {
-        sends = 2;
-        ask(LEFT_US);
-        dialing = true;
+    void unsentAttemptIsWithdrawnWhenAnotherIsServed() {
+        attemptsPerRequest = 2;
+        dispatch(REMAINING_US);
+        connecting = true;
         exchanges.get(0).onEnded(Result.OK, "yes");
         assertEquals(
                 List.of(Result.OK, Result.MOOT),
-                told.stream().map(Outcome::result).toList());
-        assertEquals(List.of("yes"), answers);
+                outcomes.stream().map(Outcome::result).toList());
+        assertEquals(List.of("yes"), responses);
     }
 
     @Test
-    void whatTheGateTurnsAwayIsRefusedAtOnceAndWasNeverSent() {
-        atGate = new ArrayList<>();
-        ask(LEFT_US);
-        atGate.get(0).accept(false);
-        assertEquals(List.of("refused 7"), answers);
-        assertEquals(Result.MOOT, told.get(0).result());
-        assertTrue(told.get(0).requestEnded());
+    void attemptRejectedByGateIsRefusedWithoutSending() {
+        gateCallbacks = new ArrayList<>();
+        dispatch(REMAINING_US);
+        gateCallbacks.get(0).accept(false);
+        assertEquals(List.of("refused 7"), responses);
+        assertEquals(Result.MOOT, outcomes.get(0).result());
+        assertTrue(outcomes.get(0).requestEnded());
         assertEquals(null, exchange);
     }
 
     @Test
-    void aDeadlineHoldsAtTheGateAndAnOpeningThatComesLaterSendsNothing() {
-        atGate = new ArrayList<>();
-        ask(LEFT_US);
-        time.nowUs += LEFT_US;
-        time.runDue();
-        assertEquals(List.of("failed"), answers);
-        assertEquals(Result.MOOT, told.get(0).result(), "it has not run, and its server is not to blame");
-        atGate.get(0).accept(true);
+    void attemptExpiredAtGateIsNeverSent() {
+        gateCallbacks = new ArrayList<>();
+        dispatch(REMAINING_US);
+        clock.nowUs += REMAINING_US;
+        clock.runDue();
+        assertEquals(List.of("failed"), responses);
+        assertEquals(Result.MOOT, outcomes.get(0).result(), "it has not run, and its server is not to blame");
+        gateCallbacks.get(0).accept(true);
         assertEquals(null, exchange);
     }
 }
--- a/src/test/java/kitemux/net/ClientListenerTest.java
+++ b/src/test/java/kitemux/net/ClientListenerTest.java
@@ -28,17 +28,17 @@
 /** The end of a listener, in the moment in which connections come up. */
 class ClientListenerTest {
     /** Calls of accept that fail on end. */
-    private static final int FAILURES = 5;
+    private static final int ACCEPT_FAILURE_COUNT = 5;
     /** Connections that come while a listener closes. */
-    private static final int FLOOD = 1_500;
+    private static final int FLOOD_CONNECTION_COUNT = 1_500;
 
     /** Half of how long a listener stops that leaves it to the network library. */
-    private static final long STOPPED_NANOS = 500_000_000;
+    private static final long MAX_RETRY_DELAY_NANOS = 500_000_000;
 
     private final SelectorLoop loop = SelectorLoop.open();
     private final Queue<SocketAddress> accepted = new ConcurrentLinkedQueue<>();
 
-    private static final Network.AcceptGate OPEN = new Network.AcceptGate() {
+    private static final Network.AcceptGate UNRESTRICTED_GATE = new Network.AcceptGate() {
         @Override
         public boolean canAccept() {
             return true;
@@ -67,13 +67,13 @@
     }
 
     @AfterEach
-    void end() throws InterruptedException {
+    void shutDownLoop() throws InterruptedException {
         loop.parent().shutdownGracefully(0, 5, TimeUnit.SECONDS).sync();
     }
 
     /** Guards against a listener that stops for a second at each accept that fails. */
     @Test
-    void anAcceptThatFailsForAWhileIsTriedAgainWithinTensOfMilliseconds() throws Exception {
+    void failedAcceptIsRetriedWithinTensOfMilliseconds() throws Exception {
         AtomicInteger failures = new AtomicInteger();
         CompletableFuture<Long> acceptedAtNanos = new CompletableFuture<>();
         AtomicLong lastFailureNanos = new AtomicLong();
@@ -97,29 +97,29 @@
         Channel listener = listen(() -> new ClientListener(counting) {
             @Override
             SocketChannel accept() throws IOException {
-                if (failures.get() < FAILURES) {
+                if (failures.get() < ACCEPT_FAILURE_COUNT) {
                     throw new IOException("Too many open files in system");
                 }
                 return super.accept();
             }
         });
         try (SocketChannel client = SocketChannel.open(listener.localAddress())) {
-            long pauseNanos = acceptedAtNanos.get(5, TimeUnit.SECONDS) - lastFailureNanos.get();
-            assertEquals(FAILURES, failures.get());
+            long retryDelayNanos = acceptedAtNanos.get(5, TimeUnit.SECONDS) - lastFailureNanos.get();
+            assertEquals(ACCEPT_FAILURE_COUNT, failures.get());
             assertTrue(client.isConnected());
-            assertTrue(pauseNanos < STOPPED_NANOS, "accepted only after " + pauseNanos);
+            assertTrue(retryDelayNanos < MAX_RETRY_DELAY_NANOS, "accepted only after " + retryDelayNanos);
         }
     }
 
     /** Guards against a loop that accepts without end as it closes its listener, where connections keep coming. */
     @Test
-    void aCloseAcceptsNoMoreThanCanHaveWaited() throws Exception {
+    void closeAcceptsAtMostTheBacklog() throws Exception {
         AtomicBoolean closing = new AtomicBoolean();
         Queue<SocketChannel> flood = new ConcurrentLinkedQueue<>();
-        Channel listener = listen(() -> new ClientListener(OPEN) {
+        Channel listener = listen(() -> new ClientListener(UNRESTRICTED_GATE) {
             @Override
             SocketChannel accept() throws IOException {
-                if (closing.get() && flood.size() < FLOOD) {
+                if (closing.get() && flood.size() < FLOOD_CONNECTION_COUNT) {
                     flood.add(SocketChannel.open(localAddress()));
                 }
                 return super.accept();
@@ -138,25 +138,25 @@
 
     /** Guards against connections that the system has completed and resets as their listener closes. */
     @Test
-    void whatWaitsIsAcceptedAndNothingComesUpOnceTheListenerIsClosed() throws Exception {
-        Channel listener = listen(() -> NioNetwork.SYSTEM.newListener(OPEN));
-        SocketAddress at = listener.localAddress();
-        try (SocketChannel waits = SocketChannel.open()) {
+    void closeAcceptsWaitingConnectionsAndRefusesNewOnes() throws Exception {
+        Channel listener = listen(() -> NioNetwork.SYSTEM.newListener(UNRESTRICTED_GATE));
+        SocketAddress address = listener.localAddress();
+        try (SocketChannel waiting = SocketChannel.open()) {
             CompletableFuture<Void> closed = new CompletableFuture<>();
             loop.submit(() -> {
                         listener.close().addListener(done -> {
                             assertThrows(
                                     ConnectException.class,
-                                    () -> SocketChannel.open(at).close());
+                                    () -> SocketChannel.open(address).close());
                             closed.complete(null);
                         });
-                        return waits.connect(at);
+                        return waiting.connect(address);
                     })
                     .sync();
             closed.get(5, TimeUnit.SECONDS);
             loop.submit(() -> {}).sync();
             assertEquals(1, accepted.size());
-            assertEquals(waits.getLocalAddress(), accepted.peek());
+            assertEquals(waiting.getLocalAddress(), accepted.peek());
         }
     }
 }
--- a/src/test/java/kitemux/net/ConnectErrorHandlerTest.java
+++ b/src/test/java/kitemux/net/ConnectErrorHandlerTest.java
@@ -11,7 +11,7 @@
 class ConnectErrorHandlerTest {
 
     @Test
-    void aConnectionThatIsResetIsClosedAndNothingIsSaid() {
+    void resetConnectionIsClosedSilently() {
         EmbeddedChannel channel = new EmbeddedChannel(new ConnectErrorHandler());
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
         channel.checkException();
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void aDefectIsNotHidden() {
+    void unexpectedExceptionIsPropagated() {
         EmbeddedChannel channel = new EmbeddedChannel(new ConnectErrorHandler());
         IllegalStateException defect = new IllegalStateException("defect");
         channel.pipeline().fireExceptionCaught(defect);
--- a/src/test/java/kitemux/net/MillisecondTimerIoHandlerTest.java
+++ b/src/test/java/kitemux/net/MillisecondTimerIoHandlerTest.java
@@ -15,48 +15,48 @@
 import org.junit.jupiter.api.Test;
 
 class MillisecondTimerIoHandlerTest {
-    private static final int TIMERS = 50;
+    private static final int TIMER_COUNT = 50;
     /** Short of half a millisecond past a whole one: the case in which selectors are asked to hurry. */
-    private static final long EACH_US = 2_400;
+    private static final long TIMER_DELAY_US = 2_400;
 
     /** How often the loop looks at its selector until so many timers have run, one after another. */
-    private static int looks(boolean whole) throws InterruptedException {
-        AtomicInteger looks = new AtomicInteger();
-        IoHandlerFactory plain = NioIoHandler.newFactory(SelectorProvider.provider(), () -> (now, hasTasks) -> {
-            looks.incrementAndGet();
+    private static int countSelects(boolean rounded) throws InterruptedException {
+        AtomicInteger selects = new AtomicInteger();
+        IoHandlerFactory selectors = NioIoHandler.newFactory(SelectorProvider.provider(), () -> (now, hasTasks) -> {
+            selects.incrementAndGet();
             return hasTasks ? now.get() : SelectStrategy.SELECT;
         });
         MultiThreadIoEventLoopGroup group =
-                new MultiThreadIoEventLoopGroup(1, whole ? MillisecondTimerIoHandler.over(plain) : plain);
+                new MultiThreadIoEventLoopGroup(1, rounded ? MillisecondTimerIoHandler.wrapping(selectors) : selectors);
         EventLoop loop = (EventLoop) group.next();
-        CountDownLatch ran = new CountDownLatch(TIMERS);
-        Runnable again = new Runnable() {
+        CountDownLatch ran = new CountDownLatch(TIMER_COUNT);
+        Runnable chainedTimer = new Runnable() {
             @Override
             public void run() {
                 ran.countDown();
                 if (ran.getCount() > 0) {
-                    loop.schedule(this, EACH_US, TimeUnit.MICROSECONDS);
+                    loop.schedule(this, TIMER_DELAY_US, TimeUnit.MICROSECONDS);
                 }
             }
         };
-        loop.execute(again);
+        loop.execute(chainedTimer);
         assertTrue(ran.await(20, TimeUnit.SECONDS));
-        int looked = looks.get();
+        int selectCount = selects.get();
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS).sync();
-        return looked;
+        return selectCount;
     }
 
     @Test
-    void aLoopLooksOnceForATimerAndNotUntilItIsDue() throws InterruptedException {
-        int whole = looks(true);
+    void loopSelectsOnceForEachTimer() throws InterruptedException {
+        int rounded = countSelects(true);
         // A look more where the system woke it early, and some as it starts.
-        assertTrue(whole <= 3 * TIMERS, "looked " + whole + " times for " + TIMERS + " timers");
-        int plain = looks(false);
-        assertTrue(plain > whole, "it hurries no more without: " + plain + " and " + whole);
+        assertTrue(rounded <= 3 * TIMER_COUNT, "looked " + rounded + " times for " + TIMER_COUNT + " timers");
+        int unrounded = countSelects(false);
+        assertTrue(unrounded > rounded, "it hurries no more without: " + unrounded + " and " + rounded);
     }
 
     @Test
-    void timersRunAndTasksFromElsewhereWakeTheLoop() throws Exception {
+    void timersRunAndExternalTasksWakeTheLoop() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, MillisecondTimerIoHandler.factory());
         try {
             assertEquals("task", group.submit(() -> "task").get(20, TimeUnit.SECONDS));
--- a/src/test/java/kitemux/net/SelectorLoopTest.java
+++ b/src/test/java/kitemux/net/SelectorLoopTest.java
@@ -26,7 +26,7 @@
 
     /** What has waited in the selector has not lain there unread. */
     @Test
-    void aPollIsWhereItsWaitEnds() throws Exception {
+    void pollTimeIsTakenAfterTheSelectorWait() throws Exception {
         long waitNanos = TimeUnit.MILLISECONDS.toNanos(200);
         CompletableFuture<Long> waited = new CompletableFuture<>();
         loop.execute(() -> {
@@ -38,10 +38,10 @@
     }
 
     @Test
-    void whileItReadsAPollIsTheOneBeforeAndInTasksItIsOfTheirTurn() throws Exception {
-        CompletableFuture<Long> reading = new CompletableFuture<>();
-        CompletableFuture<Long> behind = new CompletableFuture<>();
-        try (ServerSocket far = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+    void readsSeeThePreviousPollAndTasksSeeTheCurrentOne() throws Exception {
+        CompletableFuture<Long> whileReading = new CompletableFuture<>();
+        CompletableFuture<Long> inTask = new CompletableFuture<>();
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
@@ -49,29 +49,29 @@
                         @Override
                         public void channelRead(ChannelHandlerContext context, Object bytes) {
                             ((ByteBuf) bytes).release();
-                            reading.complete(loop.lastPollNanos());
-                            loop.execute(() -> behind.complete(loop.lastPollNanos()));
+                            whileReading.complete(loop.lastPollNanos());
+                            loop.execute(() -> inTask.complete(loop.lastPollNanos()));
                         }
                     })
-                    .connect(far.getLocalSocketAddress())
+                    .connect(server.getLocalSocketAddress())
                     .sync();
-            try (Socket peer = far.accept()) {
-                CountDownLatch standing = new CountDownLatch(1);
+            try (Socket peer = server.accept()) {
+                CountDownLatch blocked = new CountDownLatch(1);
                 CountDownLatch release = new CountDownLatch(1);
                 loop.execute(() -> {
-                    standing.countDown();
+                    blocked.countDown();
                     try {
                         release.await(20, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-                standing.await();
+                blocked.await();
                 long writtenNanos = loop.ticker().nanoTime();
                 peer.getOutputStream().write(0);
                 release.countDown();
-                assertTrue(reading.get(20, TimeUnit.SECONDS) - writtenNanos < 0);
-                assertTrue(behind.get(20, TimeUnit.SECONDS) - writtenNanos > 0);
+                assertTrue(whileReading.get(20, TimeUnit.SECONDS) - writtenNanos < 0);
+                assertTrue(inTask.get(20, TimeUnit.SECONDS) - writtenNanos > 0);
             }
         }
     }
--- a/src/test/java/kitemux/node/ServerPoolTest.java
+++ b/src/test/java/kitemux/node/ServerPoolTest.java
@@ -28,35 +28,35 @@
 
 /** How attempts end, seen from outside: an order may go on to another server only if it never ran. */
 class ServerPoolTest {
-    private static final int ASKED = 12;
+    private static final int REQUEST_COUNT = 12;
 
     /** Asks for a number of orders, of which about half meet the first server; all must be served. */
-    private static void allServed(Site site) throws IOException {
-        for (int i = 0; i < ASKED; i++) {
+    private static void assertAllServed(Site site) throws IOException {
+        for (int i = 0; i < REQUEST_COUNT; i++) {
             assertEquals(200, site.ask(Http.order("t" + i, "4000m")).status());
         }
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
+    void refusedConnectionIsRetriedOnAnotherServer() throws Exception {
         try (FarServer dead = FarServer.serving("x");
                 FarServer good = FarServer.serving("x");
                 Site site = Site.quiet()) {
             dead.stop();
             site.start(dead, good);
-            allServed(site);
-            assertEquals(ASKED, good.requests.size());
+            assertAllServed(site);
+            assertEquals(REQUEST_COUNT, good.requests.size());
         }
     }
 
     @Test
-    void aRequestTurnedAwayNeverRan() throws Exception {
+    void requestRejectedByServerIsRetriedOnAnotherServer() throws Exception {
         try (FarServer full = new FarServer(
                         (request, peer) -> peer.write(Http.answer("504 Over", "X-Turned-Away: 1\r\n", "")));
                 FarServer good = FarServer.serving("x");
                 Site site = Site.quiet().start(full, good)) {
-            allServed(site);
-            assertEquals(ASKED, good.requests.size());
+            assertAllServed(site);
+            assertEquals(REQUEST_COUNT, good.requests.size());
             assertTrue(full.requests.size() > 0);
         }
     }
@@ -79,7 +79,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 3\r\n\r\nxyz",
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n" + "1\r\nx\r\n0\r\n\r\n",
             })
-    void aBadAnswerMayHaveRunAndIsNeverServed(String answer) throws Exception {
+    void invalidResponseIsNeitherServedNorRetried(String answer) throws Exception {
         try (FarServer bad = new FarServer((request, peer) -> {
                     peer.write(answer);
                     peer.socket().close();
@@ -91,11 +91,11 @@
     }
 
     @Test
-    void aRepeatableRequestPassesOnAfterAReset() throws Exception {
+    void safeRequestIsRetriedAfterReset() throws Exception {
         try (FarServer bad = new FarServer((request, peer) -> peer.reset());
                 FarServer good = FarServer.serving("x");
                 Site site = Site.quiet().start(bad, good)) {
-            for (int i = 0; i < ASKED; i++) {
+            for (int i = 0; i < REQUEST_COUNT; i++) {
                 assertEquals(
                         200, site.ask(Http.page("/api/p", "t" + i, "4000m")).status());
             }
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void anAnswerPastAllBoundsIsGivenUpAtOnce() throws Exception {
+    void oversizedResponseIsRejectedImmediately() throws Exception {
         try (FarServer bad = new FarServer(
                         (request, peer) -> peer.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"));
                 Site site = Site.quiet().start(bad)) {
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void anAnswerLargerThanRequestsMayBePassesOnWhole() throws Exception {
+    void responseLargerThanRequestLimitIsServed() throws Exception {
         String large = "photo".repeat(70_000);
         try (FarServer server = FarServer.serving(large);
                 Site site = Site.quiet().start(server)) {
@@ -126,22 +126,22 @@
 
     // ---------------------------------------------------------------- answers passed on as they come
 
-    private static String chunked(String body, int piece) {
+    private static String chunked(String body, int chunkSize) {
         StringBuilder text = new StringBuilder(Site.watchHead());
-        for (int at = 0; at < body.length(); at += piece) {
-            text.append(Site.chunk(body.substring(at, Math.min(body.length(), at + piece))));
+        for (int offset = 0; offset < body.length(); offset += chunkSize) {
+            text.append(Site.chunk(body.substring(offset, Math.min(body.length(), offset + chunkSize))));
         }
         return text.append("0\r\n\r\n").toString();
     }
 
     /** Whatever comes on a connection, up to its end. */
-    private static String rest(Socket client) throws IOException {
+    private static String readToEnd(Socket client) throws IOException {
         return new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 65_536, 65_537, 1_000_000, 20_000_000})
-    void anAnswerOfAnyLengthPassesOnWholeHoweverItIsFramed(int length) throws Exception {
+    void responseOfAnyLengthAndFramingIsForwardedWhole(int length) throws Exception {
         String body = "yearbook!".repeat(length / 9 + 1).substring(0, length);
         try (FarServer server = new FarServer((request, peer) -> {
                     if (request.path().contains("chunked")) {
@@ -160,32 +160,32 @@
                         client,
                         Http.page("/api/" + framing, framing, "4000m")
                                 .replace("Host: b", "Connection: close\r\nHost: b"));
-                String answer = rest(client);
-                assertTrue(answer.startsWith("HTTP/1.1 200 "), framing);
-                String passed = answer.substring(answer.indexOf("\r\n\r\n") + 4);
-                assertEquals(body, passed.startsWith(body) ? passed : dechunked(passed), framing);
+                String response = readToEnd(client);
+                assertTrue(response.startsWith("HTTP/1.1 200 "), framing);
+                String receivedBody = response.substring(response.indexOf("\r\n\r\n") + 4);
+                assertEquals(body, receivedBody.startsWith(body) ? receivedBody : dechunked(receivedBody), framing);
             }
         }
     }
 
     private static String dechunked(String text) {
         StringBuilder body = new StringBuilder();
-        int at = 0;
+        int offset = 0;
         while (true) {
-            int line = text.indexOf("\r\n", at);
-            int size = Integer.parseInt(text.substring(at, line), 16);
+            int line = text.indexOf("\r\n", offset);
+            int size = Integer.parseInt(text.substring(offset, line), 16);
             if (size == 0) {
                 assertEquals("\r\n\r\n", text.substring(line));
                 return body.toString();
             }
             body.append(text, line + 2, line + 2 + size);
-            at = line + 4 + size;
+            offset = line + 4 + size;
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aLongAnswerThatBreaksOffIsTriedNowhereElseAndSeenToBeCut(boolean chunked) throws Exception {
+    void truncatedLongResponseIsNotRetriedAndFailsVisibly(boolean chunked) throws Exception {
         String part = "p".repeat(100_000);
         try (FarServer bad = new FarServer((request, peer) -> {
                     peer.write(
@@ -195,18 +195,20 @@
                     peer.reset();
                 });
                 Site site = Site.quiet().start(bad)) {
-            for (int i = 0; i < ASKED; i++) {
+            for (int i = 0; i < REQUEST_COUNT; i++) {
                 Socket client = site.connect();
                 Site.write(client, Http.page("/api/p", "t" + i, "4000m"));
                 assertThrows(
-                        IOException.class, () -> rest(client), "its end must not look like that of a whole answer");
+                        IOException.class,
+                        () -> readToEnd(client),
+                        "its end must not look like that of a whole answer");
                 assertEquals(i + 1, bad.requests.size());
             }
         }
     }
 
     @Test
-    void aBrokenEndOfWhatOnlyTheEndDelimitsIsNotServed() throws Exception {
+    void resetCloseDelimitedResponseIsNotServed() throws Exception {
         try (FarServer bad = new FarServer((request, peer) -> {
                     peer.write("HTTP/1.1 200 OK\r\n\r\nonly part of it");
                     peer.reset();
@@ -217,9 +219,9 @@
     }
 
     @Test
-    void aClientThatReadsNothingHoldsTheServerBackAndIsCutOff() throws Exception {
+    void stalledClientAppliesBackPressureAndIsDisconnected() throws Exception {
         AtomicLong written = new AtomicLong();
-        CountDownLatch over = new CountDownLatch(1);
+        CountDownLatch serverReleased = new CountDownLatch(1);
         try (FarServer server = new FarServer((request, peer) -> {
                     if (!request.path().contains("large")) {
                         peer.write(Http.ok("x"));
@@ -233,20 +235,20 @@
                             written.addAndGet(100_000);
                         }
                     } finally {
-                        over.countDown();
+                        serverReleased.countDown();
                     }
                 });
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/large", "t", "4000m"));
-            assertTrue(over.await(30, TimeUnit.SECONDS), "its server is let go");
+            assertTrue(serverReleased.await(30, TimeUnit.SECONDS), "its server is let go");
             assertTrue(written.get() < 100_000_000, "went on to write " + written.get());
             assertEquals(200, site.ask(Http.page("after")).status());
         }
     }
 
     @Test
-    void aClientThatLeavesInTheMiddleLetsGoOfTheServer() throws Exception {
+    void clientDisconnectReleasesServerConnection() throws Exception {
         try (FarServer server = new FarServer((request, peer) -> {
                     peer.write(
                             request.path().contains("large")
@@ -264,7 +266,7 @@
     }
 
     @Test
-    void anUnreadableLoadReportSpoilsNoAnswer() throws Exception {
+    void malformedLoadReportHeaderIsIgnored() throws Exception {
         try (FarServer server = new FarServer(
                         (request, peer) -> peer.write(Http.answer("200 OK", "X-Pressure: TEXT %%=;{\"\r\n", "good")));
                 Site site = Site.quiet().start(server)) {
@@ -274,19 +276,19 @@
 
     @Test
     @Timeout(20)
-    void aConnectionOnWhichSomethingWaitsUnreadIsNotQuiet() throws Exception {
+    void connectionReportsUnreadInputAndEndOfStream() throws Exception {
         EventLoop loop = Node.newLoop();
-        try (ServerSocket far = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             // Nothing is read by itself, as when the loop has not come to it yet.
             InputAwareChannel channel = (InputAwareChannel) new Bootstrap()
                     .group(loop)
                     .channelFactory(NioNetwork.SYSTEM::newOutboundChannel)
                     .option(ChannelOption.AUTO_READ, false)
                     .handler(new ChannelInboundHandlerAdapter())
-                    .connect(far.getLocalSocketAddress())
+                    .connect(listener.getLocalSocketAddress())
                     .sync()
                     .channel();
-            Socket server = far.accept();
+            Socket server = listener.accept();
             assertTrue(channel.hasNoUnreadInput());
             server.getOutputStream().write('x');
             while (channel.hasNoUnreadInput()) {
@@ -304,7 +306,7 @@
     }
 
     @Test
-    void interimAnswersArePassedOver() throws Exception {
+    void interimResponsesAreSkipped() throws Exception {
         try (FarServer server = new FarServer((request, peer) -> peer.write("HTTP/1.1 102 Processing\r\n\r\n"
                         + "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + Http.ok("final")));
                 Site site = Site.quiet().start(server)) {
@@ -313,7 +315,7 @@
     }
 
     @Test
-    void whatComesBehindAnAnswerDoesNotAnswerTheNext() throws Exception {
+    void surplusBytesDoNotAnswerTheNextRequest() throws Exception {
         try (FarServer server = new FarServer(
                         (request, peer) -> peer.write(Http.ok(request.headers().get("x-txn")) + Http.ok("stray")));
                 Site site = Site.quiet().start(server)) {
@@ -325,7 +327,7 @@
     }
 
     @Test
-    void anAttemptOutOfTimeIsGivenUpByClosingItsConnection() throws Exception {
+    void timedOutAttemptClosesItsConnection() throws Exception {
         try (FarServer silent = new FarServer((request, peer) -> {});
                 Site site = Site.quiet().start(silent)) {
             assertEquals(502, site.ask(Http.order("t", "100m")).status());
@@ -334,7 +336,7 @@
     }
 
     @Test
-    void theMostRecentlyUsedConnectionIsTakenAndOldOnesAreClosed() throws Exception {
+    void mostRecentConnectionIsReusedAndIdleOnesAreClosed() throws Exception {
         try (FarServer server = FarServer.serving("x");
                 Site site = Site.quiet()) {
             site.connIdleUs = 200_000;
@@ -350,7 +352,7 @@
     }
 
     @Test
-    void wordOfADrainFreesWhatAwaitsAConnection() throws Exception {
+    void drainReleasesExchangesWaitingForAConnection() throws Exception {
         // A listener whose backlog is full: connections to it never come up.
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket one = new Socket(hanging.getInetAddress(), hanging.getLocalPort());
@@ -372,7 +374,7 @@
     }
 
     @Test
-    void aChangedEndpointMovesNewConnections() throws Exception {
+    void changedEndpointIsUsedForNewConnections() throws Exception {
         try (FarServer before = FarServer.serving("old");
                 FarServer after = FarServer.serving("new");
                 Site site = Site.quiet().start(before)) {
--- a/src/test/java/kitemux/sim/SchedulerTest.java
+++ b/src/test/java/kitemux/sim/SchedulerTest.java
@@ -16,44 +16,43 @@
 
     /** Steps: below 60 sets something for then, 60 to 89 calls one off, the rest lets one happen. */
     @Property(tries = 300)
-    void whatHappensIsWhatAPlainSortedListWouldTell(
-            @ForAll @Size(max = 400) List<@IntRange(min = 0, max = 99) Integer> steps) {
-        Scheduler time = new Scheduler();
+    void eventsRunInTheOrderOfASortedList(@ForAll @Size(max = 400) List<@IntRange(min = 0, max = 99) Integer> steps) {
+        Scheduler scheduler = new Scheduler();
         List<Scheduler.Event> events = new ArrayList<>();
-        List<long[]> plain = new ArrayList<>();
-        List<Long> happened = new ArrayList<>();
+        List<long[]> model = new ArrayList<>();
+        List<Long> executed = new ArrayList<>();
         List<Long> expected = new ArrayList<>();
         for (int step : steps) {
             if (step < 60) {
                 long number = events.size();
-                plain.add(new long[] {time.nowNanos() + step % 7, number});
-                events.add(time.scheduleAt(time.nowNanos() + step % 7, () -> happened.add(number)));
+                model.add(new long[] {scheduler.nowNanos() + step % 7, number});
+                events.add(scheduler.scheduleAt(scheduler.nowNanos() + step % 7, () -> executed.add(number)));
             } else if (step < 90 && !events.isEmpty()) {
                 int which = step * 31 % events.size();
                 events.get(which).cancel();
-                plain.removeIf(p -> p[1] == which);
+                model.removeIf(p -> p[1] == which);
             } else {
-                plain.sort(Comparator.<long[]>comparingLong(p -> p[0]).thenComparingLong(p -> p[1]));
-                assertEquals(!plain.isEmpty(), time.runNext(time.nowNanos() + 10));
-                if (!plain.isEmpty()) {
-                    long[] next = plain.remove(0);
+                model.sort(Comparator.<long[]>comparingLong(p -> p[0]).thenComparingLong(p -> p[1]));
+                assertEquals(!model.isEmpty(), scheduler.runNext(scheduler.nowNanos() + 10));
+                if (!model.isEmpty()) {
+                    long[] next = model.remove(0);
                     expected.add(next[1]);
-                    assertEquals(next[0], time.nowNanos());
+                    assertEquals(next[0], scheduler.nowNanos());
                 }
             }
-            assertEquals(plain.size(), time.pendingEventCount());
+            assertEquals(model.size(), scheduler.pendingEventCount());
         }
-        assertEquals(expected, happened);
+        assertEquals(expected, executed);
     }
 
     @Test
-    void whatIsTooFarOffForTheClockDoesNotHappenAtOnce() {
+    void overflowingDelayDoesNotRunImmediately() {
         // A module asked to be woken so late that the sum overflowed, and was woken at once, again and again.
-        Scheduler time = new Scheduler();
-        time.scheduleAt(1_000_000, () -> {});
-        time.runNext(Long.MAX_VALUE);
-        time.scheduleAfterUs(Long.MAX_VALUE / 4, () -> {});
-        assertFalse(time.runNext(60_000_000_000L));
-        assertEquals(60_000_000_000L, time.nowNanos());
+        Scheduler scheduler = new Scheduler();
+        scheduler.scheduleAt(1_000_000, () -> {});
+        scheduler.runNext(Long.MAX_VALUE);
+        scheduler.scheduleAfterUs(Long.MAX_VALUE / 4, () -> {});
+        assertFalse(scheduler.runNext(60_000_000_000L));
+        assertEquals(60_000_000_000L, scheduler.nowNanos());
     }
 }
