--- a/src/main/java/kitemux/engine/Engine.java
+++ b/src/main/java/kitemux/engine/Engine.java
@@ -88,6 +88,7 @@
         private final long deadlineUs;
         private final List<Engine<Q, A>.Attempt> attempts = new ArrayList<>(1);
         private int inFlightAttempts;
+        /** Whether the request has its final answer or its client has disconnected. */
         private boolean answered;
         /** The attempt whose response has started, or null. */
         private Engine<Q, A>.Attempt answeringAttempt;
@@ -437,7 +438,7 @@
         }
 
         @Override
-        public boolean onResponseStarted(A answer) {
+        public boolean onResponseStarted(A response) {
             if (finished) {
                 return false;
             }
@@ -452,7 +453,7 @@
             // forwarded to its end, also past the client's deadline; the transport aborts a response that
             // stalls or does not end.
             expiryTimer.cancel();
-            pending.client.onResponseStarted(answer);
+            pending.client.onResponseStarted(response);
             if (pending.request.isStreamed()) {
                 emit(pending, () -> balancer.onFirstByte(clock.nowUs(), pending.id, number));
                 return true;
@@ -470,7 +471,7 @@
         }
 
         @Override
-        public void onEnded(Result transportResult, A answer) {
+        public void onEnded(Result transportResult, A response) {
             if (finished) {
                 return;
             }
@@ -487,7 +488,7 @@
             observer.onAttemptEnded(pending.id, number, finalResult);
             if (finalResult == Result.OK && !pending.answered) {
                 markAnswered(pending, Observer.RequestOutcome.SERVED);
-                pending.client.onServed(answer);
+                pending.client.onServed(response);
             } else if (outcomeReported && !pending.answered) {
                 markAnswered(pending, Observer.RequestOutcome.FAILED);
                 pending.client.onFailed();
@@ -637,7 +638,7 @@
         }
 
         @Override
-        public void onEnded(Result result, A answer) {
+        public void onEnded(Result result, A response) {
             inFlightProbeCount--;
             timeoutTimer.cancel();
             emit(null, () -> balancer.onProbe(clock.nowUs(), serverId, result, clock.nowUs() - sentAtUs, null));
--- a/src/main/java/kitemux/engine/Observer.java
+++ b/src/main/java/kitemux/engine/Observer.java
@@ -34,9 +34,9 @@
             }
 
             @Override
-            public void onRequestAnswered(long id, RequestOutcome answer) {
-                current.onRequestAnswered(id, answer);
-                next.onRequestAnswered(id, answer);
+            public void onRequestAnswered(long id, RequestOutcome outcome) {
+                current.onRequestAnswered(id, outcome);
+                next.onRequestAnswered(id, outcome);
             }
 
             @Override
@@ -70,7 +70,7 @@
     default void onAttemptEnded(long id, int attempt, Result result) {}
 
     /** The request has its final answer, or its client has disconnected. */
-    default void onRequestAnswered(long id, RequestOutcome answer) {}
+    default void onRequestAnswered(long id, RequestOutcome outcome) {}
 
     /** The request is answered and has no attempt in flight; no more events follow for it. */
     default void onRequestReleased(long id) {}
--- a/src/main/java/kitemux/engine/ResponseSink.java
+++ b/src/main/java/kitemux/engine/ResponseSink.java
@@ -12,16 +12,16 @@
      * A response has started whose remaining data arrives through the given object. The response is complete
      * once {@link #onServed} is called with null, and truncated if any other final method is called.
      */
-    default void onResponseStarted(A answer) {
+    default void onResponseStarted(A response) {
         throw new IllegalStateException("this protocol does not stream responses");
     }
 
     /**
      * The request was served.
      *
-     * @param answer the server's response, or null at the end of a response that was started before
+     * @param response the server's response, or null at the end of a response that was started before
      */
-    void onServed(A answer);
+    void onServed(A response);
 
     /**
      * The request was refused and did not run, so the client can retry it safely.
--- a/src/main/java/kitemux/engine/Transport.java
+++ b/src/main/java/kitemux/engine/Transport.java
@@ -38,17 +38,17 @@
          * @return false if the response is not wanted because the client has disconnected or another attempt
          *     is answering it. The transport must then abort the exchange without reporting its end
          */
-        default boolean onResponseStarted(A answer) {
+        default boolean onResponseStarted(A response) {
             return false;
         }
 
         /**
          * The exchange has ended; called at most once.
          *
-         * @param answer the server's response if the result is OK and no response was started before; otherwise
+         * @param response the server's response if the result is OK and no response was started before; otherwise
          *     null
          */
-        void onEnded(Result result, A answer);
+        void onEnded(Result result, A response);
     }
 
     /** Starts an exchange; its end is reported unless it is abandoned or withdrawn first. */
--- a/src/main/java/kitemux/net/JsonFrameReader.java
+++ b/src/main/java/kitemux/net/JsonFrameReader.java
@@ -59,13 +59,13 @@
 
     private Frame consume(byte b) {
         if (b == '\n') {
-            boolean empty = !lineHasContent;
+            boolean emptyLine = !lineHasContent;
             lineHasContent = false;
             if (depth == 0) {
-                return empty ? Frame.HEARTBEAT : Frame.INCOMPLETE;
+                return emptyLine ? Frame.HEARTBEAT : Frame.INCOMPLETE;
             }
             object.write(b);
-            return empty || inString ? Frame.MALFORMED : Frame.INCOMPLETE;
+            return emptyLine || inString ? Frame.MALFORMED : Frame.INCOMPLETE;
         }
         if (b == ' ' || b == '\r' || b == '\t') {
             if (depth > 0) {
--- a/src/main/java/kitemux/net/ServerPool.java
+++ b/src/main/java/kitemux/net/ServerPool.java
@@ -366,9 +366,9 @@
          *
          * @return false if the response is not wanted; the connection is then closed
          */
-        protected final boolean startResponse(A answer) {
+        protected final boolean startResponse(A response) {
             Exchange<Q, A> current = exchange;
-            if (current.onResponseStarted(answer)) {
+            if (current.onResponseStarted(response)) {
                 return true;
             }
             pool.connectionsByExchange.remove(current);
@@ -456,12 +456,12 @@
         }
 
         /** Reports the end of the current exchange, if there is one. */
-        protected final void completeExchange(Result result, A answer) {
+        protected final void completeExchange(Result result, A response) {
             Exchange<Q, A> completed = exchange;
             exchange = null;
             if (completed != null) {
                 pool.connectionsByExchange.remove(completed);
-                completed.onEnded(result, answer);
+                completed.onEnded(result, response);
             }
         }
 
--- a/src/test/java/kitemux/disk/MemoryDisk.java
+++ b/src/test/java/kitemux/disk/MemoryDisk.java
@@ -10,21 +10,23 @@
 import java.util.Map;
 
 /**
- * A disk that keeps each change apart until it is synced, so that a test can cut the power at any of them:
- * all that was synced is there then, and of the rest as much as the test chooses.
+ * An in-memory disk that simulates power cuts. It tracks which changes have been synced; after a power cut the
+ * synced changes are kept, and the test chooses how much of the others is kept.
  */
 public final class MemoryDisk implements Disk {
-    /** What the machine sees. */
+    /** The files as the running process sees them. */
     private final Map<String, ByteArrayOutputStream> files = new LinkedHashMap<>();
-    /** What is on the platter: names as of the last sync of the folder, bytes as of the file's. */
+    /** The file names as of the last sync of the directory. */
     private final Map<String, ByteArrayOutputStream> syncedFiles = new LinkedHashMap<>();
 
+    /** The contents of each file as of its last sync. */
     private final Map<ByteArrayOutputStream, byte[]> syncedBytes = new LinkedHashMap<>();
-    /** Operations until all fail; negative for never. */
+    /** Number of operations after which all operations fail; negative for never. */
     public int operationsUntilFailure = -1;
 
+    /** Number of operations so far that change the disk. */
     public int operationCount;
-    /** Segments read. */
+    /** Number of journal segments read. */
     public int segmentReadCount;
 
     private void countOperation() throws IOException {
@@ -36,10 +38,10 @@
     }
 
     /**
-     * As it is found after the power was cut.
+     * Returns the disk as found after a power cut.
      *
-     * @param unsynced how many bytes of what was written to each file behind its last sync are there all the
-     *     same; a name that was not synced is there if any are asked for
+     * @param unsynced how many of the bytes written to each file after its last sync are kept; unsynced file names
+     *     are kept if this is positive
      */
     public MemoryDisk afterPowerCut(int unsynced) {
         MemoryDisk recovered = new MemoryDisk();
@@ -57,12 +59,12 @@
         return recovered;
     }
 
-    /** What the machine sees, to be changed. */
+    /** Returns the files as the running process sees them; tests may modify them. */
     public Map<String, ByteArrayOutputStream> files() {
         return files;
     }
 
-    /** A file that is there and safe. */
+    /** Adds a file whose name and contents are synced. */
     public void put(String name, byte[] bytes) {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
         file.writeBytes(bytes);
@@ -118,7 +120,7 @@
         return new OutputFile() {
             @Override
             public void write(byte[] bytes) throws IOException {
-                // Half of it is written as the power goes.
+                // Half of the bytes are written when the power fails.
                 if (operationsUntilFailure == 0) {
                     file.write(bytes, 0, bytes.length / 2);
                 }
@@ -134,7 +136,7 @@
 
             @Override
             public void close() {
-                // Nothing is held.
+                // There are no resources to release.
             }
         };
     }
--- a/src/test/java/kitemux/engine/EngineTest.java
+++ b/src/test/java/kitemux/engine/EngineTest.java
@@ -25,16 +25,16 @@
 import kitemux.ServiceQBalancer;
 import org.junit.jupiter.api.Test;
 
-/** What the engine does at its gate and at deadlines. */
+/** Tests the engine's send gate, deadlines, started responses and the results it reports to the balancer. */
 class EngineTest {
     private static final long AGE_US = 31;
 
     private static final long REMAINING_US = 100_000;
 
-    /** What the module is to hear of the request that is asked. */
+    /** Age of the dispatched request that the balancer is expected to receive. */
     private long expectedAgeUs = AGE_US;
 
-    /** Asked for by a test: what it cannot say stands still. */
+    /** A request whose remaining time and age a test can choose. */
     private record TestRequest(long remainingUs, long ageUs, boolean isStreamed) implements RequestInfo {
         TestRequest(long leftUs, long agoUs) {
             this(leftUs, agoUs, true);
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Timers that run when a test says so, as late as it likes. */
+    /** A clock whose time and timers advance only when a test says so. */
     private static final class ManualClock implements Clock {
         private record ScheduledTask(long atUs, Runnable task) {}
 
@@ -110,7 +110,7 @@
             return () -> scheduled.remove(timer);
         }
 
-        /** One turn's timers: those that are due now, and none that they set. */
+        /** Runs the timers that are due now, but none that they schedule. */
         void runDue() {
             List<ScheduledTask> due = scheduled.stream()
                     .filter(t -> t.atUs <= nowUs)
@@ -127,13 +127,13 @@
     private Transport.Exchange<TestRequest, String> exchange;
     private final List<Transport.Exchange<TestRequest, String>> exchanges = new ArrayList<>();
     private final List<String> firstBytes = new ArrayList<>();
-    /** Whether the server's connection is still coming up, and what was taken back meanwhile. */
+    /** Whether the server's connection is still being opened, so that exchanges can be withdrawn. */
     private boolean connecting;
 
     private final List<Transport.Exchange<TestRequest, String>> withdrawn = new ArrayList<>();
-    /** Attempts that the module begins at once. */
+    /** Number of attempts that the balancer starts for each request. */
     private int attemptsPerRequest = 1;
-    /** What waits at the gate; a test that puts nothing here has one that is open. */
+    /** Callbacks of the attempts that wait at the gate; null if the gate admits every attempt immediately. */
     private List<Consumer<Boolean>> gateCallbacks;
 
     private final SendGate<TestRequest> sendGate = new SendGate<>() {
@@ -178,7 +178,7 @@
 
         @Override
         public TestRequest probeRequest() {
-            throw new AssertionError("nobody asked for a probe");
+            throw new AssertionError("unexpected probe");
         }
 
         @Override
@@ -188,19 +188,19 @@
 
         @Override
         public void closeIdle(String serverId) {
-            throw new AssertionError("nobody asked for that");
+            throw new AssertionError("unexpected call of closeIdle");
         }
     };
 
     private final ResponseSink<String> client = new ResponseSink<>() {
         @Override
-        public void onResponseStarted(String answer) {
-            responses.add("begun " + answer);
+        public void onResponseStarted(String response) {
+            responses.add("started " + response);
         }
 
         @Override
-        public void onServed(String answer) {
-            responses.add(answer);
+        public void onServed(String response) {
+            responses.add(response);
         }
 
         @Override
@@ -219,12 +219,12 @@
         }
     };
 
-    /** A module that sends all to one server and fails what does not come back served. */
-    private Balancer module(Balancer.Actions actions) {
+    /** Returns a balancer that sends all requests to one server and fails those that are not served. */
+    private Balancer newBalancer(Balancer.Actions actions) {
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                     if (method.getName().equals("onRequest")) {
-                        assertEquals(expectedAgeUs, ((Request) args[1]).agoUs(), "as the protocol has it");
+                        assertEquals(expectedAgeUs, ((Request) args[1]).agoUs(), "age as reported by the protocol");
                         for (int i = 0; i < attemptsPerRequest; i++) {
                             actions.send(((Request) args[1]).id(), "s", 0);
                         }
@@ -241,7 +241,7 @@
                 });
     }
 
-    private Engine<TestRequest, String> engine(Function<Balancer.Actions, Balancer> module) {
+    private Engine<TestRequest, String> newEngine(Function<Balancer.Actions, Balancer> balancerFactory) {
         return new Engine<>(
                 3,
                 clock,
@@ -260,7 +260,7 @@
                         throw new AssertionError(what, cause);
                     }
                 },
-                module);
+                balancerFactory);
     }
 
     private void dispatch(long remainingUs) {
@@ -269,11 +269,11 @@
 
     private void dispatch(TestRequest request) {
         expectedAgeUs = request.ageUs();
-        Engine<TestRequest, String> engine = engine(this::module);
+        Engine<TestRequest, String> engine = newEngine(this::newBalancer);
         engine.dispatch(engine.accept(client, request));
     }
 
-    // ---------------------------------------------------------------- a node that is late itself
+    // ---------------------------------------------------------------- event loop behind its input
 
     @Test
     void latencyExcludesHalfOfTheReadLag() {
@@ -347,13 +347,13 @@
         assertEquals(List.of("first byte 0"), firstBytes);
         clock.nowUs += 10 * REMAINING_US;
         clock.runDue();
-        assertEquals(List.of("begun rows"), responses);
+        assertEquals(List.of("started rows"), responses);
         exchange.onEnded(Result.OK, null);
-        assertEquals(Arrays.asList("begun rows", null), responses);
+        assertEquals(Arrays.asList("started rows", null), responses);
         assertTrue(outcomes.get(0).requestEnded());
     }
 
-    /** The module is told its end as it begins; who carries it tells where it stops. */
+    /** The balancer receives the outcome when the response starts; the transport reports where it ends. */
     @Test
     void startedLongResponseIsServedWithoutDeadline() {
         dispatch(new TestRequest(REMAINING_US, AGE_US, false));
@@ -363,9 +363,9 @@
         assertTrue(outcomes.get(0).requestEnded());
         clock.nowUs += 10 * REMAINING_US;
         clock.runDue();
-        assertEquals(List.of("begun long"), responses);
+        assertEquals(List.of("started long"), responses);
         exchange.onEnded(Result.OK, null);
-        assertEquals(Arrays.asList("begun long", null), responses);
+        assertEquals(Arrays.asList("started long", null), responses);
         assertEquals(1, outcomes.size());
     }
 
@@ -375,11 +375,11 @@
         Transport.Exchange<TestRequest, String> first = exchange;
         assertTrue(first.onResponseStarted("rows"));
         first.onEnded(Result.RESET, null);
-        assertEquals(List.of("begun rows", "failed"), responses);
+        assertEquals(List.of("started rows", "failed"), responses);
         assertEquals(Result.RESET, outcomes.get(0).result());
         assertFalse(first.onResponseStarted("more"));
         first.onEnded(Result.OK, "late");
-        assertEquals(List.of("begun rows", "failed"), responses);
+        assertEquals(List.of("started rows", "failed"), responses);
         assertEquals(1, outcomes.size());
     }
 
@@ -389,10 +389,10 @@
         dispatch(REMAINING_US);
         assertEquals(2, exchanges.size());
         assertTrue(exchanges.get(1).onResponseStarted("rows"));
-        assertFalse(exchanges.get(0).onResponseStarted("other rows"), "told to break it off");
+        assertFalse(exchanges.get(0).onResponseStarted("other rows"), "the second response must be aborted");
         assertEquals(Result.CANCELLED, outcomes.get(0).result());
         exchanges.get(1).onEnded(Result.OK, null);
-        assertEquals(Arrays.asList("begun rows", null), responses);
+        assertEquals(Arrays.asList("started rows", null), responses);
     }
 
     @Test
@@ -401,15 +401,15 @@
         dispatch(REMAINING_US);
         assertTrue(exchanges.get(0).onResponseStarted("rows"));
         exchanges.get(1).onEnded(Result.OK, "whole");
-        assertEquals(Result.CANCELLED, outcomes.get(0).result(), "it may have run");
-        assertEquals(List.of("begun rows"), responses);
+        assertEquals(Result.CANCELLED, outcomes.get(0).result(), "the request may have run");
+        assertEquals(List.of("started rows"), responses);
         exchanges.get(0).onEnded(Result.OK, null);
-        assertEquals(Arrays.asList("begun rows", null), responses);
+        assertEquals(Arrays.asList("started rows", null), responses);
     }
 
     @Test
     void responseAfterClientDisconnectIsRejected() {
-        Engine<TestRequest, String> engine = engine(this::module);
+        Engine<TestRequest, String> engine = newEngine(this::newBalancer);
         Engine.PendingRequest<TestRequest, String> pending = engine.accept(client, new TestRequest(REMAINING_US));
         engine.dispatch(pending);
         engine.clientDisconnected(pending);
@@ -423,7 +423,7 @@
         Settings settings = new Settings();
         settings.zones.add("z");
         settings.classes.add(new RequestClass("select", 200_000, 0, 1_000_000, 1, 0, Repeat.SAFE, null, 0, true));
-        Engine<TestRequest, String> engine = engine(actions -> new ServiceQBalancer(settings, 1, actions));
+        Engine<TestRequest, String> engine = newEngine(actions -> new ServiceQBalancer(settings, 1, actions));
         engine.updateServers(
                 ListKind.FULL,
                 List.of(
@@ -433,11 +433,11 @@
         engine.dispatch(engine.accept(client, new TestRequest(REMAINING_US)));
         assertTrue(exchange.onResponseStarted("rows"));
         exchange.onEnded(Result.RESET, null);
-        assertEquals(1, exchanges.size(), "a safe one is tried again only while nothing has come of it");
-        assertEquals(List.of("begun rows", "refused 0"), responses);
+        assertEquals(1, exchanges.size(), "a safe request is retried only before its response has started");
+        assertEquals(List.of("started rows", "refused 0"), responses);
         engine.dispatch(engine.accept(client, new TestRequest(REMAINING_US)));
         exchange.onEnded(Result.RESET, null);
-        assertEquals(3, exchanges.size(), "without a begin it passes on");
+        assertEquals(3, exchanges.size(), "a request without a started response is retried");
     }
 
     @Test
@@ -452,7 +452,7 @@
 
     private Engine.PendingRequest<TestRequest, String> dispatchAndDisconnect() {
         expectedAgeUs = AGE_US;
-        Engine<TestRequest, String> engine = engine(this::module);
+        Engine<TestRequest, String> engine = newEngine(this::newBalancer);
         Engine.PendingRequest<TestRequest, String> pending = engine.accept(client, new TestRequest(REMAINING_US));
         engine.dispatch(pending);
         engine.clientDisconnected(pending);
@@ -460,7 +460,7 @@
         return pending;
     }
 
-    /** The module calls nothing off here, as where the settings forbid it. */
+    /** The balancer does not cancel the attempt here, as when the settings forbid cancellation. */
     @Test
     void attemptAtGateIsWithdrawnAfterClientDisconnect() {
         gateCallbacks = new ArrayList<>();
@@ -510,7 +510,7 @@
         clock.nowUs += REMAINING_US;
         clock.runDue();
         assertEquals(List.of("failed"), responses);
-        assertEquals(Result.MOOT, outcomes.get(0).result(), "it has not run, and its server is not to blame");
+        assertEquals(Result.MOOT, outcomes.get(0).result(), "the request has not run, and its server is not at fault");
         gateCallbacks.get(0).accept(true);
         assertEquals(null, exchange);
     }
--- a/src/test/java/kitemux/net/ClientListenerTest.java
+++ b/src/test/java/kitemux/net/ClientListenerTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The end of a listener, in the moment in which connections come up. */
+/** Tests failed accepts and the closing of a listener while connections arrive. */
 class ClientListenerTest {
-    /** Calls of accept that fail on end. */
+    /** Number of consecutive accept calls that fail. */
     private static final int ACCEPT_FAILURE_COUNT = 5;
-    /** Connections that come while a listener closes. */
+    /** Number of connections that arrive while the listener closes. */
     private static final int FLOOD_CONNECTION_COUNT = 1_500;
 
-    /** Half of how long a listener stops that leaves it to the network library. */
+    /** Half of the time for which Netty stops accepting after a failure. */
     private static final long MAX_RETRY_DELAY_NANOS = 500_000_000;
 
     private final SelectorLoop loop = SelectorLoop.open();
@@ -71,7 +71,7 @@
         loop.parent().shutdownGracefully(0, 5, TimeUnit.SECONDS).sync();
     }
 
-    /** Guards against a listener that stops for a second at each accept that fails. */
+    /** Guards against a listener that stops accepting for a second after each failed accept. */
     @Test
     void failedAcceptIsRetriedWithinTensOfMilliseconds() throws Exception {
         AtomicInteger failures = new AtomicInteger();
@@ -111,7 +111,7 @@
         }
     }
 
-    /** Guards against a loop that accepts without end as it closes its listener, where connections keep coming. */
+    /** Guards against a closing listener that accepts forever while connections keep arriving. */
     @Test
     void closeAcceptsAtMostTheBacklog() throws Exception {
         AtomicBoolean closing = new AtomicBoolean();
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Guards against connections that the system has completed and resets as their listener closes. */
+    /** Guards against connections that the system completes and then resets when their listener closes. */
     @Test
     void closeAcceptsWaitingConnectionsAndRefusesNewOnes() throws Exception {
         Channel listener = listen(() -> NioNetwork.SYSTEM.newListener(UNRESTRICTED_GATE));
--- a/src/test/java/kitemux/net/ConnectErrorHandlerTest.java
+++ b/src/test/java/kitemux/net/ConnectErrorHandlerTest.java
@@ -8,6 +8,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
+/** Tests errors on a connection that has not been taken over by the pool. */
 class ConnectErrorHandlerTest {
 
     @Test
--- a/src/test/java/kitemux/net/MillisecondTimerIoHandlerTest.java
+++ b/src/test/java/kitemux/net/MillisecondTimerIoHandlerTest.java
@@ -14,12 +14,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
+/** Tests that rounding timer delays avoids repeated polls of the selector. */
 class MillisecondTimerIoHandlerTest {
     private static final int TIMER_COUNT = 50;
-    /** Short of half a millisecond past a whole one: the case in which selectors are asked to hurry. */
+    /** Less than half a millisecond above a whole number, the case in which unrounded selectors poll continuously. */
     private static final long TIMER_DELAY_US = 2_400;
 
-    /** How often the loop looks at its selector until so many timers have run, one after another. */
+    /** Returns how often the loop polls its selector until {@link #TIMER_COUNT} timers have run in sequence. */
     private static int countSelects(boolean rounded) throws InterruptedException {
         AtomicInteger selects = new AtomicInteger();
         IoHandlerFactory selectors = NioIoHandler.newFactory(SelectorProvider.provider(), () -> (now, hasTasks) -> {
@@ -49,10 +50,10 @@
     @Test
     void loopSelectsOnceForEachTimer() throws InterruptedException {
         int rounded = countSelects(true);
-        // A look more where the system woke it early, and some as it starts.
-        assertTrue(rounded <= 3 * TIMER_COUNT, "looked " + rounded + " times for " + TIMER_COUNT + " timers");
+        // Allows for early wake-ups by the system and for some polls at the start.
+        assertTrue(rounded <= 3 * TIMER_COUNT, "polled " + rounded + " times for " + TIMER_COUNT + " timers");
         int unrounded = countSelects(false);
-        assertTrue(unrounded > rounded, "it hurries no more without: " + unrounded + " and " + rounded);
+        assertTrue(unrounded > rounded, "unrounded timers do not poll more often: " + unrounded + " and " + rounded);
     }
 
     @Test
--- a/src/test/java/kitemux/net/SelectorLoopTest.java
+++ b/src/test/java/kitemux/net/SelectorLoopTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Tests the poll time that an event loop reports. */
 class SelectorLoopTest {
     private final SelectorLoop loop = SelectorLoop.open();
 
@@ -24,7 +25,7 @@
         loop.parent().shutdownGracefully(0, 20, TimeUnit.SECONDS).sync();
     }
 
-    /** What has waited in the selector has not lain there unread. */
+    /** Time that the loop spends waiting in the selector does not count as read lag. */
     @Test
     void pollTimeIsTakenAfterTheSelectorWait() throws Exception {
         long waitNanos = TimeUnit.MILLISECONDS.toNanos(200);
--- a/src/test/java/kitemux/net/TimerQueueTest.java
+++ b/src/test/java/kitemux/net/TimerQueueTest.java
@@ -13,13 +13,14 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Tests the order, the cancellation and the bounded size of the timer queue. */
 class TimerQueueTest {
 
-    /** Steps: below 50 sets one, 50 to 89 calls one off, the rest lets time pass. */
+    /** Steps below 50 schedule a timer, steps from 50 to 89 cancel one, and the others advance the time. */
     @Property(tries = 300)
     void timersRunInTheOrderOfASortedList(@ForAll @Size(max = 600) List<@IntRange(min = 0, max = 99) Integer> steps) {
         TimerQueue timers = new TimerQueue();
-        // The clock runs over on its way.
+        // The clock overflows during the test.
         long now = Long.MAX_VALUE - 40;
         long passed = 0;
         List<Clock.Timer> scheduled = new ArrayList<>();
@@ -69,12 +70,12 @@
         List<String> ran = new ArrayList<>();
         timers.schedule(1, () -> {
             ran.add("first");
-            timers.schedule(1, () -> ran.add("set by it"));
+            timers.schedule(1, () -> ran.add("second"));
             timers.runDue(9);
         });
         timers.runDue(1);
         assertEquals(List.of("first"), ran);
         timers.runDue(1);
-        assertEquals(List.of("first", "set by it"), ran);
+        assertEquals(List.of("first", "second"), ran);
     }
 }
--- a/src/test/java/kitemux/node/ServerPoolTest.java
+++ b/src/test/java/kitemux/node/ServerPoolTest.java
@@ -26,11 +26,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How attempts end, seen from outside: an order may go on to another server only if it never ran. */
+/**
+ * Tests the results of attempts as clients see them. Orders are not safe to retry, so they may be sent to another
+ * server only if they are known not to have run.
+ */
 class ServerPoolTest {
     private static final int REQUEST_COUNT = 12;
 
-    /** Asks for a number of orders, of which about half meet the first server; all must be served. */
+    /** Sends orders, about half of which are tried on the first server, and asserts that all are served. */
     private static void assertAllServed(Site site) throws IOException {
         for (int i = 0; i < REQUEST_COUNT; i++) {
             assertEquals(200, site.ask(Http.order("t" + i, "4000m")).status());
@@ -79,14 +82,14 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 3\r\n\r\nxyz",
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n" + "1\r\nx\r\n0\r\n\r\n",
             })
-    void invalidResponseIsNeitherServedNorRetried(String answer) throws Exception {
+    void invalidResponseIsNeitherServedNorRetried(String response) throws Exception {
         try (FarServer bad = new FarServer((request, peer) -> {
-                    peer.write(answer);
+                    peer.write(response);
                     peer.socket().close();
                 });
                 Site site = Site.quiet().start(bad)) {
             assertEquals(502, site.ask(Http.order("t", "4000m")).status());
-            assertEquals(1, bad.requests.size(), "an order is sent once");
+            assertEquals(1, bad.requests.size(), "an order must be sent once");
         }
     }
 
@@ -124,7 +127,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- answers passed on as they come
+    // ---------------------------------------------------------------- streamed responses
 
     private static String chunked(String body, int chunkSize) {
         StringBuilder text = new StringBuilder(Site.watchHead());
@@ -134,7 +137,7 @@
         return text.append("0\r\n\r\n").toString();
     }
 
-    /** Whatever comes on a connection, up to its end. */
+    /** Reads from a connection up to its end. */
     private static String readToEnd(Socket client) throws IOException {
         return new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
@@ -198,10 +201,7 @@
             for (int i = 0; i < REQUEST_COUNT; i++) {
                 Socket client = site.connect();
                 Site.write(client, Http.page("/api/p", "t" + i, "4000m"));
-                assertThrows(
-                        IOException.class,
-                        () -> readToEnd(client),
-                        "its end must not look like that of a whole answer");
+                assertThrows(IOException.class, () -> readToEnd(client), "a truncated response must not look complete");
                 assertEquals(i + 1, bad.requests.size());
             }
         }
@@ -241,8 +241,8 @@
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/large", "t", "4000m"));
-            assertTrue(serverReleased.await(30, TimeUnit.SECONDS), "its server is let go");
-            assertTrue(written.get() < 100_000_000, "went on to write " + written.get());
+            assertTrue(serverReleased.await(30, TimeUnit.SECONDS), "the server connection must be released");
+            assertTrue(written.get() < 100_000_000, "the server wrote " + written.get());
             assertEquals(200, site.ask(Http.page("after")).status());
         }
     }
@@ -279,7 +279,7 @@
     void connectionReportsUnreadInputAndEndOfStream() throws Exception {
         EventLoop loop = Node.newLoop();
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            // Nothing is read by itself, as when the loop has not come to it yet.
+            // Automatic reading is off, as if the loop had not reached this connection yet.
             InputAwareChannel channel = (InputAwareChannel) new Bootstrap()
                     .group(loop)
                     .channelFactory(NioNetwork.SYSTEM::newOutboundChannel)
@@ -294,12 +294,12 @@
             while (channel.hasNoUnreadInput()) {
                 Thread.onSpinWait();
             }
-            assertTrue(channel.hasNoUnreadInput(), "the byte is gone");
+            assertTrue(channel.hasNoUnreadInput(), "the byte must have been consumed");
             server.close();
             while (channel.hasNoUnreadInput()) {
                 Thread.onSpinWait();
             }
-            assertFalse(channel.hasNoUnreadInput(), "the end stays");
+            assertFalse(channel.hasNoUnreadInput(), "the end of the stream must still be reported");
         } finally {
             loop.parent().shutdownGracefully();
         }
@@ -344,8 +344,9 @@
             assertEquals(200, site.ask(Http.page("a")).status());
             assertEquals(200, site.ask(Http.page("b")).status());
             FarServer.Peer first = FarServer.next(server.peers);
-            assertEquals(first, FarServer.next(server.peers), "used again");
-            assertEquals(first, FarServer.next(server.ended), "closed by the node before the server does");
+            assertEquals(first, FarServer.next(server.peers), "the connection must be reused");
+            assertEquals(
+                    first, FarServer.next(server.ended), "the node must close the connection before the server does");
             assertEquals(200, site.ask(Http.page("c")).status());
             assertNotEquals(first, FarServer.next(server.peers));
         }
@@ -353,7 +354,7 @@
 
     @Test
     void drainReleasesExchangesWaitingForAConnection() throws Exception {
-        // A listener whose backlog is full: connections to it never come up.
+        // Connections to a listener with a full backlog are never established.
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket one = new Socket(hanging.getInetAddress(), hanging.getLocalPort());
                 Socket two = new Socket(hanging.getInetAddress(), hanging.getLocalPort());
@@ -365,7 +366,7 @@
             FarServer.Peer watch = FarServer.next(site.discovery.peers);
             Socket client = site.connect();
             Site.write(client, Http.order("t", "5000m"));
-            // Once the answer to a later request is there, the order has been taken up and awaits its turn.
+            // Once a later request is answered, the order has been accepted and waits for a connection.
             assertEquals(404, site.ask(Http.page("/nothing", "u", "1m")).status());
             watch.write(
                     Site.chunk(Site.list(2, false, hangs + "=Terminating", "s1=" + good.endpoint() + "=Ready") + "\n"));
--- a/src/test/java/kitemux/sim/ColdStartLoadTest.java
+++ b/src/test/java/kitemux/sim/ColdStartLoadTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The rule on cold servers, by itself. */
+/** Tests the load limit of servers in slow start. */
 class ColdStartLoadTest {
     private static final double MEAN_WORK_US = 20_000;
     private static final long WINDOW_US = 2_000_000;
-    /** What the settings allow: 36 requests, so that 36 + 2 x 6 + 2 = 50 are stood. */
+    /** The settings allow 36 requests, so the server is overloaded beyond 36 + 2 * 6 + 2 = 50. */
     private static final double ALLOWED_WORK_US = 36 * MEAN_WORK_US;
 
     private final ColdStartLoad load = new ColdStartLoad(MEAN_WORK_US, WINDOW_US);
@@ -38,7 +38,7 @@
         assertEquals(51 / 50.0, load.peakRatio(), 1e-9);
     }
 
-    /** Whoever sends: it is the sum that counts, in requests of mean work. */
+    /** The limit applies to the total work of all nodes, in requests of mean work. */
     @Test
     void limitAppliesToWorkNotRequestCount() {
         assertEquals(Verdict.WITHIN_LIMIT, load.recordArrival(1, 49.9 * MEAN_WORK_US, true, ALLOWED_WORK_US));
@@ -57,7 +57,7 @@
     @Test
     void nodesAreResponsibleAboveTwoThirdsOfInformedWork() {
         recordArrivals(17, 1, false);
-        assertEquals(Verdict.OVERLOADED, recordArrivals(34, 1, true), "two thirds are not over two thirds");
+        assertEquals(Verdict.OVERLOADED, recordArrivals(34, 1, true), "exactly two thirds do not exceed two thirds");
         load.reset();
         recordArrivals(16, 2, false);
         assertEquals(Verdict.OVERLOADED_BY_NODES, recordArrivals(35, 2, true));
--- a/src/test/java/kitemux/sim/SchedulerTest.java
+++ b/src/test/java/kitemux/sim/SchedulerTest.java
@@ -12,9 +12,10 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Tests the order of events in virtual time. */
 class SchedulerTest {
 
-    /** Steps: below 60 sets something for then, 60 to 89 calls one off, the rest lets one happen. */
+    /** Steps below 60 schedule an event, steps from 60 to 89 cancel one, and the others run the next one. */
     @Property(tries = 300)
     void eventsRunInTheOrderOfASortedList(@ForAll @Size(max = 400) List<@IntRange(min = 0, max = 99) Integer> steps) {
         Scheduler scheduler = new Scheduler();
@@ -47,7 +48,7 @@
 
     @Test
     void overflowingDelayDoesNotRunImmediately() {
-        // A module asked to be woken so late that the sum overflowed, and was woken at once, again and again.
+        // Guards against an overflow: a balancer that set a very late wake-up was woken immediately and repeatedly.
         Scheduler scheduler = new Scheduler();
         scheduler.scheduleAt(1_000_000, () -> {});
         scheduler.runNext(Long.MAX_VALUE);
