--- a/src/main/java/kitemux/net/TimerQueue.java
+++ b/src/main/java/kitemux/net/TimerQueue.java
@@ -89,7 +89,7 @@
      * they schedule wait for the next call, so that timers cannot block the thread forever. A call from inside
      * a timer does nothing.
      */
-    void runDue(long nowNanos) {
+    void runDue(long dueByNanos) {
         if (running) {
             return;
         }
@@ -97,7 +97,7 @@
         long lastRunnableSequence = lastSequence;
         try {
             while (!queue.isEmpty()
-                    && queue.peek().deadlineNanos - nowNanos <= 0
+                    && queue.peek().deadlineNanos - dueByNanos <= 0
                     && queue.peek().sequence <= lastRunnableSequence) {
                 ScheduledTimer due = queue.poll();
                 Runnable task = due.task;
