--- a/src/main/java/kitemux/engine/Engine.java
+++ b/src/main/java/kitemux/engine/Engine.java
@@ -288,7 +288,7 @@
 
     /** Returns the number of listed servers that the balancer has ejected. */
     public int ejectedServerCount() {
-        return balancer.avoided();
+        return balancer.ejectedServerCount();
     }
 
     /** Stops waking the balancer. The transport must be closed first. */
--- a/src/main/java/kitemux/node/RolloutLink.java
+++ b/src/main/java/kitemux/node/RolloutLink.java
@@ -13,7 +13,7 @@
 import kitemux.net.NioNetwork;
 import kitemux.net.SocketBudget;
 import kitemux.rollout.Subscriber;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 
 /** A node's tie to keepers; the only class of the node that names what carries configuration. */
 final class RolloutLink {
@@ -41,10 +41,10 @@
                 throw new IllegalStateException(e);
             }
         });
-        int node = config.settings().me;
+        int node = config.settings().nodeIndex;
         long life = time.nowUs() / 1_000;
         Subscriber subscriber = new Subscriber(
-                Terms.usual(), live, node, life, keepers.size(), 0, new TreeMap<>(), config.seed(), time.nowUs());
+                ProtocolParameters.defaults(), live, node, life, keepers.size(), 0, new TreeMap<>(), config.seed(), time.nowUs());
         new RolloutWatch(
                         loop,
                         NioNetwork.SYSTEM,
--- a/src/main/java/kitemux/world/Judge.java
+++ b/src/main/java/kitemux/world/Judge.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
 import kitemux.sim.ColdStartLoad;
@@ -159,7 +159,7 @@
 
     private void checkRefusal(Ask ask, Ask.Run run) {
         RequestClass cls = ask.cls;
-        boolean harmless = cls.repeat() == Repeat.SAFE || cls.repeat() == Repeat.KEYED && cls.group() == Group.ALL;
+        boolean harmless = cls.retrySafety() == RetrySafety.SAFE || cls.retrySafety() == RetrySafety.KEYED && cls.dedupScope() == DedupScope.ALL;
         if (!harmless && run.mayHaveRun(ask.answerSentAt)) {
             breach(Rule.EFFECTS, ask + " was refused though it may have run at " + run.box);
         }
@@ -209,18 +209,18 @@
             if (!earlier.mayHaveRun(run.sentAt)) {
                 continue;
             }
-            if (cls.repeat() == Repeat.UNSAFE) {
+            if (cls.retrySafety() == RetrySafety.UNSAFE) {
                 breach(Rule.EFFECTS, ask + " was sent to " + run.box + " though it may have run at " + earlier.box);
-            } else if (cls.repeat() == Repeat.KEYED && cls.group() == Group.CELL && earlier.box.cell != run.box.cell) {
+            } else if (cls.retrySafety() == RetrySafety.KEYED && cls.dedupScope() == DedupScope.CELL && earlier.box.cell != run.box.cell) {
                 breach(Rule.EFFECTS, ask + " was repeated at " + run.box + ", outside the group of " + earlier.box);
-            } else if (cls.repeat() == Repeat.KEYED
-                    && run.sentAt - earlier.sentAt > (cls.windowUs() + LONGER_US) * 1_000) {
+            } else if (cls.retrySafety() == RetrySafety.KEYED
+                    && run.sentAt - earlier.sentAt > (cls.dedupWindowUs() + LONGER_US) * 1_000) {
                 breach(
                         Rule.EFFECTS,
                         ask + " was repeated " + (run.sentAt - earlier.sentAt) / 1_000_000 + " ms after it was sent to "
                                 + earlier.box);
             }
-            if (!settings.secondCopies
+            if (!settings.hedgingAllowed
                     && !earlier.answerHeard
                     && !earlier.end.peer.closed
                     && !earlier.end.peer.resetIn
@@ -251,7 +251,7 @@
             breach(
                     Rule.COLD,
                     box + " was sent " + Math.round(sent.recentRequests()) + " requests in "
-                            + settings.fallUs / 1_000 + " ms, in which it may get "
+                            + settings.overloadOutageUs / 1_000 + " ms, in which it may get "
                             + Math.round(allowedUs / Clients.meanWorkUs()));
         }
         return verdict != ColdStartLoad.Verdict.WITHIN_LIMIT;
--- a/src/test/java/kitemux/engine/EngineTest.java
+++ b/src/test/java/kitemux/engine/EngineTest.java
@@ -15,7 +15,7 @@
 import kitemux.Balancer;
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Request;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
@@ -224,7 +224,7 @@
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                     if (method.getName().equals("onRequest")) {
-                        assertEquals(expectedAgeUs, ((Request) args[1]).agoUs(), "age as reported by the protocol");
+                        assertEquals(expectedAgeUs, ((Request) args[1]).ageUs(), "age as reported by the protocol");
                         for (int i = 0; i < attemptsPerRequest; i++) {
                             actions.send(((Request) args[1]).id(), "s", 0);
                         }
@@ -422,7 +422,7 @@
     void balancerDoesNotRetryAfterResponseHasStarted() {
         Settings settings = new Settings();
         settings.zones.add("z");
-        settings.classes.add(new RequestClass("select", 200_000, 0, 1_000_000, 1, 0, Repeat.SAFE, null, 0, true));
+        settings.classes.add(new RequestClass("select", 200_000, 0, 1_000_000, 1, 0, RetrySafety.SAFE, null, 0, true));
         Engine<TestRequest, String> engine = newEngine(actions -> new ServiceQBalancer(settings, 1, actions));
         engine.updateServers(
                 ListKind.FULL,
--- a/src/test/java/kitemux/http/LongAnswerBoundsTest.java
+++ b/src/test/java/kitemux/http/LongAnswerBoundsTest.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerEntry;
@@ -109,7 +109,7 @@
     void anAnswerHasBegun() throws Exception {
         listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         Settings settings = new Settings();
-        settings.classes.add(new RequestClass("page", 100_000, 0, DEADLINE_US, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
+        settings.classes.add(new RequestClass("page", 100_000, 0, DEADLINE_US, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 0, false));
         Log log = new Log() {
             @Override
             public void info(String text) {}
--- a/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
+++ b/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
@@ -16,7 +16,7 @@
 import java.util.function.UnaryOperator;
 import kitemux.Balancer;
 import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
@@ -244,7 +244,7 @@
         set.nodes = NODES;
         set.zones.add("z");
         set.classes.add(
-                new RequestClass("page", 100_000, 0, 500_000, 1, 0, Repeat.SAFE, Balancer.Group.ALL, 5_000_000, false));
+                new RequestClass("page", 100_000, 0, 500_000, 1, 0, RetrySafety.SAFE, Balancer.DedupScope.ALL, 5_000_000, false));
         set.listOnRequest = true;
         set.connectTimeoutUs = 1_000_000;
         return set;
