--- a/src/main/java/kitemux/load/CaptureFile.java
+++ b/src/main/java/kitemux/load/CaptureFile.java
@@ -38,20 +38,20 @@
         }
         ByteBuffer file = ByteBuffer.wrap(bytes);
         file.position(CaptureFormat.MAGIC.length);
-        ByteBuffer first = CaptureFormat.payload(file);
-        if (first == null) {
+        ByteBuffer headerPayload = CaptureFormat.readPayload(file);
+        if (headerPayload == null) {
             throw new IOException(path + " ends before its head does");
         }
-        CaptureFormat.Head head = CaptureFormat.readHead(first);
-        List<CapturedRequest> seen = new ArrayList<>();
-        long leftOut = 0;
+        CaptureFormat.Header header = CaptureFormat.readHeader(headerPayload);
+        List<CapturedRequest> requests = new ArrayList<>();
+        long droppedCount = 0;
         String fault = "";
         try {
             ByteBuffer payload;
-            while ((payload = CaptureFormat.payload(file)) != null) {
-                CaptureFormat.Batch batch = CaptureFormat.readBatch(payload, head);
-                leftOut += batch.leftOut();
-                seen.addAll(batch.seen());
+            while ((payload = CaptureFormat.readPayload(file)) != null) {
+                CaptureFormat.Batch batch = CaptureFormat.readBatch(payload, header);
+                droppedCount += batch.droppedCount();
+                requests.addAll(batch.requests());
             }
             if (file.hasRemaining()) {
                 fault = "cut off: " + file.remaining() + " bytes of a frame that is not whole";
@@ -60,6 +60,13 @@
             fault = e.getMessage();
         }
         return new CaptureFile(
-                head.id(), head.node(), head.beganUs(), head.classes(), head.tenants(), seen, leftOut, fault);
+                header.id(),
+                header.node(),
+                header.startedUs(),
+                header.classes(),
+                header.tenants(),
+                requests,
+                droppedCount,
+                fault);
     }
 }
--- a/src/main/java/kitemux/load/CaptureFormat.java
+++ b/src/main/java/kitemux/load/CaptureFormat.java
@@ -26,11 +26,11 @@
  */
 final class CaptureFormat {
     static final byte[] MAGIC = "KMLOAD1\n".getBytes(StandardCharsets.US_ASCII);
-    static final int FRAME_HEAD = 12;
+    static final int FRAME_HEADER_BYTES = 12;
     /** Of a frame as it is: a damaged length must not ask for all memory. */
-    static final int MOST_FRAME = 4 << 20;
+    static final int MAX_FRAME_BYTES = 4 << 20;
 
-    private static final int MOST_TEXT = 4_096;
+    private static final int MAX_TEXT_BYTES = 4_096;
     private static final Observer.Answer[] ANSWERS = Observer.Answer.values();
     private static final Result[] RESULTS = Result.values();
 
@@ -41,51 +41,51 @@
      *
      * @param id drawn as it was begun: two copies of a file have the same
      * @param node whose it is
-     * @param beganUs Unix time in microseconds, by the node's clock
+     * @param startedUs Unix time in microseconds, by the node's clock
      */
-    record Head(long id, String node, long beganUs, List<String> classes, List<String> tenants) {}
+    record Header(long id, String node, long startedUs, List<String> classes, List<String> tenants) {}
 
     /**
      * A batch of requests.
      *
-     * @param leftOut how many were left out before it, as the ring was full or the disk failed
+     * @param droppedCount how many were left out before it, as the ring was full or the disk failed
      */
-    record Batch(long leftOut, List<CapturedRequest> seen) {}
+    record Batch(long droppedCount, List<CapturedRequest> requests) {}
 
     // ---------------------------------------------------------------- writing
 
-    static byte[] head(Head head) {
+    static byte[] encodeHeader(Header header) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        number(out, head.id);
-        text(out, head.node);
-        number(out, head.beganUs);
-        number(out, head.classes.size());
-        head.classes.forEach(name -> text(out, name));
-        number(out, head.tenants.size());
-        head.tenants.forEach(name -> text(out, name));
-        return frame(out.toByteArray());
+        number(out, header.id);
+        text(out, header.node);
+        number(out, header.startedUs);
+        number(out, header.classes.size());
+        header.classes.forEach(name -> text(out, name));
+        number(out, header.tenants.size());
+        header.tenants.forEach(name -> text(out, name));
+        return encodeFrame(out.toByteArray());
     }
 
-    static byte[] batch(Batch batch) {
+    static byte[] encodeBatch(Batch batch) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Map<String, Integer> servers = new HashMap<>();
-        number(out, batch.leftOut);
-        number(out, batch.seen.size());
-        long before = 0;
-        for (CapturedRequest seen : batch.seen) {
-            signed(out, seen.arrivedUs() - before);
-            before = seen.arrivedUs();
-            number(out, seen.classIndex() << 1 | (seen.isRetry() ? 1 : 0));
-            signed(out, seen.tenantIndex());
-            number(out, seen.remainingUs());
-            out.write(seen.answer().ordinal());
-            number(out, seen.durationUs());
-            number(out, seen.attempts().size());
-            for (CapturedRequest.Attempt attempt : seen.attempts()) {
-                Integer known = servers.get(attempt.server());
-                number(out, known == null ? servers.size() : known);
-                if (known == null) {
-                    servers.put(attempt.server(), servers.size());
+        Map<String, Integer> serverIndexes = new HashMap<>();
+        number(out, batch.droppedCount);
+        number(out, batch.requests.size());
+        long previousUs = 0;
+        for (CapturedRequest request : batch.requests) {
+            signed(out, request.arrivedUs() - previousUs);
+            previousUs = request.arrivedUs();
+            number(out, request.classIndex() << 1 | (request.isRetry() ? 1 : 0));
+            signed(out, request.tenantIndex());
+            number(out, request.remainingUs());
+            out.write(request.answer().ordinal());
+            number(out, request.durationUs());
+            number(out, request.attempts().size());
+            for (CapturedRequest.Attempt attempt : request.attempts()) {
+                Integer serverIndex = serverIndexes.get(attempt.server());
+                number(out, serverIndex == null ? serverIndexes.size() : serverIndex);
+                if (serverIndex == null) {
+                    serverIndexes.put(attempt.server(), serverIndexes.size());
                     text(out, attempt.server());
                 }
                 number(out, attempt.sentAfterUs());
@@ -93,15 +93,15 @@
                 out.write(attempt.result().ordinal());
             }
         }
-        return frame(out.toByteArray());
+        return encodeFrame(out.toByteArray());
     }
 
-    private static byte[] frame(byte[] payload) {
-        Lz4Compressor packer = new Lz4Compressor();
-        byte[] packed = new byte[packer.maxCompressedLength(payload.length)];
-        int length = packer.compress(payload, 0, payload.length, packed, 0, packed.length);
-        ByteBuffer frame = ByteBuffer.allocate(FRAME_HEAD + length);
-        frame.putInt(payload.length).putInt(length).putInt(0).put(packed, 0, length);
+    private static byte[] encodeFrame(byte[] payload) {
+        Lz4Compressor compressor = new Lz4Compressor();
+        byte[] compressed = new byte[compressor.maxCompressedLength(payload.length)];
+        int length = compressor.compress(payload, 0, payload.length, compressed, 0, compressed.length);
+        ByteBuffer frame = ByteBuffer.allocate(FRAME_HEADER_BYTES + length);
+        frame.putInt(payload.length).putInt(length).putInt(0).put(compressed, 0, length);
         frame.putInt(8, crc(frame.array(), length));
         return frame.array();
     }
@@ -110,7 +110,7 @@
     private static int crc(byte[] frame, int length) {
         CRC32C crc = new CRC32C();
         crc.update(frame, 0, 8);
-        crc.update(frame, FRAME_HEAD, length);
+        crc.update(frame, FRAME_HEADER_BYTES, length);
         return (int) crc.getValue();
     }
 
@@ -140,78 +140,89 @@
      *
      * @throws IOException if it is damaged
      */
-    static ByteBuffer payload(ByteBuffer file) throws IOException {
-        if (file.remaining() < FRAME_HEAD) {
+    static ByteBuffer readPayload(ByteBuffer file) throws IOException {
+        if (file.remaining() < FRAME_HEADER_BYTES) {
             return null;
         }
-        int at = file.position();
-        int length = file.getInt(at);
-        int packed = file.getInt(at + 4);
-        if (length < 0 || length > MOST_FRAME || packed < 0 || packed > MOST_FRAME + MOST_FRAME / 128) {
-            throw new IOException("lengths that no frame has at byte " + at);
+        int frameOffset = file.position();
+        int length = file.getInt(frameOffset);
+        int compressedLength = file.getInt(frameOffset + 4);
+        if (length < 0
+                || length > MAX_FRAME_BYTES
+                || compressedLength < 0
+                || compressedLength > MAX_FRAME_BYTES + MAX_FRAME_BYTES / 128) {
+            throw new IOException("lengths that no frame has at byte " + frameOffset);
         }
-        if (file.remaining() < FRAME_HEAD + packed) {
+        if (file.remaining() < FRAME_HEADER_BYTES + compressedLength) {
             return null;
         }
-        byte[] frame = new byte[FRAME_HEAD + packed];
+        byte[] frame = new byte[FRAME_HEADER_BYTES + compressedLength];
         file.get(frame);
-        if (crc(frame, packed) != ByteBuffer.wrap(frame).getInt(8)) {
-            throw new IOException("a frame whose sum is wrong at byte " + at);
+        if (crc(frame, compressedLength) != ByteBuffer.wrap(frame).getInt(8)) {
+            throw new IOException("a frame whose sum is wrong at byte " + frameOffset);
         }
         byte[] payload = new byte[length];
         try {
-            new Lz4Decompressor().decompress(frame, FRAME_HEAD, packed, payload, 0, length);
+            new Lz4Decompressor().decompress(frame, FRAME_HEADER_BYTES, compressedLength, payload, 0, length);
         } catch (MalformedInputException e) {
-            throw new IOException("a frame that cannot be unpacked at byte " + at, e);
+            throw new IOException("a frame that cannot be unpacked at byte " + frameOffset, e);
         }
         return ByteBuffer.wrap(payload);
     }
 
-    static Head readHead(ByteBuffer in) throws IOException {
+    static Header readHeader(ByteBuffer in) throws IOException {
         try {
-            return new Head(number(in), text(in), number(in), texts(in), texts(in));
+            return new Header(number(in), text(in), number(in), readTexts(in), readTexts(in));
         } catch (BufferUnderflowException e) {
             throw new IOException("a head that ends too early", e);
         }
     }
 
-    static Batch readBatch(ByteBuffer in, Head head) throws IOException {
+    static Batch readBatch(ByteBuffer in, Header header) throws IOException {
         try {
-            long leftOut = number(in);
+            long droppedCount = number(in);
             long count = number(in);
-            List<CapturedRequest> all = new ArrayList<>();
+            List<CapturedRequest> requests = new ArrayList<>();
             List<String> servers = new ArrayList<>();
-            long came = 0;
+            long arrivedUs = 0;
             for (long i = 0; i < count; i++) {
-                came += signed(in);
-                CapturedRequest seen = readSeen(in, came, servers);
-                if (seen.classIndex() >= head.classes.size() || seen.tenantIndex() >= head.tenants.size()) {
+                arrivedUs += signed(in);
+                CapturedRequest request = readRequest(in, arrivedUs, servers);
+                if (request.classIndex() >= header.classes.size() || request.tenantIndex() >= header.tenants.size()) {
                     throw new IOException("a request of a class or tenant that the head does not name");
                 }
-                all.add(seen);
+                requests.add(request);
             }
-            return new Batch(leftOut, all);
+            return new Batch(droppedCount, requests);
         } catch (BufferUnderflowException | IndexOutOfBoundsException e) {
             throw new IOException("a batch that cannot be read", e);
         }
     }
 
-    private static CapturedRequest readSeen(ByteBuffer in, long came, List<String> servers) throws IOException {
-        int of = (int) number(in);
-        int tenant = (int) signed(in);
-        long left = number(in);
-        Observer.Answer end = ANSWERS[in.get()];
-        long took = number(in);
-        long attempts = number(in);
-        List<CapturedRequest.Attempt> tried = new ArrayList<>();
-        for (long i = 0; i < attempts; i++) {
+    private static CapturedRequest readRequest(ByteBuffer in, long arrivedUs, List<String> servers) throws IOException {
+        int classAndRetry = (int) number(in);
+        int tenantIndex = (int) signed(in);
+        long remainingUs = number(in);
+        Observer.Answer answer = ANSWERS[in.get()];
+        long durationUs = number(in);
+        long attemptCount = number(in);
+        List<CapturedRequest.Attempt> attempts = new ArrayList<>();
+        for (long i = 0; i < attemptCount; i++) {
             int server = (int) number(in);
             if (server == servers.size()) {
                 servers.add(text(in));
             }
-            tried.add(new CapturedRequest.Attempt(servers.get(server), number(in), number(in), RESULTS[in.get()]));
+            attempts.add(new CapturedRequest.Attempt(servers.get(server), number(in), number(in), RESULTS[in.get()]));
         }
-        return new CapturedRequest(came, of >>> 1, tenant, (of & 1) != 0, left, tried, end, took);
+        return new CapturedRequest(
+                arrivedUs,
+                classAndRetry >>> 1,
+                tenantIndex,
+                (classAndRetry & 1) != 0,
+                remainingUs,
+                attempts,
+                answer,
+                durationUs);
     }
 
     private static long number(ByteBuffer in) {
@@ -233,7 +244,7 @@
 
     private static String text(ByteBuffer in) throws IOException {
         long length = number(in);
-        if (length > MOST_TEXT) {
+        if (length > MAX_TEXT_BYTES) {
             throw new IOException("a text of " + length + " bytes");
         }
         byte[] bytes = new byte[(int) length];
@@ -241,7 +252,7 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static List<String> texts(ByteBuffer in) throws IOException {
+    private static List<String> readTexts(ByteBuffer in) throws IOException {
         long count = number(in);
         List<String> all = new ArrayList<>();
         for (long i = 0; i < count; i++) {
@@ -251,7 +262,7 @@
     }
 
     /** Whether a file begins as one of these does. */
-    static boolean hasMagic(byte[] file) {
-        return file.length >= MAGIC.length && Arrays.equals(file, 0, MAGIC.length, MAGIC, 0, MAGIC.length);
+    static boolean hasMagic(byte[] bytes) {
+        return bytes.length >= MAGIC.length && Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length);
     }
 }
--- a/src/main/java/kitemux/load/CaptureWriter.java
+++ b/src/main/java/kitemux/load/CaptureWriter.java
@@ -23,38 +23,38 @@
  * Writes what a node sees to files, on a thread of its own. Between the loop and it stands a ring of fixed
  * size: what comes while it is full is counted and left out, as is what a failing disk does not take, and
  * the next batch that is written says how many. Nothing is synced: after a kill of the machine the last
- * seconds may be missing, after one of the process what was not written in the last {@link #BATCH_NANOS}.
+ * seconds may be missing, after one of the process what was not written in the last {@link #BATCH_INTERVAL_NANOS}.
  */
 public final class CaptureWriter implements RequestRecorder.Sink, AutoCloseable {
     /** The end of a captured file's name. */
     public static final String FILE_SUFFIX = ".kmload";
 
-    private static final long BATCH_NANOS = 200_000_000L;
-    private static final int MOST_IN_BATCH = 4_096;
+    private static final long BATCH_INTERVAL_NANOS = 200_000_000L;
+    private static final int MAX_BATCH_COUNT = 4_096;
     /** After the disk has failed, until it is tried again. */
-    private static final long REST_NANOS = 1_000_000_000L;
+    private static final long RETRY_INTERVAL_NANOS = 1_000_000_000L;
 
     private final LoadSettings settings;
     private final String node;
     private final List<String> classes;
     private final List<String> tenants;
-    private final LongSupplier nowUs;
-    private final Consumer<String> say;
+    private final LongSupplier clockUs;
+    private final Consumer<String> operatorLog;
     private final SpscArrayQueue<CapturedRequest> ring;
     private final AtomicLong unreportedDropCount = new AtomicLong();
     private final SecureRandom random = new SecureRandom();
-    private final Thread writer;
+    private final Thread writerThread;
     /** The writer is woken after so many, a quarter of the ring; its own pause is for when fewer come. */
-    private final int wakeEach;
+    private final int wakeThresholdCount;
 
-    private volatile boolean closing;
+    private volatile boolean isClosing;
 
     private FileChannel file;
     private long fileBytes;
-    private long leftOut;
-    private volatile boolean failed;
+    private long droppedCount;
+    private volatile boolean hasFailed;
     /** Requests offered since the writer was last woken; the loop's. */
-    private int sinceWake;
+    private int offersSinceWake;
 
     /**
      * Starts the writer; the first file is begun with the first request.
@@ -69,24 +69,24 @@
             String node,
             List<String> classes,
             List<String> tenants,
-            LongSupplier nowUs,
-            Consumer<String> say)
+            LongSupplier clockUs,
+            Consumer<String> operatorLog)
             throws IOException {
         this.settings = settings;
         this.node = node;
         this.classes = classes;
         this.tenants = tenants;
-        this.nowUs = nowUs;
-        this.say = say;
+        this.clockUs = clockUs;
+        this.operatorLog = operatorLog;
         Files.createDirectories(settings.folder());
         if (!Files.isWritable(settings.folder())) {
             throw new IOException(settings.folder() + " may not be written to");
         }
         ring = new SpscArrayQueue<>(settings.ring());
-        wakeEach = settings.ring() / 4;
-        writer = new Thread(this::run, "load");
-        writer.setDaemon(true);
-        writer.start();
+        wakeThresholdCount = settings.ring() / 4;
+        writerThread = new Thread(this::run, "load");
+        writerThread.setDaemon(true);
+        writerThread.start();
     }
 
     /** Gathers on a loop what is to be written here. */
@@ -95,12 +95,12 @@
     }
 
     @Override
-    public void offer(CapturedRequest seen) {
-        if (!ring.offer(seen)) {
+    public void offer(CapturedRequest request) {
+        if (!ring.offer(request)) {
             unreportedDropCount.incrementAndGet();
-        } else if (++sinceWake >= wakeEach && !failed) {
-            sinceWake = 0;
-            LockSupport.unpark(writer);
+        } else if (++offersSinceWake >= wakeThresholdCount && !hasFailed) {
+            offersSinceWake = 0;
+            LockSupport.unpark(writerThread);
         }
     }
 
@@ -114,79 +114,80 @@
     private void run() {
         List<CapturedRequest> batch = new ArrayList<>();
         while (true) {
-            boolean last = closing;
-            ring.drain(batch::add, MOST_IN_BATCH);
-            if (!batch.isEmpty() || last && unreportedDropCount.get() + leftOut > 0) {
+            boolean isLastPass = isClosing;
+            ring.drain(batch::add, MAX_BATCH_COUNT);
+            if (!batch.isEmpty() || isLastPass && unreportedDropCount.get() + droppedCount > 0) {
                 write(batch);
                 batch.clear();
-            } else if (last) {
+            } else if (isLastPass) {
                 break;
             }
-            if (ring.size() < MOST_IN_BATCH && !closing) {
-                LockSupport.parkNanos(failed ? REST_NANOS : BATCH_NANOS);
+            if (ring.size() < MAX_BATCH_COUNT && !isClosing) {
+                LockSupport.parkNanos(hasFailed ? RETRY_INTERVAL_NANOS : BATCH_INTERVAL_NANOS);
             }
-            if (failed && last) {
+            if (hasFailed && isLastPass) {
                 break;
             }
         }
-        end();
+        closeFile();
     }
 
     private void write(List<CapturedRequest> batch) {
-        long before = leftOut + unreportedDropCount.getAndSet(0);
-        leftOut = before;
+        long droppedBefore = droppedCount + unreportedDropCount.getAndSet(0);
+        droppedCount = droppedBefore;
         try {
             if (file == null) {
-                begin();
+                beginFile();
             }
-            append(CaptureFormat.batch(new CaptureFormat.Batch(before, batch)));
-            leftOut = 0;
-            failed = false;
+            append(CaptureFormat.encodeBatch(new CaptureFormat.Batch(droppedBefore, batch)));
+            droppedCount = 0;
+            hasFailed = false;
             if (fileBytes >= settings.fileBytes()) {
-                end();
+                closeFile();
             }
         } catch (IOException e) {
-            leftOut = before + batch.size();
-            if (!failed) {
-                say.accept("load: what comes is left out and counted, as it cannot be written: " + e.getMessage());
+            droppedCount = droppedBefore + batch.size();
+            if (!hasFailed) {
+                operatorLog.accept(
+                        "load: what comes is left out and counted, as it cannot be written: " + e.getMessage());
             }
-            failed = true;
+            hasFailed = true;
             // What was written of the batch is a frame cut off, behind which nothing could be read.
-            end();
+            closeFile();
         }
     }
 
     private void append(byte[] bytes) throws IOException {
-        ByteBuffer left = ByteBuffer.wrap(bytes);
-        while (left.hasRemaining()) {
-            fileBytes += file.write(left);
+        ByteBuffer remaining = ByteBuffer.wrap(bytes);
+        while (remaining.hasRemaining()) {
+            fileBytes += file.write(remaining);
         }
     }
 
-    private void begin() throws IOException {
-        makeRoom();
-        long now = nowUs.getAsLong();
+    private void beginFile() throws IOException {
+        deleteOldFiles();
+        long now = clockUs.getAsLong();
         long id = random.nextLong() >>> 1;
         Path path = settings.folder().resolve(String.format("%016d-%016x", now, id) + FILE_SUFFIX);
         file = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         fileBytes = 0;
         append(CaptureFormat.MAGIC);
-        append(CaptureFormat.head(new CaptureFormat.Head(id, node, now, classes, tenants)));
+        append(CaptureFormat.encodeHeader(new CaptureFormat.Header(id, node, now, classes, tenants)));
     }
 
-    private void end() {
+    private void closeFile() {
         if (file != null) {
             try {
                 file.close();
             } catch (IOException e) {
-                say.accept("load: a file could not be closed: " + e.getMessage());
+                operatorLog.accept("load: a file could not be closed: " + e.getMessage());
             }
             file = null;
         }
     }
 
     /** The oldest files go until there is room for one more. Names begin with the time. */
-    private void makeRoom() throws IOException {
+    private void deleteOldFiles() throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.list(settings.folder())) {
             files = all.filter(path -> path.getFileName().toString().endsWith(FILE_SUFFIX))
@@ -206,10 +207,10 @@
     /** Writes what waits, and ends the writer. Nothing is to be offered from then on. */
     @Override
     public void close() {
-        closing = true;
-        LockSupport.unpark(writer);
+        isClosing = true;
+        LockSupport.unpark(writerThread);
         try {
-            writer.join();
+            writerThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/kitemux/load/LoadSettings.java
+++ b/src/main/java/kitemux/load/LoadSettings.java
@@ -17,9 +17,9 @@
 public record LoadSettings(Path folder, int ring, long fileBytes, long keepBytes) {
     private static final Set<String> FIELDS = Set.of("folder", "ring", "fileKiB", "keepMiB");
     /** Each takes some 200 bytes of a heap of 64 MiB. */
-    private static final long MOST_RING = 1 << 16;
+    private static final long MAX_RING_COUNT = 1 << 16;
 
-    private static final long MOST_KEPT_MIB = 1 << 20;
+    private static final long MAX_TOTAL_MIB = 1 << 20;
 
     /**
      * Reads them, or null where there are none: nothing is captured then.
@@ -30,16 +30,16 @@
         if (json.isMissing()) {
             return null;
         }
-        int before = faults.size();
+        int faultsBefore = faults.size();
         FileSection section = new FileSection(json, "load", faults);
         section.onlyKnown(FIELDS);
         Path folder = section.folder();
-        long ring = section.within("ring", 8_192, 64, MOST_RING);
-        long file = section.within("fileKiB", 4_096, 16, 1 << 20);
-        long keep = section.within("keepMiB", 256, 1, MOST_KEPT_MIB);
-        if (keep << 10 < file) {
+        long ring = section.within("ring", 8_192, 64, MAX_RING_COUNT);
+        long fileKiB = section.within("fileKiB", 4_096, 16, 1 << 20);
+        long keepMiB = section.within("keepMiB", 256, 1, MAX_TOTAL_MIB);
+        if (keepMiB << 10 < fileKiB) {
             faults.add("load.keepMiB is less than one file has by load.fileKiB");
         }
-        return faults.size() > before ? null : new LoadSettings(folder, (int) ring, file << 10, keep << 20);
+        return faults.size() > faultsBefore ? null : new LoadSettings(folder, (int) ring, fileKiB << 10, keepMiB << 20);
     }
 }
--- a/src/main/java/kitemux/load/LoadSummary.java
+++ b/src/main/java/kitemux/load/LoadSummary.java
@@ -19,23 +19,23 @@
  */
 public final class LoadSummary {
     /** Service times are told up to this. */
-    private static final long MOST_US = 600_000_000L;
+    private static final long MAX_RECORDED_US = 600_000_000L;
 
-    private static final int DIGITS = 2;
+    private static final int SIGNIFICANT_DIGIT_COUNT = 2;
     /** Of what was refused, so much must be asked again for repeats to be marked by all clients. */
-    private static final double MARKED = 0.05;
+    private static final double MIN_MARKED_RETRY_RATIO = 0.05;
 
-    private final long binUs;
-    private final Map<String, Long> shiftUs;
-    private final Set<Long> files = new HashSet<>();
+    private final long stepUs;
+    private final Map<String, Long> clockShiftUs;
+    private final Set<Long> fileIds = new HashSet<>();
     private final List<String> warnings = new ArrayList<>();
     private final Map<String, ClassSummary> classes = new LinkedHashMap<>();
     private final Map<String, long[]> tenants = new LinkedHashMap<>();
     private final Map<String, Integer> nodes = new TreeMap<>();
-    private final TreeMap<Long, long[]> bins = new TreeMap<>();
-    private long leftOut;
-    private long fromUs = Long.MAX_VALUE;
-    private long toUs;
+    private final TreeMap<Long, long[]> countsByStep = new TreeMap<>();
+    private long droppedCount;
+    private long firstArrivalUs = Long.MAX_VALUE;
+    private long lastArrivalUs;
 
     /** What is counted of a class. */
     public static final class ClassSummary {
@@ -46,8 +46,8 @@
         private long failed;
         private long abandoned;
         private long attempts;
-        private final Histogram serverResponseTimeUs = new Histogram(MOST_US, DIGITS);
-        private final Histogram clientResponseTimeUs = new Histogram(MOST_US, DIGITS);
+        private final Histogram serverResponseTimeUs = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGIT_COUNT);
+        private final Histogram clientResponseTimeUs = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGIT_COUNT);
 
         /** First tries. */
         public long firstTries() {
@@ -102,61 +102,62 @@
      * @param binUs width of the steps in which rates are told
      * @param shiftUs what is added to the times of a node, by its name, where its clock is off
      */
-    public LoadSummary(long binUs, Map<String, Long> shiftUs) {
-        if (binUs < 1) {
+    public LoadSummary(long stepUs, Map<String, Long> clockShiftUs) {
+        if (stepUs < 1) {
             throw new IllegalArgumentException("steps must be longer than 0");
         }
-        this.binUs = binUs;
-        this.shiftUs = Map.copyOf(shiftUs);
+        this.stepUs = stepUs;
+        this.clockShiftUs = Map.copyOf(clockShiftUs);
     }
 
     /** Adds a file; a copy of one that was added already is left out, and said. */
     public void add(CaptureFile file) {
-        if (!files.add(file.id())) {
+        if (!fileIds.add(file.id())) {
             warnings.add("a copy of a file of " + file.node() + " is left out");
             return;
         }
         if (!file.fault().isEmpty()) {
             warnings.add("a file of " + file.node() + " is not whole: " + file.fault());
         }
-        leftOut += file.droppedCount();
+        droppedCount += file.droppedCount();
         nodes.merge(file.node(), file.requests().size(), Integer::sum);
-        long shift = shiftUs.getOrDefault(file.node(), 0L);
-        for (CapturedRequest seen : file.requests()) {
-            add(file, seen, seen.arrivedUs() + shift);
+        long shiftUs = clockShiftUs.getOrDefault(file.node(), 0L);
+        for (CapturedRequest request : file.requests()) {
+            add(file, request, request.arrivedUs() + shiftUs);
         }
     }
 
-    private void add(CaptureFile file, CapturedRequest seen, long cameUs) {
-        ClassSummary of = classes.computeIfAbsent(file.classes().get(seen.classIndex()), name -> new ClassSummary());
-        long[] bin = bins.computeIfAbsent(Math.floorDiv(cameUs, binUs), at -> new long[2]);
-        fromUs = Math.min(fromUs, cameUs);
-        toUs = Math.max(toUs, cameUs);
-        if (seen.isRetry()) {
-            of.retries++;
-            bin[1]++;
+    private void add(CaptureFile file, CapturedRequest request, long arrivedUs) {
+        ClassSummary classSummary =
+                classes.computeIfAbsent(file.classes().get(request.classIndex()), name -> new ClassSummary());
+        long[] stepCounts = countsByStep.computeIfAbsent(Math.floorDiv(arrivedUs, stepUs), at -> new long[2]);
+        firstArrivalUs = Math.min(firstArrivalUs, arrivedUs);
+        lastArrivalUs = Math.max(lastArrivalUs, arrivedUs);
+        if (request.isRetry()) {
+            classSummary.retries++;
+            stepCounts[1]++;
         } else {
-            of.firstTries++;
-            bin[0]++;
+            classSummary.firstTries++;
+            stepCounts[0]++;
         }
-        if (seen.tenantIndex() >= 0) {
-            tenants.computeIfAbsent(file.tenants().get(seen.tenantIndex()), name -> new long[2])[
-                    seen.isRetry() ? 1 : 0]++;
+        if (request.tenantIndex() >= 0) {
+            tenants.computeIfAbsent(file.tenants().get(request.tenantIndex()), name -> new long[2])[
+                    request.isRetry() ? 1 : 0]++;
         }
-        switch (seen.answer()) {
-            case SERVED -> of.served++;
-            case REFUSED -> of.refused++;
-            case FAILED, BROKEN -> of.failed++;
-            case LEFT -> of.abandoned++;
+        switch (request.answer()) {
+            case SERVED -> classSummary.served++;
+            case REFUSED -> classSummary.refused++;
+            case FAILED, BROKEN -> classSummary.failed++;
+            case LEFT -> classSummary.abandoned++;
         }
-        of.attempts += seen.attempts().size();
-        for (CapturedRequest.Attempt attempt : seen.attempts()) {
+        classSummary.attempts += request.attempts().size();
+        for (CapturedRequest.Attempt attempt : request.attempts()) {
             if (attempt.result() == Result.OK) {
-                of.serverResponseTimeUs.recordValue(Math.min(MOST_US, attempt.durationUs()));
+                classSummary.serverResponseTimeUs.recordValue(Math.min(MAX_RECORDED_US, attempt.durationUs()));
             }
         }
-        if (seen.answer() == Observer.Answer.SERVED) {
-            of.clientResponseTimeUs.recordValue(Math.min(MOST_US, seen.durationUs()));
+        if (request.answer() == Observer.Answer.SERVED) {
+            classSummary.clientResponseTimeUs.recordValue(Math.min(MAX_RECORDED_US, request.durationUs()));
         }
     }
 
@@ -188,7 +189,7 @@
 
     /** Seconds from the first request to the last. */
     public double durationS() {
-        return toUs <= fromUs ? 0 : (toUs - fromUs) / 1e6;
+        return lastArrivalUs <= firstArrivalUs ? 0 : (lastArrivalUs - firstArrivalUs) / 1e6;
     }
 
     /**
@@ -203,10 +204,13 @@
     /** Rates over time; steps in which nothing came are there too. */
     public List<Step> steps() {
         List<Step> steps = new ArrayList<>();
-        if (!bins.isEmpty()) {
-            for (long at = bins.firstKey(); at <= bins.lastKey(); at++) {
-                long[] bin = bins.getOrDefault(at, new long[2]);
-                steps.add(new Step((at - bins.firstKey()) * binUs / 1e6, bin[0] * 1e6 / binUs, bin[1] * 1e6 / binUs));
+        if (!countsByStep.isEmpty()) {
+            for (long at = countsByStep.firstKey(); at <= countsByStep.lastKey(); at++) {
+                long[] stepCounts = countsByStep.getOrDefault(at, new long[2]);
+                steps.add(new Step(
+                        (at - countsByStep.firstKey()) * stepUs / 1e6,
+                        stepCounts[0] * 1e6 / stepUs,
+                        stepCounts[1] * 1e6 / stepUs));
             }
         }
         return steps;
@@ -215,12 +219,12 @@
     /** Variance of the steps' counts of first tries over their mean: 1 where clients come independently, more
      * where they come in bursts. The first and last step, which are not whole, do not count. */
     public double burstiness() {
-        List<Step> whole = steps();
-        if (whole.size() < 4) {
+        List<Step> allSteps = steps();
+        if (allSteps.size() < 4) {
             return Double.NaN;
         }
-        double[] counts = whole.subList(1, whole.size() - 1).stream()
-                .mapToDouble(step -> step.firstTriesPerS() * binUs / 1e6)
+        double[] counts = allSteps.subList(1, allSteps.size() - 1).stream()
+                .mapToDouble(step -> step.firstTriesPerS() * stepUs / 1e6)
                 .toArray();
         double mean = Arrays.stream(counts).average().orElse(0);
         double variance =
@@ -230,19 +234,19 @@
 
     /** What could not be seen, and what to keep in mind, a line each. */
     public List<String> warnings() {
-        List<String> all = new ArrayList<>(warnings);
-        if (leftOut > 0) {
-            all.add(leftOut + " requests were left out as they came: what is told is less than what was");
+        List<String> allWarnings = new ArrayList<>(warnings);
+        if (droppedCount > 0) {
+            allWarnings.add(droppedCount + " requests were left out as they came: what is told is less than what was");
         }
         long refused =
                 classes.values().stream().mapToLong(ClassSummary::refused).sum();
-        long repeats =
+        long retries =
                 classes.values().stream().mapToLong(ClassSummary::retries).sum();
-        if (refused > 0 && repeats < MARKED * refused) {
-            all.add("of " + refused
+        if (refused > 0 && retries < MIN_MARKED_RETRY_RATIO * refused) {
+            allWarnings.add("of " + refused
                     + " refused tries hardly any was marked as asked again: if clients do not mark"
                     + " repeats, up to " + refused + " of what counts as wanted may be repeats");
         }
-        return all;
+        return allWarnings;
     }
 }
--- a/src/main/java/kitemux/load/RequestRecorder.java
+++ b/src/main/java/kitemux/load/RequestRecorder.java
@@ -16,42 +16,42 @@
 public final class RequestRecorder implements Observer {
     private final Time time;
     private final Sink sink;
-    private final Map<Long, Open> open = new HashMap<>();
+    private final Map<Long, OpenRequest> openRequests = new HashMap<>();
 
     /** Takes what is handed on. */
     public interface Sink {
         /** Takes it, or counts it as left out; never waits. */
-        void offer(CapturedRequest seen);
+        void offer(CapturedRequest request);
     }
 
-    private static final class Open {
-        final long cameUs;
+    private static final class OpenRequest {
+        final long arrivedUs;
         final int classIndex;
-        final int tenant;
-        final boolean repeat;
-        final long leftUs;
-        final List<Sent> sent = new ArrayList<>(1);
+        final int tenantIndex;
+        final boolean isRetry;
+        final long remainingUs;
+        final List<SentAttempt> attempts = new ArrayList<>(1);
         Answer answer = Answer.LEFT;
         long answeredUs;
 
-        Open(long cameUs, Asked asked) {
-            this.cameUs = cameUs;
-            classIndex = asked.classIndex();
-            tenant = asked.tenant();
-            repeat = asked.retry();
-            leftUs = asked.leftUs();
+        OpenRequest(long arrivedUs, Asked request) {
+            this.arrivedUs = arrivedUs;
+            classIndex = request.classIndex();
+            tenantIndex = request.tenant();
+            isRetry = request.retry();
+            remainingUs = request.leftUs();
         }
     }
 
-    private static final class Sent {
+    private static final class SentAttempt {
         final String server;
-        final long atUs;
+        final long sentUs;
         long endedUs;
         Result result;
 
-        Sent(String server, long atUs) {
+        SentAttempt(String server, long sentUs) {
             this.server = server;
-            this.atUs = atUs;
+            this.sentUs = sentUs;
         }
     }
 
@@ -63,59 +63,62 @@
 
     @Override
     public void taken(long id, Asked request) {
-        open.put(id, new Open(time.nowUs() - request.agoUs(), request));
+        openRequests.put(id, new OpenRequest(time.nowUs() - request.agoUs(), request));
     }
 
     @Override
-    public void sent(long id, int attempt, String serverId, long untilUs) {
-        Open of = open.get(id);
-        if (of != null) {
-            of.sent.add(new Sent(serverId, time.nowUs()));
+    public void sent(long id, int attempt, String serverId, long deadlineUs) {
+        OpenRequest openRequest = openRequests.get(id);
+        if (openRequest != null) {
+            openRequest.attempts.add(new SentAttempt(serverId, time.nowUs()));
         }
     }
 
     @Override
     public void ended(long id, int attempt, Result result) {
-        Open of = open.get(id);
-        if (of != null && attempt < of.sent.size()) {
-            of.sent.get(attempt).endedUs = time.nowUs();
-            of.sent.get(attempt).result = result;
+        OpenRequest openRequest = openRequests.get(id);
+        if (openRequest != null && attempt < openRequest.attempts.size()) {
+            openRequest.attempts.get(attempt).endedUs = time.nowUs();
+            openRequest.attempts.get(attempt).result = result;
         }
     }
 
     @Override
     public void answered(long id, Answer answer) {
-        Open of = open.get(id);
-        if (of != null) {
-            of.answer = answer;
-            of.answeredUs = time.nowUs();
+        OpenRequest openRequest = openRequests.get(id);
+        if (openRequest != null) {
+            openRequest.answer = answer;
+            openRequest.answeredUs = time.nowUs();
         }
     }
 
     @Override
     public void forgotten(long id) {
-        Open of = open.remove(id);
-        if (of == null) {
+        OpenRequest openRequest = openRequests.remove(id);
+        if (openRequest == null) {
             return;
         }
-        List<CapturedRequest.Attempt> attempts = new ArrayList<>(of.sent.size());
-        for (Sent one : of.sent) {
+        List<CapturedRequest.Attempt> attempts = new ArrayList<>(openRequest.attempts.size());
+        for (SentAttempt attempt : openRequest.attempts) {
             attempts.add(new CapturedRequest.Attempt(
-                    one.server, Math.max(0, one.atUs - of.cameUs), Math.max(0, one.endedUs - one.atUs), one.result));
+                    attempt.server,
+                    Math.max(0, attempt.sentUs - openRequest.arrivedUs),
+                    Math.max(0, attempt.endedUs - attempt.sentUs),
+                    attempt.result));
         }
         sink.offer(new CapturedRequest(
-                of.cameUs,
-                of.classIndex,
-                of.tenant,
-                of.repeat,
-                of.leftUs,
+                openRequest.arrivedUs,
+                openRequest.classIndex,
+                openRequest.tenantIndex,
+                openRequest.isRetry,
+                openRequest.remainingUs,
                 attempts,
-                of.answer,
-                Math.max(0, of.answeredUs - of.cameUs)));
+                openRequest.answer,
+                Math.max(0, openRequest.answeredUs - openRequest.arrivedUs)));
     }
 
     /** Requests of which more is to be heard. */
     int openCount() {
-        return open.size();
+        return openRequests.size();
     }
 }
--- a/src/main/java/kitemux/load/ServerSpeedEstimator.java
+++ b/src/main/java/kitemux/load/ServerSpeedEstimator.java
@@ -22,27 +22,27 @@
  */
 public final class ServerSpeedEstimator {
     /** Fewer times of a class tell nothing of a server. */
-    private static final int LEAST = 40;
+    private static final int MIN_SAMPLE_COUNT = 40;
     /** What was called off or not waited for any more may go on at its server for so long. */
-    private static final long GOES_ON_US = 1_000_000;
+    private static final long ABANDONED_WORK_US = 1_000_000;
 
-    private static final int DRAWS = 400;
-    private static final long SEED = 11;
+    private static final int RESAMPLE_COUNT = 400;
+    private static final long RESAMPLE_SEED = 11;
 
-    private final Map<String, Long> shiftUs;
+    private final Map<String, Long> clockShiftUs;
     /** Attempts by server. */
-    private final Map<String, List<Out>> attempts = new TreeMap<>();
+    private final Map<String, List<SentAttempt>> attemptsByServer = new TreeMap<>();
 
     /** One attempt, out from one time to another. */
-    private record Out(long fromUs, long toUs, String of, boolean answered) {}
+    private record SentAttempt(long fromUs, long toUs, String className, boolean isAnswered) {}
 
     /**
      * Nothing yet.
      *
      * @param shiftUs what is added to the times of a node, by its name, where its clock is off
      */
-    public ServerSpeedEstimator(Map<String, Long> shiftUs) {
-        this.shiftUs = Map.copyOf(shiftUs);
+    public ServerSpeedEstimator(Map<String, Long> clockShiftUs) {
+        this.clockShiftUs = Map.copyOf(clockShiftUs);
     }
 
     /**
@@ -55,30 +55,34 @@
 
     /** Adds a file. */
     public void add(CaptureFile file) {
-        long shift = shiftUs.getOrDefault(file.node(), 0L);
-        for (CapturedRequest seen : file.requests()) {
-            String of = file.classes().get(seen.classIndex());
-            for (CapturedRequest.Attempt attempt : seen.attempts()) {
-                long from = seen.arrivedUs() + shift + attempt.sentAfterUs();
-                attempts.computeIfAbsent(attempt.server(), id -> new ArrayList<>())
-                        .add(new Out(from, from + attempt.durationUs(), of, attempt.result() == Result.OK));
+        long shiftUs = clockShiftUs.getOrDefault(file.node(), 0L);
+        for (CapturedRequest request : file.requests()) {
+            String className = file.classes().get(request.classIndex());
+            for (CapturedRequest.Attempt attempt : request.attempts()) {
+                long sentUs = request.arrivedUs() + shiftUs + attempt.sentAfterUs();
+                attemptsByServer
+                        .computeIfAbsent(attempt.server(), id -> new ArrayList<>())
+                        .add(new SentAttempt(
+                                sentUs, sentUs + attempt.durationUs(), className, attempt.result() == Result.OK));
             }
         }
     }
 
     /** Times of what had its server for itself as it was sent, by class. */
-    private static Map<String, List<Double>> alone(List<Out> attempts) {
-        Map<String, List<Double>> times = new TreeMap<>();
-        List<Out> inOrder = new ArrayList<>(attempts);
-        inOrder.sort(Comparator.comparingLong(Out::fromUs));
-        long free = Long.MIN_VALUE;
-        for (Out one : inOrder) {
-            if (one.fromUs >= free && one.answered) {
-                times.computeIfAbsent(one.of, name -> new ArrayList<>()).add((double) (one.toUs - one.fromUs));
+    private static Map<String, List<Double>> uncontendedDurations(List<SentAttempt> attempts) {
+        Map<String, List<Double>> durations = new TreeMap<>();
+        List<SentAttempt> bySendTime = new ArrayList<>(attempts);
+        bySendTime.sort(Comparator.comparingLong(SentAttempt::fromUs));
+        long idleFromUs = Long.MIN_VALUE;
+        for (SentAttempt attempt : bySendTime) {
+            if (attempt.fromUs >= idleFromUs && attempt.isAnswered) {
+                durations
+                        .computeIfAbsent(attempt.className, name -> new ArrayList<>())
+                        .add((double) (attempt.toUs - attempt.fromUs));
             }
-            free = Math.max(free, one.answered ? one.toUs : one.toUs + GOES_ON_US);
+            idleFromUs = Math.max(idleFromUs, attempt.isAnswered ? attempt.toUs : attempt.toUs + ABANDONED_WORK_US);
         }
-        return times;
+        return durations;
     }
 
     /**
@@ -95,31 +99,37 @@
     /** The work of each class of which a server had times enough, in order of their names. */
     public List<ClassWork> estimateWork() {
         Map<String, Double> speeds = new TreeMap<>();
-        estimateSpeeds().forEach(of -> speeds.put(of.server(), of.speed()));
-        Map<String, Sums> byClass = new TreeMap<>();
-        enough().forEach((server, classes) -> classes.forEach((name, times) -> {
-            Sums all = byClass.computeIfAbsent(name, n -> new Sums());
-            Arrays.stream(times).forEach(time -> all.add(time * speeds.get(server)));
-        }));
-        List<ClassWork> found = new ArrayList<>();
-        byClass.forEach((name, all) -> {
-            double half = 1.96 * all.deviation() / Math.sqrt(all.count);
-            found.add(new ClassWork(
-                    name, all.mean(), all.mean() - half, all.mean() + half, all.deviation() / all.mean(), all.count));
+        estimateSpeeds().forEach(estimate -> speeds.put(estimate.server(), estimate.speed()));
+        Map<String, Moments> byClass = new TreeMap<>();
+        sufficientSamples()
+                .forEach((server, classes) -> classes.forEach((name, durations) -> {
+                    Moments moments = byClass.computeIfAbsent(name, n -> new Moments());
+                    Arrays.stream(durations).forEach(duration -> moments.add(duration * speeds.get(server)));
+                }));
+        List<ClassWork> estimates = new ArrayList<>();
+        byClass.forEach((name, moments) -> {
+            double halfWidthUs = 1.96 * moments.deviation() / Math.sqrt(moments.count);
+            estimates.add(new ClassWork(
+                    name,
+                    moments.mean(),
+                    moments.mean() - halfWidthUs,
+                    moments.mean() + halfWidthUs,
+                    moments.deviation() / moments.mean(),
+                    moments.count));
         });
-        return found;
+        return estimates;
     }
 
     /** Sums of which mean and deviation follow. */
-    private static final class Sums {
+    private static final class Moments {
         private int count;
         private double sum;
-        private double squares;
+        private double sumOfSquares;
 
         void add(double value) {
             count++;
             sum += value;
-            squares += value * value;
+            sumOfSquares += value * value;
         }
 
         double mean() {
@@ -127,62 +137,63 @@
         }
 
         double deviation() {
-            return Math.sqrt(Math.max(0, squares / count - mean() * mean()));
+            return Math.sqrt(Math.max(0, sumOfSquares / count - mean() * mean()));
         }
     }
 
-    private Map<String, Map<String, double[]>> enough() {
-        Map<String, Map<String, double[]>> enough = new TreeMap<>();
-        attempts.forEach((server, all) -> alone(all).forEach((name, times) -> {
-            if (times.size() >= LEAST) {
-                enough.computeIfAbsent(server, id -> new TreeMap<>())
-                        .put(name, times.stream().mapToDouble(t -> t).toArray());
+    private Map<String, Map<String, double[]>> sufficientSamples() {
+        Map<String, Map<String, double[]>> samples = new TreeMap<>();
+        attemptsByServer.forEach((server, all) -> uncontendedDurations(all).forEach((name, durations) -> {
+            if (durations.size() >= MIN_SAMPLE_COUNT) {
+                samples.computeIfAbsent(server, id -> new TreeMap<>())
+                        .put(name, durations.stream().mapToDouble(t -> t).toArray());
             }
         }));
-        return enough;
+        return samples;
     }
 
     /** Servers with times enough, in order of their ids. */
     public List<ServerSpeed> estimateSpeeds() {
-        Map<String, Map<String, double[]>> enough = enough();
-        Map<String, Double> told = logs(means(enough, null));
-        SplittableRandom random = new SplittableRandom(SEED);
-        Map<String, double[]> drawn = new TreeMap<>();
-        told.keySet().forEach(server -> drawn.put(server, new double[DRAWS]));
-        for (int i = 0; i < DRAWS; i++) {
-            int draw = i;
-            logs(means(enough, random)).forEach((server, log) -> drawn.get(server)[draw] = log);
+        Map<String, Map<String, double[]>> samples = sufficientSamples();
+        Map<String, Double> logSpeeds = logSpeeds(logMeans(samples, null));
+        SplittableRandom random = new SplittableRandom(RESAMPLE_SEED);
+        Map<String, double[]> resampled = new TreeMap<>();
+        logSpeeds.keySet().forEach(server -> resampled.put(server, new double[RESAMPLE_COUNT]));
+        for (int i = 0; i < RESAMPLE_COUNT; i++) {
+            int resample = i;
+            logSpeeds(logMeans(samples, random))
+                    .forEach((server, log) -> resampled.get(server)[resample] = log);
         }
-        List<ServerSpeed> found = new ArrayList<>();
-        told.forEach((server, log) -> {
-            double[] sorted = drawn.get(server);
+        List<ServerSpeed> estimates = new ArrayList<>();
+        logSpeeds.forEach((server, log) -> {
+            double[] sorted = resampled.get(server);
             Arrays.sort(sorted);
-            found.add(new ServerSpeed(
+            estimates.add(new ServerSpeed(
                     server,
                     Math.exp(log),
-                    Math.exp(sorted[(int) (0.025 * DRAWS)]),
-                    Math.exp(sorted[(int) (0.975 * DRAWS)]),
-                    enough.get(server).values().stream()
-                            .mapToInt(all -> all.length)
+                    Math.exp(sorted[(int) (0.025 * RESAMPLE_COUNT)]),
+                    Math.exp(sorted[(int) (0.975 * RESAMPLE_COUNT)]),
+                    samples.get(server).values().stream()
+                            .mapToInt(durations -> durations.length)
                             .sum()));
         });
-        return found;
+        return estimates;
     }
 
     /** Logarithm of the mean of each server and class, of its times or of as many drawn from them. */
-    private static Map<String, Map<String, double[]>> means(
-            Map<String, Map<String, double[]>> from, SplittableRandom random) {
-        Map<String, Map<String, double[]>> found = new TreeMap<>();
-        from.forEach((server, classes) -> classes.forEach((name, all) -> {
+    private static Map<String, Map<String, double[]>> logMeans(
+            Map<String, Map<String, double[]>> samples, SplittableRandom random) {
+        Map<String, Map<String, double[]>> logMeans = new TreeMap<>();
+        samples.forEach((server, classes) -> classes.forEach((name, durations) -> {
             double sum = 0;
-            for (int i = 0; i < all.length; i++) {
-                sum += random == null ? all[i] : all[random.nextInt(all.length)];
+            for (int i = 0; i < durations.length; i++) {
+                sum += random == null ? durations[i] : durations[random.nextInt(durations.length)];
             }
-            found.computeIfAbsent(server, id -> new TreeMap<>()).put(name, new double[] {
-                Math.log(Math.max(1, sum / all.length)), all.length
+            logMeans.computeIfAbsent(server, id -> new TreeMap<>()).put(name, new double[] {
+                Math.log(Math.max(1, sum / durations.length)), durations.length
             });
         }));
-        return found;
+        return logMeans;
     }
 
     /**
@@ -190,25 +201,26 @@
      * weighted by their answers. Classes that not all servers have are set right by a second round, against
      * what the first one told of those that have them.
      */
-    private static Map<String, Double> logs(Map<String, Map<String, double[]>> means) {
+    private static Map<String, Double> logSpeeds(Map<String, Map<String, double[]>> logMeans) {
         Map<String, Double> speeds = new TreeMap<>();
-        means.keySet().forEach(server -> speeds.put(server, 0.0));
+        logMeans.keySet().forEach(server -> speeds.put(server, 0.0));
         for (int round = 0; round < 8; round++) {
             Map<String, double[]> levels = new HashMap<>();
-            means.forEach((server, classes) -> classes.forEach((name, m) -> {
+            logMeans.forEach((server, classes) -> classes.forEach((name, logMean) -> {
                 double[] level = levels.computeIfAbsent(name, n -> new double[2]);
-                level[0] += m[1] * (m[0] + speeds.get(server));
-                level[1] += m[1];
+                level[0] += logMean[1] * (logMean[0] + speeds.get(server));
+                level[1] += logMean[1];
             }));
-            means.forEach((server, classes) -> {
-                double sum = 0;
-                double of = 0;
-                for (Map.Entry<String, double[]> one : classes.entrySet()) {
-                    double[] level = levels.get(one.getKey());
-                    sum += one.getValue()[1] * (level[0] / level[1] - one.getValue()[0]);
-                    of += one.getValue()[1];
+            logMeans.forEach((server, classes) -> {
+                double weightedSum = 0;
+                double totalWeight = 0;
+                for (Map.Entry<String, double[]> classMean : classes.entrySet()) {
+                    double[] level = levels.get(classMean.getKey());
+                    weightedSum += classMean.getValue()[1]
+                            * (level[0] / level[1] - classMean.getValue()[0]);
+                    totalWeight += classMean.getValue()[1];
                 }
-                speeds.put(server, sum / of);
+                speeds.put(server, weightedSum / totalWeight);
             });
             double mean = speeds.values().stream().mapToDouble(s -> s).average().orElse(0);
             speeds.replaceAll((server, log) -> log - mean);
--- a/src/main/java/kitemux/orders/Digest.java
+++ b/src/main/java/kitemux/orders/Digest.java
@@ -6,9 +6,9 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** SHA-256 of a body (FIPS 180-4). */
+/** The SHA-256 digest (FIPS 180-4) of a request body. */
 public final class Digest {
-    /** Bytes of it. */
+    /** Length of a digest in bytes. */
     public static final int BYTES = 32;
 
     private final byte[] bytes;
@@ -17,26 +17,30 @@
         this.bytes = bytes;
     }
 
-    /** Of a body. */
+    /** Returns the digest of a body. */
     public static Digest of(byte[] body) {
         return of(List.of(body));
     }
 
-    /** Of a body in parts. */
+    /** Returns the digest of a body that is given in parts. */
     static Digest of(List<byte[]> body) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             body.forEach(digest::update);
             return new Digest(digest.digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("each JVM has SHA-256", e);
+            throw new IllegalStateException("this JVM does not provide SHA-256", e);
         }
     }
 
-    /** As it was written down before. */
-    static Digest read(byte[] bytes) {
+    /**
+     * Returns a digest that was stored as bytes.
+     *
+     * @throws IllegalArgumentException if the length is not {@link #BYTES}
+     */
+    static Digest fromBytes(byte[] bytes) {
         if (bytes.length != BYTES) {
-            throw new IllegalArgumentException("a digest of " + bytes.length + " bytes");
+            throw new IllegalArgumentException("a SHA-256 digest cannot have " + bytes.length + " bytes");
         }
         return new Digest(bytes.clone());
     }
@@ -55,7 +59,7 @@
         return Arrays.hashCode(bytes);
     }
 
-    /** In hex. */
+    /** Returns the digest in lower-case hexadecimal. */
     @Override
     public String toString() {
         return HexFormat.of().formatHex(bytes);
--- a/src/main/java/kitemux/orders/DuplicateMatch.java
+++ b/src/main/java/kitemux/orders/DuplicateMatch.java
@@ -2,40 +2,43 @@
 
 import kitemux.orders.Entry.Accepted;
 
-/** Whether two requests of different ids may be the same order, tried again by a client under a new id. */
+/** Whether two requests with different ids may be the same order that a client retried under a new id. */
 public enum DuplicateMatch {
-    /** Nothing says so. */
+    /** The requests do not match. */
     NONE(""),
-    /** The client gave both the same key for their effect. */
+    /** Both requests have the same idempotency key. */
     SAME("the same by its Idempotency-Key"),
-    /** Tenant, path and body are the same; a client that meant two alike would have sent just that. */
+    /**
+     * Tenant, path and body are the same. A client that meant to place the same order twice would have sent the
+     * same requests, so this is no proof.
+     */
     PERHAPS("perhaps the same, with the same path and body; the journal cannot tell");
 
     private final String description;
 
-    DuplicateMatch(String words) {
-        this.description = words;
+    DuplicateMatch(String description) {
+        this.description = description;
     }
 
-    /** For the desk. */
+    /** Returns a description of the match for support staff. */
     public String description() {
         return description;
     }
 
-    /** What one is to another. */
-    public static DuplicateMatch of(Accepted one, Accepted other) {
-        if (one.number() == other.number()
-                || !one.requestClass().equals(other.requestClass())
-                || !one.tenant().equals(other.tenant())) {
+    /** Returns how two accepted requests match. */
+    public static DuplicateMatch of(Accepted first, Accepted second) {
+        if (first.number() == second.number()
+                || !first.requestClass().equals(second.requestClass())
+                || !first.tenant().equals(second.tenant())) {
             return NONE;
         }
-        if (!one.idempotencyKey().isEmpty() || !other.idempotencyKey().isEmpty()) {
-            return one.idempotencyKey().equals(other.idempotencyKey()) ? SAME : NONE;
+        if (!first.idempotencyKey().isEmpty() || !second.idempotencyKey().isEmpty()) {
+            return first.idempotencyKey().equals(second.idempotencyKey()) ? SAME : NONE;
         }
-        return !one.key().isEmpty()
-                        && one.key().equals(other.key())
-                        && one.bodyBytes() == other.bodyBytes()
-                        && one.digest().equals(other.digest())
+        return !first.key().isEmpty()
+                        && first.key().equals(second.key())
+                        && first.bodyBytes() == second.bodyBytes()
+                        && first.digest().equals(second.digest())
                 ? PERHAPS
                 : NONE;
     }
--- a/src/main/java/kitemux/orders/Entry.java
+++ b/src/main/java/kitemux/orders/Entry.java
@@ -3,27 +3,27 @@
 import java.util.List;
 
 /**
- * What a journal says of one request, piece by piece. Times are Unix time in microseconds by the node's
- * clock, which may have been set back between two starts: the order of records tells what came first, not
- * their times.
+ * One entry of the order journal. Each entry records one event in the life of a request. Times are Unix time
+ * in microseconds by the node's clock, which may have been set back between two starts: the order of the
+ * entries tells what happened first, not their times.
  */
 public sealed interface Entry {
-    /** The request's number in this journal: one more than the last that was taken. */
+    /** The request's number in this journal; numbers are assigned consecutively as requests are accepted. */
     long number();
 
-    /** When it was so. */
+    /** When the event happened, as Unix time in microseconds. */
     long atUs();
 
     /**
-     * A request has come whole.
+     * A request was received completely.
      *
-     * @param orderId the client's id for it
-     * @param requestClass its class by name
-     * @param tenant by name; empty if it has none that the settings know
-     * @param key the last part of its path; empty if there is none
-     * @param idempotencyKey the client's own key for the effect; empty if it gave none
-     * @param bodyBytes length of its body
-     * @param digest SHA-256 of its body, {@link #DIGEST} bytes
+     * @param orderId the client's id for the request
+     * @param requestClass the name of the request's class
+     * @param tenant the tenant's name; empty if the request has none that the settings name
+     * @param key the last segment of the request's path; empty if there is none
+     * @param idempotencyKey the client's idempotency key for the effect; empty if it sent none
+     * @param bodyBytes the length of the request body
+     * @param digest the SHA-256 digest of the request body
      */
     record Accepted(
             long number,
@@ -38,60 +38,69 @@
             implements Entry {}
 
     /**
-     * An attempt is about to be sent. Nothing of it is written to a server before this is durable.
+     * An attempt is about to be sent. No byte of it is written to a server before this entry is durable.
      *
-     * @param attempt its number among the request's, from 0
+     * @param attempt the attempt's index among those of the request, from 0
      * @param server the server's uid
-     * @param endpoint the address that discovery gave for it; empty if that is not known
-     * @param deadlineUs when the attempt is given up
+     * @param endpoint the server's address by service discovery; empty if it is not known
+     * @param deadlineUs when the attempt times out
      */
     record Intent(long number, long atUs, int attempt, String server, String endpoint, long deadlineUs)
             implements Entry {}
 
-    /** How an attempt ended; where it may have run nobody can say that it did not. */
+    /**
+     * An attempt has ended.
+     *
+     * @param attempt the attempt's index among those of the request, from 0
+     * @param mayHaveRun whether it cannot be excluded that the server ran the request
+     */
     record Ended(long number, long atUs, int attempt, Result result, boolean mayHaveRun) implements Entry {}
 
-    /** The client has its final answer. */
+    /** The client has received its final answer, or has left before one. */
     record Answered(long number, long atUs, Answer answer) implements Entry {}
 
-    /** Was open when the node that took it was gone; said once, by the start that found it. */
+    /**
+     * The request was still open when the node that accepted it ended. The start that finds it writes this
+     * entry once.
+     */
     record LeftOpen(long number, long atUs) implements Entry {}
 
     /**
-     * Stands first in each segment: what was open as the one before was ended, so that a start need read the
-     * last segment only. One that does not fit into an entry goes on in the next.
+     * The requests that were open when the previous segment ended. Each segment begins with a checkpoint, so
+     * that a start needs to read the last segment only. A checkpoint that does not fit into one entry is
+     * continued in the next.
      *
-     * @param number the number that the next request taken has
-     * @param open the numbers of those that are owed an answer or have attempts out
-     * @param last whether it does not go on
+     * @param number the number of the next request to be accepted
+     * @param open the numbers of the requests that have no answer yet or have attempts in flight
+     * @param last whether this is the last entry of the checkpoint
      */
     record Checkpoint(long number, long atUs, List<Long> open, boolean last) implements Entry {
-        /** So many fit into an entry. */
+        /** Limits the open requests in one entry, so that the entry stays below the payload limit. */
         static final int MAX_OPEN_COUNT = 4_000;
 
-        /** Keeps a copy. */
+        /** Copies the list of open requests. */
         public Checkpoint {
             open = List.copyOf(open);
         }
     }
 
-    /** How an attempt can end; the codes are the file's and never change their meaning. */
+    /** The result of an attempt. The codes are part of the file format and never change their meaning. */
     enum Result {
-        /** Served. */
+        /** The server served the request. */
         OK(1),
         /** The server answered with an error. */
         ERROR(2),
-        /** Turned away by the server. */
+        /** The server rejected the request because it was full. */
         FULL(3),
-        /** Nothing came in time. */
+        /** No answer arrived before the deadline. */
         TIMEOUT(4),
-        /** No connection. */
+        /** The connection could not be established. */
         CONNECT_FAILED(5),
         /** The connection broke. */
         RESET(6),
-        /** Called off. */
+        /** The attempt was cancelled. */
         CANCELLED(7),
-        /** Never sent. */
+        /** The attempt was never sent. */
         MOOT(8);
 
         private final int code;
@@ -105,17 +114,17 @@
         }
     }
 
-    /** What a client was told; the codes are the file's and never change their meaning. */
+    /** The answer to a client. The codes are part of the file format and never change their meaning. */
     enum Answer {
-        /** A server's 200. */
+        /** The client received a server's 200 response. */
         SERVED(1),
-        /** Refused: trying again is harmless. */
+        /** The request was refused; a retry is harmless. */
         REFUSED(2),
-        /** Failed: it may have run. */
+        /** The request failed and may have run. */
         FAILED(3),
-        /** This program failed at it. */
+        /** The request failed because of an internal error of this node. */
         BROKEN(4),
-        /** The client had left; it was told nothing. */
+        /** The client had disconnected and received no answer. */
         LEFT(5);
 
         private final int code;
--- a/src/main/java/kitemux/orders/EntryCodec.java
+++ b/src/main/java/kitemux/orders/EntryCodec.java
@@ -18,21 +18,21 @@
 import kitemux.orders.Entry.Result;
 
 /**
- * Entries as bytes: what stands inside a frame. The form is written down in docs/order-journal.md, section
- * "Payloads"; numbers are big-endian, texts UTF-8 behind their length.
+ * Encodes and decodes entries as the payloads of frames. docs/order-journal.md, section "Payloads", specifies
+ * the format: numbers are big-endian, and texts are UTF-8 with their length in front.
  */
 final class EntryCodec {
-    /** Room for all texts of an entry at their longest; what says that it is longer is none. */
-    static final int MOST_BYTES = 64 << 10;
-    /** Of one text. Longer ones are cut, and say so by their last characters. */
-    static final int MOST_TEXT = 8 << 10;
+    /** Longest payload. All texts of an entry at their longest fit; a longer length marks a damaged frame. */
+    static final int MAX_PAYLOAD_BYTES = 64 << 10;
+    /** Longest encoded text. Longer texts are truncated and end with {@link #TRUNCATION_MARK}. */
+    static final int MAX_TEXT_BYTES = 8 << 10;
 
-    private static final String CUT = "...";
+    private static final String TRUNCATION_MARK = "...";
 
-    /** Most entries fit into it; it grows. */
-    private static final int FIRST_ROOM = 192;
+    /** Initial size of the output buffer, into which most entries fit; it grows as needed. */
+    private static final int INITIAL_BUFFER_BYTES = 192;
 
-    private static final byte TAKEN = 1;
+    private static final byte ACCEPTED = 1;
     private static final byte INTENT = 2;
     private static final byte ENDED = 3;
     private static final byte ANSWERED = 4;
@@ -42,122 +42,124 @@
     private EntryCodec() {}
 
     static byte[] write(Entry entry) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(FIRST_ROOM);
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             write(out, entry);
         } catch (IOException e) {
-            throw new UncheckedIOException("memory cannot be written", e);
+            throw new UncheckedIOException("the entry could not be encoded in memory", e);
         }
         return bytes.toByteArray();
     }
 
     private static void write(DataOutputStream out, Entry entry) throws IOException {
-        if (entry instanceof Accepted taken) {
-            head(out, TAKEN, entry);
-            text(out, taken.orderId());
-            text(out, taken.requestClass());
-            text(out, taken.tenant());
-            text(out, taken.key());
-            text(out, taken.idempotencyKey());
-            out.writeInt(taken.bodyBytes());
-            out.write(taken.digest().bytes());
+        if (entry instanceof Accepted accepted) {
+            writePrefix(out, ACCEPTED, entry);
+            writeText(out, accepted.orderId());
+            writeText(out, accepted.requestClass());
+            writeText(out, accepted.tenant());
+            writeText(out, accepted.key());
+            writeText(out, accepted.idempotencyKey());
+            out.writeInt(accepted.bodyBytes());
+            out.write(accepted.digest().bytes());
         } else if (entry instanceof Intent intent) {
-            head(out, INTENT, entry);
+            writePrefix(out, INTENT, entry);
             out.writeShort(intent.attempt());
             out.writeLong(intent.deadlineUs());
-            text(out, intent.server());
-            text(out, intent.endpoint());
+            writeText(out, intent.server());
+            writeText(out, intent.endpoint());
         } else if (entry instanceof Ended ended) {
-            head(out, ENDED, entry);
+            writePrefix(out, ENDED, entry);
             out.writeShort(ended.attempt());
             out.writeByte(ended.result().code());
             out.writeBoolean(ended.mayHaveRun());
         } else if (entry instanceof Answered answered) {
-            head(out, ANSWERED, entry);
+            writePrefix(out, ANSWERED, entry);
             out.writeByte(answered.answer().code());
         } else if (entry instanceof LeftOpen) {
-            head(out, LEFT_OPEN, entry);
-        } else if (entry instanceof Checkpoint point) {
-            head(out, CHECKPOINT, entry);
-            out.writeBoolean(point.last());
-            out.writeInt(point.open().size());
-            for (long number : point.open()) {
+            writePrefix(out, LEFT_OPEN, entry);
+        } else if (entry instanceof Checkpoint checkpoint) {
+            writePrefix(out, CHECKPOINT, entry);
+            out.writeBoolean(checkpoint.last());
+            out.writeInt(checkpoint.open().size());
+            for (long number : checkpoint.open()) {
                 out.writeLong(number);
             }
         }
     }
 
-    private static void head(DataOutputStream out, byte type, Entry entry) throws IOException {
+    private static void writePrefix(DataOutputStream out, byte type, Entry entry) throws IOException {
         out.writeByte(type);
         out.writeLong(entry.number());
         out.writeLong(entry.atUs());
     }
 
-    private static void text(DataOutputStream out, String text) throws IOException {
+    private static void writeText(DataOutputStream out, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > MOST_TEXT) {
-            // Cut between characters: a half of one would not be read back as it was written.
-            int end = MOST_TEXT - CUT.length();
+        if (bytes.length > MAX_TEXT_BYTES) {
+            // Truncates between characters: a partial UTF-8 sequence would not be read back as it was written.
+            int end = MAX_TEXT_BYTES - TRUNCATION_MARK.length();
             while ((bytes[end] & 0xc0) == 0x80) {
                 end--;
             }
-            bytes = (new String(bytes, 0, end, StandardCharsets.UTF_8) + CUT).getBytes(StandardCharsets.UTF_8);
+            bytes = (new String(bytes, 0, end, StandardCharsets.UTF_8) + TRUNCATION_MARK)
+                    .getBytes(StandardCharsets.UTF_8);
         }
         out.writeShort(bytes.length);
         out.write(bytes);
     }
 
     /**
-     * Reads what {@link #write} wrote.
+     * Decodes an entry that {@link #write} encoded.
      *
-     * @throws BadEntryException if it is anything else
+     * @throws InvalidEntryException if the bytes are not a valid entry
      */
-    static Entry read(ByteBuffer in) throws BadEntryException {
+    static Entry read(ByteBuffer in) throws InvalidEntryException {
         try {
-            Entry entry = entry(in);
+            Entry entry = readEntry(in);
             if (in.hasRemaining()) {
-                throw new BadEntryException(in.remaining() + " bytes too many");
+                throw new InvalidEntryException(in.remaining() + " bytes follow the end of the entry");
             }
             return entry;
         } catch (BufferUnderflowException e) {
-            throw new BadEntryException("its end is missing");
+            throw new InvalidEntryException("the entry is truncated");
         }
     }
 
-    private static Entry entry(ByteBuffer in) throws BadEntryException {
+    private static Entry readEntry(ByteBuffer in) throws InvalidEntryException {
         byte type = in.get();
         long number = in.getLong();
         long atUs = in.getLong();
         return switch (type) {
-            case TAKEN ->
+            case ACCEPTED ->
                 new Accepted(
                         number,
                         atUs,
-                        text(in),
-                        text(in),
-                        text(in),
-                        text(in),
-                        text(in),
-                        whole(in.getInt(), "body length"),
-                        digest(in));
+                        readText(in),
+                        readText(in),
+                        readText(in),
+                        readText(in),
+                        readText(in),
+                        requireNonNegative(in.getInt(), "body length"),
+                        readDigest(in));
             case INTENT -> {
                 int attempt = Short.toUnsignedInt(in.getShort());
-                long untilUs = in.getLong();
-                yield new Intent(number, atUs, attempt, text(in), text(in), untilUs);
+                long deadlineUs = in.getLong();
+                yield new Intent(number, atUs, attempt, readText(in), readText(in), deadlineUs);
             }
-            case ENDED -> new Ended(number, atUs, Short.toUnsignedInt(in.getShort()), result(in.get()), flag(in.get()));
-            case ANSWERED -> new Answered(number, atUs, answer(in.get()));
+            case ENDED ->
+                new Ended(number, atUs, Short.toUnsignedInt(in.getShort()), readResult(in.get()), readFlag(in.get()));
+            case ANSWERED -> new Answered(number, atUs, readAnswer(in.get()));
             case LEFT_OPEN -> new LeftOpen(number, atUs);
-            case CHECKPOINT -> checkpoint(number, atUs, in);
-            default -> throw new BadEntryException("its type is " + type);
+            case CHECKPOINT -> readCheckpoint(number, atUs, in);
+            default -> throw new InvalidEntryException("unknown entry type " + type);
         };
     }
 
-    private static Checkpoint checkpoint(long number, long atUs, ByteBuffer in) throws BadEntryException {
-        boolean last = flag(in.get());
-        int count = whole(in.getInt(), "count");
+    private static Checkpoint readCheckpoint(long number, long atUs, ByteBuffer in) throws InvalidEntryException {
+        boolean last = readFlag(in.get());
+        int count = requireNonNegative(in.getInt(), "count");
         if (count > in.remaining() / Long.BYTES) {
-            throw new BadEntryException("its end is missing");
+            throw new InvalidEntryException("the entry is truncated");
         }
         Long[] open = new Long[count];
         for (int i = 0; i < count; i++) {
@@ -166,59 +168,59 @@
         return new Checkpoint(number, atUs, List.of(open), last);
     }
 
-    private static String text(ByteBuffer in) throws BadEntryException {
+    private static String readText(ByteBuffer in) throws InvalidEntryException {
         int length = Short.toUnsignedInt(in.getShort());
-        if (length > MOST_TEXT) {
-            throw new BadEntryException("a text of " + length + " bytes");
+        if (length > MAX_TEXT_BYTES) {
+            throw new InvalidEntryException("a text is too long: " + length + " bytes");
         }
         byte[] bytes = new byte[length];
         in.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static Digest digest(ByteBuffer in) {
+    private static Digest readDigest(ByteBuffer in) {
         byte[] bytes = new byte[Digest.BYTES];
         in.get(bytes);
-        return Digest.read(bytes);
+        return Digest.fromBytes(bytes);
     }
 
-    private static int whole(int value, String what) throws BadEntryException {
+    private static int requireNonNegative(int value, String field) throws InvalidEntryException {
         if (value < 0) {
-            throw new BadEntryException("its " + what + " is " + value);
+            throw new InvalidEntryException("the " + field + " is negative: " + value);
         }
         return value;
     }
 
-    private static boolean flag(byte value) throws BadEntryException {
+    private static boolean readFlag(byte value) throws InvalidEntryException {
         if (value != 0 && value != 1) {
-            throw new BadEntryException("a flag is " + value);
+            throw new InvalidEntryException("a boolean is neither 0 nor 1 but " + value);
         }
         return value == 1;
     }
 
-    private static Result result(byte code) throws BadEntryException {
+    private static Result readResult(byte code) throws InvalidEntryException {
         for (Result each : Result.values()) {
             if (each.code() == code) {
                 return each;
             }
         }
-        throw new BadEntryException("its result is " + code);
+        throw new InvalidEntryException("unknown result code " + code);
     }
 
-    private static Answer answer(byte code) throws BadEntryException {
+    private static Answer readAnswer(byte code) throws InvalidEntryException {
         for (Answer each : Answer.values()) {
             if (each.code() == code) {
                 return each;
             }
         }
-        throw new BadEntryException("its answer is " + code);
+        throw new InvalidEntryException("unknown answer code " + code);
     }
 
-    /** Bytes that no entry is written as; the message says why. */
-    static final class BadEntryException extends Exception {
+    /** Thrown for bytes that are not a valid entry; the message says why. */
+    static final class InvalidEntryException extends Exception {
         private static final long serialVersionUID = 1;
 
-        BadEntryException(String message) {
+        InvalidEntryException(String message) {
             super(message);
         }
     }
--- a/src/main/java/kitemux/orders/Journal.java
+++ b/src/main/java/kitemux/orders/Journal.java
@@ -10,36 +10,35 @@
 import kitemux.orders.Entry.Checkpoint;
 import kitemux.orders.Entry.LeftOpen;
 import kitemux.orders.Segment.Content;
-import kitemux.orders.Segment.Fault;
+import kitemux.orders.Segment.CorruptRange;
 import kitemux.orders.Segment.Header;
 
 /**
- * The journal on its disk, for the one thread that writes it: recovered as it is opened, gone on with in
- * segments. After any failure it is to be closed and opened anew: what a failed write or sync has left on a
- * disk cannot be known, and is only found by reading it.
+ * An order journal on a disk, as a sequence of append-only segments. Only one thread may use it. Opening it
+ * recovers what earlier processes wrote. After any failure the journal must be closed and opened again, since
+ * only reading the disk tells what a failed write or sync has left there.
  */
 final class Journal implements AutoCloseable {
-    /** Files taken away at a time, so that the writer is not held up for long. */
-    private static final int MOST_TAKEN_AWAY = 8;
+    /** Segments deleted at a time; bounds how long a deletion delays the writer. */
+    private static final int MAX_DELETED_SEGMENT_COUNT = 8;
 
     /**
-     * When segments end and go.
+     * Limits on segments. Segments are deleted when a new one begins, and only if all their orders are closed.
      *
-     * @param bytes a segment is ended after so many
-     * @param ageUs or when it was begun so long ago
-     * @param keepUs one that ended so long ago, with nothing open in it, is taken away as a new one is begun;
-     *     0 keeps them however old
-     * @param keepBytes the oldest are taken away as well while all together have more than this, with nothing
-     *     open in them; 0 keeps them however many
+     * @param segmentBytes the size at which a segment ends
+     * @param segmentAgeUs the age at which a segment ends
+     * @param retentionUs how long after its end a segment is deleted; 0 disables deletion by age
+     * @param maxTotalBytes the size of all segments above which the oldest are deleted; 0 disables deletion by
+     *     size
      */
-    record Limits(long bytes, long ageUs, long keepUs, long keepBytes) {}
+    record Limits(long segmentBytes, long segmentAgeUs, long retentionUs, long maxTotalBytes) {}
 
     private final Disk disk;
     private final Limits limits;
     private final LongSupplier clockUs;
-    private final LongSupplier nonces;
+    private final LongSupplier nonceSource;
     private final Consumer<String> log;
-    private final OpenOrders open;
+    private final OpenOrders openOrders;
     private SegmentIndex.Builder index = new SegmentIndex.Builder();
     private Header header;
     private Disk.Out out;
@@ -49,27 +48,28 @@
             Disk disk,
             Limits limits,
             LongSupplier clockUs,
-            LongSupplier nonces,
+            LongSupplier nonceSource,
             Consumer<String> log,
-            OpenOrders open) {
-        this.open = open;
+            OpenOrders openOrders) {
+        this.openOrders = openOrders;
         this.disk = disk;
         this.limits = limits;
         this.clockUs = clockUs;
-        this.nonces = nonces;
+        this.nonceSource = nonceSource;
         this.log = log;
     }
 
     /**
-     * Recovers what there is, marks what was open as left open, and is ready to be written to. It reads one
-     * segment, or two where the last was being begun as the process died.
+     * Opens a journal: recovers the existing segments, marks open orders as left open, and makes the journal
+     * ready for writing. It reads one segment, or two if the process died while it was beginning the last one.
      *
-     * @param nonces random numbers
-     * @param log told of what was found spoilt
+     * @param nonceSource supplies random numbers for segment headers
+     * @param log receives a line for each corrupt range that is found
+     * @throws IOException if the disk fails
      */
-    static Journal open(Disk disk, Limits limits, LongSupplier clockUs, LongSupplier nonces, Consumer<String> log)
+    static Journal open(Disk disk, Limits limits, LongSupplier clockUs, LongSupplier nonceSource, Consumer<String> log)
             throws IOException {
-        Journal journal = new Journal(disk, limits, clockUs, nonces, log, new OpenOrders());
+        Journal journal = new Journal(disk, limits, clockUs, nonceSource, log, new OpenOrders());
         try {
             journal.recover();
             return journal;
@@ -80,16 +80,18 @@
     }
 
     /**
-     * Goes on after a failure of one that this process wrote: what is open is known, and still under way. The
-     * files are left as they are, but for a new segment.
+     * Continues a journal that this process wrote and that has failed, in a new segment. The open orders are
+     * known and still in progress, so they are not marked as left open. Existing files are not changed.
+     *
+     * @throws IOException if the disk fails
      */
-    static Journal goOn(Journal failed) throws IOException {
-        Journal journal =
-                new Journal(failed.disk, failed.limits, failed.clockUs, failed.nonces, failed.log, failed.open);
+    static Journal reopen(Journal failed) throws IOException {
+        Journal journal = new Journal(
+                failed.disk, failed.limits, failed.clockUs, failed.nonceSource, failed.log, failed.openOrders);
         try {
             List<Long> segments = SegmentNames.sequences(failed.disk.list());
-            long last = segments.isEmpty() ? 0 : segments.get(segments.size() - 1);
-            journal.begin(Math.max(last, failed.header.sequence()) + 1);
+            long lastSequence = segments.isEmpty() ? 0 : segments.get(segments.size() - 1);
+            journal.beginSegment(Math.max(lastSequence, failed.header.sequence()) + 1);
             return journal;
         } catch (IOException e) {
             journal.close();
@@ -99,127 +101,134 @@
 
     private void recover() throws IOException {
         List<Long> segments = SegmentNames.sequences(disk.list());
-        long last = segments.isEmpty() ? 0 : segments.get(segments.size() - 1);
+        long lastSequence = segments.isEmpty() ? 0 : segments.get(segments.size() - 1);
         for (int i = segments.size() - 1; i >= 0 && header == null; i--) {
-            goOnIn(segments.get(i));
+            resumeSegment(segments.get(i));
         }
-        if (header == null || length >= limits.bytes || header.sequence() < last) {
-            begin(last + 1);
+        if (header == null || length >= limits.segmentBytes || header.sequence() < lastSequence) {
+            beginSegment(lastSequence + 1);
         }
-        List<Entry> left = new ArrayList<>();
-        for (long number : open.numbers()) {
-            left.add(new LeftOpen(number, clockUs.getAsLong()));
+        List<Entry> leftOpen = new ArrayList<>();
+        for (long number : openOrders.numbers()) {
+            leftOpen.add(new LeftOpen(number, clockUs.getAsLong()));
         }
-        if (!left.isEmpty()) {
-            append(left);
+        if (!leftOpen.isEmpty()) {
+            append(leftOpen);
             sync();
-            log.accept("orders: " + left.size() + " were open as the node ended; they are marked as such");
+            log.accept("orders: " + leftOpen.size() + " were open as the node ended; they are marked as such");
         }
     }
 
-    /** Takes up a segment, unless it was only being begun: what is not a whole checkpoint tells nothing. */
-    private void goOnIn(long sequence) throws IOException {
-        String name = SegmentNames.of(sequence);
+    /**
+     * Loads a segment and continues it. A segment without a complete checkpoint was only being begun and holds
+     * no information, so it is set aside.
+     */
+    private void resumeSegment(long sequence) throws IOException {
+        String name = SegmentNames.segmentName(sequence);
         Content content = Segment.read(disk.read(name));
-        if (!isBegun(content) || content.header().sequence() != sequence) {
-            // Never deleted: whoever looks for an order may find more in it than this program does.
+        if (!hasCompleteCheckpoint(content) || content.header().sequence() != sequence) {
+            // The file is not deleted, since an operator may recover more from it than this program can.
             log.accept("orders: " + name + " has no whole beginning and is set aside");
-            disk.rename(name, name + SegmentNames.ASIDE);
+            disk.rename(name, name + SegmentNames.SET_ASIDE_SUFFIX);
             disk.syncFolder();
             return;
         }
-        for (Fault fault : content.faults()) {
+        for (CorruptRange fault : content.faults()) {
             log.accept("orders: " + name + ", offset " + fault.offset() + ": " + fault.bytes() + " bytes are no entry: "
                     + fault.reason());
         }
-        for (Segment.Placed placed : content.entries()) {
-            open.add(placed.entry());
-            index.add(placed.entry());
+        for (Segment.LocatedEntry located : content.entries()) {
+            openOrders.apply(located.entry());
+            index.add(located.entry());
         }
         header = content.header();
-        length = content.soundUpTo();
+        length = content.validBytes();
         out = disk.append(name, length);
         out.sync();
     }
 
-    /** Whether header and checkpoint are whole. */
-    private static boolean isBegun(Content content) {
-        for (Segment.Placed placed : content.entries()) {
-            if (!(placed.entry() instanceof Checkpoint point)) {
+    /** Returns whether the header and the checkpoint are complete. */
+    private static boolean hasCompleteCheckpoint(Content content) {
+        for (Segment.LocatedEntry located : content.entries()) {
+            if (!(located.entry() instanceof Checkpoint checkpoint)) {
                 return false;
             }
-            if (point.last()) {
+            if (checkpoint.last()) {
                 return true;
             }
         }
         return false;
     }
 
-    private void begin(long sequence) throws IOException {
+    private void beginSegment(long sequence) throws IOException {
         if (out != null) {
             out.sync();
             out.close();
             JournalReader.writeIndex(disk, header.sequence(), index.bytes(header.sequence(), length), log);
         }
         index = new SegmentIndex.Builder();
-        header = new Header(sequence, nonces.getAsLong(), clockUs.getAsLong());
-        out = disk.create(SegmentNames.of(sequence));
+        header = new Header(sequence, nonceSource.getAsLong(), clockUs.getAsLong());
+        out = disk.create(SegmentNames.segmentName(sequence));
         try {
             out.write(header.bytes());
-            length = Segment.HEADER;
-            write(open.checkpoint(clockUs.getAsLong()));
+            length = Segment.HEADER_BYTES;
+            writeFrames(openOrders.checkpoint(clockUs.getAsLong()));
             out.sync();
             disk.syncFolder();
         } catch (IOException e) {
-            // Nothing that anybody was told of is in it. A disk that is full would else be tried again and
-            // again, and fill up with beginnings.
+            // No acknowledged entry is in this segment. Without the deletion, retries on a full disk would
+            // fill it with incomplete segments.
             out.close();
             out = null;
-            disk.delete(SegmentNames.of(sequence));
+            disk.delete(SegmentNames.segmentName(sequence));
             throw e;
         }
     }
 
-    /** A segment ended when the next was begun, and what was taken in it has numbers under the next one's. */
-    private void takeAwayOld() {
-        if (limits.keepUs == 0 && limits.keepBytes == 0) {
+    /**
+     * Deletes the oldest segments that exceed the limits. A segment ended when the next one began, and the
+     * numbers of its orders are below the number in the next segment's checkpoint.
+     */
+    private void deleteExpiredSegments() {
+        if (limits.retentionUs == 0 && limits.maxTotalBytes == 0) {
             return;
         }
         try {
             List<Long> segments = SegmentNames.sequences(disk.list());
-            long beyond = limits.keepBytes == 0 ? 0 : bytes(segments) - limits.keepBytes;
-            for (int i = 0; i < Math.min(segments.size() - 1, MOST_TAKEN_AWAY); i++) {
-                Content next = Segment.read(disk.read(SegmentNames.of(segments.get(i + 1))));
-                if (!isBegun(next)
-                        || beyond <= 0 && !isOld(next.header())
-                        || open.oldest() < next.entries().get(0).entry().number()) {
+            long excessBytes = limits.maxTotalBytes == 0 ? 0 : totalBytes(segments) - limits.maxTotalBytes;
+            for (int i = 0; i < Math.min(segments.size() - 1, MAX_DELETED_SEGMENT_COUNT); i++) {
+                Content nextSegment = Segment.read(disk.read(SegmentNames.segmentName(segments.get(i + 1))));
+                if (!hasCompleteCheckpoint(nextSegment)
+                        || excessBytes <= 0 && !isExpired(nextSegment.header())
+                        || openOrders.oldestNumber()
+                                < nextSegment.entries().get(0).entry().number()) {
                     return;
                 }
-                beyond -= disk.size(SegmentNames.of(segments.get(i)));
-                disk.delete(SegmentNames.of(segments.get(i)));
-                if (disk.list().contains(SegmentNames.index(segments.get(i)))) {
-                    disk.delete(SegmentNames.index(segments.get(i)));
+                excessBytes -= disk.size(SegmentNames.segmentName(segments.get(i)));
+                disk.delete(SegmentNames.segmentName(segments.get(i)));
+                if (disk.list().contains(SegmentNames.indexName(segments.get(i)))) {
+                    disk.delete(SegmentNames.indexName(segments.get(i)));
                 }
             }
         } catch (IOException e) {
-            // Room is lost, and nothing else: it is tried again with the next segment.
+            // This costs disk space only; the deletion is retried with the next segment.
             log.accept("orders: old segments cannot be taken away: " + e);
         }
     }
 
-    private boolean isOld(Header next) {
-        return limits.keepUs > 0 && next.createdAtUs() <= clockUs.getAsLong() - limits.keepUs;
+    private boolean isExpired(Header nextSegment) {
+        return limits.retentionUs > 0 && nextSegment.createdAtUs() <= clockUs.getAsLong() - limits.retentionUs;
     }
 
-    private long bytes(List<Long> segments) throws IOException {
+    private long totalBytes(List<Long> segments) throws IOException {
         long bytes = 0;
         for (long segment : segments) {
-            bytes += disk.size(SegmentNames.of(segment));
+            bytes += disk.size(SegmentNames.segmentName(segment));
         }
         return bytes;
     }
 
-    private void write(List<Entry> entries) throws IOException {
+    private void writeFrames(List<Entry> entries) throws IOException {
         ByteArrayOutputStream frames = new ByteArrayOutputStream();
         for (Entry entry : entries) {
             frames.writeBytes(Segment.frame(header, length + frames.size(), entry));
@@ -228,37 +237,45 @@
         length += frames.size();
     }
 
-    /** Writes entries; they are safe once {@link #sync} has returned. */
+    /**
+     * Appends entries. They are durable once {@link #sync} has returned.
+     *
+     * @throws IOException if the disk fails
+     */
     void append(List<Entry> entries) throws IOException {
-        if (length >= limits.bytes || clockUs.getAsLong() - header.createdAtUs() >= limits.ageUs) {
-            begin(header.sequence() + 1);
-            takeAwayOld();
+        if (length >= limits.segmentBytes || clockUs.getAsLong() - header.createdAtUs() >= limits.segmentAgeUs) {
+            beginSegment(header.sequence() + 1);
+            deleteExpiredSegments();
         }
-        write(entries);
+        writeFrames(entries);
         for (Entry entry : entries) {
-            open.add(entry);
+            openOrders.apply(entry);
             index.add(entry);
         }
     }
 
-    /** Waits until all that was written is safe. */
+    /**
+     * Makes all appended entries durable.
+     *
+     * @throws IOException if the disk fails
+     */
     void sync() throws IOException {
         out.sync();
     }
 
-    /** The number for the next request that is taken. */
-    long next() {
-        return open.next();
+    /** Returns the number for the next request that is accepted. */
+    long nextNumber() {
+        return openOrders.nextNumber();
     }
 
-    /** The segment that is written to, and when it was begun. */
+    /** Returns the header of the segment that is being written. */
     Header header() {
         return header;
     }
 
-    /** The oldest request that is open: segments that end before it are over. */
+    /** Returns the number of the oldest open request; segments that end before it hold closed orders only. */
     long oldestOpen() {
-        return open.oldest();
+        return openOrders.oldestNumber();
     }
 
     @Override
--- a/src/main/java/kitemux/orders/JournalReader.java
+++ b/src/main/java/kitemux/orders/JournalReader.java
@@ -15,13 +15,14 @@
 import kitemux.orders.Entry.Accepted;
 import kitemux.orders.Entry.Checkpoint;
 import kitemux.orders.Segment.Content;
-import kitemux.orders.Segment.Fault;
-import kitemux.orders.Segment.Placed;
-import kitemux.orders.SegmentIndex.By;
+import kitemux.orders.Segment.CorruptRange;
+import kitemux.orders.Segment.LocatedEntry;
+import kitemux.orders.SegmentIndex.LookupField;
 
 /**
- * Reads a journal, of a live node or a dead one, one segment at a time, and changes nothing. What a live node
- * writes meanwhile is found up to where it was when its segment was read.
+ * Reads the journal of a running or stopped node, one segment at a time. Only {@link #rebuildIndexes} writes
+ * to the folder. Entries that a running node writes meanwhile are found if they were written before their
+ * segment was read.
  */
 public final class JournalReader {
     private final Disk disk;
@@ -30,129 +31,146 @@
         this.disk = disk;
     }
 
-    /** Told of each segment in turn. */
+    /** Receives the segments of a journal, the oldest first. */
     interface Visitor {
-        void segment(String name, boolean last, Content content);
+        /**
+         * Receives a segment.
+         *
+         * @param name the segment's file name
+         * @param isLast whether it is the last segment
+         */
+        void visit(String name, boolean isLast, Content content);
     }
 
-    private void each(LongPredicate wanted, Visitor visitor) throws IOException {
+    private void forEachSegment(LongPredicate filter, Visitor visitor) throws IOException {
         List<Long> segments = SegmentNames.sequences(disk.list());
         for (int i = 0; i < segments.size(); i++) {
-            String name = SegmentNames.of(segments.get(i));
+            String name = SegmentNames.segmentName(segments.get(i));
             try {
-                if (wanted.test(segments.get(i))) {
-                    visitor.segment(name, i == segments.size() - 1, Segment.read(disk.read(name)));
+                if (filter.test(segments.get(i))) {
+                    visitor.visit(name, i == segments.size() - 1, Segment.read(disk.read(name)));
                 }
             } catch (NoSuchFileException e) {
-                // Too old by now: a live node has taken it away since the folder was listed.
+                // A running node has deleted the expired segment since the folder was listed.
             }
         }
     }
 
     /**
-     * The stories of all requests that a question is about, in the order in which they ended or, those that
-     * have not, were taken. Those that are over are handed on as they end: what is held at a time is what was
-     * open at once.
+     * Passes on the histories of all orders that match a filter. Complete histories come first, in the order
+     * in which they were completed, then the others in the order in which they were accepted. Each history is
+     * passed on as soon as it is complete, so memory holds only the orders that were open at the same time.
+     *
+     * @throws IOException if the journal cannot be read
      */
-    public void forEachHistory(Predicate<Accepted> about, Consumer<OrderHistory> found) throws IOException {
-        forEachHistory(null, about, found);
+    public void forEachHistory(Predicate<Accepted> filter, Consumer<OrderHistory> consumer) throws IOException {
+        forEachHistory(null, filter, consumer);
     }
 
     /**
-     * The same of those only that have one of these ids, keys or idempotency keys; segments whose index says
-     * that they took none of them are not read.
+     * Passes on the histories of the orders that match a filter and have one of the given ids, keys or
+     * idempotency keys. The order is that of {@link #forEachHistory}. Segments whose index excludes all of them
+     * are not read.
+     *
+     * @throws IOException if the journal cannot be read
      */
     public void findHistories(
-            Set<String> orders,
+            Set<String> orderIds,
             Set<String> keys,
             Set<String> idempotencyKeys,
-            Predicate<Accepted> about,
-            Consumer<OrderHistory> found)
+            Predicate<Accepted> filter,
+            Consumer<OrderHistory> consumer)
             throws IOException {
         long[] hashes = Stream.of(
-                        orders.stream().map(By.ORDER::hash),
-                        keys.stream().map(By.KEY::hash),
-                        idempotencyKeys.stream().map(By.IDEMPOTENCY::hash))
-                .flatMap(each -> each)
+                        orderIds.stream().map(LookupField.ORDER::hash),
+                        keys.stream().map(LookupField.KEY::hash),
+                        idempotencyKeys.stream().map(LookupField.IDEMPOTENCY::hash))
+                .flatMap(hashStream -> hashStream)
                 .mapToLong(Long::longValue)
                 .toArray();
         forEachHistory(
                 hashes,
-                about.and(taken -> orders.contains(taken.orderId())
-                        || keys.contains(taken.key())
-                        || idempotencyKeys.contains(taken.idempotencyKey())),
-                found);
+                filter.and(accepted -> orderIds.contains(accepted.orderId())
+                        || keys.contains(accepted.key())
+                        || idempotencyKeys.contains(accepted.idempotencyKey())),
+                consumer);
     }
 
-    private void forEachHistory(long[] hashes, Predicate<Accepted> about, Consumer<OrderHistory> found)
+    private void forEachHistory(long[] hashes, Predicate<Accepted> filter, Consumer<OrderHistory> consumer)
             throws IOException {
-        Map<Long, OrderHistory> open = new LinkedHashMap<>();
-        long[] highest = new long[1];
-        // Stories that are not over go on in the next segment.
-        each(segment -> hashes == null || !open.isEmpty() || mayHold(segment, hashes), (name, last, content) -> {
-            for (Placed placed : content.entries()) {
-                Entry entry = placed.entry();
-                OrderHistory story = open.get(entry.number());
-                if (entry instanceof Accepted taken) {
-                    // Written once more where a disk failed in between: of that the first alone counts.
-                    if (taken.number() > highest[0] && about.test(taken)) {
-                        open.put(taken.number(), new OrderHistory(taken));
-                    }
-                    highest[0] = Math.max(highest[0], taken.number());
-                } else if (story != null && !(entry instanceof Checkpoint)) {
-                    story.add(entry);
-                    if (story.isComplete()) {
-                        open.remove(entry.number());
-                        found.accept(story);
+        Map<Long, OrderHistory> openHistories = new LinkedHashMap<>();
+        long[] highestNumber = new long[1];
+        // Open histories continue in the next segment.
+        forEachSegment(
+                segment -> hashes == null || !openHistories.isEmpty() || mightContain(segment, hashes),
+                (name, isLast, content) -> {
+                    for (LocatedEntry located : content.entries()) {
+                        Entry entry = located.entry();
+                        OrderHistory history = openHistories.get(entry.number());
+                        if (entry instanceof Accepted accepted) {
+                            // After a disk failure the entry may have been written twice; only the first one counts.
+                            if (accepted.number() > highestNumber[0] && filter.test(accepted)) {
+                                openHistories.put(accepted.number(), new OrderHistory(accepted));
+                            }
+                            highestNumber[0] = Math.max(highestNumber[0], accepted.number());
+                        } else if (history != null && !(entry instanceof Checkpoint)) {
+                            history.add(entry);
+                            if (history.isComplete()) {
+                                openHistories.remove(entry.number());
+                                consumer.accept(history);
+                            }
+                        }
                     }
-                }
-            }
-        });
-        new ArrayList<>(open.values()).forEach(found);
+                });
+        new ArrayList<>(openHistories.values()).forEach(consumer);
     }
 
-    private boolean mayHold(long segment, long[] hashes) {
-        SegmentIndex index = rebuildIndexes(segment);
-        return index == null || index.mayHold(hashes);
+    private boolean mightContain(long segment, long[] hashes) {
+        SegmentIndex index = readIndex(segment);
+        return index == null || index.mightContain(hashes);
     }
 
-    /** A segment's index, or null if there is none that is sound and of it as it stands. */
-    private SegmentIndex rebuildIndexes(long segment) {
+    /** Returns a segment's index, or null if it is missing, damaged or does not match the segment's size. */
+    private SegmentIndex readIndex(long segment) {
         try {
-            SegmentIndex index = SegmentIndex.read(disk.read(SegmentNames.index(segment)));
-            return index != null && index.isOf(segment, disk.size(SegmentNames.of(segment))) ? index : null;
+            SegmentIndex index = SegmentIndex.read(disk.read(SegmentNames.indexName(segment)));
+            return index != null && index.matches(segment, disk.size(SegmentNames.segmentName(segment))) ? index : null;
         } catch (IOException e) {
             return null;
         }
     }
 
     /**
-     * Makes the indexes anew that are missing or unsound, but for the last segment, which may go on.
+     * Rebuilds missing and damaged indexes. The last segment gets none, since it may still grow.
      *
-     * @return how many
+     * @return the number of indexes that were rebuilt
+     * @throws IOException if a segment cannot be read or an index cannot be written
      */
     public int rebuildIndexes() throws IOException {
         List<Long> segments = SegmentNames.sequences(disk.list());
-        int made = 0;
+        int rebuiltCount = 0;
         for (long segment : segments.subList(0, Math.max(0, segments.size() - 1))) {
-            if (rebuildIndexes(segment) == null) {
-                byte[] bytes = disk.read(SegmentNames.of(segment));
+            if (readIndex(segment) == null) {
+                byte[] bytes = disk.read(SegmentNames.segmentName(segment));
                 SegmentIndex.Builder builder = new SegmentIndex.Builder();
-                Segment.read(bytes).entries().forEach(placed -> builder.add(placed.entry()));
+                Segment.read(bytes).entries().forEach(located -> builder.add(located.entry()));
                 List<String> failed = new ArrayList<>();
                 writeIndex(disk, segment, builder.bytes(segment, bytes.length), failed::add);
                 if (!failed.isEmpty()) {
                     throw new IOException(failed.get(0));
                 }
-                made++;
+                rebuiltCount++;
             }
         }
-        return made;
+        return rebuiltCount;
     }
 
-    /** Under another name first: half an index would be found unsound, but a whole one stays what it was. */
+    /**
+     * Writes an index under a temporary name and renames it, so that a failed write does not damage an intact
+     * index. A failure is logged only.
+     */
     static void writeIndex(Disk disk, long segment, byte[] bytes, Consumer<String> log) {
-        String name = SegmentNames.index(segment);
+        String name = SegmentNames.indexName(segment);
         try {
             if (disk.list().contains(name + ".new")) {
                 disk.delete(name + ".new");
@@ -162,44 +180,49 @@
             }
             disk.rename(name + ".new", name);
         } catch (IOException e) {
-            // Questions take longer, and nothing else.
+            // Without the index look-ups take longer; nothing else is lost.
             log.accept("orders: " + name + " cannot be written: " + e);
         }
     }
 
     /**
-     * What a check of every byte found.
+     * The result of a verification.
      *
-     * @param segments files read
-     * @param entries sound ones
-     * @param faults with the file's name in front, one a line; none if all is sound
-     * @param tornBytes at the end of the last file, as a process leaves them that dies while it writes, or
-     *     one that is writing now: no fault
+     * @param segments the number of files that were read
+     * @param entries the number of valid entries
+     * @param faults one line for each corrupt range, beginning with the file's name; empty if there is none
+     * @param tornBytes the number of bytes of an incomplete entry at the end of the last file. A process that
+     *     died while writing leaves them, as does one that is writing now, so they are not a fault.
      */
     public record VerificationResult(int segments, long entries, List<String> faults, int tornBytes) {}
 
-    /** Checks every byte. */
+    /**
+     * Checks every byte of all segments.
+     *
+     * @throws IOException if a segment cannot be read
+     */
     public VerificationResult verify() throws IOException {
         List<String> faults = new ArrayList<>();
         int[] segments = new int[1];
         long[] entries = new long[1];
-        int[] torn = new int[1];
-        each(segment -> true, (name, last, content) -> {
+        int[] tornBytes = new int[1];
+        forEachSegment(segment -> true, (name, isLast, content) -> {
             segments[0]++;
             entries[0] += content.entries().size();
-            if (last && content.isTorn()) {
-                torn[0] = content.faults().get(0).bytes();
+            if (isLast && content.isTorn()) {
+                tornBytes[0] = content.faults().get(0).bytes();
                 return;
             }
-            for (Fault fault : content.faults()) {
+            for (CorruptRange fault : content.faults()) {
                 faults.add(name + ", offset " + fault.offset() + ": " + fault.bytes() + " bytes are no entry: "
                         + fault.reason());
             }
             if (content.header() != null
-                    && !name.equals(SegmentNames.of(content.header().sequence()))) {
-                faults.add(name + ": says that it is number " + content.header().sequence());
+                    && !name.equals(SegmentNames.segmentName(content.header().sequence()))) {
+                faults.add(name + ": its header has the sequence number "
+                        + content.header().sequence());
             }
         });
-        return new VerificationResult(segments[0], entries[0], faults, torn[0]);
+        return new VerificationResult(segments[0], entries[0], faults, tornBytes[0]);
     }
 }
--- a/src/main/java/kitemux/orders/JournalWriter.java
+++ b/src/main/java/kitemux/orders/JournalWriter.java
@@ -13,274 +13,304 @@
 import java.util.function.Supplier;
 
 /**
- * Writes a journal on a thread of its own, what has come together in one go. The loop hands entries over and
- * is told, on the loop, of those that it waits for; it never waits itself. The queue is bounded: what
- * somebody waits for is turned away when it is three quarters full, what tells of something that has happened
- * already only when it is full, and is counted then, as what it told will be found unknown.
+ * Writes a journal on a dedicated thread, in batches. The event loop hands entries over without waiting and is
+ * notified, on the event loop, of those that it wants to be durable. The queue is bounded. Commits are rejected
+ * when it is three quarters full. Entries about past events are dropped only when it is full; they are counted,
+ * since the outcome that they record will be reported as unknown.
  */
 public final class JournalWriter {
-    /** Entries that wait to be written. Guards memory while a disk is slow: some 8 MB at most. */
+    /** Entries that wait to be written. Limits the memory in use while a disk is slow to some 8 MB. */
     static final int MAX_QUEUED_COUNT = 4_096;
 
+    /** Queue length from which commits are rejected; the rest of the queue is left to past events. */
     private static final int MAX_QUEUED_FOR_COMMIT_COUNT = MAX_QUEUED_COUNT / 4 * 3;
-    /** Between two tries at a disk that failed. */
+    /** Interval between attempts to reopen the journal after a disk failure. */
     static final long RETRY_INTERVAL_MS = 500;
 
-    /** What a commit promises. */
+    /** When entries are synced to the disk, and so what a commit guarantees. */
     public enum SyncPolicy {
-        /** What is told durable survives a crash of the machine; what nobody waits for, once it is synced. */
+        /** Committed entries survive a crash of the machine; other entries do once a later sync has run. */
         EACH,
-        /** It survives the process; a crash of the machine takes what came since the last sync. */
+        /** Committed entries survive the process; a crash of the machine loses those since the last sync. */
         TIMED,
-        /** It survives the process; what a crash of the machine takes is the system's to say. */
+        /** Committed entries survive the process; what a crash of the machine loses is up to the system. */
         NEVER
     }
 
-    /** One entry, made on the writer's thread, and who waits for it, or null. */
-    private record Item(Supplier<Entry> entry, Consumer<Boolean> told) {}
+    /**
+     * An entry in the queue.
+     *
+     * @param entry creates the entry, on the writer's thread
+     * @param callback is called with whether the entry is durable; null if nobody waits for it
+     */
+    private record PendingEntry(Supplier<Entry> entry, Consumer<Boolean> callback) {}
 
     private final Opener opener;
     private final SyncPolicy sync;
-    private final long syncNanos;
-    private final Executor loop;
+    private final long syncDelayNanos;
+    private final Executor eventLoop;
     private final Consumer<String> log;
-    private final ConcurrentLinkedQueue<Item> queue = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger queued = new AtomicInteger();
-    private final AtomicLong refused = new AtomicLong();
-    private final AtomicLong lost = new AtomicLong();
-    private final Thread writer;
-    private volatile boolean closing;
-
-    /** The one that is written to, or null after it failed. */
+    private final ConcurrentLinkedQueue<PendingEntry> queue = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger queuedCount = new AtomicInteger();
+    private final AtomicLong rejectedCommits = new AtomicLong();
+    private final AtomicLong lostEntries = new AtomicLong();
+    private final Thread writerThread;
+    private volatile boolean isClosing;
+
+    /** The open journal, or null after a failure. */
     private Journal journal;
 
-    private Journal failed;
-    private boolean unsynced;
-    /** When the oldest entry was written that no sync has followed. */
-    private long unsyncedNanos;
+    private Journal failedJournal;
+    private boolean hasUnsyncedEntries;
+    /** When the oldest unsynced entry was written, by {@link System#nanoTime}. */
+    private long oldestUnsyncedNanos;
 
-    private long failedNanos;
+    private long lastFailureNanos;
 
-    /** Opens a journal, and again one that failed. */
+    /** Opens the journal, at the start and after a failure. */
     interface Opener {
-        /** A journal to go on in; the one that failed, or null at first. */
-        Journal open(Journal failed) throws IOException;
+        /**
+         * Opens the journal.
+         *
+         * @param failedJournal the journal that failed, or null at the start
+         * @throws IOException if the journal cannot be opened
+         */
+        Journal open(Journal failedJournal) throws IOException;
     }
 
     private JournalWriter(
-            Opener opener, Journal journal, SyncPolicy sync, long syncMs, Executor loop, Consumer<String> log) {
+            Opener opener,
+            Journal journal,
+            SyncPolicy sync,
+            long syncDelayMs,
+            Executor eventLoop,
+            Consumer<String> log) {
         this.opener = opener;
         this.journal = journal;
         this.sync = sync;
-        syncNanos = TimeUnit.MILLISECONDS.toNanos(syncMs);
-        this.loop = loop;
+        syncDelayNanos = TimeUnit.MILLISECONDS.toNanos(syncDelayMs);
+        this.eventLoop = eventLoop;
         this.log = log;
-        writer = new Thread(this::run, "orders");
-        writer.setDaemon(true);
+        writerThread = new Thread(this::run, "orders");
+        writerThread.setDaemon(true);
     }
 
     /**
-     * Recovers a journal and starts to write to it.
+     * Opens a journal and starts its writer thread.
      *
-     * @param sync what a commit promises
-     * @param syncMs what nobody waits for is synced so long after it was written, unless it is never synced
-     * @param loop runs what is told
-     * @param log for the operators, from the writer's thread
-     * @throws IOException if it cannot be opened
+     * @param sync when entries are synced
+     * @param syncDelayMs how long after they were written entries are synced for which nobody waits, unless the
+     *     policy is {@link SyncPolicy#NEVER}
+     * @param eventLoop runs the callbacks
+     * @param log receives lines for the operators, on the writer's thread
+     * @throws IOException if the journal cannot be opened
      */
-    static JournalWriter start(Opener opener, SyncPolicy sync, long syncMs, Executor loop, Consumer<String> log)
+    static JournalWriter start(
+            Opener opener, SyncPolicy sync, long syncDelayMs, Executor eventLoop, Consumer<String> log)
             throws IOException {
-        JournalWriter orders = new JournalWriter(opener, opener.open(null), sync, syncMs, loop, log);
-        orders.writer.start();
-        return orders;
+        JournalWriter journalWriter = new JournalWriter(opener, opener.open(null), sync, syncDelayMs, eventLoop, log);
+        journalWriter.writerThread.start();
+        return journalWriter;
     }
 
     /**
-     * Asks for an entry to be made durable, as the policy has it.
+     * Requests that an entry becomes durable, as the sync policy defines it.
      *
-     * @param entry made on the writer's thread
-     * @param told true once it is durable, false if it is not going to be; on the loop, never from inside
+     * @param entry creates the entry, on the writer's thread
+     * @param callback is called with true once the entry is durable, or false if the commit was rejected or
+     *     failed; runs on the event loop's executor
      */
-    void commit(Supplier<Entry> entry, Consumer<Boolean> told) {
-        if (closing || queued.get() >= MAX_QUEUED_FOR_COMMIT_COUNT) {
-            refused.incrementAndGet();
-            loop.execute(() -> told.accept(false));
+    void commit(Supplier<Entry> entry, Consumer<Boolean> callback) {
+        if (isClosing || queuedCount.get() >= MAX_QUEUED_FOR_COMMIT_COUNT) {
+            rejectedCommits.incrementAndGet();
+            eventLoop.execute(() -> callback.accept(false));
             return;
         }
-        offer(new Item(entry, told));
+        enqueue(new PendingEntry(entry, callback));
     }
 
-    /** Notes something that has happened; nobody waits for it. False if there is no room: it is lost. */
+    /**
+     * Appends an entry about a past event, for which nobody waits.
+     *
+     * @param entry creates the entry, on the writer's thread
+     * @return false if the queue is full and the entry is lost
+     */
     boolean append(Supplier<Entry> entry) {
-        if (queued.get() >= MAX_QUEUED_COUNT) {
-            lost.incrementAndGet();
+        if (queuedCount.get() >= MAX_QUEUED_COUNT) {
+            lostEntries.incrementAndGet();
             return false;
         }
-        offer(new Item(entry, null));
+        enqueue(new PendingEntry(entry, null));
         return true;
     }
 
-    private void offer(Item item) {
-        queued.incrementAndGet();
-        queue.add(item);
-        LockSupport.unpark(writer);
+    private void enqueue(PendingEntry pending) {
+        queuedCount.incrementAndGet();
+        queue.add(pending);
+        LockSupport.unpark(writerThread);
     }
 
-    /** Somebody would wait no longer: the send is refused, whatever becomes of its record. */
+    /** Counts a commit whose caller timed out: the send is refused even if the entry becomes durable later. */
     void countTimedOut() {
-        refused.incrementAndGet();
+        rejectedCommits.incrementAndGet();
     }
 
-    /** Commits that were turned away, or failed, or came too late. */
+    /** Returns the number of commits that were rejected, failed or timed out. */
     long rejectedCommitCount() {
-        return refused.get();
+        return rejectedCommits.get();
     }
 
-    /** Entries that were never written: what they told will be found unknown. */
+    /** Returns the number of entries that were never written; the outcomes that they recorded are unknown. */
     long lostEntryCount() {
-        return lost.get();
+        return lostEntries.get();
     }
 
     // ---------------------------------------------------------------- the writer's thread
 
     private void run() {
-        List<Item> batch = new ArrayList<>();
+        List<PendingEntry> batch = new ArrayList<>();
         while (true) {
-            boolean last = closing;
-            take(batch);
+            boolean isLastPass = isClosing;
+            drainQueue(batch);
             if (journal == null && mayRetry()) {
                 reopen();
             }
             if (journal == null) {
-                turnAway(batch);
+                rejectAwaited(batch);
             } else if (!batch.isEmpty()) {
                 write(batch);
             }
             syncIfDue();
-            if (last && (batch.isEmpty() || journal == null)) {
+            if (isLastPass && (batch.isEmpty() || journal == null)) {
                 break;
             }
             if (batch.isEmpty() || journal == null) {
-                rest();
+                awaitWork();
             }
         }
-        end(batch);
+        finish(batch);
     }
 
-    /** Adds what has come to what could not be written yet. */
-    private void take(List<Item> batch) {
-        Item item;
-        while (batch.size() < MAX_QUEUED_COUNT && (item = queue.poll()) != null) {
-            batch.add(item);
+    /** Adds the queued entries to those that could not be written yet. */
+    private void drainQueue(List<PendingEntry> batch) {
+        PendingEntry pending;
+        while (batch.size() < MAX_QUEUED_COUNT && (pending = queue.poll()) != null) {
+            batch.add(pending);
         }
     }
 
-    private void write(List<Item> batch) {
+    private void write(List<PendingEntry> batch) {
         try {
             List<Entry> entries = new ArrayList<>(batch.size());
-            batch.forEach(item -> entries.add(item.entry.get()));
+            batch.forEach(pending -> entries.add(pending.entry.get()));
             journal.append(entries);
-            unsyncedNanos = unsynced ? unsyncedNanos : System.nanoTime();
-            unsynced = true;
-            // What has happened goes with the next sync: the next order would else wait for it first.
-            if (sync == SyncPolicy.EACH && batch.stream().anyMatch(item -> item.told != null)) {
+            oldestUnsyncedNanos = hasUnsyncedEntries ? oldestUnsyncedNanos : System.nanoTime();
+            hasUnsyncedEntries = true;
+            // Past events wait for the next sync; a sync of their own would delay the next order.
+            if (sync == SyncPolicy.EACH && batch.stream().anyMatch(pending -> pending.callback != null)) {
                 sync();
             }
         } catch (IOException e) {
-            fail(e);
-            turnAway(batch);
+            handleFailure(e);
+            rejectAwaited(batch);
             return;
         } catch (RuntimeException e) {
-            // A defect met by one entry must not end the writer, nor be met again with the same entry.
-            fail(e);
-            turnAway(batch);
-            lost.addAndGet(batch.size());
-            queued.addAndGet(-batch.size());
+            // A defect in one entry must not end the writer thread, and the entry must not be tried again.
+            handleFailure(e);
+            rejectAwaited(batch);
+            lostEntries.addAndGet(batch.size());
+            queuedCount.addAndGet(-batch.size());
             batch.clear();
             return;
         }
-        tell(batch, true);
-        queued.addAndGet(-batch.size());
+        notifyCallers(batch, true);
+        queuedCount.addAndGet(-batch.size());
         batch.clear();
     }
 
-    /** What nobody waits for. */
+    /** Syncs the entries for which nobody waits once their delay has passed. */
     private void syncIfDue() {
-        if (journal == null || sync == SyncPolicy.NEVER || !unsynced || System.nanoTime() - unsyncedNanos < syncNanos) {
+        if (journal == null
+                || sync == SyncPolicy.NEVER
+                || !hasUnsyncedEntries
+                || System.nanoTime() - oldestUnsyncedNanos < syncDelayNanos) {
             return;
         }
         try {
             sync();
         } catch (IOException e) {
-            fail(e);
+            handleFailure(e);
         }
     }
 
     private void sync() throws IOException {
         journal.sync();
-        unsynced = false;
+        hasUnsyncedEntries = false;
     }
 
-    private void fail(Exception e) {
+    private void handleFailure(Exception e) {
         log.accept("orders: the journal cannot be written: " + e + "; orders are refused until it can");
-        failedNanos = System.nanoTime();
-        failed = journal;
+        lastFailureNanos = System.nanoTime();
+        failedJournal = journal;
         journal = null;
         try {
-            failed.close();
-        } catch (IOException again) {
-            // It failed already, and is not written to again.
+            failedJournal.close();
+        } catch (IOException closeFailure) {
+            // The journal has failed already and is not written to again.
         }
     }
 
     private boolean mayRetry() {
-        return System.nanoTime() - failedNanos >= TimeUnit.MILLISECONDS.toNanos(RETRY_INTERVAL_MS);
+        return System.nanoTime() - lastFailureNanos >= TimeUnit.MILLISECONDS.toNanos(RETRY_INTERVAL_MS);
     }
 
     private void reopen() {
         try {
-            journal = opener.open(failed);
-            failed = null;
-            unsynced = false;
+            journal = opener.open(failedJournal);
+            failedJournal = null;
+            hasUnsyncedEntries = false;
             log.accept("orders: the journal is written again, from "
-                    + SegmentNames.of(journal.header().sequence()) + " on");
+                    + SegmentNames.segmentName(journal.header().sequence()) + " on");
         } catch (IOException e) {
-            failedNanos = System.nanoTime();
+            lastFailureNanos = System.nanoTime();
         }
     }
 
-    /** What somebody waits for is turned away at once; what has happened is kept until it can be written. */
-    private void turnAway(List<Item> batch) {
-        List<Item> awaited = batch.stream().filter(item -> item.told != null).toList();
-        refused.addAndGet(awaited.size());
-        tell(awaited, false);
-        batch.removeIf(item -> item.told != null);
-        queued.addAndGet(-awaited.size());
+    /** Rejects the commits of a batch at once; entries about past events stay until they can be written. */
+    private void rejectAwaited(List<PendingEntry> batch) {
+        List<PendingEntry> awaited =
+                batch.stream().filter(pending -> pending.callback != null).toList();
+        rejectedCommits.addAndGet(awaited.size());
+        notifyCallers(awaited, false);
+        batch.removeIf(pending -> pending.callback != null);
+        queuedCount.addAndGet(-awaited.size());
     }
 
-    private void tell(List<Item> items, boolean durable) {
-        List<Consumer<Boolean>> waiting =
-                items.stream().map(Item::told).filter(told -> told != null).toList();
-        if (!waiting.isEmpty()) {
-            loop.execute(() -> waiting.forEach(told -> told.accept(durable)));
+    private void notifyCallers(List<PendingEntry> entries, boolean durable) {
+        List<Consumer<Boolean>> callbacks = entries.stream()
+                .map(PendingEntry::callback)
+                .filter(callback -> callback != null)
+                .toList();
+        if (!callbacks.isEmpty()) {
+            eventLoop.execute(() -> callbacks.forEach(callback -> callback.accept(durable)));
         }
     }
 
-    private void rest() {
-        if (closing) {
+    private void awaitWork() {
+        if (isClosing) {
             return;
         }
         if (journal == null) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(RETRY_INTERVAL_MS / 10));
-        } else if (sync != SyncPolicy.NEVER && unsynced) {
-            LockSupport.parkNanos(Math.max(1, syncNanos - (System.nanoTime() - unsyncedNanos)));
+        } else if (sync != SyncPolicy.NEVER && hasUnsyncedEntries) {
+            LockSupport.parkNanos(Math.max(1, syncDelayNanos - (System.nanoTime() - oldestUnsyncedNanos)));
         } else if (queue.isEmpty()) {
             LockSupport.park(this);
         }
     }
 
-    private void end(List<Item> batch) {
-        lost.addAndGet(batch.size());
+    private void finish(List<PendingEntry> batch) {
+        lostEntries.addAndGet(batch.size());
         if (journal != null) {
             try {
                 journal.sync();
@@ -291,10 +321,13 @@
         }
     }
 
-    /** Writes what has come, syncs and ends; waits for that. To be called from any thread but the loop's. */
+    /**
+     * Writes the queued entries, syncs, ends the writer thread and waits for its end. Must not be called on the
+     * event loop.
+     */
     void close() throws InterruptedException {
-        closing = true;
-        LockSupport.unpark(writer);
-        writer.join();
+        isClosing = true;
+        LockSupport.unpark(writerThread);
+        writerThread.join();
     }
 }
--- a/src/main/java/kitemux/orders/OpenOrders.java
+++ b/src/main/java/kitemux/orders/OpenOrders.java
@@ -11,70 +11,75 @@
 import kitemux.orders.Entry.Intent;
 import kitemux.orders.Entry.LeftOpen;
 
-/** Which requests of a journal are owed an answer or have attempts out, as its entries go by. */
+/**
+ * Tracks the open requests of a journal as its entries are applied. A request is open until it has an answer
+ * and no attempts are in flight.
+ */
 final class OpenOrders {
-    /** What is still to come of one that is open. */
-    private static final class Open {
-        private int attempts;
-        private boolean answered;
+    /** The state of an open request. */
+    private static final class OpenOrder {
+        private int pendingAttempts;
+        private boolean isAnswered;
     }
 
-    private final TreeMap<Long, Open> open = new TreeMap<>();
-    private long next = 1;
+    private final TreeMap<Long, OpenOrder> open = new TreeMap<>();
+    private long nextNumber = 1;
 
     /**
-     * Heeds an entry. Those of requests that are not open are passed over: spoilt bytes may have hidden any.
+     * Applies an entry. Entries of requests that are not open are ignored: corrupt bytes may have hidden the
+     * entries before them.
      */
-    void add(Entry entry) {
-        next = Math.max(next, entry instanceof Checkpoint ? entry.number() : entry.number() + 1);
+    void apply(Entry entry) {
+        nextNumber = Math.max(nextNumber, entry instanceof Checkpoint ? entry.number() : entry.number() + 1);
         if (entry instanceof Accepted) {
-            open.put(entry.number(), new Open());
-        } else if (entry instanceof Checkpoint point) {
-            // Attempts that were out then count as one: those that it does not tell of end unknown.
-            point.open().forEach(number -> open.putIfAbsent(number, new Open()));
+            open.put(entry.number(), new OpenOrder());
+        } else if (entry instanceof Checkpoint checkpoint) {
+            // A checkpoint does not say how many attempts are in flight, so they are not counted. The outcome of
+            // those without further entries is unknown.
+            checkpoint.open().forEach(number -> open.putIfAbsent(number, new OpenOrder()));
         } else if (entry instanceof LeftOpen) {
             open.remove(entry.number());
         } else {
-            Open of = open.get(entry.number());
-            if (of == null) {
+            OpenOrder order = open.get(entry.number());
+            if (order == null) {
                 return;
             }
             if (entry instanceof Intent) {
-                of.attempts++;
+                order.pendingAttempts++;
             } else if (entry instanceof Ended) {
-                of.attempts = Math.max(0, of.attempts - 1);
+                order.pendingAttempts = Math.max(0, order.pendingAttempts - 1);
             } else if (entry instanceof Answered) {
-                of.answered = true;
+                order.isAnswered = true;
             }
-            if (of.answered && of.attempts == 0) {
+            if (order.isAnswered && order.pendingAttempts == 0) {
                 open.remove(entry.number());
             }
         }
     }
 
-    /** The number that the next request taken has. */
-    long next() {
-        return next;
+    /** Returns the number of the next request to be accepted. */
+    long nextNumber() {
+        return nextNumber;
     }
 
-    /** The numbers of those that are open, in their order. */
+    /** Returns the numbers of the open requests, in ascending order. */
     Collection<Long> numbers() {
         return List.copyOf(open.keySet());
     }
 
-    /** The oldest that is open, or the next number: what was before it is over. */
-    long oldest() {
-        return open.isEmpty() ? next : open.firstKey();
+    /** Returns the number of the oldest open request, or the next number; all requests below it are closed. */
+    long oldestNumber() {
+        return open.isEmpty() ? nextNumber : open.firstKey();
     }
 
-    /** What a new segment begins with. */
+    /** Returns the checkpoint with which a new segment begins. */
     List<Entry> checkpoint(long atUs) {
         List<Long> numbers = new ArrayList<>(open.keySet());
         List<Entry> parts = new ArrayList<>();
         int from = 0;
         do {
             int to = Math.min(numbers.size(), from + Checkpoint.MAX_OPEN_COUNT);
-            parts.add(new Checkpoint(next, atUs, numbers.subList(from, to), to == numbers.size()));
+            parts.add(new Checkpoint(nextNumber, atUs, numbers.subList(from, to), to == numbers.size()));
             from = to;
         } while (from < numbers.size());
         return parts;
--- a/src/main/java/kitemux/orders/OrderHistory.java
+++ b/src/main/java/kitemux/orders/OrderHistory.java
@@ -10,30 +10,35 @@
 import kitemux.orders.Entry.LeftOpen;
 import kitemux.orders.Entry.Result;
 
-/** What a journal knows of one request, and what may be said of it honestly. */
+/** The journal's entries on one order, and the state of the order that follows from them. */
 public final class OrderHistory {
-    /** What can be said of a request. */
+    /** The state of an order, as far as the journal tells. */
     public enum State {
-        /** Nothing was ever written to a server. */
+        /** The order was never written to a server. */
         NEVER_SENT,
-        /** Refused: no server ran it. */
+        /** The order was refused; no server ran it. */
         REFUSED,
         /** A server answered. */
         ANSWERED,
-        /** It was sent, and what became of it is not known. */
+        /** The order was sent, and its outcome is not known. */
         UNKNOWN,
-        /** The node still has it. */
+        /** The node is still processing the order. */
         UNDER_WAY
     }
 
-    /** One attempt: what was meant, and how it ended, or null. */
+    /**
+     * An attempt.
+     *
+     * @param intent the entry that was written before the attempt was sent
+     * @param ended the entry on the attempt's end, or null if there is none
+     */
     public record Attempt(Intent intent, Ended ended) {
-        /** Whether a server may have run it. */
+        /** Returns whether a server may have run the request. */
         boolean mayHaveRun() {
             return ended == null || ended.mayHaveRun();
         }
 
-        /** Whether the server said what became of it. */
+        /** Returns whether the server answered, with success or an error. */
         boolean isAnswered() {
             return ended != null && (ended.result() == Result.OK || ended.result() == Result.ERROR);
         }
@@ -44,73 +49,76 @@
     private Answered answered;
     private LeftOpen leftOpen;
 
-    /** Begins with its being taken. */
-    public OrderHistory(Accepted taken) {
-        this.accepted = taken;
+    /** Creates the history of an order that was accepted. */
+    public OrderHistory(Accepted accepted) {
+        this.accepted = accepted;
     }
 
-    /** Goes on with an entry of the same number; one that fits nothing is passed over. */
+    /** Adds an entry with the same number. Entries that do not fit the history are ignored. */
     public void add(Entry entry) {
         if (entry instanceof Intent intent) {
             attempts.add(new Attempt(intent, null));
         } else if (entry instanceof Ended ended) {
             attempts.replaceAll(
                     a -> a.ended == null && a.intent.attempt() == ended.attempt() ? new Attempt(a.intent, ended) : a);
-        } else if (entry instanceof Answered said && answered == null) {
-            answered = said;
-        } else if (entry instanceof LeftOpen left) {
-            leftOpen = left;
+        } else if (entry instanceof Answered answer && answered == null) {
+            answered = answer;
+        } else if (entry instanceof LeftOpen marker) {
+            leftOpen = marker;
         }
     }
 
-    /** Whether nothing more will be said of it. */
+    /** Returns whether no further entries can follow. */
     public boolean isComplete() {
         return leftOpen != null || answered != null && attempts.stream().allMatch(a -> a.ended != null);
     }
 
-    /** How it was taken. */
+    /** Returns the entry with which the order was accepted. */
     public Accepted accepted() {
         return accepted;
     }
 
-    /** Its attempts in their order. */
+    /** Returns the attempts in the order in which they were sent. */
     public List<Attempt> attempts() {
         return List.copyOf(attempts);
     }
 
-    /** What the client was told, or null. */
+    /** Returns the entry on the client's answer, or null if there is none. */
     public Answered answered() {
         return answered;
     }
 
-    /** The attempt that tells most: one that a server answered, else one that may have run; else null. */
+    /**
+     * Returns the attempt that determines the state: a served one if there is any, else the last one that a
+     * server answered with an error, else the first that may have run, else null.
+     */
     public Attempt decisiveAttempt() {
-        Attempt found = null;
+        Attempt best = null;
         for (Attempt attempt : attempts) {
             if (attempt.isAnswered() && attempt.ended.result() == Result.OK) {
                 return attempt;
             }
-            if (attempt.isAnswered() || found == null && attempt.mayHaveRun()) {
-                found = attempt;
+            if (attempt.isAnswered() || best == null && attempt.mayHaveRun()) {
+                best = attempt;
             }
         }
-        return found;
+        return best;
     }
 
     /**
-     * What can be said of it.
+     * Returns the state of the order.
      *
-     * @param live whether the node that took it is still at work
+     * @param isLive whether the node that writes the journal is running
      */
-    public State state(boolean live) {
-        Attempt telling = decisiveAttempt();
-        if (telling != null && telling.isAnswered()) {
+    public State state(boolean isLive) {
+        Attempt decisive = decisiveAttempt();
+        if (decisive != null && decisive.isAnswered()) {
             return State.ANSWERED;
         }
-        if (live && !isComplete() && answered == null) {
+        if (isLive && !isComplete() && answered == null) {
             return State.UNDER_WAY;
         }
-        if (telling != null) {
+        if (decisive != null) {
             return State.UNKNOWN;
         }
         return answered != null && answered.answer() == Answer.REFUSED ? State.REFUSED : State.NEVER_SENT;
--- a/src/main/java/kitemux/orders/OrderHistoryText.java
+++ b/src/main/java/kitemux/orders/OrderHistoryText.java
@@ -12,9 +12,9 @@
 import kitemux.orders.Entry.Result;
 import kitemux.orders.OrderHistory.Attempt;
 
-/** Stories as the desk reads them: a sentence, a line of JSON or a line of CSV. */
+/** Formats order histories for support staff and tools: as a sentence, a line of JSON or a line of CSV. */
 public final class OrderHistoryText {
-    /** The first line of an export as CSV. */
+    /** The header line of a CSV export. */
     public static final String CSV_HEADER =
             "order,class,tenant,key,taken,state,server,endpoint,sent,result,ended,answer,answered," + "body_sha256";
 
@@ -22,140 +22,163 @@
 
     private OrderHistoryText() {}
 
-    /** A sentence. */
-    public static String toSentence(OrderHistory story, boolean live) {
-        Accepted taken = story.accepted();
-        StringBuilder text =
-                new StringBuilder("order ").append(taken.orderId()).append(" (").append(taken.requestClass());
-        if (!taken.tenant().isEmpty()) {
-            text.append(", ").append(taken.tenant());
+    /**
+     * Formats a history as a sentence in English.
+     *
+     * @param isLive whether the node that writes the journal is running
+     */
+    public static String toSentence(OrderHistory history, boolean isLive) {
+        Accepted accepted = history.accepted();
+        StringBuilder text = new StringBuilder("order ")
+                .append(accepted.orderId())
+                .append(" (")
+                .append(accepted.requestClass());
+        if (!accepted.tenant().isEmpty()) {
+            text.append(", ").append(accepted.tenant());
         }
-        if (!taken.key().isEmpty()) {
-            text.append(", ").append(taken.key());
+        if (!accepted.key().isEmpty()) {
+            text.append(", ").append(accepted.key());
         }
-        text.append("), taken ").append(time(taken.atUs())).append(": ").append(fate(story, live));
-        if (story.answered() != null) {
+        text.append("), taken ")
+                .append(formatTime(accepted.atUs()))
+                .append(": ")
+                .append(describeState(history, isLive));
+        if (history.answered() != null) {
             text.append("; the client ")
                     .append(
-                            switch (story.answered().answer()) {
+                            switch (history.answered().answer()) {
                                 case SERVED -> "was served";
                                 case REFUSED -> "was told to try again";
                                 case FAILED, BROKEN -> "was told that it failed";
                                 case LEFT -> "had left";
                             })
                     .append(" at ")
-                    .append(time(story.answered().atUs()));
+                    .append(formatTime(history.answered().atUs()));
         }
         return text.toString();
     }
 
-    private static String fate(OrderHistory story, boolean live) {
-        Attempt attempt = story.decisiveAttempt();
-        return switch (story.state(live)) {
+    private static String describeState(OrderHistory history, boolean isLive) {
+        Attempt attempt = history.decisiveAttempt();
+        return switch (history.state(isLive)) {
             case NEVER_SENT -> "never sent";
             case REFUSED -> "refused, no server ran it";
-            case UNDER_WAY -> attempt == null ? "under way, not sent yet" : "under way, " + sent(attempt);
-            case UNKNOWN -> sent(attempt) + ", answer unknown";
+            case UNDER_WAY -> attempt == null ? "under way, not sent yet" : "under way, " + describeSend(attempt);
+            case UNKNOWN -> describeSend(attempt) + ", answer unknown";
             case ANSWERED ->
-                sent(attempt) + ", answered " + status(attempt) + " at "
-                        + time(attempt.ended().atUs());
+                describeSend(attempt) + ", answered " + describeResult(attempt) + " at "
+                        + formatTime(attempt.ended().atUs());
         };
     }
 
-    private static String sent(Attempt attempt) {
+    private static String describeSend(Attempt attempt) {
         return "sent to " + attempt.intent().server()
                 + (attempt.intent().endpoint().isEmpty()
                         ? ""
                         : " (" + attempt.intent().endpoint() + ")")
-                + " at " + time(attempt.intent().atUs());
+                + " at " + formatTime(attempt.intent().atUs());
     }
 
-    private static String status(Attempt attempt) {
+    private static String describeResult(Attempt attempt) {
         return attempt.ended().result() == Result.OK ? "200" : "with an error";
     }
 
-    static String time(long us) {
+    static String formatTime(long us) {
         return Instant.EPOCH.plus(us, ChronoUnit.MICROS).toString();
     }
 
-    /** One line of JSON. */
-    public static String toJson(OrderHistory story, boolean live) {
-        return toJson(story, live, DuplicateMatch.NONE);
+    /**
+     * Formats a history as one line of JSON.
+     *
+     * @param isLive whether the node that writes the journal is running
+     */
+    public static String toJson(OrderHistory history, boolean isLive) {
+        return toJson(history, isLive, DuplicateMatch.NONE);
     }
 
-    /** One line of JSON, of an order that is kin to one that was asked for. */
-    public static String toJson(OrderHistory story, boolean live, DuplicateMatch kin) {
+    /**
+     * Formats a history as one line of JSON, with the field "kin" if the order may be a duplicate of another one.
+     *
+     * @param isLive whether the node that writes the journal is running
+     * @param match how the order matches the one that was looked up
+     */
+    public static String toJson(OrderHistory history, boolean isLive, DuplicateMatch match) {
         StringWriter line = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(line)) {
-            Accepted taken = story.accepted();
+            Accepted accepted = history.accepted();
             out.writeStartObject();
-            if (kin != DuplicateMatch.NONE) {
-                out.writeStringField("kin", kin.name().toLowerCase(Locale.ROOT));
+            if (match != DuplicateMatch.NONE) {
+                out.writeStringField("kin", match.name().toLowerCase(Locale.ROOT));
             }
-            out.writeStringField("order", taken.orderId());
-            out.writeStringField("class", taken.requestClass());
-            out.writeStringField("tenant", taken.tenant());
-            out.writeStringField("key", taken.key());
-            out.writeStringField("idempotencyKey", taken.idempotencyKey());
-            out.writeStringField("taken", time(taken.atUs()));
-            out.writeStringField("state", story.state(live).name().toLowerCase(Locale.ROOT));
+            out.writeStringField("order", accepted.orderId());
+            out.writeStringField("class", accepted.requestClass());
+            out.writeStringField("tenant", accepted.tenant());
+            out.writeStringField("key", accepted.key());
+            out.writeStringField("idempotencyKey", accepted.idempotencyKey());
+            out.writeStringField("taken", formatTime(accepted.atUs()));
+            out.writeStringField("state", history.state(isLive).name().toLowerCase(Locale.ROOT));
             out.writeArrayFieldStart("attempts");
-            for (Attempt attempt : story.attempts()) {
+            for (Attempt attempt : history.attempts()) {
                 out.writeStartObject();
                 out.writeStringField("server", attempt.intent().server());
                 out.writeStringField("endpoint", attempt.intent().endpoint());
-                out.writeStringField("sent", time(attempt.intent().atUs()));
+                out.writeStringField("sent", formatTime(attempt.intent().atUs()));
                 if (attempt.ended() != null) {
                     out.writeStringField(
                             "result", attempt.ended().result().name().toLowerCase(Locale.ROOT));
                     out.writeBooleanField("mayHaveRun", attempt.ended().mayHaveRun());
-                    out.writeStringField("ended", time(attempt.ended().atUs()));
+                    out.writeStringField("ended", formatTime(attempt.ended().atUs()));
                 }
                 out.writeEndObject();
             }
             out.writeEndArray();
-            if (story.answered() != null) {
-                out.writeStringField("answer", story.answered().answer().name().toLowerCase(Locale.ROOT));
-                out.writeStringField("answered", time(story.answered().atUs()));
+            if (history.answered() != null) {
+                out.writeStringField(
+                        "answer", history.answered().answer().name().toLowerCase(Locale.ROOT));
+                out.writeStringField("answered", formatTime(history.answered().atUs()));
             }
-            out.writeNumberField("bodyBytes", taken.bodyBytes());
-            out.writeStringField("bodySha256", taken.digest().toString());
+            out.writeNumberField("bodyBytes", accepted.bodyBytes());
+            out.writeStringField("bodySha256", accepted.digest().toString());
             out.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("memory cannot be written", e);
+            throw new UncheckedIOException("the history could not be formatted in memory", e);
         }
         return line.toString();
     }
 
     /**
-     * One line of CSV (RFC 4180), as {@link #CSV_HEADER} names the columns; of attempts the one that tells
-     * most.
+     * Formats a history as one line of CSV (RFC 4180) with the columns of {@link #CSV_HEADER}. The columns on
+     * an attempt are those of {@link OrderHistory#decisiveAttempt}.
+     *
+     * @param isLive whether the node that writes the journal is running
      */
-    public static String toCsv(OrderHistory story, boolean live) {
-        Accepted taken = story.accepted();
-        Attempt attempt = story.decisiveAttempt();
-        boolean over = attempt != null && attempt.ended() != null;
+    public static String toCsv(OrderHistory history, boolean isLive) {
+        Accepted accepted = history.accepted();
+        Attempt attempt = history.decisiveAttempt();
+        boolean isEnded = attempt != null && attempt.ended() != null;
         return String.join(
                 ",",
-                cell(taken.orderId()),
-                cell(taken.requestClass()),
-                cell(taken.tenant()),
-                cell(taken.key()),
-                time(taken.atUs()),
-                story.state(live).name().toLowerCase(Locale.ROOT),
-                attempt == null ? "" : cell(attempt.intent().server()),
-                attempt == null ? "" : cell(attempt.intent().endpoint()),
-                attempt == null ? "" : time(attempt.intent().atUs()),
-                over ? attempt.ended().result().name().toLowerCase(Locale.ROOT) : "",
-                over ? time(attempt.ended().atUs()) : "",
-                story.answered() == null ? "" : story.answered().answer().name().toLowerCase(Locale.ROOT),
-                story.answered() == null ? "" : time(story.answered().atUs()),
-                taken.digest().toString());
+                csvCell(accepted.orderId()),
+                csvCell(accepted.requestClass()),
+                csvCell(accepted.tenant()),
+                csvCell(accepted.key()),
+                formatTime(accepted.atUs()),
+                history.state(isLive).name().toLowerCase(Locale.ROOT),
+                attempt == null ? "" : csvCell(attempt.intent().server()),
+                attempt == null ? "" : csvCell(attempt.intent().endpoint()),
+                attempt == null ? "" : formatTime(attempt.intent().atUs()),
+                isEnded ? attempt.ended().result().name().toLowerCase(Locale.ROOT) : "",
+                isEnded ? formatTime(attempt.ended().atUs()) : "",
+                history.answered() == null
+                        ? ""
+                        : history.answered().answer().name().toLowerCase(Locale.ROOT),
+                history.answered() == null ? "" : formatTime(history.answered().atUs()),
+                accepted.digest().toString());
     }
 
-    private static String cell(String text) {
-        // What a client chose must not become a formula where the desk opens the file in a spreadsheet.
-        String safe = !text.isEmpty() && "=+-@\t\r".indexOf(text.charAt(0)) >= 0 ? "'" + text : text;
-        return safe.matches("(?s).*[\",\r\n].*") ? '"' + safe.replace("\"", "\"\"") + '"' : safe;
+    private static String csvCell(String text) {
+        // Prevents CSV injection: a spreadsheet must not evaluate a text that a client sent as a formula.
+        String escaped = !text.isEmpty() && "=+-@\t\r".indexOf(text.charAt(0)) >= 0 ? "'" + text : text;
+        return escaped.matches("(?s).*[\",\r\n].*") ? '"' + escaped.replace("\"", "\"\"") + '"' : escaped;
     }
 }
--- a/src/main/java/kitemux/orders/OrderJournal.java
+++ b/src/main/java/kitemux/orders/OrderJournal.java
@@ -12,39 +12,40 @@
 import kitemux.engine.Asked;
 import kitemux.engine.Time;
 
-/** A node's journal, open: its folder's lock, its writer and its keeper. */
+/** The open order journal of a node: owns the lock on its folder, its writer and its recorder. */
 public final class OrderJournal {
     private static final long HOUR_US = 3_600_000_000L;
 
     private final FolderDisk disk;
-    private final JournalWriter log;
-    private final long next;
-    private final Consumer<String> say;
+    private final JournalWriter writer;
+    private final long nextNumber;
+    private final Consumer<String> operatorLog;
 
-    private OrderJournal(FolderDisk disk, JournalWriter log, long next, Consumer<String> say) {
-        this.say = say;
+    private OrderJournal(FolderDisk disk, JournalWriter writer, long nextNumber, Consumer<String> operatorLog) {
+        this.operatorLog = operatorLog;
         this.disk = disk;
-        this.log = log;
-        this.next = next;
+        this.writer = writer;
+        this.nextNumber = nextNumber;
     }
 
     /**
      * Locks and recovers a journal, and starts its writer.
      *
-     * @param loop runs what the writer tells
-     * @param say lines for the operators, from any thread
-     * @throws IOException if it cannot be opened, also as another node holds it; the message says why
+     * @param eventLoop runs the writer's callbacks
+     * @param operatorLog receives lines for the operators, from any thread
+     * @throws IOException if the journal cannot be opened, for example since another node holds its lock; the
+     *     message says why
      */
-    public static OrderJournal open(OrderSettings settings, Time time, Executor loop, Consumer<String> say)
+    public static OrderJournal open(OrderSettings settings, Time time, Executor eventLoop, Consumer<String> operatorLog)
             throws IOException {
         FolderDisk disk = FolderDisk.toWrite(settings.folder());
         try {
             SecureRandom random = new SecureRandom();
-            long[] next = new long[1];
-            JournalWriter log = JournalWriter.start(
-                    failed -> {
-                        if (failed != null) {
-                            return Journal.goOn(failed);
+            long[] nextNumber = new long[1];
+            JournalWriter writer = JournalWriter.start(
+                    failedJournal -> {
+                        if (failedJournal != null) {
+                            return Journal.reopen(failedJournal);
                         }
                         Journal journal = Journal.open(
                                 disk,
@@ -55,37 +56,47 @@
                                         settings.maxTotalBytes()),
                                 time::nowUs,
                                 random::nextLong,
-                                say);
-                        next[0] = journal.next();
+                                operatorLog);
+                        nextNumber[0] = journal.nextNumber();
                         return journal;
                     },
                     settings.sync(),
                     settings.syncDelayMs(),
-                    loop,
-                    say);
-            return new OrderJournal(disk, log, next[0], say);
+                    eventLoop,
+                    operatorLog);
+            return new OrderJournal(disk, writer, nextNumber[0], operatorLog);
         } catch (IOException e) {
             disk.close();
             throw e;
         }
     }
 
-    /** What an engine is to be given; once. */
-    public <Q extends Asked> OrderRecorder<Q> recorder(OrderSettings how, Settings settings, Time time) {
-        return new OrderRecorder<>(settings, time, log, next, how);
+    /** Returns the recorder for an engine. May be called only once, since a recorder numbers the requests. */
+    public <Q extends Asked> OrderRecorder<Q> recorder(OrderSettings orderSettings, Settings settings, Time time) {
+        return new OrderRecorder<>(settings, time, writer, nextNumber, orderSettings);
     }
 
-    /** Writes and syncs what has come, and lets go of the folder. Not to be called on the loop. */
+    /**
+     * Writes and syncs the queued entries and releases the lock on the folder. Must not be called on the event
+     * loop.
+     *
+     * @throws IOException if the lock cannot be released
+     */
     public void close() throws IOException, InterruptedException {
-        log.close();
+        writer.close();
         disk.close();
-        if (log.rejectedCommitCount() + log.lostEntryCount() > 0) {
-            say.accept("orders: " + log.rejectedCommitCount() + " sends were refused for want of their record, "
-                    + log.lostEntryCount() + " entries were lost");
+        if (writer.rejectedCommitCount() + writer.lostEntryCount() > 0) {
+            operatorLog.accept(
+                    "orders: " + writer.rejectedCommitCount() + " sends were refused for want of their record, "
+                            + writer.lostEntryCount() + " entries were lost");
         }
     }
 
-    /** Reads the journal in a folder; nothing is changed, and a node may be writing to it. */
+    /**
+     * Returns a reader of the journal in a folder, to which a node may be writing.
+     *
+     * @throws IOException if it is not a folder
+     */
     public static JournalReader reader(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new NotDirectoryException(folder.toString());
@@ -93,7 +104,11 @@
         return new JournalReader(FolderDisk.toRead(folder));
     }
 
-    /** Whether a node writes to this folder now. */
+    /**
+     * Returns whether a running node holds the journal in a folder.
+     *
+     * @throws IOException if the folder's lock cannot be examined
+     */
     public static boolean isLive(Path folder) throws IOException {
         return FolderDisk.isWrittenTo(folder);
     }
--- a/src/main/java/kitemux/orders/OrderRecorder.java
+++ b/src/main/java/kitemux/orders/OrderRecorder.java
@@ -20,58 +20,58 @@
 import kitemux.orders.Entry.Intent;
 
 /**
- * Keeps the journal of what an engine does with requests of the classes that must never run twice, and of
- * others that it is told to keep: it hears of all, and holds each send back until the journal has it. On the
- * engine's loop.
+ * Records in the journal what an engine does with requests of the classes that must never run twice, and of
+ * the further classes that the settings name. As the engine's send gate it delays each attempt until the
+ * journal has its intent. It runs on the engine's event loop.
  *
- * @param <Q> requests of the protocol
+ * @param <Q> the protocol's request type
  */
 public final class OrderRecorder<Q extends Asked> implements Observer, SendGate<Q> {
     /**
-     * Bytes of bodies that wait for the writer to digest them, but for one that waits alone. A request may be
-     * over long before a disk that is late has its entry, and its body would fill the memory meanwhile. Harm:
-     * beyond it the loop stands still for a digest, some 2 ms for each MiB.
+     * Bodies that wait for the writer to compute their digests; a single body may be larger. On a slow disk a
+     * request may finish long before its entry is written, and its body would stay in memory until then. Beyond
+     * this limit the event loop computes the digest itself, which blocks it for some 2 ms per MiB.
      */
     static final long MAX_PENDING_BODY_BYTES = 8 << 20;
 
     private final Settings settings;
     private final Time time;
-    private final JournalWriter orders;
-    private final OrderSettings how;
-    private final Map<Long, Long> numbers = new HashMap<>();
-    /** Also changed by the writer. */
-    private final AtomicLong waiting = new AtomicLong();
+    private final JournalWriter journal;
+    private final OrderSettings orderSettings;
+    private final Map<Long, Long> journalNumbers = new HashMap<>();
+    /** Bytes of bodies that wait for their digest; the writer's thread changes it as well. */
+    private final AtomicLong pendingBytes = new AtomicLong();
 
-    private long next;
+    private long nextNumber;
 
     /**
-     * A keeper that has heard of nothing.
+     * Creates a recorder.
      *
-     * @param next the number for the first request that is taken
-     * @param how which classes are kept, and how long a send waits for its record
+     * @param nextNumber the number for the first request that is accepted
+     * @param orderSettings the classes that are recorded, and how long a send waits for its entry
      */
-    OrderRecorder(Settings settings, Time time, JournalWriter orders, long next, OrderSettings how) {
+    OrderRecorder(Settings settings, Time time, JournalWriter journal, long nextNumber, OrderSettings orderSettings) {
         this.settings = settings;
         this.time = time;
-        this.orders = orders;
-        this.next = next;
-        this.how = how;
+        this.journal = journal;
+        this.nextNumber = nextNumber;
+        this.orderSettings = orderSettings;
     }
 
-    private boolean isKept(int classIndex) {
-        RequestClass of = settings.classes.get(classIndex);
-        return of.repeat() == Repeat.UNSAFE || how.classes().contains(of.name());
+    private boolean isRecorded(int classIndex) {
+        RequestClass requestClass = settings.classes.get(classIndex);
+        return requestClass.repeat() == Repeat.UNSAFE || orderSettings.classes().contains(requestClass.name());
     }
 
     @Override
     public void taken(long id, Asked request) {
-        if (!isKept(request.classIndex())) {
+        if (!isRecorded(request.classIndex())) {
             return;
         }
-        long number = next++;
-        numbers.put(id, number);
+        long number = nextNumber++;
+        journalNumbers.put(id, number);
         long now = time.nowUs();
-        RequestClass of = settings.classes.get(request.classIndex());
+        RequestClass requestClass = settings.classes.get(request.classIndex());
         String tenant = request.tenant() < 0
                 ? ""
                 : settings.tenants.get(request.tenant()).name();
@@ -80,45 +80,49 @@
         String txn = request.txn();
         List<byte[]> body = request.body();
         int length = body.stream().mapToInt(part -> part.length).sum();
-        long before = waiting.get();
-        if (before > 0 && before + length > MAX_PENDING_BODY_BYTES) {
+        long pendingBefore = pendingBytes.get();
+        if (pendingBefore > 0 && pendingBefore + length > MAX_PENDING_BODY_BYTES) {
             Digest digest = Digest.of(body);
-            orders.append(() -> new Accepted(number, now, txn, of.name(), tenant, key, idempotencyKey, length, digest));
+            journal.append(() ->
+                    new Accepted(number, now, txn, requestClass.name(), tenant, key, idempotencyKey, length, digest));
             return;
         }
-        // The digest is the writer's work: of a long body it would hold the loop up.
-        waiting.addAndGet(length);
-        LateDigest digest = new LateDigest(body, () -> waiting.addAndGet(-length));
-        if (!orders.append(
-                () -> new Accepted(number, now, txn, of.name(), tenant, key, idempotencyKey, length, digest.get()))) {
-            waiting.addAndGet(-length);
+        // The writer's thread computes the digest, since that of a long body would block the event loop.
+        pendingBytes.addAndGet(length);
+        LazyDigest digest = new LazyDigest(body, () -> pendingBytes.addAndGet(-length));
+        if (!journal.append(() -> new Accepted(
+                number, now, txn, requestClass.name(), tenant, key, idempotencyKey, length, digest.get()))) {
+            pendingBytes.addAndGet(-length);
         }
     }
 
-    /** Made when it is first asked for, by the writer alone, which asks again where a write has failed. */
-    private static final class LateDigest {
-        private final Runnable whenMade;
+    /**
+     * A digest that is computed on first use. Only the writer's thread uses it; it does so again after a failed
+     * write.
+     */
+    private static final class LazyDigest {
+        private final Runnable onComputed;
         private List<byte[]> body;
         private Digest digest;
 
-        LateDigest(List<byte[]> body, Runnable whenMade) {
+        LazyDigest(List<byte[]> body, Runnable onComputed) {
             this.body = body;
-            this.whenMade = whenMade;
+            this.onComputed = onComputed;
         }
 
         Digest get() {
             if (digest == null) {
                 digest = Digest.of(body);
                 body = null;
-                whenMade.run();
+                onComputed.run();
             }
             return digest;
         }
     }
 
-    /** Bytes of bodies that wait for the writer. */
+    /** Returns the number of bytes of the bodies that wait for the writer. */
     long pendingBodyBytes() {
-        return waiting.get();
+        return pendingBytes.get();
     }
 
     @Override
@@ -128,27 +132,27 @@
             int attempt,
             String serverId,
             Supplier<String> endpoint,
-            long untilUs,
-            Consumer<Boolean> then) {
-        Long number = numbers.get(id);
+            long deadlineUs,
+            Consumer<Boolean> callback) {
+        Long number = journalNumbers.get(id);
         if (number == null) {
-            then.accept(true);
+            callback.accept(true);
             return;
         }
-        Intent intent = new Intent(number, time.nowUs(), attempt, serverId, endpoint.get(), untilUs);
-        boolean[] told = {false};
-        Time.Timer patience = time.after(how.commitTimeoutMs() * 1_000, () -> {
-            if (!told[0]) {
-                told[0] = true;
-                orders.countTimedOut();
-                then.accept(false);
+        Intent intent = new Intent(number, time.nowUs(), attempt, serverId, endpoint.get(), deadlineUs);
+        boolean[] decided = {false};
+        Time.Timer timeout = time.after(orderSettings.commitTimeoutMs() * 1_000, () -> {
+            if (!decided[0]) {
+                decided[0] = true;
+                journal.countTimedOut();
+                callback.accept(false);
             }
         });
-        orders.commit(() -> intent, durable -> {
-            if (!told[0]) {
-                told[0] = true;
-                patience.cancel();
-                then.accept(durable);
+        journal.commit(() -> intent, durable -> {
+            if (!decided[0]) {
+                decided[0] = true;
+                timeout.cancel();
+                callback.accept(durable);
             }
         });
     }
@@ -160,24 +164,25 @@
 
     @Override
     public void ended(long id, int attempt, Balancer.Result result) {
-        Long number = numbers.get(id);
+        Long number = journalNumbers.get(id);
         if (number != null) {
             long now = time.nowUs();
-            orders.append(() -> new Ended(number, now, attempt, Entry.Result.valueOf(result.name()), !result.neverRan));
+            journal.append(
+                    () -> new Ended(number, now, attempt, Entry.Result.valueOf(result.name()), !result.neverRan));
         }
     }
 
     @Override
     public void answered(long id, Answer answer) {
-        Long number = numbers.get(id);
+        Long number = journalNumbers.get(id);
         if (number != null) {
             long now = time.nowUs();
-            orders.append(() -> new Answered(number, now, Entry.Answer.valueOf(answer.name())));
+            journal.append(() -> new Answered(number, now, Entry.Answer.valueOf(answer.name())));
         }
     }
 
     @Override
     public void forgotten(long id) {
-        numbers.remove(id);
+        journalNumbers.remove(id);
     }
 }
--- a/src/main/java/kitemux/orders/OrderSettings.java
+++ b/src/main/java/kitemux/orders/OrderSettings.java
@@ -10,17 +10,18 @@
 import kitemux.config.Json;
 
 /**
- * How a journal is kept.
+ * Settings of the order journal.
  *
- * @param folder where; made where it is not there
- * @param sync what a commit promises
- * @param syncDelayMs what nobody waits for is synced so long after it was written, unless it is never synced
- * @param commitTimeoutMs a send waits for its record no longer than this
- * @param segmentBytes after so many a segment is ended
- * @param segmentHours or when it was begun so long ago
- * @param retentionDays segments that ended so many days ago are taken away; 0 keeps them however old
- * @param maxTotalBytes the oldest are taken away while all together have more; 0 keeps them however many
- * @param classes of requests that are kept besides those that must never run twice
+ * @param folder the journal's folder; created if it does not exist
+ * @param sync when entries are synced to the disk
+ * @param syncDelayMs how long after they were written entries are synced for which nobody waits, unless they
+ *     are never synced
+ * @param commitTimeoutMs how long a send waits for its entry to become durable before it is refused
+ * @param segmentBytes the size at which a segment ends
+ * @param segmentHours the age at which a segment ends
+ * @param retentionDays how many days after its end a segment is deleted; 0 disables deletion by age
+ * @param maxTotalBytes the size of all segments above which the oldest are deleted; 0 disables deletion by size
+ * @param classes the request classes that are recorded besides those that must never run twice
  */
 public record OrderSettings(
         Path folder,
@@ -34,66 +35,74 @@
         Set<String> classes) {
     private static final Set<String> FIELDS = Set.of(
             "folder", "sync", "syncMs", "lateMs", "segmentKiB", "segmentHours", "keepDays", "keepMiB", "classes");
-    private static final long MOST_DAYS = 36_500;
-    private static final long MOST_KEPT_MIB = 1 << 20;
-    private static final long MOST_MS = 60_000;
-    /**
-     * Smaller ones are all beginnings, and larger ones more than a node's memory has room to recover from.
-     */
-    private static final long LEAST_KIB = 64;
+    private static final long MAX_AGE_DAYS = 36_500;
+    private static final long MAX_TOTAL_MIB = 1 << 20;
+    private static final long MAX_DELAY_MS = 60_000;
+    /** Smallest segment; a smaller one would mostly hold its header and checkpoint. */
+    private static final long MIN_SEGMENT_KIB = 64;
 
-    private static final long MOST_KIB = 8 << 10;
+    /** Largest segment; recovery reads a whole segment into the memory of a node. */
+    private static final long MAX_SEGMENT_KIB = 8 << 10;
 
     /**
-     * Reads them, or null where there are none: no journal is kept then.
+     * Reads the settings.
      *
-     * @param known the classes that there are
-     * @param faults one line is added for each that is found
+     * @param knownClasses the request classes that are defined
+     * @param faults receives one line for each fault
+     * @return the settings, or null if there are faults or the section is missing; no journal is written then
      */
-    public static OrderSettings read(Json json, List<RequestClass> known, List<String> faults) {
+    public static OrderSettings read(Json json, List<RequestClass> knownClasses, List<String> faults) {
         if (json.isMissing()) {
             return null;
         }
-        int before = faults.size();
+        int faultsBefore = faults.size();
         FileSection section = new FileSection(json, "orders", faults);
         section.onlyKnown(FIELDS);
         Path folder = section.folder();
         JournalWriter.SyncPolicy sync = sync(json.path("sync"), faults);
-        long syncMs = section.within("syncMs", 20, 1, MOST_MS);
-        long lateMs = section.within("lateMs", 100, 1, MOST_MS);
-        long segment = section.within("segmentKiB", 4 << 10, LEAST_KIB, MOST_KIB);
-        long hours = section.within("segmentHours", 24, 1, 24 * MOST_DAYS);
-        long keepDays = section.within("keepDays", 0, 0, MOST_DAYS);
-        long keepMiB = section.within("keepMiB", 0, 0, MOST_KEPT_MIB);
-        Set<String> classes = classes(json.path("classes"), known, faults);
-        return faults.size() > before
+        long syncDelayMs = section.within("syncMs", 20, 1, MAX_DELAY_MS);
+        long commitTimeoutMs = section.within("lateMs", 100, 1, MAX_DELAY_MS);
+        long segmentKiB = section.within("segmentKiB", 4 << 10, MIN_SEGMENT_KIB, MAX_SEGMENT_KIB);
+        long segmentHours = section.within("segmentHours", 24, 1, 24 * MAX_AGE_DAYS);
+        long retentionDays = section.within("keepDays", 0, 0, MAX_AGE_DAYS);
+        long maxTotalMiB = section.within("keepMiB", 0, 0, MAX_TOTAL_MIB);
+        Set<String> classes = classes(json.path("classes"), knownClasses, faults);
+        return faults.size() > faultsBefore
                 ? null
                 : new OrderSettings(
-                        folder, sync, syncMs, lateMs, segment << 10, hours, keepDays, keepMiB << 20, classes);
+                        folder,
+                        sync,
+                        syncDelayMs,
+                        commitTimeoutMs,
+                        segmentKiB << 10,
+                        segmentHours,
+                        retentionDays,
+                        maxTotalMiB << 20,
+                        classes);
     }
 
     private static JournalWriter.SyncPolicy sync(Json json, List<String> faults) {
         if (json.isMissing()) {
             return JournalWriter.SyncPolicy.EACH;
         }
-        for (JournalWriter.SyncPolicy each : JournalWriter.SyncPolicy.values()) {
-            if (each.name().toLowerCase(Locale.ROOT).equals(json.text())) {
-                return each;
+        for (JournalWriter.SyncPolicy candidate : JournalWriter.SyncPolicy.values()) {
+            if (candidate.name().toLowerCase(Locale.ROOT).equals(json.text())) {
+                return candidate;
             }
         }
-        faults.add("orders.sync is none of each, timed, never: " + json.text());
+        faults.add("orders.sync must be each, timed or never, but is " + json.text());
         return null;
     }
 
-    private static Set<String> classes(Json json, List<RequestClass> known, List<String> faults) {
+    private static Set<String> classes(Json json, List<RequestClass> knownClasses, List<String> faults) {
         if (!json.isMissing() && !json.isList()) {
-            faults.add("orders.classes is not a list of names");
+            faults.add("orders.classes must be a list of names");
         }
         Set<String> names = new LinkedHashSet<>();
         for (Json name : json) {
             names.add(name.text());
-            if (known.stream().noneMatch(each -> each.name().equals(name.text()))) {
-                faults.add("orders.classes names one that is not there: " + name.text());
+            if (knownClasses.stream().noneMatch(candidate -> candidate.name().equals(name.text()))) {
+                faults.add("orders.classes names an unknown class: " + name.text());
             }
         }
         return names;
--- a/src/main/java/kitemux/orders/SegmentIndex.java
+++ b/src/main/java/kitemux/orders/SegmentIndex.java
@@ -9,15 +9,15 @@
 import kitemux.orders.Entry.Accepted;
 
 /**
- * Which orders an ended segment took, so that whoever asks for one need not read the others. It holds nothing
- * that is not in the segment and can be made from it at any time; one that is unsound counts as none. The
- * form is written down in docs/order-journal.md, section "Index". It does no input or output.
+ * An index of the orders that were accepted in an ended segment, so that a look-up need not read segments
+ * without matching orders. An index can be rebuilt from its segment at any time, and a damaged one counts as
+ * missing. docs/order-journal.md, section "Index", specifies the format. This class does no I/O.
  */
 final class SegmentIndex {
     private static final long MAGIC = 0x4b4d494e4445580aL;
     private static final short VERSION = 1;
-    private static final int HEADER = 32;
-    private static final int SUM = 4;
+    private static final int HEADER_BYTES = 32;
+    private static final int CHECKSUM_BYTES = 4;
 
     private final long sequence;
     private final long segmentBytes;
@@ -29,24 +29,27 @@
         this.hashes = hashes;
     }
 
-    /** What an order can be looked for by. */
-    enum By {
-        /** The client's id. */
+    /** A field by which orders can be looked up. */
+    enum LookupField {
+        /** The client's id for the order. */
         ORDER('o'),
-        /** The last part of the path. */
+        /** The last segment of the request's path. */
         KEY('k'),
-        /** The client's own key for the effect. */
+        /** The client's idempotency key. */
         IDEMPOTENCY('i');
 
-        private final char letter;
+        private final char prefix;
 
-        By(char letter) {
-            this.letter = letter;
+        LookupField(char prefix) {
+            this.prefix = prefix;
         }
 
-        /** FNV-1a in 64 bits of the letter and the text; equal ones only cost a reading. */
+        /**
+         * Returns the 64-bit FNV-1a hash of the prefix and a text. A collision costs only the reading of a
+         * segment.
+         */
         long hash(String text) {
-            long hash = (0xcbf29ce484222325L ^ letter) * 0x100000001b3L;
+            long hash = (0xcbf29ce484222325L ^ prefix) * 0x100000001b3L;
             for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
                 hash = (hash ^ b & 0xff) * 0x100000001b3L;
             }
@@ -54,31 +57,31 @@
         }
     }
 
-    /** Gathers what a segment takes. */
+    /** Collects the orders that are accepted in a segment and encodes its index. */
     static final class Builder {
         private final List<Long> hashes = new ArrayList<>();
 
-        /** Heeds an entry of the segment; only what is taken counts. */
+        /** Adds an entry of the segment; entries other than {@link Accepted} are ignored. */
         void add(Entry entry) {
-            if (entry instanceof Accepted taken) {
-                hashes.add(By.ORDER.hash(taken.orderId()));
-                if (!taken.key().isEmpty()) {
-                    hashes.add(By.KEY.hash(taken.key()));
+            if (entry instanceof Accepted accepted) {
+                hashes.add(LookupField.ORDER.hash(accepted.orderId()));
+                if (!accepted.key().isEmpty()) {
+                    hashes.add(LookupField.KEY.hash(accepted.key()));
                 }
-                if (!taken.idempotencyKey().isEmpty()) {
-                    hashes.add(By.IDEMPOTENCY.hash(taken.idempotencyKey()));
+                if (!accepted.idempotencyKey().isEmpty()) {
+                    hashes.add(LookupField.IDEMPOTENCY.hash(accepted.idempotencyKey()));
                 }
             }
         }
 
-        /** The index of the segment of this number and length. */
+        /** Encodes the index for the segment with this sequence number and length. */
         byte[] bytes(long sequence, long segmentBytes) {
             long[] sorted = hashes.stream()
                     .mapToLong(Long::longValue)
                     .sorted()
                     .distinct()
                     .toArray();
-            ByteBuffer out = ByteBuffer.allocate(HEADER + sorted.length * Long.BYTES + SUM);
+            ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + sorted.length * Long.BYTES + CHECKSUM_BYTES);
             out.putLong(MAGIC)
                     .putShort(VERSION)
                     .putShort((short) 0)
@@ -88,39 +91,42 @@
             for (long hash : sorted) {
                 out.putLong(hash);
             }
-            out.putInt(sum(out.array(), out.position()));
+            out.putInt(checksum(out.array(), out.position()));
             return out.array();
         }
     }
 
-    /** Reads what a builder wrote; null if it is anything else. */
+    /** Decodes an index that a builder encoded; returns null if the bytes are not a valid index. */
     static SegmentIndex read(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        if (bytes.length < HEADER + SUM
+        if (bytes.length < HEADER_BYTES + CHECKSUM_BYTES
                 || in.getLong(0) != MAGIC
                 || in.getShort(8) != VERSION
-                || bytes.length != HEADER + (long) in.getInt(12) * Long.BYTES + SUM
-                || in.getInt(bytes.length - SUM) != sum(bytes, bytes.length - SUM)) {
+                || bytes.length != HEADER_BYTES + (long) in.getInt(12) * Long.BYTES + CHECKSUM_BYTES
+                || in.getInt(bytes.length - CHECKSUM_BYTES) != checksum(bytes, bytes.length - CHECKSUM_BYTES)) {
             return null;
         }
         long[] hashes = new long[in.getInt(12)];
-        in.position(HEADER).slice().asLongBuffer().get(hashes);
+        in.position(HEADER_BYTES).slice().asLongBuffer().get(hashes);
         return new SegmentIndex(in.getLong(16), in.getLong(24), hashes);
     }
 
-    private static int sum(byte[] bytes, int length) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes, 0, length);
-        return (int) sum.getValue();
+    private static int checksum(byte[] bytes, int length) {
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, 0, length);
+        return (int) crc.getValue();
     }
 
-    /** Whether it was made from the segment of this number when that had so many bytes. */
-    boolean isOf(long number, long bytes) {
-        return sequence == number && segmentBytes == bytes;
+    /** Returns whether this index was built from the segment with this sequence number at this length. */
+    boolean matches(long segmentSequence, long bytes) {
+        return sequence == segmentSequence && segmentBytes == bytes;
     }
 
-    /** Whether the segment took an order with one of these hashes; it may say so of one that has not. */
-    boolean mayHold(long[] any) {
-        return Arrays.stream(any).anyMatch(hash -> Arrays.binarySearch(hashes, hash) >= 0);
+    /**
+     * Returns whether the segment may have accepted an order with one of these hashes. False positives are
+     * possible, false negatives are not.
+     */
+    boolean mightContain(long[] candidates) {
+        return Arrays.stream(candidates).anyMatch(hash -> Arrays.binarySearch(hashes, hash) >= 0);
     }
 }
--- a/src/main/java/kitemux/orders/SegmentNames.java
+++ b/src/main/java/kitemux/orders/SegmentNames.java
@@ -5,29 +5,30 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the files of a journal are called. */
+/** File names of a journal's segments and indexes. */
 final class SegmentNames {
-    /** Behind the name of a file that was set aside. */
-    static final String ASIDE = ".aside";
+    /** Suffix that is appended to the name of a file that was set aside. */
+    static final String SET_ASIDE_SUFFIX = ".aside";
 
-    private static final Pattern SEGMENT = Pattern.compile("([0-9]{16})\\.orders");
+    private static final Pattern SEGMENT_PATTERN = Pattern.compile("([0-9]{16})\\.orders");
 
     private SegmentNames() {}
 
-    static String of(long sequence) {
+    /** Returns the file name of the segment with this sequence number. */
+    static String segmentName(long sequence) {
         String digits = Long.toString(sequence);
         return "0".repeat(16 - digits.length()) + digits + ".orders";
     }
 
-    /** The index of a segment. */
-    static String index(long sequence) {
-        return of(sequence).replace(".orders", ".index");
+    /** Returns the file name of the index of the segment with this sequence number. */
+    static String indexName(long sequence) {
+        return segmentName(sequence).replace(".orders", ".index");
     }
 
-    /** The numbers of the segments among these files, in their order. */
+    /** Returns the sequence numbers of the segments among these files, in ascending order. */
     static List<Long> sequences(Collection<String> names) {
         return names.stream()
-                .map(SEGMENT::matcher)
+                .map(SEGMENT_PATTERN::matcher)
                 .filter(Matcher::matches)
                 .map(matcher -> Long.parseLong(matcher.group(1)))
                 .sorted()
--- a/src/test/java/kitemux/load/CaptureTest.java
+++ b/src/test/java/kitemux/load/CaptureTest.java
@@ -106,10 +106,10 @@
                     Observer.Answer.values()[n % Observer.Answer.values().length],
                     n * 13L));
         }
-        CaptureFormat.Head head = new CaptureFormat.Head(7, "n", NOW, List.of("x", "y"), List.of("t", "u"));
-        byte[] frame = CaptureFormat.batch(new CaptureFormat.Batch(numbers.size(), all));
+        CaptureFormat.Header head = new CaptureFormat.Header(7, "n", NOW, List.of("x", "y"), List.of("t", "u"));
+        byte[] frame = CaptureFormat.encodeBatch(new CaptureFormat.Batch(numbers.size(), all));
         CaptureFormat.Batch read =
-                CaptureFormat.readBatch(CaptureFormat.payload(java.nio.ByteBuffer.wrap(frame)), head);
+                CaptureFormat.readBatch(CaptureFormat.readPayload(java.nio.ByteBuffer.wrap(frame)), head);
         assertEquals(new CaptureFormat.Batch(numbers.size(), all), read);
     }
 
@@ -117,7 +117,7 @@
     @Test
     void aFileCutOffAnywhereGivesAllWholeBatchesBeforeThat() throws IOException {
         byte[] head = Files.readAllBytes(written(1));
-        byte[] batch = CaptureFormat.batch(new CaptureFormat.Batch(0, List.of(seen(1), seen(2))));
+        byte[] batch = CaptureFormat.encodeBatch(new CaptureFormat.Batch(0, List.of(seen(1), seen(2))));
         byte[] all = java.util.Arrays.copyOf(head, head.length + batch.length);
         System.arraycopy(batch, 0, all, head.length, batch.length);
         for (int cut = head.length; cut <= all.length; cut++) {
