--- a/src/test/java/kitemux/orders/JournalTest.java
+++ b/src/test/java/kitemux/orders/JournalTest.java
@@ -51,7 +51,9 @@
     private static List<Entry> entries(MemoryDisk disk) throws IOException {
         List<Entry> all = new ArrayList<>();
         for (long sequence : SegmentNames.sequences(disk.list())) {
-            Segment.read(disk.read(SegmentNames.of(sequence))).entries().forEach(p -> all.add(p.entry()));
+            Segment.read(disk.read(SegmentNames.segmentName(sequence)))
+                    .entries()
+                    .forEach(p -> all.add(p.entry()));
         }
         return all;
     }
@@ -68,7 +70,7 @@
         Run run = new Run();
         try (Journal journal = open(disk, mostSegment, 7)) {
             for (int i = 0; i < count; i++) {
-                long number = journal.next();
+                long number = journal.nextNumber();
                 run.begun.add(number);
                 journal.append(
                         List.of(accepted(number, "o" + number), new Intent(number, 6, 0, "s1", "127.0.0.1:1", 900)));
@@ -152,10 +154,10 @@
     void bytesSpoiltInTheMiddleHideNothingBehindThemAndAreNamed() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         orders(disk, 5, 1 << 20);
-        String name = SegmentNames.of(1);
+        String name = SegmentNames.segmentName(1);
         byte[] bytes = disk.read(name);
-        List<Segment.Placed> before = Segment.read(bytes).entries();
-        bytes[before.get(4).offset() + Segment.FRAME + 3] ^= 0x10;
+        List<Segment.LocatedEntry> before = Segment.read(bytes).entries();
+        bytes[before.get(4).offset() + Segment.FRAME_HEADER_BYTES + 3] ^= 0x10;
         disk.put(name, bytes);
         open(disk, 1 << 20, 8).close();
         assertTrue(
@@ -173,12 +175,12 @@
     void anOldSegmentsBytesDoNotPassForEntriesOfANewOne() throws IOException {
         Segment.Header first = new Segment.Header(1, 11, 0);
         Segment.Header second = new Segment.Header(2, 22, 0);
-        byte[] frame = Segment.frame(first, Segment.HEADER, accepted(1, "o"));
-        byte[] bytes = new byte[Segment.HEADER + frame.length];
-        System.arraycopy(second.bytes(), 0, bytes, 0, Segment.HEADER);
-        System.arraycopy(frame, 0, bytes, Segment.HEADER, frame.length);
+        byte[] frame = Segment.frame(first, Segment.HEADER_BYTES, accepted(1, "o"));
+        byte[] bytes = new byte[Segment.HEADER_BYTES + frame.length];
+        System.arraycopy(second.bytes(), 0, bytes, 0, Segment.HEADER_BYTES);
+        System.arraycopy(frame, 0, bytes, Segment.HEADER_BYTES, frame.length);
         assertTrue(Segment.read(bytes).entries().isEmpty());
-        System.arraycopy(first.bytes(), 0, bytes, 0, Segment.HEADER);
+        System.arraycopy(first.bytes(), 0, bytes, 0, Segment.HEADER_BYTES);
         assertEquals(1, Segment.read(bytes).entries().size());
     }
 
@@ -186,7 +188,7 @@
     void spoiltBytesNeverFailAReaderNorYieldWhatWasNotWritten() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         orders(disk, 8, 1 << 20);
-        byte[] sound = disk.read(SegmentNames.of(1));
+        byte[] sound = disk.read(SegmentNames.segmentName(1));
         Set<Entry> written = new HashSet<>(entries(disk));
         SplittableRandom random = new SplittableRandom(3);
         int yielded = 0;
@@ -217,13 +219,13 @@
     void whatIsNoSegmentIsSetAsideAndNotDeleted() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         orders(disk, 2, 1 << 20);
-        disk.put(SegmentNames.of(2), "half a head".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+        disk.put(SegmentNames.segmentName(2), "half a head".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         try (Journal journal = open(disk, 1 << 20, 8)) {
             assertEquals(3, journal.header().sequence());
-            assertEquals(3, journal.next());
+            assertEquals(3, journal.nextNumber());
         }
-        assertTrue(disk.list().contains(SegmentNames.of(2) + SegmentNames.ASIDE));
-        assertFalse(disk.list().contains(SegmentNames.of(2)));
+        assertTrue(disk.list().contains(SegmentNames.segmentName(2) + SegmentNames.SET_ASIDE_SUFFIX));
+        assertFalse(disk.list().contains(SegmentNames.segmentName(2)));
     }
 
     @Test
@@ -250,7 +252,7 @@
         int kept = SegmentNames.sequences(disk.list()).size();
         assertTrue(kept <= 2, kept + " segments are kept");
         try (Journal journal = open(disk, 400, 8)) {
-            long waiting = journal.next();
+            long waiting = journal.nextNumber();
             journal.append(List.of(accepted(waiting, "waits"), new Intent(waiting, 6, 0, "s", "", 9)));
             for (int i = 1; i < 12; i++) {
                 journal.append(List.of(accepted(waiting + i, "o" + i), new Answered(waiting + i, 8, Answer.REFUSED)));
@@ -270,14 +272,14 @@
         assertTrue(segments.size() > 2 && segments.get(0) > 1, segments + " are kept");
         long bytes = 0;
         for (long segment : segments) {
-            bytes += disk.size(SegmentNames.of(segment));
+            bytes += disk.size(SegmentNames.segmentName(segment));
         }
         assertTrue(bytes <= keepBytes + 1_000, bytes + " bytes: at most what one segment holds beyond");
         assertTrue(
-                disk.list().stream().noneMatch(name -> name.equals(SegmentNames.index(1))),
+                disk.list().stream().noneMatch(name -> name.equals(SegmentNames.indexName(1))),
                 "an index goes with its segment");
         try (Journal journal = open(disk, 400, 8)) {
-            long waiting = journal.next();
+            long waiting = journal.nextNumber();
             journal.append(List.of(accepted(waiting, "waits"), new Intent(waiting, 6, 0, "s", "", 9)));
             for (int i = 1; i < 30; i++) {
                 journal.append(List.of(accepted(waiting + i, "o" + i), new Answered(waiting + i, 8, Answer.REFUSED)));
@@ -293,7 +295,7 @@
             journal.append(List.of(accepted(1, "same"), new Intent(1, 6, 0, "s", "", 9)));
         }
         try (Journal journal = open(disk, 1 << 20, 8)) {
-            long number = journal.next();
+            long number = journal.nextNumber();
             journal.append(List.of(accepted(number, "same"), new Answered(number, 8, Answer.REFUSED)));
         }
         assertEquals(List.of("same UNKNOWN", "same REFUSED"), found(disk, "same", new int[1]));
@@ -303,17 +305,17 @@
     void aLastSegmentWithoutAWholeHeaderIsTornAndNoFault() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         orders(disk, 3, 1 << 20);
-        byte[] first = disk.read(SegmentNames.of(1));
-        for (int length = 0; length < Segment.HEADER; length++) {
-            disk.put(SegmentNames.of(2), java.util.Arrays.copyOf(first, length));
+        byte[] first = disk.read(SegmentNames.segmentName(1));
+        for (int length = 0; length < Segment.HEADER_BYTES; length++) {
+            disk.put(SegmentNames.segmentName(2), java.util.Arrays.copyOf(first, length));
             JournalReader.VerificationResult verdict = new JournalReader(disk).verify();
             assertEquals(List.of(), verdict.faults(), "a node died, or is, before " + length + " bytes");
             assertEquals(length, verdict.tornBytes());
         }
-        disk.put(SegmentNames.of(2), new byte[Segment.HEADER]);
+        disk.put(SegmentNames.segmentName(2), new byte[Segment.HEADER_BYTES]);
         assertEquals(1, new JournalReader(disk).verify().faults().size(), "long enough, and no header");
-        disk.put(SegmentNames.of(2), new byte[3]);
-        disk.put(SegmentNames.of(3), first);
+        disk.put(SegmentNames.segmentName(2), new byte[3]);
+        disk.put(SegmentNames.segmentName(3), first);
         assertEquals(
                 2, new JournalReader(disk).verify().faults().size(), "not the last, and one that says it is another");
     }
@@ -343,7 +345,7 @@
             List<String> quick = found(disk, "o" + i, with);
             MemoryDisk bare = disk.afterPowerCut(0);
             for (long segment : segments.subList(0, segments.size() - 1)) {
-                bare.files().remove(SegmentNames.index(segment));
+                bare.files().remove(SegmentNames.indexName(segment));
             }
             assertEquals(found(bare, "o" + i, without), quick);
             assertEquals(i <= 40 ? List.of("o" + i + " ANSWERED") : List.of(), quick);
@@ -361,11 +363,11 @@
     void anIndexThatIsSpoiltOrOfAnotherTimeCountsAsNone() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         orders(disk, 12, 800);
-        String name = SegmentNames.index(1);
+        String name = SegmentNames.indexName(1);
         byte[] sound = disk.read(name);
-        assertTrue(SegmentIndex.read(sound).isOf(1, disk.size(SegmentNames.of(1))));
-        assertFalse(SegmentIndex.read(sound).isOf(2, disk.size(SegmentNames.of(1))));
-        assertFalse(SegmentIndex.read(sound).isOf(1, disk.size(SegmentNames.of(1)) + 1));
+        assertTrue(SegmentIndex.read(sound).matches(1, disk.size(SegmentNames.segmentName(1))));
+        assertFalse(SegmentIndex.read(sound).matches(2, disk.size(SegmentNames.segmentName(1))));
+        assertFalse(SegmentIndex.read(sound).matches(1, disk.size(SegmentNames.segmentName(1)) + 1));
         for (int i = 0; i < sound.length; i++) {
             byte[] spoilt = sound.clone();
             spoilt[i] ^= 1;
--- a/src/test/java/kitemux/orders/JournalWriterTest.java
+++ b/src/test/java/kitemux/orders/JournalWriterTest.java
@@ -119,7 +119,7 @@
                 failed -> failed == null
                         ? Journal.open(
                                 moody, new Journal.Limits(1 << 20, Long.MAX_VALUE, 0, 0), () -> 1, () -> 5, lines::add)
-                        : Journal.goOn(failed),
+                        : Journal.reopen(failed),
                 sync,
                 syncMs,
                 Runnable::run,
@@ -146,7 +146,9 @@
     private List<Entry> onDisk() throws IOException {
         List<Entry> all = new ArrayList<>();
         for (long sequence : SegmentNames.sequences(disk.list())) {
-            Segment.read(disk.read(SegmentNames.of(sequence))).entries().forEach(p -> all.add(p.entry()));
+            Segment.read(disk.read(SegmentNames.segmentName(sequence)))
+                    .entries()
+                    .forEach(p -> all.add(p.entry()));
         }
         return all;
     }
