--- a/src/main/java/kitemux/load/CaptureFile.java
+++ b/src/main/java/kitemux/load/CaptureFile.java
@@ -8,13 +8,17 @@
 import java.util.List;
 
 /**
- * A captured file, read. One that was cut off is read up to where it was; behind a damaged frame nothing is.
+ * The content of a capture file. A truncated file is read up to its last complete frame; frames behind a corrupt
+ * one are not read.
  *
- * @param id two copies of a file have the same
- * @param node whose it is
- * @param startedUs Unix time in microseconds, by that node's clock
- * @param droppedCount requests that it says are missing
- * @param fault what ended it before its end, or empty
+ * @param id a random number by which copies of a file are recognised
+ * @param node the name of the node that wrote the file
+ * @param startedUs when the file was begun, as Unix time in microseconds by the node's clock
+ * @param classes the names of the request classes, to which requests refer by index
+ * @param tenants the names of the tenants, to which requests refer by index
+ * @param requests the captured requests
+ * @param droppedCount the number of requests that were dropped, as the file records it
+ * @param fault why the file could not be read to its end; empty if it could
  */
 public record CaptureFile(
         long id,
@@ -27,20 +31,20 @@
         String fault) {
 
     /**
-     * Reads a file.
+     * Reads a capture file.
      *
-     * @throws IOException if it cannot be read, or is none of these; the message names it
+     * @throws IOException if the file cannot be read or is not a capture file
      */
     public static CaptureFile read(Path path) throws IOException {
         byte[] bytes = Files.readAllBytes(path);
         if (!CaptureFormat.hasMagic(bytes)) {
-            throw new IOException(path + " is no captured load");
+            throw new IOException(path + " is not a capture file");
         }
         ByteBuffer file = ByteBuffer.wrap(bytes);
         file.position(CaptureFormat.MAGIC.length);
         ByteBuffer headerPayload = CaptureFormat.readPayload(file);
         if (headerPayload == null) {
-            throw new IOException(path + " ends before its head does");
+            throw new IOException(path + " ends within its header");
         }
         CaptureFormat.Header header = CaptureFormat.readHeader(headerPayload);
         List<CapturedRequest> requests = new ArrayList<>();
@@ -54,7 +58,7 @@
                 requests.addAll(batch.requests());
             }
             if (file.hasRemaining()) {
-                fault = "cut off: " + file.remaining() + " bytes of a frame that is not whole";
+                fault = "cut off: " + file.remaining() + " bytes of an incomplete frame";
             }
         } catch (IOException e) {
             fault = e.getMessage();
--- a/src/main/java/kitemux/load/CaptureFormat.java
+++ b/src/main/java/kitemux/load/CaptureFormat.java
@@ -18,16 +18,17 @@
 import kitemux.engine.Observer;
 
 /**
- * The bytes of a captured file. It begins with {@link #MAGIC}; then come frames, each of the lengths of its
- * payload as it is and packed, a CRC-32C over lengths and packed bytes, all three as four bytes, and the
- * packed bytes (LZ4 block). The first frame is the head, all others are batches of requests. A batch can be
- * read by itself: ids of servers are given numbers as they are first met in it. Numbers are of seven bits a
- * byte, the lowest first; those that may be under 0 are zigzag.
+ * Encodes and decodes capture files. A file begins with {@link #MAGIC}, followed by frames. A frame consists of
+ * the length of its payload, the length of its compressed payload, a CRC-32C of both lengths and the compressed
+ * payload (four bytes each), and the compressed payload as an LZ4 block. The first frame holds the header, all
+ * others hold batches of requests. Each batch can be decoded by itself: within it a server's id is written out
+ * once and then referred to by an index. Numbers are varints with seven bits per byte, the lowest bits first;
+ * numbers that may be negative are zigzag-encoded.
  */
 final class CaptureFormat {
     static final byte[] MAGIC = "KMLOAD1\n".getBytes(StandardCharsets.US_ASCII);
     static final int FRAME_HEADER_BYTES = 12;
-    /** Of a frame as it is: a damaged length must not ask for all memory. */
+    /** Longest uncompressed payload; prevents that a corrupt length allocates all memory. */
     static final int MAX_FRAME_BYTES = 4 << 20;
 
     private static final int MAX_TEXT_BYTES = 4_096;
@@ -37,18 +38,21 @@
     private CaptureFormat() {}
 
     /**
-     * What a file says of itself.
+     * The header of a capture file.
      *
-     * @param id drawn as it was begun: two copies of a file have the same
-     * @param node whose it is
-     * @param startedUs Unix time in microseconds, by the node's clock
+     * @param id a random number by which copies of a file are recognised
+     * @param node the name of the node that wrote the file
+     * @param startedUs when the file was begun, as Unix time in microseconds by the node's clock
+     * @param classes the names of the request classes, to which requests refer by index
+     * @param tenants the names of the tenants, to which requests refer by index
      */
     record Header(long id, String node, long startedUs, List<String> classes, List<String> tenants) {}
 
     /**
      * A batch of requests.
      *
-     * @param droppedCount how many were left out before it, as the ring was full or the disk failed
+     * @param droppedCount the number of requests that were dropped before this batch, since the ring was full or
+     *     the disk failed
      */
     record Batch(long droppedCount, List<CapturedRequest> requests) {}
 
@@ -56,40 +60,40 @@
 
     static byte[] encodeHeader(Header header) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        number(out, header.id);
-        text(out, header.node);
-        number(out, header.startedUs);
-        number(out, header.classes.size());
-        header.classes.forEach(name -> text(out, name));
-        number(out, header.tenants.size());
-        header.tenants.forEach(name -> text(out, name));
+        writeVarint(out, header.id);
+        writeText(out, header.node);
+        writeVarint(out, header.startedUs);
+        writeVarint(out, header.classes.size());
+        header.classes.forEach(name -> writeText(out, name));
+        writeVarint(out, header.tenants.size());
+        header.tenants.forEach(name -> writeText(out, name));
         return encodeFrame(out.toByteArray());
     }
 
     static byte[] encodeBatch(Batch batch) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Map<String, Integer> serverIndexes = new HashMap<>();
-        number(out, batch.droppedCount);
-        number(out, batch.requests.size());
+        writeVarint(out, batch.droppedCount);
+        writeVarint(out, batch.requests.size());
         long previousUs = 0;
         for (CapturedRequest request : batch.requests) {
-            signed(out, request.arrivedUs() - previousUs);
+            writeZigzag(out, request.arrivedUs() - previousUs);
             previousUs = request.arrivedUs();
-            number(out, request.classIndex() << 1 | (request.isRetry() ? 1 : 0));
-            signed(out, request.tenantIndex());
-            number(out, request.remainingUs());
+            writeVarint(out, request.classIndex() << 1 | (request.isRetry() ? 1 : 0));
+            writeZigzag(out, request.tenantIndex());
+            writeVarint(out, request.remainingUs());
             out.write(request.answer().ordinal());
-            number(out, request.durationUs());
-            number(out, request.attempts().size());
+            writeVarint(out, request.durationUs());
+            writeVarint(out, request.attempts().size());
             for (CapturedRequest.Attempt attempt : request.attempts()) {
                 Integer serverIndex = serverIndexes.get(attempt.server());
-                number(out, serverIndex == null ? serverIndexes.size() : serverIndex);
+                writeVarint(out, serverIndex == null ? serverIndexes.size() : serverIndex);
                 if (serverIndex == null) {
                     serverIndexes.put(attempt.server(), serverIndexes.size());
-                    text(out, attempt.server());
+                    writeText(out, attempt.server());
                 }
-                number(out, attempt.sentAfterUs());
-                number(out, attempt.durationUs());
+                writeVarint(out, attempt.sentAfterUs());
+                writeVarint(out, attempt.durationUs());
                 out.write(attempt.result().ordinal());
             }
         }
@@ -106,7 +110,7 @@
         return frame.array();
     }
 
-    /** Over the two lengths and the packed bytes, which begin behind the place of the sum itself. */
+    /** Returns the checksum of a frame: of its two lengths and its compressed payload. */
     private static int crc(byte[] frame, int length) {
         CRC32C crc = new CRC32C();
         crc.update(frame, 0, 8);
@@ -114,31 +118,32 @@
         return (int) crc.getValue();
     }
 
-    private static void number(ByteArrayOutputStream out, long value) {
-        long left = value;
-        while ((left & ~0x7fL) != 0) {
-            out.write((int) (left & 0x7f | 0x80));
-            left >>>= 7;
+    private static void writeVarint(ByteArrayOutputStream out, long value) {
+        long rest = value;
+        while ((rest & ~0x7fL) != 0) {
+            out.write((int) (rest & 0x7f | 0x80));
+            rest >>>= 7;
         }
-        out.write((int) left);
+        out.write((int) rest);
     }
 
-    private static void signed(ByteArrayOutputStream out, long value) {
-        number(out, value << 1 ^ value >> 63);
+    private static void writeZigzag(ByteArrayOutputStream out, long value) {
+        writeVarint(out, value << 1 ^ value >> 63);
     }
 
-    private static void text(ByteArrayOutputStream out, String value) {
+    private static void writeText(ByteArrayOutputStream out, String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        number(out, bytes.length);
+        writeVarint(out, bytes.length);
         out.writeBytes(bytes);
     }
 
     // ---------------------------------------------------------------- reading
 
     /**
-     * The payload of the frame that begins here; null where the file ends before the frame does.
+     * Reads the frame at the current position.
      *
-     * @throws IOException if it is damaged
+     * @return the uncompressed payload, or null if the file ends before the frame does
+     * @throws IOException if the frame is corrupt
      */
     static ByteBuffer readPayload(ByteBuffer file) throws IOException {
         if (file.remaining() < FRAME_HEADER_BYTES) {
@@ -151,7 +156,7 @@
                 || length > MAX_FRAME_BYTES
                 || compressedLength < 0
                 || compressedLength > MAX_FRAME_BYTES + MAX_FRAME_BYTES / 128) {
-            throw new IOException("lengths that no frame has at byte " + frameOffset);
+            throw new IOException("invalid frame lengths at byte " + frameOffset);
         }
         if (file.remaining() < FRAME_HEADER_BYTES + compressedLength) {
             return null;
@@ -159,60 +164,61 @@
         byte[] frame = new byte[FRAME_HEADER_BYTES + compressedLength];
         file.get(frame);
         if (crc(frame, compressedLength) != ByteBuffer.wrap(frame).getInt(8)) {
-            throw new IOException("a frame whose sum is wrong at byte " + frameOffset);
+            throw new IOException("wrong checksum of the frame at byte " + frameOffset);
         }
         byte[] payload = new byte[length];
         try {
             new Lz4Decompressor().decompress(frame, FRAME_HEADER_BYTES, compressedLength, payload, 0, length);
         } catch (MalformedInputException e) {
-            throw new IOException("a frame that cannot be unpacked at byte " + frameOffset, e);
+            throw new IOException("cannot decompress the frame at byte " + frameOffset, e);
         }
         return ByteBuffer.wrap(payload);
     }
 
     static Header readHeader(ByteBuffer in) throws IOException {
         try {
-            return new Header(number(in), text(in), number(in), readTexts(in), readTexts(in));
+            return new Header(readVarint(in), readText(in), readVarint(in), readTexts(in), readTexts(in));
         } catch (BufferUnderflowException e) {
-            throw new IOException("a head that ends too early", e);
+            throw new IOException("the header is truncated", e);
         }
     }
 
     static Batch readBatch(ByteBuffer in, Header header) throws IOException {
         try {
-            long droppedCount = number(in);
-            long count = number(in);
+            long droppedCount = readVarint(in);
+            long count = readVarint(in);
             List<CapturedRequest> requests = new ArrayList<>();
             List<String> servers = new ArrayList<>();
             long arrivedUs = 0;
             for (long i = 0; i < count; i++) {
-                arrivedUs += signed(in);
+                arrivedUs += readZigzag(in);
                 CapturedRequest request = readRequest(in, arrivedUs, servers);
                 if (request.classIndex() >= header.classes.size() || request.tenantIndex() >= header.tenants.size()) {
-                    throw new IOException("a request of a class or tenant that the head does not name");
+                    throw new IOException("a request has a class or tenant that the header does not name");
                 }
                 requests.add(request);
             }
             return new Batch(droppedCount, requests);
         } catch (BufferUnderflowException | IndexOutOfBoundsException e) {
-            throw new IOException("a batch that cannot be read", e);
+            throw new IOException("a batch cannot be decoded", e);
         }
     }
 
     private static CapturedRequest readRequest(ByteBuffer in, long arrivedUs, List<String> servers) throws IOException {
-        int classAndRetry = (int) number(in);
-        int tenantIndex = (int) signed(in);
-        long remainingUs = number(in);
+        int classAndRetry = (int) readVarint(in);
+        int tenantIndex = (int) readZigzag(in);
+        long remainingUs = readVarint(in);
         Observer.Answer answer = ANSWERS[in.get()];
-        long durationUs = number(in);
-        long attemptCount = number(in);
+        long durationUs = readVarint(in);
+        long attemptCount = readVarint(in);
         List<CapturedRequest.Attempt> attempts = new ArrayList<>();
         for (long i = 0; i < attemptCount; i++) {
-            int server = (int) number(in);
+            int server = (int) readVarint(in);
             if (server == servers.size()) {
-                servers.add(text(in));
+                servers.add(readText(in));
             }
-            attempts.add(new CapturedRequest.Attempt(servers.get(server), number(in), number(in), RESULTS[in.get()]));
+            attempts.add(new CapturedRequest.Attempt(
+                    servers.get(server), readVarint(in), readVarint(in), RESULTS[in.get()]));
         }
         return new CapturedRequest(
                 arrivedUs,
@@ -225,7 +231,7 @@
                 durationUs);
     }
 
-    private static long number(ByteBuffer in) {
+    private static long readVarint(ByteBuffer in) {
         long value = 0;
         for (int shift = 0; shift < 64; shift += 7) {
             byte part = in.get();
@@ -234,18 +240,18 @@
                 return value;
             }
         }
-        throw new IndexOutOfBoundsException("a number without an end");
+        throw new IndexOutOfBoundsException("a varint has more than 10 bytes");
     }
 
-    private static long signed(ByteBuffer in) {
-        long value = number(in);
+    private static long readZigzag(ByteBuffer in) {
+        long value = readVarint(in);
         return value >>> 1 ^ -(value & 1);
     }
 
-    private static String text(ByteBuffer in) throws IOException {
-        long length = number(in);
+    private static String readText(ByteBuffer in) throws IOException {
+        long length = readVarint(in);
         if (length > MAX_TEXT_BYTES) {
-            throw new IOException("a text of " + length + " bytes");
+            throw new IOException("a text is too long: " + length + " bytes");
         }
         byte[] bytes = new byte[(int) length];
         in.get(bytes);
@@ -253,15 +259,15 @@
     }
 
     private static List<String> readTexts(ByteBuffer in) throws IOException {
-        long count = number(in);
-        List<String> all = new ArrayList<>();
+        long count = readVarint(in);
+        List<String> texts = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            all.add(text(in));
+            texts.add(readText(in));
         }
-        return all;
+        return texts;
     }
 
-    /** Whether a file begins as one of these does. */
+    /** Returns whether the bytes begin as a capture file does. */
     static boolean hasMagic(byte[] bytes) {
         return bytes.length >= MAGIC.length && Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length);
     }
--- a/src/main/java/kitemux/load/CaptureWriter.java
+++ b/src/main/java/kitemux/load/CaptureWriter.java
@@ -20,18 +20,18 @@
 import org.jctools.queues.SpscArrayQueue;
 
 /**
- * Writes what a node sees to files, on a thread of its own. Between the loop and it stands a ring of fixed
- * size: what comes while it is full is counted and left out, as is what a failing disk does not take, and
- * the next batch that is written says how many. Nothing is synced: after a kill of the machine the last
- * seconds may be missing, after one of the process what was not written in the last {@link #BATCH_INTERVAL_NANOS}.
+ * Writes the requests of a node to capture files, on a dedicated thread. The event loop hands requests over
+ * through a ring of fixed size. Requests are dropped and counted if the ring is full or the disk fails, and the
+ * next batch that is written records their number. Files are not synced: a crash of the machine may lose the
+ * last seconds, and a crash of the process may lose the last {@link #BATCH_INTERVAL_NANOS}.
  */
 public final class CaptureWriter implements RequestRecorder.Sink, AutoCloseable {
-    /** The end of a captured file's name. */
+    /** Suffix of the names of capture files. */
     public static final String FILE_SUFFIX = ".kmload";
 
     private static final long BATCH_INTERVAL_NANOS = 200_000_000L;
     private static final int MAX_BATCH_COUNT = 4_096;
-    /** After the disk has failed, until it is tried again. */
+    /** Interval between attempts to write after a disk failure. */
     private static final long RETRY_INTERVAL_NANOS = 1_000_000_000L;
 
     private final LoadSettings settings;
@@ -44,7 +44,10 @@
     private final AtomicLong unreportedDropCount = new AtomicLong();
     private final SecureRandom random = new SecureRandom();
     private final Thread writerThread;
-    /** The writer is woken after so many, a quarter of the ring; its own pause is for when fewer come. */
+    /**
+     * Requests after which the writer is woken, a quarter of the ring. With fewer requests it wakes up by itself
+     * after {@link #BATCH_INTERVAL_NANOS}.
+     */
     private final int wakeThresholdCount;
 
     private volatile boolean isClosing;
@@ -53,16 +56,18 @@
     private long fileBytes;
     private long droppedCount;
     private volatile boolean hasFailed;
-    /** Requests offered since the writer was last woken; the loop's. */
+    /** Requests offered since the writer was last woken; used on the event loop only. */
     private int offersSinceWake;
 
     /**
-     * Starts the writer; the first file is begun with the first request.
+     * Starts the writer thread. The first file is created when the first request arrives.
      *
-     * @param node names whose files these are
-     * @param nowUs Unix time in microseconds, from any thread
-     * @param say lines for the operators, from any thread
-     * @throws IOException if the folder cannot be made or written to
+     * @param node the node's name, which is written to the files
+     * @param classes the names of the request classes, in the order of their indexes
+     * @param tenants the names of the tenants, in the order of their indexes
+     * @param clockUs supplies the Unix time in microseconds; called on any thread
+     * @param operatorLog receives lines for the operators, on any thread
+     * @throws IOException if the folder cannot be created or is not writable
      */
     public CaptureWriter(
             LoadSettings settings,
@@ -80,7 +85,7 @@
         this.operatorLog = operatorLog;
         Files.createDirectories(settings.folder());
         if (!Files.isWritable(settings.folder())) {
-            throw new IOException(settings.folder() + " may not be written to");
+            throw new IOException(settings.folder() + " is not writable");
         }
         ring = new SpscArrayQueue<>(settings.ring());
         wakeThresholdCount = settings.ring() / 4;
@@ -89,7 +94,7 @@
         writerThread.start();
     }
 
-    /** Gathers on a loop what is to be written here. */
+    /** Returns an observer that records requests on an event loop and hands them to this writer. */
     public Observer recorder(Time time) {
         return new RequestRecorder(time, this);
     }
@@ -104,7 +109,7 @@
         }
     }
 
-    /** Requests that were left out and that no batch has told of yet, as the ring was full. */
+    /** Returns the number of requests that a full ring dropped and that no batch has recorded yet. */
     public long unreportedDropCount() {
         return unreportedDropCount.get();
     }
@@ -149,10 +154,10 @@
             droppedCount = droppedBefore + batch.size();
             if (!hasFailed) {
                 operatorLog.accept(
-                        "load: what comes is left out and counted, as it cannot be written: " + e.getMessage());
+                        "load: requests are dropped and counted, since they cannot be written: " + e.getMessage());
             }
             hasFailed = true;
-            // What was written of the batch is a frame cut off, behind which nothing could be read.
+            // The file may end with an incomplete frame, and a reader would not find anything behind it.
             closeFile();
         }
     }
@@ -180,13 +185,13 @@
             try {
                 file.close();
             } catch (IOException e) {
-                operatorLog.accept("load: a file could not be closed: " + e.getMessage());
+                operatorLog.accept("load: a capture file could not be closed: " + e.getMessage());
             }
             file = null;
         }
     }
 
-    /** The oldest files go until there is room for one more. Names begin with the time. */
+    /** Deletes the oldest files until there is room for another one. The names sort by time. */
     private void deleteOldFiles() throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.list(settings.folder())) {
@@ -204,7 +209,7 @@
         }
     }
 
-    /** Writes what waits, and ends the writer. Nothing is to be offered from then on. */
+    /** Writes the requests in the ring and ends the writer thread. No request may be offered afterwards. */
     @Override
     public void close() {
         isClosing = true;
--- a/src/main/java/kitemux/load/CapturedRequest.java
+++ b/src/main/java/kitemux/load/CapturedRequest.java
@@ -5,17 +5,17 @@
 import kitemux.engine.Observer;
 
 /**
- * What a node saw of a request, from its coming until nothing more is heard of it. Times are Unix time in
- * microseconds, by the node's clock.
+ * A request as a node recorded it, from its arrival to its last event.
  *
- * @param arrivedUs when it came, as far as that can be told
- * @param classIndex its class, by the file's head
- * @param tenantIndex its tenant, by the file's head, or -1
- * @param isRetry whether its client marked it as one
- * @param remainingUs how long its client would wait, from then on
- * @param attempts in the order in which they were sent
- * @param answer how it was answered
- * @param durationUs from its coming to that answer
+ * @param arrivedUs when the request arrived, as exactly as the node can tell, as Unix time in microseconds by
+ *     the node's clock
+ * @param classIndex the index of its class in the file's header
+ * @param tenantIndex the index of its tenant in the file's header, or -1
+ * @param isRetry whether the client marked it as a retry
+ * @param remainingUs how long the client would wait for the answer from the arrival on, in microseconds
+ * @param attempts its attempts, in the order in which they were sent
+ * @param answer how the request was answered
+ * @param durationUs the time from the arrival to the answer, in microseconds
  */
 public record CapturedRequest(
         long arrivedUs,
@@ -28,12 +28,12 @@
         long durationUs) {
 
     /**
-     * One that was sent to a server.
+     * An attempt.
      *
-     * @param server its id
-     * @param sentAfterUs from the request's coming to this
-     * @param durationUs until its end was known
-     * @param result how it ended
+     * @param server the server's id
+     * @param sentAfterUs the time from the request's arrival to the sending of the attempt, in microseconds
+     * @param durationUs the time from the sending to the attempt's end, in microseconds
+     * @param result how the attempt ended
      */
     public record Attempt(String server, long sentAfterUs, long durationUs, Result result) {}
 }
--- a/src/main/java/kitemux/load/LoadSettings.java
+++ b/src/main/java/kitemux/load/LoadSettings.java
@@ -7,24 +7,26 @@
 import kitemux.config.Json;
 
 /**
- * How load is captured.
+ * Settings of the load capture.
  *
- * @param folder where; made where it is not there
- * @param ring requests that wait to be written, at most; further ones are counted and left out
- * @param fileBytes after so many a file is ended and another begun
- * @param keepBytes the oldest files go while all together have more
+ * @param folder the folder of the capture files; created if it does not exist
+ * @param ring the capacity of the ring of requests that wait to be written; further requests are dropped and
+ *     counted
+ * @param fileBytes the size at which a file ends and another one is begun
+ * @param keepBytes the size of all files above which the oldest are deleted
  */
 public record LoadSettings(Path folder, int ring, long fileBytes, long keepBytes) {
     private static final Set<String> FIELDS = Set.of("folder", "ring", "fileKiB", "keepMiB");
-    /** Each takes some 200 bytes of a heap of 64 MiB. */
+    /** Largest ring; each request takes some 200 bytes of a heap of 64 MiB. */
     private static final long MAX_RING_COUNT = 1 << 16;
 
     private static final long MAX_TOTAL_MIB = 1 << 20;
 
     /**
-     * Reads them, or null where there are none: nothing is captured then.
+     * Reads the settings.
      *
-     * @param faults one line is added for each that is found, with field and reason
+     * @param faults receives one line for each fault, with the field and the reason
+     * @return the settings, or null if there are faults or the section is missing; no load is captured then
      */
     public static LoadSettings read(Json json, List<String> faults) {
         if (json.isMissing()) {
@@ -38,7 +40,7 @@
         long fileKiB = section.within("fileKiB", 4_096, 16, 1 << 20);
         long keepMiB = section.within("keepMiB", 256, 1, MAX_TOTAL_MIB);
         if (keepMiB << 10 < fileKiB) {
-            faults.add("load.keepMiB is less than one file has by load.fileKiB");
+            faults.add("load.keepMiB must be at least the size of one file, load.fileKiB");
         }
         return faults.size() > faultsBefore ? null : new LoadSettings(folder, (int) ring, fileKiB << 10, keepMiB << 20);
     }
--- a/src/main/java/kitemux/load/LoadSummary.java
+++ b/src/main/java/kitemux/load/LoadSummary.java
@@ -13,16 +13,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What captured files of one or more nodes say together: how much was wanted, and what came of it. What was
- * wanted are first tries: what clients ask again is their answer to being refused, and would pass for
- * demand. Service times are kept in histograms to two digits, which can be added up.
+ * Summarises the capture files of one or more nodes: the demand, and how it was answered. The demand is counted
+ * in first tries. Retries are a reaction of clients to refusals and would inflate it. Response times are kept in
+ * histograms with two significant digits, which can be merged.
  */
 public final class LoadSummary {
-    /** Service times are told up to this. */
+    /** Longest response time that is recorded; longer ones count as this. */
     private static final long MAX_RECORDED_US = 600_000_000L;
 
     private static final int SIGNIFICANT_DIGIT_COUNT = 2;
-    /** Of what was refused, so much must be asked again for repeats to be marked by all clients. */
+    /** Ratio of marked retries to refusals below which clients probably do not mark their retries. */
     private static final double MIN_MARKED_RETRY_RATIO = 0.05;
 
     private final long stepUs;
@@ -37,7 +37,7 @@
     private long firstArrivalUs = Long.MAX_VALUE;
     private long lastArrivalUs;
 
-    /** What is counted of a class. */
+    /** The counts and response times of a request class. */
     public static final class ClassSummary {
         private long firstTries;
         private long retries;
@@ -49,75 +49,86 @@
         private final Histogram serverResponseTimeUs = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGIT_COUNT);
         private final Histogram clientResponseTimeUs = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGIT_COUNT);
 
-        /** First tries. */
+        /** Returns the number of first tries. */
         public long firstTries() {
             return firstTries;
         }
 
-        /** Tries that clients marked as repeats. */
+        /** Returns the number of tries that clients marked as retries. */
         public long retries() {
             return retries;
         }
 
-        /** Tries answered with what a server made. */
+        /** Returns the number of tries that were answered with a server's response. */
         public long served() {
             return served;
         }
 
-        /** Tries answered as refused. */
+        /** Returns the number of tries that were refused. */
         public long refused() {
             return refused;
         }
 
-        /** Tries answered as failed. */
+        /** Returns the number of tries that failed. */
         public long failed() {
             return failed;
         }
 
-        /** Tries whose client left before an answer. */
+        /** Returns the number of tries whose client left before an answer. */
         public long abandoned() {
             return abandoned;
         }
 
-        /** Requests sent to servers. */
+        /** Returns the number of attempts that were sent to servers. */
         public long attempts() {
             return attempts;
         }
 
-        /** From an attempt's being sent to its answer by a server, at a percentile, in microseconds, of those
-         * that were answered: waiting at the server and work are not told apart. */
+        /**
+         * Returns a percentile of the time from sending an attempt to the server's answer, in microseconds. It
+         * covers the attempts that were answered, and includes queueing at the server as well as work.
+         *
+         * @param percentile from 0 to 100
+         */
         public long serverResponseTimeUs(double percentile) {
             return serverResponseTimeUs.getValueAtPercentile(percentile);
         }
 
-        /** From a try's coming to its answer, the same of those that were served. */
+        /**
+         * Returns a percentile of the time from a try's arrival to its answer, in microseconds. It covers the
+         * tries that were served.
+         *
+         * @param percentile from 0 to 100
+         */
         public long clientResponseTimeUs(double percentile) {
             return clientResponseTimeUs.getValueAtPercentile(percentile);
         }
     }
 
     /**
-     * Nothing yet.
+     * Creates an empty summary.
      *
-     * @param binUs width of the steps in which rates are told
-     * @param shiftUs what is added to the times of a node, by its name, where its clock is off
+     * @param stepUs the length of the steps for which rates are computed, in microseconds; at least 1
+     * @param clockShiftUs what is added to the times of a node to correct its clock, in microseconds, by the
+     *     node's name
+     * @throws IllegalArgumentException if the step is too short
      */
     public LoadSummary(long stepUs, Map<String, Long> clockShiftUs) {
         if (stepUs < 1) {
-            throw new IllegalArgumentException("steps must be longer than 0");
+            throw new IllegalArgumentException("the step must be at least 1 microsecond");
         }
         this.stepUs = stepUs;
         this.clockShiftUs = Map.copyOf(clockShiftUs);
     }
 
-    /** Adds a file; a copy of one that was added already is left out, and said. */
+    /** Adds a capture file. A copy of a file that was added before is skipped with a warning. */
     public void add(CaptureFile file) {
         if (!fileIds.add(file.id())) {
-            warnings.add("a copy of a file of " + file.node() + " is left out");
+            warnings.add("a capture file of " + file.node() + " is skipped as a copy of another one");
             return;
         }
         if (!file.fault().isEmpty()) {
-            warnings.add("a file of " + file.node() + " is not whole: " + file.fault());
+            warnings.add("a capture file of " + file.node() + " is incomplete: " + file.fault());
         }
         droppedCount += file.droppedCount();
         nodes.merge(file.node(), file.requests().size(), Integer::sum);
@@ -161,14 +172,14 @@
         }
     }
 
-    // ---------------------------------------------------------------- what it comes to
+    // ---------------------------------------------------------------- results
 
-    /** By class, in the order in which they were met. */
+    /** Returns the summaries by class name, in the order in which the classes first occurred. */
     public Map<String, ClassSummary> classes() {
         return classes;
     }
 
-    /** First tries by tenant, the heaviest first. */
+    /** Returns the number of first tries by tenant, the tenants with the most first. */
     public Map<String, Long> firstTriesByTenant() {
         Map<String, Long> sorted = new LinkedHashMap<>();
         tenants.entrySet().stream()
@@ -177,31 +188,31 @@
         return sorted;
     }
 
-    /** Requests by node. */
+    /** Returns the number of requests by node. */
     public Map<String, Integer> nodes() {
         return nodes;
     }
 
-    /** First tries in all. */
+    /** Returns the number of first tries of all classes. */
     public long firstTries() {
         return classes.values().stream().mapToLong(ClassSummary::firstTries).sum();
     }
 
-    /** Seconds from the first request to the last. */
+    /** Returns the time from the first request to the last, in seconds. */
     public double durationS() {
         return lastArrivalUs <= firstArrivalUs ? 0 : (lastArrivalUs - firstArrivalUs) / 1e6;
     }
 
     /**
-     * A step of time.
+     * The rates in one step of time.
      *
-     * @param startS from the first step on, in seconds
-     * @param firstTriesPerS first tries a second
-     * @param retriesPerS repeats a second
+     * @param startS the start of the step, in seconds since the start of the first step
+     * @param firstTriesPerS the rate of first tries per second
+     * @param retriesPerS the rate of marked retries per second
      */
     public record Step(double startS, double firstTriesPerS, double retriesPerS) {}
 
-    /** Rates over time; steps in which nothing came are there too. */
+    /** Returns the rates over time, including the steps without requests. */
     public List<Step> steps() {
         List<Step> steps = new ArrayList<>();
         if (!countsByStep.isEmpty()) {
@@ -216,8 +227,12 @@
         return steps;
     }
 
-    /** Variance of the steps' counts of first tries over their mean: 1 where clients come independently, more
-     * where they come in bursts. The first and last step, which are not whole, do not count. */
+    /**
+     * Returns the index of dispersion of the first tries per step: their variance divided by their mean. It is 1
+     * for independent clients and larger for bursts. The first and the last step are incomplete and do not count.
+     *
+     * @return the index, or NaN if there are fewer than four steps or no first tries
+     */
     public double burstiness() {
         List<Step> allSteps = steps();
         if (allSteps.size() < 4) {
@@ -232,11 +247,11 @@
         return mean == 0 ? Double.NaN : variance / mean;
     }
 
-    /** What could not be seen, and what to keep in mind, a line each. */
+    /** Returns warnings on missing data and on how to read the summary, one per line. */
     public List<String> warnings() {
         List<String> allWarnings = new ArrayList<>(warnings);
         if (droppedCount > 0) {
-            allWarnings.add(droppedCount + " requests were left out as they came: what is told is less than what was");
+            allWarnings.add(droppedCount + " requests were dropped during the capture, so the counts are too low");
         }
         long refused =
                 classes.values().stream().mapToLong(ClassSummary::refused).sum();
@@ -244,8 +259,8 @@
                 classes.values().stream().mapToLong(ClassSummary::retries).sum();
         if (refused > 0 && retries < MIN_MARKED_RETRY_RATIO * refused) {
             allWarnings.add("of " + refused
-                    + " refused tries hardly any was marked as asked again: if clients do not mark"
-                    + " repeats, up to " + refused + " of what counts as wanted may be repeats");
+                    + " refused tries hardly any was followed by a marked retry: if clients do not mark"
+                    + " retries, up to " + refused + " of the tries counted as wanted may be retries");
         }
         return allWarnings;
     }
--- a/src/main/java/kitemux/load/RequestRecorder.java
+++ b/src/main/java/kitemux/load/RequestRecorder.java
@@ -10,17 +10,17 @@
 import kitemux.engine.Time;
 
 /**
- * Gathers what a node sees of each request, on its loop, and hands it on once nothing more is heard of it. It
- * never waits: what cannot be handed on is counted and left out.
+ * Collects the events of each request on a node's event loop, and hands the request to a sink once no further
+ * events can follow. It never blocks: the sink drops and counts requests that it cannot accept.
  */
 public final class RequestRecorder implements Observer {
     private final Time time;
     private final Sink sink;
     private final Map<Long, OpenRequest> openRequests = new HashMap<>();
 
-    /** Takes what is handed on. */
+    /** Receives recorded requests. */
     public interface Sink {
-        /** Takes it, or counts it as left out; never waits. */
+        /** Accepts a request, or drops and counts it. Never blocks. */
         void offer(CapturedRequest request);
     }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Holds nothing yet. */
+    /** Creates a recorder without any requests. */
     public RequestRecorder(Time time, Sink sink) {
         this.time = time;
         this.sink = sink;
@@ -117,7 +117,7 @@
                 Math.max(0, openRequest.answeredUs - openRequest.arrivedUs)));
     }
 
-    /** Requests of which more is to be heard. */
+    /** Returns the number of requests for which further events are expected. */
     int openCount() {
         return openRequests.size();
     }
--- a/src/main/java/kitemux/load/ServerSpeedEstimator.java
+++ b/src/main/java/kitemux/load/ServerSpeedEstimator.java
@@ -11,49 +11,59 @@
 import kitemux.Balancer.Result;
 
 /**
- * How quick servers are against one another, from captured attempts in which waiting and working are
- * mixed. What
- * is sent to a server that has nothing else of any node waits for nothing: its time is work, and the way. So
- * it rests on the captures of all nodes, with clocks set right; what a missing one sent makes servers look
- * slower. A low quantile of all times would not do: where work is spread exponentially waiting stretches each
- * quantile alike, and a server at seven tenths of its capacity looked three times slower than it was.
- * Means of
- * classes are compared by class, as classes differ in work.
+ * Estimates the relative speeds of servers from captured attempts, whose durations include both queueing and
+ * work. An attempt that is sent to an idle server does not queue, so its duration is work and network latency
+ * only. The estimate therefore needs the captures of all nodes, with their clocks aligned; the attempts of a
+ * missing node make servers look slower. A low quantile of all durations would not do: with exponentially
+ * distributed work, queueing stretches all quantiles alike, and a server at 70% of its capacity looked three
+ * times slower than it was. Means are compared per class, as classes differ in work.
  */
 public final class ServerSpeedEstimator {
-    /** Fewer times of a class tell nothing of a server. */
+    /** Durations of a class that a server must have for the class to count in its estimate. */
     private static final int MIN_SAMPLE_COUNT = 40;
-    /** What was called off or not waited for any more may go on at its server for so long. */
+    /** How long a server may go on working on an attempt that was cancelled or timed out. */
     private static final long ABANDONED_WORK_US = 1_000_000;
 
+    /** Bootstrap resamples from which a confidence interval is computed. */
     private static final int RESAMPLE_COUNT = 400;
+
     private static final long RESAMPLE_SEED = 11;
 
     private final Map<String, Long> clockShiftUs;
-    /** Attempts by server. */
     private final Map<String, List<SentAttempt>> attemptsByServer = new TreeMap<>();
 
-    /** One attempt, out from one time to another. */
+    /**
+     * An attempt in the time of the aligned clocks.
+     *
+     * @param fromUs when it was sent, in microseconds
+     * @param toUs when it ended, in microseconds
+     * @param className the name of its request's class
+     * @param isAnswered whether the server answered with success
+     */
     private record SentAttempt(long fromUs, long toUs, String className, boolean isAnswered) {}
 
     /**
-     * Nothing yet.
+     * Creates an estimator without any data.
      *
-     * @param shiftUs what is added to the times of a node, by its name, where its clock is off
+     * @param clockShiftUs what is added to the times of a node to correct its clock, in microseconds, by the
+     *     node's name
      */
     public ServerSpeedEstimator(Map<String, Long> clockShiftUs) {
         this.clockShiftUs = Map.copyOf(clockShiftUs);
     }
 
     /**
-     * A server's speed against the geometric mean of all that are told.
+     * The speed of a server, relative to the geometric mean of all servers with an estimate.
      *
-     * @param lowUs and {@code high}: within which it lies by chance, 95%, by drawing its times again
-     * @param sampleCount it rests on so many
+     * @param server the server's id
+     * @param speed the estimate; 2 is twice as fast as the mean
+     * @param low the lower bound of the 95% bootstrap confidence interval
+     * @param high the upper bound of that interval
+     * @param sampleCount the number of answers on which the estimate is based
      */
     public record ServerSpeed(String server, double speed, double low, double high, int sampleCount) {}
 
-    /** Adds a file. */
+    /** Adds the attempts of a capture file. */
     public void add(CaptureFile file) {
         long shiftUs = clockShiftUs.getOrDefault(file.node(), 0L);
         for (CapturedRequest request : file.requests()) {
@@ -68,7 +78,7 @@
         }
     }
 
-    /** Times of what had its server for itself as it was sent, by class. */
+    /** Returns the durations of the answered attempts that were sent to an idle server, by class. */
     private static Map<String, List<Double>> uncontendedDurations(List<SentAttempt> attempts) {
         Map<String, List<Double>> durations = new TreeMap<>();
         List<SentAttempt> bySendTime = new ArrayList<>(attempts);
@@ -86,17 +96,18 @@
     }
 
     /**
-     * The work of one request of a class, on a server of speed 1, in microseconds; the way to the server and
-     * back
-     * is in it.
+     * The work of a request of a class on a server of speed 1, including the network latency.
      *
-     * @param lowUs and {@code high}: within which the mean lies by chance, 95%
-     * @param cv standard deviation over mean
-     * @param sampleCount it rests on so many
+     * @param className the name of the class
+     * @param meanUs the mean in microseconds
+     * @param lowUs the lower bound of the 95% confidence interval of the mean
+     * @param highUs the upper bound of that interval
+     * @param cv the coefficient of variation: the standard deviation divided by the mean
+     * @param sampleCount the number of answers on which the estimate is based
      */
     public record ClassWork(String className, double meanUs, double lowUs, double highUs, double cv, int sampleCount) {}
 
-    /** The work of each class of which a server had times enough, in order of their names. */
+    /** Returns the work of each class for which a server has enough durations, ordered by the names. */
     public List<ClassWork> estimateWork() {
         Map<String, Double> speeds = new TreeMap<>();
         estimateSpeeds().forEach(estimate -> speeds.put(estimate.server(), estimate.speed()));
@@ -120,7 +131,7 @@
         return estimates;
     }
 
-    /** Sums of which mean and deviation follow. */
+    /** Accumulates the sums from which the mean and the standard deviation are computed. */
     private static final class Moments {
         private int count;
         private double sum;
@@ -141,6 +152,7 @@
         }
     }
 
+    /** Returns the durations by server and class, without the classes of a server that have too few. */
     private Map<String, Map<String, double[]>> sufficientSamples() {
         Map<String, Map<String, double[]>> samples = new TreeMap<>();
         attemptsByServer.forEach((server, all) -> uncontendedDurations(all).forEach((name, durations) -> {
@@ -152,7 +164,7 @@
         return samples;
     }
 
-    /** Servers with times enough, in order of their ids. */
+    /** Returns the speeds of the servers that have enough durations, ordered by the servers' ids. */
     public List<ServerSpeed> estimateSpeeds() {
         Map<String, Map<String, double[]>> samples = sufficientSamples();
         Map<String, Double> logSpeeds = logSpeeds(logMeans(samples, null));
@@ -180,7 +192,11 @@
         return estimates;
     }
 
-    /** Logarithm of the mean of each server and class, of its times or of as many drawn from them. */
+    /**
+     * Returns the logarithm of the mean duration and the number of durations, by server and class.
+     *
+     * @param random resamples the durations with replacement; null to use them as they are
+     */
     private static Map<String, Map<String, double[]>> logMeans(
             Map<String, Map<String, double[]>> samples, SplittableRandom random) {
         Map<String, Map<String, double[]>> logMeans = new TreeMap<>();
@@ -197,9 +213,9 @@
     }
 
     /**
-     * Logarithms of speeds. Each class tells how much quicker than its mean a server is; what classes tell is
-     * weighted by their answers. Classes that not all servers have are set right by a second round, against
-     * what the first one told of those that have them.
+     * Returns the logarithms of the servers' speeds. Each class yields how much faster than the class's mean a
+     * server is, and the classes are weighted by their number of answers. If some servers lack a class, its mean
+     * depends on the speeds of the others; further rounds correct it by the speeds of the round before.
      */
     private static Map<String, Double> logSpeeds(Map<String, Map<String, double[]>> logMeans) {
         Map<String, Double> speeds = new TreeMap<>();
--- a/src/test/java/kitemux/load/CaptureTest.java
+++ b/src/test/java/kitemux/load/CaptureTest.java
@@ -25,16 +25,16 @@
 
 /** Files of captured load: written, cut off, damaged, full and failing. */
 class CaptureTest {
-    private static final long NOW = 1_790_000_000_000_000L;
+    private static final long NOW_US = 1_790_000_000_000_000L;
 
     @TempDir
     private Path folder;
 
-    private final BlockingQueue<String> said = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> operatorLines = new LinkedBlockingQueue<>();
 
-    private static CapturedRequest seen(int number) {
+    private static CapturedRequest request(int number) {
         return new CapturedRequest(
-                NOW + number * 1_000L,
+                NOW_US + number * 1_000L,
                 number % 2,
                 number % 3 - 1,
                 number % 5 == 0,
@@ -44,51 +44,51 @@
                 20_500 + number);
     }
 
-    private CaptureWriter capture(Path into, int ring, int fileKiB, int keepMiB) throws IOException {
+    private CaptureWriter openWriter(Path subfolder, int ring, int fileKiB, int keepMiB) throws IOException {
         return new CaptureWriter(
-                new LoadSettings(into, ring, (long) fileKiB << 10, (long) keepMiB << 20),
+                new LoadSettings(subfolder, ring, (long) fileKiB << 10, (long) keepMiB << 20),
                 "n0",
                 List.of("page", "order"),
                 List.of("a", "b"),
-                () -> NOW,
-                said::add);
+                () -> NOW_US,
+                operatorLines::add);
     }
 
-    private List<Path> files(Path in) throws IOException {
-        try (Stream<Path> all = Files.list(in)) {
-            return all.sorted().toList();
+    private List<Path> listFiles(Path in) throws IOException {
+        try (Stream<Path> requests = Files.list(in)) {
+            return requests.sorted().toList();
         }
     }
 
-    private Path written(int requests) throws IOException {
-        try (CaptureWriter capture = capture(folder, 8_192, 4_096, 16)) {
+    private Path writeFile(int requests) throws IOException {
+        try (CaptureWriter writer = openWriter(folder, 8_192, 4_096, 16)) {
             for (int i = 0; i < requests; i++) {
-                capture.offer(seen(i));
+                writer.offer(request(i));
             }
         }
-        return files(folder).get(0);
+        return listFiles(folder).get(0);
     }
 
     @Test
-    void whatIsWrittenIsReadAgain() throws IOException {
-        CaptureFile file = CaptureFile.read(written(1_000));
+    void readsBackWhatWasWritten() throws IOException {
+        CaptureFile file = CaptureFile.read(writeFile(1_000));
         assertEquals(
                 Stream.iterate(0, i -> i + 1)
                         .limit(1_000)
-                        .map(CaptureTest::seen)
+                        .map(CaptureTest::request)
                         .toList(),
                 file.requests());
         assertEquals("", file.fault());
         assertEquals(0, file.droppedCount());
         assertEquals("n0", file.node());
         assertEquals(List.of("page", "order"), file.classes());
-        assertTrue(said.isEmpty(), said::toString);
+        assertTrue(operatorLines.isEmpty(), operatorLines::toString);
     }
 
     @Property(tries = 200)
-    void anyBatchIsReadAsItWas(@ForAll @Size(max = 40) List<@IntRange(min = 0, max = 1_000_000) Integer> numbers)
-            throws IOException {
-        List<CapturedRequest> all = new ArrayList<>();
+    void everyBatchIsDecodedAsItWasEncoded(
+            @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 1_000_000) Integer> numbers) throws IOException {
+        List<CapturedRequest> requests = new ArrayList<>();
         for (int n : numbers) {
             List<CapturedRequest.Attempt> attempts = new ArrayList<>();
             for (int i = 0; i < n % 4; i++) {
@@ -96,8 +96,8 @@
                         "box-" + n % 11 + i, n * 31L, (long) n * n, Result.values()[n % Result.values().length]));
             }
             // Times go back as well: who came first may be answered last.
-            all.add(new CapturedRequest(
-                    NOW - n * 977L,
+            requests.add(new CapturedRequest(
+                    NOW_US - n * 977L,
                     n % 2,
                     n % 3 - 1,
                     n % 2 == 0,
@@ -106,113 +106,117 @@
                     Observer.Answer.values()[n % Observer.Answer.values().length],
                     n * 13L));
         }
-        CaptureFormat.Header head = new CaptureFormat.Header(7, "n", NOW, List.of("x", "y"), List.of("t", "u"));
-        byte[] frame = CaptureFormat.encodeBatch(new CaptureFormat.Batch(numbers.size(), all));
+        CaptureFormat.Header header = new CaptureFormat.Header(7, "n", NOW_US, List.of("x", "y"), List.of("t", "u"));
+        byte[] frame = CaptureFormat.encodeBatch(new CaptureFormat.Batch(numbers.size(), requests));
         CaptureFormat.Batch read =
-                CaptureFormat.readBatch(CaptureFormat.readPayload(java.nio.ByteBuffer.wrap(frame)), head);
-        assertEquals(new CaptureFormat.Batch(numbers.size(), all), read);
+                CaptureFormat.readBatch(CaptureFormat.readPayload(java.nio.ByteBuffer.wrap(frame)), header);
+        assertEquals(new CaptureFormat.Batch(numbers.size(), requests), read);
     }
 
     /** As a kill leaves it, wherever it was. */
     @Test
-    void aFileCutOffAnywhereGivesAllWholeBatchesBeforeThat() throws IOException {
-        byte[] head = Files.readAllBytes(written(1));
-        byte[] batch = CaptureFormat.encodeBatch(new CaptureFormat.Batch(0, List.of(seen(1), seen(2))));
-        byte[] all = java.util.Arrays.copyOf(head, head.length + batch.length);
-        System.arraycopy(batch, 0, all, head.length, batch.length);
-        for (int cut = head.length; cut <= all.length; cut++) {
-            Path file = Files.write(folder.resolve("cut"), java.util.Arrays.copyOf(all, cut));
+    void truncatedFileYieldsAllCompleteBatches() throws IOException {
+        byte[] header = Files.readAllBytes(writeFile(1));
+        byte[] batch = CaptureFormat.encodeBatch(new CaptureFormat.Batch(0, List.of(request(1), request(2))));
+        byte[] requests = java.util.Arrays.copyOf(header, header.length + batch.length);
+        System.arraycopy(batch, 0, requests, header.length, batch.length);
+        for (int cut = header.length; cut <= requests.length; cut++) {
+            Path file = Files.write(folder.resolve("cut"), java.util.Arrays.copyOf(requests, cut));
             CaptureFile read = CaptureFile.read(file);
-            assertEquals(cut == all.length ? 3 : 1, read.requests().size(), "cut at " + cut);
-            assertEquals(cut != all.length && cut != head.length, read.fault().startsWith("cut off"), "at " + cut);
+            assertEquals(cut == requests.length ? 3 : 1, read.requests().size(), "cut at " + cut);
+            assertEquals(
+                    cut != requests.length && cut != header.length, read.fault().startsWith("cut off"), "at " + cut);
         }
     }
 
     @Test
-    void aFlippedBitIsFoundWhereverItIs() throws IOException {
-        byte[] whole = Files.readAllBytes(written(3));
-        List<CapturedRequest> seen = CaptureFile.read(files(folder).get(0)).requests();
-        for (int at = 0; at < whole.length; at++) {
-            byte[] damaged = whole.clone();
-            damaged[at] ^= 0x10;
+    void flippedBitIsDetectedAtAnyByte() throws IOException {
+        byte[] intact = Files.readAllBytes(writeFile(3));
+        List<CapturedRequest> written =
+                CaptureFile.read(listFiles(folder).get(0)).requests();
+        for (int position = 0; position < intact.length; position++) {
+            byte[] damaged = intact.clone();
+            damaged[position] ^= 0x10;
             Path file = Files.write(folder.resolve("damaged"), damaged);
             try {
                 CaptureFile read = CaptureFile.read(file);
-                assertTrue(!read.fault().isEmpty() && read.requests().size() < seen.size(), "byte " + at);
+                assertTrue(!read.fault().isEmpty() && read.requests().size() < written.size(), "byte " + position);
             } catch (IOException e) {
-                assertTrue(e.getMessage().length() > 5, "byte " + at);
+                assertTrue(e.getMessage().length() > 5, "byte " + position);
             }
         }
     }
 
     @Test
-    void whatIsNoCapturedLoadIsToldByName() throws IOException {
+    void otherFileIsRejectedByName() throws IOException {
         Path file = Files.writeString(folder.resolve("notes"), "dear diary");
-        IOException told = assertThrows(IOException.class, () -> CaptureFile.read(file));
-        assertTrue(told.getMessage().endsWith("notes is no captured load"), told.getMessage());
+        IOException exception = assertThrows(IOException.class, () -> CaptureFile.read(file));
+        assertTrue(exception.getMessage().endsWith("notes is not a capture file"), exception.getMessage());
     }
 
     @Test
-    void whatAFullRingDoesNotTakeIsCountedAndNothingWaits() throws IOException {
-        Path into = folder.resolve("ring");
-        try (CaptureWriter capture = capture(into, 64, 4_096, 16)) {
+    void fullRingDropsAndCountsRequestsWithoutBlocking() throws IOException {
+        Path subfolder = folder.resolve("ring");
+        try (CaptureWriter writer = openWriter(subfolder, 64, 4_096, 16)) {
             for (int i = 0; i < 100_000; i++) {
-                capture.offer(seen(i));
+                writer.offer(request(i));
             }
         }
-        long kept = 0;
-        long leftOut = 0;
-        for (Path path : files(into)) {
+        long writtenCount = 0;
+        long droppedCount = 0;
+        for (Path path : listFiles(subfolder)) {
             CaptureFile file = CaptureFile.read(path);
-            kept += file.requests().size();
-            leftOut += file.droppedCount();
+            writtenCount += file.requests().size();
+            droppedCount += file.droppedCount();
         }
-        assertEquals(100_000, kept + leftOut);
-        assertTrue(leftOut > 0, "the ring never filled");
+        assertEquals(100_000, writtenCount + droppedCount);
+        assertTrue(droppedCount > 0, "the ring never filled");
     }
 
     @Test
-    void filesAreEndedBySizeAndTheOldestGo() throws IOException {
-        Path into = folder.resolve("many");
+    void filesEndBySizeAndTheOldestAreDeleted() throws IOException {
+        Path subfolder = folder.resolve("many");
         for (int round = 0; round < 12; round++) {
-            long at = NOW + round;
-            try (CaptureWriter capture = new CaptureWriter(
-                    new LoadSettings(into, 8_192, 64 << 10, 192 << 10),
+            long position = NOW_US + round;
+            try (CaptureWriter writer = new CaptureWriter(
+                    new LoadSettings(subfolder, 8_192, 64 << 10, 192 << 10),
                     "n0",
                     List.of("page", "order"),
                     List.of("a", "b"),
-                    () -> at,
-                    said::add)) {
+                    () -> position,
+                    operatorLines::add)) {
                 for (int i = 0; i < 4_096; i++) {
-                    capture.offer(seen(i * 7_919));
+                    writer.offer(request(i * 7_919));
                 }
             }
         }
-        List<Path> left = files(into);
+        List<Path> remaining = listFiles(subfolder);
         long bytes = 0;
-        for (Path path : left) {
+        for (Path path : remaining) {
             bytes += Files.size(path);
         }
-        assertTrue(left.size() >= 2 && left.size() < 12, "files: " + left.size());
+        assertTrue(remaining.size() >= 2 && remaining.size() < 12, "files: " + remaining.size());
         assertTrue(bytes <= 256 << 10, "bytes: " + bytes);
-        assertTrue(left.get(left.size() - 1).getFileName().toString().startsWith("" + (NOW + 11)), "the newest stays");
+        assertTrue(
+                remaining.get(remaining.size() - 1).getFileName().toString().startsWith("" + (NOW_US + 11)),
+                "the newest stays");
     }
 
     @Test
-    void aDiskThatFailsIsToldOnceAndCountsWhatItDidNotTake() throws Exception {
-        Path into = folder.resolve("gone");
-        try (CaptureWriter capture = capture(into, 8_192, 4_096, 16)) {
-            Files.delete(into);
-            capture.offer(seen(1));
-            capture.offer(seen(2));
-            String line = said.poll(20, TimeUnit.SECONDS);
-            assertTrue(line != null && line.startsWith("load: what comes is left out and counted"), line);
-            Files.createDirectories(into);
-            capture.offer(seen(3));
+    void diskFailureIsLoggedOnceAndDroppedRequestsAreCounted() throws Exception {
+        Path subfolder = folder.resolve("gone");
+        try (CaptureWriter writer = openWriter(subfolder, 8_192, 4_096, 16)) {
+            Files.delete(subfolder);
+            writer.offer(request(1));
+            writer.offer(request(2));
+            String line = operatorLines.poll(20, TimeUnit.SECONDS);
+            assertTrue(line != null && line.startsWith("load: requests are dropped and counted"), line);
+            Files.createDirectories(subfolder);
+            writer.offer(request(3));
         }
-        assertTrue(said.isEmpty(), said::toString);
-        CaptureFile file = CaptureFile.read(files(into).get(0));
-        assertEquals(List.of(seen(3)), file.requests());
+        assertTrue(operatorLines.isEmpty(), operatorLines::toString);
+        CaptureFile file = CaptureFile.read(listFiles(subfolder).get(0));
+        assertEquals(List.of(request(3)), file.requests());
         assertEquals(2, file.droppedCount());
     }
 
@@ -225,7 +229,7 @@
     }
 
     @Test
-    void everyBadSettingIsToldWithItsField() throws IOException {
+    void everyInvalidSettingIsReportedWithItsField() throws IOException {
         assertEquals(List.of(), faults("{\"load\":{\"folder\":\"/x\"}}"));
         assertEquals(List.of(), faults("{}"));
         List<String> found = faults("{\"load\":{\"ring\":1,\"fileKiB\":\"big\",\"keepMiB\":0,\"colour\":1}}");
@@ -233,7 +237,7 @@
         assertTrue(found.get(0).startsWith("load.colour is not known"), found::toString);
         assertEquals("load.folder is missing", found.get(1));
         assertEquals(
-                List.of("load.keepMiB is less than one file has by load.fileKiB"),
+                List.of("load.keepMiB must be at least the size of one file, load.fileKiB"),
                 faults("{\"load\":{\"folder\":\"/x\",\"fileKiB\":4096,\"keepMiB\":2}}"));
     }
 }
--- a/src/test/java/kitemux/load/LoadSummaryTest.java
+++ b/src/test/java/kitemux/load/LoadSummaryTest.java
@@ -15,17 +15,17 @@
 
 /** What is gathered of requests, and what files of several nodes say together. */
 class LoadSummaryTest {
-    private static final long NOW = 1_790_000_000_000_000L;
+    private static final long NOW_US = 1_790_000_000_000_000L;
 
-    private static CaptureFile file(long id, String node, List<CapturedRequest> seen) {
-        return new CaptureFile(id, node, NOW, List.of("page", "order"), List.of("a", "b"), seen, 0, "");
+    private static CaptureFile file(long id, String node, List<CapturedRequest> requests) {
+        return new CaptureFile(id, node, NOW_US, List.of("page", "order"), List.of("a", "b"), requests, 0, "");
     }
 
-    private static CapturedRequest seen(long atUs, int classIndex, boolean repeat, Observer.Answer end) {
-        return new CapturedRequest(atUs, classIndex, 0, repeat, 500_000, List.of(), end, 1_000);
+    private static CapturedRequest request(long arrivedUs, int classIndex, boolean isRetry, Observer.Answer answer) {
+        return new CapturedRequest(arrivedUs, classIndex, 0, isRetry, 500_000, List.of(), answer, 1_000);
     }
 
-    private static Asked asked(boolean retry, long agoUs) {
+    private static Asked incomingRequest(boolean isRetry, long agoUs) {
         return new Asked() {
             @Override
             public String txn() {
@@ -54,7 +54,7 @@
 
             @Override
             public boolean retry() {
-                return retry;
+                return isRetry;
             }
         };
     }
@@ -62,14 +62,14 @@
     // ---------------------------------------------------------------- gathering
 
     @Test
-    void aRequestIsHandedOnOnceNothingMoreIsHeardOfIt() {
-        long[] now = {NOW};
-        List<CapturedRequest> got = new ArrayList<>();
+    void requestIsRecordedOnceNoFurtherEventsFollow() {
+        long[] nowUs = {NOW_US};
+        List<CapturedRequest> recorded = new ArrayList<>();
         RequestRecorder recorder = new RequestRecorder(
                 new Time() {
                     @Override
                     public long nowUs() {
-                        return now[0];
+                        return nowUs[0];
                     }
 
                     @Override
@@ -77,21 +77,21 @@
                         throw new IllegalStateException("a recorder waits for nothing");
                     }
                 },
-                got::add);
-        recorder.taken(1, asked(true, 300));
-        recorder.sent(1, 0, "s1", NOW + 9_000);
-        now[0] += 2_000;
-        recorder.sent(1, 1, "s2", NOW + 9_000);
-        now[0] += 1_000;
+                recorded::add);
+        recorder.taken(1, incomingRequest(true, 300));
+        recorder.sent(1, 0, "s1", NOW_US + 9_000);
+        nowUs[0] += 2_000;
+        recorder.sent(1, 1, "s2", NOW_US + 9_000);
+        nowUs[0] += 1_000;
         recorder.ended(1, 1, Result.OK);
         recorder.answered(1, Observer.Answer.SERVED);
-        assertEquals(List.of(), got);
-        now[0] += 500;
+        assertEquals(List.of(), recorded);
+        nowUs[0] += 500;
         recorder.ended(1, 0, Result.CANCELLED);
         recorder.forgotten(1);
         assertEquals(
                 List.of(new CapturedRequest(
-                        NOW - 300,
+                        NOW_US - 300,
                         1,
                         -1,
                         true,
@@ -101,86 +101,90 @@
                                 new CapturedRequest.Attempt("s2", 2_300, 1_000, Result.OK)),
                         Observer.Answer.SERVED,
                         3_300)),
-                got);
+                recorded);
         assertEquals(0, recorder.openCount());
         recorder.forgotten(7);
-        assertEquals(1, got.size(), "of one that was not seen coming nothing is handed on");
+        assertEquals(1, recorded.size(), "of one that was not seen coming nothing is handed on");
     }
 
     // ---------------------------------------------------------------- adding up
 
     @Test
-    void whatIsAskedAgainIsNotWanted() {
-        LoadSummary all = new LoadSummary(1_000_000, Map.of());
-        List<CapturedRequest> seen = new ArrayList<>();
+    void retriesDoNotCountAsFirstTries() {
+        LoadSummary summary = new LoadSummary(1_000_000, Map.of());
+        List<CapturedRequest> requests = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            seen.add(seen(NOW + i * 50_000L, 0, false, Observer.Answer.REFUSED));
-            seen.add(seen(NOW + i * 50_000L + 10_000, 0, true, Observer.Answer.SERVED));
+            requests.add(request(NOW_US + i * 50_000L, 0, false, Observer.Answer.REFUSED));
+            requests.add(request(NOW_US + i * 50_000L + 10_000, 0, true, Observer.Answer.SERVED));
         }
-        all.add(file(1, "n0", seen));
-        LoadSummary.ClassSummary page = all.classes().get("page");
+        summary.add(file(1, "n0", requests));
+        LoadSummary.ClassSummary page = summary.classes().get("page");
         assertEquals(
                 List.of(100L, 100L, 100L, 100L),
                 List.of(page.firstTries(), page.retries(), page.served(), page.refused()));
-        assertEquals(20, all.steps().get(1).firstTriesPerS(), 1e-9);
-        assertEquals(20, all.steps().get(1).retriesPerS(), 1e-9);
-        assertEquals(List.of(), all.warnings());
+        assertEquals(20, summary.steps().get(1).firstTriesPerS(), 1e-9);
+        assertEquals(20, summary.steps().get(1).retriesPerS(), 1e-9);
+        assertEquals(List.of(), summary.warnings());
     }
 
     @Test
-    void repeatsThatAreNotMarkedAreWarnedOf() {
-        LoadSummary all = new LoadSummary(1_000_000, Map.of());
-        all.add(file(
+    void unmarkedRetriesCauseAWarning() {
+        LoadSummary summary = new LoadSummary(1_000_000, Map.of());
+        summary.add(file(
                 1,
                 "n0",
                 List.of(
-                        seen(NOW, 0, false, Observer.Answer.REFUSED),
-                        seen(NOW + 5, 0, false, Observer.Answer.SERVED))));
+                        request(NOW_US, 0, false, Observer.Answer.REFUSED),
+                        request(NOW_US + 5, 0, false, Observer.Answer.SERVED))));
         assertTrue(
-                all.warnings().get(0).startsWith("of 1 refused tries hardly any was marked"), all.warnings()::toString);
+                summary.warnings().get(0).startsWith("of 1 refused tries hardly any was followed by a marked retry"),
+                summary.warnings()::toString);
     }
 
     @Test
-    void aCopyIsLeftOutAndNodesAddUpOverClocksThatDiffer() {
-        LoadSummary all = new LoadSummary(1_000_000, Map.of("n1", -5_000_000L));
-        CaptureFile first = file(1, "n0", List.of(seen(NOW, 0, false, Observer.Answer.SERVED)));
-        all.add(first);
-        all.add(first);
-        all.add(file(2, "n1", List.of(seen(NOW + 5_000_000, 1, false, Observer.Answer.SERVED))));
-        assertEquals(2, all.firstTries());
-        assertEquals(1, all.steps().size(), "the same second by both clocks");
-        assertEquals(Map.of("n0", 1, "n1", 1), all.nodes());
-        assertEquals(List.of("a copy of a file of n0 is left out"), all.warnings());
+    void copiesAreSkippedAndNodesAreSummedWithAlignedClocks() {
+        LoadSummary summary = new LoadSummary(1_000_000, Map.of("n1", -5_000_000L));
+        CaptureFile file = file(1, "n0", List.of(request(NOW_US, 0, false, Observer.Answer.SERVED)));
+        summary.add(file);
+        summary.add(file);
+        summary.add(file(2, "n1", List.of(request(NOW_US + 5_000_000, 1, false, Observer.Answer.SERVED))));
+        assertEquals(2, summary.firstTries());
+        assertEquals(1, summary.steps().size(), "the same second by both clocks");
+        assertEquals(Map.of("n0", 1, "n1", 1), summary.nodes());
+        assertEquals(List.of("a capture file of n0 is skipped as a copy of another one"), summary.warnings());
     }
 
     @Test
-    void whatIsMissingIsSaid() {
-        LoadSummary all = new LoadSummary(1_000_000, Map.of());
-        all.add(new CaptureFile(1, "n0", NOW, List.of("page"), List.of(), List.of(), 12, "cut off: 3 bytes"));
+    void missingDataCausesWarnings() {
+        LoadSummary summary = new LoadSummary(1_000_000, Map.of());
+        summary.add(new CaptureFile(1, "n0", NOW_US, List.of("page"), List.of(), List.of(), 12, "cut off: 3 bytes"));
         assertEquals(
                 List.of(
-                        "a file of n0 is not whole: cut off: 3 bytes",
-                        "12 requests were left out as they came: what is told is less than what was"),
-                all.warnings());
-        assertEquals(0, all.durationS());
-        assertEquals(List.of(), all.steps());
+                        "a capture file of n0 is incomplete: cut off: 3 bytes",
+                        "12 requests were dropped during the capture, so the counts are too low"),
+                summary.warnings());
+        assertEquals(0, summary.durationS());
+        assertEquals(List.of(), summary.steps());
     }
 
     @Test
-    void clientsThatComeInBurstsAreToldFromThoseThatComeByThemselves() {
+    void burstsAreDistinguishedFromIndependentArrivals() {
         Random random = new Random(4);
-        List<CapturedRequest> alone = new ArrayList<>();
+        List<CapturedRequest> independent = new ArrayList<>();
         List<CapturedRequest> bursts = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
-            alone.add(seen(NOW + (long) (random.nextDouble() * 100e6), 0, false, Observer.Answer.SERVED));
-            bursts.add(seen(
-                    NOW + random.nextInt(20) * 5_000_000L + random.nextInt(1_000), 0, false, Observer.Answer.SERVED));
+            independent.add(request(NOW_US + (long) (random.nextDouble() * 100e6), 0, false, Observer.Answer.SERVED));
+            bursts.add(request(
+                    NOW_US + random.nextInt(20) * 5_000_000L + random.nextInt(1_000),
+                    0,
+                    false,
+                    Observer.Answer.SERVED));
         }
-        LoadSummary one = new LoadSummary(1_000_000, Map.of());
-        one.add(file(1, "n0", alone));
-        LoadSummary many = new LoadSummary(1_000_000, Map.of());
-        many.add(file(2, "n0", bursts));
-        assertEquals(1, one.burstiness(), 0.4);
-        assertTrue(many.burstiness() > 20, "burstiness " + many.burstiness());
+        LoadSummary independentSummary = new LoadSummary(1_000_000, Map.of());
+        independentSummary.add(file(1, "n0", independent));
+        LoadSummary burstSummary = new LoadSummary(1_000_000, Map.of());
+        burstSummary.add(file(2, "n0", bursts));
+        assertEquals(1, independentSummary.burstiness(), 0.4);
+        assertTrue(burstSummary.burstiness() > 20, "burstiness " + burstSummary.burstiness());
     }
 }
--- a/src/test/java/kitemux/orders/JournalTest.java
+++ b/src/test/java/kitemux/orders/JournalTest.java
@@ -27,20 +27,20 @@
 class JournalTest {
     private static final Digest BODY = Digest.of(new byte[] {1, 2, 3});
 
-    private final List<String> lines = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
     private long clockUs = 1_000_000;
-    private long ageUs = Long.MAX_VALUE;
-    private long keepUs;
-    private long keepBytes;
+    private long segmentAgeUs = Long.MAX_VALUE;
+    private long retentionUs;
+    private long maxTotalBytes;
 
-    private Journal open(Disk disk, long mostSegment, long seed) throws IOException {
+    private Journal open(Disk disk, long segmentBytes, long seed) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
         return Journal.open(
                 disk,
-                new Journal.Limits(mostSegment, ageUs, keepUs, keepBytes),
+                new Journal.Limits(segmentBytes, segmentAgeUs, retentionUs, maxTotalBytes),
                 () -> clockUs++,
                 random::nextLong,
-                lines::add);
+                logLines::add);
     }
 
     static Accepted accepted(long number, String order) {
@@ -62,16 +62,16 @@
     private static final class Run {
         final Set<Long> durableIntents = new HashSet<>();
         final Set<Long> durableAnswers = new HashSet<>();
-        final Set<Long> begun = new HashSet<>();
+        final Set<Long> begunOrders = new HashSet<>();
     }
 
     /** Orders one after the other, each taken, sent, ended and answered, until the power goes. */
-    private Run orders(Disk disk, int count, long mostSegment) {
+    private Run placeOrders(Disk disk, int count, long segmentBytes) {
         Run run = new Run();
-        try (Journal journal = open(disk, mostSegment, 7)) {
+        try (Journal journal = open(disk, segmentBytes, 7)) {
             for (int i = 0; i < count; i++) {
                 long number = journal.nextNumber();
-                run.begun.add(number);
+                run.begunOrders.add(number);
                 journal.append(
                         List.of(accepted(number, "o" + number), new Intent(number, 6, 0, "s1", "127.0.0.1:1", 900)));
                 journal.sync();
@@ -87,73 +87,73 @@
         return run;
     }
 
-    private void check(MemoryDisk found, Run run) throws IOException {
-        open(found, 400, 8).close();
-        Map<Long, Integer> taken = new HashMap<>();
+    private void recoverAndCheck(MemoryDisk disk, Run run) throws IOException {
+        open(disk, 400, 8).close();
+        Map<Long, Integer> accepted = new HashMap<>();
         Set<Long> intents = new HashSet<>();
         Set<Long> answers = new HashSet<>();
-        Map<Long, Integer> left = new HashMap<>();
-        for (Entry entry : entries(found)) {
+        Map<Long, Integer> leftOpen = new HashMap<>();
+        for (Entry entry : entries(disk)) {
             if (entry instanceof Accepted) {
-                taken.merge(entry.number(), 1, Integer::sum);
+                accepted.merge(entry.number(), 1, Integer::sum);
             } else if (entry instanceof Intent) {
                 intents.add(entry.number());
             } else if (entry instanceof Answered) {
                 answers.add(entry.number());
             } else if (entry instanceof LeftOpen) {
-                left.merge(entry.number(), 1, Integer::sum);
+                leftOpen.merge(entry.number(), 1, Integer::sum);
             }
         }
         assertTrue(intents.containsAll(run.durableIntents), "a send without its record");
         assertTrue(answers.containsAll(run.durableAnswers));
-        assertTrue(run.begun.containsAll(taken.keySet()), "an order that nobody sent");
-        assertTrue(taken.values().stream().allMatch(n -> n == 1), "an order recorded twice");
-        for (long number : taken.keySet()) {
+        assertTrue(run.begunOrders.containsAll(accepted.keySet()), "an order that nobody sent");
+        assertTrue(accepted.values().stream().allMatch(n -> n == 1), "an order recorded twice");
+        for (long number : accepted.keySet()) {
             assertEquals(
                     answers.contains(number) ? 0 : 1,
-                    left.getOrDefault(number, 0),
+                    leftOpen.getOrDefault(number, 0),
                     "open orders are marked, once, and no others: " + number);
         }
     }
 
     @Test
-    void whereverThePowerIsCutNoSendIsWithoutItsRecordAndNoneIsThereTwice() throws IOException {
-        MemoryDisk whole = new MemoryDisk();
-        assertEquals(12, orders(whole, 12, 400).durableAnswers.size());
-        assertTrue(SegmentNames.sequences(whole.list()).size() > 4, "segments were ended on the way");
-        for (int cut = 0; cut <= whole.operations; cut++) {
-            for (int unsynced : new int[] {0, 1, 7, 30, 64, 65, 100, 1_000_000}) {
+    void powerCutAtAnyStepLosesNoDurableEntryAndDuplicatesNone() throws IOException {
+        MemoryDisk fullRunDisk = new MemoryDisk();
+        assertEquals(12, placeOrders(fullRunDisk, 12, 400).durableAnswers.size());
+        assertTrue(SegmentNames.sequences(fullRunDisk.list()).size() > 4, "segments were ended on the way");
+        for (int operationCount = 0; operationCount <= fullRunDisk.operations; operationCount++) {
+            for (int unsyncedBytes : new int[] {0, 1, 7, 30, 64, 65, 100, 1_000_000}) {
                 MemoryDisk disk = new MemoryDisk();
-                disk.failAfter = cut;
-                Run run = orders(disk, 12, 400);
-                check(disk.afterPowerCut(unsynced), run);
+                disk.failAfter = operationCount;
+                Run run = placeOrders(disk, 12, 400);
+                recoverAndCheck(disk.afterPowerCut(unsyncedBytes), run);
             }
         }
     }
 
     @Test
-    void aPowerCutInTheMiddleOfARecoveryIsRecoveredFromAsWell() throws IOException {
+    void powerCutDuringRecoveryIsRecovered() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         disk.failAfter = 25;
-        Run run = orders(disk, 12, 400);
-        for (int cut = 0; cut < 12; cut++) {
-            MemoryDisk found = disk.afterPowerCut(50);
-            found.failAfter = cut;
+        Run run = placeOrders(disk, 12, 400);
+        for (int operationCount = 0; operationCount < 12; operationCount++) {
+            MemoryDisk diskAfterCut = disk.afterPowerCut(50);
+            diskAfterCut.failAfter = operationCount;
             try {
-                open(found, 400, 9).close();
+                open(diskAfterCut, 400, 9).close();
             } catch (IOException e) {
                 // The power went again.
             }
-            for (int unsynced : new int[] {0, 3, 20, 1_000_000}) {
-                check(found.afterPowerCut(unsynced), run);
+            for (int unsyncedBytes : new int[] {0, 3, 20, 1_000_000}) {
+                recoverAndCheck(diskAfterCut.afterPowerCut(unsyncedBytes), run);
             }
         }
     }
 
     @Test
-    void bytesSpoiltInTheMiddleHideNothingBehindThemAndAreNamed() throws IOException {
+    void corruptBytesAreLoggedAndHideNoEntryBehindThem() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 5, 1 << 20);
+        placeOrders(disk, 5, 1 << 20);
         String name = SegmentNames.segmentName(1);
         byte[] bytes = disk.read(name);
         List<Segment.LocatedEntry> before = Segment.read(bytes).entries();
@@ -161,18 +161,18 @@
         disk.put(name, bytes);
         open(disk, 1 << 20, 8).close();
         assertTrue(
-                lines.stream()
+                logLines.stream()
                         .anyMatch(line ->
                                 line.contains(name + ", offset " + before.get(4).offset() + ":")
                                         && line.contains("checksum")),
-                lines.toString());
+                logLines.toString());
         assertEquals(
                 before.size() - 1,
                 entries(disk).stream().filter(e -> !(e instanceof LeftOpen)).count());
     }
 
     @Test
-    void anOldSegmentsBytesDoNotPassForEntriesOfANewOne() throws IOException {
+    void framesOfAnotherSegmentAreRejected() throws IOException {
         Segment.Header first = new Segment.Header(1, 11, 0);
         Segment.Header second = new Segment.Header(2, 22, 0);
         byte[] frame = Segment.frame(first, Segment.HEADER_BYTES, accepted(1, "o"));
@@ -185,15 +185,15 @@
     }
 
     @Test
-    void spoiltBytesNeverFailAReaderNorYieldWhatWasNotWritten() throws IOException {
+    void corruptBytesNeitherFailAReaderNorYieldFalseEntries() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 8, 1 << 20);
-        byte[] sound = disk.read(SegmentNames.segmentName(1));
+        placeOrders(disk, 8, 1 << 20);
+        byte[] intact = disk.read(SegmentNames.segmentName(1));
         Set<Entry> written = new HashSet<>(entries(disk));
         SplittableRandom random = new SplittableRandom(3);
-        int yielded = 0;
+        int decodedCount = 0;
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = sound.clone();
+            byte[] bytes = intact.clone();
             for (int n = 1 + random.nextInt(4); n > 0; n--) {
                 int at = random.nextInt(bytes.length);
                 switch (random.nextInt(3)) {
@@ -201,7 +201,7 @@
                     case 1 -> bytes = java.util.Arrays.copyOf(bytes, Math.max(1, at));
                     default ->
                         System.arraycopy(
-                                sound,
+                                intact,
                                 0,
                                 bytes,
                                 Math.min(at, bytes.length),
@@ -209,16 +209,16 @@
                 }
             }
             Segment.Content content = Segment.read(bytes);
-            yielded += content.entries().size();
+            decodedCount += content.entries().size();
             assertTrue(content.entries().stream().allMatch(p -> written.contains(p.entry())));
         }
-        assertTrue(yielded > 20_000, "most of it was still read");
+        assertTrue(decodedCount > 20_000, "most of it was still read");
     }
 
     @Test
-    void whatIsNoSegmentIsSetAsideAndNotDeleted() throws IOException {
+    void invalidSegmentIsSetAsideAndNotDeleted() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 2, 1 << 20);
+        placeOrders(disk, 2, 1 << 20);
         disk.put(SegmentNames.segmentName(2), "half a head".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         try (Journal journal = open(disk, 1 << 20, 8)) {
             assertEquals(3, journal.header().sequence());
@@ -229,8 +229,8 @@
     }
 
     @Test
-    void aSegmentEndsWhenItIsOldToo() throws IOException {
-        ageUs = 1_000;
+    void segmentEndsByAge() throws IOException {
+        segmentAgeUs = 1_000;
         MemoryDisk disk = new MemoryDisk();
         try (Journal journal = open(disk, 1 << 20, 7)) {
             journal.append(List.of(accepted(1, "a")));
@@ -245,51 +245,53 @@
     }
 
     @Test
-    void oldSegmentsAreTakenAwayButNoneWithAnOpenOrder() throws IOException {
-        keepUs = 1;
+    void expiredSegmentsAreDeletedUnlessAnOrderIsOpen() throws IOException {
+        retentionUs = 1;
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 12, 400);
-        int kept = SegmentNames.sequences(disk.list()).size();
-        assertTrue(kept <= 2, kept + " segments are kept");
+        placeOrders(disk, 12, 400);
+        int segmentCount = SegmentNames.sequences(disk.list()).size();
+        assertTrue(segmentCount <= 2, segmentCount + " segments are kept");
         try (Journal journal = open(disk, 400, 8)) {
-            long waiting = journal.nextNumber();
-            journal.append(List.of(accepted(waiting, "waits"), new Intent(waiting, 6, 0, "s", "", 9)));
+            long openNumber = journal.nextNumber();
+            journal.append(List.of(accepted(openNumber, "waits"), new Intent(openNumber, 6, 0, "s", "", 9)));
             for (int i = 1; i < 12; i++) {
-                journal.append(List.of(accepted(waiting + i, "o" + i), new Answered(waiting + i, 8, Answer.REFUSED)));
+                journal.append(
+                        List.of(accepted(openNumber + i, "o" + i), new Answered(openNumber + i, 8, Answer.REFUSED)));
             }
             journal.sync();
-            assertTrue(entries(disk).contains(accepted(waiting, "waits")), "open, however old");
-            assertEquals(waiting, journal.oldestOpen());
+            assertTrue(entries(disk).contains(accepted(openNumber, "waits")), "open, however old");
+            assertEquals(openNumber, journal.oldestOpen());
         }
     }
 
     @Test
-    void theOldestGoWhileThereIsTooMuchAndNoneWithAnOpenOrder() throws IOException {
-        keepBytes = 2_500;
+    void oldestSegmentsAreDeletedBySizeUnlessAnOrderIsOpen() throws IOException {
+        maxTotalBytes = 2_500;
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 12, 400);
+        placeOrders(disk, 12, 400);
         List<Long> segments = SegmentNames.sequences(disk.list());
         assertTrue(segments.size() > 2 && segments.get(0) > 1, segments + " are kept");
         long bytes = 0;
         for (long segment : segments) {
             bytes += disk.size(SegmentNames.segmentName(segment));
         }
-        assertTrue(bytes <= keepBytes + 1_000, bytes + " bytes: at most what one segment holds beyond");
+        assertTrue(bytes <= maxTotalBytes + 1_000, bytes + " bytes: at most what one segment holds beyond");
         assertTrue(
                 disk.list().stream().noneMatch(name -> name.equals(SegmentNames.indexName(1))),
                 "an index goes with its segment");
         try (Journal journal = open(disk, 400, 8)) {
-            long waiting = journal.nextNumber();
-            journal.append(List.of(accepted(waiting, "waits"), new Intent(waiting, 6, 0, "s", "", 9)));
+            long openNumber = journal.nextNumber();
+            journal.append(List.of(accepted(openNumber, "waits"), new Intent(openNumber, 6, 0, "s", "", 9)));
             for (int i = 1; i < 30; i++) {
-                journal.append(List.of(accepted(waiting + i, "o" + i), new Answered(waiting + i, 8, Answer.REFUSED)));
+                journal.append(
+                        List.of(accepted(openNumber + i, "o" + i), new Answered(openNumber + i, 8, Answer.REFUSED)));
             }
-            assertTrue(entries(disk).contains(accepted(waiting, "waits")), "open, however much there is");
+            assertTrue(entries(disk).contains(accepted(openNumber, "waits")), "open, however much there is");
         }
     }
 
     @Test
-    void anIdThatComesAgainAfterARestartIsAnOrderOfItsOwn() throws IOException {
+    void reusedIdAfterARestartIsASeparateOrder() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         try (Journal journal = open(disk, 1 << 20, 7)) {
             journal.append(List.of(accepted(1, "same"), new Intent(1, 6, 0, "s", "", 9)));
@@ -298,19 +300,19 @@
             long number = journal.nextNumber();
             journal.append(List.of(accepted(number, "same"), new Answered(number, 8, Answer.REFUSED)));
         }
-        assertEquals(List.of("same UNKNOWN", "same REFUSED"), found(disk, "same", new int[1]));
+        assertEquals(List.of("same UNKNOWN", "same REFUSED"), findOrders(disk, "same", new int[1]));
     }
 
     @Test
-    void aLastSegmentWithoutAWholeHeaderIsTornAndNoFault() throws IOException {
+    void incompleteHeaderOfTheLastSegmentIsTornAndNoFault() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 3, 1 << 20);
+        placeOrders(disk, 3, 1 << 20);
         byte[] first = disk.read(SegmentNames.segmentName(1));
         for (int length = 0; length < Segment.HEADER_BYTES; length++) {
             disk.put(SegmentNames.segmentName(2), java.util.Arrays.copyOf(first, length));
-            JournalReader.VerificationResult verdict = new JournalReader(disk).verify();
-            assertEquals(List.of(), verdict.faults(), "a node died, or is, before " + length + " bytes");
-            assertEquals(length, verdict.tornBytes());
+            JournalReader.VerificationResult result = new JournalReader(disk).verify();
+            assertEquals(List.of(), result.faults(), "a node died, or is, before " + length + " bytes");
+            assertEquals(length, result.tornBytes());
         }
         disk.put(SegmentNames.segmentName(2), new byte[Segment.HEADER_BYTES]);
         assertEquals(1, new JournalReader(disk).verify().faults().size(), "long enough, and no header");
@@ -320,62 +322,64 @@
                 2, new JournalReader(disk).verify().faults().size(), "not the last, and one that says it is another");
     }
 
-    private static List<String> found(MemoryDisk disk, String order, int[] reads) throws IOException {
-        List<String> found = new ArrayList<>();
+    private static List<String> findOrders(MemoryDisk disk, String order, int[] reads) throws IOException {
+        List<String> results = new ArrayList<>();
         disk.reads = 0;
         new JournalReader(disk)
                 .findHistories(
                         Set.of(order),
                         Set.of(),
                         Set.of(),
-                        taken -> true,
-                        story -> found.add(story.accepted().orderId() + " " + story.state(false)));
+                        accepted -> true,
+                        history -> results.add(history.accepted().orderId() + " " + history.state(false)));
         reads[0] = disk.reads;
-        return found;
+        return results;
     }
 
     @Test
-    void anIndexSparesTheReadingOfSegmentsAndChangesNoAnswer() throws IOException {
+    void indexSavesSegmentReadsWithoutChangingResults() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 40, 800);
+        placeOrders(disk, 40, 800);
         List<Long> segments = SegmentNames.sequences(disk.list());
-        int[] with = new int[1];
-        int[] without = new int[1];
+        int[] readsWithIndex = new int[1];
+        int[] readsWithoutIndex = new int[1];
         for (int i = 1; i <= 41; i++) {
-            List<String> quick = found(disk, "o" + i, with);
-            MemoryDisk bare = disk.afterPowerCut(0);
+            List<String> results = findOrders(disk, "o" + i, readsWithIndex);
+            MemoryDisk diskWithoutIndexes = disk.afterPowerCut(0);
             for (long segment : segments.subList(0, segments.size() - 1)) {
-                bare.files().remove(SegmentNames.indexName(segment));
+                diskWithoutIndexes.files().remove(SegmentNames.indexName(segment));
             }
-            assertEquals(found(bare, "o" + i, without), quick);
-            assertEquals(i <= 40 ? List.of("o" + i + " ANSWERED") : List.of(), quick);
-            assertTrue(with[0] <= 4 && without[0] == segments.size(), with[0] + " of " + without[0]);
+            assertEquals(findOrders(diskWithoutIndexes, "o" + i, readsWithoutIndex), results);
+            assertEquals(i <= 40 ? List.of("o" + i + " ANSWERED") : List.of(), results);
+            assertTrue(
+                    readsWithIndex[0] <= 4 && readsWithoutIndex[0] == segments.size(),
+                    readsWithIndex[0] + " of " + readsWithoutIndex[0]);
             if (i == 41) {
-                assertEquals(segments.size() - 1, new JournalReader(bare).rebuildIndexes());
-                assertEquals(0, new JournalReader(bare).rebuildIndexes());
-                found(bare, "o7", with);
-                assertTrue(with[0] <= 4, "made anew, it spares as much");
+                assertEquals(segments.size() - 1, new JournalReader(diskWithoutIndexes).rebuildIndexes());
+                assertEquals(0, new JournalReader(diskWithoutIndexes).rebuildIndexes());
+                findOrders(diskWithoutIndexes, "o7", readsWithIndex);
+                assertTrue(readsWithIndex[0] <= 4, "made anew, it spares as much");
             }
         }
     }
 
     @Test
-    void anIndexThatIsSpoiltOrOfAnotherTimeCountsAsNone() throws IOException {
+    void corruptOrOutdatedIndexIsIgnored() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 12, 800);
+        placeOrders(disk, 12, 800);
         String name = SegmentNames.indexName(1);
-        byte[] sound = disk.read(name);
-        assertTrue(SegmentIndex.read(sound).matches(1, disk.size(SegmentNames.segmentName(1))));
-        assertFalse(SegmentIndex.read(sound).matches(2, disk.size(SegmentNames.segmentName(1))));
-        assertFalse(SegmentIndex.read(sound).matches(1, disk.size(SegmentNames.segmentName(1)) + 1));
-        for (int i = 0; i < sound.length; i++) {
-            byte[] spoilt = sound.clone();
-            spoilt[i] ^= 1;
-            disk.put(name, spoilt);
-            assertEquals(List.of("o1 ANSWERED"), found(disk, "o1", new int[1]), "byte " + i);
+        byte[] intact = disk.read(name);
+        assertTrue(SegmentIndex.read(intact).matches(1, disk.size(SegmentNames.segmentName(1))));
+        assertFalse(SegmentIndex.read(intact).matches(2, disk.size(SegmentNames.segmentName(1))));
+        assertFalse(SegmentIndex.read(intact).matches(1, disk.size(SegmentNames.segmentName(1)) + 1));
+        for (int i = 0; i < intact.length; i++) {
+            byte[] corrupt = intact.clone();
+            corrupt[i] ^= 1;
+            disk.put(name, corrupt);
+            assertEquals(List.of("o1 ANSWERED"), findOrders(disk, "o1", new int[1]), "byte " + i);
         }
-        for (int length = 0; length < sound.length; length++) {
-            assertEquals(null, SegmentIndex.read(java.util.Arrays.copyOf(sound, length)));
+        for (int length = 0; length < intact.length; length++) {
+            assertEquals(null, SegmentIndex.read(java.util.Arrays.copyOf(intact, length)));
         }
     }
 }
--- a/src/test/java/kitemux/orders/JournalWriterTest.java
+++ b/src/test/java/kitemux/orders/JournalWriterTest.java
@@ -28,43 +28,43 @@
 /** The writer of a journal, on disks that do not do what they should. */
 class JournalWriterTest {
     private final MemoryDisk disk = new MemoryDisk();
-    private final AtomicBoolean gone = new AtomicBoolean();
-    private final AtomicBoolean full = new AtomicBoolean();
-    private final AtomicInteger created = new AtomicInteger();
-    private final Semaphore syncs = new Semaphore(Integer.MAX_VALUE / 2);
-    private final BlockingQueue<Boolean> told = new LinkedBlockingQueue<>();
-    private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
-    private JournalWriter log;
+    private final AtomicBoolean diskIsGone = new AtomicBoolean();
+    private final AtomicBoolean diskIsFull = new AtomicBoolean();
+    private final AtomicInteger createdFiles = new AtomicInteger();
+    private final Semaphore syncPermits = new Semaphore(Integer.MAX_VALUE / 2);
+    private final BlockingQueue<Boolean> callbackResults = new LinkedBlockingQueue<>();
+    private final List<String> logLines = Collections.synchronizedList(new ArrayList<>());
+    private JournalWriter writer;
 
     /** The same disk, which may be gone, and syncs only when it is let. */
-    private final Disk moody = new Disk() {
+    private final Disk failingDisk = new Disk() {
         private void check() throws IOException {
-            if (gone.get()) {
+            if (diskIsGone.get()) {
                 throw new IOException("no such device");
             }
         }
 
-        private Out out(Out sound) {
+        private Out out(Out delegate) {
             return new Out() {
                 @Override
                 public void write(byte[] bytes) throws IOException {
                     check();
-                    if (full.get()) {
+                    if (diskIsFull.get()) {
                         throw new IOException("no space left");
                     }
-                    sound.write(bytes);
+                    delegate.write(bytes);
                 }
 
                 @Override
                 public void sync() throws IOException {
-                    syncs.acquireUninterruptibly();
+                    syncPermits.acquireUninterruptibly();
                     check();
-                    sound.sync();
+                    delegate.sync();
                 }
 
                 @Override
                 public void close() throws IOException {
-                    sound.close();
+                    delegate.close();
                 }
             };
         }
@@ -88,7 +88,7 @@
         @Override
         public Out create(String name) throws IOException {
             check();
-            created.incrementAndGet();
+            createdFiles.incrementAndGet();
             return out(disk.create(name));
         }
 
@@ -114,36 +114,40 @@
         }
     };
 
-    private JournalWriter start(JournalWriter.SyncPolicy sync, long syncMs) throws IOException {
-        log = JournalWriter.start(
-                failed -> failed == null
+    private JournalWriter start(JournalWriter.SyncPolicy sync, long syncDelayMs) throws IOException {
+        writer = JournalWriter.start(
+                failedJournal -> failedJournal == null
                         ? Journal.open(
-                                moody, new Journal.Limits(1 << 20, Long.MAX_VALUE, 0, 0), () -> 1, () -> 5, lines::add)
-                        : Journal.reopen(failed),
+                                failingDisk,
+                                new Journal.Limits(1 << 20, Long.MAX_VALUE, 0, 0),
+                                () -> 1,
+                                () -> 5,
+                                logLines::add)
+                        : Journal.reopen(failedJournal),
                 sync,
-                syncMs,
+                syncDelayMs,
                 Runnable::run,
-                lines::add);
-        return log;
+                logLines::add);
+        return writer;
     }
 
     @AfterEach
-    void end() throws InterruptedException {
-        gone.set(false);
-        full.set(false);
-        syncs.release(1_000);
-        log.close();
+    void closeWriter() throws InterruptedException {
+        diskIsGone.set(false);
+        diskIsFull.set(false);
+        syncPermits.release(1_000);
+        writer.close();
     }
 
     private static Intent intent(long number) {
         return new Intent(number, 2, 0, "s", "127.0.0.1:1", 9);
     }
 
-    private Boolean next() throws InterruptedException {
-        return told.poll(20, TimeUnit.SECONDS);
+    private Boolean awaitCallback() throws InterruptedException {
+        return callbackResults.poll(20, TimeUnit.SECONDS);
     }
 
-    private List<Entry> onDisk() throws IOException {
+    private List<Entry> entriesOnDisk() throws IOException {
         List<Entry> all = new ArrayList<>();
         for (long sequence : SegmentNames.sequences(disk.list())) {
             Segment.read(disk.read(SegmentNames.segmentName(sequence)))
@@ -154,142 +158,142 @@
     }
 
     @Test
-    void nobodyIsToldBeforeTheDiskHasSynced() throws Exception {
+    void callbackRunsOnlyAfterTheSync() throws Exception {
         start(JournalWriter.SyncPolicy.EACH, 1);
-        syncs.drainPermits();
-        log.commit(() -> intent(1), told::add);
-        assertNull(told.poll(50, TimeUnit.MILLISECONDS));
-        syncs.release();
-        assertEquals(true, next());
+        syncPermits.drainPermits();
+        writer.commit(() -> intent(1), callbackResults::add);
+        assertNull(callbackResults.poll(50, TimeUnit.MILLISECONDS));
+        syncPermits.release();
+        assertEquals(true, awaitCallback());
     }
 
     @Test
-    void whatComesWhileADiskSyncsIsSyncedTogether() throws Exception {
+    void entriesQueuedDuringASyncShareTheNextSync() throws Exception {
         start(JournalWriter.SyncPolicy.EACH, 1);
-        syncs.drainPermits();
-        log.commit(() -> intent(1), told::add);
-        while (!syncs.hasQueuedThreads()) {
+        syncPermits.drainPermits();
+        writer.commit(() -> intent(1), callbackResults::add);
+        while (!syncPermits.hasQueuedThreads()) {
             Thread.onSpinWait();
         }
         for (int i = 2; i <= 100; i++) {
             long number = i;
-            log.commit(() -> intent(number), told::add);
+            writer.commit(() -> intent(number), callbackResults::add);
         }
-        syncs.release(2);
+        syncPermits.release(2);
         for (int i = 1; i <= 100; i++) {
-            assertEquals(true, next());
+            assertEquals(true, awaitCallback());
         }
     }
 
     @Test
-    void whatNobodyWaitsForGoesWithTheNextSyncAndHoldsUpNone() throws Exception {
+    void unawaitedEntriesShareTheNextSyncWithoutDelayingCommits() throws Exception {
         start(JournalWriter.SyncPolicy.EACH, 60_000);
-        syncs.drainPermits();
-        log.append(() -> new Answered(1, 4, Answer.SERVED));
-        while (!onDisk().contains(new Answered(1, 4, Answer.SERVED))) {
+        syncPermits.drainPermits();
+        writer.append(() -> new Answered(1, 4, Answer.SERVED));
+        while (!entriesOnDisk().contains(new Answered(1, 4, Answer.SERVED))) {
             Thread.onSpinWait();
         }
-        log.commit(() -> intent(2), told::add);
-        syncs.release();
-        assertEquals(true, next(), "one sync is enough for both");
+        writer.commit(() -> intent(2), callbackResults::add);
+        syncPermits.release();
+        assertEquals(true, awaitCallback(), "one sync is enough for both");
     }
 
     @Test
     @Timeout(60)
-    void whatNobodyWaitsForIsSyncedByItselfIfNothingElseComes() throws Exception {
+    void unawaitedEntriesAreSyncedAfterTheDelay() throws Exception {
         start(JournalWriter.SyncPolicy.EACH, 5);
-        syncs.drainPermits();
-        log.append(() -> new Answered(1, 4, Answer.SERVED));
-        while (!syncs.hasQueuedThreads()) {
+        syncPermits.drainPermits();
+        writer.append(() -> new Answered(1, 4, Answer.SERVED));
+        while (!syncPermits.hasQueuedThreads()) {
             Thread.onSpinWait();
         }
-        assertTrue(onDisk().contains(new Answered(1, 4, Answer.SERVED)));
+        assertTrue(entriesOnDisk().contains(new Answered(1, 4, Answer.SERVED)));
     }
 
     @Test
-    void aDiskThatIsGoneRefusesAtOnceAndWhatHappenedIsWrittenOnceItIsBack() throws Exception {
+    void diskFailureRejectsCommitsAndKeepsUnawaitedEntries() throws Exception {
         start(JournalWriter.SyncPolicy.EACH, 1);
-        log.append(() -> JournalTest.accepted(1, "first"));
-        log.commit(() -> intent(1), told::add);
-        assertEquals(true, next());
-        gone.set(true);
-        log.append(() -> new Answered(1, 4, Answer.SERVED));
-        log.commit(() -> intent(2), told::add);
-        assertEquals(false, next());
-        log.commit(() -> intent(3), told::add);
-        assertEquals(false, next());
-        assertEquals(2, log.rejectedCommitCount());
-        gone.set(false);
+        writer.append(() -> JournalTest.accepted(1, "first"));
+        writer.commit(() -> intent(1), callbackResults::add);
+        assertEquals(true, awaitCallback());
+        diskIsGone.set(true);
+        writer.append(() -> new Answered(1, 4, Answer.SERVED));
+        writer.commit(() -> intent(2), callbackResults::add);
+        assertEquals(false, awaitCallback());
+        writer.commit(() -> intent(3), callbackResults::add);
+        assertEquals(false, awaitCallback());
+        assertEquals(2, writer.rejectedCommitCount());
+        diskIsGone.set(false);
         do {
-            log.commit(() -> intent(4), told::add);
-        } while (!next());
-        assertTrue(onDisk().contains(new Answered(1, 4, Answer.SERVED)), "it happened, and is told late");
-        assertTrue(onDisk().contains(intent(4)));
-        assertEquals(0, log.lostEntryCount());
-        assertTrue(lines.stream().anyMatch(line -> line.contains("cannot be written")), lines.toString());
-        assertTrue(lines.stream().anyMatch(line -> line.contains("is written again")), lines.toString());
+            writer.commit(() -> intent(4), callbackResults::add);
+        } while (!awaitCallback());
+        assertTrue(entriesOnDisk().contains(new Answered(1, 4, Answer.SERVED)), "it happened, and is told late");
+        assertTrue(entriesOnDisk().contains(intent(4)));
+        assertEquals(0, writer.lostEntryCount());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("cannot be written")), logLines.toString());
+        assertTrue(logLines.stream().anyMatch(line -> line.contains("is written again")), logLines.toString());
     }
 
     @Test
-    void aDiskThatIsFullIsNotFilledWithBeginnings() throws Exception {
+    void retriesOnAFullDiskLeaveNoIncompleteSegments() throws Exception {
         start(JournalWriter.SyncPolicy.EACH, 1);
-        int files = disk.list().size();
-        full.set(true);
-        log.commit(() -> intent(1), told::add);
-        assertEquals(false, next());
-        while (created.get() < 4) {
+        int fileCount = disk.list().size();
+        diskIsFull.set(true);
+        writer.commit(() -> intent(1), callbackResults::add);
+        assertEquals(false, awaitCallback());
+        while (createdFiles.get() < 4) {
             Thread.onSpinWait();
         }
-        full.set(false);
+        diskIsFull.set(false);
         do {
-            log.commit(() -> intent(2), told::add);
-        } while (!next());
-        assertEquals(files + 1, disk.list().size(), disk.list().toString());
+            writer.commit(() -> intent(2), callbackResults::add);
+        } while (!awaitCallback());
+        assertEquals(fileCount + 1, disk.list().size(), disk.list().toString());
     }
 
     @Test
-    void aDefectCostsItsEntryAndNotTheWriter() throws Exception {
+    void exceptionInAnEntryLosesOnlyThatEntry() throws Exception {
         start(JournalWriter.SyncPolicy.EACH, 1);
-        log.commit(
+        writer.commit(
                 () -> {
                     throw new IllegalStateException("broken for the test");
                 },
-                told::add);
-        assertEquals(false, next());
+                callbackResults::add);
+        assertEquals(false, awaitCallback());
         do {
-            log.commit(() -> intent(2), told::add);
-        } while (!next());
-        assertTrue(onDisk().contains(intent(2)));
+            writer.commit(() -> intent(2), callbackResults::add);
+        } while (!awaitCallback());
+        assertTrue(entriesOnDisk().contains(intent(2)));
     }
 
     @Test
-    void aFullQueueTurnsAwayWhatIsWaitedForBeforeWhatHasHappened() throws Exception {
+    void fullQueueRejectsCommitsBeforeUnawaitedEntries() throws Exception {
         start(JournalWriter.SyncPolicy.EACH, 1);
-        syncs.drainPermits();
-        int refusedAt = -1;
-        for (int i = 0; i < JournalWriter.MAX_QUEUED_COUNT && refusedAt < 0; i++) {
+        syncPermits.drainPermits();
+        int rejectedAt = -1;
+        for (int i = 0; i < JournalWriter.MAX_QUEUED_COUNT && rejectedAt < 0; i++) {
             long number = i + 1;
-            log.commit(() -> intent(number), told::add);
-            refusedAt = told.contains(false) ? i : -1;
+            writer.commit(() -> intent(number), callbackResults::add);
+            rejectedAt = callbackResults.contains(false) ? i : -1;
         }
-        assertTrue(refusedAt > 0 && refusedAt < JournalWriter.MAX_QUEUED_COUNT, "at " + refusedAt);
-        log.append(() -> new Answered(1, 4, Answer.SERVED));
-        assertEquals(0, log.lostEntryCount());
+        assertTrue(rejectedAt > 0 && rejectedAt < JournalWriter.MAX_QUEUED_COUNT, "at " + rejectedAt);
+        writer.append(() -> new Answered(1, 4, Answer.SERVED));
+        assertEquals(0, writer.lostEntryCount());
         for (int i = 0; i < JournalWriter.MAX_QUEUED_COUNT; i++) {
-            log.append(() -> new Answered(1, 4, Answer.SERVED));
+            writer.append(() -> new Answered(1, 4, Answer.SERVED));
         }
-        assertNotEquals(0, log.lostEntryCount());
+        assertNotEquals(0, writer.lostEntryCount());
     }
 
     @Test
-    void timedSyncsComeByThemselves() throws Exception {
+    void timedPolicySyncsWithoutFurtherEntries() throws Exception {
         start(JournalWriter.SyncPolicy.TIMED, 5);
-        syncs.drainPermits();
-        log.commit(() -> intent(1), told::add);
-        assertEquals(true, next(), "told once it is written");
+        syncPermits.drainPermits();
+        writer.commit(() -> intent(1), callbackResults::add);
+        assertEquals(true, awaitCallback(), "told once it is written");
         CountDownLatch synced = new CountDownLatch(1);
         Thread waiter = new Thread(() -> {
-            while (!syncs.hasQueuedThreads()) {
+            while (!syncPermits.hasQueuedThreads()) {
                 Thread.onSpinWait();
             }
             synced.countDown();
--- a/src/test/java/kitemux/orders/KillRunsTest.java
+++ b/src/test/java/kitemux/orders/KillRunsTest.java
@@ -12,7 +12,7 @@
 /** A real node that is killed again and again while it takes orders. */
 class KillRunsTest {
     @Test
-    void theJournalTellsTheTruthHoweverOftenItsNodeIsKilled(@TempDir Path folder) throws Exception {
+    void journalIsCorrectAfterRepeatedKillsOfItsNode(@TempDir Path folder) throws Exception {
         ProcessBuilder node = new ProcessBuilder(
                 ProcessHandle.current().info().command().orElseThrow(),
                 "-XX:TieredStopAtLevel=1",
--- a/src/test/java/kitemux/orders/OrderRecorderTest.java
+++ b/src/test/java/kitemux/orders/OrderRecorderTest.java
@@ -27,8 +27,8 @@
 /** Which requests a journal holds, and what becomes of a send whose record is late. */
 class OrderRecorderTest {
     /** Asked for by a test. */
-    private record Ask(int classIndex, String txn, List<byte[]> body) implements Asked {
-        Ask(int classIndex) {
+    private record TestRequest(int classIndex, String txn, List<byte[]> body) implements Asked {
+        TestRequest(int classIndex) {
             this(classIndex, "t" + classIndex, List.of(new byte[] {4}, new byte[] {5}));
         }
 
@@ -65,9 +65,9 @@
 
     private final Settings settings = new Settings();
     private final MemoryDisk disk = new MemoryDisk();
-    private final BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Runnable> eventLoop = new LinkedBlockingQueue<>();
     private final Queue<Runnable> timers = new ArrayDeque<>();
-    private final List<Boolean> gate = new ArrayList<>();
+    private final List<Boolean> decisions = new ArrayList<>();
 
     private final Time time = new Time() {
         @Override
@@ -82,110 +82,114 @@
         }
     };
 
-    private JournalWriter log;
+    private JournalWriter writer;
 
-    private OrderRecorder<Ask> keeper(Set<String> more) throws Exception {
+    private OrderRecorder<TestRequest> createRecorder(Set<String> recordedClasses) throws Exception {
         for (Repeat repeat : List.of(Repeat.SAFE, Repeat.KEYED, Repeat.UNSAFE)) {
             settings.classes.add(new RequestClass(repeat.name(), 1, 0, 2, 1, 0, repeat, Group.ALL, 1, false));
         }
-        log = JournalWriter.start(
+        writer = JournalWriter.start(
                 failed -> Journal.open(
                         disk, new Journal.Limits(1 << 20, Long.MAX_VALUE, 0, 0), () -> 50, () -> 3, line -> {}),
                 JournalWriter.SyncPolicy.EACH,
                 1,
-                loop::add,
+                eventLoop::add,
                 line -> {});
         return new OrderRecorder<>(
                 settings,
                 time,
-                log,
+                writer,
                 1,
-                new OrderSettings(Path.of("x"), JournalWriter.SyncPolicy.EACH, 1, 100, 1 << 20, 1, 0, 0, more));
+                new OrderSettings(
+                        Path.of("x"), JournalWriter.SyncPolicy.EACH, 1, 100, 1 << 20, 1, 0, 0, recordedClasses));
     }
 
-    private List<String> kept() throws Exception {
-        log.close();
-        List<String> kept = new ArrayList<>();
+    private List<String> readHistories() throws Exception {
+        writer.close();
+        List<String> histories = new ArrayList<>();
         new JournalReader(disk)
                 .forEachHistory(
-                        taken -> true, story -> kept.add(story.accepted().orderId() + " " + story.state(false)));
-        return kept;
+                        accepted -> true,
+                        history -> histories.add(history.accepted().orderId() + " " + history.state(false)));
+        return histories;
     }
 
-    private void play(OrderRecorder<Ask> keeper, int classIndex) throws Exception {
-        Ask ask = new Ask(classIndex);
+    private void processRequest(OrderRecorder<TestRequest> recorder, int classIndex) throws Exception {
+        TestRequest request = new TestRequest(classIndex);
         long id = 10 + classIndex;
-        keeper.taken(id, ask);
-        keeper.before(id, ask, 0, "s", () -> "127.0.0.1:1", 99, gate::add);
-        while (gate.isEmpty()) {
-            loop.poll(20, TimeUnit.SECONDS).run();
+        recorder.taken(id, request);
+        recorder.before(id, request, 0, "s", () -> "127.0.0.1:1", 99, decisions::add);
+        while (decisions.isEmpty()) {
+            eventLoop.poll(20, TimeUnit.SECONDS).run();
         }
-        assertEquals(List.of(true), gate);
-        gate.clear();
-        keeper.ended(id, 0, Result.OK);
-        keeper.answered(id, Observer.Answer.SERVED);
-        keeper.forgotten(id);
+        assertEquals(List.of(true), decisions);
+        decisions.clear();
+        recorder.ended(id, 0, Result.OK);
+        recorder.answered(id, Observer.Answer.SERVED);
+        recorder.forgotten(id);
     }
 
     @Test
-    void bodiesThatWaitForALateWriterAreBoundedAndNoneIsLostForIt() throws Exception {
-        OrderRecorder<Ask> keeper = keeper(Set.of());
-        CountDownLatch stands = new CountDownLatch(1);
-        log.append(() -> {
+    void pendingBodiesAreBoundedAndNoOrderIsLost() throws Exception {
+        OrderRecorder<TestRequest> recorder = createRecorder(Set.of());
+        CountDownLatch diskRecovers = new CountDownLatch(1);
+        writer.append(() -> {
             try {
-                stands.await();
+                diskRecovers.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
             return new Entry.Accepted(0, 50, "first", "UNSAFE", "", "", "", 0, Digest.of(new byte[0]));
         });
-        byte[] alone = new byte[(int) OrderRecorder.MAX_PENDING_BODY_BYTES + 1];
-        keeper.taken(1, new Ask(2, "alone", List.of(alone)));
-        assertEquals(alone.length, keeper.pendingBodyBytes(), "one by itself is never the loop's work");
+        byte[] largeBody = new byte[(int) OrderRecorder.MAX_PENDING_BODY_BYTES + 1];
+        recorder.taken(1, new TestRequest(2, "alone", List.of(largeBody)));
+        assertEquals(largeBody.length, recorder.pendingBodyBytes(), "one by itself is never the loop's work");
         for (int i = 0; i < 5; i++) {
-            keeper.taken(2 + i, new Ask(2, "more" + i, List.of(new byte[1 << 20])));
-            assertEquals(alone.length, keeper.pendingBodyBytes(), "beyond it only digests are held");
+            recorder.taken(2 + i, new TestRequest(2, "more" + i, List.of(new byte[1 << 20])));
+            assertEquals(largeBody.length, recorder.pendingBodyBytes(), "beyond it only digests are held");
         }
-        stands.countDown();
-        List<String> kept = kept();
+        diskRecovers.countDown();
+        List<String> histories = readHistories();
         for (String order : List.of("alone", "more0", "more1", "more2", "more3", "more4")) {
-            assertTrue(kept.stream().anyMatch(story -> story.startsWith(order + " ")), order + " of " + kept);
+            assertTrue(
+                    histories.stream().anyMatch(history -> history.startsWith(order + " ")),
+                    order + " of " + histories);
         }
-        assertEquals(0, keeper.pendingBodyBytes());
+        assertEquals(0, recorder.pendingBodyBytes());
     }
 
     @Test
-    void onlyWhatMustNeverRunTwiceIsKept() throws Exception {
-        OrderRecorder<Ask> keeper = keeper(Set.of());
+    void onlyUnsafeClassesAreRecordedByDefault() throws Exception {
+        OrderRecorder<TestRequest> recorder = createRecorder(Set.of());
         for (int c = 0; c < 3; c++) {
-            play(keeper, c);
+            processRequest(recorder, c);
         }
-        assertEquals(List.of("t2 ANSWERED"), kept());
+        assertEquals(List.of("t2 ANSWERED"), readHistories());
         assertTrue(timers.isEmpty(), "a record that came in time leaves no timer");
     }
 
     @Test
-    void otherClassesAreKeptWhereTheSettingsNameThem() throws Exception {
-        OrderRecorder<Ask> keeper = keeper(Set.of("KEYED"));
+    void classesNamedInTheSettingsAreRecorded() throws Exception {
+        OrderRecorder<TestRequest> recorder = createRecorder(Set.of("KEYED"));
         for (int c = 0; c < 3; c++) {
-            play(keeper, c);
+            processRequest(recorder, c);
         }
-        assertEquals(List.of("t1 ANSWERED", "t2 ANSWERED"), kept());
+        assertEquals(List.of("t1 ANSWERED", "t2 ANSWERED"), readHistories());
     }
 
     @Test
-    void aRecordThatIsLateSendsNothingHoweverItEnds() throws Exception {
-        OrderRecorder<Ask> keeper = keeper(Set.of());
-        keeper.taken(7, new Ask(2));
-        keeper.before(7, new Ask(2), 0, "s", () -> "", 99, gate::add);
+    void commitTimeoutRefusesTheSendEvenIfTheEntryBecomesDurable() throws Exception {
+        OrderRecorder<TestRequest> recorder = createRecorder(Set.of());
+        recorder.taken(7, new TestRequest(2));
+        recorder.before(7, new TestRequest(2), 0, "s", () -> "", 99, decisions::add);
         timers.remove().run();
-        assertEquals(List.of(false), gate);
-        loop.poll(20, TimeUnit.SECONDS).run();
-        assertEquals(List.of(false), gate, "told once");
-        keeper.ended(7, 0, Result.MOOT);
-        keeper.answered(7, Observer.Answer.REFUSED);
-        keeper.forgotten(7);
-        assertEquals(List.of("t2 REFUSED"), kept());
-        assertEquals(1, log.rejectedCommitCount());
+        assertEquals(List.of(false), decisions);
+        eventLoop.poll(20, TimeUnit.SECONDS).run();
+        assertEquals(List.of(false), decisions, "told once");
+        recorder.ended(7, 0, Result.MOOT);
+        recorder.answered(7, Observer.Answer.REFUSED);
+        recorder.forgotten(7);
+        assertEquals(List.of("t2 REFUSED"), readHistories());
+        assertEquals(1, writer.rejectedCommitCount());
     }
 }
--- a/src/test/java/kitemux/orders/TestJournals.java
+++ b/src/test/java/kitemux/orders/TestJournals.java
@@ -21,17 +21,17 @@
 
     /** A request that is taken with this path key and idempotency key, and the body that all have. */
     public static Entry.Accepted acceptedWithKeys(long number, String order, String key, String idempotencyKey) {
-        Entry.Accepted like = JournalTest.accepted(number, order);
+        Entry.Accepted template = JournalTest.accepted(number, order);
         return new Entry.Accepted(
                 number,
-                like.atUs(),
+                template.atUs(),
                 order,
-                like.requestClass(),
-                like.tenant(),
+                template.requestClass(),
+                template.tenant(),
                 key,
                 idempotencyKey,
-                like.bodyBytes(),
-                like.digest());
+                template.bodyBytes(),
+                template.digest());
     }
 
     /** Holds a journal as a live node does. */
