--- a/src/main/java/kitemux/orders/Journal.java
+++ b/src/main/java/kitemux/orders/Journal.java
@@ -85,13 +85,18 @@
      *
      * @throws IOException if the disk fails
      */
-    static Journal reopen(Journal failed) throws IOException {
+    static Journal reopen(Journal failedJournal) throws IOException {
         Journal journal = new Journal(
-                failed.disk, failed.limits, failed.clockUs, failed.nonceSource, failed.log, failed.openOrders);
+                failedJournal.disk,
+                failedJournal.limits,
+                failedJournal.clockUs,
+                failedJournal.nonceSource,
+                failedJournal.log,
+                failedJournal.openOrders);
         try {
-            List<Long> segments = SegmentNames.sequences(failed.disk.list());
+            List<Long> segments = SegmentNames.sequences(failedJournal.disk.list());
             long lastSequence = segments.isEmpty() ? 0 : segments.get(segments.size() - 1);
-            journal.beginSegment(Math.max(lastSequence, failed.header.sequence()) + 1);
+            journal.beginSegment(Math.max(lastSequence, failedJournal.header.sequence()) + 1);
             return journal;
         } catch (IOException e) {
             journal.close();
--- a/src/test/java/kitemux/load/CaptureTest.java
+++ b/src/test/java/kitemux/load/CaptureTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Files of captured load: written, cut off, damaged, full and failing. */
+/** Tests writing and reading capture files, with truncation, corruption, a full ring and a failing disk. */
 class CaptureTest {
     private static final long NOW_US = 1_790_000_000_000_000L;
 
@@ -54,15 +54,15 @@
                 operatorLines::add);
     }
 
-    private List<Path> listFiles(Path in) throws IOException {
-        try (Stream<Path> requests = Files.list(in)) {
-            return requests.sorted().toList();
+    private List<Path> listFiles(Path directory) throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
+            return files.sorted().toList();
         }
     }
 
-    private Path writeFile(int requests) throws IOException {
+    private Path writeFile(int requestCount) throws IOException {
         try (CaptureWriter writer = openWriter(folder, 8_192, 4_096, 16)) {
-            for (int i = 0; i < requests; i++) {
+            for (int i = 0; i < requestCount; i++) {
                 writer.offer(request(i));
             }
         }
@@ -95,7 +95,7 @@
                 attempts.add(new CapturedRequest.Attempt(
                         "box-" + n % 11 + i, n * 31L, (long) n * n, Result.values()[n % Result.values().length]));
             }
-            // Times go back as well: who came first may be answered last.
+            // Arrival times also decrease: the request that arrived first may be answered last.
             requests.add(new CapturedRequest(
                     NOW_US - n * 977L,
                     n % 2,
@@ -113,19 +113,21 @@
         assertEquals(new CaptureFormat.Batch(numbers.size(), requests), read);
     }
 
-    /** As a kill leaves it, wherever it was. */
+    /** A kill of the node may truncate the file at any byte. */
     @Test
     void truncatedFileYieldsAllCompleteBatches() throws IOException {
-        byte[] header = Files.readAllBytes(writeFile(1));
+        byte[] firstPart = Files.readAllBytes(writeFile(1));
         byte[] batch = CaptureFormat.encodeBatch(new CaptureFormat.Batch(0, List.of(request(1), request(2))));
-        byte[] requests = java.util.Arrays.copyOf(header, header.length + batch.length);
-        System.arraycopy(batch, 0, requests, header.length, batch.length);
-        for (int cut = header.length; cut <= requests.length; cut++) {
-            Path file = Files.write(folder.resolve("cut"), java.util.Arrays.copyOf(requests, cut));
+        byte[] fileBytes = java.util.Arrays.copyOf(firstPart, firstPart.length + batch.length);
+        System.arraycopy(batch, 0, fileBytes, firstPart.length, batch.length);
+        for (int length = firstPart.length; length <= fileBytes.length; length++) {
+            Path file = Files.write(folder.resolve("cut"), java.util.Arrays.copyOf(fileBytes, length));
             CaptureFile read = CaptureFile.read(file);
-            assertEquals(cut == requests.length ? 3 : 1, read.requests().size(), "cut at " + cut);
+            assertEquals(length == fileBytes.length ? 3 : 1, read.requests().size(), "cut at " + length);
             assertEquals(
-                    cut != requests.length && cut != header.length, read.fault().startsWith("cut off"), "at " + cut);
+                    length != fileBytes.length && length != firstPart.length,
+                    read.fault().startsWith("cut off"),
+                    "at " + length);
         }
     }
 
@@ -170,20 +172,20 @@
             droppedCount += file.droppedCount();
         }
         assertEquals(100_000, writtenCount + droppedCount);
-        assertTrue(droppedCount > 0, "the ring never filled");
+        assertTrue(droppedCount > 0, "the ring was never full");
     }
 
     @Test
     void filesEndBySizeAndTheOldestAreDeleted() throws IOException {
         Path subfolder = folder.resolve("many");
         for (int round = 0; round < 12; round++) {
-            long position = NOW_US + round;
+            long createdUs = NOW_US + round;
             try (CaptureWriter writer = new CaptureWriter(
                     new LoadSettings(subfolder, 8_192, 64 << 10, 192 << 10),
                     "n0",
                     List.of("page", "order"),
                     List.of("a", "b"),
-                    () -> position,
+                    () -> createdUs,
                     operatorLines::add)) {
                 for (int i = 0; i < 4_096; i++) {
                     writer.offer(request(i * 7_919));
@@ -199,7 +201,7 @@
         assertTrue(bytes <= 256 << 10, "bytes: " + bytes);
         assertTrue(
                 remaining.get(remaining.size() - 1).getFileName().toString().startsWith("" + (NOW_US + 11)),
-                "the newest stays");
+                "the newest file remains");
     }
 
     @Test
@@ -232,10 +234,10 @@
     void everyInvalidSettingIsReportedWithItsField() throws IOException {
         assertEquals(List.of(), faults("{\"load\":{\"folder\":\"/x\"}}"));
         assertEquals(List.of(), faults("{}"));
-        List<String> found = faults("{\"load\":{\"ring\":1,\"fileKiB\":\"big\",\"keepMiB\":0,\"colour\":1}}");
-        assertEquals(5, found.size(), found::toString);
-        assertTrue(found.get(0).startsWith("load.colour is not known"), found::toString);
-        assertEquals("load.folder is missing", found.get(1));
+        List<String> reported = faults("{\"load\":{\"ring\":1,\"fileKiB\":\"big\",\"keepMiB\":0,\"colour\":1}}");
+        assertEquals(5, reported.size(), reported::toString);
+        assertTrue(reported.get(0).startsWith("load.colour is not known"), reported::toString);
+        assertEquals("load.folder is missing", reported.get(1));
         assertEquals(
                 List.of("load.keepMiB must be at least the size of one file, load.fileKiB"),
                 faults("{\"load\":{\"folder\":\"/x\",\"fileKiB\":4096,\"keepMiB\":2}}"));
--- a/src/test/java/kitemux/load/LoadSummaryTest.java
+++ b/src/test/java/kitemux/load/LoadSummaryTest.java
@@ -13,7 +13,7 @@
 import kitemux.engine.Time;
 import org.junit.jupiter.api.Test;
 
-/** What is gathered of requests, and what files of several nodes say together. */
+/** Tests recording requests and summarising the capture files of several nodes. */
 class LoadSummaryTest {
     private static final long NOW_US = 1_790_000_000_000_000L;
 
@@ -59,7 +59,7 @@
         };
     }
 
-    // ---------------------------------------------------------------- gathering
+    // ---------------------------------------------------------------- recording
 
     @Test
     void requestIsRecordedOnceNoFurtherEventsFollow() {
@@ -74,7 +74,7 @@
 
                     @Override
                     public Timer after(long us, Runnable task) {
-                        throw new IllegalStateException("a recorder waits for nothing");
+                        throw new IllegalStateException("a recorder needs no timers");
                     }
                 },
                 recorded::add);
@@ -104,10 +104,10 @@
                 recorded);
         assertEquals(0, recorder.openCount());
         recorder.forgotten(7);
-        assertEquals(1, recorded.size(), "of one that was not seen coming nothing is handed on");
+        assertEquals(1, recorded.size(), "a request whose arrival was not seen is not recorded");
     }
 
-    // ---------------------------------------------------------------- adding up
+    // ---------------------------------------------------------------- summarising
 
     @Test
     void retriesDoNotCountAsFirstTries() {
@@ -149,7 +149,7 @@
         summary.add(file);
         summary.add(file(2, "n1", List.of(request(NOW_US + 5_000_000, 1, false, Observer.Answer.SERVED))));
         assertEquals(2, summary.firstTries());
-        assertEquals(1, summary.steps().size(), "the same second by both clocks");
+        assertEquals(1, summary.steps().size(), "both requests arrive in the same second by the aligned clocks");
         assertEquals(Map.of("n0", 1, "n1", 1), summary.nodes());
         assertEquals(List.of("a capture file of n0 is skipped as a copy of another one"), summary.warnings());
     }
--- a/src/test/java/kitemux/load/ServerSpeedEstimatorTest.java
+++ b/src/test/java/kitemux/load/ServerSpeedEstimatorTest.java
@@ -13,11 +13,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Servers of known speeds with a queue each: work and waiting are seen as one. */
+/** Tests the estimates on simulated servers of known speeds, whose answer times include queueing. */
 class ServerSpeedEstimatorTest {
     private static final double[] TRUE_SPEEDS = {0.5, 0.8, 1, 1.6};
 
-    /** One server's answers: clients come by themselves and wait in turn, so that it is busy so much. */
+    /**
+     * Adds the attempts of a simulated server with a FIFO queue and Poisson arrivals.
+     *
+     * @param utilisation the fraction of time in which the server is busy
+     */
     private static void addAttempts(
             List<CapturedRequest> requests,
             String server,
@@ -89,7 +93,10 @@
         assertEquals(2, estimates.get(0).speed() / estimates.get(1).speed(), 0.25, estimates::toString);
     }
 
-    /** 20 and 50 ms on a server of speed 1; speeds are told against their mean, and work with them. */
+    /**
+     * The classes are 20 and 50 ms of work on a server of speed 1. Speeds are relative to their geometric mean, so
+     * the estimated work is relative to a server of mean speed.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 0.7, 0.9})
     void workOfEachClassIsEstimatedDespiteQueueing(double utilisation) {
@@ -115,7 +122,7 @@
                 estimates.get(1).meanUs(),
                 0.1 * 50_000 / geometricMean(),
                 estimates::toString);
-        estimates.forEach(workUs -> assertEquals(1, workUs.cv(), 0.15, workUs.toString()));
+        estimates.forEach(estimate -> assertEquals(1, estimate.cv(), 0.15, estimate.toString()));
     }
 
     @Test
@@ -125,7 +132,7 @@
         assertEquals(List.of(), estimate(requests));
     }
 
-    /** A low quantile of all times made the busy one three to eight times slower than it was. */
+    /** Guards against an estimate by a low quantile, which made a busy server look three to eight times slower. */
     @ParameterizedTest
     @ValueSource(doubles = {0.7, 0.9})
     void busyServerIsNotEstimatedAsSlow(double utilisation) {
@@ -145,7 +152,7 @@
         List<CapturedRequest> requestsOfThere = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) {
             CapturedRequest request = all.get(i);
-            // The clock of one of the nodes is 5 s ahead.
+            // The clock of the node "there" is 5 s ahead.
             (i % 2 == 0 ? requestsOfHere : requestsOfThere)
                     .add(new CapturedRequest(
                             request.arrivedUs() + (i % 2) * 5_000_000L,
@@ -178,7 +185,7 @@
                     List.of(new CapturedRequest.Attempt("s0", 0, 10_000, Result.CANCELLED)),
                     Observer.Answer.LEFT,
                     0));
-            // Sent while the other may run still: its time is no measure.
+            // The server may still work on the cancelled attempt, so this duration does not count.
             requests.add(new CapturedRequest(
                     startUs + 500_000,
                     0,
--- a/src/test/java/kitemux/orders/JournalTest.java
+++ b/src/test/java/kitemux/orders/JournalTest.java
@@ -23,7 +23,7 @@
 import kitemux.orders.Entry.Result;
 import org.junit.jupiter.api.Test;
 
-/** A journal whose power is cut, at each of its steps. */
+/** Tests recovery of a journal after power cuts and corruption, deletion of old segments, and look-ups. */
 class JournalTest {
     private static final Digest BODY = Digest.of(new byte[] {1, 2, 3});
 
@@ -43,11 +43,11 @@
                 logLines::add);
     }
 
-    static Accepted accepted(long number, String order) {
-        return new Accepted(number, 5, order, "place-order", "school", "cart-" + number, "", 3, BODY);
+    static Accepted accepted(long number, String orderId) {
+        return new Accepted(number, 5, orderId, "place-order", "school", "cart-" + number, "", 3, BODY);
     }
 
-    /** All entries of a disk in their order, and what stands between them. */
+    /** Returns the entries of all segments on a disk, in order. */
     private static List<Entry> entries(MemoryDisk disk) throws IOException {
         List<Entry> all = new ArrayList<>();
         for (long sequence : SegmentNames.sequences(disk.list())) {
@@ -58,14 +58,14 @@
         return all;
     }
 
-    /** What a run of orders was told to be durable before the power went. */
+    /** The orders that a run began, and those whose entries were durable before the power cut. */
     private static final class Run {
         final Set<Long> durableIntents = new HashSet<>();
         final Set<Long> durableAnswers = new HashSet<>();
         final Set<Long> begunOrders = new HashSet<>();
     }
 
-    /** Orders one after the other, each taken, sent, ended and answered, until the power goes. */
+    /** Records orders one after the other, each accepted, sent, ended and answered, until the power cut. */
     private Run placeOrders(Disk disk, int count, long segmentBytes) {
         Run run = new Run();
         try (Journal journal = open(disk, segmentBytes, 7)) {
@@ -82,7 +82,7 @@
                 run.durableAnswers.add(number);
             }
         } catch (IOException e) {
-            // The power went.
+            // The power was cut.
         }
         return run;
     }
@@ -104,23 +104,24 @@
                 leftOpen.merge(entry.number(), 1, Integer::sum);
             }
         }
-        assertTrue(intents.containsAll(run.durableIntents), "a send without its record");
+        assertTrue(intents.containsAll(run.durableIntents), "a durable intent is missing");
         assertTrue(answers.containsAll(run.durableAnswers));
-        assertTrue(run.begunOrders.containsAll(accepted.keySet()), "an order that nobody sent");
-        assertTrue(accepted.values().stream().allMatch(n -> n == 1), "an order recorded twice");
+        assertTrue(run.begunOrders.containsAll(accepted.keySet()), "an order was recorded that was never placed");
+        assertTrue(accepted.values().stream().allMatch(n -> n == 1), "an order was recorded twice");
         for (long number : accepted.keySet()) {
             assertEquals(
                     answers.contains(number) ? 0 : 1,
                     leftOpen.getOrDefault(number, 0),
-                    "open orders are marked, once, and no others: " + number);
+                    "an open order is marked as left open once, any other is not: " + number);
         }
     }
 
+    /** Cuts the power after each disk operation, with different amounts of unsynced data surviving. */
     @Test
     void powerCutAtAnyStepLosesNoDurableEntryAndDuplicatesNone() throws IOException {
         MemoryDisk fullRunDisk = new MemoryDisk();
         assertEquals(12, placeOrders(fullRunDisk, 12, 400).durableAnswers.size());
-        assertTrue(SegmentNames.sequences(fullRunDisk.list()).size() > 4, "segments were ended on the way");
+        assertTrue(SegmentNames.sequences(fullRunDisk.list()).size() > 4, "the run uses several segments");
         for (int operationCount = 0; operationCount <= fullRunDisk.operations; operationCount++) {
             for (int unsyncedBytes : new int[] {0, 1, 7, 30, 64, 65, 100, 1_000_000}) {
                 MemoryDisk disk = new MemoryDisk();
@@ -142,7 +143,7 @@
             try {
                 open(diskAfterCut, 400, 9).close();
             } catch (IOException e) {
-                // The power went again.
+                // The power was cut again.
             }
             for (int unsyncedBytes : new int[] {0, 3, 20, 1_000_000}) {
                 recoverAndCheck(diskAfterCut.afterPowerCut(unsyncedBytes), run);
@@ -156,31 +157,31 @@
         placeOrders(disk, 5, 1 << 20);
         String name = SegmentNames.segmentName(1);
         byte[] bytes = disk.read(name);
-        List<Segment.LocatedEntry> before = Segment.read(bytes).entries();
-        bytes[before.get(4).offset() + Segment.FRAME_HEADER_BYTES + 3] ^= 0x10;
+        List<Segment.LocatedEntry> entriesBefore = Segment.read(bytes).entries();
+        bytes[entriesBefore.get(4).offset() + Segment.FRAME_HEADER_BYTES + 3] ^= 0x10;
         disk.put(name, bytes);
         open(disk, 1 << 20, 8).close();
         assertTrue(
                 logLines.stream()
-                        .anyMatch(line ->
-                                line.contains(name + ", offset " + before.get(4).offset() + ":")
-                                        && line.contains("checksum")),
+                        .anyMatch(line -> line.contains(name + ", offset "
+                                        + entriesBefore.get(4).offset() + ":")
+                                && line.contains("checksum")),
                 logLines.toString());
         assertEquals(
-                before.size() - 1,
+                entriesBefore.size() - 1,
                 entries(disk).stream().filter(e -> !(e instanceof LeftOpen)).count());
     }
 
     @Test
     void framesOfAnotherSegmentAreRejected() throws IOException {
-        Segment.Header first = new Segment.Header(1, 11, 0);
-        Segment.Header second = new Segment.Header(2, 22, 0);
-        byte[] frame = Segment.frame(first, Segment.HEADER_BYTES, accepted(1, "o"));
+        Segment.Header firstHeader = new Segment.Header(1, 11, 0);
+        Segment.Header secondHeader = new Segment.Header(2, 22, 0);
+        byte[] frame = Segment.frame(firstHeader, Segment.HEADER_BYTES, accepted(1, "o"));
         byte[] bytes = new byte[Segment.HEADER_BYTES + frame.length];
-        System.arraycopy(second.bytes(), 0, bytes, 0, Segment.HEADER_BYTES);
+        System.arraycopy(secondHeader.bytes(), 0, bytes, 0, Segment.HEADER_BYTES);
         System.arraycopy(frame, 0, bytes, Segment.HEADER_BYTES, frame.length);
         assertTrue(Segment.read(bytes).entries().isEmpty());
-        System.arraycopy(first.bytes(), 0, bytes, 0, Segment.HEADER_BYTES);
+        System.arraycopy(firstHeader.bytes(), 0, bytes, 0, Segment.HEADER_BYTES);
         assertEquals(1, Segment.read(bytes).entries().size());
     }
 
@@ -212,7 +213,7 @@
             decodedCount += content.entries().size();
             assertTrue(content.entries().stream().allMatch(p -> written.contains(p.entry())));
         }
-        assertTrue(decodedCount > 20_000, "most of it was still read");
+        assertTrue(decodedCount > 20_000, "most intact entries were still decoded");
     }
 
     @Test
@@ -240,7 +241,7 @@
             assertEquals(2, journal.header().sequence());
             clockUs -= 500_000;
             journal.append(List.of(accepted(3, "c")));
-            assertEquals(2, journal.header().sequence(), "a clock that is set back ends nothing");
+            assertEquals(2, journal.header().sequence(), "a clock that is set back ends no segment");
         }
     }
 
@@ -250,7 +251,7 @@
         MemoryDisk disk = new MemoryDisk();
         placeOrders(disk, 12, 400);
         int segmentCount = SegmentNames.sequences(disk.list()).size();
-        assertTrue(segmentCount <= 2, segmentCount + " segments are kept");
+        assertTrue(segmentCount <= 2, segmentCount + " segments remain");
         try (Journal journal = open(disk, 400, 8)) {
             long openNumber = journal.nextNumber();
             journal.append(List.of(accepted(openNumber, "waits"), new Intent(openNumber, 6, 0, "s", "", 9)));
@@ -259,7 +260,9 @@
                         List.of(accepted(openNumber + i, "o" + i), new Answered(openNumber + i, 8, Answer.REFUSED)));
             }
             journal.sync();
-            assertTrue(entries(disk).contains(accepted(openNumber, "waits")), "open, however old");
+            assertTrue(
+                    entries(disk).contains(accepted(openNumber, "waits")),
+                    "a segment with an open order stays, however old it is");
             assertEquals(openNumber, journal.oldestOpen());
         }
     }
@@ -270,15 +273,15 @@
         MemoryDisk disk = new MemoryDisk();
         placeOrders(disk, 12, 400);
         List<Long> segments = SegmentNames.sequences(disk.list());
-        assertTrue(segments.size() > 2 && segments.get(0) > 1, segments + " are kept");
+        assertTrue(segments.size() > 2 && segments.get(0) > 1, segments + " remain");
         long bytes = 0;
         for (long segment : segments) {
             bytes += disk.size(SegmentNames.segmentName(segment));
         }
-        assertTrue(bytes <= maxTotalBytes + 1_000, bytes + " bytes: at most what one segment holds beyond");
+        assertTrue(bytes <= maxTotalBytes + 1_000, bytes + " bytes exceed the limit by more than one segment");
         assertTrue(
                 disk.list().stream().noneMatch(name -> name.equals(SegmentNames.indexName(1))),
-                "an index goes with its segment");
+                "an index is deleted with its segment");
         try (Journal journal = open(disk, 400, 8)) {
             long openNumber = journal.nextNumber();
             journal.append(List.of(accepted(openNumber, "waits"), new Intent(openNumber, 6, 0, "s", "", 9)));
@@ -286,7 +289,9 @@
                 journal.append(
                         List.of(accepted(openNumber + i, "o" + i), new Answered(openNumber + i, 8, Answer.REFUSED)));
             }
-            assertTrue(entries(disk).contains(accepted(openNumber, "waits")), "open, however much there is");
+            assertTrue(
+                    entries(disk).contains(accepted(openNumber, "waits")),
+                    "a segment with an open order stays, however large the journal is");
         }
     }
 
@@ -311,23 +316,25 @@
         for (int length = 0; length < Segment.HEADER_BYTES; length++) {
             disk.put(SegmentNames.segmentName(2), java.util.Arrays.copyOf(first, length));
             JournalReader.VerificationResult result = new JournalReader(disk).verify();
-            assertEquals(List.of(), result.faults(), "a node died, or is, before " + length + " bytes");
+            assertEquals(List.of(), result.faults(), "an incomplete header of " + length + " bytes is no fault");
             assertEquals(length, result.tornBytes());
         }
         disk.put(SegmentNames.segmentName(2), new byte[Segment.HEADER_BYTES]);
-        assertEquals(1, new JournalReader(disk).verify().faults().size(), "long enough, and no header");
+        assertEquals(1, new JournalReader(disk).verify().faults().size(), "the header is complete, but invalid");
         disk.put(SegmentNames.segmentName(2), new byte[3]);
         disk.put(SegmentNames.segmentName(3), first);
         assertEquals(
-                2, new JournalReader(disk).verify().faults().size(), "not the last, and one that says it is another");
+                2,
+                new JournalReader(disk).verify().faults().size(),
+                "a torn segment is not the last, and a header has another sequence number");
     }
 
-    private static List<String> findOrders(MemoryDisk disk, String order, int[] reads) throws IOException {
+    private static List<String> findOrders(MemoryDisk disk, String orderId, int[] reads) throws IOException {
         List<String> results = new ArrayList<>();
         disk.reads = 0;
         new JournalReader(disk)
                 .findHistories(
-                        Set.of(order),
+                        Set.of(orderId),
                         Set.of(),
                         Set.of(),
                         accepted -> true,
@@ -358,7 +365,7 @@
                 assertEquals(segments.size() - 1, new JournalReader(diskWithoutIndexes).rebuildIndexes());
                 assertEquals(0, new JournalReader(diskWithoutIndexes).rebuildIndexes());
                 findOrders(diskWithoutIndexes, "o7", readsWithIndex);
-                assertTrue(readsWithIndex[0] <= 4, "made anew, it spares as much");
+                assertTrue(readsWithIndex[0] <= 4, "a rebuilt index saves as many reads");
             }
         }
     }
--- a/src/test/java/kitemux/orders/JournalWriterTest.java
+++ b/src/test/java/kitemux/orders/JournalWriterTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The writer of a journal, on disks that do not do what they should. */
+/** Tests the journal writer with slow, full and failing disks. */
 class JournalWriterTest {
     private final MemoryDisk disk = new MemoryDisk();
     private final AtomicBoolean diskIsGone = new AtomicBoolean();
@@ -36,7 +36,7 @@
     private final List<String> logLines = Collections.synchronizedList(new ArrayList<>());
     private JournalWriter writer;
 
-    /** The same disk, which may be gone, and syncs only when it is let. */
+    /** Wraps {@link #disk}: it fails if the disk is gone or full, and each sync needs a permit. */
     private final Disk failingDisk = new Disk() {
         private void check() throws IOException {
             if (diskIsGone.get()) {
@@ -195,7 +195,7 @@
         }
         writer.commit(() -> intent(2), callbackResults::add);
         syncPermits.release();
-        assertEquals(true, awaitCallback(), "one sync is enough for both");
+        assertEquals(true, awaitCallback(), "one sync covers both entries");
     }
 
     @Test
@@ -227,7 +227,9 @@
         do {
             writer.commit(() -> intent(4), callbackResults::add);
         } while (!awaitCallback());
-        assertTrue(entriesOnDisk().contains(new Answered(1, 4, Answer.SERVED)), "it happened, and is told late");
+        assertTrue(
+                entriesOnDisk().contains(new Answered(1, 4, Answer.SERVED)),
+                "the past event is written once the disk is back");
         assertTrue(entriesOnDisk().contains(intent(4)));
         assertEquals(0, writer.lostEntryCount());
         assertTrue(logLines.stream().anyMatch(line -> line.contains("cannot be written")), logLines.toString());
@@ -290,7 +292,7 @@
         start(JournalWriter.SyncPolicy.TIMED, 5);
         syncPermits.drainPermits();
         writer.commit(() -> intent(1), callbackResults::add);
-        assertEquals(true, awaitCallback(), "told once it is written");
+        assertEquals(true, awaitCallback(), "the callback runs once the entry is written");
         CountDownLatch synced = new CountDownLatch(1);
         Thread waiter = new Thread(() -> {
             while (!syncPermits.hasQueuedThreads()) {
@@ -299,6 +301,6 @@
             synced.countDown();
         });
         waiter.start();
-        assertTrue(synced.await(20, TimeUnit.SECONDS), "nothing more came, and it is synced");
+        assertTrue(synced.await(20, TimeUnit.SECONDS), "the entry is synced although no other follows");
     }
 }
--- a/src/test/java/kitemux/orders/KillRunsTest.java
+++ b/src/test/java/kitemux/orders/KillRunsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real node that is killed again and again while it takes orders. */
+/** Kills a real node repeatedly while it accepts orders, and compares its journal with what clients saw. */
 class KillRunsTest {
     @Test
     void journalIsCorrectAfterRepeatedKillsOfItsNode(@TempDir Path folder) throws Exception {
--- a/src/test/java/kitemux/orders/OrderHistoryTest.java
+++ b/src/test/java/kitemux/orders/OrderHistoryTest.java
@@ -16,7 +16,7 @@
 import kitemux.orders.OrderHistory.State;
 import org.junit.jupiter.api.Test;
 
-/** What may be said of an order, and in which words. */
+/** Tests the state of an order history, its texts, and the settings of the journal. */
 class OrderHistoryTest {
     private static OrderHistory history(Entry... entries) {
         OrderHistory history = new OrderHistory(JournalTest.accepted(1, "o1"));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void orderWithoutSendIsNeverSent() {
+    void unsentOrderHasStateNeverSent() {
         assertEquals(State.NEVER_SENT, history(new LeftOpen(1, 40)).state(false));
         assertEquals(State.NEVER_SENT, history().state(false));
         assertEquals(State.UNDER_WAY, history().state(true));
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void refusedOrderIsRefused() {
+    void refusedOrderHasStateRefused() {
         assertEquals(State.REFUSED, history(answered(Answer.REFUSED)).state(false));
         assertEquals(
                 State.REFUSED,
--- a/src/test/java/kitemux/orders/OrderRecorderTest.java
+++ b/src/test/java/kitemux/orders/OrderRecorderTest.java
@@ -24,9 +24,8 @@
 import kitemux.engine.Time;
 import org.junit.jupiter.api.Test;
 
-/** Which requests a journal holds, and what becomes of a send whose record is late. */
+/** Tests which requests are recorded, the memory limit for bodies, and the time-out of commits. */
 class OrderRecorderTest {
-    /** Asked for by a test. */
     private record TestRequest(int classIndex, String txn, List<byte[]> body) implements Asked {
         TestRequest(int classIndex) {
             this(classIndex, "t" + classIndex, List.of(new byte[] {4}, new byte[] {5}));
@@ -89,7 +88,7 @@
             settings.classes.add(new RequestClass(repeat.name(), 1, 0, 2, 1, 0, repeat, Group.ALL, 1, false));
         }
         writer = JournalWriter.start(
-                failed -> Journal.open(
+                failedJournal -> Journal.open(
                         disk, new Journal.Limits(1 << 20, Long.MAX_VALUE, 0, 0), () -> 50, () -> 3, line -> {}),
                 JournalWriter.SyncPolicy.EACH,
                 1,
@@ -132,10 +131,10 @@
     @Test
     void pendingBodiesAreBoundedAndNoOrderIsLost() throws Exception {
         OrderRecorder<TestRequest> recorder = createRecorder(Set.of());
-        CountDownLatch diskRecovers = new CountDownLatch(1);
+        CountDownLatch writerReleased = new CountDownLatch(1);
         writer.append(() -> {
             try {
-                diskRecovers.await();
+                writerReleased.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
@@ -143,17 +142,18 @@
         });
         byte[] largeBody = new byte[(int) OrderRecorder.MAX_PENDING_BODY_BYTES + 1];
         recorder.taken(1, new TestRequest(2, "alone", List.of(largeBody)));
-        assertEquals(largeBody.length, recorder.pendingBodyBytes(), "one by itself is never the loop's work");
+        assertEquals(
+                largeBody.length, recorder.pendingBodyBytes(), "the event loop does not digest a single pending body");
         for (int i = 0; i < 5; i++) {
             recorder.taken(2 + i, new TestRequest(2, "more" + i, List.of(new byte[1 << 20])));
-            assertEquals(largeBody.length, recorder.pendingBodyBytes(), "beyond it only digests are held");
+            assertEquals(largeBody.length, recorder.pendingBodyBytes(), "beyond the limit only digests are held");
         }
-        diskRecovers.countDown();
+        writerReleased.countDown();
         List<String> histories = readHistories();
-        for (String order : List.of("alone", "more0", "more1", "more2", "more3", "more4")) {
+        for (String orderId : List.of("alone", "more0", "more1", "more2", "more3", "more4")) {
             assertTrue(
-                    histories.stream().anyMatch(history -> history.startsWith(order + " ")),
-                    order + " of " + histories);
+                    histories.stream().anyMatch(history -> history.startsWith(orderId + " ")),
+                    orderId + " of " + histories);
         }
         assertEquals(0, recorder.pendingBodyBytes());
     }
@@ -165,7 +165,7 @@
             processRequest(recorder, c);
         }
         assertEquals(List.of("t2 ANSWERED"), readHistories());
-        assertTrue(timers.isEmpty(), "a record that came in time leaves no timer");
+        assertTrue(timers.isEmpty(), "a commit in time cancels its timer");
     }
 
     @Test
@@ -185,7 +185,7 @@
         timers.remove().run();
         assertEquals(List.of(false), decisions);
         eventLoop.poll(20, TimeUnit.SECONDS).run();
-        assertEquals(List.of(false), decisions, "told once");
+        assertEquals(List.of(false), decisions, "the callback runs only once");
         recorder.ended(7, 0, Result.MOOT);
         recorder.answered(7, Observer.Answer.REFUSED);
         recorder.forgotten(7);
--- a/src/test/java/kitemux/orders/TestJournals.java
+++ b/src/test/java/kitemux/orders/TestJournals.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import kitemux.disk.FolderDisk;
 
-/** Journals in folders, for tests of other packages. */
+/** Creates journals in folders for the tests of other packages. */
 public final class TestJournals {
     private TestJournals() {}
 
-    /** Writes entries to a journal as a node would that ends right after. */
+    /** Writes entries to a journal, like a node that ends right afterwards. */
     public static void write(Path folder, Entry... entries) throws IOException {
         try (FolderDisk disk = FolderDisk.toWrite(folder);
                 Journal journal = Journal.open(
@@ -19,13 +19,13 @@
         }
     }
 
-    /** A request that is taken with this path key and idempotency key, and the body that all have. */
-    public static Entry.Accepted acceptedWithKeys(long number, String order, String key, String idempotencyKey) {
-        Entry.Accepted template = JournalTest.accepted(number, order);
+    /** Returns an accepted request with this path key and idempotency key, and the body of all test requests. */
+    public static Entry.Accepted acceptedWithKeys(long number, String orderId, String key, String idempotencyKey) {
+        Entry.Accepted template = JournalTest.accepted(number, orderId);
         return new Entry.Accepted(
                 number,
                 template.atUs(),
-                order,
+                orderId,
                 template.requestClass(),
                 template.tenant(),
                 key,
@@ -34,13 +34,13 @@
                 template.digest());
     }
 
-    /** Holds a journal as a live node does. */
+    /** Locks a journal, as a running node does. */
     public static AutoCloseable lock(Path folder) throws IOException {
         return FolderDisk.toWrite(folder);
     }
 
-    /** A request as it is taken. */
-    public static Entry.Accepted accepted(long number, String order) {
-        return JournalTest.accepted(number, order);
+    /** Returns an accepted request. */
+    public static Entry.Accepted accepted(long number, String orderId) {
+        return JournalTest.accepted(number, orderId);
     }
 }
