--- a/src/main/java/kitemux/load/CaptureFile.java
+++ b/src/main/java/kitemux/load/CaptureFile.java
@@ -40,9 +40,9 @@
         if (!CaptureFormat.hasMagic(bytes)) {
             throw new IOException(path + " is not a capture file");
         }
-        ByteBuffer file = ByteBuffer.wrap(bytes);
-        file.position(CaptureFormat.MAGIC.length);
-        ByteBuffer headerPayload = CaptureFormat.readPayload(file);
+        ByteBuffer input = ByteBuffer.wrap(bytes);
+        input.position(CaptureFormat.MAGIC.length);
+        ByteBuffer headerPayload = CaptureFormat.readPayload(input);
         if (headerPayload == null) {
             throw new IOException(path + " ends within its header");
         }
@@ -52,13 +52,13 @@
         String fault = "";
         try {
             ByteBuffer payload;
-            while ((payload = CaptureFormat.readPayload(file)) != null) {
+            while ((payload = CaptureFormat.readPayload(input)) != null) {
                 CaptureFormat.Batch batch = CaptureFormat.readBatch(payload, header);
                 droppedCount += batch.droppedCount();
                 requests.addAll(batch.requests());
             }
-            if (file.hasRemaining()) {
-                fault = "cut off: " + file.remaining() + " bytes of an incomplete frame";
+            if (input.hasRemaining()) {
+                fault = "cut off: " + input.remaining() + " bytes of an incomplete frame";
             }
         } catch (IOException e) {
             fault = e.getMessage();
--- a/src/main/java/kitemux/load/CaptureFormat.java
+++ b/src/main/java/kitemux/load/CaptureFormat.java
@@ -145,24 +145,24 @@
      * @return the uncompressed payload, or null if the file ends before the frame does
      * @throws IOException if the frame is corrupt
      */
-    static ByteBuffer readPayload(ByteBuffer file) throws IOException {
-        if (file.remaining() < FRAME_HEADER_BYTES) {
+    static ByteBuffer readPayload(ByteBuffer input) throws IOException {
+        if (input.remaining() < FRAME_HEADER_BYTES) {
             return null;
         }
-        int frameOffset = file.position();
-        int length = file.getInt(frameOffset);
-        int compressedLength = file.getInt(frameOffset + 4);
+        int frameOffset = input.position();
+        int length = input.getInt(frameOffset);
+        int compressedLength = input.getInt(frameOffset + 4);
         if (length < 0
                 || length > MAX_FRAME_BYTES
                 || compressedLength < 0
                 || compressedLength > MAX_FRAME_BYTES + MAX_FRAME_BYTES / 128) {
             throw new IOException("invalid frame lengths at byte " + frameOffset);
         }
-        if (file.remaining() < FRAME_HEADER_BYTES + compressedLength) {
+        if (input.remaining() < FRAME_HEADER_BYTES + compressedLength) {
             return null;
         }
         byte[] frame = new byte[FRAME_HEADER_BYTES + compressedLength];
-        file.get(frame);
+        input.get(frame);
         if (crc(frame, compressedLength) != ByteBuffer.wrap(frame).getInt(8)) {
             throw new IOException("wrong checksum of the frame at byte " + frameOffset);
         }
--- a/src/main/java/kitemux/orders/EntryCodec.java
+++ b/src/main/java/kitemux/orders/EntryCodec.java
@@ -199,18 +199,18 @@
     }
 
     private static Result readResult(byte code) throws InvalidEntryException {
-        for (Result each : Result.values()) {
-            if (each.code() == code) {
-                return each;
+        for (Result candidate : Result.values()) {
+            if (candidate.code() == code) {
+                return candidate;
             }
         }
         throw new InvalidEntryException("unknown result code " + code);
     }
 
     private static Answer readAnswer(byte code) throws InvalidEntryException {
-        for (Answer each : Answer.values()) {
-            if (each.code() == code) {
-                return each;
+        for (Answer candidate : Answer.values()) {
+            if (candidate.code() == code) {
+                return candidate;
             }
         }
         throw new InvalidEntryException("unknown answer code " + code);
--- a/src/main/java/kitemux/orders/Journal.java
+++ b/src/main/java/kitemux/orders/Journal.java
@@ -42,7 +42,7 @@
     private SegmentIndex.Builder index = new SegmentIndex.Builder();
     private Header header;
     private Disk.Out out;
-    private long length;
+    private long segmentLength;
 
     private Journal(
             Disk disk,
@@ -64,7 +64,7 @@
      * ready for writing. It reads one segment, or two if the process died while it was beginning the last one.
      *
      * @param nonceSource supplies random numbers for segment headers
-     * @param log receives a line for each corrupt range that is found
+     * @param log receives lines for the operators, one for each corrupt range
      * @throws IOException if the disk fails
      */
     static Journal open(Disk disk, Limits limits, LongSupplier clockUs, LongSupplier nonceSource, Consumer<String> log)
@@ -94,8 +94,8 @@
                 failedJournal.log,
                 failedJournal.openOrders);
         try {
-            List<Long> segments = SegmentNames.sequences(failedJournal.disk.list());
-            long lastSequence = segments.isEmpty() ? 0 : segments.get(segments.size() - 1);
+            List<Long> sequences = SegmentNames.sequences(failedJournal.disk.list());
+            long lastSequence = sequences.isEmpty() ? 0 : sequences.get(sequences.size() - 1);
             journal.beginSegment(Math.max(lastSequence, failedJournal.header.sequence()) + 1);
             return journal;
         } catch (IOException e) {
@@ -105,12 +105,12 @@
     }
 
     private void recover() throws IOException {
-        List<Long> segments = SegmentNames.sequences(disk.list());
-        long lastSequence = segments.isEmpty() ? 0 : segments.get(segments.size() - 1);
-        for (int i = segments.size() - 1; i >= 0 && header == null; i--) {
-            resumeSegment(segments.get(i));
+        List<Long> sequences = SegmentNames.sequences(disk.list());
+        long lastSequence = sequences.isEmpty() ? 0 : sequences.get(sequences.size() - 1);
+        for (int i = sequences.size() - 1; i >= 0 && header == null; i--) {
+            resumeSegment(sequences.get(i));
         }
-        if (header == null || length >= limits.segmentBytes || header.sequence() < lastSequence) {
+        if (header == null || segmentLength >= limits.segmentBytes || header.sequence() < lastSequence) {
             beginSegment(lastSequence + 1);
         }
         List<Entry> leftOpen = new ArrayList<>();
@@ -147,8 +147,8 @@
             index.add(located.entry());
         }
         header = content.header();
-        length = content.validBytes();
-        out = disk.append(name, length);
+        segmentLength = content.validBytes();
+        out = disk.append(name, segmentLength);
         out.sync();
     }
 
@@ -169,14 +169,14 @@
         if (out != null) {
             out.sync();
             out.close();
-            JournalReader.writeIndex(disk, header.sequence(), index.bytes(header.sequence(), length), log);
+            JournalReader.writeIndex(disk, header.sequence(), index.encode(header.sequence(), segmentLength), log);
         }
         index = new SegmentIndex.Builder();
         header = new Header(sequence, nonceSource.getAsLong(), clockUs.getAsLong());
         out = disk.create(SegmentNames.segmentName(sequence));
         try {
             out.write(header.bytes());
-            length = Segment.HEADER_BYTES;
+            segmentLength = Segment.HEADER_BYTES;
             writeFrames(openOrders.checkpoint(clockUs.getAsLong()));
             out.sync();
             disk.syncFolder();
@@ -199,20 +199,20 @@
             return;
         }
         try {
-            List<Long> segments = SegmentNames.sequences(disk.list());
-            long excessBytes = limits.maxTotalBytes == 0 ? 0 : totalBytes(segments) - limits.maxTotalBytes;
-            for (int i = 0; i < Math.min(segments.size() - 1, MAX_DELETED_SEGMENT_COUNT); i++) {
-                Content nextSegment = Segment.read(disk.read(SegmentNames.segmentName(segments.get(i + 1))));
+            List<Long> sequences = SegmentNames.sequences(disk.list());
+            long excessBytes = limits.maxTotalBytes == 0 ? 0 : totalBytes(sequences) - limits.maxTotalBytes;
+            for (int i = 0; i < Math.min(sequences.size() - 1, MAX_DELETED_SEGMENT_COUNT); i++) {
+                Content nextSegment = Segment.read(disk.read(SegmentNames.segmentName(sequences.get(i + 1))));
                 if (!hasCompleteCheckpoint(nextSegment)
                         || excessBytes <= 0 && !isExpired(nextSegment.header())
                         || openOrders.oldestNumber()
                                 < nextSegment.entries().get(0).entry().number()) {
                     return;
                 }
-                excessBytes -= disk.size(SegmentNames.segmentName(segments.get(i)));
-                disk.delete(SegmentNames.segmentName(segments.get(i)));
-                if (disk.list().contains(SegmentNames.indexName(segments.get(i)))) {
-                    disk.delete(SegmentNames.indexName(segments.get(i)));
+                excessBytes -= disk.size(SegmentNames.segmentName(sequences.get(i)));
+                disk.delete(SegmentNames.segmentName(sequences.get(i)));
+                if (disk.list().contains(SegmentNames.indexName(sequences.get(i)))) {
+                    disk.delete(SegmentNames.indexName(sequences.get(i)));
                 }
             }
         } catch (IOException e) {
@@ -225,10 +225,10 @@
         return limits.retentionUs > 0 && nextSegment.createdAtUs() <= clockUs.getAsLong() - limits.retentionUs;
     }
 
-    private long totalBytes(List<Long> segments) throws IOException {
+    private long totalBytes(List<Long> sequences) throws IOException {
         long bytes = 0;
-        for (long segment : segments) {
-            bytes += disk.size(SegmentNames.segmentName(segment));
+        for (long sequence : sequences) {
+            bytes += disk.size(SegmentNames.segmentName(sequence));
         }
         return bytes;
     }
@@ -236,10 +236,10 @@
     private void writeFrames(List<Entry> entries) throws IOException {
         ByteArrayOutputStream frames = new ByteArrayOutputStream();
         for (Entry entry : entries) {
-            frames.writeBytes(Segment.frame(header, length + frames.size(), entry));
+            frames.writeBytes(Segment.encodeFrame(header, segmentLength + frames.size(), entry));
         }
         out.write(frames.toByteArray());
-        length += frames.size();
+        segmentLength += frames.size();
     }
 
     /**
@@ -248,7 +248,7 @@
      * @throws IOException if the disk fails
      */
     void append(List<Entry> entries) throws IOException {
-        if (length >= limits.segmentBytes || clockUs.getAsLong() - header.createdAtUs() >= limits.segmentAgeUs) {
+        if (segmentLength >= limits.segmentBytes || clockUs.getAsLong() - header.createdAtUs() >= limits.segmentAgeUs) {
             beginSegment(header.sequence() + 1);
             deleteExpiredSegments();
         }
--- a/src/main/java/kitemux/orders/JournalReader.java
+++ b/src/main/java/kitemux/orders/JournalReader.java
@@ -155,7 +155,7 @@
                 SegmentIndex.Builder builder = new SegmentIndex.Builder();
                 Segment.read(bytes).entries().forEach(located -> builder.add(located.entry()));
                 List<String> failed = new ArrayList<>();
-                writeIndex(disk, segment, builder.bytes(segment, bytes.length), failed::add);
+                writeIndex(disk, segment, builder.encode(segment, bytes.length), failed::add);
                 if (!failed.isEmpty()) {
                     throw new IOException(failed.get(0));
                 }
@@ -191,8 +191,8 @@
      * @param segments the number of files that were read
      * @param entries the number of valid entries
      * @param faults one line for each corrupt range, beginning with the file's name; empty if there is none
-     * @param tornBytes the number of bytes of an incomplete entry at the end of the last file. A process that
-     *     died while writing leaves them, as does one that is writing now, so they are not a fault.
+     * @param tornBytes the number of bytes of an incomplete entry or header at the end of the last file. A process
+     *     that died while writing leaves them, as does one that is writing now, so they are not a fault.
      */
     public record VerificationResult(int segments, long entries, List<String> faults, int tornBytes) {}
 
--- a/src/main/java/kitemux/orders/JournalWriter.java
+++ b/src/main/java/kitemux/orders/JournalWriter.java
@@ -117,8 +117,8 @@
      * Requests that an entry becomes durable, as the sync policy defines it.
      *
      * @param entry creates the entry, on the writer's thread
-     * @param callback is called with true once the entry is durable, or false if the commit was rejected or
-     *     failed; runs on the event loop's executor
+     * @param callback is called with true once the entry is durable, or with false if the commit was rejected or
+     *     failed; it runs as a separate task on the event loop, never within this call
      */
     void commit(Supplier<Entry> entry, Consumer<Boolean> callback) {
         if (isClosing || queuedCount.get() >= MAX_QUEUED_FOR_COMMIT_COUNT) {
--- a/src/main/java/kitemux/orders/OpenOrders.java
+++ b/src/main/java/kitemux/orders/OpenOrders.java
@@ -22,7 +22,7 @@
         private boolean isAnswered;
     }
 
-    private final TreeMap<Long, OpenOrder> open = new TreeMap<>();
+    private final TreeMap<Long, OpenOrder> ordersByNumber = new TreeMap<>();
     private long nextNumber = 1;
 
     /**
@@ -32,15 +32,15 @@
     void apply(Entry entry) {
         nextNumber = Math.max(nextNumber, entry instanceof Checkpoint ? entry.number() : entry.number() + 1);
         if (entry instanceof Accepted) {
-            open.put(entry.number(), new OpenOrder());
+            ordersByNumber.put(entry.number(), new OpenOrder());
         } else if (entry instanceof Checkpoint checkpoint) {
             // A checkpoint does not say how many attempts are in flight, so they are not counted. The outcome of
             // those without further entries is unknown.
-            checkpoint.open().forEach(number -> open.putIfAbsent(number, new OpenOrder()));
+            checkpoint.open().forEach(number -> ordersByNumber.putIfAbsent(number, new OpenOrder()));
         } else if (entry instanceof LeftOpen) {
-            open.remove(entry.number());
+            ordersByNumber.remove(entry.number());
         } else {
-            OpenOrder order = open.get(entry.number());
+            OpenOrder order = ordersByNumber.get(entry.number());
             if (order == null) {
                 return;
             }
@@ -52,7 +52,7 @@
                 order.isAnswered = true;
             }
             if (order.isAnswered && order.pendingAttempts == 0) {
-                open.remove(entry.number());
+                ordersByNumber.remove(entry.number());
             }
         }
     }
@@ -64,17 +64,17 @@
 
     /** Returns the numbers of the open requests, in ascending order. */
     Collection<Long> numbers() {
-        return List.copyOf(open.keySet());
+        return List.copyOf(ordersByNumber.keySet());
     }
 
     /** Returns the number of the oldest open request, or the next number; all requests below it are closed. */
     long oldestNumber() {
-        return open.isEmpty() ? nextNumber : open.firstKey();
+        return ordersByNumber.isEmpty() ? nextNumber : ordersByNumber.firstKey();
     }
 
     /** Returns the checkpoint with which a new segment begins. */
     List<Entry> checkpoint(long atUs) {
-        List<Long> numbers = new ArrayList<>(open.keySet());
+        List<Long> numbers = new ArrayList<>(ordersByNumber.keySet());
         List<Entry> parts = new ArrayList<>();
         int from = 0;
         do {
--- a/src/main/java/kitemux/orders/OrderSettings.java
+++ b/src/main/java/kitemux/orders/OrderSettings.java
@@ -59,14 +59,14 @@
         FileSection section = new FileSection(json, "orders", faults);
         section.onlyKnown(FIELDS);
         Path folder = section.folder();
-        JournalWriter.SyncPolicy sync = sync(json.path("sync"), faults);
+        JournalWriter.SyncPolicy sync = readSync(json.path("sync"), faults);
         long syncDelayMs = section.within("syncMs", 20, 1, MAX_DELAY_MS);
         long commitTimeoutMs = section.within("lateMs", 100, 1, MAX_DELAY_MS);
         long segmentKiB = section.within("segmentKiB", 4 << 10, MIN_SEGMENT_KIB, MAX_SEGMENT_KIB);
         long segmentHours = section.within("segmentHours", 24, 1, 24 * MAX_AGE_DAYS);
         long retentionDays = section.within("keepDays", 0, 0, MAX_AGE_DAYS);
         long maxTotalMiB = section.within("keepMiB", 0, 0, MAX_TOTAL_MIB);
-        Set<String> classes = classes(json.path("classes"), knownClasses, faults);
+        Set<String> classes = readClasses(json.path("classes"), knownClasses, faults);
         return faults.size() > faultsBefore
                 ? null
                 : new OrderSettings(
@@ -81,7 +81,7 @@
                         classes);
     }
 
-    private static JournalWriter.SyncPolicy sync(Json json, List<String> faults) {
+    private static JournalWriter.SyncPolicy readSync(Json json, List<String> faults) {
         if (json.isMissing()) {
             return JournalWriter.SyncPolicy.EACH;
         }
@@ -94,7 +94,7 @@
         return null;
     }
 
-    private static Set<String> classes(Json json, List<RequestClass> knownClasses, List<String> faults) {
+    private static Set<String> readClasses(Json json, List<RequestClass> knownClasses, List<String> faults) {
         if (!json.isMissing() && !json.isList()) {
             faults.add("orders.classes must be a list of names");
         }
--- a/src/main/java/kitemux/orders/Segment.java
+++ b/src/main/java/kitemux/orders/Segment.java
@@ -78,7 +78,7 @@
     }
 
     /** Encodes an entry as a frame that is valid only at the given offset of the segment with this header. */
-    static byte[] frame(Header header, long offset, Entry entry) {
+    static byte[] encodeFrame(Header header, long offset, Entry entry) {
         byte[] payload = EntryCodec.write(entry);
         return ByteBuffer.allocate(FRAME_HEADER_BYTES + payload.length)
                 .putInt(FRAME_MAGIC)
--- a/src/main/java/kitemux/orders/SegmentIndex.java
+++ b/src/main/java/kitemux/orders/SegmentIndex.java
@@ -75,7 +75,7 @@
         }
 
         /** Encodes the index for the segment with this sequence number and length. */
-        byte[] bytes(long sequence, long segmentBytes) {
+        byte[] encode(long sequence, long segmentBytes) {
             long[] sorted = hashes.stream()
                     .mapToLong(Long::longValue)
                     .sorted()
--- a/src/test/java/kitemux/orders/JournalTest.java
+++ b/src/test/java/kitemux/orders/JournalTest.java
@@ -176,7 +176,7 @@
     void framesOfAnotherSegmentAreRejected() throws IOException {
         Segment.Header firstHeader = new Segment.Header(1, 11, 0);
         Segment.Header secondHeader = new Segment.Header(2, 22, 0);
-        byte[] frame = Segment.frame(firstHeader, Segment.HEADER_BYTES, accepted(1, "o"));
+        byte[] frame = Segment.encodeFrame(firstHeader, Segment.HEADER_BYTES, accepted(1, "o"));
         byte[] bytes = new byte[Segment.HEADER_BYTES + frame.length];
         System.arraycopy(secondHeader.bytes(), 0, bytes, 0, Segment.HEADER_BYTES);
         System.arraycopy(frame, 0, bytes, Segment.HEADER_BYTES, frame.length);
