--- a/src/main/java/kitemux/load/CaptureFormat.java
+++ b/src/main/java/kitemux/load/CaptureFormat.java
@@ -32,7 +32,7 @@
     static final int MAX_FRAME_BYTES = 4 << 20;
 
     private static final int MAX_TEXT_BYTES = 4_096;
-    private static final Observer.Answer[] ANSWERS = Observer.Answer.values();
+    private static final Observer.RequestOutcome[] ANSWERS = Observer.RequestOutcome.values();
     private static final Result[] RESULTS = Result.values();
 
     private CaptureFormat() {}
@@ -208,7 +208,7 @@
         int classAndRetry = (int) readVarint(in);
         int tenantIndex = (int) readZigzag(in);
         long remainingUs = readVarint(in);
-        Observer.Answer answer = ANSWERS[in.get()];
+        Observer.RequestOutcome answer = ANSWERS[in.get()];
         long durationUs = readVarint(in);
         long attemptCount = readVarint(in);
         List<CapturedRequest.Attempt> attempts = new ArrayList<>();
--- a/src/main/java/kitemux/load/CaptureWriter.java
+++ b/src/main/java/kitemux/load/CaptureWriter.java
@@ -16,7 +16,7 @@
 import java.util.function.LongSupplier;
 import java.util.stream.Stream;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import org.jctools.queues.SpscArrayQueue;
 
 /**
@@ -95,7 +95,7 @@
     }
 
     /** Returns an observer that records requests on an event loop and hands them to this writer. */
-    public Observer recorder(Time time) {
+    public Observer recorder(Clock time) {
         return new RequestRecorder(time, this);
     }
 
--- a/src/main/java/kitemux/load/CapturedRequest.java
+++ b/src/main/java/kitemux/load/CapturedRequest.java
@@ -24,7 +24,7 @@
         boolean isRetry,
         long remainingUs,
         List<Attempt> attempts,
-        Observer.Answer answer,
+        Observer.RequestOutcome answer,
         long durationUs) {
 
     /**
--- a/src/main/java/kitemux/load/LoadSummary.java
+++ b/src/main/java/kitemux/load/LoadSummary.java
@@ -167,7 +167,7 @@
                 classSummary.serverResponseTimeUs.recordValue(Math.min(MAX_RECORDED_US, attempt.durationUs()));
             }
         }
-        if (request.answer() == Observer.Answer.SERVED) {
+        if (request.answer() == Observer.RequestOutcome.SERVED) {
             classSummary.clientResponseTimeUs.recordValue(Math.min(MAX_RECORDED_US, request.durationUs()));
         }
     }
--- a/src/main/java/kitemux/load/RequestRecorder.java
+++ b/src/main/java/kitemux/load/RequestRecorder.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.Balancer.Result;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 
 /**
  * Collects the events of each request on a node's event loop, and hands the request to a sink once no further
  * events can follow. It never blocks: the sink drops and counts requests that it cannot accept.
  */
 public final class RequestRecorder implements Observer {
-    private final Time time;
+    private final Clock time;
     private final Sink sink;
     private final Map<Long, OpenRequest> openRequests = new HashMap<>();
 
@@ -31,15 +31,15 @@
         final boolean isRetry;
         final long remainingUs;
         final List<SentAttempt> attempts = new ArrayList<>(1);
-        Answer answer = Answer.LEFT;
+        RequestOutcome answer = RequestOutcome.LEFT;
         long answeredUs;
 
-        OpenRequest(long arrivedUs, Asked request) {
+        OpenRequest(long arrivedUs, RequestInfo request) {
             this.arrivedUs = arrivedUs;
             classIndex = request.classIndex();
             tenantIndex = request.tenant();
-            isRetry = request.retry();
-            remainingUs = request.leftUs();
+            isRetry = request.isRetry();
+            remainingUs = request.remainingUs();
         }
     }
 
@@ -56,18 +56,18 @@
     }
 
     /** Creates a recorder without any requests. */
-    public RequestRecorder(Time time, Sink sink) {
+    public RequestRecorder(Clock time, Sink sink) {
         this.time = time;
         this.sink = sink;
     }
 
     @Override
-    public void taken(long id, Asked request) {
-        openRequests.put(id, new OpenRequest(time.nowUs() - request.agoUs(), request));
+    public void onRequestAccepted(long id, RequestInfo request) {
+        openRequests.put(id, new OpenRequest(time.nowUs() - request.ageUs(), request));
     }
 
     @Override
-    public void sent(long id, int attempt, String serverId, long deadlineUs) {
+    public void onAttemptStarted(long id, int attempt, String serverId, long deadlineUs) {
         OpenRequest openRequest = openRequests.get(id);
         if (openRequest != null) {
             openRequest.attempts.add(new SentAttempt(serverId, time.nowUs()));
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void ended(long id, int attempt, Result result) {
+    public void onAttemptEnded(long id, int attempt, Result result) {
         OpenRequest openRequest = openRequests.get(id);
         if (openRequest != null && attempt < openRequest.attempts.size()) {
             openRequest.attempts.get(attempt).endedUs = time.nowUs();
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void answered(long id, Answer answer) {
+    public void onRequestAnswered(long id, RequestOutcome answer) {
         OpenRequest openRequest = openRequests.get(id);
         if (openRequest != null) {
             openRequest.answer = answer;
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void forgotten(long id) {
+    public void onRequestReleased(long id) {
         OpenRequest openRequest = openRequests.remove(id);
         if (openRequest == null) {
             return;
--- a/src/main/java/kitemux/orders/Journal.java
+++ b/src/main/java/kitemux/orders/Journal.java
@@ -41,7 +41,7 @@
     private final OpenOrders openOrders;
     private SegmentIndex.Builder index = new SegmentIndex.Builder();
     private Header header;
-    private Disk.Out out;
+    private Disk.OutputFile out;
     private long segmentLength;
 
     private Journal(
@@ -135,7 +135,7 @@
             // The file is not deleted, since an operator may recover more from it than this program can.
             log.accept("orders: " + name + " has no whole beginning and is set aside");
             disk.rename(name, name + SegmentNames.SET_ASIDE_SUFFIX);
-            disk.syncFolder();
+            disk.syncDirectory();
             return;
         }
         for (CorruptRange fault : content.faults()) {
@@ -179,7 +179,7 @@
             segmentLength = Segment.HEADER_BYTES;
             writeFrames(openOrders.checkpoint(clockUs.getAsLong()));
             out.sync();
-            disk.syncFolder();
+            disk.syncDirectory();
         } catch (IOException e) {
             // No acknowledged entry is in this segment. Without the deletion, retries on a full disk would
             // fill it with incomplete segments.
--- a/src/main/java/kitemux/orders/OrderJournal.java
+++ b/src/main/java/kitemux/orders/OrderJournal.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 import kitemux.Balancer.Settings;
 import kitemux.disk.FolderDisk;
-import kitemux.engine.Asked;
-import kitemux.engine.Time;
+import kitemux.engine.RequestInfo;
+import kitemux.engine.Clock;
 
 /** The open order journal of a node: owns the lock on its folder, its writer and its recorder. */
 public final class OrderJournal {
@@ -36,9 +36,9 @@
      * @throws IOException if the journal cannot be opened, for example since another node holds its lock; the
      *     message says why
      */
-    public static OrderJournal open(OrderSettings settings, Time time, Executor eventLoop, Consumer<String> operatorLog)
+    public static OrderJournal open(OrderSettings settings, Clock time, Executor eventLoop, Consumer<String> operatorLog)
             throws IOException {
-        FolderDisk disk = FolderDisk.toWrite(settings.folder());
+        FolderDisk disk = FolderDisk.openForWriting(settings.folder());
         try {
             SecureRandom random = new SecureRandom();
             long[] nextNumber = new long[1];
@@ -72,7 +72,7 @@
     }
 
     /** Returns the recorder for an engine. May be called only once, since a recorder numbers the requests. */
-    public <Q extends Asked> OrderRecorder<Q> recorder(OrderSettings orderSettings, Settings settings, Time time) {
+    public <Q extends RequestInfo> OrderRecorder<Q> recorder(OrderSettings orderSettings, Settings settings, Clock time) {
         return new OrderRecorder<>(settings, time, writer, nextNumber, orderSettings);
     }
 
@@ -101,7 +101,7 @@
         if (!Files.isDirectory(folder)) {
             throw new NotDirectoryException(folder.toString());
         }
-        return new JournalReader(FolderDisk.toRead(folder));
+        return new JournalReader(FolderDisk.openForReading(folder));
     }
 
     /**
@@ -110,6 +110,6 @@
      * @throws IOException if the folder's lock cannot be examined
      */
     public static boolean isLive(Path folder) throws IOException {
-        return FolderDisk.isWrittenTo(folder);
+        return FolderDisk.isLockedByWriter(folder);
     }
 }
--- a/src/main/java/kitemux/orders/OrderRecorder.java
+++ b/src/main/java/kitemux/orders/OrderRecorder.java
@@ -7,13 +7,13 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import kitemux.Balancer;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.orders.Entry.Accepted;
 import kitemux.orders.Entry.Answered;
 import kitemux.orders.Entry.Ended;
@@ -26,7 +26,7 @@
  *
  * @param <Q> the protocol's request type
  */
-public final class OrderRecorder<Q extends Asked> implements Observer, SendGate<Q> {
+public final class OrderRecorder<Q extends RequestInfo> implements Observer, SendGate<Q> {
     /**
      * Bodies that wait for the writer to compute their digests; a single body may be larger. On a slow disk a
      * request may finish long before its entry is written, and its body would stay in memory until then. Beyond
@@ -35,7 +35,7 @@
     static final long MAX_PENDING_BODY_BYTES = 8 << 20;
 
     private final Settings settings;
-    private final Time time;
+    private final Clock time;
     private final JournalWriter journal;
     private final OrderSettings orderSettings;
     private final Map<Long, Long> journalNumbers = new HashMap<>();
@@ -50,7 +50,7 @@
      * @param nextNumber the number for the first request that is accepted
      * @param orderSettings the classes that are recorded, and how long a send waits for its entry
      */
-    OrderRecorder(Settings settings, Time time, JournalWriter journal, long nextNumber, OrderSettings orderSettings) {
+    OrderRecorder(Settings settings, Clock time, JournalWriter journal, long nextNumber, OrderSettings orderSettings) {
         this.settings = settings;
         this.time = time;
         this.journal = journal;
@@ -60,11 +60,11 @@
 
     private boolean isRecorded(int classIndex) {
         RequestClass requestClass = settings.classes.get(classIndex);
-        return requestClass.repeat() == Repeat.UNSAFE || orderSettings.classes().contains(requestClass.name());
+        return requestClass.retrySafety() == RetrySafety.UNSAFE || orderSettings.classes().contains(requestClass.name());
     }
 
     @Override
-    public void taken(long id, Asked request) {
+    public void onRequestAccepted(long id, RequestInfo request) {
         if (!isRecorded(request.classIndex())) {
             return;
         }
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void before(
+    public void admit(
             long id,
             Q request,
             int attempt,
@@ -141,7 +141,7 @@
         }
         Intent intent = new Intent(number, time.nowUs(), attempt, serverId, endpoint.get(), deadlineUs);
         boolean[] decided = {false};
-        Time.Timer timeout = time.after(orderSettings.commitTimeoutMs() * 1_000, () -> {
+        Clock.Timer timeout = time.schedule(orderSettings.commitTimeoutMs() * 1_000, () -> {
             if (!decided[0]) {
                 decided[0] = true;
                 journal.countTimedOut();
@@ -163,7 +163,7 @@
     }
 
     @Override
-    public void ended(long id, int attempt, Balancer.Result result) {
+    public void onAttemptEnded(long id, int attempt, Balancer.Result result) {
         Long number = journalNumbers.get(id);
         if (number != null) {
             long now = time.nowUs();
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void answered(long id, Answer answer) {
+    public void onRequestAnswered(long id, RequestOutcome answer) {
         Long number = journalNumbers.get(id);
         if (number != null) {
             long now = time.nowUs();
@@ -182,7 +182,7 @@
     }
 
     @Override
-    public void forgotten(long id) {
+    public void onRequestReleased(long id) {
         journalNumbers.remove(id);
     }
 }
--- a/src/test/java/kitemux/load/LoadSummaryTest.java
+++ b/src/test/java/kitemux/load/LoadSummaryTest.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Random;
 import kitemux.Balancer.Result;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import org.junit.jupiter.api.Test;
 
 /** Tests recording requests and summarising the capture files of several nodes. */
@@ -21,12 +21,12 @@
         return new CaptureFile(id, node, NOW_US, List.of("page", "order"), List.of("a", "b"), requests, 0, "");
     }
 
-    private static CapturedRequest request(long arrivedUs, int classIndex, boolean isRetry, Observer.Answer answer) {
+    private static CapturedRequest request(long arrivedUs, int classIndex, boolean isRetry, Observer.RequestOutcome answer) {
         return new CapturedRequest(arrivedUs, classIndex, 0, isRetry, 500_000, List.of(), answer, 1_000);
     }
 
-    private static Asked incomingRequest(boolean isRetry, long agoUs) {
-        return new Asked() {
+    private static RequestInfo incomingRequest(boolean isRetry, long agoUs) {
+        return new RequestInfo() {
             @Override
             public String txn() {
                 return "t";
@@ -43,17 +43,17 @@
             }
 
             @Override
-            public long leftUs() {
+            public long remainingUs() {
                 return 400_000;
             }
 
             @Override
-            public long agoUs() {
+            public long ageUs() {
                 return agoUs;
             }
 
             @Override
-            public boolean retry() {
+            public boolean isRetry() {
                 return isRetry;
             }
         };
@@ -66,29 +66,29 @@
         long[] nowUs = {NOW_US};
         List<CapturedRequest> recorded = new ArrayList<>();
         RequestRecorder recorder = new RequestRecorder(
-                new Time() {
+                new Clock() {
                     @Override
                     public long nowUs() {
                         return nowUs[0];
                     }
 
                     @Override
-                    public Timer after(long us, Runnable task) {
+                    public Timer schedule(long us, Runnable task) {
                         throw new IllegalStateException("a recorder needs no timers");
                     }
                 },
                 recorded::add);
-        recorder.taken(1, incomingRequest(true, 300));
-        recorder.sent(1, 0, "s1", NOW_US + 9_000);
+        recorder.onRequestAccepted(1, incomingRequest(true, 300));
+        recorder.onAttemptStarted(1, 0, "s1", NOW_US + 9_000);
         nowUs[0] += 2_000;
-        recorder.sent(1, 1, "s2", NOW_US + 9_000);
+        recorder.onAttemptStarted(1, 1, "s2", NOW_US + 9_000);
         nowUs[0] += 1_000;
-        recorder.ended(1, 1, Result.OK);
-        recorder.answered(1, Observer.Answer.SERVED);
+        recorder.onAttemptEnded(1, 1, Result.OK);
+        recorder.onRequestAnswered(1, Observer.RequestOutcome.SERVED);
         assertEquals(List.of(), recorded);
         nowUs[0] += 500;
-        recorder.ended(1, 0, Result.CANCELLED);
-        recorder.forgotten(1);
+        recorder.onAttemptEnded(1, 0, Result.CANCELLED);
+        recorder.onRequestReleased(1);
         assertEquals(
                 List.of(new CapturedRequest(
                         NOW_US - 300,
@@ -99,11 +99,11 @@
                         List.of(
                                 new CapturedRequest.Attempt("s1", 300, 3_500, Result.CANCELLED),
                                 new CapturedRequest.Attempt("s2", 2_300, 1_000, Result.OK)),
-                        Observer.Answer.SERVED,
+                        Observer.RequestOutcome.SERVED,
                         3_300)),
                 recorded);
         assertEquals(0, recorder.openCount());
-        recorder.forgotten(7);
+        recorder.onRequestReleased(7);
         assertEquals(1, recorded.size(), "a request whose arrival was not seen is not recorded");
     }
 
@@ -114,8 +114,8 @@
         LoadSummary summary = new LoadSummary(1_000_000, Map.of());
         List<CapturedRequest> requests = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            requests.add(request(NOW_US + i * 50_000L, 0, false, Observer.Answer.REFUSED));
-            requests.add(request(NOW_US + i * 50_000L + 10_000, 0, true, Observer.Answer.SERVED));
+            requests.add(request(NOW_US + i * 50_000L, 0, false, Observer.RequestOutcome.REFUSED));
+            requests.add(request(NOW_US + i * 50_000L + 10_000, 0, true, Observer.RequestOutcome.SERVED));
         }
         summary.add(file(1, "n0", requests));
         LoadSummary.ClassSummary page = summary.classes().get("page");
@@ -134,8 +134,8 @@
                 1,
                 "n0",
                 List.of(
-                        request(NOW_US, 0, false, Observer.Answer.REFUSED),
-                        request(NOW_US + 5, 0, false, Observer.Answer.SERVED))));
+                        request(NOW_US, 0, false, Observer.RequestOutcome.REFUSED),
+                        request(NOW_US + 5, 0, false, Observer.RequestOutcome.SERVED))));
         assertTrue(
                 summary.warnings().get(0).startsWith("of 1 refused tries hardly any was followed by a marked retry"),
                 summary.warnings()::toString);
@@ -144,10 +144,10 @@
     @Test
     void copiesAreSkippedAndNodesAreSummedWithAlignedClocks() {
         LoadSummary summary = new LoadSummary(1_000_000, Map.of("n1", -5_000_000L));
-        CaptureFile file = file(1, "n0", List.of(request(NOW_US, 0, false, Observer.Answer.SERVED)));
+        CaptureFile file = file(1, "n0", List.of(request(NOW_US, 0, false, Observer.RequestOutcome.SERVED)));
         summary.add(file);
         summary.add(file);
-        summary.add(file(2, "n1", List.of(request(NOW_US + 5_000_000, 1, false, Observer.Answer.SERVED))));
+        summary.add(file(2, "n1", List.of(request(NOW_US + 5_000_000, 1, false, Observer.RequestOutcome.SERVED))));
         assertEquals(2, summary.firstTries());
         assertEquals(1, summary.steps().size(), "both requests arrive in the same second by the aligned clocks");
         assertEquals(Map.of("n0", 1, "n1", 1), summary.nodes());
@@ -173,12 +173,12 @@
         List<CapturedRequest> independent = new ArrayList<>();
         List<CapturedRequest> bursts = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
-            independent.add(request(NOW_US + (long) (random.nextDouble() * 100e6), 0, false, Observer.Answer.SERVED));
+            independent.add(request(NOW_US + (long) (random.nextDouble() * 100e6), 0, false, Observer.RequestOutcome.SERVED));
             bursts.add(request(
                     NOW_US + random.nextInt(20) * 5_000_000L + random.nextInt(1_000),
                     0,
                     false,
-                    Observer.Answer.SERVED));
+                    Observer.RequestOutcome.SERVED));
         }
         LoadSummary independentSummary = new LoadSummary(1_000_000, Map.of());
         independentSummary.add(file(1, "n0", independent));
--- a/src/test/java/kitemux/load/ServerSpeedEstimatorTest.java
+++ b/src/test/java/kitemux/load/ServerSpeedEstimatorTest.java
@@ -46,7 +46,7 @@
                     false,
                     0,
                     List.of(new CapturedRequest.Attempt(server, 0, (long) Math.max(1, idleFromUs - nowUs), Result.OK)),
-                    Observer.Answer.SERVED,
+                    Observer.RequestOutcome.SERVED,
                     0));
         }
     }
@@ -183,7 +183,7 @@
                     false,
                     0,
                     List.of(new CapturedRequest.Attempt("s0", 0, 10_000, Result.CANCELLED)),
-                    Observer.Answer.LEFT,
+                    Observer.RequestOutcome.LEFT,
                     0));
             // The server may still work on the cancelled attempt, so this duration does not count.
             requests.add(new CapturedRequest(
@@ -193,7 +193,7 @@
                     false,
                     0,
                     List.of(new CapturedRequest.Attempt("s0", 0, 900_000, Result.OK)),
-                    Observer.Answer.SERVED,
+                    Observer.RequestOutcome.SERVED,
                     0));
             requests.add(new CapturedRequest(
                     startUs + 5_000_000,
@@ -202,7 +202,7 @@
                     false,
                     0,
                     List.of(new CapturedRequest.Attempt("s0", 0, 20_000, Result.OK)),
-                    Observer.Answer.SERVED,
+                    Observer.RequestOutcome.SERVED,
                     0));
             requests.add(new CapturedRequest(
                     startUs,
@@ -211,7 +211,7 @@
                     false,
                     0,
                     List.of(new CapturedRequest.Attempt("s1", 0, 20_000, Result.OK)),
-                    Observer.Answer.SERVED,
+                    Observer.RequestOutcome.SERVED,
                     0));
         }
         List<ServerSpeedEstimator.ServerSpeed> estimates = estimate(requests);
--- a/src/test/java/kitemux/orders/JournalTest.java
+++ b/src/test/java/kitemux/orders/JournalTest.java
@@ -122,10 +122,10 @@
         MemoryDisk fullRunDisk = new MemoryDisk();
         assertEquals(12, placeOrders(fullRunDisk, 12, 400).durableAnswers.size());
         assertTrue(SegmentNames.sequences(fullRunDisk.list()).size() > 4, "the run uses several segments");
-        for (int operationCount = 0; operationCount <= fullRunDisk.operations; operationCount++) {
+        for (int operationCount = 0; operationCount <= fullRunDisk.operationCount; operationCount++) {
             for (int unsyncedBytes : new int[] {0, 1, 7, 30, 64, 65, 100, 1_000_000}) {
                 MemoryDisk disk = new MemoryDisk();
-                disk.failAfter = operationCount;
+                disk.operationsUntilFailure = operationCount;
                 Run run = placeOrders(disk, 12, 400);
                 recoverAndCheck(disk.afterPowerCut(unsyncedBytes), run);
             }
@@ -135,11 +135,11 @@
     @Test
     void powerCutDuringRecoveryIsRecovered() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        disk.failAfter = 25;
+        disk.operationsUntilFailure = 25;
         Run run = placeOrders(disk, 12, 400);
         for (int operationCount = 0; operationCount < 12; operationCount++) {
             MemoryDisk diskAfterCut = disk.afterPowerCut(50);
-            diskAfterCut.failAfter = operationCount;
+            diskAfterCut.operationsUntilFailure = operationCount;
             try {
                 open(diskAfterCut, 400, 9).close();
             } catch (IOException e) {
@@ -331,7 +331,7 @@
 
     private static List<String> findOrders(MemoryDisk disk, String orderId, int[] reads) throws IOException {
         List<String> results = new ArrayList<>();
-        disk.reads = 0;
+        disk.segmentReadCount = 0;
         new JournalReader(disk)
                 .findHistories(
                         Set.of(orderId),
@@ -339,7 +339,7 @@
                         Set.of(),
                         accepted -> true,
                         history -> results.add(history.accepted().orderId() + " " + history.state(false)));
-        reads[0] = disk.reads;
+        reads[0] = disk.segmentReadCount;
         return results;
     }
 
--- a/src/test/java/kitemux/orders/JournalWriterTest.java
+++ b/src/test/java/kitemux/orders/JournalWriterTest.java
@@ -44,8 +44,8 @@
             }
         }
 
-        private Out out(Out delegate) {
-            return new Out() {
+        private OutputFile out(OutputFile delegate) {
+            return new OutputFile() {
                 @Override
                 public void write(byte[] bytes) throws IOException {
                     check();
@@ -86,14 +86,14 @@
         }
 
         @Override
-        public Out create(String name) throws IOException {
+        public OutputFile create(String name) throws IOException {
             check();
             createdFiles.incrementAndGet();
             return out(disk.create(name));
         }
 
         @Override
-        public Out append(String name, long from) throws IOException {
+        public OutputFile append(String name, long from) throws IOException {
             return out(disk.append(name, from));
         }
 
@@ -108,9 +108,9 @@
         }
 
         @Override
-        public void syncFolder() throws IOException {
+        public void syncDirectory() throws IOException {
             check();
-            disk.syncFolder();
+            disk.syncDirectory();
         }
     };
 
--- a/src/test/java/kitemux/orders/OrderRecorderTest.java
+++ b/src/test/java/kitemux/orders/OrderRecorderTest.java
@@ -13,20 +13,20 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.Settings;
 import kitemux.disk.MemoryDisk;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import org.junit.jupiter.api.Test;
 
 /** Tests which requests are recorded, the memory limit for bodies, and the time-out of commits. */
 class OrderRecorderTest {
-    private record TestRequest(int classIndex, String txn, List<byte[]> body) implements Asked {
+    private record TestRequest(int classIndex, String txn, List<byte[]> body) implements RequestInfo {
         TestRequest(int classIndex) {
             this(classIndex, "t" + classIndex, List.of(new byte[] {4}, new byte[] {5}));
         }
@@ -37,7 +37,7 @@
         }
 
         @Override
-        public long leftUs() {
+        public long remainingUs() {
             return 1_000_000;
         }
 
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public boolean retry() {
+        public boolean isRetry() {
             return false;
         }
 
@@ -68,14 +68,14 @@
     private final Queue<Runnable> timers = new ArrayDeque<>();
     private final List<Boolean> decisions = new ArrayList<>();
 
-    private final Time time = new Time() {
+    private final Clock time = new Clock() {
         @Override
         public long nowUs() {
             return 50;
         }
 
         @Override
-        public Timer after(long us, Runnable task) {
+        public Timer schedule(long us, Runnable task) {
             timers.add(task);
             return () -> timers.remove(task);
         }
@@ -84,8 +84,8 @@
     private JournalWriter writer;
 
     private OrderRecorder<TestRequest> createRecorder(Set<String> recordedClasses) throws Exception {
-        for (Repeat repeat : List.of(Repeat.SAFE, Repeat.KEYED, Repeat.UNSAFE)) {
-            settings.classes.add(new RequestClass(repeat.name(), 1, 0, 2, 1, 0, repeat, Group.ALL, 1, false));
+        for (RetrySafety repeat : List.of(RetrySafety.SAFE, RetrySafety.KEYED, RetrySafety.UNSAFE)) {
+            settings.classes.add(new RequestClass(repeat.name(), 1, 0, 2, 1, 0, repeat, DedupScope.ALL, 1, false));
         }
         writer = JournalWriter.start(
                 failedJournal -> Journal.open(
@@ -116,16 +116,16 @@
     private void processRequest(OrderRecorder<TestRequest> recorder, int classIndex) throws Exception {
         TestRequest request = new TestRequest(classIndex);
         long id = 10 + classIndex;
-        recorder.taken(id, request);
-        recorder.before(id, request, 0, "s", () -> "127.0.0.1:1", 99, decisions::add);
+        recorder.onRequestAccepted(id, request);
+        recorder.admit(id, request, 0, "s", () -> "127.0.0.1:1", 99, decisions::add);
         while (decisions.isEmpty()) {
             eventLoop.poll(20, TimeUnit.SECONDS).run();
         }
         assertEquals(List.of(true), decisions);
         decisions.clear();
-        recorder.ended(id, 0, Result.OK);
-        recorder.answered(id, Observer.Answer.SERVED);
-        recorder.forgotten(id);
+        recorder.onAttemptEnded(id, 0, Result.OK);
+        recorder.onRequestAnswered(id, Observer.RequestOutcome.SERVED);
+        recorder.onRequestReleased(id);
     }
 
     @Test
@@ -141,11 +141,11 @@
             return new Entry.Accepted(0, 50, "first", "UNSAFE", "", "", "", 0, Digest.of(new byte[0]));
         });
         byte[] largeBody = new byte[(int) OrderRecorder.MAX_PENDING_BODY_BYTES + 1];
-        recorder.taken(1, new TestRequest(2, "alone", List.of(largeBody)));
+        recorder.onRequestAccepted(1, new TestRequest(2, "alone", List.of(largeBody)));
         assertEquals(
                 largeBody.length, recorder.pendingBodyBytes(), "the event loop does not digest a single pending body");
         for (int i = 0; i < 5; i++) {
-            recorder.taken(2 + i, new TestRequest(2, "more" + i, List.of(new byte[1 << 20])));
+            recorder.onRequestAccepted(2 + i, new TestRequest(2, "more" + i, List.of(new byte[1 << 20])));
             assertEquals(largeBody.length, recorder.pendingBodyBytes(), "beyond the limit only digests are held");
         }
         writerReleased.countDown();
@@ -180,15 +180,15 @@
     @Test
     void commitTimeoutRefusesTheSendEvenIfTheEntryBecomesDurable() throws Exception {
         OrderRecorder<TestRequest> recorder = createRecorder(Set.of());
-        recorder.taken(7, new TestRequest(2));
-        recorder.before(7, new TestRequest(2), 0, "s", () -> "", 99, decisions::add);
+        recorder.onRequestAccepted(7, new TestRequest(2));
+        recorder.admit(7, new TestRequest(2), 0, "s", () -> "", 99, decisions::add);
         timers.remove().run();
         assertEquals(List.of(false), decisions);
         eventLoop.poll(20, TimeUnit.SECONDS).run();
         assertEquals(List.of(false), decisions, "the callback runs only once");
-        recorder.ended(7, 0, Result.MOOT);
-        recorder.answered(7, Observer.Answer.REFUSED);
-        recorder.forgotten(7);
+        recorder.onAttemptEnded(7, 0, Result.MOOT);
+        recorder.onRequestAnswered(7, Observer.RequestOutcome.REFUSED);
+        recorder.onRequestReleased(7);
         assertEquals(List.of("t2 REFUSED"), readHistories());
         assertEquals(1, writer.rejectedCommitCount());
     }
--- a/src/test/java/kitemux/orders/TestJournals.java
+++ b/src/test/java/kitemux/orders/TestJournals.java
@@ -11,7 +11,7 @@
 
     /** Writes entries to a journal, like a node that ends right afterwards. */
     public static void write(Path folder, Entry... entries) throws IOException {
-        try (FolderDisk disk = FolderDisk.toWrite(folder);
+        try (FolderDisk disk = FolderDisk.openForWriting(folder);
                 Journal journal = Journal.open(
                         disk, new Journal.Limits(1 << 20, Long.MAX_VALUE, 0, 0), () -> 9, () -> 77, line -> {})) {
             journal.append(List.of(entries));
@@ -36,7 +36,7 @@
 
     /** Locks a journal, as a running node does. */
     public static AutoCloseable lock(Path folder) throws IOException {
-        return FolderDisk.toWrite(folder);
+        return FolderDisk.openForWriting(folder);
     }
 
     /** Returns an accepted request. */
