--- a/src/main/java/kitemux/bench/JournalBench.java
+++ b/src/main/java/kitemux/bench/JournalBench.java
@@ -14,8 +14,8 @@
 import kitemux.Balancer.Result;
 import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
-import kitemux.engine.Asked;
 import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 import kitemux.orders.JournalReader;
 import kitemux.orders.OrderKeeper;
 import kitemux.orders.OrderLog;
@@ -43,7 +43,7 @@
     }
 
     /** An order of a few bytes. */
-    private record Order(String txn, List<byte[]> body) implements Asked {
+    private record Order(String txn, List<byte[]> body) implements RequestInfo {
         @Override
         public int classIndex() {
             return 0;
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public long leftUs() {
+        public long remainingUs() {
             return 1_000_000;
         }
 
@@ -65,7 +65,7 @@
         }
 
         @Override
-        public boolean retry() {
+        public boolean isRetry() {
             return false;
         }
 
@@ -145,17 +145,17 @@
             for (int i = at; i < until; i++) {
                 byte[] body = ("body " + i).getBytes(StandardCharsets.US_ASCII);
                 Order order = new Order("order-" + i, List.of(body));
-                keeper.taken(i, order);
-                keeper.before(
+                keeper.onRequestAccepted(i, order);
+                keeper.admit(
                         i, order, 0, "box-1", () -> "127.0.0.1:8080", time.nowUs(), durable -> written.countDown());
             }
             written.await();
             for (int i = at; i < until; i++) {
                 if (until < orders) {
-                    keeper.ended(i, 0, Result.OK);
-                    keeper.answered(i, Observer.Answer.SERVED);
+                    keeper.onAttemptEnded(i, 0, Result.OK);
+                    keeper.onRequestAnswered(i, Observer.RequestOutcome.SERVED);
                 }
-                keeper.forgotten(i);
+                keeper.onRequestReleased(i);
             }
         }
         open.close();
--- a/src/main/java/kitemux/fleet/Box.java
+++ b/src/main/java/kitemux/fleet/Box.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import kitemux.Balancer.Result;
-import kitemux.sim.ColdWork;
+import kitemux.sim.ColdStartLoad;
 import kitemux.sim.Scheduler;
 
 /**
@@ -48,7 +48,7 @@
     private double busy;
     private long meanAtUs;
 
-    private final ColdWork coldWork;
+    private final ColdStartLoad coldWork;
     private Runnable changed = () -> {};
 
     private int connections;
@@ -91,7 +91,7 @@
         this.time = time;
         this.rules = rules;
         this.draws = draws;
-        coldWork = new ColdWork(fleet.meanWorkUs(), rules.limits().fallUs());
+        coldWork = new ColdStartLoad(fleet.meanWorkUs(), rules.limits().fallUs());
         mostConnections = fleet.links().most() * of.cores();
         crowded = fleet.choke() == null
                 ? Double.MAX_VALUE
@@ -183,7 +183,7 @@
         wasStarted = true;
         startedUs = time.nowUs();
         workDoneUs = 0;
-        coldWork.begins();
+        coldWork.reset();
         changed.run();
     }
 
@@ -271,7 +271,7 @@
         }
         if (failing > 0 && draws.share() < failing) {
             int mine = process;
-            time.afterUs(FAILS_AFTER_US, () -> job.told.came(mine == process ? Result.ERROR : Result.RESET));
+            time.scheduleAfterUs(FAILS_AFTER_US, () -> job.told.came(mine == process ? Result.ERROR : Result.RESET));
             return;
         }
         note();
@@ -290,7 +290,7 @@
         rules.runs(job.asked, this, job.sentUs);
         int mine = process;
         double takesUs = job.workUs / pace();
-        time.afterUs(Math.max(1, Math.round(takesUs)), () -> {
+        time.scheduleAfterUs(Math.max(1, Math.round(takesUs)), () -> {
             if (mine == process) {
                 done(job, takesUs);
             } else if (!silent) {
@@ -366,14 +366,14 @@
             return;
         }
         Rules.Limits limits = rules.limits();
-        ColdWork.Verdict verdict = coldWork.came(
+        ColdStartLoad.Verdict verdict = coldWork.recordArrival(
                 time.nowUs(),
                 job.workUs,
                 job.told.isFromTold(),
                 limits.fallMultiple() * of.cores() * speed * warmth * limits.fallUs());
-        if (verdict != ColdWork.Verdict.STANDS) {
+        if (verdict != ColdStartLoad.Verdict.WITHIN_LIMIT) {
             fallen = true;
-            if (verdict == ColdWork.Verdict.PUSHED_OVER) {
+            if (verdict == ColdStartLoad.Verdict.OVERLOADED_BY_NODES) {
                 rules.pushedOver(this);
             }
             die(false);
@@ -382,6 +382,6 @@
 
     /** The most that came from all nodes together while it was cold, as a part of what it stands. */
     double coldPeak() {
-        return coldWork.highest();
+        return coldWork.peakRatio();
     }
 }
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -110,7 +110,7 @@
                         UNIX_US,
                         modules));
         run.begin(UNIX_US);
-        while (run.time.step(run.endsUs() * 1_000)) {
+        while (run.time.runNext(run.endsUs() * 1_000)) {
             // Each step is one event.
         }
         return run;
@@ -179,7 +179,7 @@
             node.listed(all);
             node.start();
         }
-        fleet.faults().forEach(fault -> time.afterUs(fault.atUs(), () -> begin(fault)));
+        fleet.faults().forEach(fault -> time.scheduleAfterUs(fault.atUs(), () -> begin(fault)));
         clients.begin();
     }
 
@@ -228,7 +228,7 @@
                         : boxes.stream().mapToDouble(box -> box.wastedUs).sum() / busyUs,
                 rules.breaks(),
                 rules.told(),
-                time.steps());
+                time.executedEventCount());
     }
 
     // ---------------------------------------------------------------- for whoever plays it by hand
@@ -307,20 +307,20 @@
                         hit,
                         ServerState.GONE,
                         silently ? fleet.list().silentUs() : fleet.list().goneUs());
-                time.afterUs(fault.forUs(), () -> comeBack(hit));
+                time.scheduleAfterUs(fault.forUs(), () -> comeBack(hit));
             }
             case FAIL -> {
                 hit.forEach(box -> box.failing = fault.size());
-                time.afterUs(fault.forUs(), () -> hit.forEach(box -> box.failing = 0));
+                time.scheduleAfterUs(fault.forUs(), () -> hit.forEach(box -> box.failing = 0));
             }
             case SLOW -> {
                 hit.forEach(box -> box.slowed = fault.size());
-                time.afterUs(fault.forUs(), () -> hit.forEach(box -> box.slowed = 1));
+                time.scheduleAfterUs(fault.forUs(), () -> hit.forEach(box -> box.slowed = 1));
             }
             case RELEASE -> release(hit, fault, 0);
             case CUT -> {
                 cuts.cut(fault.which());
-                time.afterUs(fault.forUs(), () -> cuts.mend(fault.which()));
+                time.scheduleAfterUs(fault.forUs(), () -> cuts.mend(fault.which()));
             }
             case NODES_RESTART -> throw new IllegalStateException("handled above");
         }
@@ -362,11 +362,11 @@
         List<Box> now = of.subList(from, Math.min(of.size(), from + batch));
         now.forEach(Box::drain);
         tell(now, ServerState.DRAINING, new Fleet.Range(0, 1));
-        time.afterUs(fleet.list().graceUs() + 1_000_000, () -> {
+        time.scheduleAfterUs(fleet.list().graceUs() + 1_000_000, () -> {
             now.forEach(box -> box.die(false));
-            time.afterUs(fault.forUs(), () -> {
+            time.scheduleAfterUs(fault.forUs(), () -> {
                 comeBack(now);
-                time.afterUs(fleet.list().backUs().to(), () -> release(of, fault, from + batch));
+                time.scheduleAfterUs(fleet.list().backUs().to(), () -> release(of, fault, from + batch));
             });
         });
     }
@@ -380,9 +380,9 @@
         int all = fault.count() == 0 ? of.size() : Math.min(fault.count(), of.size());
         for (int n = 0; n < all; n++) {
             int node = of.get(n);
-            time.afterUs(n / atOnce * (fault.forUs() + fleet.nodes().startUs()), () -> {
+            time.scheduleAfterUs(n / atOnce * (fault.forUs() + fleet.nodes().startUs()), () -> {
                 killNode(node);
-                time.afterUs(fault.forUs() + fleet.nodes().startUs(), () -> startNode(node));
+                time.scheduleAfterUs(fault.forUs() + fleet.nodes().startUs(), () -> startNode(node));
             });
         }
     }
@@ -400,7 +400,7 @@
             return;
         }
         List<ServerEntry> entries = of.stream().map(box -> entry(box, state)).toList();
-        time.afterUs(lists.between(late), () -> {
+        time.scheduleAfterUs(lists.between(late), () -> {
             List<ServerEntry> stands = entries.stream()
                     .filter(e -> state != ServerState.GONE || !byId.get(e.id()).isUp())
                     .toList();
--- a/src/main/java/kitemux/fleet/Population.java
+++ b/src/main/java/kitemux/fleet/Population.java
@@ -84,7 +84,7 @@
     /** Times are those of the highest rate, of which as many are passed over as the rate is lower: the same
      * clients come whatever the fleet is. */
     private void next() {
-        time.afterUs((long) arrivals.exponential(1e6 / (fleet.load().ratePerS() * most)), () -> {
+        time.scheduleAfterUs((long) arrivals.exponential(1e6 / (fleet.load().ratePerS() * most)), () -> {
             long now = time.nowUs();
             if (now >= fleet.load().lengthUs()) {
                 return;
@@ -116,7 +116,7 @@
 
     /** A tenant asks so often besides, until then. */
     void flood(int tenant, double ratePerS, long untilUs) {
-        time.afterUs((long) arrivals.exponential(1e6 / ratePerS), () -> {
+        time.scheduleAfterUs((long) arrivals.exponential(1e6 / ratePerS), () -> {
             if (time.nowUs() < Math.min(untilUs, fleet.load().lengthUs())) {
                 draw(true, tenant);
                 flood(tenant, ratePerS, untilUs);
@@ -158,15 +158,15 @@
             FleetNode at = choose();
             Rules.Asked mine = new Rules.Asked(of, tries);
             Try one = new Try(this, mine, forUs, at, asked > 1);
-            time.afterUs(how.oneWayUs(), () -> {
+            time.scheduleAfterUs(how.oneWayUs(), () -> {
                 if (at.isUp()) {
                     at.take(one);
                 } else {
-                    one.broken();
+                    one.onInternalError();
                 }
             });
             long patientUs = forUs + GRACE_US;
-            patienceEnds = time.afterUs(
+            patienceEnds = time.scheduleAfterUs(
                     patientUs,
                     () -> at.timeOver(one, patientUs, () -> {
                         if (!one.isOver()) {
@@ -215,7 +215,7 @@
             if (how != Try.End.BROKEN) {
                 rules.answered(which.asked(), how == Try.End.REFUSED);
             }
-            time.afterUs(fleet.clients().oneWayUs(), () -> {
+            time.scheduleAfterUs(fleet.clients().oneWayUs(), () -> {
                 patienceEnds.cancel();
                 over(how, retryAfterUs);
             });
@@ -233,7 +233,7 @@
                 waitUs = Math.max(waitUs, retryAfterUs);
             }
             if (harmless && asked <= clients.retries() && waitUs < leftUs()) {
-                time.afterUs(waitUs, this::ask);
+                time.scheduleAfterUs(waitUs, this::ask);
                 return;
             }
             tally.unserved(classIndex, how == Try.End.REFUSED);
--- a/src/main/java/kitemux/fleet/Proxy.java
+++ b/src/main/java/kitemux/fleet/Proxy.java
@@ -12,11 +12,11 @@
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
 import kitemux.ServiceQBalancer;
+import kitemux.engine.Clock;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
-import kitemux.engine.Time;
 import kitemux.engine.Transport;
 import kitemux.sim.Scheduler;
 
@@ -53,7 +53,7 @@
     private final Map<String, ServerEntry> told = new HashMap<>();
 
     private final Map<String, Long> drainToldUs = new HashMap<>();
-    private final Map<Try, Engine.Held<Try, Boolean>> open = new HashMap<>();
+    private final Map<Try, Engine.PendingRequest<Try, Boolean>> open = new HashMap<>();
     private int life;
     private boolean up;
     private double freeAtUs;
@@ -85,7 +85,7 @@
         @Override
         public void came(Result result) {
             if (!isCutOff(box)) {
-                time.afterUs(oneWayUs(box), () -> handle(ofLife, () -> end(result)));
+                time.scheduleAfterUs(oneWayUs(box), () -> handle(ofLife, () -> end(result)));
             }
         }
 
@@ -112,7 +112,7 @@
             } else if (process >= 0) {
                 box.disconnected(process);
             }
-            exchange.ended(result, result == Result.OK ? Boolean.TRUE : null);
+            exchange.onEnded(result, result == Result.OK ? Boolean.TRUE : null);
         }
     }
 
@@ -154,15 +154,15 @@
         life++;
         freeAtUs = time.nowUs();
         int mine = life;
-        Time clock = new Time() {
+        Clock clock = new Clock() {
             @Override
             public long nowUs() {
                 return unixUs + time.nowUs();
             }
 
             @Override
-            public Timer after(long us, Runnable task) {
-                Scheduler.Event event = time.afterUs(us, () -> {
+            public Timer schedule(long us, Runnable task) {
+                Scheduler.Event event = time.scheduleAfterUs(us, () -> {
                     if (mine == life) {
                         task.run();
                     }
@@ -176,10 +176,10 @@
                 this,
                 () -> {},
                 Observer.NONE,
-                SendGate.open(),
+                SendGate.alwaysOpen(),
                 new Log() {
                     @Override
-                    public void line(String text) {}
+                    public void info(String text) {}
 
                     @Override
                     public void error(String what, Throwable cause) {
@@ -190,7 +190,7 @@
                     module = modules.make(settings, seeds.any(), actions);
                     return module;
                 });
-        engine.listed(ListKind.CACHED, new ArrayList<>(told.values()), () -> {});
+        engine.updateServers(ListKind.CACHED, new ArrayList<>(told.values()), () -> {});
     }
 
     @Override
@@ -212,7 +212,7 @@
         List<Try> lost = new ArrayList<>(open.keySet());
         lost.sort((a, b) -> Long.compare(a.asked().number, b.asked().number));
         open.clear();
-        lost.forEach(Try::broken);
+        lost.forEach(Try::onInternalError);
     }
 
     @Override
@@ -230,7 +230,7 @@
             }
         }
         if (up) {
-            handle(life, () -> engine.listed(ListKind.CHANGES, entries, () -> {}));
+            handle(life, () -> engine.updateServers(ListKind.CHANGES, entries, () -> {}));
         }
     }
 
@@ -250,7 +250,7 @@
         if (lateUs < 1) {
             what.run();
         } else {
-            time.afterUs((long) lateUs, () -> {
+            time.scheduleAfterUs((long) lateUs, () -> {
                 if (ofLife == life) {
                     what.run();
                 }
@@ -269,9 +269,9 @@
                 open.remove(asked);
                 return;
             }
-            Engine.Held<Try, Boolean> held = engine.take(asked, asked);
+            Engine.PendingRequest<Try, Boolean> held = engine.accept(asked, asked);
             open.put(asked, held);
-            engine.ask(held);
+            engine.dispatch(held);
         });
     }
 
@@ -283,9 +283,9 @@
     @Override
     public void left(Try asked) {
         handle(life, () -> {
-            Engine.Held<Try, Boolean> held = open.remove(asked);
+            Engine.PendingRequest<Try, Boolean> held = open.remove(asked);
             if (held != null) {
-                engine.left(held);
+                engine.clientDisconnected(held);
             }
         });
     }
@@ -338,11 +338,11 @@
         boolean unheard = sent.box.isSilent() || isCutOff(sent.box);
         if (unheard || !sent.box.isUp() || !sent.box.connect()) {
             long knownUs = unheard ? fleet.links().connectUs() : rttUs;
-            time.afterUs(knownUs, () -> handle(sent.ofLife, () -> sent.end(Result.CONNECT_FAILED)));
+            time.scheduleAfterUs(knownUs, () -> handle(sent.ofLife, () -> sent.end(Result.CONNECT_FAILED)));
             return;
         }
         sent.process = sent.box.process();
-        time.afterUs(rttUs * fleet.links().handshakeRtts(), () -> {
+        time.scheduleAfterUs(rttUs * fleet.links().handshakeRtts(), () -> {
             if (!sent.over && sent.ofLife == life) {
                 if (sent.process == sent.box.process()) {
                     write(sent, fleet.links().handshakeUs());
@@ -359,7 +359,7 @@
         Try asked = sent.exchange.request();
         long now = time.nowUs();
         if (!isCutOff(sent.box)) {
-            time.afterUs(oneWayUs(sent.box), () -> sent.box.take(asked, extraUs, now, sent));
+            time.scheduleAfterUs(oneWayUs(sent.box), () -> sent.box.take(asked, extraUs, now, sent));
         }
     }
 
@@ -367,11 +367,11 @@
     public boolean withdraw(String serverId, Exchange<Try, Boolean> exchange) {
         Link link = links.get(serverId);
         Sent sent = link == null ? null : link.out.get(exchange);
-        return sent != null && !sent.written && !giveUp(serverId, exchange);
+        return sent != null && !sent.written && !abandon(serverId, exchange);
     }
 
     @Override
-    public boolean giveUp(String serverId, Exchange<Try, Boolean> exchange) {
+    public boolean abandon(String serverId, Exchange<Try, Boolean> exchange) {
         Link link = links.get(serverId);
         Sent sent = link == null ? null : link.out.remove(exchange);
         if (sent == null) {
@@ -386,7 +386,7 @@
     }
 
     @Override
-    public Try probe() {
+    public Try probeRequest() {
         throw new IllegalStateException("the module asks for no probes");
     }
 
--- a/src/main/java/kitemux/fleet/Try.java
+++ b/src/main/java/kitemux/fleet/Try.java
@@ -1,10 +1,10 @@
 package kitemux.fleet;
 
-import kitemux.engine.Asked;
-import kitemux.engine.Client;
+import kitemux.engine.RequestInfo;
+import kitemux.engine.ResponseSink;
 
 /** One try of a client's request at one node: what the engine is asked, and who is told the answer. */
-public final class Try implements Asked, Client<Boolean> {
+public final class Try implements RequestInfo, ResponseSink<Boolean> {
     private final Intention of;
     private final Rules.Asked asked;
     private final long leftUs;
@@ -81,22 +81,22 @@
     }
 
     @Override
-    public void served(Boolean answer) {
+    public void onServed(Boolean answer) {
         end(End.SERVED, 0);
     }
 
     @Override
-    public void refused(long retryAfterUs) {
+    public void onRefused(long retryAfterUs) {
         end(End.REFUSED, retryAfterUs);
     }
 
     @Override
-    public void failed() {
+    public void onFailed() {
         end(End.FAILED, 0);
     }
 
     @Override
-    public void broken() {
+    public void onInternalError() {
         end(End.BROKEN, 0);
     }
 
@@ -116,12 +116,12 @@
     }
 
     @Override
-    public long leftUs() {
+    public long remainingUs() {
         return leftUs;
     }
 
     @Override
-    public boolean retry() {
+    public boolean isRetry() {
         return again;
     }
 }
--- a/src/main/java/kitemux/lab/NodeProcess.java
+++ b/src/main/java/kitemux/lab/NodeProcess.java
@@ -361,7 +361,7 @@
         if (!one.isOver()) {
             between.broken(one, usedBefore);
         }
-        one.broken();
+        one.onInternalError();
     }
 
     private FullHttpRequest message(Try one) {
@@ -376,11 +376,11 @@
                 .set(HttpHeaderNames.HOST, "backend.local")
                 .set("X-Txn", one.txn())
                 .set("X-Lane", of.name())
-                .set("X-Remaining", one.leftUs() + "u");
+                .set("X-Remaining", one.remainingUs() + "u");
         if (one.tenant() >= 0) {
             message.headers().set("X-Org", fleet.tenants().get(one.tenant()).name());
         }
-        if (one.retry()) {
+        if (one.isRetry()) {
             message.headers().set("X-Resent", "1");
         }
         if (of.retrySafety() == RetrySafety.KEYED) {
@@ -459,11 +459,11 @@
                 long afterUs = after == null ? 0 : (long) (Double.parseDouble(after) * 1e6);
                 between.answered(one, status, afterUs);
                 if (status == 200) {
-                    one.served(Boolean.TRUE);
+                    one.onServed(Boolean.TRUE);
                 } else if (status == 429 || status == 503) {
-                    one.refused(afterUs);
+                    one.onRefused(afterUs);
                 } else {
-                    one.failed();
+                    one.onFailed();
                 }
             });
         }
@@ -480,7 +480,7 @@
             if (amid) {
                 time.happens(() -> {
                     between.cutOff(one);
-                    one.broken();
+                    one.onInternalError();
                 });
                 return;
             }
--- a/src/main/java/kitemux/load/Capture.java
+++ b/src/main/java/kitemux/load/Capture.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.stream.Stream;
+import kitemux.engine.Clock;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
 import org.jctools.queues.SpscArrayQueue;
 
 /**
@@ -90,7 +90,7 @@
     }
 
     /** Gathers on a loop what is to be written here. */
-    public Observer recorder(Time time) {
+    public Observer recorder(Clock time) {
         return new Recorder(time, this);
     }
 
--- a/src/main/java/kitemux/load/LoadFormat.java
+++ b/src/main/java/kitemux/load/LoadFormat.java
@@ -31,7 +31,7 @@
     static final int MOST_FRAME = 4 << 20;
 
     private static final int MOST_TEXT = 4_096;
-    private static final Observer.Answer[] ANSWERS = Observer.Answer.values();
+    private static final Observer.RequestOutcome[] ANSWERS = Observer.RequestOutcome.values();
     private static final Result[] RESULTS = Result.values();
 
     private LoadFormat() {}
@@ -200,7 +200,7 @@
         int of = (int) number(in);
         int tenant = (int) signed(in);
         long left = number(in);
-        Observer.Answer end = ANSWERS[in.get()];
+        Observer.RequestOutcome end = ANSWERS[in.get()];
         long took = number(in);
         long attempts = number(in);
         List<Seen.Attempt> tried = new ArrayList<>();
--- a/src/main/java/kitemux/load/Recorder.java
+++ b/src/main/java/kitemux/load/Recorder.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.Balancer.Result;
-import kitemux.engine.Asked;
+import kitemux.engine.Clock;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.RequestInfo;
 
 /**
  * Gathers what a node sees of each request, on its loop, and hands it on once nothing more is heard of it. It
  * never waits: what cannot be handed on is counted and left out.
  */
 public final class Recorder implements Observer {
-    private final Time time;
+    private final Clock time;
     private final Sink sink;
     private final Map<Long, Open> open = new HashMap<>();
 
@@ -31,15 +31,15 @@
         final boolean repeat;
         final long leftUs;
         final List<Sent> sent = new ArrayList<>(1);
-        Answer answer = Answer.LEFT;
+        RequestOutcome answer = RequestOutcome.LEFT;
         long answeredUs;
 
-        Open(long cameUs, Asked asked) {
+        Open(long cameUs, RequestInfo asked) {
             this.cameUs = cameUs;
             classIndex = asked.classIndex();
             tenant = asked.tenant();
-            repeat = asked.retry();
-            leftUs = asked.leftUs();
+            repeat = asked.isRetry();
+            leftUs = asked.remainingUs();
         }
     }
 
@@ -56,18 +56,18 @@
     }
 
     /** Holds nothing yet. */
-    public Recorder(Time time, Sink sink) {
+    public Recorder(Clock time, Sink sink) {
         this.time = time;
         this.sink = sink;
     }
 
     @Override
-    public void taken(long id, Asked request) {
-        open.put(id, new Open(time.nowUs() - request.agoUs(), request));
+    public void onRequestAccepted(long id, RequestInfo request) {
+        open.put(id, new Open(time.nowUs() - request.ageUs(), request));
     }
 
     @Override
-    public void sent(long id, int attempt, String serverId, long untilUs) {
+    public void onAttemptStarted(long id, int attempt, String serverId, long untilUs) {
         Open of = open.get(id);
         if (of != null) {
             of.sent.add(new Sent(serverId, time.nowUs()));
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void ended(long id, int attempt, Result result) {
+    public void onAttemptEnded(long id, int attempt, Result result) {
         Open of = open.get(id);
         if (of != null && attempt < of.sent.size()) {
             of.sent.get(attempt).endedUs = time.nowUs();
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void answered(long id, Answer answer) {
+    public void onRequestAnswered(long id, RequestOutcome answer) {
         Open of = open.get(id);
         if (of != null) {
             of.answer = answer;
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void forgotten(long id) {
+    public void onRequestReleased(long id) {
         Open of = open.remove(id);
         if (of == null) {
             return;
--- a/src/main/java/kitemux/load/Seen.java
+++ b/src/main/java/kitemux/load/Seen.java
@@ -24,7 +24,7 @@
         boolean repeat,
         long leftUs,
         List<Attempt> attempts,
-        Observer.Answer end,
+        Observer.RequestOutcome end,
         long tookUs) {
 
     /**
--- a/src/main/java/kitemux/load/Summary.java
+++ b/src/main/java/kitemux/load/Summary.java
@@ -154,7 +154,7 @@
                 of.serviceUs.recordValue(Math.min(MOST_US, attempt.tookUs()));
             }
         }
-        if (seen.end() == Observer.Answer.SERVED) {
+        if (seen.end() == Observer.RequestOutcome.SERVED) {
             of.tookUs.recordValue(Math.min(MOST_US, seen.tookUs()));
         }
     }
--- a/src/main/java/kitemux/node/RolloutLink.java
+++ b/src/main/java/kitemux/node/RolloutLink.java
@@ -6,12 +6,12 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import kitemux.config.ConfigException;
+import kitemux.engine.Clock;
 import kitemux.engine.Log;
-import kitemux.engine.Time;
 import kitemux.keeper.RolloutWatch;
 import kitemux.net.Addresses;
 import kitemux.net.NioNetwork;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.rollout.Subscriber;
 import kitemux.rollout.Terms;
 
@@ -30,13 +30,13 @@
             List<InetSocketAddress> keepers,
             NodeConfig config,
             EventLoop loop,
-            Time time,
-            Sockets sockets,
+            Clock time,
+            SocketBudget sockets,
             Consumer<InetSocketAddress> discovery,
             Log log) {
         LiveSettings live = new LiveSettings(config.settings(), at -> {
             try {
-                discovery.accept(Addresses.read("discovery", at));
+                discovery.accept(Addresses.parse("discovery", at));
             } catch (ConfigException e) {
                 throw new IllegalStateException(e);
             }
@@ -56,7 +56,7 @@
                         sockets,
                         (rev, values) -> {
                             live.put(values);
-                            log.line("rollout: version " + rev + " is taken in");
+                            log.info("rollout: version " + rev + " is taken in");
                         },
                         log)
                 .begin();
--- a/src/main/java/kitemux/orders/JournalReader.java
+++ b/src/main/java/kitemux/orders/JournalReader.java
@@ -156,7 +156,7 @@
             if (disk.list().contains(name + ".new")) {
                 disk.delete(name + ".new");
             }
-            try (Disk.Out out = disk.create(name + ".new")) {
+            try (Disk.OutputFile out = disk.create(name + ".new")) {
                 out.write(bytes);
             }
             disk.rename(name + ".new", name);
--- a/src/main/java/kitemux/orders/OrderKeeper.java
+++ b/src/main/java/kitemux/orders/OrderKeeper.java
@@ -10,10 +10,10 @@
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
-import kitemux.engine.Asked;
+import kitemux.engine.Clock;
 import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.SendGate;
-import kitemux.engine.Time;
 import kitemux.orders.Entry.Answered;
 import kitemux.orders.Entry.Ended;
 import kitemux.orders.Entry.Intent;
@@ -26,7 +26,7 @@
  *
  * @param <Q> requests of the protocol
  */
-public final class OrderKeeper<Q extends Asked> implements Observer, SendGate<Q> {
+public final class OrderKeeper<Q extends RequestInfo> implements Observer, SendGate<Q> {
     /**
      * Bytes of bodies that wait for the writer to digest them, but for one that waits alone. A request may be
      * over long before a disk that is late has its entry, and its body would fill the memory meanwhile. Harm:
@@ -35,7 +35,7 @@
     static final long MOST_WAITING = 8 << 20;
 
     private final Settings settings;
-    private final Time time;
+    private final Clock time;
     private final OrderLog orders;
     private final OrderSettings how;
     private final Map<Long, Long> numbers = new HashMap<>();
@@ -50,7 +50,7 @@
      * @param next the number for the first request that is taken
      * @param how which classes are kept, and how long a send waits for its record
      */
-    OrderKeeper(Settings settings, Time time, OrderLog orders, long next, OrderSettings how) {
+    OrderKeeper(Settings settings, Clock time, OrderLog orders, long next, OrderSettings how) {
         this.settings = settings;
         this.time = time;
         this.orders = orders;
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void taken(long id, Asked request) {
+    public void onRequestAccepted(long id, RequestInfo request) {
         if (!isKept(request.classIndex())) {
             return;
         }
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public void before(
+    public void admit(
             long id,
             Q request,
             int attempt,
@@ -137,7 +137,7 @@
         }
         Intent intent = new Intent(number, time.nowUs(), attempt, serverId, endpoint.get(), untilUs);
         boolean[] told = {false};
-        Time.Timer patience = time.after(how.lateMs() * 1_000, () -> {
+        Clock.Timer patience = time.schedule(how.lateMs() * 1_000, () -> {
             if (!told[0]) {
                 told[0] = true;
                 orders.countLate();
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void ended(long id, int attempt, Balancer.Result result) {
+    public void onAttemptEnded(long id, int attempt, Balancer.Result result) {
         Long number = numbers.get(id);
         if (number != null) {
             long now = time.nowUs();
@@ -168,7 +168,7 @@
     }
 
     @Override
-    public void answered(long id, Answer answer) {
+    public void onRequestAnswered(long id, RequestOutcome answer) {
         Long number = numbers.get(id);
         if (number != null) {
             long now = time.nowUs();
@@ -177,7 +177,7 @@
     }
 
     @Override
-    public void forgotten(long id) {
+    public void onRequestReleased(long id) {
         numbers.remove(id);
     }
 }
--- a/src/main/java/kitemux/orders/Orders.java
+++ b/src/main/java/kitemux/orders/Orders.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 import kitemux.Balancer.Settings;
 import kitemux.disk.FolderDisk;
-import kitemux.engine.Asked;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
+import kitemux.engine.RequestInfo;
 
 /** A node's journal, open: its folder's lock, its writer and its keeper. */
 public final class Orders {
@@ -35,9 +35,9 @@
      * @param say lines for the operators, from any thread
      * @throws IOException if it cannot be opened, also as another node holds it; the message says why
      */
-    public static Orders open(OrderSettings settings, Time time, Executor loop, Consumer<String> say)
+    public static Orders open(OrderSettings settings, Clock time, Executor loop, Consumer<String> say)
             throws IOException {
-        FolderDisk disk = FolderDisk.toWrite(settings.folder());
+        FolderDisk disk = FolderDisk.openForWriting(settings.folder());
         try {
             SecureRandom random = new SecureRandom();
             long[] next = new long[1];
@@ -71,7 +71,7 @@
     }
 
     /** What an engine is to be given; once. */
-    public <Q extends Asked> OrderKeeper<Q> keeper(OrderSettings how, Settings settings, Time time) {
+    public <Q extends RequestInfo> OrderKeeper<Q> keeper(OrderSettings how, Settings settings, Clock time) {
         return new OrderKeeper<>(settings, time, log, next, how);
     }
 
@@ -90,11 +90,11 @@
         if (!Files.isDirectory(folder)) {
             throw new NotDirectoryException(folder.toString());
         }
-        return new JournalReader(FolderDisk.toRead(folder));
+        return new JournalReader(FolderDisk.openForReading(folder));
     }
 
     /** Whether a node writes to this folder now. */
     public static boolean isLive(Path folder) throws IOException {
-        return FolderDisk.isWrittenTo(folder);
+        return FolderDisk.isLockedByWriter(folder);
     }
 }
--- a/src/test/java/kitemux/fleet/BoxTest.java
+++ b/src/test/java/kitemux/fleet/BoxTest.java
@@ -73,10 +73,10 @@
                             return true;
                         }
                     }));
-            world.time.afterUs(Math.round(arrivals.exponential(WORK_US / load)), next[0]);
+            world.time.scheduleAfterUs(Math.round(arrivals.exponential(WORK_US / load)), next[0]);
         };
         next[0].run();
-        while (world.time.step(endUs * 1_100)) {
+        while (world.time.runNext(endUs * 1_100)) {
             assertTrue(counts[0] >= 0);
         }
         return lost ? (double) counts[1] / (counts[0] + counts[1]) : sum[0] / counts[0] / WORK_US;
@@ -167,21 +167,21 @@
         Box box = box(1, 1_000, new Fleet.Choke(5, 1_000_000, 3, 0.3, 2_000_000, 60_000_000));
         // A second and a half with more than six waiting.
         send(box, 200, 10_000);
-        time.step(0);
-        while (time.nowUs() < 1_500_000 && time.step(1_500_000_000L)) {
+        time.runNext(0);
+        while (time.nowUs() < 1_500_000 && time.runNext(1_500_000_000L)) {
             assertFalse(box.hasFallen());
         }
         assertTrue(box.hasChoked());
         // All is worked off, three times slower; then it rests, and single requests are quick again.
         long restedUs = 10_000_000;
-        while (time.step(restedUs * 1_000)) {
+        while (time.runNext(restedUs * 1_000)) {
             assertTrue(box.isUp());
         }
         send(box, 1, 10_000);
         send(box, 1, 10_000);
         long before = time.nowUs();
         double busyBefore = box.busyUs;
-        while (time.step((before + 100_000) * 1_000)) {
+        while (time.runNext((before + 100_000) * 1_000)) {
             assertTrue(box.isUp());
         }
         assertEquals(20_000, box.busyUs - busyBefore, 10_100, "the second one at least is quick");
--- a/src/test/java/kitemux/load/CaptureTest.java
+++ b/src/test/java/kitemux/load/CaptureTest.java
@@ -40,7 +40,7 @@
                 number % 5 == 0,
                 500_000,
                 List.of(new Seen.Attempt("s" + number % 7, 100, 20_000 + number, Result.OK)),
-                Observer.Answer.SERVED,
+                Observer.RequestOutcome.SERVED,
                 20_500 + number);
     }
 
@@ -103,7 +103,7 @@
                     n % 2 == 0,
                     n,
                     attempts,
-                    Observer.Answer.values()[n % Observer.Answer.values().length],
+                    Observer.RequestOutcome.values()[n % Observer.RequestOutcome.values().length],
                     n * 13L));
         }
         LoadFormat.Head head = new LoadFormat.Head(7, "n", NOW, List.of("x", "y"), List.of("t", "u"));
--- a/src/test/java/kitemux/load/SpeedsTest.java
+++ b/src/test/java/kitemux/load/SpeedsTest.java
@@ -36,7 +36,7 @@
                     false,
                     0,
                     List.of(new Seen.Attempt(server, 0, (long) Math.max(1, free - now), Result.OK)),
-                    Observer.Answer.SERVED,
+                    Observer.RequestOutcome.SERVED,
                     0));
         }
     }
@@ -159,7 +159,7 @@
                     false,
                     0,
                     List.of(new Seen.Attempt("s0", 0, 10_000, Result.CANCELLED)),
-                    Observer.Answer.LEFT,
+                    Observer.RequestOutcome.LEFT,
                     0));
             // Sent while the other may run still: its time is no measure.
             seen.add(new Seen(
@@ -169,7 +169,7 @@
                     false,
                     0,
                     List.of(new Seen.Attempt("s0", 0, 900_000, Result.OK)),
-                    Observer.Answer.SERVED,
+                    Observer.RequestOutcome.SERVED,
                     0));
             seen.add(new Seen(
                     at + 5_000_000,
@@ -178,7 +178,7 @@
                     false,
                     0,
                     List.of(new Seen.Attempt("s0", 0, 20_000, Result.OK)),
-                    Observer.Answer.SERVED,
+                    Observer.RequestOutcome.SERVED,
                     0));
             seen.add(new Seen(
                     at,
@@ -187,7 +187,7 @@
                     false,
                     0,
                     List.of(new Seen.Attempt("s1", 0, 20_000, Result.OK)),
-                    Observer.Answer.SERVED,
+                    Observer.RequestOutcome.SERVED,
                     0));
         }
         List<Speeds.Speed> found = estimate(seen);
--- a/src/test/java/kitemux/load/SummaryTest.java
+++ b/src/test/java/kitemux/load/SummaryTest.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Random;
 import kitemux.Balancer.Result;
-import kitemux.engine.Asked;
+import kitemux.engine.Clock;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.RequestInfo;
 import org.junit.jupiter.api.Test;
 
 /** What is gathered of requests, and what files of several nodes say together. */
@@ -21,12 +21,12 @@
         return new Captured(id, node, NOW, List.of("page", "order"), List.of("a", "b"), seen, 0, "");
     }
 
-    private static Seen seen(long atUs, int classIndex, boolean repeat, Observer.Answer end) {
+    private static Seen seen(long atUs, int classIndex, boolean repeat, Observer.RequestOutcome end) {
         return new Seen(atUs, classIndex, 0, repeat, 500_000, List.of(), end, 1_000);
     }
 
-    private static Asked asked(boolean retry, long agoUs) {
-        return new Asked() {
+    private static RequestInfo asked(boolean retry, long agoUs) {
+        return new RequestInfo() {
             @Override
             public String txn() {
                 return "t";
@@ -43,17 +43,17 @@
             }
 
             @Override
-            public long leftUs() {
+            public long remainingUs() {
                 return 400_000;
             }
 
             @Override
-            public long agoUs() {
+            public long ageUs() {
                 return agoUs;
             }
 
             @Override
-            public boolean retry() {
+            public boolean isRetry() {
                 return retry;
             }
         };
@@ -66,29 +66,29 @@
         long[] now = {NOW};
         List<Seen> got = new ArrayList<>();
         Recorder recorder = new Recorder(
-                new Time() {
+                new Clock() {
                     @Override
                     public long nowUs() {
                         return now[0];
                     }
 
                     @Override
-                    public Timer after(long us, Runnable task) {
+                    public Timer schedule(long us, Runnable task) {
                         throw new IllegalStateException("a recorder waits for nothing");
                     }
                 },
                 got::add);
-        recorder.taken(1, asked(true, 300));
-        recorder.sent(1, 0, "s1", NOW + 9_000);
+        recorder.onRequestAccepted(1, asked(true, 300));
+        recorder.onAttemptStarted(1, 0, "s1", NOW + 9_000);
         now[0] += 2_000;
-        recorder.sent(1, 1, "s2", NOW + 9_000);
+        recorder.onAttemptStarted(1, 1, "s2", NOW + 9_000);
         now[0] += 1_000;
-        recorder.ended(1, 1, Result.OK);
-        recorder.answered(1, Observer.Answer.SERVED);
+        recorder.onAttemptEnded(1, 1, Result.OK);
+        recorder.onRequestAnswered(1, Observer.RequestOutcome.SERVED);
         assertEquals(List.of(), got);
         now[0] += 500;
-        recorder.ended(1, 0, Result.CANCELLED);
-        recorder.forgotten(1);
+        recorder.onAttemptEnded(1, 0, Result.CANCELLED);
+        recorder.onRequestReleased(1);
         assertEquals(
                 List.of(new Seen(
                         NOW - 300,
@@ -99,11 +99,11 @@
                         List.of(
                                 new Seen.Attempt("s1", 300, 3_500, Result.CANCELLED),
                                 new Seen.Attempt("s2", 2_300, 1_000, Result.OK)),
-                        Observer.Answer.SERVED,
+                        Observer.RequestOutcome.SERVED,
                         3_300)),
                 got);
         assertEquals(0, recorder.openCount());
-        recorder.forgotten(7);
+        recorder.onRequestReleased(7);
         assertEquals(1, got.size(), "of one that was not seen coming nothing is handed on");
     }
 
@@ -114,8 +114,8 @@
         Summary all = new Summary(1_000_000, Map.of());
         List<Seen> seen = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            seen.add(seen(NOW + i * 50_000L, 0, false, Observer.Answer.REFUSED));
-            seen.add(seen(NOW + i * 50_000L + 10_000, 0, true, Observer.Answer.SERVED));
+            seen.add(seen(NOW + i * 50_000L, 0, false, Observer.RequestOutcome.REFUSED));
+            seen.add(seen(NOW + i * 50_000L + 10_000, 0, true, Observer.RequestOutcome.SERVED));
         }
         all.add(file(1, "n0", seen));
         Summary.OfClass page = all.classes().get("page");
@@ -133,8 +133,8 @@
                 1,
                 "n0",
                 List.of(
-                        seen(NOW, 0, false, Observer.Answer.REFUSED),
-                        seen(NOW + 5, 0, false, Observer.Answer.SERVED))));
+                        seen(NOW, 0, false, Observer.RequestOutcome.REFUSED),
+                        seen(NOW + 5, 0, false, Observer.RequestOutcome.SERVED))));
         assertTrue(
                 all.remarks().get(0).startsWith("of 1 refused tries hardly any was marked"), all.remarks()::toString);
     }
@@ -142,10 +142,10 @@
     @Test
     void aCopyIsLeftOutAndNodesAddUpOverClocksThatDiffer() {
         Summary all = new Summary(1_000_000, Map.of("n1", -5_000_000L));
-        Captured first = file(1, "n0", List.of(seen(NOW, 0, false, Observer.Answer.SERVED)));
+        Captured first = file(1, "n0", List.of(seen(NOW, 0, false, Observer.RequestOutcome.SERVED)));
         all.add(first);
         all.add(first);
-        all.add(file(2, "n1", List.of(seen(NOW + 5_000_000, 1, false, Observer.Answer.SERVED))));
+        all.add(file(2, "n1", List.of(seen(NOW + 5_000_000, 1, false, Observer.RequestOutcome.SERVED))));
         assertEquals(2, all.wanted());
         assertEquals(1, all.steps().size(), "the same second by both clocks");
         assertEquals(Map.of("n0", 1, "n1", 1), all.nodes());
@@ -171,9 +171,12 @@
         List<Seen> alone = new ArrayList<>();
         List<Seen> bursts = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
-            alone.add(seen(NOW + (long) (random.nextDouble() * 100e6), 0, false, Observer.Answer.SERVED));
+            alone.add(seen(NOW + (long) (random.nextDouble() * 100e6), 0, false, Observer.RequestOutcome.SERVED));
             bursts.add(seen(
-                    NOW + random.nextInt(20) * 5_000_000L + random.nextInt(1_000), 0, false, Observer.Answer.SERVED));
+                    NOW + random.nextInt(20) * 5_000_000L + random.nextInt(1_000),
+                    0,
+                    false,
+                    Observer.RequestOutcome.SERVED));
         }
         Summary one = new Summary(1_000_000, Map.of());
         one.add(file(1, "n0", alone));
--- a/src/test/java/kitemux/node/Site.java
+++ b/src/test/java/kitemux/node/Site.java
@@ -99,7 +99,7 @@
         return new NodeConfig(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 operators,
-                Addresses.read("discovery", discovery.endpoint()),
+                Addresses.parse("discovery", discovery.endpoint()),
                 7,
                 sockets,
                 connIdleUs,
--- a/src/test/java/kitemux/orders/JournalOnDisk.java
+++ b/src/test/java/kitemux/orders/JournalOnDisk.java
@@ -11,7 +11,7 @@
 
     /** Writes entries to a journal as a node would that ends right after. */
     public static void write(Path folder, Entry... entries) throws IOException {
-        try (FolderDisk disk = FolderDisk.toWrite(folder);
+        try (FolderDisk disk = FolderDisk.openForWriting(folder);
                 Journal journal = Journal.open(
                         disk, new Journal.Limits(1 << 20, Long.MAX_VALUE, 0, 0), () -> 9, () -> 77, line -> {})) {
             journal.append(List.of(entries));
@@ -36,7 +36,7 @@
 
     /** Holds a journal as a live node does. */
     public static AutoCloseable hold(Path folder) throws IOException {
-        return FolderDisk.toWrite(folder);
+        return FolderDisk.openForWriting(folder);
     }
 
     /** A request as it is taken. */
--- a/src/test/java/kitemux/orders/JournalTest.java
+++ b/src/test/java/kitemux/orders/JournalTest.java
@@ -119,10 +119,10 @@
         MemoryDisk whole = new MemoryDisk();
         assertEquals(12, orders(whole, 12, 400).durableAnswers.size());
         assertTrue(SegmentNames.sequences(whole.list()).size() > 4, "segments were ended on the way");
-        for (int cut = 0; cut <= whole.operations; cut++) {
+        for (int cut = 0; cut <= whole.operationCount; cut++) {
             for (int unsynced : new int[] {0, 1, 7, 30, 64, 65, 100, 1_000_000}) {
                 MemoryDisk disk = new MemoryDisk();
-                disk.failAfter = cut;
+                disk.operationsUntilFailure = cut;
                 Run run = orders(disk, 12, 400);
                 check(disk.afterPowerCut(unsynced), run);
             }
@@ -132,11 +132,11 @@
     @Test
     void aPowerCutInTheMiddleOfARecoveryIsRecoveredFromAsWell() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        disk.failAfter = 25;
+        disk.operationsUntilFailure = 25;
         Run run = orders(disk, 12, 400);
         for (int cut = 0; cut < 12; cut++) {
             MemoryDisk found = disk.afterPowerCut(50);
-            found.failAfter = cut;
+            found.operationsUntilFailure = cut;
             try {
                 open(found, 400, 9).close();
             } catch (IOException e) {
@@ -320,7 +320,7 @@
 
     private static List<String> found(MemoryDisk disk, String order, int[] reads) throws IOException {
         List<String> found = new ArrayList<>();
-        disk.reads = 0;
+        disk.segmentReadCount = 0;
         new JournalReader(disk)
                 .storiesOf(
                         Set.of(order),
@@ -328,7 +328,7 @@
                         Set.of(),
                         taken -> true,
                         story -> found.add(story.taken().order() + " " + story.state(false)));
-        reads[0] = disk.reads;
+        reads[0] = disk.segmentReadCount;
         return found;
     }
 
--- a/src/test/java/kitemux/orders/OrderLogTest.java
+++ b/src/test/java/kitemux/orders/OrderLogTest.java
@@ -44,8 +44,8 @@
             }
         }
 
-        private Out out(Out sound) {
-            return new Out() {
+        private OutputFile out(OutputFile sound) {
+            return new OutputFile() {
                 @Override
                 public void write(byte[] bytes) throws IOException {
                     check();
@@ -86,14 +86,14 @@
         }
 
         @Override
-        public Out create(String name) throws IOException {
+        public OutputFile create(String name) throws IOException {
             check();
             created.incrementAndGet();
             return out(disk.create(name));
         }
 
         @Override
-        public Out append(String name, long from) throws IOException {
+        public OutputFile append(String name, long from) throws IOException {
             return out(disk.append(name, from));
         }
 
@@ -108,9 +108,9 @@
         }
 
         @Override
-        public void syncFolder() throws IOException {
+        public void syncDirectory() throws IOException {
             check();
-            disk.syncFolder();
+            disk.syncDirectory();
         }
     };
 
--- a/src/test/java/kitemux/plan/FromCaptureTest.java
+++ b/src/test/java/kitemux/plan/FromCaptureTest.java
@@ -37,8 +37,15 @@
                 long at = NOW + s * 1_000_000L + i * 1_000_000L / perS;
                 int of = number % 10 == 0 ? 1 : 0;
                 seen.add(new Seen(
-                        at, of, number++ % 4 == 0 ? 0 : 1, false, 500_000, List.of(), Observer.Answer.REFUSED, 10));
-                seen.add(new Seen(at + 500, of, 1, true, 400_000, List.of(), Observer.Answer.SERVED, 10));
+                        at,
+                        of,
+                        number++ % 4 == 0 ? 0 : 1,
+                        false,
+                        500_000,
+                        List.of(),
+                        Observer.RequestOutcome.REFUSED,
+                        10));
+                seen.add(new Seen(at + 500, of, 1, true, 400_000, List.of(), Observer.RequestOutcome.SERVED, 10));
             }
         }
         Summary summary = new Summary(1_000_000, Map.of());
--- a/src/test/java/kitemux/rollout/Fleet.java
+++ b/src/test/java/kitemux/rollout/Fleet.java
@@ -120,15 +120,15 @@
     }
 
     private void passes() {
-        time.afterUs(100_000, () -> {
+        time.scheduleAfterUs(100_000, () -> {
             see(new Judge.Passed(nowUs()));
             passes();
         });
     }
 
     void run(long us) {
-        long until = time.now() + us * 1_000;
-        while (time.step(until) && judge.breaches().isEmpty()) {
+        long until = time.nowNanos() + us * 1_000;
+        while (time.runNext(until) && judge.breaches().isEmpty()) {
             // Each step is one event.
         }
     }
@@ -210,7 +210,7 @@
                 timer.cancel();
             }
             long at = isUp() ? nextAtUs() : Long.MAX_VALUE;
-            timer = at == Long.MAX_VALUE ? null : time.at(Math.max(at, nowUs()) * 1_000, inLife(this::tick));
+            timer = at == Long.MAX_VALUE ? null : time.scheduleAt(Math.max(at, nowUs()) * 1_000, inLife(this::tick));
         }
 
         void stop() {
@@ -343,7 +343,7 @@
             replies.clear();
             List.copyOf(lines.values()).forEach(line -> {
                 if (!isCut(region, regionOfNode[line.node.number])) {
-                    time.afterUs(lateUs(region, regionOfNode[line.node.number]), () -> line.node.ended(line));
+                    time.scheduleAfterUs(lateUs(region, regionOfNode[line.node.number]), () -> line.node.ended(line));
                 }
             });
             lines.clear();
@@ -387,7 +387,7 @@
                     + (draws.nextInt(20) == 0 ? draws.nextLong(100_000, 500_000) : draws.nextLong(500, 20_000));
             long life = process;
             boolean waits = defect.waitsForSync();
-            time.at(diskFreeUs * 1_000, () -> {
+            time.scheduleAt(diskFreeUs * 1_000, () -> {
                 if (process == life && isUp()) {
                     // A disk goes on while its process stands still.
                     synced(unsynced.poll());
@@ -452,7 +452,7 @@
             if (isLost(from)) {
                 return;
             }
-            time.afterUs(
+            time.scheduleAfterUs(
                     from == this ? 0 : lateUs(region, from.region),
                     () -> inLife(() -> {
                                 Request read = RolloutText.readRequest(bytes).value();
@@ -473,7 +473,7 @@
                 return;
             }
             byte[] bytes = RolloutText.write(defect.answer(request, answer));
-            time.afterUs(asker == this ? 0 : lateUs(region, asker.region), () -> {
+            time.scheduleAfterUs(asker == this ? 0 : lateUs(region, asker.region), () -> {
                 if (asker.process == askerLife && asker.isUp()) {
                     asker.inLife(() -> {
                                 Answer read = RolloutText.readAnswer(bytes).value();
@@ -517,7 +517,7 @@
                 line.broken = true;
             }
             line.lastUs = Math.max(line.lastUs, nowUs() + lateUs(region, there));
-            time.at(line.lastUs * 1_000, () -> {
+            time.scheduleAt(line.lastUs * 1_000, () -> {
                 line.broken |= isCut(region, there);
                 if (!line.broken && line.node.process == line.nodeLife) {
                     line.node.inLife(what).run();
@@ -542,7 +542,7 @@
         }
 
         private void nodeLeft(Connection line) {
-            time.afterUs(lateUs(region, regionOfNode[line.node.number]), () -> {
+            time.scheduleAfterUs(lateUs(region, regionOfNode[line.node.number]), () -> {
                 if (lines.remove(line.id) != null && isUp()) {
                     machine.watchEnded(line.id);
                 }
@@ -640,7 +640,7 @@
             reach();
             for (long at = 0; at < us; at += 2_000_000) {
                 KeeperHost to = keepers.get(draws.nextInt(KEEPERS));
-                time.afterUs(at, () -> {
+                time.scheduleAfterUs(at, () -> {
                     if (to.isWell() && !isCut(to.region, regionOfNode[number])) {
                         History now = to.machine.history();
                         if (now.rev() >= firstRev && judge.revOf(oldName) <= now.rev()) {
@@ -723,7 +723,7 @@
                                     .path())));
             if (!isCut(keeper.region, regionOfNode[number])) {
                 see(new Judge.Reported(nowUs(), number));
-                time.afterUs(lateUs(keeper.region, regionOfNode[number]), () -> keeper.report(bytes, by));
+                time.scheduleAfterUs(lateUs(keeper.region, regionOfNode[number]), () -> keeper.report(bytes, by));
             }
         }
 
@@ -736,7 +736,7 @@
                         new Report(number, life, put.rev(), new java.util.TreeSet<>(), List.of()));
             }
             Subscriber to = subscriber;
-            time.at(slowUntilUs * 1_000, inLife(() -> {
+            time.scheduleAt(slowUntilUs * 1_000, inLife(() -> {
                 if (subscriber == to) {
                     see(new Judge.InForce(nowUs(), number, name(), put.rev(), put.values()));
                     done(subscriber.inForce(nowUs(), put.rev(), put.values()));
@@ -759,12 +759,12 @@
             if (isCut(keeper.region, here)) {
                 return;
             }
-            time.afterUs(lateUs(keeper.region, here), () -> {
+            time.scheduleAfterUs(lateUs(keeper.region, here), () -> {
                 if (isCut(keeper.region, here)) {
                     return;
                 }
                 if (!keeper.isUp()) {
-                    time.afterUs(lateUs(keeper.region, here), () -> ended(line));
+                    time.scheduleAfterUs(lateUs(keeper.region, here), () -> ended(line));
                     return;
                 }
                 keeper.inLife(() -> {
