--- a/src/main/java/kitemux/discovery/Discovery.java
+++ b/src/main/java/kitemux/discovery/Discovery.java
@@ -314,8 +314,8 @@
 
         /** Only what is whole is a sign of life: bytes that never make a list tell nothing. */
         private void read(ByteBuf bytes) {
-            JsonFrameReader.What what;
-            while (!over && (what = lines.nextFrame(bytes)) != JsonFrameReader.What.INCOMPLETE) {
+            JsonFrameReader.Frame what;
+            while (!over && (what = lines.nextFrame(bytes)) != JsonFrameReader.Frame.INCOMPLETE) {
                 expectMore();
                 switch (what) {
                     case OBJECT -> readList(lines.takeObject());
--- a/src/main/java/kitemux/net/JsonFrameReader.java
+++ b/src/main/java/kitemux/net/JsonFrameReader.java
@@ -22,22 +22,22 @@
     private boolean lineUsed;
 
     /** What has come. */
-    public enum What {
+    public enum Frame {
         INCOMPLETE,
         HEARTBEAT,
         OBJECT,
         MALFORMED
     }
 
-    /** Reads up to and with the next thing that is whole; {@link What#INCOMPLETE} once all is read. */
-    public What nextFrame(ByteBuf bytes) {
+    /** Reads up to and with the next thing that is whole; {@link Frame#INCOMPLETE} once all is read. */
+    public Frame nextFrame(ByteBuf bytes) {
         while (bytes.isReadable()) {
-            What what = take(bytes.readByte());
-            if (what != What.INCOMPLETE) {
+            Frame what = take(bytes.readByte());
+            if (what != Frame.INCOMPLETE) {
                 return what;
             }
         }
-        return What.INCOMPLETE;
+        return Frame.INCOMPLETE;
     }
 
     /** The list that was found last, as it came. */
@@ -53,31 +53,31 @@
         return text.length() <= 40 ? text : text.substring(0, 40) + " ...";
     }
 
-    private What take(byte b) {
+    private Frame take(byte b) {
         if (b == '\n') {
             boolean empty = !lineUsed;
             lineUsed = false;
             if (depth == 0) {
-                return empty ? What.HEARTBEAT : What.INCOMPLETE;
+                return empty ? Frame.HEARTBEAT : Frame.INCOMPLETE;
             }
             object.write(b);
-            return empty || inText ? What.MALFORMED : What.INCOMPLETE;
+            return empty || inText ? Frame.MALFORMED : Frame.INCOMPLETE;
         }
         if (b == ' ' || b == '\r' || b == '\t') {
             if (depth > 0) {
                 object.write(b);
             }
-            return What.INCOMPLETE;
+            return Frame.INCOMPLETE;
         }
         lineUsed = true;
         object.write(b);
         if (depth == 0 && b != '{' || object.size() > MAX_OBJECT_BYTES) {
-            return What.MALFORMED;
+            return Frame.MALFORMED;
         }
         if (inText) {
             inText = escaped || b != '"';
             escaped = !escaped && b == '\\';
-            return What.INCOMPLETE;
+            return Frame.INCOMPLETE;
         }
         switch (b) {
             case '"' -> inText = true;
@@ -85,6 +85,6 @@
             case '}', ']' -> depth--;
             default -> {}
         }
-        return depth == 0 ? What.OBJECT : What.INCOMPLETE;
+        return depth == 0 ? Frame.OBJECT : Frame.INCOMPLETE;
     }
 }
--- a/src/main/java/kitemux/net/ServerResponse.java
+++ b/src/main/java/kitemux/net/ServerResponse.java
@@ -15,17 +15,17 @@
     }
 
     /** Where it comes from. */
-    public interface Source {
+    public interface BodySource {
         /** Whether to go on reading. */
         void setReading(boolean on);
     }
 
     private final byte[] whole;
     private final long length;
-    private final Source source;
+    private final BodySource source;
     private BodySink sink;
 
-    private ServerResponse(byte[] whole, long length, Source source) {
+    private ServerResponse(byte[] whole, long length, BodySource source) {
         this.whole = whole;
         this.length = length;
         this.source = source;
@@ -41,7 +41,7 @@
      *
      * @param length of its body in bytes, or -1 where only its end will tell
      */
-    public static ServerResponse streaming(long length, Source source) {
+    public static ServerResponse streaming(long length, BodySource source) {
         return new ServerResponse(null, length, source);
     }
 
