--- a/src/main/java/kitemux/bench/CaptureBench.java
+++ b/src/main/java/kitemux/bench/CaptureBench.java
@@ -11,7 +11,7 @@
 import kitemux.engine.Clock;
 import kitemux.engine.Observer;
 import kitemux.engine.RequestInfo;
-import kitemux.load.Capture;
+import kitemux.load.CaptureWriter;
 import kitemux.load.LoadSettings;
 
 /**
@@ -41,8 +41,8 @@
             LoadSettings settings = new LoadSettings(folder, 65_536, 4 << 20, 512 << 20);
             for (int round = 0; round < ROUNDS; round++) {
                 off[round] = nanosEach(Observer.NONE, clock, 0);
-                try (Capture capture =
-                        new Capture(settings, "n", List.of("page"), List.of(), clock::nowUs, out::println)) {
+                try (CaptureWriter capture =
+                        new CaptureWriter(settings, "n", List.of("page"), List.of(), clock::nowUs, out::println)) {
                     on[round] = nanosEach(capture.recorder(clock), clock, 0);
                 }
             }
@@ -54,12 +54,12 @@
                     ROUNDS, REQUESTS, off[ROUNDS / 2], off[0], off[ROUNDS - 1], on[ROUNDS / 2], on[0], on[ROUNDS - 1]);
             LoadSettings standing = new LoadSettings(folder, 8_192, 4 << 20, 512 << 20);
             for (int rate : RATES) {
-                try (Capture capture =
-                        new Capture(standing, "n", List.of("page"), List.of(), clock::nowUs, out::println)) {
+                try (CaptureWriter capture =
+                        new CaptureWriter(standing, "n", List.of("page"), List.of(), clock::nowUs, out::println)) {
                     nanosEach(capture.recorder(clock), clock, 1_000_000_000 / rate);
                     out.printf(
                             "at %d a second, ring of %d: %d of %d were left out%n",
-                            rate, standing.ring(), capture.ringFull(), REQUESTS / 10);
+                            rate, standing.ring(), capture.unreportedDropCount(), REQUESTS / 10);
                 }
             }
         } finally {
--- a/src/main/java/kitemux/load/Recorder.java
+++ b/src/main/java/kitemux/load/RequestRecorder.java
@@ -13,7 +13,7 @@
  * Gathers what a node sees of each request, on its loop, and hands it on once nothing more is heard of it. It
  * never waits: what cannot be handed on is counted and left out.
  */
-public final class Recorder implements Observer {
+public final class RequestRecorder implements Observer {
     private final Clock time;
     private final Sink sink;
     private final Map<Long, Open> open = new HashMap<>();
@@ -21,7 +21,7 @@
     /** Takes what is handed on. */
     public interface Sink {
         /** Takes it, or counts it as left out; never waits. */
-        void offer(Seen seen);
+        void offer(CapturedRequest seen);
     }
 
     private static final class Open {
@@ -56,7 +56,7 @@
     }
 
     /** Holds nothing yet. */
-    public Recorder(Clock time, Sink sink) {
+    public RequestRecorder(Clock time, Sink sink) {
         this.time = time;
         this.sink = sink;
     }
@@ -98,12 +98,12 @@
         if (of == null) {
             return;
         }
-        List<Seen.Attempt> attempts = new ArrayList<>(of.sent.size());
+        List<CapturedRequest.Attempt> attempts = new ArrayList<>(of.sent.size());
         for (Sent one : of.sent) {
-            attempts.add(new Seen.Attempt(
+            attempts.add(new CapturedRequest.Attempt(
                     one.server, Math.max(0, one.atUs - of.cameUs), Math.max(0, one.endedUs - one.atUs), one.result));
         }
-        sink.offer(new Seen(
+        sink.offer(new CapturedRequest(
                 of.cameUs,
                 of.classIndex,
                 of.tenant,
--- a/src/main/java/kitemux/load/Speeds.java
+++ b/src/main/java/kitemux/load/ServerSpeedEstimator.java
@@ -20,7 +20,7 @@
  * Means of
  * classes are compared by class, as classes differ in work.
  */
-public final class Speeds {
+public final class ServerSpeedEstimator {
     /** Fewer times of a class tell nothing of a server. */
     private static final int LEAST = 40;
     /** What was called off or not waited for any more may go on at its server for so long. */
@@ -41,7 +41,7 @@
      *
      * @param shiftUs what is added to the times of a node, by its name, where its clock is off
      */
-    public Speeds(Map<String, Long> shiftUs) {
+    public ServerSpeedEstimator(Map<String, Long> shiftUs) {
         this.shiftUs = Map.copyOf(shiftUs);
     }
 
@@ -54,14 +54,14 @@
     public record Speed(String server, double speed, double low, double high, int answers) {}
 
     /** Adds a file. */
-    public void add(Captured file) {
+    public void add(CaptureFile file) {
         long shift = shiftUs.getOrDefault(file.node(), 0L);
-        for (Seen seen : file.seen()) {
+        for (CapturedRequest seen : file.requests()) {
             String of = file.classes().get(seen.classIndex());
-            for (Seen.Attempt attempt : seen.attempts()) {
-                long from = seen.cameUs() + shift + attempt.afterUs();
+            for (CapturedRequest.Attempt attempt : seen.attempts()) {
+                long from = seen.arrivedUs() + shift + attempt.sentAfterUs();
                 attempts.computeIfAbsent(attempt.server(), id -> new ArrayList<>())
-                        .add(new Out(from, from + attempt.tookUs(), of, attempt.result() == Result.OK));
+                        .add(new Out(from, from + attempt.durationUs(), of, attempt.result() == Result.OK));
             }
         }
     }
@@ -93,9 +93,9 @@
     public record Work(String name, double meanUs, double low, double high, double cv, int answers) {}
 
     /** The work of each class of which a server had times enough, in order of their names. */
-    public List<Work> work() {
+    public List<Work> estimateWork() {
         Map<String, Double> speeds = new TreeMap<>();
-        estimate().forEach(of -> speeds.put(of.server(), of.speed()));
+        estimateSpeeds().forEach(of -> speeds.put(of.server(), of.speed()));
         Map<String, Sums> byClass = new TreeMap<>();
         enough().forEach((server, classes) -> classes.forEach((name, times) -> {
             Sums all = byClass.computeIfAbsent(name, n -> new Sums());
@@ -143,7 +143,7 @@
     }
 
     /** Servers with times enough, in order of their ids. */
-    public List<Speed> estimate() {
+    public List<Speed> estimateSpeeds() {
         Map<String, Map<String, double[]>> enough = enough();
         Map<String, Double> told = logs(means(enough, null));
         SplittableRandom random = new SplittableRandom(SEED);
--- a/src/main/java/kitemux/node/Node.java
+++ b/src/main/java/kitemux/node/Node.java
@@ -36,7 +36,7 @@
 import kitemux.http.HttpServers;
 import kitemux.http.RequestReader;
 import kitemux.http.ShutdownSchedule;
-import kitemux.load.Capture;
+import kitemux.load.CaptureWriter;
 import kitemux.load.LoadSettings;
 import kitemux.net.EventLoopClock;
 import kitemux.net.HostList;
@@ -48,8 +48,8 @@
 import kitemux.net.ServerResponse;
 import kitemux.net.SocketBudget;
 import kitemux.ops.Operations;
-import kitemux.orders.OrderKeeper;
-import kitemux.orders.Orders;
+import kitemux.orders.OrderJournal;
+import kitemux.orders.OrderRecorder;
 import kitemux.telemetry.RequestTrace;
 import kitemux.telemetry.TraceSettings;
 
@@ -127,7 +127,7 @@
         }
 
         /** The same with a keeper of orders, or with none where that is null. */
-        Parts with(EventLoopClock keepersTime, OrderKeeper<ClientRequest> keeper) {
+        Parts with(EventLoopClock keepersTime, OrderRecorder<ClientRequest> keeper) {
             return keeper == null
                     ? this
                     : new Parts(network, keepersTime, log, keeper, connections, keeper, module, transport);
@@ -324,10 +324,10 @@
         }
         PollingLoop loop = newLoop();
         EventLoopClock time = EventLoopClock.of(loop);
-        Orders orders = null;
+        OrderJournal orders = null;
         if (operator.orders() != null) {
             try {
-                orders = Orders.open(operator.orders(), time, loop, log::info);
+                orders = OrderJournal.open(operator.orders(), time, loop, log::info);
             } catch (IOException e) {
                 System.err.println("kitemux: orders.folder cannot be used: " + e.getMessage());
                 System.exit(2);
@@ -337,7 +337,7 @@
         Runnable endOfCapture = () -> {};
         if (operator.load() != null) {
             try {
-                Capture capture = capture(operator.load(), config, log);
+                CaptureWriter capture = capture(operator.load(), config, log);
                 recorder = capture.recorder(time);
                 endOfCapture = capture::close;
             } catch (IOException e) {
@@ -354,7 +354,7 @@
                     Parts.real(loop, log, module(config))
                             .with(
                                     time,
-                                    orders == null ? null : orders.keeper(operator.orders(), config.settings(), time))
+                                    orders == null ? null : orders.recorder(operator.orders(), config.settings(), time))
                             .observed(recorder)
                             .traced(trace));
         } catch (UncheckedIOException e) {
@@ -371,7 +371,7 @@
         node.begin();
         Rehearsal.play(config, loop, log);
         node.awaitFirstList();
-        Orders journal = orders;
+        OrderJournal journal = orders;
         Runnable captureEnds = endOfCapture;
         // Before clients can connect: one that comes before it stands would be left without an answer.
         Opening opening = new Opening(node::start);
@@ -426,8 +426,8 @@
         }
     }
 
-    private static Capture capture(LoadSettings settings, NodeConfig config, Log log) throws IOException {
-        return new Capture(
+    private static CaptureWriter capture(LoadSettings settings, NodeConfig config, Log log) throws IOException {
+        return new CaptureWriter(
                 settings,
                 config.listen().getHostString() + ":" + config.listen().getPort(),
                 config.settings().classes.stream()
--- a/src/main/java/kitemux/plan/FromCapture.java
+++ b/src/main/java/kitemux/plan/FromCapture.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.fleet.Fleet;
-import kitemux.load.Speeds;
-import kitemux.load.Summary;
+import kitemux.load.LoadSummary;
+import kitemux.load.ServerSpeedEstimator;
 
 /** Puts what was captured in the place of what a description says of the load. */
 public final class FromCapture {
@@ -27,10 +27,10 @@
      * @param faults one line is added for each reason why it cannot be done, with what it is about
      * @return the fleet; not to be played if there are faults
      */
-    public static Fleet load(Fleet fleet, Summary summary, List<String> faults) {
-        if (summary.wanted() < LEAST_WANTED || summary.seconds() < 1) {
-            faults.add("--load: holds " + summary.wanted() + " first tries in " + summary.seconds() + " s; at least "
-                    + LEAST_WANTED + " in 1 s are needed");
+    public static Fleet load(Fleet fleet, LoadSummary summary, List<String> faults) {
+        if (summary.firstTries() < LEAST_WANTED || summary.durationS() < 1) {
+            faults.add("--load: holds " + summary.firstTries() + " first tries in " + summary.durationS()
+                    + " s; at least " + LEAST_WANTED + " in 1 s are needed");
             return fleet;
         }
         for (String name : summary.classes().keySet()) {
@@ -38,7 +38,7 @@
                 faults.add("--load: has class \"" + name + "\", which the description does not have");
             }
         }
-        for (String name : summary.wantedByTenant().keySet()) {
+        for (String name : summary.firstTriesByTenant().keySet()) {
             if (!fleet.tenants().isEmpty()
                     && fleet.tenants().stream().noneMatch(t -> t.name().equals(name))) {
                 faults.add("--load: has tenant \"" + name + "\", which the description does not have");
@@ -49,8 +49,8 @@
         }
         List<Fleet.Work> classes = new ArrayList<>();
         for (Fleet.Work work : fleet.classes()) {
-            Summary.OfClass of = summary.classes().get(work.of().name());
-            double share = of == null ? 0 : (double) of.wanted() / summary.wanted();
+            LoadSummary.OfClass of = summary.classes().get(work.of().name());
+            double share = of == null ? 0 : (double) of.wanted() / summary.firstTries();
             classes.add(new Fleet.Work(work.of(), Math.max(NOTHING, share), work.meanUs(), work.spread(), work.cv()));
         }
         return fleet.withClasses(classes).withTenants(tenants(fleet, summary)).with(shape(fleet.load(), summary));
@@ -63,7 +63,7 @@
      *
      * @param works what captures tell; a class that they do not tell of stays as it is described
      */
-    public static Fleet work(Fleet fleet, List<Speeds.Work> works) {
+    public static Fleet work(Fleet fleet, List<ServerSpeedEstimator.Work> works) {
         double logs = fleet.kinds().stream()
                 .mapToDouble(k -> k.count() * Math.log(k.speed()))
                 .sum();
@@ -87,10 +87,10 @@
         return Math.abs(cv - 1) < LIKE_EXPONENTIAL ? Fleet.Spread.EXPONENTIAL : Fleet.Spread.LOGNORMAL;
     }
 
-    private static List<Fleet.Share> tenants(Fleet fleet, Summary summary) {
+    private static List<Fleet.Share> tenants(Fleet fleet, LoadSummary summary) {
         double entitled =
                 fleet.tenants().stream().mapToDouble(Fleet.Share::share).sum();
-        Map<String, Long> wanted = summary.wantedByTenant();
+        Map<String, Long> wanted = summary.firstTriesByTenant();
         return fleet.tenants().stream()
                 .map(t -> new Fleet.Share(
                         t.name(),
@@ -98,25 +98,25 @@
                         Math.max(
                                 NOTHING,
                                 wanted.getOrDefault(t.name(), 0L)
-                                        / (double) summary.wanted()
+                                        / (double) summary.firstTries()
                                         / (t.share() / entitled))))
                 .toList();
     }
 
-    private static Fleet.Load shape(Fleet.Load load, Summary summary) {
-        double rate = summary.wanted() / summary.seconds();
+    private static Fleet.Load shape(Fleet.Load load, LoadSummary summary) {
+        double rate = summary.firstTries() / summary.durationS();
         List<Fleet.Point> shape = new ArrayList<>();
-        List<Summary.Step> steps = summary.steps();
+        List<LoadSummary.Step> steps = summary.steps();
         // A step's rate is that of its middle; the last one is not whole.
         for (int i = 0; i < Math.max(1, steps.size() - 1); i++) {
             double middleS = i + 1 < steps.size()
-                    ? (steps.get(i).atS() + steps.get(i + 1).atS()) / 2
+                    ? (steps.get(i).startS() + steps.get(i + 1).startS()) / 2
                     : 0;
-            shape.add(new Fleet.Point((long) (middleS * 1e6), steps.get(i).wantedPerS() / rate));
+            shape.add(new Fleet.Point((long) (middleS * 1e6), steps.get(i).firstTriesPerS() / rate));
         }
         return new Fleet.Load(
                 rate,
-                Math.max(1_000_000, (long) (summary.seconds() * 1e6)),
+                Math.max(1_000_000, (long) (summary.durationS() * 1e6)),
                 shape,
                 load.quotaPerS(),
                 load.overShareWorth());
--- a/src/test/java/kitemux/plan/FromCaptureTest.java
+++ b/src/test/java/kitemux/plan/FromCaptureTest.java
@@ -11,10 +11,10 @@
 import java.util.Map;
 import kitemux.engine.Observer;
 import kitemux.fleet.Fleet;
-import kitemux.load.Captured;
-import kitemux.load.Seen;
-import kitemux.load.Speeds;
-import kitemux.load.Summary;
+import kitemux.load.CaptureFile;
+import kitemux.load.CapturedRequest;
+import kitemux.load.LoadSummary;
+import kitemux.load.ServerSpeedEstimator;
 import org.junit.jupiter.api.Test;
 
 class FromCaptureTest {
@@ -28,15 +28,15 @@
     }
 
     /** Ten seconds: 100 a second, and 300 from the sixth on, a tenth of them orders; each is asked twice. */
-    private static Summary summary(String aClass) {
-        List<Seen> seen = new ArrayList<>();
+    private static LoadSummary summary(String aClass) {
+        List<CapturedRequest> seen = new ArrayList<>();
         int number = 0;
         for (int s = 0; s < 10; s++) {
             int perS = s < 5 ? 100 : 300;
             for (int i = 0; i < perS; i++) {
                 long at = NOW + s * 1_000_000L + i * 1_000_000L / perS;
                 int of = number % 10 == 0 ? 1 : 0;
-                seen.add(new Seen(
+                seen.add(new CapturedRequest(
                         at,
                         of,
                         number++ % 4 == 0 ? 0 : 1,
@@ -45,11 +45,12 @@
                         List.of(),
                         Observer.RequestOutcome.REFUSED,
                         10));
-                seen.add(new Seen(at + 500, of, 1, true, 400_000, List.of(), Observer.RequestOutcome.SERVED, 10));
+                seen.add(new CapturedRequest(
+                        at + 500, of, 1, true, 400_000, List.of(), Observer.RequestOutcome.SERVED, 10));
             }
         }
-        Summary summary = new Summary(1_000_000, Map.of());
-        summary.add(new Captured(
+        LoadSummary summary = new LoadSummary(1_000_000, Map.of());
+        summary.add(new CaptureFile(
                 1, "n", NOW, List.of(aClass, "place-order"), List.of("school-a", "school-b"), seen, 0, ""));
         return summary;
     }
@@ -78,8 +79,8 @@
         Fleet fleet = FromCapture.work(
                 described,
                 List.of(
-                        new Speeds.Work("view-page", 30_000, 29_000, 31_000, 0.97, 500),
-                        new Speeds.Work("place-order", 40_000, 39_000, 41_000, 0.6, 500)));
+                        new ServerSpeedEstimator.Work("view-page", 30_000, 29_000, 31_000, 0.97, 500),
+                        new ServerSpeedEstimator.Work("place-order", 40_000, 39_000, 41_000, 0.6, 500)));
         assertEquals(List.of(), fleet.faultsFound());
         assertEquals(30_000 * Math.sqrt(0.97 * 0.75), fleet.classes().get(0).meanUs(), 1);
         assertEquals(Fleet.Spread.EXPONENTIAL, fleet.classes().get(0).spread());
@@ -94,7 +95,7 @@
         FromCapture.load(yearbook(), summary("video"), faults);
         assertEquals(List.of("--load: has class \"video\", which the description does not have"), faults);
         faults.clear();
-        FromCapture.load(yearbook(), new Summary(1_000_000, Map.of()), faults);
+        FromCapture.load(yearbook(), new LoadSummary(1_000_000, Map.of()), faults);
         assertTrue(faults.get(0).startsWith("--load: holds 0 first tries"), faults::toString);
     }
 }
