--- a/src/main/java/kitemux/bench/JournalBench.java
+++ b/src/main/java/kitemux/bench/JournalBench.java
@@ -85,8 +85,8 @@
         Path folder = Files.createTempDirectory("kitemux-journal");
         try {
             Path journal = folder.resolve("orders");
-            OrderSettings how =
-                    new OrderSettings(journal, JournalWriter.Sync.NEVER, 1, PATIENCE_MS, 4 << 20, 24, 0, 0, Set.of());
+            OrderSettings how = new OrderSettings(
+                    journal, JournalWriter.SyncPolicy.NEVER, 1, PATIENCE_MS, 4 << 20, 24, 0, 0, Set.of());
             out.printf(
                     Locale.ROOT,
                     "%d orders, Java %s, heap of at most %d MB%n",
--- a/src/main/java/kitemux/cli/LoadCommand.java
+++ b/src/main/java/kitemux/cli/LoadCommand.java
@@ -91,7 +91,7 @@
                                 of.speed(),
                                 of.low(),
                                 of.high(),
-                                of.answers())));
+                                of.sampleCount())));
     }
 
     @Command(
@@ -112,12 +112,12 @@
                         .forEach(of -> line(
                                 out,
                                 "%s: work %.2f ms (%.2f to %.2f), cv %.2f, %d answers",
-                                of.name(),
+                                of.className(),
                                 of.meanUs() / 1e3,
-                                of.low() / 1e3,
-                                of.high() / 1e3,
+                                of.lowUs() / 1e3,
+                                of.highUs() / 1e3,
                                 of.cv(),
-                                of.answers())));
+                                of.sampleCount())));
     }
 
     private int tell(List<Path> files, Map<String, Double> shift, BiConsumer<ServerSpeedEstimator, PrintWriter> what) {
@@ -201,17 +201,17 @@
                                 + " %d left; %d sent; a server's answer p50 %.1f ms, p99 %.1f ms; a client's p50 %.1f ms,"
                                 + " p99 %.1f ms",
                         name,
-                        of.wanted(),
-                        of.repeats(),
+                        of.firstTries(),
+                        of.retries(),
                         of.served(),
                         of.refused(),
                         of.failed(),
-                        of.left(),
+                        of.abandoned(),
                         of.attempts(),
-                        of.serviceUs(50) / 1e3,
-                        of.serviceUs(99) / 1e3,
-                        of.tookUs(50) / 1e3,
-                        of.tookUs(99) / 1e3));
+                        of.serverResponseTimeUs(50) / 1e3,
+                        of.serverResponseTimeUs(99) / 1e3,
+                        of.clientResponseTimeUs(50) / 1e3,
+                        of.clientResponseTimeUs(99) / 1e3));
         all.firstTriesByTenant()
                 .forEach((name, wanted) -> line(
                         out, "%s: %.3f of what was wanted", name, (double) wanted / Math.max(1, all.firstTries())));
@@ -232,7 +232,7 @@
                         out,
                         "# class \"%s\": share = %.4f",
                         name,
-                        (double) of.wanted() / Math.max(1, all.firstTries())));
+                        (double) of.firstTries() / Math.max(1, all.firstTries())));
         all.firstTriesByTenant()
                 .forEach((name, wanted) -> line(
                         out,
--- a/src/main/java/kitemux/load/LoadSummary.java
+++ b/src/main/java/kitemux/load/LoadSummary.java
@@ -29,7 +29,7 @@
     private final Map<String, Long> shiftUs;
     private final Set<Long> files = new HashSet<>();
     private final List<String> warnings = new ArrayList<>();
-    private final Map<String, OfClass> classes = new LinkedHashMap<>();
+    private final Map<String, ClassSummary> classes = new LinkedHashMap<>();
     private final Map<String, long[]> tenants = new LinkedHashMap<>();
     private final Map<String, Integer> nodes = new TreeMap<>();
     private final TreeMap<Long, long[]> bins = new TreeMap<>();
@@ -38,25 +38,25 @@
     private long toUs;
 
     /** What is counted of a class. */
-    public static final class OfClass {
-        private long wanted;
-        private long repeats;
+    public static final class ClassSummary {
+        private long firstTries;
+        private long retries;
         private long served;
         private long refused;
         private long failed;
-        private long left;
+        private long abandoned;
         private long attempts;
-        private final Histogram serviceUs = new Histogram(MOST_US, DIGITS);
-        private final Histogram tookUs = new Histogram(MOST_US, DIGITS);
+        private final Histogram serverResponseTimeUs = new Histogram(MOST_US, DIGITS);
+        private final Histogram clientResponseTimeUs = new Histogram(MOST_US, DIGITS);
 
         /** First tries. */
-        public long wanted() {
-            return wanted;
+        public long firstTries() {
+            return firstTries;
         }
 
         /** Tries that clients marked as repeats. */
-        public long repeats() {
-            return repeats;
+        public long retries() {
+            return retries;
         }
 
         /** Tries answered with what a server made. */
@@ -75,8 +75,8 @@
         }
 
         /** Tries whose client left before an answer. */
-        public long left() {
-            return left;
+        public long abandoned() {
+            return abandoned;
         }
 
         /** Requests sent to servers. */
@@ -86,13 +86,13 @@
 
         /** From an attempt's being sent to its answer by a server, at a percentile, in microseconds, of those
          * that were answered: waiting at the server and work are not told apart. */
-        public long serviceUs(double percentile) {
-            return serviceUs.getValueAtPercentile(percentile);
+        public long serverResponseTimeUs(double percentile) {
+            return serverResponseTimeUs.getValueAtPercentile(percentile);
         }
 
         /** From a try's coming to its answer, the same of those that were served. */
-        public long tookUs(double percentile) {
-            return tookUs.getValueAtPercentile(percentile);
+        public long clientResponseTimeUs(double percentile) {
+            return clientResponseTimeUs.getValueAtPercentile(percentile);
         }
     }
 
@@ -128,15 +128,15 @@
     }
 
     private void add(CaptureFile file, CapturedRequest seen, long cameUs) {
-        OfClass of = classes.computeIfAbsent(file.classes().get(seen.classIndex()), name -> new OfClass());
+        ClassSummary of = classes.computeIfAbsent(file.classes().get(seen.classIndex()), name -> new ClassSummary());
         long[] bin = bins.computeIfAbsent(Math.floorDiv(cameUs, binUs), at -> new long[2]);
         fromUs = Math.min(fromUs, cameUs);
         toUs = Math.max(toUs, cameUs);
         if (seen.isRetry()) {
-            of.repeats++;
+            of.retries++;
             bin[1]++;
         } else {
-            of.wanted++;
+            of.firstTries++;
             bin[0]++;
         }
         if (seen.tenantIndex() >= 0) {
@@ -147,23 +147,23 @@
             case SERVED -> of.served++;
             case REFUSED -> of.refused++;
             case FAILED, BROKEN -> of.failed++;
-            case LEFT -> of.left++;
+            case LEFT -> of.abandoned++;
         }
         of.attempts += seen.attempts().size();
         for (CapturedRequest.Attempt attempt : seen.attempts()) {
             if (attempt.result() == Result.OK) {
-                of.serviceUs.recordValue(Math.min(MOST_US, attempt.durationUs()));
+                of.serverResponseTimeUs.recordValue(Math.min(MOST_US, attempt.durationUs()));
             }
         }
         if (seen.answer() == Observer.RequestOutcome.SERVED) {
-            of.tookUs.recordValue(Math.min(MOST_US, seen.durationUs()));
+            of.clientResponseTimeUs.recordValue(Math.min(MOST_US, seen.durationUs()));
         }
     }
 
     // ---------------------------------------------------------------- what it comes to
 
     /** By class, in the order in which they were met. */
-    public Map<String, OfClass> classes() {
+    public Map<String, ClassSummary> classes() {
         return classes;
     }
 
@@ -183,7 +183,7 @@
 
     /** First tries in all. */
     public long firstTries() {
-        return classes.values().stream().mapToLong(OfClass::wanted).sum();
+        return classes.values().stream().mapToLong(ClassSummary::firstTries).sum();
     }
 
     /** Seconds from the first request to the last. */
@@ -234,8 +234,10 @@
         if (leftOut > 0) {
             all.add(leftOut + " requests were left out as they came: what is told is less than what was");
         }
-        long refused = classes.values().stream().mapToLong(OfClass::refused).sum();
-        long repeats = classes.values().stream().mapToLong(OfClass::repeats).sum();
+        long refused =
+                classes.values().stream().mapToLong(ClassSummary::refused).sum();
+        long repeats =
+                classes.values().stream().mapToLong(ClassSummary::retries).sum();
         if (refused > 0 && repeats < MARKED * refused) {
             all.add("of " + refused
                     + " refused tries hardly any was marked as asked again: if clients do not mark"
--- a/src/main/java/kitemux/orders/JournalWriter.java
+++ b/src/main/java/kitemux/orders/JournalWriter.java
@@ -27,7 +27,7 @@
     static final long RETRY_INTERVAL_MS = 500;
 
     /** What a commit promises. */
-    public enum Sync {
+    public enum SyncPolicy {
         /** What is told durable survives a crash of the machine; what nobody waits for, once it is synced. */
         EACH,
         /** It survives the process; a crash of the machine takes what came since the last sync. */
@@ -40,7 +40,7 @@
     private record Item(Supplier<Entry> entry, Consumer<Boolean> told) {}
 
     private final Opener opener;
-    private final Sync sync;
+    private final SyncPolicy sync;
     private final long syncNanos;
     private final Executor loop;
     private final Consumer<String> log;
@@ -67,7 +67,8 @@
         Journal open(Journal failed) throws IOException;
     }
 
-    private JournalWriter(Opener opener, Journal journal, Sync sync, long syncMs, Executor loop, Consumer<String> log) {
+    private JournalWriter(
+            Opener opener, Journal journal, SyncPolicy sync, long syncMs, Executor loop, Consumer<String> log) {
         this.opener = opener;
         this.journal = journal;
         this.sync = sync;
@@ -87,7 +88,7 @@
      * @param log for the operators, from the writer's thread
      * @throws IOException if it cannot be opened
      */
-    static JournalWriter start(Opener opener, Sync sync, long syncMs, Executor loop, Consumer<String> log)
+    static JournalWriter start(Opener opener, SyncPolicy sync, long syncMs, Executor loop, Consumer<String> log)
             throws IOException {
         JournalWriter orders = new JournalWriter(opener, opener.open(null), sync, syncMs, loop, log);
         orders.writer.start();
@@ -182,7 +183,7 @@
             unsyncedNanos = unsynced ? unsyncedNanos : System.nanoTime();
             unsynced = true;
             // What has happened goes with the next sync: the next order would else wait for it first.
-            if (sync == Sync.EACH && batch.stream().anyMatch(item -> item.told != null)) {
+            if (sync == SyncPolicy.EACH && batch.stream().anyMatch(item -> item.told != null)) {
                 sync();
             }
         } catch (IOException e) {
@@ -205,7 +206,7 @@
 
     /** What nobody waits for. */
     private void syncIfDue() {
-        if (journal == null || sync == Sync.NEVER || !unsynced || System.nanoTime() - unsyncedNanos < syncNanos) {
+        if (journal == null || sync == SyncPolicy.NEVER || !unsynced || System.nanoTime() - unsyncedNanos < syncNanos) {
             return;
         }
         try {
@@ -271,7 +272,7 @@
         }
         if (journal == null) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(RETRY_INTERVAL_MS / 10));
-        } else if (sync != Sync.NEVER && unsynced) {
+        } else if (sync != SyncPolicy.NEVER && unsynced) {
             LockSupport.parkNanos(Math.max(1, syncNanos - (System.nanoTime() - unsyncedNanos)));
         } else if (queue.isEmpty()) {
             LockSupport.park(this);
--- a/src/main/java/kitemux/orders/OrderSettings.java
+++ b/src/main/java/kitemux/orders/OrderSettings.java
@@ -24,7 +24,7 @@
  */
 public record OrderSettings(
         Path folder,
-        JournalWriter.Sync sync,
+        JournalWriter.SyncPolicy sync,
         long syncDelayMs,
         long commitTimeoutMs,
         long segmentBytes,
@@ -58,7 +58,7 @@
         FileSection section = new FileSection(json, "orders", faults);
         section.onlyKnown(FIELDS);
         Path folder = section.folder();
-        JournalWriter.Sync sync = sync(json.path("sync"), faults);
+        JournalWriter.SyncPolicy sync = sync(json.path("sync"), faults);
         long syncMs = section.within("syncMs", 20, 1, MOST_MS);
         long lateMs = section.within("lateMs", 100, 1, MOST_MS);
         long segment = section.within("segmentKiB", 4 << 10, LEAST_KIB, MOST_KIB);
@@ -72,11 +72,11 @@
                         folder, sync, syncMs, lateMs, segment << 10, hours, keepDays, keepMiB << 20, classes);
     }
 
-    private static JournalWriter.Sync sync(Json json, List<String> faults) {
+    private static JournalWriter.SyncPolicy sync(Json json, List<String> faults) {
         if (json.isMissing()) {
-            return JournalWriter.Sync.EACH;
+            return JournalWriter.SyncPolicy.EACH;
         }
-        for (JournalWriter.Sync each : JournalWriter.Sync.values()) {
+        for (JournalWriter.SyncPolicy each : JournalWriter.SyncPolicy.values()) {
             if (each.name().toLowerCase(Locale.ROOT).equals(json.text())) {
                 return each;
             }
--- a/src/main/java/kitemux/plan/FromCapture.java
+++ b/src/main/java/kitemux/plan/FromCapture.java
@@ -49,8 +49,8 @@
         }
         List<Fleet.Work> classes = new ArrayList<>();
         for (Fleet.Work work : fleet.classes()) {
-            LoadSummary.OfClass of = summary.classes().get(work.of().name());
-            double share = of == null ? 0 : (double) of.wanted() / summary.firstTries();
+            LoadSummary.ClassSummary of = summary.classes().get(work.of().name());
+            double share = of == null ? 0 : (double) of.firstTries() / summary.firstTries();
             classes.add(new Fleet.Work(work.of(), Math.max(NOTHING, share), work.meanUs(), work.spread(), work.cv()));
         }
         return fleet.withClasses(classes).withTenants(tenants(fleet, summary)).with(shape(fleet.load(), summary));
@@ -63,7 +63,7 @@
      *
      * @param works what captures tell; a class that they do not tell of stays as it is described
      */
-    public static Fleet work(Fleet fleet, List<ServerSpeedEstimator.Work> works) {
+    public static Fleet work(Fleet fleet, List<ServerSpeedEstimator.ClassWork> works) {
         double logs = fleet.kinds().stream()
                 .mapToDouble(k -> k.count() * Math.log(k.speed()))
                 .sum();
@@ -71,7 +71,7 @@
         List<Fleet.Work> classes = new ArrayList<>();
         for (Fleet.Work described : fleet.classes()) {
             classes.add(works.stream()
-                    .filter(w -> w.name().equals(described.of().name()))
+                    .filter(w -> w.className().equals(described.of().name()))
                     .findFirst()
                     .map(w -> new Fleet.Work(
                             described.of(), described.share(), w.meanUs() * meanSpeed, spread(w.cv()), w.cv()))
--- a/src/test/java/kitemux/lab/LoopbackTest.java
+++ b/src/test/java/kitemux/lab/LoopbackTest.java
@@ -96,7 +96,7 @@
         for (Result.OfClass of : happened.classes()) {
             // What the nodes had in their last batch as they were killed is missing: a fifth of a second
             // of some.
-            assertEquals(of.offered(), summary.classes().get(of.name()).wanted(), 0.05 * of.offered(), of.name());
+            assertEquals(of.offered(), summary.classes().get(of.name()).firstTries(), 0.05 * of.offered(), of.name());
         }
     }
 
@@ -149,7 +149,8 @@
             }
         }
         Map<String, Double> found = speeds.estimateSpeeds().stream()
-                .collect(Collectors.toMap(ServerSpeedEstimator.Speed::server, ServerSpeedEstimator.Speed::speed));
+                .collect(Collectors.toMap(
+                        ServerSpeedEstimator.ServerSpeed::server, ServerSpeedEstimator.ServerSpeed::speed));
         assertEquals(Set.of("old-0", "old-1", "std-0", "std-1"), found.keySet());
         assertEquals(2, found.get("std-0") / found.get("old-0"), 0.3, found::toString);
         assertEquals(2, found.get("std-1") / found.get("old-1"), 0.3, found::toString);
--- a/src/test/java/kitemux/load/LoadSummaryTest.java
+++ b/src/test/java/kitemux/load/LoadSummaryTest.java
@@ -118,9 +118,10 @@
             seen.add(seen(NOW + i * 50_000L + 10_000, 0, true, Observer.RequestOutcome.SERVED));
         }
         all.add(file(1, "n0", seen));
-        LoadSummary.OfClass page = all.classes().get("page");
+        LoadSummary.ClassSummary page = all.classes().get("page");
         assertEquals(
-                List.of(100L, 100L, 100L, 100L), List.of(page.wanted(), page.repeats(), page.served(), page.refused()));
+                List.of(100L, 100L, 100L, 100L),
+                List.of(page.firstTries(), page.retries(), page.served(), page.refused()));
         assertEquals(20, all.steps().get(1).firstTriesPerS(), 1e-9);
         assertEquals(20, all.steps().get(1).retriesPerS(), 1e-9);
         assertEquals(List.of(), all.warnings());
--- a/src/test/java/kitemux/load/ServerSpeedEstimatorTest.java
+++ b/src/test/java/kitemux/load/ServerSpeedEstimatorTest.java
@@ -41,7 +41,7 @@
         }
     }
 
-    private static List<ServerSpeedEstimator.Speed> estimate(List<CapturedRequest> seen) {
+    private static List<ServerSpeedEstimator.ServerSpeed> estimate(List<CapturedRequest> seen) {
         ServerSpeedEstimator speeds = new ServerSpeedEstimator(Map.of());
         speeds.add(new CaptureFile(1, "n", 0, List.of("page", "photo"), List.of(), seen, 0, ""));
         return speeds.estimateSpeeds();
@@ -62,7 +62,7 @@
         for (int s = 0; s < TRUE.length; s++) {
             serve(seen, "s" + s, TRUE[s], busy, 2, 6_000, 40 + s);
         }
-        List<ServerSpeedEstimator.Speed> found = estimate(seen);
+        List<ServerSpeedEstimator.ServerSpeed> found = estimate(seen);
         assertEquals(TRUE.length, found.size());
         for (int s = 0; s < TRUE.length; s++) {
             double speed = TRUE[s] / mean();
@@ -79,7 +79,7 @@
         List<CapturedRequest> seen = new ArrayList<>();
         serve(seen, "s0", 1, 0.3, 1, 4_000, 1);
         serve(seen, "s1", 0.5, 0.3, 2, 8_000, 2);
-        List<ServerSpeedEstimator.Speed> found = estimate(seen);
+        List<ServerSpeedEstimator.ServerSpeed> found = estimate(seen);
         assertEquals(2, found.get(0).speed() / found.get(1).speed(), 0.25, found::toString);
     }
 
@@ -93,10 +93,10 @@
         }
         ServerSpeedEstimator speeds = new ServerSpeedEstimator(Map.of());
         speeds.add(new CaptureFile(1, "n", 0, List.of("page", "photo"), List.of(), seen, 0, ""));
-        List<ServerSpeedEstimator.Work> found = speeds.estimateWork();
+        List<ServerSpeedEstimator.ClassWork> found = speeds.estimateWork();
         assertEquals(
                 List.of("page", "photo"),
-                found.stream().map(ServerSpeedEstimator.Work::name).toList());
+                found.stream().map(ServerSpeedEstimator.ClassWork::className).toList());
         assertEquals(20_000 / mean(), found.get(0).meanUs(), 0.1 * 20_000 / mean(), found::toString);
         assertEquals(50_000 / mean(), found.get(1).meanUs(), 0.1 * 50_000 / mean(), found::toString);
         found.forEach(work -> assertEquals(1, work.cv(), 0.15, work.toString()));
@@ -116,7 +116,7 @@
         List<CapturedRequest> seen = new ArrayList<>();
         serve(seen, "s0", 1, 0.1, 1, 20_000, 5);
         serve(seen, "s1", 1, busy, 1, 20_000, 6);
-        List<ServerSpeedEstimator.Speed> found = estimate(seen);
+        List<ServerSpeedEstimator.ServerSpeed> found = estimate(seen);
         assertEquals(1, found.get(1).speed() / found.get(0).speed(), 0.1, found::toString);
     }
 
@@ -144,7 +144,7 @@
         ServerSpeedEstimator speeds = new ServerSpeedEstimator(Map.of("there", -5_000_000L));
         speeds.add(new CaptureFile(1, "here", 0, List.of("page"), List.of(), here, 0, ""));
         speeds.add(new CaptureFile(2, "there", 0, List.of("page"), List.of(), there, 0, ""));
-        List<ServerSpeedEstimator.Speed> found = speeds.estimateSpeeds();
+        List<ServerSpeedEstimator.ServerSpeed> found = speeds.estimateSpeeds();
         assertEquals(1, found.get(1).speed() / found.get(0).speed(), 0.1, found::toString);
     }
 
@@ -191,8 +191,8 @@
                     Observer.RequestOutcome.SERVED,
                     0));
         }
-        List<ServerSpeedEstimator.Speed> found = estimate(seen);
+        List<ServerSpeedEstimator.ServerSpeed> found = estimate(seen);
         assertEquals(1, found.get(0).speed(), 1e-9, found::toString);
-        assertEquals(200, found.get(0).answers());
+        assertEquals(200, found.get(0).sampleCount());
     }
 }
--- a/src/test/java/kitemux/orders/JournalWriterTest.java
+++ b/src/test/java/kitemux/orders/JournalWriterTest.java
@@ -114,7 +114,7 @@
         }
     };
 
-    private JournalWriter start(JournalWriter.Sync sync, long syncMs) throws IOException {
+    private JournalWriter start(JournalWriter.SyncPolicy sync, long syncMs) throws IOException {
         log = JournalWriter.start(
                 failed -> failed == null
                         ? Journal.open(
@@ -153,7 +153,7 @@
 
     @Test
     void nobodyIsToldBeforeTheDiskHasSynced() throws Exception {
-        start(JournalWriter.Sync.EACH, 1);
+        start(JournalWriter.SyncPolicy.EACH, 1);
         syncs.drainPermits();
         log.commit(() -> intent(1), told::add);
         assertNull(told.poll(50, TimeUnit.MILLISECONDS));
@@ -163,7 +163,7 @@
 
     @Test
     void whatComesWhileADiskSyncsIsSyncedTogether() throws Exception {
-        start(JournalWriter.Sync.EACH, 1);
+        start(JournalWriter.SyncPolicy.EACH, 1);
         syncs.drainPermits();
         log.commit(() -> intent(1), told::add);
         while (!syncs.hasQueuedThreads()) {
@@ -181,7 +181,7 @@
 
     @Test
     void whatNobodyWaitsForGoesWithTheNextSyncAndHoldsUpNone() throws Exception {
-        start(JournalWriter.Sync.EACH, 60_000);
+        start(JournalWriter.SyncPolicy.EACH, 60_000);
         syncs.drainPermits();
         log.append(() -> new Answered(1, 4, Answer.SERVED));
         while (!onDisk().contains(new Answered(1, 4, Answer.SERVED))) {
@@ -195,7 +195,7 @@
     @Test
     @Timeout(60)
     void whatNobodyWaitsForIsSyncedByItselfIfNothingElseComes() throws Exception {
-        start(JournalWriter.Sync.EACH, 5);
+        start(JournalWriter.SyncPolicy.EACH, 5);
         syncs.drainPermits();
         log.append(() -> new Answered(1, 4, Answer.SERVED));
         while (!syncs.hasQueuedThreads()) {
@@ -206,7 +206,7 @@
 
     @Test
     void aDiskThatIsGoneRefusesAtOnceAndWhatHappenedIsWrittenOnceItIsBack() throws Exception {
-        start(JournalWriter.Sync.EACH, 1);
+        start(JournalWriter.SyncPolicy.EACH, 1);
         log.append(() -> JournalTest.accepted(1, "first"));
         log.commit(() -> intent(1), told::add);
         assertEquals(true, next());
@@ -230,7 +230,7 @@
 
     @Test
     void aDiskThatIsFullIsNotFilledWithBeginnings() throws Exception {
-        start(JournalWriter.Sync.EACH, 1);
+        start(JournalWriter.SyncPolicy.EACH, 1);
         int files = disk.list().size();
         full.set(true);
         log.commit(() -> intent(1), told::add);
@@ -247,7 +247,7 @@
 
     @Test
     void aDefectCostsItsEntryAndNotTheWriter() throws Exception {
-        start(JournalWriter.Sync.EACH, 1);
+        start(JournalWriter.SyncPolicy.EACH, 1);
         log.commit(
                 () -> {
                     throw new IllegalStateException("broken for the test");
@@ -262,7 +262,7 @@
 
     @Test
     void aFullQueueTurnsAwayWhatIsWaitedForBeforeWhatHasHappened() throws Exception {
-        start(JournalWriter.Sync.EACH, 1);
+        start(JournalWriter.SyncPolicy.EACH, 1);
         syncs.drainPermits();
         int refusedAt = -1;
         for (int i = 0; i < JournalWriter.MAX_QUEUED_COUNT && refusedAt < 0; i++) {
@@ -281,7 +281,7 @@
 
     @Test
     void timedSyncsComeByThemselves() throws Exception {
-        start(JournalWriter.Sync.TIMED, 5);
+        start(JournalWriter.SyncPolicy.TIMED, 5);
         syncs.drainPermits();
         log.commit(() -> intent(1), told::add);
         assertEquals(true, next(), "told once it is written");
--- a/src/test/java/kitemux/orders/OrderHistoryTest.java
+++ b/src/test/java/kitemux/orders/OrderHistoryTest.java
@@ -139,7 +139,7 @@
         faults.clear();
         OrderSettings read = OrderSettings.read(Json.read("{\"folder\":\"/x\"}".getBytes(UTF_8)), List.of(), faults);
         assertEquals(List.of(), faults);
-        assertEquals(JournalWriter.Sync.EACH, read.sync());
+        assertEquals(JournalWriter.SyncPolicy.EACH, read.sync());
         assertEquals(4 << 20, read.segmentBytes());
     }
 }
--- a/src/test/java/kitemux/orders/OrderRecorderTest.java
+++ b/src/test/java/kitemux/orders/OrderRecorderTest.java
@@ -91,7 +91,7 @@
         log = JournalWriter.start(
                 failed -> Journal.open(
                         disk, new Journal.Limits(1 << 20, Long.MAX_VALUE, 0, 0), () -> 50, () -> 3, line -> {}),
-                JournalWriter.Sync.EACH,
+                JournalWriter.SyncPolicy.EACH,
                 1,
                 loop::add,
                 line -> {});
@@ -100,7 +100,7 @@
                 time,
                 log,
                 1,
-                new OrderSettings(Path.of("x"), JournalWriter.Sync.EACH, 1, 100, 1 << 20, 1, 0, 0, more));
+                new OrderSettings(Path.of("x"), JournalWriter.SyncPolicy.EACH, 1, 100, 1 << 20, 1, 0, 0, more));
     }
 
     private List<String> kept() throws Exception {
--- a/src/test/java/kitemux/plan/FromCaptureTest.java
+++ b/src/test/java/kitemux/plan/FromCaptureTest.java
@@ -79,8 +79,8 @@
         Fleet fleet = FromCapture.work(
                 described,
                 List.of(
-                        new ServerSpeedEstimator.Work("view-page", 30_000, 29_000, 31_000, 0.97, 500),
-                        new ServerSpeedEstimator.Work("place-order", 40_000, 39_000, 41_000, 0.6, 500)));
+                        new ServerSpeedEstimator.ClassWork("view-page", 30_000, 29_000, 31_000, 0.97, 500),
+                        new ServerSpeedEstimator.ClassWork("place-order", 40_000, 39_000, 41_000, 0.6, 500)));
         assertEquals(List.of(), fleet.faultsFound());
         assertEquals(30_000 * Math.sqrt(0.97 * 0.75), fleet.classes().get(0).meanUs(), 1);
         assertEquals(Fleet.Spread.EXPONENTIAL, fleet.classes().get(0).spread());
