--- a/src/main/java/kitemux/rollout/Request.java
+++ b/src/main/java/kitemux/rollout/Request.java
@@ -12,5 +12,5 @@
     record Chosen(Version version) implements Request {}
 
     /** What came after this version? Asked as a pulse, too: whoever answers is heard. */
-    record Ask(long after) implements Request {}
+    record Fetch(long afterRev) implements Request {}
 }
--- a/src/test/java/kitemux/rollout/Defect.java
+++ b/src/test/java/kitemux/rollout/Defect.java
@@ -6,7 +6,7 @@
     Defect NONE = new Defect() {};
 
     /** Where in a version lines go that a keeper asks of itself and its like. */
-    default Terms terms(Terms terms) {
+    default ProtocolParameters terms(ProtocolParameters terms) {
         return terms;
     }
 
@@ -31,7 +31,7 @@
     }
 
     /** Whether a record is synced. */
-    default boolean syncs(Kept kept) {
+    default boolean syncs(LogRecord kept) {
         return true;
     }
 
