--- a/src/main/java/kitemux/keeper/Keeper.java
+++ b/src/main/java/kitemux/keeper/Keeper.java
@@ -18,7 +18,6 @@
 import kitemux.engine.Clock;
 import kitemux.engine.Log;
 import kitemux.net.Network;
-import kitemux.rollout.Answer;
 import kitemux.rollout.Change;
 import kitemux.rollout.Effect;
 import kitemux.rollout.Inventory;
@@ -28,6 +27,7 @@
 import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Report;
 import kitemux.rollout.Request;
+import kitemux.rollout.Response;
 import kitemux.rollout.RolloutText;
 import kitemux.rollout.Rules;
 import kitemux.rollout.ValidationError;
@@ -55,7 +55,7 @@
     private final KeeperCalls calls;
     private final Watches watches;
     /** Whoever waits for an answer of this keeper's vote or history, by the number of the call. */
-    private final Map<Long, Consumer<Answer>> asked = new HashMap<>();
+    private final Map<Long, Consumer<Response>> asked = new HashMap<>();
     /** Operators that wait for what becomes of a change. */
     private final Map<Long, KeeperServer.Call> changes = new HashMap<>();
 
@@ -210,7 +210,7 @@
         if (effect instanceof Effect.Send send) {
             send(send.to(), send.request());
         } else if (effect instanceof Effect.Reply reply) {
-            Consumer<Answer> waiting = asked.remove(reply.call());
+            Consumer<Response> waiting = asked.remove(reply.call());
             if (waiting != null) {
                 waiting.accept(reply.answer());
             }
@@ -246,8 +246,8 @@
             if (body == null || stopped) {
                 return;
             }
-            RolloutText.ParseResult<Answer> answer = RolloutText.readResponse(body);
-            if (answer.value() instanceof Answer.Versions known
+            RolloutText.ParseResult<Response> answer = RolloutText.readResponse(body);
+            if (answer.value() instanceof Response.Versions known
                     && known.versions().size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
                 log.info("keeper " + to + ": its answer has " + known.versions().size() + " versions; "
                         + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT + " are allowed");
@@ -275,13 +275,13 @@
         return !stopped;
     }
 
-    private void answered(int from, Answer answer) {
+    private void answered(int from, Response answer) {
         if (hasRoom()) {
             happened(() -> machine.handleResponse(time.nowUs(), from, answer));
         }
     }
 
-    private void ask(Request request, Consumer<Answer> answered) {
+    private void ask(Request request, Consumer<Response> answered) {
         if (hasRoom()) {
             asked.put(++lastCall, answered);
             happened(() -> machine.handleRequest(time.nowUs(), lastCall, request));
--- a/src/main/java/kitemux/keeper/RolloutWatch.java
+++ b/src/main/java/kitemux/keeper/RolloutWatch.java
@@ -36,10 +36,10 @@
 import kitemux.net.Network;
 import kitemux.net.SocketBudget;
 import kitemux.rollout.Effect;
-import kitemux.rollout.Line;
 import kitemux.rollout.Report;
 import kitemux.rollout.RolloutText;
 import kitemux.rollout.Subscriber;
+import kitemux.rollout.WatchEvent;
 
 /**
  * A node's watch on the keepers: carries the effects of its {@link Subscriber} to sockets, and what is to be
@@ -309,7 +309,7 @@
                     case INCOMPLETE -> {
                         return;
                     }
-                    case HEARTBEAT -> carry(machine.handleEvent(time.nowUs(), number, new Line.Heartbeat()));
+                    case HEARTBEAT -> carry(machine.handleEvent(time.nowUs(), number, new WatchEvent.Heartbeat()));
                     case OBJECT -> line(lines.takeObject());
                     case MALFORMED -> bad(lines.malformedText());
                 }
@@ -317,7 +317,7 @@
         }
 
         private void line(byte[] text) {
-            RolloutText.ParseResult<Line> read = RolloutText.readWatchEvent(text);
+            RolloutText.ParseResult<WatchEvent> read = RolloutText.readWatchEvent(text);
             if (read.errors().isEmpty()) {
                 carry(machine.handleEvent(time.nowUs(), number, read.value()));
             } else {
--- a/src/main/java/kitemux/rollout/Acceptor.java
+++ b/src/main/java/kitemux/rollout/Acceptor.java
@@ -25,20 +25,20 @@
     }
 
     /** Whether it promises; the request is of the open version. */
-    public Answer prepare(Request.Prepare asked) {
+    public Response prepare(Request.Prepare asked) {
         if (!asked.ballot().isGreaterThan(vote.promised())) {
-            return new Answer.Rejected(asked.rev(), asked.ballot(), vote.promised());
+            return new Response.Rejected(asked.rev(), asked.ballot(), vote.promised());
         }
         vote = new Vote(vote.rev(), asked.ballot(), vote.acceptedAt(), vote.accepted());
-        return new Answer.Promised(asked.rev(), asked.ballot(), vote.acceptedAt(), vote.accepted());
+        return new Response.Promised(asked.rev(), asked.ballot(), vote.acceptedAt(), vote.accepted());
     }
 
     /** Whether it accepts; the request is of the open version. */
-    public Answer accept(Request.Accept asked) {
+    public Response accept(Request.Accept asked) {
         if (vote.promised().isGreaterThan(asked.ballot())) {
-            return new Answer.Rejected(asked.rev(), asked.ballot(), vote.promised());
+            return new Response.Rejected(asked.rev(), asked.ballot(), vote.promised());
         }
         vote = new Vote(vote.rev(), asked.ballot(), asked.ballot(), asked.value());
-        return new Answer.Accepted(asked.rev(), asked.ballot());
+        return new Response.Accepted(asked.rev(), asked.ballot());
     }
 }
--- a/src/main/java/kitemux/rollout/Effect.java
+++ b/src/main/java/kitemux/rollout/Effect.java
@@ -12,7 +12,7 @@
     record Send(int to, Request request) implements Effect {}
 
     /** Answer a keeper's call. */
-    record Reply(long call, Answer answer) implements Effect {}
+    record Reply(long call, Response answer) implements Effect {}
 
     /**
      * Write this behind all that was written, and sync. Only once that and all before it is synced comes
@@ -24,7 +24,7 @@
     record CompleteChange(long call, Outcome outcome) implements Effect {}
 
     /** Write a line to a watch. */
-    record SendEvent(long watch, Line event) implements Effect {}
+    record SendEvent(long watch, WatchEvent event) implements Effect {}
 
     /** Answer 503 to a watch that was asked for; it is forgotten. */
     record RejectWatch(long watch, String reason) implements Effect {}
--- a/src/main/java/kitemux/rollout/KeeperStateMachine.java
+++ b/src/main/java/kitemux/rollout/KeeperStateMachine.java
@@ -209,11 +209,11 @@
         return history.voters().contains(me);
     }
 
-    private void vote(long call, long rev, Supplier<Answer> open) {
+    private void vote(long call, long rev, Supplier<Response> open) {
         if (rev <= history.rev()) {
             out.add(new Effect.Reply(call, since(rev - 1)));
         } else if (rev > history.rev() + 1 || !votes()) {
-            out.add(new Effect.Reply(call, new Answer.Behind(rev, history.rev())));
+            out.add(new Effect.Reply(call, new Response.Behind(rev, history.rev())));
         } else {
             Vote before = acceptor.vote();
             Effect reply = new Effect.Reply(call, open.get());
@@ -225,32 +225,32 @@
         }
     }
 
-    private Answer since(long after) {
+    private Response since(long after) {
         return history.covers(after) || after >= history.rev()
-                ? new Answer.Versions(
+                ? new Response.Versions(
                         after,
                         history.rev(),
                         history.versionsAfter(after, ProtocolParameters.MAX_RESPONSE_VERSION_COUNT))
-                : new Answer.Snapshot(history.rev(), history.values());
+                : new Response.Snapshot(history.rev(), history.values());
     }
 
     /** Another keeper has answered what was sent to it. */
-    public List<Effect> handleResponse(long now, int from, Answer answer) {
+    public List<Effect> handleResponse(long now, int from, Response answer) {
         return events(now, () -> {
             heardUs.put(from, now);
             long before = history.rev();
-            if (answer instanceof Answer.Versions known) {
+            if (answer instanceof Response.Versions known) {
                 known.versions().forEach(this::learn);
                 newestHeard = Math.max(newestHeard, known.newestRev());
                 if (history.rev() > before && known.newestRev() > history.rev()) {
                     out.add(new Effect.Send(from, new Request.Fetch(history.rev())));
                 }
-            } else if (answer instanceof Answer.Snapshot whole) {
+            } else if (answer instanceof Response.Snapshot whole) {
                 newestHeard = Math.max(newestHeard, whole.rev());
                 if (history.installSnapshot(whole.rev(), whole.values())) {
                     learned(new LogRecord.Snapshot(whole.rev(), whole.values()));
                 }
-            } else if (answer instanceof Answer.Behind behind) {
+            } else if (answer instanceof Response.Behind behind) {
                 tellWhatItLacks(from, behind);
             }
             if (history.rev() > before) {
@@ -260,7 +260,7 @@
         });
     }
 
-    private void tellWhatItLacks(int to, Answer.Behind behind) {
+    private void tellWhatItLacks(int to, Response.Behind behind) {
         for (Version version :
                 history.versionsAfter(behind.newestRev(), ProtocolParameters.MAX_RESPONSE_VERSION_COUNT)) {
             out.add(new Effect.Send(to, new Request.Chosen(version)));
--- a/src/main/java/kitemux/rollout/Proposer.java
+++ b/src/main/java/kitemux/rollout/Proposer.java
@@ -183,15 +183,15 @@
     }
 
     /** An answer to what it sent; what is of another version or ballot is let pass. */
-    public void handleResponse(long nowUs, int from, Answer answer, List<Effect> out) {
+    public void handleResponse(long nowUs, int from, Response answer, List<Effect> out) {
         if (history.voters().stream().noneMatch(voter -> voter.keeper() == from)) {
             return;
         }
-        if (answer instanceof Answer.Promised a && isMine(State.PREPARING, a.rev(), a.ballot())) {
+        if (answer instanceof Response.Promised a && isMine(State.PREPARING, a.rev(), a.ballot())) {
             promised(nowUs, from, a, out);
-        } else if (answer instanceof Answer.Accepted a && isMine(State.ACCEPTING, a.rev(), a.ballot())) {
+        } else if (answer instanceof Response.Accepted a && isMine(State.ACCEPTING, a.rev(), a.ballot())) {
             accepted(nowUs, from, out);
-        } else if (answer instanceof Answer.Rejected a) {
+        } else if (answer instanceof Response.Rejected a) {
             highestRound = Math.max(highestRound, a.promised().round());
             if (isMine(state, a.rev(), a.ballot())) {
                 // Not at once, and the longer the more often it was tried: two that hinder each other would
@@ -208,7 +208,7 @@
         return !isIdle() && state == in && ofRev == rev && of.equals(ballot);
     }
 
-    private void promised(long nowUs, int from, Answer.Promised a, List<Effect> out) {
+    private void promised(long nowUs, int from, Response.Promised a, List<Effect> out) {
         agreed.add(from);
         if (a.accepted() != null && a.acceptedBallot().isGreaterThan(highest)) {
             highest = a.acceptedBallot();
--- a/src/main/java/kitemux/rollout/Request.java
+++ b/src/main/java/kitemux/rollout/Request.java
@@ -1,6 +1,6 @@
 package kitemux.rollout;
 
-/** What one keeper asks another one. Each has one {@link Answer}, or none where it or the answer is lost. */
+/** What one keeper asks another one. Each has one {@link Response}, or none where it or the answer is lost. */
 public sealed interface Request {
     /** Promise to accept nothing of a lower ballot for this version. */
     record Prepare(long rev, Ballot ballot) implements Request {}
--- a/src/main/java/kitemux/rollout/RolloutText.java
+++ b/src/main/java/kitemux/rollout/RolloutText.java
@@ -174,21 +174,21 @@
     }
 
     /** A line of a watch, without its end; a beat is empty. */
-    public static byte[] write(Line line) {
-        if (line instanceof Line.Update next) {
+    public static byte[] write(WatchEvent line) {
+        if (line instanceof WatchEvent.Update next) {
             return new Text()
                     .number("rev", next.rev())
                     .values("set", next.set())
                     .texts("drop", next.drop())
                     .bytes();
-        } else if (line instanceof Line.SnapshotPart part) {
+        } else if (line instanceof WatchEvent.SnapshotPart part) {
             return new Text()
                     .number("rev", part.rev())
                     .number("part", part.part())
                     .number("of", part.partCount())
                     .values("set", part.set())
                     .bytes();
-        } else if (line instanceof Line.NoQuorum alone) {
+        } else if (line instanceof WatchEvent.NoQuorum alone) {
             return new Text().number("rev", alone.rev()).raw("alone", "true").bytes();
         }
         return new byte[0];
@@ -254,8 +254,8 @@
     }
 
     /** What a keeper answers. */
-    public static byte[] write(Answer answer) {
-        if (answer instanceof Answer.Promised a) {
+    public static byte[] write(Response answer) {
+        if (answer instanceof Response.Promised a) {
             Text text =
                     new Text().text("kind", "promised").number("rev", a.rev()).ballot("ballot", a.ballot());
             if (a.accepted() != null) {
@@ -263,26 +263,26 @@
                         .raw("accepted", text(a.accepted()).toString());
             }
             return text.bytes();
-        } else if (answer instanceof Answer.Accepted a) {
+        } else if (answer instanceof Response.Accepted a) {
             return new Text()
                     .text("kind", "accepted")
                     .number("rev", a.rev())
                     .ballot("ballot", a.ballot())
                     .bytes();
-        } else if (answer instanceof Answer.Rejected a) {
+        } else if (answer instanceof Response.Rejected a) {
             return new Text()
                     .text("kind", "refused")
                     .number("rev", a.rev())
                     .ballot("ballot", a.ballot())
                     .ballot("promised", a.promised())
                     .bytes();
-        } else if (answer instanceof Answer.Behind a) {
+        } else if (answer instanceof Response.Behind a) {
             return new Text()
                     .text("kind", "behind")
                     .number("rev", a.rev())
                     .number("known", a.newestRev())
                     .bytes();
-        } else if (answer instanceof Answer.Versions a) {
+        } else if (answer instanceof Response.Versions a) {
             return new Text()
                     .text("kind", "known")
                     .number("after", a.afterRev())
@@ -292,7 +292,7 @@
                             a.versions().stream().map(RolloutText::text).toList())
                     .bytes();
         }
-        Answer.Snapshot a = (Answer.Snapshot) answer;
+        Response.Snapshot a = (Response.Snapshot) answer;
         return new Text()
                 .text("kind", "whole")
                 .number("known", a.rev())
@@ -348,7 +348,7 @@
     }
 
     /** Values as the parts of a whole, in order; one at least, and each of one value at least. */
-    static List<Line.SnapshotPart> splitSnapshot(long rev, SortedMap<String, String> values, int partBytes) {
+    static List<WatchEvent.SnapshotPart> splitSnapshot(long rev, SortedMap<String, String> values, int partBytes) {
         List<SortedMap<String, String>> cut = new ArrayList<>();
         SortedMap<String, String> part = new TreeMap<>();
         int size = 0;
@@ -363,9 +363,9 @@
             size += more;
         }
         cut.add(part);
-        List<Line.SnapshotPart> parts = new ArrayList<>();
+        List<WatchEvent.SnapshotPart> parts = new ArrayList<>();
         for (int i = 0; i < cut.size(); i++) {
-            parts.add(new Line.SnapshotPart(rev, i + 1, cut.size(), cut.get(i)));
+            parts.add(new WatchEvent.SnapshotPart(rev, i + 1, cut.size(), cut.get(i)));
         }
         return parts;
     }
@@ -546,9 +546,9 @@
     }
 
     /** A line of a watch, without its end. */
-    public static ParseResult<Line> readWatchEvent(byte[] text) {
+    public static ParseResult<WatchEvent> readWatchEvent(byte[] text) {
         if (text.length == 0) {
-            return new ParseResult<>(new Line.Heartbeat(), List.of());
+            return new ParseResult<>(new WatchEvent.Heartbeat(), List.of());
         }
         return read(text, (json, faults) -> {
             if (!json.path("alone").isMissing()) {
@@ -556,18 +556,18 @@
                 if (!from.json("alone").flag()) {
                     from.fault("alone", "is not true");
                 }
-                return new Line.NoQuorum(from.rev("rev", 0));
+                return new WatchEvent.NoQuorum(from.rev("rev", 0));
             }
             if (!json.path("part").isMissing()) {
                 Source from = new Source(json, "", faults, "rev", "part", "of", "set");
                 int of = (int) from.whole("of", 1, ProtocolParameters.MAX_PATH_COUNT);
-                return new Line.SnapshotPart(
+                return new WatchEvent.SnapshotPart(
                         from.rev("rev", 1), (int) from.whole("part", 1, of), of, from.values("set"));
             }
             Source from = new Source(json, "", faults, "rev", "set", "drop");
             SortedSet<String> drop = from.texts("drop");
             drop.forEach(from::path);
-            return new Line.Update(from.rev("rev", 1), from.values("set"), drop);
+            return new WatchEvent.Update(from.rev("rev", 1), from.values("set"), drop);
         });
     }
 
@@ -631,12 +631,12 @@
     }
 
     /** What another keeper answers. */
-    public static ParseResult<Answer> readResponse(byte[] text) {
+    public static ParseResult<Response> readResponse(byte[] text) {
         return read(text, (json, faults) -> switch (json.path("kind").text()) {
             case "promised" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "ballot", "accepted_at", "accepted");
                 boolean is = from.has("accepted") || from.has("accepted_at");
-                yield new Answer.Promised(
+                yield new Response.Promised(
                         from.rev("rev", 1),
                         from.ballot("ballot"),
                         is ? from.ballot("accepted_at") : Ballot.NONE,
@@ -644,15 +644,15 @@
             }
             case "accepted" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "ballot");
-                yield new Answer.Accepted(from.rev("rev", 1), from.ballot("ballot"));
+                yield new Response.Accepted(from.rev("rev", 1), from.ballot("ballot"));
             }
             case "refused" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "ballot", "promised");
-                yield new Answer.Rejected(from.rev("rev", 1), from.ballot("ballot"), from.ballot("promised"));
+                yield new Response.Rejected(from.rev("rev", 1), from.ballot("ballot"), from.ballot("promised"));
             }
             case "behind" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "known");
-                yield new Answer.Behind(from.rev("rev", 1), from.rev("known", 0));
+                yield new Response.Behind(from.rev("rev", 1), from.rev("known", 0));
             }
             case "known" -> {
                 Source from = new Source(json, "", faults, "kind", "after", "known", "versions");
@@ -661,11 +661,11 @@
                 if (versions.size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
                     from.fault("versions", "has more than " + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT);
                 }
-                yield new Answer.Versions(from.rev("after", 0), from.rev("known", 0), List.copyOf(versions));
+                yield new Response.Versions(from.rev("after", 0), from.rev("known", 0), List.copyOf(versions));
             }
             case "whole" -> {
                 Source from = new Source(json, "", faults, "kind", "known", "values");
-                yield new Answer.Snapshot(from.rev("known", 1), from.values("values"));
+                yield new Response.Snapshot(from.rev("known", 1), from.values("values"));
             }
             default -> {
                 faults.add(new ValidationError("kind", "is none of promised, accepted, refused, behind, known, whole"));
--- a/src/main/java/kitemux/rollout/Subscriber.java
+++ b/src/main/java/kitemux/rollout/Subscriber.java
@@ -306,10 +306,10 @@
     }
 
     /** A line of a watch. */
-    public List<Effect> handleEvent(long now, long on, Line line) {
+    public List<Effect> handleEvent(long now, long on, WatchEvent line) {
         return events(now, () -> {
             if (on == trial && trialConnected) {
-                if (line instanceof Line.NoQuorum) {
+                if (line instanceof WatchEvent.NoQuorum) {
                     trialFailed(true);
                     return;
                 }
@@ -339,9 +339,9 @@
         lost(true);
     }
 
-    private void take(Line line) {
+    private void take(WatchEvent line) {
         silentAtUs = patienceUs();
-        if (line instanceof Line.NoQuorum) {
+        if (line instanceof WatchEvent.NoQuorum) {
             if (state != State.NO_QUORUM) {
                 state = State.NO_QUORUM;
                 tried.clear();
@@ -355,17 +355,17 @@
             dropTrial();
         }
         trialAtUs = Long.MAX_VALUE;
-        if (line instanceof Line.SnapshotPart part) {
+        if (line instanceof WatchEvent.SnapshotPart part) {
             state = State.CATCHING_UP;
             part(part);
-        } else if (line instanceof Line.Update next) {
+        } else if (line instanceof WatchEvent.Update next) {
             next(next);
         } else {
             state = State.CURRENT;
         }
     }
 
-    private void part(Line.SnapshotPart part) {
+    private void part(WatchEvent.SnapshotPart part) {
         boolean isFirst = part.part() == 1 && part.rev() > sideRev;
         boolean isNext = whole != null && part.rev() == wholeRev && part.part() == lastPart + 1;
         if (!isFirst && !isNext) {
@@ -387,7 +387,7 @@
         }
     }
 
-    private void next(Line.Update next) {
+    private void next(WatchEvent.Update next) {
         if (next.rev() != sideRev + 1 || whole != null) {
             bad();
             return;
--- a/src/main/java/kitemux/rollout/Watch.java
+++ b/src/main/java/kitemux/rollout/Watch.java
@@ -5,7 +5,7 @@
 /** A node's watch at its keeper: how far it was told, and what may go next. */
 final class Watch {
     /** Lines of the whole that goes, with {@code at} to go next; null where versions go one by one. */
-    private List<Line.SnapshotPart> whole;
+    private List<WatchEvent.SnapshotPart> whole;
 
     private int at;
     /** Told up to this version; the whole that goes counts as told. */
@@ -22,7 +22,7 @@
     }
 
     /** The next line that is no beat, or null where it is told all. */
-    private Line next(History history, Wholes wholes) {
+    private WatchEvent next(History history, Wholes wholes) {
         if (whole != null && at < whole.size()) {
             return whole.get(at);
         }
@@ -36,11 +36,11 @@
             return whole.get(0);
         }
         Version version = history.version(told + 1);
-        return new Line.Update(
+        return new WatchEvent.Update(
                 version.rev(), version.change().set(), version.change().drop());
     }
 
-    private static int bytes(Line line) {
+    private static int bytes(WatchEvent line) {
         return RolloutText.write(line).length + ProtocolParameters.EVENT_FRAMING_BYTES;
     }
 
@@ -54,18 +54,18 @@
             boolean isAlone,
             List<Effect> out) {
         while (true) {
-            Line line = next(history, wholes);
+            WatchEvent line = next(history, wholes);
             int bytes = line == null ? 0 : bytes(line);
             long ready = line == null ? Long.MAX_VALUE : pace.readyAtUs(nowUs, bytes);
             if (ready <= nowUs) {
-                if (line instanceof Line.SnapshotPart part) {
+                if (line instanceof WatchEvent.SnapshotPart part) {
                     at++;
                     told = part.rev();
                 } else {
                     told++;
                 }
             } else if (nowUs >= lastUs + terms.heartbeatIntervalUs()) {
-                line = isAlone ? new Line.NoQuorum(history.rev()) : new Line.Heartbeat();
+                line = isAlone ? new WatchEvent.NoQuorum(history.rev()) : new WatchEvent.Heartbeat();
                 bytes = bytes(line);
             } else {
                 return Math.min(ready, lastUs + terms.heartbeatIntervalUs());
@@ -80,13 +80,13 @@
     static final class Wholes {
         private final int partBytes;
         private long rev = -1;
-        private List<Line.SnapshotPart> parts;
+        private List<WatchEvent.SnapshotPart> parts;
 
         Wholes(int partBytes) {
             this.partBytes = partBytes;
         }
 
-        List<Line.SnapshotPart> of(History history) {
+        List<WatchEvent.SnapshotPart> of(History history) {
             if (rev != history.rev()) {
                 rev = history.rev();
                 parts = RolloutText.splitSnapshot(rev, history.values(), partBytes);
--- a/src/test/java/kitemux/rollout/BoundsTest.java
+++ b/src/test/java/kitemux/rollout/BoundsTest.java
@@ -87,7 +87,7 @@
 
     private static Solo with(SortedValues values) {
         Solo solo = new Solo();
-        solo.carry(0, solo.machine.handleResponse(0, 0, new Answer.Snapshot(1, values.map)));
+        solo.carry(0, solo.machine.handleResponse(0, 0, new Response.Snapshot(1, values.map)));
         return solo;
     }
 
@@ -139,10 +139,10 @@
         solo.carry(0, solo.machine.openWatch(0, 5, 1));
         solo.carry(0, solo.machine.openWatch(0, 6, 0));
         solo.carry(1_000_000, solo.machine.tick(1_000_000));
-        Line one = first(solo, 5);
-        assertEquals(2, assertInstanceOf(Line.Update.class, one).rev());
+        WatchEvent one = first(solo, 5);
+        assertEquals(2, assertInstanceOf(WatchEvent.Update.class, one).rev());
         assertEquals(
-                new Line.SnapshotPart(
+                new WatchEvent.SnapshotPart(
                         ProtocolParameters.MAX_HISTORY_VERSION_COUNT + 1,
                         1,
                         1,
@@ -160,10 +160,11 @@
         assertEquals(kept, fromDisk.toRecords());
     }
 
-    private static Line first(Solo solo, long watch) {
+    private static WatchEvent first(Solo solo, long watch) {
         return solo.done.stream()
-                .filter(e ->
-                        e instanceof Effect.SendEvent t && t.watch() == watch && !(t.event() instanceof Line.Heartbeat))
+                .filter(e -> e instanceof Effect.SendEvent t
+                        && t.watch() == watch
+                        && !(t.event() instanceof WatchEvent.Heartbeat))
                 .map(e -> ((Effect.SendEvent) e).event())
                 .findFirst()
                 .orElseThrow();
@@ -225,7 +226,7 @@
         }
         Effect.Reply reply = (Effect.Reply)
                 solo.machine.handleRequest(0, 3, new Request.Fetch(0)).get(0);
-        Answer.Versions known = (Answer.Versions) reply.answer();
+        Response.Versions known = (Response.Versions) reply.answer();
         assertEquals(
                 ProtocolParameters.MAX_RESPONSE_VERSION_COUNT, known.versions().size());
         assertEquals(ProtocolParameters.MAX_RESPONSE_VERSION_COUNT + 1, known.newestRev());
@@ -262,7 +263,7 @@
         long watch = ((Effect.OpenWatch) subscriber.tick(0).get(0)).watch();
         subscriber.watchOpened(1, watch);
         Effect.SendReport report = (Effect.SendReport) subscriber
-                .handleEvent(2, watch, new Line.Update(1, new SortedValues(40, "2").map, new TreeSet<>()))
+                .handleEvent(2, watch, new WatchEvent.Update(1, new SortedValues(40, "2").map, new TreeSet<>()))
                 .get(0);
         assertEquals(
                 ProtocolParameters.MAX_REPORTED_COUNT,
--- a/src/test/java/kitemux/rollout/Fleet.java
+++ b/src/test/java/kitemux/rollout/Fleet.java
@@ -278,7 +278,7 @@
         private long told = -1;
         private final Map<Long, Connection> lines = new HashMap<>();
         /** What it was asked, by call. */
-        private final Map<Long, Consumer<Answer>> replies = new HashMap<>();
+        private final Map<Long, Consumer<Response>> replies = new HashMap<>();
 
         KeeperHost(int number) {
             this.number = number;
@@ -323,7 +323,7 @@
                     machine.handleResponse(
                             nowUs(),
                             v,
-                            new Answer.Versions(
+                            new Response.Versions(
                                     machine.history().rev(), machine.history().rev(), List.of()));
                 }
             }
@@ -428,7 +428,7 @@
                 if (effect instanceof Effect.Send send) {
                     keepers.get(send.to()).ask(this, send.request());
                 } else if (effect instanceof Effect.Reply reply) {
-                    Consumer<Answer> to = replies.remove(reply.call());
+                    Consumer<Response> to = replies.remove(reply.call());
                     if (to != null) {
                         to.accept(reply.answer());
                     }
@@ -469,7 +469,7 @@
                     && (isCut(region, other.region) || silent || other.silent || draws.nextDouble() < loss);
         }
 
-        private void answered(KeeperHost asker, long askerLife, Request request, Answer answer) {
+        private void answered(KeeperHost asker, long askerLife, Request request, Response answer) {
             if (isLost(asker)) {
                 return;
             }
@@ -477,7 +477,7 @@
             time.scheduleAfterUs(asker == this ? 0 : lateUs(region, asker.region), () -> {
                 if (asker.process == askerLife && asker.isUp()) {
                     asker.inLife(() -> {
-                                Answer read = RolloutText.readResponse(bytes).value();
+                                Response read = RolloutText.readResponse(bytes).value();
                                 asker.done(asker.machine.handleResponse(nowUs(), number, read));
                                 int also = defect.alsoFrom(number, read);
                                 if (also >= 0 && asker.isUp()) {
@@ -531,7 +531,7 @@
             if (line == null || !defect.writes(tell.event(), line.hasWhole)) {
                 return;
             }
-            if (tell.event() instanceof Line.SnapshotPart part) {
+            if (tell.event() instanceof WatchEvent.SnapshotPart part) {
                 line.hasWhole = part.part() < part.partCount();
             }
             byte[] bytes = RolloutText.write(tell.event());
@@ -664,7 +664,7 @@
             long more = 750_000L * Math.max(0, bad - 2);
             if (subscriber != null && subscriber.rev() < firstRev) {
                 long bytes = 0;
-                for (Line.SnapshotPart part :
+                for (WatchEvent.SnapshotPart part :
                         RolloutText.splitSnapshot(firstRev, firstValues, terms.snapshotPartBytes())) {
                     bytes += RolloutText.write(part).length + 2L * ProtocolParameters.EVENT_FRAMING_BYTES;
                 }
@@ -787,13 +787,13 @@
             }
         }
 
-        private void line(Connection line, Line text, long keeperRev) {
+        private void line(Connection line, WatchEvent text, long keeperRev) {
             if (lines.get(line.nodeWatch) != line) {
                 return;
             }
-            Line taken = defect.line(text, rules, subscriber);
+            WatchEvent taken = defect.line(text, rules, subscriber);
             if (taken != null) {
-                if (!(taken instanceof Line.NoQuorum)) {
+                if (!(taken instanceof WatchEvent.NoQuorum)) {
                     see(new Judge.Spoke(nowUs(), name(), keeperRev));
                 }
                 done(subscriber.handleEvent(nowUs(), line.nodeWatch, taken));
--- a/src/test/java/kitemux/rollout/Mutant.java
+++ b/src/test/java/kitemux/rollout/Mutant.java
@@ -21,11 +21,11 @@
         }
 
         @Override
-        public Answer answer(Request request, Answer answer) {
-            if (answer instanceof Answer.Promised a) {
-                return new Answer.Promised(a.rev(), lowered(a.ballot()), lowered(a.acceptedBallot()), a.accepted());
-            } else if (answer instanceof Answer.Accepted a) {
-                return new Answer.Accepted(a.rev(), lowered(a.ballot()));
+        public Response answer(Request request, Response answer) {
+            if (answer instanceof Response.Promised a) {
+                return new Response.Promised(a.rev(), lowered(a.ballot()), lowered(a.acceptedBallot()), a.accepted());
+            } else if (answer instanceof Response.Accepted a) {
+                return new Response.Accepted(a.rev(), lowered(a.ballot()));
             }
             return answer;
         }
@@ -38,9 +38,9 @@
     },
     ACCEPTED_VALUE_NOT_TAKEN_UP(Judge.Promise.ONE_HISTORY) {
         @Override
-        public Answer answer(Request request, Answer answer) {
-            return answer instanceof Answer.Promised a
-                    ? new Answer.Promised(a.rev(), a.ballot(), Ballot.NONE, null)
+        public Response answer(Request request, Response answer) {
+            return answer instanceof Response.Promised a
+                    ? new Response.Promised(a.rev(), a.ballot(), Ballot.NONE, null)
                     : answer;
         }
     },
@@ -63,28 +63,28 @@
         }
 
         @Override
-        public Line line(Line line, Rules rules, Subscriber subscriber) {
-            return line instanceof Line.NoQuorum ? new Line.Heartbeat() : line;
+        public WatchEvent line(WatchEvent line, Rules rules, Subscriber subscriber) {
+            return line instanceof WatchEvent.NoQuorum ? new WatchEvent.Heartbeat() : line;
         }
     },
     PART_OF_A_WHOLE_IN_FORCE(Judge.Promise.WHOLE) {
         @Override
-        public Line line(Line line, Rules rules, Subscriber subscriber) {
-            return line instanceof Line.SnapshotPart part && part.part() == 1
-                    ? new Line.SnapshotPart(part.rev(), 1, 1, part.set())
+        public WatchEvent line(WatchEvent line, Rules rules, Subscriber subscriber) {
+            return line instanceof WatchEvent.SnapshotPart part && part.part() == 1
+                    ? new WatchEvent.SnapshotPart(part.rev(), 1, 1, part.set())
                     : line;
         }
     },
     HALF_OF_A_CHANGE_AFTER_A_FAULT(Judge.Promise.WHOLE) {
         @Override
-        public Line line(Line line, Rules rules, Subscriber subscriber) {
-            if (!(line instanceof Line.Update next)) {
+        public WatchEvent line(WatchEvent line, Rules rules, Subscriber subscriber) {
+            if (!(line instanceof WatchEvent.Update next)) {
                 return line;
             }
             Map<String, String> after = new Change("", 0, next.set(), next.drop()).applyTo(subscriber.values());
             SortedMap<String, String> sound = new TreeMap<>(next.set());
             rules.validate(after).forEach(fault -> sound.remove(fault.path()));
-            return new Line.Update(next.rev(), sound, next.drop());
+            return new WatchEvent.Update(next.rev(), sound, next.drop());
         }
     },
     NO_PATIENCE(Judge.Promise.TIMELY) {
@@ -106,8 +106,8 @@
         }
 
         @Override
-        public boolean writes(Line line, boolean wholeUnderWay) {
-            return !wholeUnderWay || line instanceof Line.SnapshotPart;
+        public boolean writes(WatchEvent line, boolean wholeUnderWay) {
+            return !wholeUnderWay || line instanceof WatchEvent.SnapshotPart;
         }
     },
     REPORT_BEFORE_IT_IS_IN_FORCE(Judge.Promise.TRUTHFUL) {
@@ -124,8 +124,8 @@
     },
     ANSWER_AFTER_TWO_ACCEPTANCES(Judge.Promise.DURABLE) {
         @Override
-        public int alsoFrom(int from, Answer answer) {
-            return !(answer instanceof Answer.Accepted) ? -1 : from == 0 ? 1 : 0;
+        public int alsoFrom(int from, Response answer) {
+            return !(answer instanceof Response.Accepted) ? -1 : from == 0 ? 1 : 0;
         }
     },
     ANSWER_BEFORE_THE_SYNC(Judge.Promise.DURABLE) {
--- a/src/test/java/kitemux/rollout/Orders.java
+++ b/src/test/java/kitemux/rollout/Orders.java
@@ -166,7 +166,7 @@
         for (int k = 0; k < 2; k++) {
             // Each has heard the others, so that it takes calls.
             for (int other = 0; other < KEEPERS; other++) {
-                world.keepers[k].handleResponse(0, other, new Answer.Versions(0, 0, List.of()));
+                world.keepers[k].handleResponse(0, other, new Response.Versions(0, 0, List.of()));
             }
             done(
                     world,
--- a/src/test/java/kitemux/rollout/RolloutTextTest.java
+++ b/src/test/java/kitemux/rollout/RolloutTextTest.java
@@ -70,7 +70,7 @@
                 RolloutText.readWatchEvent(("{\"rev\":1,\"part\":1,\"of\":1," + "\"set\":{\"realms/a\":" + value + "}}")
                                                 .getBytes(StandardCharsets.UTF_8))
                                         .value()
-                                instanceof Line.SnapshotPart part
+                                instanceof WatchEvent.SnapshotPart part
                         ? part.set().get("realms/a")
                         : null));
         return as;
@@ -109,17 +109,17 @@
     }
 
     @Provide
-    Arbitrary<Line> anyLine() {
+    Arbitrary<WatchEvent> anyLine() {
         return Arbitraries.oneOf(
-                Combinators.combine(revs(), changes()).as((rev, c) -> new Line.Update(rev, c.set(), c.drop())),
+                Combinators.combine(revs(), changes()).as((rev, c) -> new WatchEvent.Update(rev, c.set(), c.drop())),
                 Combinators.combine(revs(), Arbitraries.integers().between(1, 300), changes())
-                        .as((rev, of, c) -> new Line.SnapshotPart(rev, 1 + (int) (rev % of), of, c.set())),
-                Arbitraries.just(new Line.Heartbeat()),
-                revs().map(Line.NoQuorum::new));
+                        .as((rev, of, c) -> new WatchEvent.SnapshotPart(rev, 1 + (int) (rev % of), of, c.set())),
+                Arbitraries.just(new WatchEvent.Heartbeat()),
+                revs().map(WatchEvent.NoQuorum::new));
     }
 
     @Property(tries = 300)
-    void aLineIsReadBack(@ForAll("anyLine") Line line) {
+    void aLineIsReadBack(@ForAll("anyLine") WatchEvent line) {
         same(line, RolloutText.write(line), RolloutText::readWatchEvent);
     }
 
@@ -159,20 +159,20 @@
     }
 
     @Provide
-    Arbitrary<Answer> anyAnswer() {
+    Arbitrary<Response> anyAnswer() {
         return Arbitraries.oneOf(
-                Combinators.combine(revs(), ballots(), ballots(), changes()).as(Answer.Promised::new),
-                Combinators.combine(revs(), ballots()).as((rev, b) -> new Answer.Promised(rev, b, Ballot.NONE, null)),
-                Combinators.combine(revs(), ballots()).as(Answer.Accepted::new),
-                Combinators.combine(revs(), ballots(), ballots()).as(Answer.Rejected::new),
-                Combinators.combine(revs(), revs()).as(Answer.Behind::new),
+                Combinators.combine(revs(), ballots(), ballots(), changes()).as(Response.Promised::new),
+                Combinators.combine(revs(), ballots()).as((rev, b) -> new Response.Promised(rev, b, Ballot.NONE, null)),
+                Combinators.combine(revs(), ballots()).as(Response.Accepted::new),
+                Combinators.combine(revs(), ballots(), ballots()).as(Response.Rejected::new),
+                Combinators.combine(revs(), revs()).as(Response.Behind::new),
                 Combinators.combine(revs(), revs(), versions().list().ofMaxSize(3))
-                        .as(Answer.Versions::new),
-                Combinators.combine(revs(), changes()).as((rev, c) -> new Answer.Snapshot(rev, c.set())));
+                        .as(Response.Versions::new),
+                Combinators.combine(revs(), changes()).as((rev, c) -> new Response.Snapshot(rev, c.set())));
     }
 
     @Property(tries = 200)
-    void anAnswerIsReadBack(@ForAll("anyAnswer") Answer answer) {
+    void anAnswerIsReadBack(@ForAll("anyAnswer") Response answer) {
         same(answer, RolloutText.write(answer), RolloutText::readResponse);
     }
 
