--- a/src/main/java/kitemux/fleet/Rules.java
+++ b/src/main/java/kitemux/fleet/RuleChecker.java
@@ -12,14 +12,14 @@
  * Holds what servers and clients see against the four rules, and counts breaks. It knows nothing of nodes or
  * modules but what they sent.
  */
-final class Rules {
+final class RuleChecker {
     /** Breaks that are told of by a line each; the rest is counted. */
     private static final int MOST_TOLD = 20;
 
     private final Scheduler time;
     private final Limits limits;
-    private final List<String> told = new ArrayList<>();
-    private long breaks;
+    private final List<String> violations = new ArrayList<>();
+    private long violationCount;
 
     /**
      * @param fallMultiple a cold server falls over beyond so many times what it can do
@@ -43,7 +43,7 @@
         }
     }
 
-    Rules(Scheduler time, Limits limits) {
+    RuleChecker(Scheduler time, Limits limits) {
         this.time = time;
         this.limits = limits;
     }
@@ -53,9 +53,9 @@
     }
 
     /** A server begins work on it, which was sent at this time. */
-    void runs(Asked asked, Box box, long sentUs) {
+    void executionStarted(Asked asked, Box box, long sentUs) {
         if (asked.refused && asked.of.retrySafety() == RetrySafety.UNSAFE) {
-            breakOf("no effect twice: request " + asked.number + " of " + asked.of.name()
+            recordViolation("no effect twice: request " + asked.number + " of " + asked.of.name()
                     + " runs though it was refused as harmless");
         }
         if (asked.runs++ == 0) {
@@ -73,19 +73,20 @@
                     case UNSAFE -> false;
                 };
         if (!lawful) {
-            breakOf("no effect twice: request " + asked.number + " of " + asked.of.name() + " runs again at " + box.id);
+            recordViolation(
+                    "no effect twice: request " + asked.number + " of " + asked.of.name() + " runs again at " + box.id);
         }
     }
 
     /** Its client has a final answer. */
     void answered(Asked asked, boolean refused) {
         if (asked.answered) {
-            breakOf("no request lost: request " + asked.number + " has a second answer");
+            recordViolation("no request lost: request " + asked.number + " has a second answer");
         }
         asked.answered = true;
         asked.refused |= refused;
         if (refused && asked.runs > 0 && asked.of.retrySafety() == RetrySafety.UNSAFE) {
-            breakOf("no effect twice: request " + asked.number + " of " + asked.of.name()
+            recordViolation("no effect twice: request " + asked.number + " of " + asked.of.name()
                     + " has run and is refused as harmless");
         }
     }
@@ -93,29 +94,29 @@
     /** Its client's time is over, with no answer though its node runs. */
     void unanswered(Asked asked) {
         if (!asked.answered) {
-            breakOf("no request lost: request " + asked.number + " has no answer in its time");
+            recordViolation("no request lost: request " + asked.number + " has no answer in its time");
         }
     }
 
     void sentWhileDraining(Box box) {
-        breakOf("drains kept: sent to " + box.id);
+        recordViolation("drains kept: sent to " + box.id);
     }
 
-    void pushedOver(Box box) {
-        breakOf("no cold server pushed over: " + box.id);
+    void coldServerOverloaded(Box box) {
+        recordViolation("no cold server pushed over: " + box.id);
     }
 
-    private void breakOf(String what) {
-        if (breaks++ < MOST_TOLD) {
-            told.add(String.format(Locale.ROOT, "%.3f s  %s", time.nowUs() / 1e6, what));
+    private void recordViolation(String what) {
+        if (violationCount++ < MOST_TOLD) {
+            violations.add(String.format(Locale.ROOT, "%.3f s  %s", time.nowUs() / 1e6, what));
         }
     }
 
-    long breaks() {
-        return breaks;
+    long violationCount() {
+        return violationCount;
     }
 
-    List<String> told() {
-        return List.copyOf(told);
+    List<String> violations() {
+        return List.copyOf(violations);
     }
 }
