--- a/src/main/java/kitemux/cli/PlanAnswers.java
+++ b/src/main/java/kitemux/cli/PlanAnswers.java
@@ -44,7 +44,7 @@
                 fleet,
                 goal,
                 QueueingFormulas.retryStorm(
-                        fleet.offeredLoad() * fleet.load().most(),
+                        fleet.offeredLoad() * fleet.load().maxFactor(),
                         fleet.clients().maxRetries(),
                         WASTED),
                 planner.evaluate(fleet),
--- a/src/main/java/kitemux/fleet/Box.java
+++ b/src/main/java/kitemux/fleet/Box.java
@@ -65,7 +65,7 @@
      * @param workUs on a core of speed 1, the handshake's included
      * @param sentUs when its node wrote it
      */
-    record Job(RuleChecker.Asked clientTry, double workUs, long sentUs, ReplyHandler replyHandler) {}
+    record Job(RuleChecker.TrackedTry clientTry, double workUs, long sentUs, ReplyHandler replyHandler) {}
 
     /** Where a server's answer goes. */
     public interface ReplyHandler {
@@ -99,7 +99,7 @@
         this.time = time;
         this.rules = rules;
         this.draws = draws;
-        coldWork = new ColdStartLoad(fleet.meanWorkUs(), rules.limits().fallUs());
+        coldWork = new ColdStartLoad(fleet.meanWorkUs(), rules.limits().windowUs());
         maxConnections = fleet.links().maxConnectionsPerCore() * serverKind.cores();
         crowded = fleet.overloadSlowdown() == null
                 ? Double.MAX_VALUE
@@ -384,12 +384,12 @@
         if (warmth >= 1) {
             return;
         }
-        RuleChecker.Limits limits = rules.limits();
+        RuleChecker.ColdLoadLimit limits = rules.limits();
         ColdStartLoad.Verdict verdict = coldWork.recordArrival(
                 time.nowUs(),
                 job.workUs,
                 job.replyHandler.isSenderAwareOfStart(),
-                limits.fallMultiple() * serverKind.cores() * speed * warmth * limits.fallUs());
+                limits.capacityMultiple() * serverKind.cores() * speed * warmth * limits.windowUs());
         if (verdict != ColdStartLoad.Verdict.WITHIN_LIMIT) {
             collapsed = true;
             if (verdict == ColdStartLoad.Verdict.OVERLOADED_BY_NODES) {
--- a/src/main/java/kitemux/fleet/ClientPopulation.java
+++ b/src/main/java/kitemux/fleet/ClientPopulation.java
@@ -44,22 +44,22 @@
         this.nodes = nodes;
         this.rules = rules;
         this.tally = tally;
-        arrivals = new RandomStream(seed, RandomStream.Cause.ARRIVALS);
-        work = new RandomStream(seed, RandomStream.Cause.WORK);
-        patience = new RandomStream(seed, RandomStream.Cause.CLIENTS);
-        front = new RandomStream(seed, RandomStream.Cause.FRONT);
+        arrivals = new RandomStream(seed, RandomStream.Purpose.ARRIVALS);
+        work = new RandomStream(seed, RandomStream.Purpose.WORK);
+        patience = new RandomStream(seed, RandomStream.Purpose.CLIENTS);
+        front = new RandomStream(seed, RandomStream.Purpose.FRONT);
         classesUpTo = sums(
                 fleet.classes().stream().mapToDouble(Fleet.ClassWorkload::share).toArray());
         tenantsUpTo = sums(fleet.tenants().stream()
                 .mapToDouble(t -> t.share() * t.usageRatio())
                 .toArray());
-        most = fleet.load().most();
+        most = fleet.load().maxFactor();
         noticedAtUs = new long[nodes.size()];
         nodesUpTo = fleet.clients().nodeSkew() == 0 ? null : weights(seed);
     }
 
     private double[] weights(long seed) {
-        RandomStream skew = new RandomStream(seed, RandomStream.Cause.SKEW);
+        RandomStream skew = new RandomStream(seed, RandomStream.Purpose.SKEW);
         double[] weights = new double[nodes.size()];
         for (int i = 0; i < weights.length; i++) {
             weights[i] = skew.lognormal(1, fleet.clients().nodeSkew());
@@ -91,7 +91,7 @@
             if (now >= fleet.load().durationUs()) {
                 return;
             }
-            boolean comes = arrivals.nextDouble() * most < fleet.load().at(now);
+            boolean comes = arrivals.nextDouble() * most < fleet.load().factorAt(now);
             draw(comes, NOBODY);
             next();
         });
@@ -127,7 +127,7 @@
     }
 
     /** What a client wants. */
-    private final class Wish implements ClientTry.Intention {
+    private final class Wish implements ClientTry.ClientRequest {
         private final int classIndex;
         private final RequestClass of;
         private final int tenant;
@@ -159,7 +159,7 @@
                     + (how.maxTryTimeoutRatio() - how.minTryTimeoutRatio()) * patience.nextDouble();
             long forUs = Math.min(leftUs(), (long) (share * of.deadlineUs()));
             FleetNode at = choose();
-            RuleChecker.Asked mine = new RuleChecker.Asked(of, tries);
+            RuleChecker.TrackedTry mine = new RuleChecker.TrackedTry(of, tries);
             ClientTry one = new ClientTry(this, mine, forUs, at, asked > 1);
             time.scheduleAfterUs(how.oneWayUs(), () -> {
                 if (at.isUp()) {
--- a/src/main/java/kitemux/fleet/ClientTry.java
+++ b/src/main/java/kitemux/fleet/ClientTry.java
@@ -5,15 +5,15 @@
 
 /** One try of a client's request at one node: what the engine is asked, and who is told the answer. */
 public final class ClientTry implements RequestInfo, ResponseSink<Boolean> {
-    private final Intention of;
-    private final RuleChecker.Asked tracked;
+    private final ClientRequest of;
+    private final RuleChecker.TrackedTry tracked;
     private final long leftUs;
     private final FleetNode node;
     private final boolean again;
     private boolean over;
 
     /** What a client wants, over all its tries. */
-    interface Intention {
+    interface ClientRequest {
         /** Counts what clients want, over all tries, from 1. */
         long number();
 
@@ -36,7 +36,7 @@
         BROKEN
     }
 
-    ClientTry(Intention of, RuleChecker.Asked asked, long leftUs, FleetNode at, boolean again) {
+    ClientTry(ClientRequest of, RuleChecker.TrackedTry asked, long leftUs, FleetNode at, boolean again) {
         this.of = of;
         this.tracked = asked;
         this.leftUs = leftUs;
@@ -44,7 +44,7 @@
         this.again = again;
     }
 
-    RuleChecker.Asked tracked() {
+    RuleChecker.TrackedTry tracked() {
         return tracked;
     }
 
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -52,12 +52,12 @@
         this.fleet = fleet;
         this.seed = seed;
         this.time = time;
-        rules = new RuleChecker(time, new RuleChecker.Limits(FALL_MULTIPLE, FALL_US));
+        rules = new RuleChecker(time, new RuleChecker.ColdLoadLimit(FALL_MULTIPLE, FALL_US));
         tally = new OutcomeCounter(fleet);
         cuts = new NetworkPartitions(fleet.zones().count());
-        lists = new RandomStream(seed, RandomStream.Cause.LISTS);
-        faults = new RandomStream(seed, RandomStream.Cause.FAULTS);
-        RandomStream speeds = new RandomStream(seed, RandomStream.Cause.BOXES);
+        lists = new RandomStream(seed, RandomStream.Purpose.LISTS);
+        faults = new RandomStream(seed, RandomStream.Purpose.FAULTS);
+        RandomStream speeds = new RandomStream(seed, RandomStream.Purpose.BOXES);
         for (int k = 0; k < fleet.kinds().size(); k++) {
             Fleet.ServerKind kind = fleet.kinds().get(k);
             for (int i = 0; i < kind.count(); i++) {
@@ -70,7 +70,7 @@
                         kind.speedCv() == 0 ? kind.speed() : speeds.lognormal(kind.speed(), kind.speedCv()),
                         time,
                         rules,
-                        new RandomStream(seed, RandomStream.Cause.BOXES, 1 + boxes.size()));
+                        new RandomStream(seed, RandomStream.Purpose.BOXES, 1 + boxes.size()));
                 boxes.add(box);
                 byId.put(id, box);
             }
@@ -92,7 +92,7 @@
 
     /** The same with other decision modules; its servers tell what they met. */
     static Emulation runWith(Fleet fleet, long seed, EmulatedNode.BalancerFactory modules) {
-        RandomStream seeds = new RandomStream(seed, RandomStream.Cause.MODULES);
+        RandomStream seeds = new RandomStream(seed, RandomStream.Purpose.MODULES);
         Emulation run = new Emulation(
                 fleet,
                 seed,
@@ -105,7 +105,7 @@
                         of.rules,
                         of.cuts,
                         of.settings(n),
-                        new RandomStream(seed, RandomStream.Cause.NETWORK, n),
+                        new RandomStream(seed, RandomStream.Purpose.NETWORK, n),
                         seeds,
                         UNIX_US,
                         modules));
--- a/src/main/java/kitemux/fleet/Fleet.java
+++ b/src/main/java/kitemux/fleet/Fleet.java
@@ -191,7 +191,7 @@
             double ratePerS, long durationUs, List<LoadPoint> profile, double quotaPerS, double overShareWorth) {
 
         /** How much is asked at a time, against {@link #ratePerS}. */
-        public double at(long us) {
+        public double factorAt(long us) {
             if (profile.isEmpty()) {
                 return 1;
             }
@@ -214,7 +214,7 @@
         }
 
         /** The most that is asked at any time, against {@link #ratePerS}. */
-        public double most() {
+        public double maxFactor() {
             return profile.stream().mapToDouble(LoadPoint::factor).max().orElse(1);
         }
     }
--- a/src/main/java/kitemux/fleet/RandomStream.java
+++ b/src/main/java/kitemux/fleet/RandomStream.java
@@ -14,7 +14,7 @@
     private final ZigguratSampler.NormalizedGaussian gaussian;
 
     /** What is drawn for. */
-    enum Cause {
+    enum Purpose {
         ARRIVALS,
         WORK,
         CLIENTS,
@@ -27,12 +27,12 @@
         SKEW
     }
 
-    RandomStream(long seed, Cause cause) {
+    RandomStream(long seed, Purpose cause) {
         this(seed, cause, 0);
     }
 
     /** The stream of the so many-th one of a cause. */
-    RandomStream(long seed, Cause cause, int number) {
+    RandomStream(long seed, Purpose cause, int number) {
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {
             mix(seed + 0x9E3779B97F4A7C15L), mix(seed ^ mix(cause.ordinal() + 31L * number + 1))
         });
--- a/src/main/java/kitemux/fleet/RuleChecker.java
+++ b/src/main/java/kitemux/fleet/RuleChecker.java
@@ -17,19 +17,19 @@
     private static final int MOST_TOLD = 20;
 
     private final Scheduler time;
-    private final Limits limits;
+    private final ColdLoadLimit limits;
     private final List<String> violations = new ArrayList<>();
     private long violationCount;
 
     /**
-     * @param fallMultiple a cold server falls over beyond so many times what it can do
-     * @param fallUs within any stretch so long
+     * @param capacityMultiple a cold server falls over beyond so many times what it can do
+     * @param windowUs within any stretch so long
      */
-    record Limits(double fallMultiple, long fallUs) {}
+    record ColdLoadLimit(double capacityMultiple, long windowUs) {}
 
     /** One try of a client, as servers see it. */
-    static final class Asked {
-        final RequestClass of;
+    static final class TrackedTry {
+        final RequestClass requestClass;
         final long number;
         private int runs;
         private long firstSentUs;
@@ -37,25 +37,25 @@
         private boolean answered;
         private boolean refused;
 
-        Asked(RequestClass of, long number) {
-            this.of = of;
+        TrackedTry(RequestClass of, long number) {
+            this.requestClass = of;
             this.number = number;
         }
     }
 
-    RuleChecker(Scheduler time, Limits limits) {
+    RuleChecker(Scheduler time, ColdLoadLimit limits) {
         this.time = time;
         this.limits = limits;
     }
 
-    Limits limits() {
+    ColdLoadLimit limits() {
         return limits;
     }
 
     /** A server begins work on it, which was sent at this time. */
-    void executionStarted(Asked asked, Box box, long sentUs) {
-        if (asked.refused && asked.of.retrySafety() == RetrySafety.UNSAFE) {
-            recordViolation("no effect twice: request " + asked.number + " of " + asked.of.name()
+    void executionStarted(TrackedTry asked, Box box, long sentUs) {
+        if (asked.refused && asked.requestClass.retrySafety() == RetrySafety.UNSAFE) {
+            recordViolation("no effect twice: request " + asked.number + " of " + asked.requestClass.name()
                     + " runs though it was refused as harmless");
         }
         if (asked.runs++ == 0) {
@@ -64,35 +64,35 @@
             return;
         }
         boolean lawful =
-                switch (asked.of.retrySafety()) {
+                switch (asked.requestClass.retrySafety()) {
                     case SAFE -> true;
                     // Of two copies the one that was sent last may begin first: the rack remembers either.
                     case KEYED ->
-                        sentUs <= asked.firstSentUs + asked.of.dedupWindowUs()
-                                && (asked.of.dedupScope() != DedupScope.CELL || asked.rack == box.rack);
+                        sentUs <= asked.firstSentUs + asked.requestClass.dedupWindowUs()
+                                && (asked.requestClass.dedupScope() != DedupScope.CELL || asked.rack == box.rack);
                     case UNSAFE -> false;
                 };
         if (!lawful) {
-            recordViolation(
-                    "no effect twice: request " + asked.number + " of " + asked.of.name() + " runs again at " + box.id);
+            recordViolation("no effect twice: request " + asked.number + " of " + asked.requestClass.name()
+                    + " runs again at " + box.id);
         }
     }
 
     /** Its client has a final answer. */
-    void answered(Asked asked, boolean refused) {
+    void answered(TrackedTry asked, boolean refused) {
         if (asked.answered) {
             recordViolation("no request lost: request " + asked.number + " has a second answer");
         }
         asked.answered = true;
         asked.refused |= refused;
-        if (refused && asked.runs > 0 && asked.of.retrySafety() == RetrySafety.UNSAFE) {
-            recordViolation("no effect twice: request " + asked.number + " of " + asked.of.name()
+        if (refused && asked.runs > 0 && asked.requestClass.retrySafety() == RetrySafety.UNSAFE) {
+            recordViolation("no effect twice: request " + asked.number + " of " + asked.requestClass.name()
                     + " has run and is refused as harmless");
         }
     }
 
     /** Its client's time is over, with no answer though its node runs. */
-    void unanswered(Asked asked) {
+    void unanswered(TrackedTry asked) {
         if (!asked.answered) {
             recordViolation("no request lost: request " + asked.number + " has no answer in its time");
         }
--- a/src/test/java/kitemux/fleet/BoxTest.java
+++ b/src/test/java/kitemux/fleet/BoxTest.java
@@ -20,7 +20,7 @@
     private static final int SEEDS = 30;
 
     private final Scheduler time = new Scheduler();
-    private final RuleChecker rules = new RuleChecker(time, new RuleChecker.Limits(4, 2_000_000));
+    private final RuleChecker rules = new RuleChecker(time, new RuleChecker.ColdLoadLimit(4, 2_000_000));
 
     private static Fleet fleet(Fleet.ServerKind kind, Fleet.OverloadSlowdown choke) {
         return FleetFixtures.yearbook(1, 0, 1, 0.5, 10).withKinds(List.of(kind)).with(choke);
@@ -35,15 +35,15 @@
                 1,
                 time,
                 rules,
-                new RandomStream(1, RandomStream.Cause.BOXES));
+                new RandomStream(1, RandomStream.Purpose.BOXES));
     }
 
     /** Mean time in the queue and served in units of work, or the share that was turned away. */
     private static double measured(int cores, double load, int room, long seed, boolean fixed, boolean lost) {
         BoxTest world = new BoxTest();
         Box box = world.box(cores, room, null);
-        RandomStream arrivals = new RandomStream(seed, RandomStream.Cause.ARRIVALS);
-        RandomStream work = new RandomStream(seed, RandomStream.Cause.WORK);
+        RandomStream arrivals = new RandomStream(seed, RandomStream.Purpose.ARRIVALS);
+        RandomStream work = new RandomStream(seed, RandomStream.Purpose.WORK);
         DoubleSupplier workUs = () -> fixed ? WORK_US : work.exponential(WORK_US);
         double[] sum = new double[2];
         long[] counts = new long[2];
@@ -56,7 +56,7 @@
                 return;
             }
             box.submit(new Box.Job(
-                    new RuleChecker.Asked(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), 1),
+                    new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), 1),
                     workUs.getAsDouble(),
                     came,
                     new Box.ReplyHandler() {
@@ -104,7 +104,7 @@
     private void send(Box box, int count, double workUs) {
         for (int i = 0; i < count; i++) {
             box.submit(new Box.Job(
-                    new RuleChecker.Asked(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), i),
+                    new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), i),
                     workUs,
                     0,
                     new Box.ReplyHandler() {
@@ -146,7 +146,7 @@
         for (int i = 0; i < 203; i++) {
             boolean told = i % 2 == 0;
             box.submit(new Box.Job(
-                    new RuleChecker.Asked(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), i),
+                    new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), i),
                     10_000,
                     0,
                     new Box.ReplyHandler() {
@@ -195,8 +195,8 @@
 
     @Test
     void whatMayRunOnceAndRunsTwiceIsTold() {
-        RuleChecker.Asked unsafe =
-                new RuleChecker.Asked(FleetFixtures.requestClass("order", 1, 2, 1, RetrySafety.UNSAFE), 7);
+        RuleChecker.TrackedTry unsafe =
+                new RuleChecker.TrackedTry(FleetFixtures.requestClass("order", 1, 2, 1, RetrySafety.UNSAFE), 7);
         Box box = box(1, 10, null);
         rules.executionStarted(unsafe, box, 0);
         assertEquals(0, rules.violationCount());
@@ -206,10 +206,10 @@
         assertEquals(2, rules.violationCount(), "a refusal of what has run");
         rules.answered(unsafe, false);
         assertEquals(3, rules.violationCount(), "a second answer");
-        rules.unanswered(new RuleChecker.Asked(FleetFixtures.requestClass("page", 1, 2, 1, RetrySafety.SAFE), 8));
+        rules.unanswered(new RuleChecker.TrackedTry(FleetFixtures.requestClass("page", 1, 2, 1, RetrySafety.SAFE), 8));
         assertEquals(4, rules.violationCount());
-        RuleChecker.Asked refused =
-                new RuleChecker.Asked(FleetFixtures.requestClass("order", 1, 2, 1, RetrySafety.UNSAFE), 9);
+        RuleChecker.TrackedTry refused =
+                new RuleChecker.TrackedTry(FleetFixtures.requestClass("order", 1, 2, 1, RetrySafety.UNSAFE), 9);
         rules.answered(refused, true);
         assertEquals(4, rules.violationCount());
         rules.executionStarted(refused, box, 0);
@@ -223,15 +223,22 @@
     void aKeyedRequestRunsAgainOnlyInItsRackAndWhileThatRemembersIt() {
         Box here = box(1, 10, null);
         Box elsewhere = new Box(
-                "e", 0, 1, fleet(here.serverKind, null), 1, time, rules, new RandomStream(1, RandomStream.Cause.BOXES));
-        RuleChecker.Asked keyed =
-                new RuleChecker.Asked(FleetFixtures.requestClass("photo", 1, 2, 1, RetrySafety.KEYED), 7);
+                "e",
+                0,
+                1,
+                fleet(here.serverKind, null),
+                1,
+                time,
+                rules,
+                new RandomStream(1, RandomStream.Purpose.BOXES));
+        RuleChecker.TrackedTry keyed =
+                new RuleChecker.TrackedTry(FleetFixtures.requestClass("photo", 1, 2, 1, RetrySafety.KEYED), 7);
         rules.executionStarted(keyed, here, 1_000);
-        rules.executionStarted(keyed, here, 1_000 + keyed.of.dedupWindowUs());
+        rules.executionStarted(keyed, here, 1_000 + keyed.requestClass.dedupWindowUs());
         assertEquals(0, rules.violationCount());
         rules.executionStarted(keyed, elsewhere, 2_000);
         assertEquals(1, rules.violationCount(), "another rack");
-        rules.executionStarted(keyed, here, 1_001 + keyed.of.dedupWindowUs());
+        rules.executionStarted(keyed, here, 1_001 + keyed.requestClass.dedupWindowUs());
         assertEquals(2, rules.violationCount(), "forgotten by then");
     }
 }
--- a/src/test/java/kitemux/plan/CapturedWorkloadTest.java
+++ b/src/test/java/kitemux/plan/CapturedWorkloadTest.java
@@ -62,8 +62,8 @@
         assertEquals(List.of(), faults);
         assertEquals(List.of(), fleet.validate());
         assertEquals(200, fleet.load().ratePerS(), 1);
-        assertEquals(100, fleet.load().ratePerS() * fleet.load().at(2_500_000), 3);
-        assertEquals(300, fleet.load().ratePerS() * fleet.load().at(8_000_000), 3);
+        assertEquals(100, fleet.load().ratePerS() * fleet.load().factorAt(2_500_000), 3);
+        assertEquals(300, fleet.load().ratePerS() * fleet.load().factorAt(8_000_000), 3);
         assertEquals(0.1, fleet.classes().get(2).share(), 0.001);
         assertTrue(fleet.classes().get(1).share() < 0.001, "no photo came");
         // A quarter asked by who has six tenths of the share, the rest by who has four.
