--- a/src/main/java/kitemux/Balancer.java
+++ b/src/main/java/kitemux/Balancer.java
@@ -303,10 +303,15 @@
             require(overloadRatio > 0, "fallMultiple is not above 0");
             for (RequestClass c : classes) {
                 require(
-                        c.targetLatencyUs() >= 0 && c.deadlineUs() > 0 && c.dedupWindowUs() >= 0 && c.targetLatencyPerWork() >= 0,
+                        c.targetLatencyUs() >= 0
+                                && c.deadlineUs() > 0
+                                && c.dedupWindowUs() >= 0
+                                && c.targetLatencyPerWork() >= 0,
                         "class " + c.name() + " has a length of time out of range");
                 require(c.worth() >= 0 && c.lateWorth() >= 0, "class " + c.name() + " has a negative worth");
-                require(c.retrySafety() != RetrySafety.KEYED || c.dedupScope() != null, "class " + c.name() + " has no group");
+                require(
+                        c.retrySafety() != RetrySafety.KEYED || c.dedupScope() != null,
+                        "class " + c.name() + " has no group");
             }
         }
 
--- a/src/main/java/kitemux/ServiceQBalancer.java
+++ b/src/main/java/kitemux/ServiceQBalancer.java
@@ -318,7 +318,8 @@
         Call(Request request, Settings set, long now) {
             this.request = request;
             cls = set.classes.get(request.classIndex());
-            long aim = Math.min(cls.deadlineUs(), cls.targetLatencyUs() + (long) (cls.targetLatencyPerWork() * request.workUs()));
+            long aim = Math.min(
+                    cls.deadlineUs(), cls.targetLatencyUs() + (long) (cls.targetLatencyPerWork() * request.workUs()));
             arrivedAt = now - Math.max(0, request.ageUs());
             deadlineAt = now + Math.max(0, request.remainingUs());
             aimAt = Math.min(deadlineAt, arrivedAt + aim);
--- a/src/main/java/kitemux/fleet/ClientPopulation.java
+++ b/src/main/java/kitemux/fleet/ClientPopulation.java
@@ -1,8 +1,8 @@
 package kitemux.fleet;
 
 import java.util.List;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.sim.Scheduler;
 
 /**
@@ -37,7 +37,8 @@
     private long tries;
     private long wishes;
 
-    ClientPopulation(Fleet fleet, Scheduler time, List<FleetNode> nodes, RuleChecker rules, OutcomeCounter tally, long seed) {
+    ClientPopulation(
+            Fleet fleet, Scheduler time, List<FleetNode> nodes, RuleChecker rules, OutcomeCounter tally, long seed) {
         this.fleet = fleet;
         this.time = time;
         this.nodes = nodes;
@@ -47,10 +48,11 @@
         work = new RandomStream(seed, RandomStream.Purpose.WORK);
         patience = new RandomStream(seed, RandomStream.Purpose.CLIENTS);
         front = new RandomStream(seed, RandomStream.Purpose.FRONT);
-        classesUpTo =
-                sums(fleet.classes().stream().mapToDouble(Fleet.ClassWorkload::share).toArray());
-        tenantsUpTo = sums(
-                fleet.tenants().stream().mapToDouble(t -> t.share() * t.usageRatio()).toArray());
+        classesUpTo = sums(
+                fleet.classes().stream().mapToDouble(Fleet.ClassWorkload::share).toArray());
+        tenantsUpTo = sums(fleet.tenants().stream()
+                .mapToDouble(t -> t.share() * t.usageRatio())
+                .toArray());
         most = fleet.load().maxFactor();
         noticedAtUs = new long[nodes.size()];
         nodesUpTo = fleet.clients().nodeSkew() == 0 ? null : weights(seed);
@@ -153,7 +155,8 @@
             tries++;
             tally.tries++;
             Fleet.Clients how = fleet.clients();
-            double share = how.minTryTimeoutRatio() + (how.maxTryTimeoutRatio() - how.minTryTimeoutRatio()) * patience.nextDouble();
+            double share = how.minTryTimeoutRatio()
+                    + (how.maxTryTimeoutRatio() - how.minTryTimeoutRatio()) * patience.nextDouble();
             long forUs = Math.min(leftUs(), (long) (share * of.deadlineUs()));
             FleetNode at = choose();
             RuleChecker.TrackedTry mine = new RuleChecker.TrackedTry(of, tries);
--- a/src/main/java/kitemux/fleet/EmulatedNode.java
+++ b/src/main/java/kitemux/fleet/EmulatedNode.java
@@ -12,11 +12,11 @@
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
 import kitemux.ServiceQBalancer;
+import kitemux.engine.Clock;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
-import kitemux.engine.Clock;
 import kitemux.engine.Transport;
 import kitemux.sim.Scheduler;
 
--- a/src/main/java/kitemux/fleet/OutcomeCounter.java
+++ b/src/main/java/kitemux/fleet/OutcomeCounter.java
@@ -43,7 +43,8 @@
         tenantInTime = new double[tenants];
         quotaLeft = new double[tenants];
         quotaSeenUs = new long[tenants];
-        allShares = fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
+        allShares =
+                fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
     }
 
     /** A client wants something; what that is worth. */
@@ -80,7 +81,8 @@
         }
         byClass[classIndex][Of.IN_TIME.ordinal()]++;
         inTime[(int) (cameUs / 1_000_000)] += worth;
-        if (tenant >= 0 && worth == fleet.classes().get(classIndex).requestClass().worth()) {
+        if (tenant >= 0
+                && worth == fleet.classes().get(classIndex).requestClass().worth()) {
             tenantInTime[tenant] += worth;
         }
     }
--- a/src/main/java/kitemux/fleet/RunResult.java
+++ b/src/main/java/kitemux/fleet/RunResult.java
@@ -55,7 +55,8 @@
      * @param maxUtilisation the same of the busiest one
      * @param maxConnections that one had at a time
      */
-    public record KindUsage(String name, double utilisation, double maxUtilisation, int maxConnections, int overloadedServers) {}
+    public record KindUsage(
+            String name, double utilisation, double maxUtilisation, int maxConnections, int overloadedServers) {}
 
     /** Share of the wishes of the class that was served worst which were answered in time. */
     public double worstClassRatio() {
--- a/src/main/java/kitemux/http/HttpServers.java
+++ b/src/main/java/kitemux/http/HttpServers.java
@@ -22,11 +22,11 @@
 import java.io.IOException;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.Settings;
-import kitemux.engine.Log;
 import kitemux.engine.Clock;
+import kitemux.engine.Log;
 import kitemux.engine.Transport.Exchange;
-import kitemux.net.ServerResponse;
 import kitemux.net.ServerPool;
+import kitemux.net.ServerResponse;
 
 /** HTTP/1.1 towards servers: how an exchange is written, and what their answers say. */
 public final class HttpServers implements ServerPool.Protocol<ClientRequest, ServerResponse> {
--- a/src/main/java/kitemux/keeper/Keeper.java
+++ b/src/main/java/kitemux/keeper/Keeper.java
@@ -15,22 +15,22 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import kitemux.disk.Disk;
-import kitemux.engine.Log;
 import kitemux.engine.Clock;
+import kitemux.engine.Log;
 import kitemux.net.Network;
-import kitemux.rollout.Response;
 import kitemux.rollout.Change;
 import kitemux.rollout.Effect;
-import kitemux.rollout.ValidationError;
 import kitemux.rollout.Inventory;
 import kitemux.rollout.Inventory.Row;
 import kitemux.rollout.KeeperStateMachine;
 import kitemux.rollout.Outcome;
+import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Report;
 import kitemux.rollout.Request;
+import kitemux.rollout.Response;
 import kitemux.rollout.RolloutText;
 import kitemux.rollout.Rules;
-import kitemux.rollout.ProtocolParameters;
+import kitemux.rollout.ValidationError;
 import kitemux.rollout.Voter;
 
 /**
@@ -247,7 +247,8 @@
                 return;
             }
             RolloutText.ParseResult<Response> answer = RolloutText.readResponse(body);
-            if (answer.value() instanceof Response.Versions known && known.versions().size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
+            if (answer.value() instanceof Response.Versions known
+                    && known.versions().size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
                 log.info("keeper " + to + ": its answer has " + known.versions().size() + " versions; "
                         + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT + " are allowed");
             } else if (answer.errors().isEmpty()) {
@@ -408,8 +409,8 @@
             given.keySet().stream()
                     .filter(name -> !known.contains(name))
                     .sorted()
-                    .forEach(
-                            name -> faults.add(new ValidationError(name, "is not known; known are " + String.join(", ", known))));
+                    .forEach(name -> faults.add(
+                            new ValidationError(name, "is not known; known are " + String.join(", ", known))));
         }
 
         long whole(String name, long otherwise, long most) {
--- a/src/main/java/kitemux/load/CaptureWriter.java
+++ b/src/main/java/kitemux/load/CaptureWriter.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.stream.Stream;
-import kitemux.engine.Observer;
 import kitemux.engine.Clock;
+import kitemux.engine.Observer;
 import org.jctools.queues.SpscArrayQueue;
 
 /**
--- a/src/main/java/kitemux/load/RequestRecorder.java
+++ b/src/main/java/kitemux/load/RequestRecorder.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.Balancer.Result;
-import kitemux.engine.RequestInfo;
-import kitemux.engine.Observer;
 import kitemux.engine.Clock;
+import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 
 /**
  * Collects the events of each request on a node's event loop, and hands the request to a sink once no further
--- a/src/main/java/kitemux/mysql/Command.java
+++ b/src/main/java/kitemux/mysql/Command.java
@@ -14,7 +14,8 @@
  * @param form of its answer
  * @param payload the command's byte and what follows; not to be changed
  */
-record Command(String txn, int classIndex, int tenant, long remainingUs, Form form, byte[] payload) implements RequestInfo {
+record Command(String txn, int classIndex, int tenant, long remainingUs, Form form, byte[] payload)
+        implements RequestInfo {
     private static final byte PING_BYTE = 0x0e;
 
     /** COM_PING: what checks a server, where the settings allow probes. */
--- a/src/main/java/kitemux/net/ServerPool.java
+++ b/src/main/java/kitemux/net/ServerPool.java
@@ -283,7 +283,9 @@
     /** Closes what has been idle for half of what servers allow: a request that met their close resets. And
      * what carries an answer that does not go on. */
     public void closeExpiredConnections() {
-        List.copyOf(carriers.values()).stream().filter(ServerConnection::isStalled).forEach(ServerConnection::close);
+        List.copyOf(carriers.values()).stream()
+                .filter(ServerConnection::isStalled)
+                .forEach(ServerConnection::close);
         long before = clock.nowUs() - connIdleUs / 2;
         for (Upstream<Q, A> upstream : upstreams.values()) {
             while (!upstream.idle.isEmpty() && upstream.idle.peekLast().idleSinceUs < before) {
@@ -326,7 +328,8 @@
         private boolean closedHere;
         private long idleSinceUs;
 
-        private void join(ServerPool<Q, A> to, Upstream<Q, A> server, InetSocketAddress at, InputAwareChannel connected) {
+        private void join(
+                ServerPool<Q, A> to, Upstream<Q, A> server, InetSocketAddress at, InputAwareChannel connected) {
             pool = to;
             upstream = server;
             endpoint = at;
--- a/src/main/java/kitemux/orders/OrderJournal.java
+++ b/src/main/java/kitemux/orders/OrderJournal.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 import kitemux.Balancer.Settings;
 import kitemux.disk.FolderDisk;
-import kitemux.engine.RequestInfo;
 import kitemux.engine.Clock;
+import kitemux.engine.RequestInfo;
 
 /** The open order journal of a node: owns the lock on its folder, its writer and its recorder. */
 public final class OrderJournal {
@@ -36,8 +36,8 @@
      * @throws IOException if the journal cannot be opened, for example since another node holds its lock; the
      *     message says why
      */
-    public static OrderJournal open(OrderSettings settings, Clock time, Executor eventLoop, Consumer<String> operatorLog)
-            throws IOException {
+    public static OrderJournal open(
+            OrderSettings settings, Clock time, Executor eventLoop, Consumer<String> operatorLog) throws IOException {
         FolderDisk disk = FolderDisk.openForWriting(settings.folder());
         try {
             SecureRandom random = new SecureRandom();
@@ -72,7 +72,8 @@
     }
 
     /** Returns the recorder for an engine. May be called only once, since a recorder numbers the requests. */
-    public <Q extends RequestInfo> OrderRecorder<Q> recorder(OrderSettings orderSettings, Settings settings, Clock time) {
+    public <Q extends RequestInfo> OrderRecorder<Q> recorder(
+            OrderSettings orderSettings, Settings settings, Clock time) {
         return new OrderRecorder<>(settings, time, writer, nextNumber, orderSettings);
     }
 
--- a/src/main/java/kitemux/orders/OrderRecorder.java
+++ b/src/main/java/kitemux/orders/OrderRecorder.java
@@ -7,13 +7,13 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import kitemux.Balancer;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
-import kitemux.engine.RequestInfo;
+import kitemux.engine.Clock;
 import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.SendGate;
-import kitemux.engine.Clock;
 import kitemux.orders.Entry.Accepted;
 import kitemux.orders.Entry.Answered;
 import kitemux.orders.Entry.Ended;
@@ -60,7 +60,8 @@
 
     private boolean isRecorded(int classIndex) {
         RequestClass requestClass = settings.classes.get(classIndex);
-        return requestClass.retrySafety() == RetrySafety.UNSAFE || orderSettings.classes().contains(requestClass.name());
+        return requestClass.retrySafety() == RetrySafety.UNSAFE
+                || orderSettings.classes().contains(requestClass.name());
     }
 
     @Override
--- a/src/main/java/kitemux/rollout/Inventory.java
+++ b/src/main/java/kitemux/rollout/Inventory.java
@@ -75,11 +75,14 @@
         if (report.rev() >= rev) {
             return report.pendingRestart().isEmpty() ? NodeStatus.IN_FORCE : NodeStatus.WAITS_RESTART;
         }
-        return report.rejections().stream().anyMatch(refusal -> refusal.rev() >= rev) ? NodeStatus.REFUSED : NodeStatus.BEHIND;
+        return report.rejections().stream().anyMatch(refusal -> refusal.rev() >= rev)
+                ? NodeStatus.REFUSED
+                : NodeStatus.BEHIND;
     }
 
     /** Numbers of nodes by how they stand to a version, of a fleet of so many; each node once. */
-    public static Map<NodeStatus, List<Integer>> nodesByStatus(ProtocolParameters terms, Map<Integer, Row> merged, int nodes, long rev) {
+    public static Map<NodeStatus, List<Integer>> nodesByStatus(
+            ProtocolParameters terms, Map<Integer, Row> merged, int nodes, long rev) {
         Map<NodeStatus, List<Integer>> found = new TreeMap<>();
         for (NodeStatus each : NodeStatus.values()) {
             found.put(each, new ArrayList<>());
--- a/src/main/java/kitemux/rollout/KeeperStateMachine.java
+++ b/src/main/java/kitemux/rollout/KeeperStateMachine.java
@@ -88,7 +88,8 @@
         Vote vote = acceptor.vote();
         return history.versionsAfter(0, ProtocolParameters.MAX_HISTORY_VERSION_COUNT).stream()
                         .map(v -> v.change().id())
-                        .toList() + " "
+                        .toList()
+                + " "
                 + vote.rev() + " " + vote.promised() + " " + vote.acceptedAt() + " "
                 + (vote.accepted() == null ? "" : vote.accepted().id()) + " " + proposer;
     }
@@ -226,7 +227,10 @@
 
     private Response since(long after) {
         return history.covers(after) || after >= history.rev()
-                ? new Response.Versions(after, history.rev(), history.versionsAfter(after, ProtocolParameters.MAX_RESPONSE_VERSION_COUNT))
+                ? new Response.Versions(
+                        after,
+                        history.rev(),
+                        history.versionsAfter(after, ProtocolParameters.MAX_RESPONSE_VERSION_COUNT))
                 : new Response.Snapshot(history.rev(), history.values());
     }
 
@@ -257,7 +261,8 @@
     }
 
     private void tellWhatItLacks(int to, Response.Behind behind) {
-        for (Version version : history.versionsAfter(behind.newestRev(), ProtocolParameters.MAX_RESPONSE_VERSION_COUNT)) {
+        for (Version version :
+                history.versionsAfter(behind.newestRev(), ProtocolParameters.MAX_RESPONSE_VERSION_COUNT)) {
             out.add(new Effect.Send(to, new Request.Chosen(version)));
         }
     }
@@ -307,7 +312,9 @@
                     ? NOT_CAUGHT_UP
                     : after > history.rev()
                             ? "version " + after + " is not known here yet"
-                            : openWatches.size() >= ProtocolParameters.MAX_WATCH_COUNT ? ProtocolParameters.MAX_WATCH_COUNT + " watches are open" : null;
+                            : openWatches.size() >= ProtocolParameters.MAX_WATCH_COUNT
+                                    ? ProtocolParameters.MAX_WATCH_COUNT + " watches are open"
+                                    : null;
             if (reason != null) {
                 rejectedWatches++;
                 out.add(new Effect.RejectWatch(watch, reason));
--- a/src/main/java/kitemux/world/Judge.java
+++ b/src/main/java/kitemux/world/Judge.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Objects;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.sim.ColdStartLoad;
 import kitemux.sim.Scheduler;
@@ -159,7 +159,8 @@
 
     private void checkRefusal(Ask ask, Ask.Run run) {
         RequestClass cls = ask.cls;
-        boolean harmless = cls.retrySafety() == RetrySafety.SAFE || cls.retrySafety() == RetrySafety.KEYED && cls.dedupScope() == DedupScope.ALL;
+        boolean harmless = cls.retrySafety() == RetrySafety.SAFE
+                || cls.retrySafety() == RetrySafety.KEYED && cls.dedupScope() == DedupScope.ALL;
         if (!harmless && run.mayHaveRun(ask.answerSentAt)) {
             breach(Rule.EFFECTS, ask + " was refused though it may have run at " + run.box);
         }
@@ -211,7 +212,9 @@
             }
             if (cls.retrySafety() == RetrySafety.UNSAFE) {
                 breach(Rule.EFFECTS, ask + " was sent to " + run.box + " though it may have run at " + earlier.box);
-            } else if (cls.retrySafety() == RetrySafety.KEYED && cls.dedupScope() == DedupScope.CELL && earlier.box.cell != run.box.cell) {
+            } else if (cls.retrySafety() == RetrySafety.KEYED
+                    && cls.dedupScope() == DedupScope.CELL
+                    && earlier.box.cell != run.box.cell) {
                 breach(Rule.EFFECTS, ask + " was repeated at " + run.box + ", outside the group of " + earlier.box);
             } else if (cls.retrySafety() == RetrySafety.KEYED
                     && run.sentAt - earlier.sentAt > (cls.dedupWindowUs() + LONGER_US) * 1_000) {
--- a/src/test/java/kitemux/fleet/ColdFleetTest.java
+++ b/src/test/java/kitemux/fleet/ColdFleetTest.java
@@ -5,10 +5,10 @@
 
 import java.util.List;
 import java.util.Locale;
-import kitemux.fleet.Fleet.FaultScope;
 import kitemux.fleet.Fleet.Fault;
-import kitemux.fleet.Fleet.LoadPoint;
 import kitemux.fleet.Fleet.FaultKind;
+import kitemux.fleet.Fleet.FaultScope;
+import kitemux.fleet.Fleet.LoadPoint;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/kitemux/http/RequestReaderTest.java
+++ b/src/test/java/kitemux/http/RequestReaderTest.java
@@ -7,8 +7,8 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/kitemux/keeper/Keepers.java
+++ b/src/test/java/kitemux/keeper/Keepers.java
@@ -33,8 +33,8 @@
 import kitemux.net.PollingLoop;
 import kitemux.net.SelectorLoop;
 import kitemux.net.SocketBudget;
-import kitemux.rollout.Subscriber;
 import kitemux.rollout.ProtocolParameters;
+import kitemux.rollout.Subscriber;
 import kitemux.rollout.Voter;
 
 /**
--- a/src/test/java/kitemux/lab/LoopbackTest.java
+++ b/src/test/java/kitemux/lab/LoopbackTest.java
@@ -52,7 +52,8 @@
         Fleet fleet = Fleets.small()
                 .withFaults(List.of(
                         new Fleet.Fault(Fleet.FaultKind.RELEASE, Fleet.FaultScope.ANY, 0, 2, 300_000, 200_000, 2),
-                        new Fleet.Fault(Fleet.FaultKind.NODES_RESTART, Fleet.FaultScope.ANY, 0, 1, 1_000_000, 100_000, 1)));
+                        new Fleet.Fault(
+                                Fleet.FaultKind.NODES_RESTART, Fleet.FaultScope.ANY, 0, 1, 1_000_000, 100_000, 1)));
         RunResult happened = Loopback.play(fleet, 5, Fleets::node).result();
         assertEquals(happened.requests(), ended(happened), "each wish ends once");
         assertEquals(List.of(), happened.violations());
@@ -108,8 +109,8 @@
     void serversThatAllDieServeNobodyMeanwhile() throws Exception {
         Fleet fleet = Fleets.small()
                 .with(Fleets.small().load().scaledBy(2))
-                .withFaults(
-                        List.of(new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.ANY, 0, 0, 1_000_000, 1_000_000, 1)));
+                .withFaults(List.of(
+                        new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.ANY, 0, 0, 1_000_000, 1_000_000, 1)));
         RunResult predicted = Emulation.run(fleet, 2);
         RunResult happened = Loopback.play(fleet, 2, Fleets::node).result();
         assertEquals(List.of(), happened.violations());
--- a/src/test/java/kitemux/load/LoadSummaryTest.java
+++ b/src/test/java/kitemux/load/LoadSummaryTest.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Random;
 import kitemux.Balancer.Result;
-import kitemux.engine.RequestInfo;
-import kitemux.engine.Observer;
 import kitemux.engine.Clock;
+import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 import org.junit.jupiter.api.Test;
 
 /** Tests recording requests and summarising the capture files of several nodes. */
@@ -21,7 +21,8 @@
         return new CaptureFile(id, node, NOW_US, List.of("page", "order"), List.of("a", "b"), requests, 0, "");
     }
 
-    private static CapturedRequest request(long arrivedUs, int classIndex, boolean isRetry, Observer.RequestOutcome answer) {
+    private static CapturedRequest request(
+            long arrivedUs, int classIndex, boolean isRetry, Observer.RequestOutcome answer) {
         return new CapturedRequest(arrivedUs, classIndex, 0, isRetry, 500_000, List.of(), answer, 1_000);
     }
 
@@ -173,7 +174,8 @@
         List<CapturedRequest> independent = new ArrayList<>();
         List<CapturedRequest> bursts = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
-            independent.add(request(NOW_US + (long) (random.nextDouble() * 100e6), 0, false, Observer.RequestOutcome.SERVED));
+            independent.add(
+                    request(NOW_US + (long) (random.nextDouble() * 100e6), 0, false, Observer.RequestOutcome.SERVED));
             bursts.add(request(
                     NOW_US + random.nextInt(20) * 5_000_000L + random.nextInt(1_000),
                     0,
--- a/src/test/java/kitemux/net/MillisecondTimerIoHandlerTest.java
+++ b/src/test/java/kitemux/net/MillisecondTimerIoHandlerTest.java
@@ -26,7 +26,8 @@
             looks.incrementAndGet();
             return hasTasks ? now.get() : SelectStrategy.SELECT;
         });
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, whole ? MillisecondTimerIoHandler.over(plain) : plain);
+        MultiThreadIoEventLoopGroup group =
+                new MultiThreadIoEventLoopGroup(1, whole ? MillisecondTimerIoHandler.over(plain) : plain);
         EventLoop loop = (EventLoop) group.next();
         CountDownLatch ran = new CountDownLatch(TIMERS);
         Runnable again = new Runnable() {
--- a/src/test/java/kitemux/orders/OrderRecorderTest.java
+++ b/src/test/java/kitemux/orders/OrderRecorderTest.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.disk.MemoryDisk;
-import kitemux.engine.RequestInfo;
-import kitemux.engine.Observer;
 import kitemux.engine.Clock;
+import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 import org.junit.jupiter.api.Test;
 
 /** Tests which requests are recorded, the memory limit for bodies, and the time-out of commits. */
