--- a/src/main/java/kitemux/cli/PlanAnswers.java
+++ b/src/main/java/kitemux/cli/PlanAnswers.java
@@ -44,7 +44,9 @@
                 fleet,
                 goal,
                 QueueingFormulas.retryStorm(
-                        fleet.offeredLoad() * fleet.load().maxFactor(), fleet.clients().maxRetries(), WASTED),
+                        fleet.offeredLoad() * fleet.load().maxFactor(),
+                        fleet.clients().maxRetries(),
+                        WASTED),
                 planner.evaluate(fleet),
                 questions.contains("breaks") ? planner.findBreakingPoint(fleet) : null,
                 questions.contains("boxes") ? planner.findMinimumServers(fleet) : List.of(),
@@ -63,7 +65,10 @@
                 fleet.load().ratePerS(),
                 fleet.offeredLoad());
         if (storm.isSelfSustaining()) {
-            line(out, "on paper a storm of repeats feeds itself: %.2f tries for each first one", storm.stormTriesRatio());
+            line(
+                    out,
+                    "on paper a storm of repeats feeds itself: %.2f tries for each first one",
+                    storm.stormTriesRatio());
         }
         line(
                 out,
@@ -95,8 +100,14 @@
                 one.p50Us() / 1e3,
                 one.p99Us() / 1e3);
         if (broken != null) {
-            line(out, "breaks between %.2f and %.2f of this load, by:", broken.highestPassingLoad(), broken.lowestFailingLoad());
-            broken.causes().forEach(cause -> line(out, "  %s: %.1f of what is missing", cause.description(), cause.recoveredRatio()));
+            line(
+                    out,
+                    "breaks between %.2f and %.2f of this load, by:",
+                    broken.highestPassingLoad(),
+                    broken.lowestFailingLoad());
+            broken.causes()
+                    .forEach(cause ->
+                            line(out, "  %s: %.1f of what is missing", cause.description(), cause.recoveredRatio()));
         }
         fewest.forEach(few -> {
             if (few.count() < 0) {
@@ -129,7 +140,9 @@
             return "does not come back";
         }
         return String.format(Locale.ROOT, "back after %.1f s", loss.recoveryTimeS())
-                + (loss.unrecoveredRatio() == 0 ? "" : String.format(Locale.ROOT, ", %.0f%% of runs never", 100 * loss.unrecoveredRatio()));
+                + (loss.unrecoveredRatio() == 0
+                        ? ""
+                        : String.format(Locale.ROOT, ", %.0f%% of runs never", 100 * loss.unrecoveredRatio()));
     }
 
     private static void line(PrintWriter out, String format, Object... of) {
--- a/src/main/java/kitemux/drill/ScenarioFile.java
+++ b/src/main/java/kitemux/drill/ScenarioFile.java
@@ -100,7 +100,11 @@
                         load.quotaPerS(),
                         load.overShareWorth()))
                 .with(new Fleet.Nodes(
-                        nodes == 0 ? of.count() : nodes, of.eventCostUs(), of.cores(), of.startupUs(), of.failureDetectionUs()));
+                        nodes == 0 ? of.count() : nodes,
+                        of.eventCostUs(),
+                        of.cores(),
+                        of.startupUs(),
+                        of.failureDetectionUs()));
         check(fleet, own);
         long lengthUs = fleet.load().durationUs();
         List<Fault> faults = new ArrayList<>();
--- a/src/main/java/kitemux/fleet/Box.java
+++ b/src/main/java/kitemux/fleet/Box.java
@@ -81,7 +81,15 @@
         }
     }
 
-    Box(String id, int kind, int rack, Fleet fleet, double speed, Scheduler time, RuleChecker rules, RandomStream draws) {
+    Box(
+            String id,
+            int kind,
+            int rack,
+            Fleet fleet,
+            double speed,
+            Scheduler time,
+            RuleChecker rules,
+            RandomStream draws) {
         this.id = id;
         this.kindIndex = kind;
         this.rack = rack;
@@ -193,12 +201,18 @@
             return 1;
         }
         double byTime = (double) (time.nowUs() - startedAtUs) / serverKind.warmUpUs();
-        double byWork = serverKind.warmsByWork() ? workDoneUs / (0.5 * serverKind.warmUpUs() * serverKind.cores() * speed) : 0;
-        return Math.min(1, serverKind.initialCapacityRatio() + (1 - serverKind.initialCapacityRatio()) * Math.max(byTime, byWork));
+        double byWork =
+                serverKind.warmsByWork() ? workDoneUs / (0.5 * serverKind.warmUpUs() * serverKind.cores() * speed) : 0;
+        return Math.min(
+                1,
+                serverKind.initialCapacityRatio() + (1 - serverKind.initialCapacityRatio()) * Math.max(byTime, byWork));
     }
 
     private double pace() {
-        return speed * warmUpRatio() / slowdownFactor / (slow ? fleet.overloadSlowdown().slowdownFactor() : 1);
+        return speed
+                * warmUpRatio()
+                / slowdownFactor
+                / (slow ? fleet.overloadSlowdown().slowdownFactor() : 1);
     }
 
     /** As it is now, for whoever looks on. */
@@ -213,7 +227,9 @@
                                         ? "draining"
                                         : failureRatio > 0
                                                 ? "failing"
-                                                : slow || slowdownFactor > 1 ? "slow" : warmUpRatio() < 1 ? "cold" : "up";
+                                                : slow || slowdownFactor > 1
+                                                        ? "slow"
+                                                        : warmUpRatio() < 1 ? "cold" : "up";
         return new Emulation.BoxStatus(id, state, running + waiting.size(), connections, done, warmUpRatio());
     }
 
@@ -271,7 +287,9 @@
         }
         if (failureRatio > 0 && draws.nextDouble() < failureRatio) {
             int mine = incarnation;
-            time.scheduleAfterUs(FAILS_AFTER_US, () -> job.replyHandler.completed(mine == incarnation ? Result.ERROR : Result.RESET));
+            time.scheduleAfterUs(
+                    FAILS_AFTER_US,
+                    () -> job.replyHandler.completed(mine == incarnation ? Result.ERROR : Result.RESET));
             return;
         }
         note();
@@ -354,7 +372,8 @@
                             ? 0
                             : (long) (meanOverUs * Math.log((before - inUse) / (choke.restUtilisation() - inUse))));
         }
-        if (now - slowSinceUs >= choke.maxDurationUs() || restingSinceUs >= 0 && now - restingSinceUs >= choke.restUs() / 2) {
+        if (now - slowSinceUs >= choke.maxDurationUs()
+                || restingSinceUs >= 0 && now - restingSinceUs >= choke.restUs() / 2) {
             slow = false;
         }
     }
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -147,7 +147,8 @@
         set.myZone = fleet.zones().zoneOf(me);
         set.crossZonePrice = fleet.zones().crossZonePrice();
         fleet.classes().forEach(work -> set.classes.add(work.requestClass()));
-        double shares = fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
+        double shares =
+                fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
         fleet.tenants()
                 .forEach(t -> set.tenants.add(new Tenant(t.name(), fleet.load().quotaPerS() * t.share() / shares)));
         set.overShareWorth = fleet.load().overShareWorth();
@@ -157,9 +158,14 @@
         set.maxRetryAfterUs = fleet.clients().maxRetryAfterUs();
         set.connectTimeoutUs = fleet.links().connectTimeoutUs();
         set.drainGraceUs = fleet.discoveryDelays().drainGraceUs();
-        set.coldCapacityRatio =
-                fleet.kinds().stream().mapToDouble(Fleet.ServerKind::initialCapacityRatio).min().orElse(1);
-        set.warmUpUs = fleet.kinds().stream().mapToLong(Fleet.ServerKind::warmUpUs).max().orElse(0);
+        set.coldCapacityRatio = fleet.kinds().stream()
+                .mapToDouble(Fleet.ServerKind::initialCapacityRatio)
+                .min()
+                .orElse(1);
+        set.warmUpUs = fleet.kinds().stream()
+                .mapToLong(Fleet.ServerKind::warmUpUs)
+                .max()
+                .orElse(0);
         set.overloadRatio = FALL_MULTIPLE;
         set.overloadOutageUs = FALL_US;
         return set;
@@ -200,7 +206,8 @@
         List<FleetNode.Stats> did = nodes.stream().map(FleetNode::stats).toList();
         double busyUs = boxes.stream().mapToDouble(box -> box.busyUs).sum();
         List<RunResult.ClassOutcome> classes = tally.classes();
-        long wishes = classes.stream().mapToLong(RunResult.ClassOutcome::offered).sum();
+        long wishes =
+                classes.stream().mapToLong(RunResult.ClassOutcome::offered).sum();
         return new RunResult(
                 seed,
                 tally.share(0, Integer.MAX_VALUE),
@@ -239,7 +246,8 @@
      * @param inFlight requests that run or wait
      * @param completed since the beginning
      */
-    public record BoxStatus(String id, String state, int inFlight, int connections, long completed, double warmUpRatio) {}
+    public record BoxStatus(
+            String id, String state, int inFlight, int connections, long completed, double warmUpRatio) {}
 
     /** All servers, in order. */
     public List<BoxStatus> boxStatuses() {
@@ -305,7 +313,9 @@
                 tell(
                         hit,
                         ServerState.GONE,
-                        silently ? fleet.discoveryDelays().silenceDelayUs() : fleet.discoveryDelays().crashDelayUs());
+                        silently
+                                ? fleet.discoveryDelays().silenceDelayUs()
+                                : fleet.discoveryDelays().crashDelayUs());
                 time.scheduleAfterUs(fault.durationUs(), () -> comeBack(hit));
             }
             case FAIL -> {
@@ -365,7 +375,8 @@
             now.forEach(box -> box.terminate(false));
             time.scheduleAfterUs(fault.durationUs(), () -> {
                 comeBack(now);
-                time.scheduleAfterUs(fleet.discoveryDelays().returnDelayUs().to(), () -> release(of, fault, from + batch));
+                time.scheduleAfterUs(
+                        fleet.discoveryDelays().returnDelayUs().to(), () -> release(of, fault, from + batch));
             });
         });
     }
@@ -374,15 +385,17 @@
         int atOnce = Math.max(1, (int) fault.magnitude());
         List<Integer> of = IntStream.range(0, nodes.size())
                 .boxed()
-                .filter(n -> fault.scope() != Fleet.FaultScope.ZONE || fleet.zones().zoneOf(n) == fault.index())
+                .filter(n ->
+                        fault.scope() != Fleet.FaultScope.ZONE || fleet.zones().zoneOf(n) == fault.index())
                 .toList();
         int all = fault.count() == 0 ? of.size() : Math.min(fault.count(), of.size());
         for (int n = 0; n < all; n++) {
             int node = of.get(n);
-            time.scheduleAfterUs(n / atOnce * (fault.durationUs() + fleet.nodes().startupUs()), () -> {
-                killNode(node);
-                time.scheduleAfterUs(fault.durationUs() + fleet.nodes().startupUs(), () -> startNode(node));
-            });
+            time.scheduleAfterUs(
+                    n / atOnce * (fault.durationUs() + fleet.nodes().startupUs()), () -> {
+                        killNode(node);
+                        time.scheduleAfterUs(fault.durationUs() + fleet.nodes().startupUs(), () -> startNode(node));
+                    });
         }
     }
 
--- a/src/main/java/kitemux/fleet/Fleet.java
+++ b/src/main/java/kitemux/fleet/Fleet.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 
 /**
  * A fleet, its load and what goes wrong, as the emulator plays it. Times are microseconds; a rate is a
@@ -82,7 +82,13 @@
      * @param restUs how long it must rest
      * @param maxDurationUs after which it is itself again all the same
      */
-    public record OverloadSlowdown(double thresholdFactor, long averagingUs, double slowdownFactor, double restUtilisation, long restUs, long maxDurationUs) {}
+    public record OverloadSlowdown(
+            double thresholdFactor,
+            long averagingUs,
+            double slowdownFactor,
+            double restUtilisation,
+            long restUs,
+            long maxDurationUs) {}
 
     /**
      * @param oneWayUs between two machines
@@ -94,7 +100,13 @@
      * @param connectTimeoutUs how long a node waits for one
      */
     public record Links(
-            long oneWayUs, double jitter, int handshakeRtts, long handshakeWorkUs, int maxConnectionsPerCore, long idleTimeoutUs, long connectTimeoutUs) {}
+            long oneWayUs,
+            double jitter,
+            int handshakeRtts,
+            long handshakeWorkUs,
+            int maxConnectionsPerCore,
+            long idleTimeoutUs,
+            long connectTimeoutUs) {}
 
     /**
      * @param crashDelayUs how late nodes hear that a server has died, from and to
@@ -157,7 +169,8 @@
      * @param meanWorkUs of its work, on a core of speed 1
      * @param cv spread of a lognormal one: standard deviation over mean
      */
-    public record ClassWorkload(RequestClass requestClass, double share, double meanWorkUs, WorkDistribution distribution, double cv) {}
+    public record ClassWorkload(
+            RequestClass requestClass, double share, double meanWorkUs, WorkDistribution distribution, double cv) {}
 
     /**
      * A tenant.
@@ -174,7 +187,8 @@
      * @param quotaPerS what all tenants together are entitled to; 0 means without limit
      * @param overShareWorth worth of what goes beyond, as a part
      */
-    public record Load(double ratePerS, long durationUs, List<LoadPoint> profile, double quotaPerS, double overShareWorth) {
+    public record Load(
+            double ratePerS, long durationUs, List<LoadPoint> profile, double quotaPerS, double overShareWorth) {
 
         /** How much is asked at a time, against {@link #ratePerS}. */
         public double factorAt(long us) {
@@ -186,7 +200,8 @@
                 if (point.atUs > us) {
                     return point == before
                             ? point.factor
-                            : before.factor + (point.factor - before.factor) * (us - before.atUs) / (point.atUs - before.atUs);
+                            : before.factor
+                                    + (point.factor - before.factor) * (us - before.atUs) / (point.atUs - before.atUs);
                 }
                 before = point;
             }
@@ -240,7 +255,8 @@
      * @param magnitude for FAIL the share that fails, for SLOW how many times slower, for RELEASE and
      *     NODES_RESTART how many at once
      */
-    public record Fault(FaultKind kind, FaultScope scope, int index, int count, long atUs, long durationUs, double magnitude) {}
+    public record Fault(
+            FaultKind kind, FaultScope scope, int index, int count, long atUs, long durationUs, double magnitude) {}
 
     /** How many servers there are. */
     public int serverCount() {
@@ -265,51 +281,144 @@
 
     /** The same with another load. */
     public Fleet with(Load other) {
-        return new Fleet(kinds, racks, zones, nodes, overloadSlowdown, links, discoveryDelays, clients, classes, tenants, other, faults);
+        return new Fleet(
+                kinds,
+                racks,
+                zones,
+                nodes,
+                overloadSlowdown,
+                links,
+                discoveryDelays,
+                clients,
+                classes,
+                tenants,
+                other,
+                faults);
     }
 
     /** The same with other servers. */
     public Fleet withKinds(List<ServerKind> others) {
         return new Fleet(
-                List.copyOf(others), racks, zones, nodes, overloadSlowdown, links, discoveryDelays, clients, classes, tenants, load, faults);
+                List.copyOf(others),
+                racks,
+                zones,
+                nodes,
+                overloadSlowdown,
+                links,
+                discoveryDelays,
+                clients,
+                classes,
+                tenants,
+                load,
+                faults);
     }
 
     /** The same with other things that go wrong. */
     public Fleet withFaults(List<Fault> others) {
         return new Fleet(
-                kinds, racks, zones, nodes, overloadSlowdown, links, discoveryDelays, clients, classes, tenants, load, List.copyOf(others));
+                kinds,
+                racks,
+                zones,
+                nodes,
+                overloadSlowdown,
+                links,
+                discoveryDelays,
+                clients,
+                classes,
+                tenants,
+                load,
+                List.copyOf(others));
     }
 
     /** The same with other nodes. */
     public Fleet with(Nodes others) {
-        return new Fleet(kinds, racks, zones, others, overloadSlowdown, links, discoveryDelays, clients, classes, tenants, load, faults);
+        return new Fleet(
+                kinds,
+                racks,
+                zones,
+                others,
+                overloadSlowdown,
+                links,
+                discoveryDelays,
+                clients,
+                classes,
+                tenants,
+                load,
+                faults);
     }
 
     /** The same, whose servers turn slow otherwise, or not where null. */
     public Fleet with(OverloadSlowdown other) {
-        return new Fleet(kinds, racks, zones, nodes, other, links, discoveryDelays, clients, classes, tenants, load, faults);
+        return new Fleet(
+                kinds, racks, zones, nodes, other, links, discoveryDelays, clients, classes, tenants, load, faults);
     }
 
     /** The same with other connections. */
     public Fleet with(Links others) {
-        return new Fleet(kinds, racks, zones, nodes, overloadSlowdown, others, discoveryDelays, clients, classes, tenants, load, faults);
+        return new Fleet(
+                kinds,
+                racks,
+                zones,
+                nodes,
+                overloadSlowdown,
+                others,
+                discoveryDelays,
+                clients,
+                classes,
+                tenants,
+                load,
+                faults);
     }
 
     /** The same with other clients. */
     public Fleet with(Clients others) {
-        return new Fleet(kinds, racks, zones, nodes, overloadSlowdown, links, discoveryDelays, others, classes, tenants, load, faults);
+        return new Fleet(
+                kinds,
+                racks,
+                zones,
+                nodes,
+                overloadSlowdown,
+                links,
+                discoveryDelays,
+                others,
+                classes,
+                tenants,
+                load,
+                faults);
     }
 
     /** The same whose classes are others, or other work. */
     public Fleet withClasses(List<ClassWorkload> others) {
         return new Fleet(
-                kinds, racks, zones, nodes, overloadSlowdown, links, discoveryDelays, clients, List.copyOf(others), tenants, load, faults);
+                kinds,
+                racks,
+                zones,
+                nodes,
+                overloadSlowdown,
+                links,
+                discoveryDelays,
+                clients,
+                List.copyOf(others),
+                tenants,
+                load,
+                faults);
     }
 
     /** The same whose tenants are others, or ask otherwise. */
     public Fleet withTenants(List<TenantShare> others) {
         return new Fleet(
-                kinds, racks, zones, nodes, overloadSlowdown, links, discoveryDelays, clients, classes, List.copyOf(others), load, faults);
+                kinds,
+                racks,
+                zones,
+                nodes,
+                overloadSlowdown,
+                links,
+                discoveryDelays,
+                clients,
+                classes,
+                List.copyOf(others),
+                load,
+                faults);
     }
 
     /** The same without tenants' shares. */
@@ -332,7 +441,10 @@
             require(found, kind.speed > 0, at + "speed is not above 0");
             require(found, kind.speedCv >= 0 && kind.speedCv < 1, at + "speed_cv is not in [0, 1)");
             require(found, kind.queueCapacity >= 1, at + "queue is under 1");
-            require(found, kind.initialCapacityRatio > 0 && kind.initialCapacityRatio <= 1, at + "cold_from is not in (0, 1]");
+            require(
+                    found,
+                    kind.initialCapacityRatio > 0 && kind.initialCapacityRatio <= 1,
+                    at + "cold_from is not in (0, 1]");
             require(found, kind.warmUpUs >= 0, at + "cold is under 0");
         }
         require(found, racks >= 1, "racks is under 1");
@@ -351,7 +463,8 @@
             require(found, work.cv >= 0, at + "cv is under 0");
             require(
                     found,
-                    work.requestClass.targetLatencyUs() > 0 && work.requestClass.deadlineUs() >= work.requestClass.targetLatencyUs(),
+                    work.requestClass.targetLatencyUs() > 0
+                            && work.requestClass.deadlineUs() >= work.requestClass.targetLatencyUs(),
                     at + "aim is not above 0, or beyond the deadline");
             require(
                     found,
@@ -361,11 +474,16 @@
         require(found, load.ratePerS > 0, "load: rate is not above 0");
         require(found, load.durationUs >= 1_000_000, "load: length is under 1s");
         for (int i = 1; i < load.profile.size(); i++) {
-            require(found, load.profile.get(i).atUs > load.profile.get(i - 1).atUs, "load: shape is not in order of time");
+            require(
+                    found,
+                    load.profile.get(i).atUs > load.profile.get(i - 1).atUs,
+                    "load: shape is not in order of time");
         }
         require(
                 found,
-                clients.minTryTimeoutRatio > 0 && clients.minTryTimeoutRatio <= clients.maxTryTimeoutRatio && clients.maxTryTimeoutRatio <= 1,
+                clients.minTryTimeoutRatio > 0
+                        && clients.minTryTimeoutRatio <= clients.maxTryTimeoutRatio
+                        && clients.maxTryTimeoutRatio <= 1,
                 "clients: try_from and try_to are not in order within (0, 1]");
         require(found, clients.nodeSkew >= 0 && clients.nodeSkew <= 3, "clients: skew is not from 0 to 3");
         require(found, clients.maxRetries >= 0 && clients.maxRetries <= 10, "clients: retries is not from 0 to 10");
--- a/src/main/java/kitemux/fleet/RuleChecker.java
+++ b/src/main/java/kitemux/fleet/RuleChecker.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Locale;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.sim.Scheduler;
 
 /**
@@ -73,7 +73,8 @@
                     case UNSAFE -> false;
                 };
         if (!lawful) {
-            recordViolation("no effect twice: request " + asked.number + " of " + asked.requestClass.name() + " runs again at " + box.id);
+            recordViolation("no effect twice: request " + asked.number + " of " + asked.requestClass.name()
+                    + " runs again at " + box.id);
         }
     }
 
--- a/src/main/java/kitemux/keeper/KeeperServer.java
+++ b/src/main/java/kitemux/keeper/KeeperServer.java
@@ -82,7 +82,8 @@
                 .childOption(ChannelOption.SO_SNDBUF, SEND_BUFFER)
                 .childOption(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
-                        new WriteBufferWaterMark(ProtocolParameters.MAX_UNWRITTEN_BYTES / 2, ProtocolParameters.MAX_UNWRITTEN_BYTES))
+                        new WriteBufferWaterMark(
+                                ProtocolParameters.MAX_UNWRITTEN_BYTES / 2, ProtocolParameters.MAX_UNWRITTEN_BYTES))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
--- a/src/main/java/kitemux/keeper/RolloutWatch.java
+++ b/src/main/java/kitemux/keeper/RolloutWatch.java
@@ -36,10 +36,10 @@
 import kitemux.net.Network;
 import kitemux.net.SocketBudget;
 import kitemux.rollout.Effect;
-import kitemux.rollout.WatchEvent;
 import kitemux.rollout.Report;
 import kitemux.rollout.RolloutText;
 import kitemux.rollout.Subscriber;
+import kitemux.rollout.WatchEvent;
 
 /**
  * A node's watch on the keepers: carries the effects of its {@link Subscriber} to sockets, and what is to be
@@ -174,7 +174,8 @@
                         case CONNECTING -> "no keeper is watched; version " + machine.rev() + " stays in force";
                         case CATCHING_UP -> "catching up from version " + machine.rev();
                         case CURRENT -> "told all that its keeper knows";
-                        case NO_QUORUM -> "its keeper hears no majority: there may be versions later than " + machine.rev();
+                        case NO_QUORUM ->
+                            "its keeper hears no majority: there may be versions later than " + machine.rev();
                     });
         }
         if (timer != null) {
--- a/src/main/java/kitemux/keeper/Watches.java
+++ b/src/main/java/kitemux/keeper/Watches.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongConsumer;
-import kitemux.rollout.WatchEvent;
 import kitemux.rollout.RolloutText;
+import kitemux.rollout.WatchEvent;
 
 /** Nodes' watches: answers without an end, a line for each thing that is told. For the loop alone. */
 final class Watches {
--- a/src/main/java/kitemux/lab/BoxSocket.java
+++ b/src/main/java/kitemux/lab/BoxSocket.java
@@ -254,8 +254,8 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             open.remove(context.channel());
-            time.happens(
-                    () -> gave(box.isUp() && process == box.incarnation() ? LongAnswer.End.CLOSED : LongAnswer.End.DIED));
+            time.happens(() ->
+                    gave(box.isUp() && process == box.incarnation() ? LongAnswer.End.CLOSED : LongAnswer.End.DIED));
             if (counted) {
                 counted = false;
                 time.happens(() -> box.connectionClosed(process));
--- a/src/main/java/kitemux/lab/NodeProcess.java
+++ b/src/main/java/kitemux/lab/NodeProcess.java
@@ -38,12 +38,12 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerEntry;
+import kitemux.fleet.ClientTry;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.FleetNode;
-import kitemux.fleet.ClientTry;
 
 /**
  * A real node's process on a loopback address, and its clients' connections: each try is a request of its
--- a/src/main/java/kitemux/node/Node.java
+++ b/src/main/java/kitemux/node/Node.java
@@ -48,8 +48,8 @@
 import kitemux.net.ServerResponse;
 import kitemux.net.SocketBudget;
 import kitemux.ops.Operations;
-import kitemux.orders.OrderRecorder;
 import kitemux.orders.OrderJournal;
+import kitemux.orders.OrderRecorder;
 import kitemux.telemetry.RequestTrace;
 import kitemux.telemetry.TraceSettings;
 
--- a/src/main/java/kitemux/plan/CapturedWorkload.java
+++ b/src/main/java/kitemux/plan/CapturedWorkload.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.fleet.Fleet;
-import kitemux.load.ServerSpeedEstimator;
 import kitemux.load.LoadSummary;
+import kitemux.load.ServerSpeedEstimator;
 
 /** Puts what was captured in the place of what a description says of the load. */
 public final class CapturedWorkload {
@@ -29,12 +29,13 @@
      */
     public static Fleet applyLoad(Fleet fleet, LoadSummary summary, List<String> faults) {
         if (summary.firstTries() < LEAST_WANTED || summary.durationS() < 1) {
-            faults.add("--load: holds " + summary.firstTries() + " first tries in " + summary.durationS() + " s; at least "
-                    + LEAST_WANTED + " in 1 s are needed");
+            faults.add("--load: holds " + summary.firstTries() + " first tries in " + summary.durationS()
+                    + " s; at least " + LEAST_WANTED + " in 1 s are needed");
             return fleet;
         }
         for (String name : summary.classes().keySet()) {
-            if (fleet.classes().stream().noneMatch(work -> work.requestClass().name().equals(name))) {
+            if (fleet.classes().stream()
+                    .noneMatch(work -> work.requestClass().name().equals(name))) {
                 faults.add("--load: has class \"" + name + "\", which the description does not have");
             }
         }
@@ -49,9 +50,11 @@
         }
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
         for (Fleet.ClassWorkload work : fleet.classes()) {
-            LoadSummary.ClassSummary of = summary.classes().get(work.requestClass().name());
+            LoadSummary.ClassSummary of =
+                    summary.classes().get(work.requestClass().name());
             double share = of == null ? 0 : (double) of.firstTries() / summary.firstTries();
-            classes.add(new Fleet.ClassWorkload(work.requestClass(), Math.max(NOTHING, share), work.meanWorkUs(), work.distribution(), work.cv()));
+            classes.add(new Fleet.ClassWorkload(
+                    work.requestClass(), Math.max(NOTHING, share), work.meanWorkUs(), work.distribution(), work.cv()));
         }
         return fleet.withClasses(classes).withTenants(tenants(fleet, summary)).with(shape(fleet.load(), summary));
     }
@@ -74,7 +77,11 @@
                     .filter(w -> w.className().equals(described.requestClass().name()))
                     .findFirst()
                     .map(w -> new Fleet.ClassWorkload(
-                            described.requestClass(), described.share(), w.meanUs() * meanSpeed, spread(w.cv()), w.cv()))
+                            described.requestClass(),
+                            described.share(),
+                            w.meanUs() * meanSpeed,
+                            spread(w.cv()),
+                            w.cv()))
                     .orElse(described));
         }
         return fleet.withClasses(classes);
@@ -84,7 +91,9 @@
         if (cv < FIXED) {
             return Fleet.WorkDistribution.FIXED;
         }
-        return Math.abs(cv - 1) < LIKE_EXPONENTIAL ? Fleet.WorkDistribution.EXPONENTIAL : Fleet.WorkDistribution.LOGNORMAL;
+        return Math.abs(cv - 1) < LIKE_EXPONENTIAL
+                ? Fleet.WorkDistribution.EXPONENTIAL
+                : Fleet.WorkDistribution.LOGNORMAL;
     }
 
     private static List<Fleet.TenantShare> tenants(Fleet fleet, LoadSummary summary) {
--- a/src/main/java/kitemux/plan/Planner.java
+++ b/src/main/java/kitemux/plan/Planner.java
@@ -68,7 +68,12 @@
      * @param violationCount rules broken in all runs together
      */
     public record Verdict(
-            boolean meetsGoal, boolean isConclusive, Estimate inTimeRatio, Estimate worstWindowRatio, long violationCount, List<RunResult> runs) {}
+            boolean meetsGoal,
+            boolean isConclusive,
+            Estimate inTimeRatio,
+            Estimate worstWindowRatio,
+            long violationCount,
+            List<RunResult> runs) {}
 
     /** Plays seeds until the interval is on one side of the goal, or narrow, or all are played. */
     public Verdict evaluate(Fleet fleet) {
@@ -81,7 +86,10 @@
                             .boxed()
                             .toList()));
             inTime = Estimate.of(runs.stream().map(RunResult::inTimeRatio).toList());
-        } while (inTime.low() <= goal && inTime.high() >= goal && inTime.halfWidth() > NARROW && runs.size() < MOST_SEEDS);
+        } while (inTime.low() <= goal
+                && inTime.high() >= goal
+                && inTime.halfWidth() > NARROW
+                && runs.size() < MOST_SEEDS);
         return new Verdict(
                 inTime.mean() >= goal,
                 inTime.low() > goal || inTime.high() < goal,
@@ -114,7 +122,8 @@
     public BreakingPoint findBreakingPoint(Fleet fleet) {
         double low = 0;
         double high = 1;
-        while (high <= MOST_LOAD && evaluate(fleet.with(fleet.load().scaledBy(high))).meetsGoal()) {
+        while (high <= MOST_LOAD
+                && evaluate(fleet.with(fleet.load().scaledBy(high))).meetsGoal()) {
             low = high;
             high *= 1.5;
         }
@@ -177,11 +186,18 @@
         without.put(
                 "work of new connections",
                 fleet.with(new Fleet.Links(
-                        links.oneWayUs(), links.jitter(), 0, 0, links.maxConnectionsPerCore(), links.idleTimeoutUs(), links.connectTimeoutUs())));
+                        links.oneWayUs(),
+                        links.jitter(),
+                        0,
+                        0,
+                        links.maxConnectionsPerCore(),
+                        links.idleTimeoutUs(),
+                        links.connectTimeoutUs())));
         Fleet.Nodes nodes = fleet.nodes();
         without.put(
                 "processors of nodes",
-                fleet.with(new Fleet.Nodes(nodes.count(), 0, nodes.cores(), nodes.startupUs(), nodes.failureDetectionUs())));
+                fleet.with(new Fleet.Nodes(
+                        nodes.count(), 0, nodes.cores(), nodes.startupUs(), nodes.failureDetectionUs())));
         Fleet.Clients clients = fleet.clients();
         without.put(
                 "clients that ask again",
@@ -333,7 +349,8 @@
 
     /** Share in time of each second, in the mean over runs. */
     public static List<Double> meanInTimeBySecond(List<RunResult> runs) {
-        int seconds = runs.stream().mapToInt(run -> run.inTimeBySecond().size()).min().orElse(0);
+        int seconds =
+                runs.stream().mapToInt(run -> run.inTimeBySecond().size()).min().orElse(0);
         return IntStream.range(0, seconds)
                 .mapToObj(s -> runs.stream()
                         .mapToDouble(run -> run.inTimeBySecond().get(s))
@@ -390,7 +407,8 @@
                 fifth + " of " + fleet.serverCount() + " servers die for 15 s",
                 atUs,
                 new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.ANY, 0, fifth, atUs, 15_000_000, 0)));
-        Fleet.Fault release = new Fleet.Fault(Fleet.FaultKind.RELEASE, Fleet.FaultScope.ANY, 0, 0, atUs, 1_000_000, fifth);
+        Fleet.Fault release =
+                new Fleet.Fault(Fleet.FaultKind.RELEASE, Fleet.FaultScope.ANY, 0, 0, atUs, 1_000_000, fifth);
         losses.add(failureImpact(fleet, "a release, " + fifth + " servers at a time", atUs, release));
         if (fleet.racks() > 1) {
             losses.add(failureImpact(
@@ -398,7 +416,8 @@
                     "a rack dies for 15 s in the middle of such a release",
                     atUs,
                     release,
-                    new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.RACK, 0, 0, atUs + 4_000_000, 15_000_000, 0)));
+                    new Fleet.Fault(
+                            Fleet.FaultKind.DIE, Fleet.FaultScope.RACK, 0, 0, atUs + 4_000_000, 15_000_000, 0)));
         }
         losses.add(failureImpact(
                 fleet,
@@ -419,8 +438,9 @@
         Fleet.TenantShare least = fleet.tenants().stream()
                 .min(Comparator.comparingDouble(Fleet.TenantShare::share))
                 .orElseThrow();
-        double all =
-                fleet.tenants().stream().mapToDouble(t -> t.share() * t.usageRatio()).sum();
+        double all = fleet.tenants().stream()
+                .mapToDouble(t -> t.share() * t.usageRatio())
+                .sum();
         double more = (GREEDY - 1) * least.share() * least.usageRatio() / all;
         Fleet asking = fleet.withTenants(fleet.tenants().stream()
                 .map(t -> t.equals(least) ? new Fleet.TenantShare(t.name(), t.share(), t.usageRatio() * GREEDY) : t)
--- a/src/main/java/kitemux/plan/QueueingFormulas.java
+++ b/src/main/java/kitemux/plan/QueueingFormulas.java
@@ -58,7 +58,8 @@
      * @param wasted share of the work that clients gave up which is done all the same, in [0, 1)
      */
     public static RetryStorm retryStorm(double offered, int repeats, double wasted) {
-        return new RetryStorm(fixedPoint(offered, repeats, wasted, 1), fixedPoint(offered, repeats, wasted, 1 + repeats));
+        return new RetryStorm(
+                fixedPoint(offered, repeats, wasted, 1), fixedPoint(offered, repeats, wasted, 1 + repeats));
     }
 
     /**
--- a/src/main/java/kitemux/rollout/RolloutText.java
+++ b/src/main/java/kitemux/rollout/RolloutText.java
@@ -464,7 +464,8 @@
             if (!PATH.matcher(path).matches() || path.length() > ProtocolParameters.MAX_PATH_LENGTH_CHARS) {
                 faults.add(new ValidationError(
                         path,
-                        "is no path: a section, a slash and a name, at most " + ProtocolParameters.MAX_PATH_LENGTH_CHARS + " characters"));
+                        "is no path: a section, a slash and a name, at most " + ProtocolParameters.MAX_PATH_LENGTH_CHARS
+                                + " characters"));
             }
         }
 
@@ -538,7 +539,8 @@
             return new ParseResult<>(
                     null,
                     List.of(new ValidationError(
-                            "change", "has " + text.length + " bytes; " + ProtocolParameters.MAX_CHANGE_BYTES + " are allowed")));
+                            "change",
+                            "has " + text.length + " bytes; " + ProtocolParameters.MAX_CHANGE_BYTES + " are allowed")));
         }
         return read(text, (json, faults) -> change(json, "", faults));
     }
@@ -559,7 +561,8 @@
             if (!json.path("part").isMissing()) {
                 Source from = new Source(json, "", faults, "rev", "part", "of", "set");
                 int of = (int) from.whole("of", 1, ProtocolParameters.MAX_PATH_COUNT);
-                return new WatchEvent.SnapshotPart(from.rev("rev", 1), (int) from.whole("part", 1, of), of, from.values("set"));
+                return new WatchEvent.SnapshotPart(
+                        from.rev("rev", 1), (int) from.whole("part", 1, of), of, from.values("set"));
             }
             Source from = new Source(json, "", faults, "rev", "set", "drop");
             SortedSet<String> drop = from.texts("drop");
@@ -576,7 +579,8 @@
             refused.add(new Report.Rejection(one.rev("rev", 1), one.text("path"), one.text("reason")));
         }
         SortedSet<String> waits = from.texts("waits_restart");
-        if (refused.size() > ProtocolParameters.MAX_REPORTED_COUNT || waits.size() > ProtocolParameters.MAX_REPORTED_COUNT) {
+        if (refused.size() > ProtocolParameters.MAX_REPORTED_COUNT
+                || waits.size() > ProtocolParameters.MAX_REPORTED_COUNT) {
             from.fault("refused", "or waits_restart has more than " + ProtocolParameters.MAX_REPORTED_COUNT);
         }
         return new Report(
@@ -709,6 +713,8 @@
         } catch (IOException e) {
             return null;
         }
-        return voters.size() % 2 == 1 && voters.size() <= ProtocolParameters.MAX_VOTER_COUNT ? List.copyOf(voters) : null;
+        return voters.size() % 2 == 1 && voters.size() <= ProtocolParameters.MAX_VOTER_COUNT
+                ? List.copyOf(voters)
+                : null;
     }
 }
--- a/src/main/java/kitemux/rollout/Watch.java
+++ b/src/main/java/kitemux/rollout/Watch.java
@@ -45,7 +45,14 @@
     }
 
     /** Sends what may go now; when something may go again, in microseconds. */
-    long send(long nowUs, long id, ProtocolParameters terms, History history, Wholes wholes, boolean isAlone, List<Effect> out) {
+    long send(
+            long nowUs,
+            long id,
+            ProtocolParameters terms,
+            History history,
+            Wholes wholes,
+            boolean isAlone,
+            List<Effect> out) {
         while (true) {
             WatchEvent line = next(history, wholes);
             int bytes = line == null ? 0 : bytes(line);
--- a/src/test/java/kitemux/LateNodeTest.java
+++ b/src/test/java/kitemux/LateNodeTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Request;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/kitemux/ManyNodesTest.java
+++ b/src/test/java/kitemux/ManyNodesTest.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/kitemux/MechanismTest.java
+++ b/src/test/java/kitemux/MechanismTest.java
@@ -213,7 +213,16 @@
     void answersFarSlowerThanTheirClassCanBeLowerALimitHoweverFarTheAim() {
         Settings set = Node.settings();
         set.classes.add(new Balancer.RequestClass(
-                "patient", 20_000_000, 0, 30_000_000, 1, 0, Balancer.RetrySafety.SAFE, Balancer.DedupScope.ALL, 0, false));
+                "patient",
+                20_000_000,
+                0,
+                30_000_000,
+                1,
+                0,
+                Balancer.RetrySafety.SAFE,
+                Balancer.DedupScope.ALL,
+                0,
+                false));
         Node node = new Node(set, 3).with(1);
         for (int i = 0; i < 80; i++) {
             node.serve(5, Result.OK, i < 40 ? 10_000 : 200_000);
--- a/src/test/java/kitemux/fleet/BoxTest.java
+++ b/src/test/java/kitemux/fleet/BoxTest.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleSupplier;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.plan.Estimate;
 import kitemux.plan.QueueingFormulas;
 import kitemux.sim.Scheduler;
@@ -103,15 +103,19 @@
 
     private void send(Box box, int count, double workUs) {
         for (int i = 0; i < count; i++) {
-            box.submit(new Box.Job(new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), i), workUs, 0, new Box.ReplyHandler() {
-                @Override
-                public void completed(Result result) {}
-
-                @Override
-                public boolean isAwaited() {
-                    return false;
-                }
-            }));
+            box.submit(new Box.Job(
+                    new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), i),
+                    workUs,
+                    0,
+                    new Box.ReplyHandler() {
+                        @Override
+                        public void completed(Result result) {}
+
+                        @Override
+                        public boolean isAwaited() {
+                            return false;
+                        }
+                    }));
         }
     }
 
@@ -141,20 +145,24 @@
         box.start();
         for (int i = 0; i < 203; i++) {
             boolean told = i % 2 == 0;
-            box.submit(new Box.Job(new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), i), 10_000, 0, new Box.ReplyHandler() {
-                @Override
-                public void completed(Result result) {}
-
-                @Override
-                public boolean isAwaited() {
-                    return false;
-                }
-
-                @Override
-                public boolean isSenderAwareOfStart() {
-                    return told;
-                }
-            }));
+            box.submit(new Box.Job(
+                    new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), i),
+                    10_000,
+                    0,
+                    new Box.ReplyHandler() {
+                        @Override
+                        public void completed(Result result) {}
+
+                        @Override
+                        public boolean isAwaited() {
+                            return false;
+                        }
+
+                        @Override
+                        public boolean isSenderAwareOfStart() {
+                            return told;
+                        }
+                    }));
         }
         assertTrue(box.hasCollapsed());
         assertEquals(0, rules.violationCount(), rules.violations().toString());
@@ -187,7 +195,8 @@
 
     @Test
     void whatMayRunOnceAndRunsTwiceIsTold() {
-        RuleChecker.TrackedTry unsafe = new RuleChecker.TrackedTry(FleetFixtures.requestClass("order", 1, 2, 1, RetrySafety.UNSAFE), 7);
+        RuleChecker.TrackedTry unsafe =
+                new RuleChecker.TrackedTry(FleetFixtures.requestClass("order", 1, 2, 1, RetrySafety.UNSAFE), 7);
         Box box = box(1, 10, null);
         rules.executionStarted(unsafe, box, 0);
         assertEquals(0, rules.violationCount());
@@ -199,7 +208,8 @@
         assertEquals(3, rules.violationCount(), "a second answer");
         rules.unanswered(new RuleChecker.TrackedTry(FleetFixtures.requestClass("page", 1, 2, 1, RetrySafety.SAFE), 8));
         assertEquals(4, rules.violationCount());
-        RuleChecker.TrackedTry refused = new RuleChecker.TrackedTry(FleetFixtures.requestClass("order", 1, 2, 1, RetrySafety.UNSAFE), 9);
+        RuleChecker.TrackedTry refused =
+                new RuleChecker.TrackedTry(FleetFixtures.requestClass("order", 1, 2, 1, RetrySafety.UNSAFE), 9);
         rules.answered(refused, true);
         assertEquals(4, rules.violationCount());
         rules.executionStarted(refused, box, 0);
@@ -212,8 +222,17 @@
     @Test
     void aKeyedRequestRunsAgainOnlyInItsRackAndWhileThatRemembersIt() {
         Box here = box(1, 10, null);
-        Box elsewhere = new Box("e", 0, 1, fleet(here.serverKind, null), 1, time, rules, new RandomStream(1, RandomStream.Purpose.BOXES));
-        RuleChecker.TrackedTry keyed = new RuleChecker.TrackedTry(FleetFixtures.requestClass("photo", 1, 2, 1, RetrySafety.KEYED), 7);
+        Box elsewhere = new Box(
+                "e",
+                0,
+                1,
+                fleet(here.serverKind, null),
+                1,
+                time,
+                rules,
+                new RandomStream(1, RandomStream.Purpose.BOXES));
+        RuleChecker.TrackedTry keyed =
+                new RuleChecker.TrackedTry(FleetFixtures.requestClass("photo", 1, 2, 1, RetrySafety.KEYED), 7);
         rules.executionStarted(keyed, here, 1_000);
         rules.executionStarted(keyed, here, 1_000 + keyed.requestClass.dedupWindowUs());
         assertEquals(0, rules.violationCount());
--- a/src/test/java/kitemux/fleet/EmulationTest.java
+++ b/src/test/java/kitemux/fleet/EmulationTest.java
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.LongStream;
-import kitemux.fleet.Fleet.FaultScope;
 import kitemux.fleet.Fleet.Fault;
 import kitemux.fleet.Fleet.FaultKind;
+import kitemux.fleet.Fleet.FaultScope;
 import org.junit.jupiter.api.Test;
 
 class EmulationTest {
@@ -20,7 +20,8 @@
 
     @Test
     void theSameSeedGivesTheSameResultOnOneProcessorAndOnMany() {
-        Fleet fleet = FleetFixtures.yearbook(3, 3, 2, 0.7, 15).withFaults(List.of(fault(FaultKind.DIE, FaultScope.RACK, 0, 3, 0)));
+        Fleet fleet = FleetFixtures.yearbook(3, 3, 2, 0.7, 15)
+                .withFaults(List.of(fault(FaultKind.DIE, FaultScope.RACK, 0, 3, 0)));
         List<String> one = LongStream.range(0, 16)
                 .mapToObj(seed -> Emulation.run(fleet, seed).toString())
                 .toList();
@@ -48,7 +49,8 @@
         for (FaultKind trouble : FaultKind.values()) {
             double size = trouble == FaultKind.FAIL ? 0.8 : trouble == FaultKind.SLOW ? 3 : 1;
             Fleet fleet = FleetFixtures.zoned(FleetFixtures.yearbook(3, 3, 2, 0.8, 20), 2)
-                    .withFaults(List.of(fault(trouble, trouble == FaultKind.CUT ? FaultScope.ZONE : FaultScope.ANY, 2, 4, size)));
+                    .withFaults(List.of(
+                            fault(trouble, trouble == FaultKind.CUT ? FaultScope.ZONE : FaultScope.ANY, 2, 4, size)));
             for (long seed = 1; seed <= 5; seed++) {
                 RunResult result = Emulation.run(fleet, seed);
                 for (RunResult.ClassOutcome of : result.classes()) {
@@ -69,8 +71,8 @@
         RunResult many = Emulation.run(FleetFixtures.yearbook(30, 30, 14, 0.6, 20), 1);
         assertTrue(
                 many.inTimeRatio() > few.inTimeRatio() - 0.02 && many.worstClassRatio() > few.worstClassRatio() - 0.05,
-                "in time, and of the worst class: " + many.inTimeRatio() + ", " + many.worstClassRatio() + "; two for ten: "
-                        + few.inTimeRatio() + ", " + few.worstClassRatio());
+                "in time, and of the worst class: " + many.inTimeRatio() + ", " + many.worstClassRatio()
+                        + "; two for ten: " + few.inTimeRatio() + ", " + few.worstClassRatio());
     }
 
     /**
@@ -97,8 +99,10 @@
         for (long seed = 1; seed <= 2; seed++) {
             RunResult result = Emulation.run(fleet, seed);
             assertEquals(List.of(), result.violations());
-            refused +=
-                    result.classes().stream().mapToLong(RunResult.ClassOutcome::refused).sum() / (2.0 * result.requests());
+            refused += result.classes().stream()
+                            .mapToLong(RunResult.ClassOutcome::refused)
+                            .sum()
+                    / (2.0 * result.requests());
             worst += result.worstClassRatio() / 2;
         }
         assertTrue(refused < 0.013 && worst > 0.88, "refused " + refused + ", worst class " + worst);
@@ -131,7 +135,9 @@
                             new Fault(FaultKind.NODES_RESTART, FaultScope.ZONE, 1, 0, 8_000_000, 5_000_000, 2))),
                     2);
             assertEquals(List.of(), result.violations(), trouble.toString());
-            assertTrue(result.inTimeRatio() < whole.inTimeRatio() - 0.01, trouble + " does not show: " + result.inTimeRatio());
+            assertTrue(
+                    result.inTimeRatio() < whole.inTimeRatio() - 0.01,
+                    trouble + " does not show: " + result.inTimeRatio());
             int back = result.recoveryTimeS(8, 0.93);
             assertTrue(back >= 0 && back <= 25, trouble + ": back after " + back + " s");
         }
@@ -147,7 +153,10 @@
         cuts.whenConnected(0, 2, () -> heard.add("others"));
         cuts.whenConnected(1, 1, () -> heard.add("within"));
         cuts.whenConnected(2, 1, () -> heard.add("second"));
-        assertTrue(cuts.isPartitioned(1, 2) && cuts.isPartitioned(0, 1) && !cuts.isPartitioned(0, 2) && !cuts.isPartitioned(1, 1));
+        assertTrue(cuts.isPartitioned(1, 2)
+                && cuts.isPartitioned(0, 1)
+                && !cuts.isPartitioned(0, 2)
+                && !cuts.isPartitioned(1, 1));
         cuts.heal(1);
         assertEquals(List.of("others", "within"), heard, "two cuts, one of which lasts");
         cuts.heal(1);
@@ -161,8 +170,10 @@
         assertTrue(calm.inTimeRatio() > 0.97, "calm: " + calm.inTimeRatio());
         assertTrue(over.inTimeRatio() < 0.95, "over: " + over.inTimeRatio());
         assertTrue(over.triesPerRequest() > calm.triesPerRequest(), "clients ask again");
-        double busy =
-                over.kinds().stream().mapToDouble(RunResult.KindUsage::utilisation).min().orElse(0);
+        double busy = over.kinds().stream()
+                .mapToDouble(RunResult.KindUsage::utilisation)
+                .min()
+                .orElse(0);
         assertTrue(busy > 0.9, "servers are used: " + busy);
     }
 
@@ -171,7 +182,9 @@
         Fleet fleet = FleetFixtures.yearbook(5, 5, 2, 0.75, 60);
         RunResult whole = Emulation.run(fleet, 3);
         RunResult lost = Emulation.run(fleet.withFaults(List.of(fault(FaultKind.DIE, FaultScope.RACK, 0, 10, 0))), 3);
-        assertTrue(lost.worstWindowRatio() < whole.worstWindowRatio() - 0.1, lost.worstWindowRatio() + " " + whole.worstWindowRatio());
+        assertTrue(
+                lost.worstWindowRatio() < whole.worstWindowRatio() - 0.1,
+                lost.worstWindowRatio() + " " + whole.worstWindowRatio());
         int back = lost.recoveryTimeS(8, 0.95);
         assertTrue(back >= 8 && back <= 45, "back after " + back + " s");
         assertEquals(0, whole.recoveryTimeS(8, 0.9));
@@ -179,8 +192,8 @@
 
     @Test
     void clientsThatFindTheirNodeDeadAskAgainAndOrdersAreNotDoubled() {
-        Fleet fleet =
-                FleetFixtures.yearbook(4, 4, 2, 0.5, 20).withFaults(List.of(fault(FaultKind.NODES_RESTART, FaultScope.ANY, 0, 1, 1)));
+        Fleet fleet = FleetFixtures.yearbook(4, 4, 2, 0.5, 20)
+                .withFaults(List.of(fault(FaultKind.NODES_RESTART, FaultScope.ANY, 0, 1, 1)));
         RunResult result = Emulation.run(fleet, 9);
         assertTrue(result.triesPerRequest() > 1.001, "tries: " + result.triesPerRequest());
         assertTrue(result.worstWindowRatio() < 0.99);
--- a/src/test/java/kitemux/fleet/FleetFixtures.java
+++ b/src/test/java/kitemux/fleet/FleetFixtures.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 
 /** Fleets that tests begin with. */
 public final class FleetFixtures {
@@ -37,10 +37,24 @@
                 new Fleet.ServerKind("std", std, 1, 0.97, 0.15, 500, 0.2, 18_000_000, false, 1),
                 new Fleet.ServerKind("old", old, 1, 0.75, 0.1, 400, 0.2, 18_000_000, false, 1));
         List<Fleet.ClassWorkload> classes = List.of(
-                new Fleet.ClassWorkload(requestClass("view-page", 100, 500, 1, RetrySafety.SAFE), 0.51, 19_000, Fleet.WorkDistribution.EXPONENTIAL, 1),
-                new Fleet.ClassWorkload(requestClass("add-photo", 200, 600, 5, RetrySafety.KEYED), 0.30, 22_000, Fleet.WorkDistribution.LOGNORMAL, 0.5),
                 new Fleet.ClassWorkload(
-                        requestClass("place-order", 300, 1_000, 5, RetrySafety.UNSAFE), 0.19, 33_000, Fleet.WorkDistribution.LOGNORMAL, 0.6));
+                        requestClass("view-page", 100, 500, 1, RetrySafety.SAFE),
+                        0.51,
+                        19_000,
+                        Fleet.WorkDistribution.EXPONENTIAL,
+                        1),
+                new Fleet.ClassWorkload(
+                        requestClass("add-photo", 200, 600, 5, RetrySafety.KEYED),
+                        0.30,
+                        22_000,
+                        Fleet.WorkDistribution.LOGNORMAL,
+                        0.5),
+                new Fleet.ClassWorkload(
+                        requestClass("place-order", 300, 1_000, 5, RetrySafety.UNSAFE),
+                        0.19,
+                        33_000,
+                        Fleet.WorkDistribution.LOGNORMAL,
+                        0.6));
         double capacity = std * 0.97 + old * 0.75;
         double meanUs = 0.51 * 19_000 + 0.3 * 22_000 + 0.19 * 33_000;
         double rate = load * capacity * 1e6 / meanUs;
--- a/src/test/java/kitemux/lab/DeedsTest.java
+++ b/src/test/java/kitemux/lab/DeedsTest.java
@@ -80,6 +80,7 @@
                         .filter(state -> !state.equals("up") && !state.equals("cold"))
                         .toList());
         assertEquals(List.of(), result.violations());
-        assertTrue(result.requests() > 0 && result.requests() < 30 * longer.load().ratePerS(), "it ended long before");
+        assertTrue(
+                result.requests() > 0 && result.requests() < 30 * longer.load().ratePerS(), "it ended long before");
     }
 }
--- a/src/test/java/kitemux/node/LiveSettingsTest.java
+++ b/src/test/java/kitemux/node/LiveSettingsTest.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
 import org.junit.jupiter.api.Test;
@@ -50,7 +50,9 @@
                 FAST));
         assertEquals(List.of(new Tenant("a", 1), new Tenant("b", 9.5)), settings.tenants);
         assertEquals(
-                List.of(new RequestClass("page", 50, 0, 300, 2, 0.25, RetrySafety.SAFE, DedupScope.ALL, 0, false), ORDER),
+                List.of(
+                        new RequestClass("page", 50, 0, 300, 2, 0.25, RetrySafety.SAFE, DedupScope.ALL, 0, false),
+                        ORDER),
                 settings.classes);
         assertSame(ORDER, settings.classes.get(1));
         assertEquals(0.75, settings.overShareWorth);
@@ -81,7 +83,8 @@
                                 "[]")));
         assertEquals(
                 Set.of("realms/new", "classes/new", "limits/attemptsCap"),
-                live.pathsNeedingRestart(Map.of(), Map.of("realms/new", "{}", "classes/new", FAST, "limits/attemptsCap", "9")));
+                live.pathsNeedingRestart(
+                        Map.of(), Map.of("realms/new", "{}", "classes/new", FAST, "limits/attemptsCap", "9")));
         String order = "{\"repeat\":\"unsafe\",\"group\":\"cell\",\"windowUs\":7,\"stream\":true}";
         assertEquals(Set.of(), live.pathsNeedingRestart(Map.of(), Map.of("classes/order", order)));
         for (String other : List.of(
@@ -91,7 +94,8 @@
                 order.replace("true", "false"),
                 order.replace("\"repeat\"", "\"aimStretch\":1,\"repeat\""),
                 order.replace("\"group\":\"cell\",", ""))) {
-            assertEquals(Set.of("classes/order"), live.pathsNeedingRestart(Map.of(), Map.of("classes/order", other)), other);
+            assertEquals(
+                    Set.of("classes/order"), live.pathsNeedingRestart(Map.of(), Map.of("classes/order", other)), other);
         }
     }
 
--- a/src/test/java/kitemux/node/WrittenConfigTest.java
+++ b/src/test/java/kitemux/node/WrittenConfigTest.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerState;
 import kitemux.app.App;
 import kitemux.app.AppFile;
@@ -80,9 +80,14 @@
         for (RequestClass of : read.settings().classes) {
             classes.put(of.name(), of.retrySafety());
             if (of.retrySafety() == RetrySafety.KEYED) {
-                assertTrue(of.dedupWindowUs() > 0 && of.dedupWindowUs() <= app.keys().keptUs(), text);
+                assertTrue(
+                        of.dedupWindowUs() > 0
+                                && of.dedupWindowUs() <= app.keys().keptUs(),
+                        text);
             }
-            assertTrue(of.targetLatencyUs() <= of.deadlineUs() && read.settings().connectTimeoutUs < of.deadlineUs(), text);
+            assertTrue(
+                    of.targetLatencyUs() <= of.deadlineUs() && read.settings().connectTimeoutUs < of.deadlineUs(),
+                    text);
         }
         app.neverTwice().forEach(name -> assertEquals(RetrySafety.UNSAFE, classes.get(name), text));
         app.classes().forEach(work -> assertEquals(work.again(), classes.get(work.name()), text));
--- a/src/test/java/kitemux/plan/CapturedWorkloadTest.java
+++ b/src/test/java/kitemux/plan/CapturedWorkloadTest.java
@@ -13,8 +13,8 @@
 import kitemux.fleet.Fleet;
 import kitemux.load.CaptureFile;
 import kitemux.load.CapturedRequest;
-import kitemux.load.ServerSpeedEstimator;
 import kitemux.load.LoadSummary;
+import kitemux.load.ServerSpeedEstimator;
 import org.junit.jupiter.api.Test;
 
 class CapturedWorkloadTest {
@@ -45,7 +45,8 @@
                         List.of(),
                         Observer.RequestOutcome.REFUSED,
                         10));
-                seen.add(new CapturedRequest(at + 500, of, 1, true, 400_000, List.of(), Observer.RequestOutcome.SERVED, 10));
+                seen.add(new CapturedRequest(
+                        at + 500, of, 1, true, 400_000, List.of(), Observer.RequestOutcome.SERVED, 10));
             }
         }
         LoadSummary summary = new LoadSummary(1_000_000, Map.of());
--- a/src/test/java/kitemux/plan/PlannerTest.java
+++ b/src/test/java/kitemux/plan/PlannerTest.java
@@ -66,7 +66,9 @@
         Planner.BreakingPoint found = new Planner(by(PlannerTest::bound), GOAL).findBreakingPoint(fleet);
         // 0.85 of all is where 0.95 is left: 1.7 times 0.5.
         assertTrue(found.highestPassingLoad() <= 1.7 && found.lowestFailingLoad() >= 1.7, found.toString());
-        assertTrue(found.lowestFailingLoad() - found.highestPassingLoad() <= 0.02 * found.lowestFailingLoad(), found.toString());
+        assertTrue(
+                found.lowestFailingLoad() - found.highestPassingLoad() <= 0.02 * found.lowestFailingLoad(),
+                found.toString());
     }
 
     @Test
@@ -102,7 +104,8 @@
     @Test
     void aGoalThatNoNumberOfServersMeetsIsSaidWithItsReason() {
         Planner.FleetRunner choked = by(of -> of.overloadSlowdown() == null ? 1 : 0.9);
-        Planner.MinimumServers found = new Planner(choked, GOAL).findMinimumServers(fleet).get(0);
+        Planner.MinimumServers found =
+                new Planner(choked, GOAL).findMinimumServers(fleet).get(0);
         assertEquals(-1, found.count());
         assertEquals("held back by servers that turn slow when crowded", found.reason());
     }
@@ -155,8 +158,8 @@
         Planner planner = new Planner(player, GOAL);
         // A tenant that asks too much is no fault: what it costs here is nothing.
         planner.failureImpacts(fleet)
-                .forEach(loss ->
-                        assertEquals(loss.description().contains("asks") ? 0 : 12, loss.recoveryTimeS(), 1e-9, loss.description()));
+                .forEach(loss -> assertEquals(
+                        loss.description().contains("asks") ? 0 : 12, loss.recoveryTimeS(), 1e-9, loss.description()));
         assertEquals(0, planner.overloadPulseImpact(fleet).recoveryTimeS(), 1e-9);
     }
 
@@ -164,8 +167,9 @@
     void zonesAndTenantsAreAskedAfterWhereThereAreAny() {
         Planner planner = new Planner(by(of -> 1), GOAL);
         Fleet zones = FleetFixtures.zoned(fleet, 2);
-        List<String> losses =
-                planner.failureImpacts(zones).stream().map(Planner.FailureImpact::description).toList();
+        List<String> losses = planner.failureImpacts(zones).stream()
+                .map(Planner.FailureImpact::description)
+                .toList();
         assertEquals(planner.failureImpacts(fleet).size() + 2, losses.size(), losses.toString());
         assertTrue(losses.contains("a zone is cut off for 15 s"), losses.toString());
         List<String> alone = planner.failureImpacts(fleet.withoutTenants()).stream()
@@ -206,7 +210,8 @@
         assertEquals(QueueingFormulas.mmcResponseTime(1, 0.7), QueueingFormulas.mg1ResponseTime(0.7, 1), 1e-9);
         assertEquals(Double.POSITIVE_INFINITY, QueueingFormulas.mmcResponseTime(2, 2));
         assertFalse(QueueingFormulas.retryStorm(0.3, 2, 0.5).isSelfSustaining());
-        assertTrue(QueueingFormulas.retryStorm(0.9, 2, 0.5).isSelfSustaining(), "three times 0.9 is more than all can do");
+        assertTrue(
+                QueueingFormulas.retryStorm(0.9, 2, 0.5).isSelfSustaining(), "three times 0.9 is more than all can do");
         assertFalse(QueueingFormulas.retryStorm(0.9, 2, 0).isSelfSustaining(), "nothing is done for nobody");
         assertEquals(1, QueueingFormulas.retryStorm(0.9, 2, 0.5).calmTriesRatio(), 1e-6);
     }
--- a/src/test/java/kitemux/rollout/Fleet.java
+++ b/src/test/java/kitemux/rollout/Fleet.java
@@ -304,7 +304,8 @@
         void start() {
             begins();
             List<LogRecord> read = disk.stream()
-                    .map(kept -> RolloutText.readLogRecord(RolloutText.write(kept)).value())
+                    .map(kept ->
+                            RolloutText.readLogRecord(RolloutText.write(kept)).value())
                     .toList();
             machine = new KeeperStateMachine(
                     terms,
@@ -538,7 +539,9 @@
                 see(new Judge.Sent(nowUs(), line.nodeProcess, bytes.length + ProtocolParameters.EVENT_FRAMING_BYTES));
             }
             long rev = machine.history().rev();
-            arrives(line, () -> line.node.line(line, RolloutText.readWatchEvent(bytes).value(), rev));
+            arrives(
+                    line,
+                    () -> line.node.line(line, RolloutText.readWatchEvent(bytes).value(), rev));
         }
 
         private void nodeLeft(Connection line) {
@@ -661,7 +664,8 @@
             long more = 750_000L * Math.max(0, bad - 2);
             if (subscriber != null && subscriber.rev() < firstRev) {
                 long bytes = 0;
-                for (WatchEvent.SnapshotPart part : RolloutText.splitSnapshot(firstRev, firstValues, terms.snapshotPartBytes())) {
+                for (WatchEvent.SnapshotPart part :
+                        RolloutText.splitSnapshot(firstRev, firstValues, terms.snapshotPartBytes())) {
                     bytes += RolloutText.write(part).length + 2L * ProtocolParameters.EVENT_FRAMING_BYTES;
                 }
                 more += RETRY_WHOLE_US + bytes * 1_000_000 / 6_000;
@@ -679,7 +683,8 @@
                             k -> k.machine.history().rev()))
                     .orElse(null);
             if (newest != null) {
-                for (Version version : newest.machine.history().versionsAfter(from, ProtocolParameters.MAX_HISTORY_VERSION_COUNT)) {
+                for (Version version :
+                        newest.machine.history().versionsAfter(from, ProtocolParameters.MAX_HISTORY_VERSION_COUNT)) {
                     bytes += RolloutText.write(version.change()).length + ProtocolParameters.EVENT_FRAMING_BYTES;
                 }
             }
@@ -828,6 +833,7 @@
                 Inventory.nodesByStatus(terms, Inventory.merge(rows), nodes.size(), rev);
         status.forEach((standing, some) -> some.forEach(node -> count("status " + standing)));
         status.get(Inventory.NodeStatus.IN_FORCE).forEach(node -> see(new Judge.Counted(nowUs(), node, rev, asked)));
-        status.get(Inventory.NodeStatus.WAITS_RESTART).forEach(node -> see(new Judge.Counted(nowUs(), node, rev, asked)));
+        status.get(Inventory.NodeStatus.WAITS_RESTART)
+                .forEach(node -> see(new Judge.Counted(nowUs(), node, rev, asked)));
     }
 }
--- a/src/test/java/kitemux/rollout/Mutant.java
+++ b/src/test/java/kitemux/rollout/Mutant.java
@@ -191,7 +191,8 @@
         return new Ballot(ballot.round() % RAISED, ballot.keeper());
     }
 
-    private static ProtocolParameters with(ProtocolParameters t, int patience, long paceBytes, long paceFirst, int partBytes) {
+    private static ProtocolParameters with(
+            ProtocolParameters t, int patience, long paceBytes, long paceFirst, int partBytes) {
         return new ProtocolParameters(
                 t.heartbeatIntervalUs(),
                 patience * t.minWatchTimeoutUs(),
