--- a/src/main/java/kitemux/lab/BoxServer.java
+++ b/src/main/java/kitemux/lab/BoxServer.java
@@ -34,47 +34,47 @@
 import kitemux.fleet.ClientTry;
 
 /**
- * A server of HTTP/1.1 on a loopback address that takes as long as a described one would: its queue, cores,
- * warmth and crowding are those of a {@link Box}, its connections are real. While it is dead its address
- * refuses; a silent one takes connections and says nothing.
+ * An HTTP/1.1 server on a loopback address that behaves as described for a fleet: its queue, cores, warm-up and
+ * overload are those of a {@link Box}, its connections are real. The address refuses connections while the box is
+ * dead; a silent box accepts connections and does not answer.
  */
 final class BoxServer {
-    private static final int MOST_BODY = 1 << 16;
-    /** What is on its way may come this much after a drain has run out. */
-    private static final long DRAIN_SLACK_US = 50_000;
+    private static final int MAX_BODY_BYTES = 1 << 16;
+    /** Requests that are in flight may still arrive this long after the end of a drain. */
+    private static final long DRAIN_TOLERANCE_US = 50_000;
 
     private static final byte[] BODY = "served".getBytes(StandardCharsets.US_ASCII);
 
     private final Box box;
     private final InetSocketAddress address;
     private final RealTimeScheduler time;
-    private final Map<String, ClientTry> asked;
-    private final double handshakeUs;
-    private final RunInterceptor between;
+    private final Map<String, ClientTry> triesById;
+    private final double handshakeWorkUs;
+    private final RunInterceptor interceptor;
     private final ServerBootstrap listener;
-    private final Set<Channel> open = new LinkedHashSet<>();
-    private ChannelFuture listening;
+    private final Set<Channel> openChannels = new LinkedHashSet<>();
+    private ChannelFuture bindFuture;
 
     /**
-     * Listens from now on.
+     * Starts to listen if the box is up.
      *
-     * @param asked the tries that clients have sent, by their ids
-     * @param handshakeUs work that a new connection costs, on a core of speed 1
+     * @param triesById the tries that clients have sent, by id
+     * @param handshakeWorkUs the work that a new connection costs, in microseconds on a core of speed 1
      */
     BoxServer(
             Box box,
             InetSocketAddress address,
             EventLoop loop,
             RealTimeScheduler time,
-            Map<String, ClientTry> asked,
-            double handshakeUs,
-            RunInterceptor between) {
+            Map<String, ClientTry> triesById,
+            double handshakeWorkUs,
+            RunInterceptor interceptor) {
         this.box = box;
-        this.between = between;
+        this.interceptor = interceptor;
         this.address = address;
         this.time = time;
-        this.asked = asked;
-        this.handshakeUs = handshakeUs;
+        this.triesById = triesById;
+        this.handshakeWorkUs = handshakeWorkUs;
         listener = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -85,46 +85,50 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Connection());
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                        new Connection());
                     }
                 });
-        box.onChange(this::follow);
-        follow();
+        box.onChange(this::boxChanged);
+        boxChanged();
     }
 
-    /** Done once it listens, or cannot. */
-    ChannelFuture opening() {
-        return listening;
+    /** Returns a future that completes once the server listens or has failed to. */
+    ChannelFuture bindFuture() {
+        return bindFuture;
     }
 
-    /** Its process has ended or begun. */
-    private void follow() {
-        between.boxStateChanged(box.id(), box.isUp(), box.isSilent());
+    /** Follows a start or an end of the box's process. */
+    private void boxChanged() {
+        interceptor.boxStateChanged(box.id(), box.isUp(), box.isSilent());
         if (box.isSilent()) {
             return;
         }
-        if (!box.isUp() && listening != null) {
-            listening.channel().close();
-            listening = null;
-            new ArrayList<>(open).forEach(BoxServer::reset);
-        } else if (box.isUp() && listening == null) {
-            listening = listener.bind(address);
+        if (!box.isUp() && bindFuture != null) {
+            bindFuture.channel().close();
+            bindFuture = null;
+            new ArrayList<>(openChannels).forEach(BoxServer::reset);
+        } else if (box.isUp() && bindFuture == null) {
+            bindFuture = listener.bind(address);
         } else if (box.isUp()) {
-            // It was silent: whoever still holds a connection to the old process hears that it is gone.
-            new ArrayList<>(open).forEach(BoxServer::reset);
+            // The box was silent: connections to its previous process are reset.
+            new ArrayList<>(openChannels).forEach(BoxServer::reset);
         }
     }
 
     void close() {
-        if (listening != null) {
-            listening.channel().close();
+        if (bindFuture != null) {
+            bindFuture.channel().close();
         }
-        new ArrayList<>(open).forEach(BoxServer::reset);
+        new ArrayList<>(openChannels).forEach(BoxServer::reset);
     }
 
     private static void reset(Channel channel) {
         if (!channel.isOpen()) {
-            // The node has ended it, and the loop has not told yet: options of a closed socket cannot be set.
+            // The node has closed the connection and the loop has not reported it yet; setting an option of a closed
+            // socket fails.
             return;
         }
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -132,49 +136,50 @@
     }
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private int process;
-        /** Whose long answer it gives, or null. */
-        private ClientTry givenTo;
+        private int boxIncarnation;
+        /** The try whose long answer is being sent, or null. */
+        private ClientTry longAnswerTry;
 
-        private boolean counted;
-        private boolean fresh = true;
+        private boolean isCounted;
+        private boolean isNew = true;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            time.happens(() -> {
-                between.boxConnected(
+            time.runExternalEvent(() -> {
+                interceptor.boxConnected(
                         box.id(), (InetSocketAddress) context.channel().remoteAddress());
-                open.add(context.channel());
+                openChannels.add(context.channel());
                 if (box.isUp() && !box.connect()) {
                     reset(context.channel());
                     return;
                 }
-                counted = box.isUp();
-                process = box.incarnation();
+                isCounted = box.isUp();
+                boxIncarnation = box.incarnation();
             });
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            ClientTry of = asked.get(String.valueOf(request.headers().get("X-Txn")));
-            if (of == null) {
-                answer(context.channel(), HttpResponseStatus.NOT_FOUND, false);
+            ClientTry clientTry = triesById.get(String.valueOf(request.headers().get("X-Txn")));
+            if (clientTry == null) {
+                sendResponse(context.channel(), HttpResponseStatus.NOT_FOUND, false);
                 return;
             }
-            double extraUs = fresh ? handshakeUs : 0;
-            fresh = false;
-            InetSocketAddress from = (InetSocketAddress) context.channel().remoteAddress();
-            time.happens(() -> {
-                between.requestReceived(box.id(), from, of, box.isUp());
+            double extraWorkUs = isNew ? handshakeWorkUs : 0;
+            isNew = false;
+            InetSocketAddress remoteAddress =
+                    (InetSocketAddress) context.channel().remoteAddress();
+            time.runExternalEvent(() -> {
+                interceptor.requestReceived(box.id(), remoteAddress, clientTry, box.isUp());
                 if (!box.isUp()) {
                     return;
                 }
-                box.checkDraining(DRAIN_SLACK_US);
-                box.submit(of, extraUs, time.scheduler().nowUs(), new Box.ReplyHandler() {
+                box.checkDraining(DRAIN_TOLERANCE_US);
+                box.submit(clientTry, extraWorkUs, time.scheduler().nowUs(), new Box.ReplyHandler() {
                     @Override
                     public void completed(Result result) {
-                        between.requestCompleted(box.id(), of, result);
-                        tell(context.channel(), of, result);
+                        interceptor.requestCompleted(box.id(), clientTry, result);
+                        sendResult(context.channel(), clientTry, result);
                     }
 
                     @Override
@@ -185,67 +190,67 @@
             });
         }
 
-        private void served(Channel channel, ClientTry of) {
-            LongAnswer answer = between.longAnswer(box.id(), of);
+        private void sendServed(Channel channel, ClientTry clientTry) {
+            LongAnswer answer = interceptor.longAnswer(box.id(), clientTry);
             if (answer == null) {
-                answer(channel, HttpResponseStatus.OK, false);
+                sendResponse(channel, HttpResponseStatus.OK, false);
                 return;
             }
-            givenTo = of;
-            between.longAnswerStarted(box.id(), of);
+            longAnswerTry = clientTry;
+            interceptor.longAnswerStarted(box.id(), clientTry);
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.lengthBytes());
             channel.write(head);
-            give(channel, LongAnswer.FIRST_PART_BYTES);
-            later(channel, answer, 0);
+            sendBytes(channel, LongAnswer.FIRST_PART_BYTES);
+            scheduleNextPiece(channel, answer, 0);
         }
 
-        private void give(Channel channel, int bytes) {
+        private void sendBytes(Channel channel, int bytes) {
             channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(new byte[bytes])));
         }
 
-        private void later(Channel channel, LongAnswer answer, int given) {
-            if (given == answer.sentPieces()) {
-                boolean whole = given == answer.pieces();
+        private void scheduleNextPiece(Channel channel, LongAnswer answer, int sentPieces) {
+            if (sentPieces == answer.sentPieces()) {
+                boolean whole = sentPieces == answer.pieces();
                 if (whole) {
                     channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
                 }
-                gave(whole ? LongAnswer.End.WHOLE : LongAnswer.End.STOPPED);
+                longAnswerEnded(whole ? LongAnswer.End.WHOLE : LongAnswer.End.STOPPED);
                 return;
             }
             channel.eventLoop()
                     .schedule(
-                            () -> time.happens(() -> {
-                                if (givenTo != null) {
-                                    give(channel, LongAnswer.PIECE_BYTES);
-                                    later(channel, answer, given + 1);
+                            () -> time.runExternalEvent(() -> {
+                                if (longAnswerTry != null) {
+                                    sendBytes(channel, LongAnswer.PIECE_BYTES);
+                                    scheduleNextPiece(channel, answer, sentPieces + 1);
                                 }
                             }),
                             answer.intervalUs(),
                             TimeUnit.MICROSECONDS);
         }
 
-        private void gave(LongAnswer.End how) {
-            if (givenTo != null) {
-                between.longAnswerEnded(box.id(), givenTo, how);
-                givenTo = null;
+        private void longAnswerEnded(LongAnswer.End end) {
+            if (longAnswerTry != null) {
+                interceptor.longAnswerEnded(box.id(), longAnswerTry, end);
+                longAnswerTry = null;
             }
         }
 
-        private void tell(Channel channel, ClientTry of, Result result) {
+        private void sendResult(Channel channel, ClientTry clientTry, Result result) {
             switch (result) {
-                case OK -> served(channel, of);
-                case ERROR -> answer(channel, HttpResponseStatus.INTERNAL_SERVER_ERROR, false);
-                case FULL -> answer(channel, HttpResponseStatus.SERVICE_UNAVAILABLE, true);
+                case OK -> sendServed(channel, clientTry);
+                case ERROR -> sendResponse(channel, HttpResponseStatus.INTERNAL_SERVER_ERROR, false);
+                case FULL -> sendResponse(channel, HttpResponseStatus.SERVICE_UNAVAILABLE, true);
                 default -> reset(channel);
             }
         }
 
-        private void answer(Channel channel, HttpResponseStatus status, boolean turnedAway) {
+        private void sendResponse(Channel channel, HttpResponseStatus status, boolean isRejection) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(BODY));
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
-            if (turnedAway) {
+            if (isRejection) {
                 response.headers().set("X-Turned-Away", "1");
             }
             channel.writeAndFlush(response);
@@ -253,12 +258,12 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            open.remove(context.channel());
-            time.happens(() ->
-                    gave(box.isUp() && process == box.incarnation() ? LongAnswer.End.CLOSED : LongAnswer.End.DIED));
-            if (counted) {
-                counted = false;
-                time.happens(() -> box.connectionClosed(process));
+            openChannels.remove(context.channel());
+            time.runExternalEvent(() -> longAnswerEnded(
+                    box.isUp() && boxIncarnation == box.incarnation() ? LongAnswer.End.CLOSED : LongAnswer.End.DIED));
+            if (isCounted) {
+                isCounted = false;
+                time.runExternalEvent(() -> box.connectionClosed(boxIncarnation));
             }
         }
 
--- a/src/main/java/kitemux/lab/DiscoveryStub.java
+++ b/src/main/java/kitemux/lab/DiscoveryStub.java
@@ -39,66 +39,67 @@
 import kitemux.config.ConfigText;
 
 /**
- * A discovery on loopback: the whole list, and a watch that tells changes as they are told here. All but
- * {@link #bindFuture} and the figures is called on its loop.
+ * A discovery stand-in on a loopback address. It serves the complete list of servers, and watches that receive each
+ * published change. All methods except {@link #bindFuture} and the statistics are called on the event loop.
  */
 public final class DiscoveryStub {
-    private static final byte[] EMPTY_LINE = {'\n'};
-    /** While nothing changes a watch has an empty line so often. */
-    private static final long EMPTY_LINE_MS = 2_000;
+    private static final byte[] KEEPALIVE_LINE = {'\n'};
+    /** An idle watch receives an empty line in this interval. */
+    private static final long KEEPALIVE_INTERVAL_MS = 2_000;
 
     private final List<String> zones;
     private final Map<String, InetSocketAddress> addresses;
     private final Map<String, ServerEntry> entries = new LinkedHashMap<>();
     private final Set<Channel> watches = new LinkedHashSet<>();
-    private final ChannelFuture listening;
+    private final ChannelFuture bindFuture;
     private final EventLoop loop;
-    private final Consumer<Boolean> called;
-    private final AtomicLong written = new AtomicLong();
+    private final Consumer<Boolean> requestListener;
+    private final AtomicLong writtenBytes = new AtomicLong();
     private volatile int watchCount;
     private long rev = 1;
-    /** The whole list of this version as it is written; null where it is to be made anew. */
-    private byte[] whole;
+    /** The serialized list of the current version; null if it has to be serialized again. */
+    private byte[] snapshot;
 
     /**
-     * Listens from now on; has no server yet.
+     * Starts to listen, with an empty list.
      *
-     * @param zones their names, by which entries are written
-     * @param addresses where servers listen, by their ids
-     * @param called told of each call, and whether it is a watch
+     * @param zones the names of the zones, in the order of their indexes
+     * @param addresses the addresses of the servers by their ids
+     * @param requestListener called for each request, with whether it opens a watch
      */
     public DiscoveryStub(
             InetSocketAddress address,
             EventLoop loop,
             List<String> zones,
             Map<String, InetSocketAddress> addresses,
-            Consumer<Boolean> called) {
+            Consumer<Boolean> requestListener) {
         this.zones = zones;
-        this.called = called;
+        this.requestListener = requestListener;
         this.addresses = addresses;
         this.loop = loop;
-        listening = new ServerBootstrap()
+        bindFuture = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new Calls());
+                                .addLast(
+                                        new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new RequestHandler());
                     }
                 })
                 .bind(address);
     }
 
-    /** Done once it listens, or cannot. */
+    /** Returns a future that completes once the stub listens or has failed to. */
     public ChannelFuture bindFuture() {
-        return listening;
+        return bindFuture;
     }
 
-    /** Servers have changed, as all who watch hear at once. */
+    /** Applies changes to the list and sends them to all open watches. */
     public void publish(List<ServerEntry> changed) {
         rev++;
-        whole = null;
+        snapshot = null;
         for (ServerEntry entry : changed) {
             if (entry.state() == ServerState.GONE) {
                 entries.remove(entry.id());
@@ -106,42 +107,45 @@
                 entries.put(entry.id(), entry);
             }
         }
-        byte[] line = text(false, changed);
+        byte[] line = listText(false, changed);
         watches.forEach(watch -> write(watch, line));
     }
 
-    /** Ends all watches, as discovery does when it goes down; it answers whoever calls again. */
+    /** Closes all watches, as a discovery that goes down does; later requests are answered again. */
     public void closeWatches() {
         Set.copyOf(watches).forEach(Channel::close);
     }
 
-    /** The version of the list. */
+    /** Returns the version of the list. */
     public long rev() {
         return rev;
     }
 
-    /** How many watch; from any thread. */
+    /** Returns the number of open watches; may be called from any thread. */
     public int watchCount() {
         return watchCount;
     }
 
-    /** Bytes of lists and empty lines that were written so far, without what HTTP adds; from any thread. */
+    /**
+     * Returns the number of bytes of lists, changes and empty lines sent so far, without HTTP overhead; may be called
+     * from any thread.
+     */
     public long writtenBytes() {
-        return written.get();
+        return writtenBytes.get();
     }
 
-    /** Listens no more, and ends all watches. */
+    /** Stops listening and closes all watches. */
     public void close() {
-        listening.channel().close();
+        bindFuture.channel().close();
         closeWatches();
     }
 
     private void write(Channel watch, byte[] line) {
-        written.addAndGet(line.length);
+        writtenBytes.addAndGet(line.length);
         watch.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(line)));
     }
 
-    /** Servers with their addresses. */
+    /** Returns the servers with their addresses. */
     public static List<ConfigText.Server> withAddresses(
             Collection<ServerEntry> entries, Map<String, InetSocketAddress> addresses) {
         return entries.stream()
@@ -149,46 +153,46 @@
                 .toList();
     }
 
-    private byte[] text(boolean all, Collection<ServerEntry> servers) {
-        return (ConfigText.list(rev, all, zones, withAddresses(servers, addresses)) + "\n")
+    private byte[] listText(boolean isSnapshot, Collection<ServerEntry> servers) {
+        return (ConfigText.list(rev, isSnapshot, zones, withAddresses(servers, addresses)) + "\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            if (whole == null) {
-                whole = text(true, entries.values());
+            if (snapshot == null) {
+                snapshot = listText(true, entries.values());
             }
-            byte[] list = whole;
+            byte[] list = snapshot;
             boolean watch = new QueryStringDecoder(request.uri()).parameters().containsKey("watch");
-            called.accept(watch);
+            requestListener.accept(watch);
             if (!watch) {
-                FullHttpResponse whole = new DefaultFullHttpResponse(
+                FullHttpResponse response = new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(list));
-                whole.headers()
-                        .set(HttpHeaderNames.CONTENT_LENGTH, whole.content().readableBytes());
-                context.writeAndFlush(whole);
+                response.headers()
+                        .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+                context.writeAndFlush(response);
                 return;
             }
-            HttpResponse begun = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            begun.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-            context.write(begun);
+            HttpResponse responseHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            responseHead.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+            context.write(responseHead);
             write(context.channel(), list);
             watches.add(context.channel());
             watchCount = watches.size();
-            emptyLine(context.channel());
+            scheduleKeepalive(context.channel());
         }
 
-        private void emptyLine(Channel watch) {
+        private void scheduleKeepalive(Channel watch) {
             loop.schedule(
                     () -> {
                         if (watch.isActive()) {
-                            write(watch, EMPTY_LINE);
-                            emptyLine(watch);
+                            write(watch, KEEPALIVE_LINE);
+                            scheduleKeepalive(watch);
                         }
                     },
-                    EMPTY_LINE_MS,
+                    KEEPALIVE_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
         }
 
--- a/src/main/java/kitemux/lab/Experiment.java
+++ b/src/main/java/kitemux/lab/Experiment.java
@@ -6,40 +6,43 @@
 import kitemux.fleet.Fleet;
 
 /**
- * What is to be played, and where.
+ * The variants of a fleet to run, and the environments to run them in.
  *
- * @param goal share of the worth asked for that is to be answered in time, in (0, 1)
- * @param seeds each variant is played with the seeds from 1 to this
- * @param environments on which of the two, at least one
- * @param variants what is played, in order; names are different
+ * @param goal the required share of worth answered in time, between 0 and 1 exclusive
+ * @param seeds the number of runs of each variant, with seeds from 1 to this
+ * @param environments the environments, at least one
+ * @param variants the variants in order, with distinct names
  */
 public record Experiment(double goal, int seeds, List<Environment> environments, List<Variant> variants) {
 
-    /** Where a run is played. */
+    /** The environment in which a run takes place. */
     public enum Environment {
+        /** Emulated in virtual time. */
         EMULATOR,
+        /** In real time, with node processes over loopback sockets. */
         LOOPBACK
     }
 
     /**
      * One fleet of an experiment.
      *
-     * @param name as results name it
-     * @param sweep of what series it is a point, or empty
-     * @param position where on that series it lies
-     * @param higherIsBetter whether more of the series makes the goal easier, as servers do and load does not
+     * @param name the name in results
+     * @param sweep the series of variants that this one is a point of, or empty
+     * @param position the value at which the variant lies in its series
+     * @param higherIsBetter whether a higher position makes the goal easier to reach, as with servers but not with
+     *     load
      */
     public record Variant(String name, String sweep, double position, boolean higherIsBetter, Fleet fleet) {}
 
-    /** One run. */
+    /** One run of a variant. */
     public record Run(Variant variant, Environment environment, long seed) {}
 
-    /** All runs, in the order in which they are best played: what is predicted first. */
+    /** Returns all runs in the preferred order: those of the emulator, which predict, come first. */
     public List<Run> runs() {
         List<Run> all = new ArrayList<>();
-        for (Environment place : environments.stream().sorted().toList()) {
+        for (Environment environment : environments.stream().sorted().toList()) {
             for (Variant variant : variants) {
-                LongStream.rangeClosed(1, seeds).forEach(seed -> all.add(new Run(variant, place, seed)));
+                LongStream.rangeClosed(1, seeds).forEach(seed -> all.add(new Run(variant, environment, seed)));
             }
         }
         return all;
--- a/src/main/java/kitemux/lab/ExperimentFile.java
+++ b/src/main/java/kitemux/lab/ExperimentFile.java
@@ -14,81 +14,87 @@
 import kitemux.hcl.Section;
 import kitemux.plan.FleetFile;
 
-/** Reads an experiment from its description in HCL; {@code docs/operate/lab.md} has all fields. */
+/** Parses the HCL description of an experiment; {@code docs/operate/lab.md} documents all fields. */
 public final class ExperimentFile {
-    private static final int MOST_SEEDS = 1_000;
-    private static final int MOST_VARIANTS = 1_000;
-    /** A run over sockets takes as long as it lasts. */
-    private static final long MOST_LENGTH_US = 600_000_000L;
+    private static final int MAX_SEED_COUNT = 1_000;
+    private static final int MAX_VARIANT_COUNT = 1_000;
+    /** A run over sockets takes its whole length in real time. */
+    private static final long MAX_LENGTH_US = 600_000_000L;
 
-    private static final int MOST_NODES = 16;
-    private static final int MOST_BOXES = 200;
+    private static final int MAX_NODE_COUNT = 16;
+    private static final int MAX_SERVER_COUNT = 200;
 
     private ExperimentFile() {}
 
     /**
-     * @param file what faults call the description
+     * Parses and validates a description.
+     *
+     * @param file the name of the description in error messages
      * @param text the description
-     * @param faults gets all that is wrong, of the fleet too, one line each with place, field and reason
-     * @return the experiment; not to be played if there are faults
+     * @param fileSource reads the fleet's description, which the experiment names
+     * @param errors receives one message with position, field and reason for each error, including those of the fleet
+     * @return the experiment, which must not be run if there are errors; null if the text is not HCL
      */
-    public static Experiment read(String file, String text, FleetFile.FileSource texts, List<String> faults) {
+    public static Experiment read(String file, String text, FleetFile.FileSource fileSource, List<String> errors) {
         Map<String, Object> parsed;
         try {
             parsed = new HCLParser().parse(text);
         } catch (HCLParserException | IOException | RuntimeException e) {
-            faults.add(file + ": this is not HCL: "
+            errors.add(file + ": this is not HCL: "
                     + String.valueOf(e.getMessage()).replace('\n', ' '));
             return null;
         }
-        List<String> own = new ArrayList<>();
-        List<String> ofFleet = new ArrayList<>();
-        Experiment experiment = experiment(parsed, texts, own, ofFleet);
-        faults.addAll(Places.placed(file, text, own));
-        faults.addAll(ofFleet);
+        List<String> experimentErrors = new ArrayList<>();
+        List<String> fleetErrors = new ArrayList<>();
+        Experiment experiment = parseExperiment(parsed, fileSource, experimentErrors, fleetErrors);
+        errors.addAll(Places.placed(file, text, experimentErrors));
+        errors.addAll(fleetErrors);
         return experiment;
     }
 
-    private static Experiment experiment(
-            Map<String, Object> parsed, FleetFile.FileSource texts, List<String> faults, List<String> ofFleet) {
-        Section all = new Section("", parsed, faults);
+    private static Experiment parseExperiment(
+            Map<String, Object> parsed,
+            FleetFile.FileSource fileSource,
+            List<String> errors,
+            List<String> fleetErrors) {
+        Section all = new Section("", parsed, errors);
         String path = all.text("fleet");
         double goal = all.number("goal", 0.95);
         int seeds = all.whole("seeds", 1);
         long length = all.time("length", 20_000_000);
-        List<Experiment.Environment> where = new ArrayList<>();
+        List<Experiment.Environment> environments = new ArrayList<>();
         for (String word : all.texts("where", List.of("emulator", "loopback"))) {
             try {
-                where.add(Experiment.Environment.valueOf(word.toUpperCase(Locale.ROOT)));
+                environments.add(Experiment.Environment.valueOf(word.toUpperCase(Locale.ROOT)));
             } catch (IllegalArgumentException e) {
-                faults.add("where: must hold emulator, loopback or both, not \"" + word + "\"");
+                errors.add("where: must hold emulator, loopback or both, not \"" + word + "\"");
             }
         }
-        Fleet base = FleetFile.readNamed(path, texts, faults, ofFleet);
-        require(faults, goal > 0 && goal < 1, "goal: is not above 0 and under 1");
-        require(faults, seeds >= 1 && seeds <= MOST_SEEDS, "seeds: is not from 1 to " + MOST_SEEDS);
-        require(faults, length >= 2_000_000 && length <= MOST_LENGTH_US, "length: is not from 2s to 10m");
+        Fleet base = FleetFile.readNamed(path, fileSource, errors, fleetErrors);
+        require(errors, goal > 0 && goal < 1, "goal: is not above 0 and under 1");
+        require(errors, seeds >= 1 && seeds <= MAX_SEED_COUNT, "seeds: is not from 1 to " + MAX_SEED_COUNT);
+        require(errors, length >= 2_000_000 && length <= MAX_LENGTH_US, "length: is not from 2s to 10m");
         List<Experiment.Variant> variants = new ArrayList<>();
         Map<String, Section> scenarios = all.labelled("scenario", true);
         if (base != null) {
             Fleet.Load load = base.load();
-            Fleet lasting = base.with(
+            Fleet withLength = base.with(
                     new Fleet.Load(load.ratePerS(), length, load.profile(), load.quotaPerS(), load.overShareWorth()));
-            scenarios.forEach((name, of) -> scenario(name, of, lasting, variants, faults));
+            scenarios.forEach((name, of) -> addScenario(name, of, withLength, variants, errors));
             all.end();
-            check(variants, where, faults);
+            validate(variants, environments, errors);
         }
-        return new Experiment(goal, seeds, where, variants);
+        return new Experiment(goal, seeds, environments, variants);
     }
 
-    private static void scenario(
-            String name, Section of, Fleet base, List<Experiment.Variant> variants, List<String> faults) {
+    private static void addScenario(
+            String name, Section of, Fleet base, List<Experiment.Variant> variants, List<String> errors) {
         double load = of.number("load", 1);
-        Fleet fleet = base.with(shaped(base.load().scaledBy(load), of));
+        Fleet fleet = base.with(withProfile(base.load().scaledBy(load), of));
         Section counts = of.block("counts", false);
         if (counts != null) {
             List<Fleet.ServerKind> kinds = new ArrayList<>();
-            fleet.kinds().forEach(kind -> kinds.add(counted(kind, counts.whole(kind.name(), kind.count()))));
+            fleet.kinds().forEach(kind -> kinds.add(withCount(kind, counts.whole(kind.name(), kind.count()))));
             counts.end();
             fleet = fleet.withKinds(kinds);
         }
@@ -112,9 +118,9 @@
                 nodes.cores(),
                 nodes.startupUs(),
                 nodes.failureDetectionUs()));
-        List<Fleet.Fault> wrong = new ArrayList<>(fleet.faults());
-        of.repeated("fault").forEach(fault -> wrong.add(FleetFile.readFault(fault)));
-        fleet = fleet.withFaults(wrong);
+        List<Fleet.Fault> faults = new ArrayList<>(fleet.faults());
+        of.repeated("fault").forEach(fault -> faults.add(FleetFile.readFault(fault)));
+        fleet = fleet.withFaults(faults);
         List<Double> loads = of.numbers("loads");
         List<Double> boxes = of.numbers("boxes");
         String kind = boxes.isEmpty() ? "" : of.text("of");
@@ -131,7 +137,7 @@
                     fleet.with(fleet.load().scaledBy(times))));
         }
         if (!kind.isEmpty() && fleet.kinds().stream().noneMatch(k -> k.name().equals(kind))) {
-            faults.add("scenario \"" + name + "\".of: there is no kind \"" + kind + "\" in the fleet");
+            errors.add("scenario \"" + name + "\".of: there is no kind \"" + kind + "\" in the fleet");
         }
         for (double count : boxes) {
             Fleet all = fleet;
@@ -141,12 +147,12 @@
                     count,
                     true,
                     all.withKinds(all.kinds().stream()
-                            .map(k -> k.name().equals(kind) ? counted(k, (int) count) : k)
+                            .map(k -> k.name().equals(kind) ? withCount(k, (int) count) : k)
                             .toList())));
         }
     }
 
-    private static Fleet.Load shaped(Fleet.Load load, Section of) {
+    private static Fleet.Load withProfile(Fleet.Load load, Section of) {
         List<Fleet.LoadPoint> shape = new ArrayList<>();
         for (Section point : of.repeated("point")) {
             shape.add(new Fleet.LoadPoint(point.time("at", 0), point.number("times", Double.NaN)));
@@ -157,7 +163,7 @@
                 : new Fleet.Load(load.ratePerS(), load.durationUs(), shape, load.quotaPerS(), load.overShareWorth());
     }
 
-    private static Fleet.ServerKind counted(Fleet.ServerKind k, int count) {
+    private static Fleet.ServerKind withCount(Fleet.ServerKind k, int count) {
         return new Fleet.ServerKind(
                 k.name(),
                 count,
@@ -171,48 +177,48 @@
                 k.cost());
     }
 
-    private static void check(
-            List<Experiment.Variant> variants, List<Experiment.Environment> where, List<String> faults) {
+    private static void validate(
+            List<Experiment.Variant> variants, List<Experiment.Environment> environments, List<String> errors) {
         require(
-                faults,
-                !variants.isEmpty() && variants.size() <= MOST_VARIANTS,
-                "scenario: from 1 to " + MOST_VARIANTS + " runs must come of all, not " + variants.size());
+                errors,
+                !variants.isEmpty() && variants.size() <= MAX_VARIANT_COUNT,
+                "scenario: the number of variants must be from 1 to " + MAX_VARIANT_COUNT + ", not " + variants.size());
         Set<String> names = new HashSet<>();
         for (Experiment.Variant variant : variants) {
             String at = "scenario \"" + variant.name() + "\": ";
-            require(faults, names.add(variant.name()), at + "is there twice");
+            require(errors, names.add(variant.name()), at + "is there twice");
             require(
-                    faults,
+                    errors,
                     variant.name().indexOf('\t') < 0 && variant.name().indexOf('\n') < 0,
-                    at + "its name holds a tab or a line's end");
-            variant.fleet().validate().forEach(fault -> faults.add(at + fault));
-            if (where.contains(Experiment.Environment.LOOPBACK)) {
+                    at + "its name contains a tab or a line break");
+            variant.fleet().validate().forEach(fault -> errors.add(at + fault));
+            if (environments.contains(Experiment.Environment.LOOPBACK)) {
                 require(
-                        faults,
-                        variant.fleet().nodes().count() <= MOST_NODES,
-                        at + "over sockets at most " + MOST_NODES + " nodes are started");
+                        errors,
+                        variant.fleet().nodes().count() <= MAX_NODE_COUNT,
+                        at + "over sockets at most " + MAX_NODE_COUNT + " nodes can be started");
                 require(
-                        faults,
-                        variant.fleet().serverCount() <= MOST_BOXES,
-                        at + "over sockets at most " + MOST_BOXES + " servers are started");
+                        errors,
+                        variant.fleet().serverCount() <= MAX_SERVER_COUNT,
+                        at + "over sockets at most " + MAX_SERVER_COUNT + " servers can be started");
                 require(
-                        faults,
+                        errors,
                         variant.fleet().faults().stream()
                                 .noneMatch(fault ->
                                         fault.kind() == Fleet.FaultKind.VANISH || fault.kind() == Fleet.FaultKind.CUT),
-                        at + "what vanishes without a word cannot be played over loopback;"
-                                + " take where = [\"emulator\"]");
+                        at + "the faults vanish and cut cannot be played over loopback;"
+                                + " use where = [\"emulator\"]");
                 require(
-                        faults,
+                        errors,
                         variant.fleet().zones().crossZoneDelayUs() == 0,
-                        at + "all zones are as near as others over loopback: across must be 0");
+                        at + "there is no delay between zones over loopback: across must be 0");
             }
         }
     }
 
-    private static void require(List<String> faults, boolean holds, String otherwise) {
-        if (!holds) {
-            faults.add(otherwise);
+    private static void require(List<String> errors, boolean condition, String error) {
+        if (!condition) {
+            errors.add(error);
         }
     }
 }
--- a/src/main/java/kitemux/lab/ExperimentRunner.java
+++ b/src/main/java/kitemux/lab/ExperimentRunner.java
@@ -10,77 +10,94 @@
 import java.util.function.Consumer;
 import kitemux.fleet.Emulation;
 
-/** Plays the runs of an experiment that its folder lacks: emulated ones first, then those over sockets. */
+/**
+ * Executes the runs that a results folder lacks of an experiment: the emulated ones first, then those over loopback.
+ */
 public final class ExperimentRunner {
     private final LoopbackRun.Launcher launcher;
-    private final int jobs;
-    private final int atOnce;
+    private final int emulatorJobs;
+    private final int loopbackJobs;
 
     /**
-     * @param launcher starts the nodes that serve over sockets
-     * @param jobs emulated runs at once
-     * @param atOnce runs over sockets at once, 1 to 128: each has processes of its own and a clock to keep
+     * Creates a runner.
+     *
+     * @param launcher starts the nodes of runs over loopback
+     * @param emulatorJobs the number of concurrent emulated runs
+     * @param loopbackJobs the number of concurrent runs over loopback, 1 to 128; each starts processes and has to
+     *     keep up with the clock
      */
-    public ExperimentRunner(LoopbackRun.Launcher launcher, int jobs, int atOnce) {
+    public ExperimentRunner(LoopbackRun.Launcher launcher, int emulatorJobs, int loopbackJobs) {
         this.launcher = launcher;
-        this.jobs = jobs;
-        this.atOnce = atOnce;
+        this.emulatorJobs = emulatorJobs;
+        this.loopbackJobs = loopbackJobs;
     }
 
     /**
-     * Plays what is missing; each run is kept as soon as it is over, so that it may be stopped at any time.
+     * Executes the missing runs. Each result is stored as soon as its run is over, so the process may be stopped at
+     * any time.
      *
-     * @param played told of each run that is kept
-     * @throws IOException if a run cannot be played or kept; those before it are
+     * @param resultListener called with each stored result
+     * @throws IOException if a run cannot be executed or stored; the results of earlier runs are kept
      */
-    public void runMissing(Experiment experiment, ResultsFolder folder, Consumer<ResultRow> played)
+    public void runMissing(Experiment experiment, ResultsFolder folder, Consumer<ResultRow> resultListener)
             throws IOException, InterruptedException {
-        List<ResultRow> there = folder.rows();
+        List<ResultRow> existing = folder.rows();
         List<Experiment.Run> missing = experiment.runs().stream()
-                .filter(run -> there.stream().noneMatch(row -> row.isResultOf(run)))
+                .filter(run -> existing.stream().noneMatch(row -> row.isResultOf(run)))
                 .toList();
-        playAll(
-                of(missing, Experiment.Environment.EMULATOR),
-                jobs,
+        runAll(
+                filterByEnvironment(missing, Experiment.Environment.EMULATOR),
+                emulatorJobs,
                 folder,
-                played,
+                resultListener,
                 run -> ResultRow.of(run, Emulation.run(run.variant().fleet(), run.seed()), 0));
-        playAll(of(missing, Experiment.Environment.LOOPBACK), atOnce, folder, played, run -> {
-            LoopbackRun.Outcome over = LoopbackRun.execute(run.variant().fleet(), run.seed(), launcher);
-            return ResultRow.of(run, over.result(), over.maxDelayUs());
-        });
+        runAll(
+                filterByEnvironment(missing, Experiment.Environment.LOOPBACK),
+                loopbackJobs,
+                folder,
+                resultListener,
+                run -> {
+                    LoopbackRun.Outcome outcome =
+                            LoopbackRun.execute(run.variant().fleet(), run.seed(), launcher);
+                    return ResultRow.of(run, outcome.result(), outcome.maxDelayUs());
+                });
     }
 
-    private static List<Experiment.Run> of(List<Experiment.Run> runs, Experiment.Environment where) {
-        return runs.stream().filter(run -> run.environment() == where).toList();
+    private static List<Experiment.Run> filterByEnvironment(
+            List<Experiment.Run> runs, Experiment.Environment environment) {
+        return runs.stream().filter(run -> run.environment() == environment).toList();
     }
 
-    /** Plays one run. */
+    /** Executes one run. */
     private interface SingleRun {
-        ResultRow play(Experiment.Run run) throws IOException, InterruptedException;
+        ResultRow execute(Experiment.Run run) throws IOException, InterruptedException;
     }
 
-    private static void playAll(
-            List<Experiment.Run> runs, int threads, ResultsFolder folder, Consumer<ResultRow> played, SingleRun player)
+    private static void runAll(
+            List<Experiment.Run> runs,
+            int threads,
+            ResultsFolder folder,
+            Consumer<ResultRow> resultListener,
+            SingleRun singleRun)
             throws IOException, InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<?>> all = new ArrayList<>();
+            List<Future<?>> futures = new ArrayList<>();
             for (Experiment.Run run : runs) {
-                all.add(pool.submit(() -> {
-                    ResultRow row = player.play(run);
+                futures.add(pool.submit(() -> {
+                    ResultRow row = singleRun.execute(run);
                     folder.append(row);
-                    played.accept(row);
+                    resultListener.accept(row);
                     return null;
                 }));
             }
-            for (Future<?> one : all) {
-                one.get();
+            for (Future<?> future : futures) {
+                future.get();
             }
         } catch (ExecutionException e) {
             throw e.getCause() instanceof IOException io
                     ? io
-                    : new IOException("a run broke off: " + e.getCause(), e.getCause());
+                    : new IOException("a run failed: " + e.getCause(), e.getCause());
         } finally {
             pool.shutdownNow();
         }
--- a/src/main/java/kitemux/lab/FaultScript.java
+++ b/src/main/java/kitemux/lab/FaultScript.java
@@ -10,40 +10,39 @@
 import kitemux.fleet.Fleet;
 
 /**
- * What a person does to a fleet that is tried out, by hand or from a script: a line a deed, such as {@code
- * 3s kill std-1},
- * {@code 8s back std-1}, {@code 10s flood school-b}. Pure: who reads keys and lets time pass is not its
- * affair.
+ * Faults that an operator injects into a running fleet by key or by script. A script has one action per line, such as
+ * {@code 3s kill std-1}, {@code 8s back std-1} or {@code 10s flood school-b}. This class has no state; reading keys
+ * and timing are up to the caller.
  */
 public final class FaultScript {
-    private static final Pattern LINE = Pattern.compile("(\\d+(?:\\.\\d+)?)s\\s+(\\w+)(?:\\s+(\\S+))?");
-    /** A trouble that is not ended by hand ends by itself, so that nothing stays as it is by oversight. */
-    private static final long FOR_US = 600_000_000;
+    private static final Pattern LINE_PATTERN = Pattern.compile("(\\d+(?:\\.\\d+)?)s\\s+(\\w+)(?:\\s+(\\S+))?");
+    /** A fault that is not ended by hand ends after this time, so that none persists by oversight. */
+    private static final long MAX_FAULT_DURATION_US = 600_000_000;
 
-    private static final double SLOWER = 5;
-    private static final double FAILING = 0.9;
-    private static final double FLOOD = 10;
-    private static final long FLOOD_US = 5_000_000;
+    private static final double SLOWDOWN_FACTOR = 5;
+    private static final double FAILURE_RATIO = 0.9;
+    private static final double FLOOD_LOAD_FACTOR = 10;
+    private static final long FLOOD_DURATION_US = 5_000_000;
 
     private FaultScript() {}
 
-    /** What may be done. */
+    /** The actions. */
     public enum Action {
-        /** Its process dies. */
+        /** Kills a server's process. */
         KILL("k"),
-        /** It says nothing more. */
+        /** Makes a server silent. */
         SILENCE("s"),
-        /** It takes five times as long. */
+        /** Makes a server take five times as long. */
         SLOW("l"),
-        /** It fails nine requests in ten. */
+        /** Makes a server fail nine out of ten requests. */
         FAIL("f"),
-        /** It drains, ends and comes back cold. */
+        /** Drains a server, ends it and starts it again cold. */
         DRAIN("d"),
-        /** It is itself again. */
+        /** Ends all faults of a server. */
         BACK("b"),
-        /** The node is killed and starts anew. */
+        /** Kills the node and starts it again. */
         RESTART("r"),
-        /** A tenant asks ten times as much for five seconds. */
+        /** Makes a tenant send ten times its load for five seconds. */
         FLOOD("t");
 
         private final String key;
@@ -52,31 +51,33 @@
             this.key = key;
         }
 
-        /** The key that does it. */
+        /** Returns the key that triggers the action. */
         public String key() {
             return key;
         }
 
-        /** Whether it is done to a server. */
+        /** Returns whether the action applies to a server. */
         public boolean targetsBox() {
             return this != RESTART && this != FLOOD;
         }
     }
 
     /**
-     * A deed at its time.
+     * An action with its time.
      *
-     * @param target a server's id or a tenant's name; empty where it needs none
+     * @param atUs microseconds after the start of the run
+     * @param target the id of a server or the name of a tenant; empty if the action needs none
      */
     public record TimedAction(long atUs, Action action, String target) {}
 
     /**
-     * Reads a script; empty lines and those that begin with # say nothing.
+     * Parses a script. Empty lines and lines that start with # are ignored.
      *
-     * @param faults one line is added for each, with the line's number
+     * @param errors receives one message for each invalid line, with the line's number
+     * @return the valid actions, ordered by time
      */
-    public static List<TimedAction> parse(String text, Fleet fleet, List<String> faults) {
-        List<TimedAction> all = new ArrayList<>();
+    public static List<TimedAction> parse(String text, Fleet fleet, List<String> errors) {
+        List<TimedAction> actions = new ArrayList<>();
         List<String> boxes = new ArrayList<>();
         fleet.kinds().forEach(kind -> {
             for (int i = 0; i < kind.count(); i++) {
@@ -88,56 +89,62 @@
         int number = 0;
         for (String line : text.lines().toList()) {
             number++;
-            String said = line.strip();
-            if (said.isEmpty() || said.startsWith("#")) {
+            String statement = line.strip();
+            if (statement.isEmpty() || statement.startsWith("#")) {
                 continue;
             }
-            Matcher parts = LINE.matcher(said);
-            String at = "line " + number + ": ";
+            Matcher parts = LINE_PATTERN.matcher(statement);
+            String prefix = "line " + number + ": ";
             if (!parts.matches()) {
-                faults.add(at + "is not like \"3s kill std-1\": " + said);
+                errors.add(prefix + "is not like \"3s kill std-1\": " + statement);
                 continue;
             }
-            Action deed = null;
-            for (Action one : Action.values()) {
-                deed = one.name().toLowerCase(Locale.ROOT).equals(parts.group(2)) ? one : deed;
+            Action action = null;
+            for (Action candidate : Action.values()) {
+                action = candidate.name().toLowerCase(Locale.ROOT).equals(parts.group(2)) ? candidate : action;
             }
-            String to = parts.group(3) == null ? "" : parts.group(3);
-            if (deed == null) {
-                faults.add(at + "there is no deed \"" + parts.group(2) + "\"");
-            } else if (deed.targetsBox() && !boxes.contains(to)) {
-                faults.add(at + "there is no server \"" + to + "\"; there are " + String.join(", ", boxes));
-            } else if (deed == Action.FLOOD && !tenants.contains(to)) {
-                faults.add(at + "there is no tenant \"" + to + "\"; there are " + String.join(", ", tenants));
+            String target = parts.group(3) == null ? "" : parts.group(3);
+            if (action == null) {
+                errors.add(prefix + "there is no action \"" + parts.group(2) + "\"");
+            } else if (action.targetsBox() && !boxes.contains(target)) {
+                errors.add(prefix + "there is no server \"" + target + "\"; there are " + String.join(", ", boxes));
+            } else if (action == Action.FLOOD && !tenants.contains(target)) {
+                errors.add(prefix + "there is no tenant \"" + target + "\"; there are " + String.join(", ", tenants));
             } else {
-                all.add(new TimedAction(Math.round(Double.parseDouble(parts.group(1)) * 1e6), deed, to));
+                actions.add(new TimedAction(Math.round(Double.parseDouble(parts.group(1)) * 1e6), action, target));
             }
         }
-        all.sort(Comparator.comparingLong(TimedAction::atUs));
-        return all;
+        actions.sort(Comparator.comparingLong(TimedAction::atUs));
+        return actions;
     }
 
-    /** Does it to a fleet that is played. */
-    public static void apply(Action deed, String to, Fleet fleet, Emulation live) {
-        switch (deed) {
-            case KILL -> live.injectFault(Fleet.FaultKind.DIE, to, FOR_US, 0);
-            case SILENCE -> live.injectFault(Fleet.FaultKind.VANISH, to, FOR_US, 0);
-            case SLOW -> live.injectFault(Fleet.FaultKind.SLOW, to, FOR_US, SLOWER);
-            case FAIL -> live.injectFault(Fleet.FaultKind.FAIL, to, FOR_US, FAILING);
-            case DRAIN -> live.injectFault(Fleet.FaultKind.RELEASE, to, 1_000_000, 1);
-            case BACK -> live.recover(to);
-            case RESTART -> live.restartNode();
+    /** Applies an action to a running fleet. */
+    public static void apply(Action action, String target, Fleet fleet, Emulation emulation) {
+        switch (action) {
+            case KILL -> emulation.injectFault(Fleet.FaultKind.DIE, target, MAX_FAULT_DURATION_US, 0);
+            case SILENCE -> emulation.injectFault(Fleet.FaultKind.VANISH, target, MAX_FAULT_DURATION_US, 0);
+            case SLOW -> emulation.injectFault(Fleet.FaultKind.SLOW, target, MAX_FAULT_DURATION_US, SLOWDOWN_FACTOR);
+            case FAIL -> emulation.injectFault(Fleet.FaultKind.FAIL, target, MAX_FAULT_DURATION_US, FAILURE_RATIO);
+            case DRAIN -> emulation.injectFault(Fleet.FaultKind.RELEASE, target, 1_000_000, 1);
+            case BACK -> emulation.recover(target);
+            case RESTART -> emulation.restartNode();
             case FLOOD -> {
                 int tenant = fleet.tenants().stream()
                         .map(Fleet.TenantShare::name)
                         .toList()
-                        .indexOf(to);
-                Fleet.TenantShare of = fleet.tenants().get(tenant);
-                double all = fleet.tenants().stream()
+                        .indexOf(target);
+                Fleet.TenantShare share = fleet.tenants().get(tenant);
+                double totalUsage = fleet.tenants().stream()
                         .mapToDouble(t -> t.share() * t.usageRatio())
                         .sum();
-                live.addTenantLoad(
-                        tenant, (FLOOD - 1) * fleet.load().ratePerS() * of.share() * of.usageRatio() / all, FLOOD_US);
+                emulation.addTenantLoad(
+                        tenant,
+                        (FLOOD_LOAD_FACTOR - 1)
+                                * fleet.load().ratePerS()
+                                * share.share()
+                                * share.usageRatio()
+                                / totalUsage,
+                        FLOOD_DURATION_US);
             }
         }
     }
--- a/src/main/java/kitemux/lab/LongAnswer.java
+++ b/src/main/java/kitemux/lab/LongAnswer.java
@@ -1,23 +1,23 @@
 package kitemux.lab;
 
 /**
- * An answer that a server gives bit by bit: 70,000 bytes at once, more than a node holds, and then pieces of
- * 1,000 bytes.
+ * An answer that a server sends piece by piece: 70,000 bytes at once, which is more than a node buffers, followed by
+ * pieces of 1,000 bytes.
  *
- * @param pieces that follow the first bytes; 1 or more
- * @param intervalUs between two of them, in microseconds
- * @param sentPieces how many of them are given before it stops for good, its connection open; all of them where it
- *     does not stop
+ * @param pieces the number of pieces after the first part; at least 1
+ * @param intervalUs the time between two pieces, in microseconds
+ * @param sentPieces the number of pieces that are sent before the server stops for good with its connection open;
+ *     equal to {@code pieces} if it does not stop
  */
 public record LongAnswer(int pieces, long intervalUs, int sentPieces) {
     static final int FIRST_PART_BYTES = 70_000;
     static final int PIECE_BYTES = 1_000;
 
-    /** How the giving of one ends. */
+    /** How the sending of a long answer ends. */
     public enum End {
-        /** With its last byte. */
+        /** The last byte was sent. */
         WHOLE,
-        /** The server stops amid it and keeps the connection. */
+        /** The server stops before the end and keeps the connection open. */
         STOPPED,
         /** The server's process ends. */
         DIED,
--- a/src/main/java/kitemux/lab/LoopStallMonitor.java
+++ b/src/main/java/kitemux/lab/LoopStallMonitor.java
@@ -5,67 +5,67 @@
 import java.util.function.LongConsumer;
 
 /**
- * Measures for how long an event loop has not looked at its sockets, by a timer that comes with each of its
- * turns: a turn that takes long, or a thread that has no processor, is a beat that comes late. Called on the
- * loop.
+ * Measures for how long an event loop has not polled its sockets. A timer that fires late shows a task that takes
+ * long, or a thread that did not get a processor. Methods are called on the loop unless stated otherwise.
  */
 public final class LoopStallMonitor {
-    private static final long EVERY_NANOS = 5_000_000;
-    /** Under this it is the usual unevenness of timers. */
-    private static final long TELL_NANOS = 15_000_000;
+    private static final long INTERVAL_NANOS = 5_000_000;
+    /** Shorter delays are the usual jitter of timers. */
+    private static final long MIN_REPORTED_STALL_NANOS = 15_000_000;
 
     private final EventLoop loop;
-    private final LongConsumer late;
+    private final LongConsumer stallListener;
     private volatile long totalStallNanos;
     private boolean stopped;
 
     /**
-     * Does not beat before {@link #start}.
+     * Creates a monitor that measures nothing before {@link #start}.
      *
-     * @param late told on the loop by how many nanoseconds a beat came late, where that is worth telling
+     * @param stallListener called on the loop with the length of each reported stall in nanoseconds
      */
-    public LoopStallMonitor(EventLoop loop, LongConsumer late) {
+    public LoopStallMonitor(EventLoop loop, LongConsumer stallListener) {
         this.loop = loop;
-        this.late = late;
+        this.stallListener = stallListener;
     }
 
+    /** Starts the measurement. */
     public void start() {
-        next();
+        scheduleNext();
     }
 
-    /** It beats no more. */
+    /** Ends the measurement. */
     public void stop() {
         stopped = true;
     }
 
-    /** The sum of what was told, from any thread. */
+    /** Returns the sum of all reported stalls in nanoseconds; may be called from any thread. */
     public long totalStallNanos() {
         return totalStallNanos;
     }
 
-    private void next() {
-        long due = System.nanoTime() + EVERY_NANOS;
+    private void scheduleNext() {
+        long due = System.nanoTime() + INTERVAL_NANOS;
         loop.schedule(
                 () -> {
-                    long by = System.nanoTime() - due;
+                    long stallNanos = System.nanoTime() - due;
                     if (stopped) {
                         return;
                     }
-                    if (by > TELL_NANOS) {
-                        totalStallNanos += by;
-                        late.accept(by);
+                    if (stallNanos > MIN_REPORTED_STALL_NANOS) {
+                        totalStallNanos += stallNanos;
+                        stallListener.accept(stallNanos);
                     }
-                    next();
+                    scheduleNext();
                 },
-                EVERY_NANOS,
+                INTERVAL_NANOS,
                 TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Does something after a look at the sockets that begins later than now; from any thread. A task alone
-     * would not do: it may run in the turn whose look was before.
+     * Runs a task on the loop after a poll of the sockets that starts later than this call; may be called from any
+     * thread. Submitting the task alone is not enough, as it may run in the iteration whose poll is already over.
      */
-    public static void runAfterSocketPoll(EventLoop loop, Runnable what) {
-        loop.execute(() -> loop.schedule(what, 1, TimeUnit.MILLISECONDS));
+    public static void runAfterSocketPoll(EventLoop loop, Runnable task) {
+        loop.execute(() -> loop.schedule(task, 1, TimeUnit.MILLISECONDS));
     }
 }
--- a/src/main/java/kitemux/lab/LoopbackRun.java
+++ b/src/main/java/kitemux/lab/LoopbackRun.java
@@ -36,139 +36,141 @@
 import kitemux.sim.Scheduler;
 
 /**
- * Plays a described fleet in real time: processes of the node that serves, over loopback sockets, among
- * servers, clients and troubles that are those of the emulator, to the draw. What differs from an emulated
- * run
- * of the same seed is what the emulator makes of the node and the network.
+ * Runs a described fleet in real time: node processes serve over loopback sockets, while servers, clients and faults
+ * are those of the emulator, with the same random draws. Differences to an emulated run of the same seed show how the
+ * emulator's model deviates from the real node and network.
  */
 public final class LoopbackRun {
-    /** Servers are all told as of one zone. */
+    /** All servers are reported in this zone. */
     private static final String ZONE = "zone-0";
 
     private static final int NODE_PORT = 21_000;
     private static final int BOX_PORT = 22_000;
-    private static final int LIST_PORT = 23_000;
-    /** Descriptors of a node. */
-    private static final int SOCKETS = 1_024;
-    /** After the last client's time is over, for what is still on its way. */
-    private static final long RUN_OUT_US = 1_000_000;
+    private static final int DISCOVERY_PORT = 23_000;
+    /** The descriptor limit of a node. */
+    private static final int NODE_SOCKET_COUNT = 1_024;
+    /** Time after the deadline of the last client, for requests that are still in flight. */
+    private static final long COMPLETION_MARGIN_US = 1_000_000;
 
-    private static final long MOST_START_S = 60;
-    /** Between two looks of a watcher. */
-    private static final long LOOK_MS = 100;
+    private static final long LOOP_SHUTDOWN_TIMEOUT_S = 60;
+    /** The interval between two calls of a watcher. */
+    private static final long WATCH_INTERVAL_MS = 100;
 
     private final Fleet fleet;
     private final long seed;
     private final Launcher launcher;
-    private final LoopbackSubnet place;
+    private final LoopbackSubnet subnet;
     private final List<NodeProcess> nodes = new ArrayList<>();
-    private final List<BoxServer> sockets = new ArrayList<>();
+    private final List<BoxServer> boxServers = new ArrayList<>();
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    private final Map<String, ClientTry> asked = new HashMap<>();
-    /** One a node, as each may be told other ways to the same servers. */
-    private final List<DiscoveryStub> desks = new ArrayList<>();
+    private final Map<String, ClientTry> triesById = new HashMap<>();
+    /** One stub for each node, as each node may reach the same servers under different addresses. */
+    private final List<DiscoveryStub> discoveryStubs = new ArrayList<>();
 
-    private final RunInterceptor between;
+    private final RunInterceptor interceptor;
 
     /**
-     * What came of it.
+     * The outcome of a run.
      *
-     * @param maxDelayUs the longest that this process was behind its own clock; a run with much of it says
-     *     little of the nodes
+     * @param maxDelayUs the longest delay of this process behind its own clock in microseconds; with a long delay the
+     *     result says little about the nodes
      */
     public record Outcome(RunResult result, long maxDelayUs) {}
 
-    /** How a node's process is started. */
+    /** Creates the commands that start node processes. */
     public interface Launcher {
-        /** A new command that runs one; the environment tells it the rest. */
+        /** Returns a new command that runs one node, which is configured by environment variables. */
         ProcessBuilder nodeCommand() throws IOException;
     }
 
-    /** A run as it goes on, for whoever does things to it; on the run's thread. */
+    /** Controls a run in progress; to be used on the run's thread unless stated otherwise. */
     public interface RunControl {
-        /** The run's time. */
+        /** Returns the scheduler with the run's time. */
         Scheduler scheduler();
 
-        /** Clients, servers and their troubles. */
+        /** Returns the clients, servers and their faults. */
         Emulation emulation();
 
-        /** A node's process gets a signal by its name, such as STOP. */
+        /** Sends a signal, such as STOP, to a node's process. */
         void signal(int node, String name);
 
-        /** A node's machine goes without a word; its ways are the caller's to cut. */
+        /**
+         * Kills a node as if its machine were lost: clients continue to connect. Cutting its network links is up to
+         * the caller.
+         */
         void vanish(int node);
 
-        /** Whether the front deals clients out to a node, whatever becomes of its process. */
-        void setReceivesClients(int node, boolean to);
+        /** Sets whether the front sends clients to a node, whatever the state of its process. */
+        void setReceivesClients(int node, boolean receives);
 
-        /** The longest that the run was behind the clock so far, in microseconds. */
+        /** Returns the longest delay of the run behind the clock so far, in microseconds. */
         long maxDelayUs();
 
-        /** What stands between the parties has passed on nothing for so long, until now; from any thread. */
-        void recordDelay(long byNanos);
+        /** Records that the relays have forwarded nothing for this long until now; may be called from any thread. */
+        void recordDelay(long delayNanos);
     }
 
-    private LoopbackRun(Fleet fleet, long seed, Launcher launcher, LoopbackSubnet place, RunInterceptor between) {
-        this.between = between;
-        // A node's process takes as long to start as it takes.
+    private LoopbackRun(Fleet fleet, long seed, Launcher launcher, LoopbackSubnet subnet, RunInterceptor interceptor) {
+        this.interceptor = interceptor;
+        // The real start time of a node's process takes the place of the described one.
         Fleet.Nodes n = fleet.nodes();
         this.fleet = fleet.with(new Fleet.Nodes(n.count(), n.eventCostUs(), n.cores(), 0, n.failureDetectionUs()));
         this.seed = seed;
         this.launcher = launcher;
-        this.place = place;
+        this.subnet = subnet;
     }
 
     /**
-     * Plays a fleet once; takes as long as its clients ask, and some seconds more.
+     * Runs a fleet once, which takes as long as its clients send requests and some seconds more.
      *
-     * @param launcher starts the nodes that serve
-     * @throws IllegalArgumentException if it cannot be played
-     * @throws IOException if a node cannot be started or a socket not be opened
+     * @param launcher starts the nodes
+     * @throws IllegalArgumentException if the fleet cannot be run
+     * @throws IOException if a node cannot be started or a socket cannot be opened
      */
     public static Outcome execute(Fleet fleet, long seed, Launcher launcher) throws IOException, InterruptedException {
         return execute(fleet, seed, launcher, (Watcher) null);
     }
 
-    /** Looks on as a run is played, and may do things to it; on the run's thread. */
+    /** Observes a run in progress and may inject faults into it; called on the run's thread. */
     public interface Watcher {
         /**
-         * Called every so often.
+         * Called periodically.
          *
-         * @param nowUs since the run began
-         * @return whether the run goes on
+         * @param nowUs microseconds since the start of the run
+         * @return whether the run continues
          */
-        boolean observe(Emulation live, long nowUs);
+        boolean observe(Emulation emulation, long nowUs);
     }
 
-    /** The same, which a watcher looks on, and may end early; null for none. */
+    /** Runs a fleet once with a watcher, which may end the run early; null for none. */
     public static Outcome execute(Fleet fleet, long seed, Launcher launcher, Watcher watcher)
             throws IOException, InterruptedException {
-        return execute(fleet, seed, launcher, place -> RunInterceptor.NONE, watcher);
+        return execute(fleet, seed, launcher, subnet -> RunInterceptor.NONE, watcher);
     }
 
-    /** Who stands between the parties of a run that has the addresses 127.PLACE.x.y to itself. */
+    /** Creates the interceptor of a run, which has the addresses 127.R.x.y to itself. */
     public interface InterceptorFactory {
-        /** Called once, before anybody listens. */
-        RunInterceptor create(int place) throws IOException;
+        /** Called once, before any party listens. */
+        RunInterceptor create(int subnet) throws IOException;
     }
 
-    /** The same, with somebody between its parties. */
+    /** Runs a fleet once with a watcher, which may be null, and with an interceptor between the parties. */
     public static Outcome execute(
-            Fleet fleet, long seed, Launcher launcher, InterceptorFactory standing, Watcher watcher)
+            Fleet fleet, long seed, Launcher launcher, InterceptorFactory interceptorFactory, Watcher watcher)
             throws IOException, InterruptedException {
-        LoopbackSubnet held = LoopbackSubnet.acquire();
+        LoopbackSubnet subnet = LoopbackSubnet.acquire();
         Path folder = Files.createTempDirectory("kitemux-lab");
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        LoopbackRun run = new LoopbackRun(fleet, seed, launcher, held, standing.create(held.number()));
+        LoopbackRun run = new LoopbackRun(fleet, seed, launcher, subnet, interceptorFactory.create(subnet.number()));
         Thread cleaner = new Thread(run::endProcesses, "lab end");
         Runtime.getRuntime().addShutdownHook(cleaner);
         try {
             return run.runOn((EventLoop) group.next(), folder, watcher);
         } finally {
-            held.close();
+            subnet.close();
             run.endProcesses();
             Runtime.getRuntime().removeShutdownHook(cleaner);
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(MOST_START_S, TimeUnit.SECONDS);
+            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(LOOP_SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
             try (Stream<Path> files = Files.walk(folder)) {
                 for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(file);
@@ -178,40 +180,41 @@
     }
 
     private Outcome runOn(EventLoop loop, Path folder, Watcher watcher) throws InterruptedException, IOException {
-        RealTimeScheduler time = new RealTimeScheduler(loop, between::runDelayed);
-        LoopStallMonitor beat = new LoopStallMonitor(loop, by -> time.happens(() -> time.wasLate(by)));
+        RealTimeScheduler time = new RealTimeScheduler(loop, interceptor::runDelayed);
+        LoopStallMonitor stallMonitor =
+                new LoopStallMonitor(loop, stallNanos -> time.runExternalEvent(() -> time.recordDelay(stallNanos)));
         Emulation[] emulation = new Emulation[1];
         try {
-            on(loop, () -> {
+            callOnLoop(loop, () -> {
                 emulation[0] = Emulation.create(fleet, seed, time.scheduler(), (n, of) -> {
-                    NodeProcess node = node(n, of, time, loop, folder);
+                    NodeProcess node = createNode(n, of, time, loop, folder);
                     nodes.add(node);
                     return node;
                 });
                 return null;
             });
-            List<ChannelFuture> opening = on(loop, () -> {
-                List<ChannelFuture> all =
-                        new ArrayList<>(sockets.stream().map(BoxServer::opening).toList());
-                desks.forEach(desk -> all.add(desk.bindFuture()));
+            List<ChannelFuture> bindFutures = callOnLoop(loop, () -> {
+                List<ChannelFuture> all = new ArrayList<>(
+                        boxServers.stream().map(BoxServer::bindFuture).toList());
+                discoveryStubs.forEach(discovery -> all.add(discovery.bindFuture()));
                 return all;
             });
-            for (ChannelFuture one : opening) {
-                if (!one.await().isSuccess()) {
-                    throw new IOException(
-                            "a server or the list cannot listen: " + one.cause().getMessage());
+            for (ChannelFuture bindFuture : bindFutures) {
+                if (!bindFuture.await().isSuccess()) {
+                    throw new IOException("a server or the list cannot listen: "
+                            + bindFuture.cause().getMessage());
                 }
             }
             for (NodeProcess node : nodes) {
                 node.launch();
             }
-            on(loop, () -> {
-                time.begin();
-                beat.start();
-                // Servers that start later are cold since then by the nodes' clock, which is the system's.
+            callOnLoop(loop, () -> {
+                time.start();
+                stallMonitor.start();
+                // The nodes use the system clock to tell for how long a server that starts later has been cold.
                 long unixUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
-                time.happens(() -> {
-                    between.runStarted(live(emulation[0], time, loop));
+                time.runExternalEvent(() -> {
+                    interceptor.runStarted(createControl(emulation[0], time, loop));
                     emulation[0].begin(unixUs);
                 });
                 return null;
@@ -220,97 +223,98 @@
                     .mapToLong(work -> work.requestClass().deadlineUs())
                     .max()
                     .orElse(0);
-            long endsUs = fleet.load().durationUs() + longestUs + RUN_OUT_US;
+            long endUs = fleet.load().durationUs() + longestUs + COMPLETION_MARGIN_US;
             if (watcher == null) {
-                TimeUnit.MICROSECONDS.sleep(endsUs);
+                TimeUnit.MICROSECONDS.sleep(endUs);
             } else {
-                watched(
+                watch(
                         loop,
                         time,
                         () -> watcher.observe(emulation[0], time.scheduler().nowUs()),
-                        endsUs);
+                        endUs);
             }
-            return on(loop, () -> {
+            return callOnLoop(loop, () -> {
                 RunResult result = emulation[0].result();
                 time.stop();
                 if (time.failure() != null) {
                     throw new IOException("the lab failed: " + time.failure(), time.failure());
                 }
-                return new Outcome(result, time.mostLateUs());
+                return new Outcome(result, time.maxDelayUs());
             });
         } finally {
-            on(loop, () -> {
-                beat.stop();
+            callOnLoop(loop, () -> {
+                stallMonitor.stop();
                 time.stop();
-                sockets.forEach(BoxServer::close);
-                desks.forEach(DiscoveryStub::close);
+                boxServers.forEach(BoxServer::close);
+                discoveryStubs.forEach(DiscoveryStub::close);
                 return null;
             });
         }
     }
 
-    private static void watched(EventLoop loop, RealTimeScheduler time, BooleanSupplier look, long endsUs)
+    private static void watch(EventLoop loop, RealTimeScheduler time, BooleanSupplier observer, long endUs)
             throws InterruptedException, IOException {
-        boolean goesOn = true;
-        while (goesOn) {
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-            goesOn = on(loop, () -> {
+        boolean continues = true;
+        while (continues) {
+            TimeUnit.MILLISECONDS.sleep(WATCH_INTERVAL_MS);
+            continues = callOnLoop(loop, () -> {
                 boolean[] more = new boolean[1];
-                time.happens(() -> more[0] = time.scheduler().nowUs() < endsUs && look.getAsBoolean());
+                time.runExternalEvent(() -> more[0] = time.scheduler().nowUs() < endUs && observer.getAsBoolean());
                 return more[0];
             });
         }
     }
 
-    private NodeProcess node(int number, Emulation of, RealTimeScheduler time, EventLoop loop, Path folder) {
+    private NodeProcess createNode(int number, Emulation of, RealTimeScheduler time, EventLoop loop, Path folder) {
         if (number == 0) {
-            int boxes = 0;
+            int boxNumber = 0;
             for (Box box : of.boxes()) {
-                InetSocketAddress at = place.address(boxes++, BOX_PORT);
+                InetSocketAddress at = subnet.address(boxNumber++, BOX_PORT);
                 addresses.put(box.id(), at);
-                sockets.add(
-                        new BoxServer(box, at, loop, time, asked, fleet.links().handshakeWorkUs(), between));
+                boxServers.add(new BoxServer(
+                        box, at, loop, time, triesById, fleet.links().handshakeWorkUs(), interceptor));
             }
         }
-        Map<String, InetSocketAddress> seen = new LinkedHashMap<>();
-        addresses.forEach((box, listens) -> seen.put(box, between.boxAddress(number, box, listens)));
-        InetSocketAddress listAt = place.address(number, LIST_PORT);
-        DiscoveryStub desk = new DiscoveryStub(
-                listAt,
+        Map<String, InetSocketAddress> visibleAddresses = new LinkedHashMap<>();
+        addresses.forEach((box, listens) -> visibleAddresses.put(box, interceptor.boxAddress(number, box, listens)));
+        InetSocketAddress discoveryAddress = subnet.address(number, DISCOVERY_PORT);
+        DiscoveryStub discovery = new DiscoveryStub(
+                discoveryAddress,
                 loop,
                 List.of(ZONE),
-                seen,
-                watch -> time.happens(() -> between.discoveryRequested(number, watch)));
-        desks.add(desk);
+                visibleAddresses,
+                watch -> time.runExternalEvent(() -> interceptor.discoveryRequested(number, watch)));
+        discoveryStubs.add(discovery);
         List<ServerEntry> all = of.boxes().stream()
                 .map(box -> new ServerEntry(box.id(), 0, box.rack(), ServerState.READY, 1, 0))
                 .toList();
-        InetSocketAddress at = place.address(number, NODE_PORT);
+        InetSocketAddress at = subnet.address(number, NODE_PORT);
         Path config = folder.resolve("n" + number + ".json");
-        Settings set = of.settings(number);
-        // A list that is pushed comes from an agent, of which there is none here.
-        set.listOnRequest = true;
+        Settings settings = of.settings(number);
+        // A pushed list comes from an agent, which this run does not have.
+        settings.listOnRequest = true;
         ConfigText.Node node = new ConfigText.Node(
                 "n" + number,
                 NetUtil.toSocketAddressString(at),
-                NetUtil.toSocketAddressString(between.discoveryAddress(number, listAt)),
+                NetUtil.toSocketAddressString(interceptor.discoveryAddress(number, discoveryAddress)),
                 Long.toHexString(seed * 31 + number),
-                SOCKETS,
+                NODE_SOCKET_COUNT,
                 0,
                 fleet.links().idleTimeoutUs());
         try {
-            Files.writeString(config, ConfigText.node(node, set, DiscoveryStub.withAddresses(all, seen)));
+            Files.writeString(
+                    config, ConfigText.node(node, settings, DiscoveryStub.withAddresses(all, visibleAddresses)));
             return new NodeProcess(
                     number,
-                    between.nodeAddress(number, at),
-                    between,
+                    interceptor.nodeAddress(number, at),
+                    interceptor,
                     fleet,
                     time,
                     loop,
-                    asked,
+                    triesById,
                     entries -> {
-                        between.discoveryUpdateSent(number, entries);
-                        desk.publish(entries);
+                        interceptor.discoveryUpdateSent(number, entries);
+                        discovery.publish(entries);
                     },
                     launcher.nodeCommand(),
                     config);
@@ -319,7 +323,7 @@
         }
     }
 
-    private RunControl live(Emulation emulation, RealTimeScheduler time, EventLoop loop) {
+    private RunControl createControl(Emulation emulation, RealTimeScheduler time, EventLoop loop) {
         return new RunControl() {
             @Override
             public Scheduler scheduler() {
@@ -346,34 +350,34 @@
             }
 
             @Override
-            public void setReceivesClients(int node, boolean to) {
-                nodes.get(node).dealt(to);
+            public void setReceivesClients(int node, boolean receives) {
+                nodes.get(node).setReceivesClients(receives);
             }
 
             @Override
             public long maxDelayUs() {
-                return time.mostLateUs();
+                return time.maxDelayUs();
             }
 
             @Override
-            public void recordDelay(long byNanos) {
+            public void recordDelay(long delayNanos) {
                 try {
-                    loop.execute(() -> time.happens(() -> time.wasLate(byNanos)));
+                    loop.execute(() -> time.runExternalEvent(() -> time.recordDelay(delayNanos)));
                 } catch (RejectedExecutionException e) {
-                    // The run is over, and what stood between ends after it.
+                    // The run is over, and the interceptor ends after it.
                 }
             }
         };
     }
 
-    private static <T> T on(EventLoop loop, Callable<T> what) throws InterruptedException, IOException {
+    private static <T> T callOnLoop(EventLoop loop, Callable<T> task) throws InterruptedException, IOException {
         try {
-            return loop.submit(what).get();
+            return loop.submit(task).get();
         } catch (ExecutionException e) {
             if (e.getCause() instanceof IOException io) {
                 throw io;
             }
-            throw new IOException("the run broke off: " + e.getCause(), e.getCause());
+            throw new IOException("the run failed: " + e.getCause(), e.getCause());
         }
     }
 
--- a/src/main/java/kitemux/lab/LoopbackSubnet.java
+++ b/src/main/java/kitemux/lab/LoopbackSubnet.java
@@ -6,44 +6,44 @@
 import java.net.ServerSocket;
 
 /**
- * The addresses 127.R.x.y that one run has to itself: runs that are played at the same time on a machine have
- * each an R of their own. Which is free is told by a socket that each holds.
+ * The addresses 127.R.x.y, which one run has to itself: concurrent runs on a machine have different values of R. A
+ * subnet is in use while its holder keeps a socket bound in it.
  */
 public final class LoopbackSubnet implements AutoCloseable {
-    private static final int FIRST = 64;
-    private static final int RUNS = 128;
-    private static final int HOLD_PORT = 20_999;
+    private static final int FIRST_SUBNET = 64;
+    private static final int SUBNET_COUNT = 128;
+    private static final int LOCK_PORT = 20_999;
 
-    private final ServerSocket held;
+    private final ServerSocket lockSocket;
 
-    private LoopbackSubnet(ServerSocket held) {
-        this.held = held;
+    private LoopbackSubnet(ServerSocket lockSocket) {
+        this.lockSocket = lockSocket;
     }
 
     /**
-     * Takes one that is free, until it is closed.
+     * Acquires a free subnet, which is held until it is closed.
      *
-     * @throws IOException if there is none
+     * @throws IOException if no subnet is free
      */
     public static LoopbackSubnet acquire() throws IOException {
-        for (int i = 0; i < RUNS; i++) {
+        for (int i = 0; i < SUBNET_COUNT; i++) {
             ServerSocket socket = new ServerSocket();
             try {
-                socket.bind(new InetSocketAddress("127." + (FIRST + i) + ".255.254", HOLD_PORT));
+                socket.bind(new InetSocketAddress("127." + (FIRST_SUBNET + i) + ".255.254", LOCK_PORT));
                 return new LoopbackSubnet(socket);
             } catch (BindException e) {
                 socket.close();
             }
         }
-        throw new IOException("no room for a run: " + RUNS + " are played on this machine");
+        throw new IOException("no room for a run: " + SUBNET_COUNT + " are played on this machine");
     }
 
-    /** Its R, from 64 to 191. */
+    /** Returns the R of this subnet, from 64 to 191. */
     public int number() {
-        return held.getInetAddress().getAddress()[1] & 0xff;
+        return lockSocket.getInetAddress().getAddress()[1] & 0xff;
     }
 
-    /** An address of this run; numbers go from 0 to some 60,000. */
+    /** Returns an address in this subnet; the number ranges from 0 to about 60,000. */
     public InetSocketAddress address(int number, int port) {
         return new InetSocketAddress(
                 "127." + number() + "." + (number + 1) / 250 + "." + (1 + (number + 1) % 250), port);
@@ -51,6 +51,6 @@
 
     @Override
     public void close() throws IOException {
-        held.close();
+        lockSocket.close();
     }
 }
--- a/src/main/java/kitemux/lab/NodeProcess.java
+++ b/src/main/java/kitemux/lab/NodeProcess.java
@@ -46,71 +46,73 @@
 import kitemux.fleet.FleetNode;
 
 /**
- * A real node's process on a loopback address, and its clients' connections: each try is a request of its
- * own.
- * All but {@link #launch} is called on the loop.
+ * A node that runs as a process of its own on a loopback address, and the connections of its clients. Each try is
+ * sent as a separate request. All methods except {@link #launch} are called on the event loop.
  */
 final class NodeProcess implements FleetNode {
-    /** A connection unused for so long may be closed by its node just now. */
-    private static final long FRESH_NANOS = 2_000_000_000L;
-    /** A final answer that comes so much after its time, of which 50 ms are over then, is not lost. */
-    private static final long LAST_ANSWER_NANOS = 450_000_000L;
+    /** The node may be closing a connection that has been idle for longer. */
+    private static final long MAX_REUSE_IDLE_NANOS = 2_000_000_000L;
+    /**
+     * Time that a connection waits for the final answer of an abandoned try. An answer within this time does not count
+     * as lost; 50 ms of the time allowed have already passed when the wait starts.
+     */
+    private static final long FINAL_ANSWER_TIMEOUT_NANOS = 450_000_000L;
 
     private final int number;
     private final InetSocketAddress address;
-    private final RunInterceptor between;
+    private final RunInterceptor interceptor;
     private final Fleet fleet;
     private final RealTimeScheduler time;
     private final EventLoop loop;
-    private final Map<String, ClientTry> asked;
-    private final Consumer<List<ServerEntry>> listed;
+    private final Map<String, ClientTry> triesById;
+    private final Consumer<List<ServerEntry>> updateListener;
     private final ProcessBuilder command;
     private final Bootstrap dialer;
-    private final ArrayDeque<Client> idle = new ArrayDeque<>();
-    private final Map<ClientTry, Client> busy = new HashMap<>();
-    private final Map<ClientTry, Since> since = new HashMap<>();
+    private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
+    private final Map<ClientTry, Connection> activeConnections = new HashMap<>();
+    private final Map<ClientTry, WaitStart> waitStarts = new HashMap<>();
     private Process process;
     private boolean up;
-    private int lives;
-    private double usedUs;
+    private int incarnation;
+    private double endedProcessesCpuUs;
 
     /**
-     * Since when a try waits for its node: by the clock, as the run's time may be behind it.
+     * The start of a try's wait for its node, by the system clock, as the run's time may be behind it.
      *
-     * @param nanos when it was written, or, until then, dialled for
-     * @param heldUpNanos how long the ways had been held up by then
+     * @param startNanos when the request was written or, until then, when the connection was opened
+     * @param stallNanos the total stall time of the relays at that point
      */
-    private record Since(long nanos, long heldUpNanos) {}
+    private record WaitStart(long startNanos, long stallNanos) {}
 
     /**
-     * Starts nothing yet.
+     * Creates a node without starting its process.
      *
-     * @param address where clients dial
-     * @param asked gets each try by its id before it is sent
-     * @param listed what discovery has to tell this node
-     * @param command starts a node; is told the rest by the environment
-     * @param config what the process is told, as a file
+     * @param address the address to which clients connect
+     * @param triesById receives each try by its id before the try is sent
+     * @param updateListener receives the changes that discovery sends to this node
+     * @param command starts a node, which is configured by environment variables
+     * @param config the node's configuration file
      */
     NodeProcess(
             int number,
             InetSocketAddress address,
-            RunInterceptor between,
+            RunInterceptor interceptor,
             Fleet fleet,
             RealTimeScheduler time,
             EventLoop loop,
-            Map<String, ClientTry> asked,
-            Consumer<List<ServerEntry>> listed,
+            Map<String, ClientTry> triesById,
+            Consumer<List<ServerEntry>> updateListener,
             ProcessBuilder command,
             Path config)
             throws IOException {
         this.number = number;
         this.address = address;
-        this.between = between;
+        this.interceptor = interceptor;
         this.fleet = fleet;
         this.time = time;
         this.loop = loop;
-        this.asked = asked;
-        this.listed = listed;
+        this.triesById = triesById;
+        this.updateListener = updateListener;
         this.command = command.redirectErrorStream(true);
         command.environment().put("PROXY_CONFIG", config.toString());
         Path temporary = config.resolveSibling(config.getFileName() + ".tmp");
@@ -124,38 +126,41 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        Client client = new Client();
+                        Connection connection = new Connection();
                         channel.pipeline()
                                 .addLast(
                                         new HttpClientCodec(),
-                                        client.heads(),
+                                        connection.headHandler(),
                                         new HttpObjectAggregator(1 << 20),
-                                        client);
+                                        connection);
                     }
                 });
     }
 
-    /** Starts the process from any thread; done, with the process, once it takes clients. */
-    private CompletableFuture<Process> launched() {
+    /**
+     * Starts the process; may be called from any thread. The future completes with the process once it accepts
+     * clients.
+     */
+    private CompletableFuture<Process> launchAsync() {
         CompletableFuture<Process> ready = new CompletableFuture<>();
         Thread reader = new Thread(
                 () -> {
-                    StringBuilder said = new StringBuilder();
+                    StringBuilder output = new StringBuilder();
                     try {
                         Process started = command.start();
                         BufferedReader lines = started.inputReader();
                         String line;
                         while ((line = lines.readLine()) != null) {
-                            String told = line;
-                            tell(told);
+                            String outputLine = line;
+                            reportOutput(outputLine);
                             if (!ready.isDone()) {
-                                said.append(line).append('\n');
+                                output.append(line).append('\n');
                                 if (line.contains("listening on")) {
                                     ready.complete(started);
                                 }
                             }
                         }
-                        ready.completeExceptionally(new IOException("a node did not start: " + said));
+                        ready.completeExceptionally(new IOException("a node did not start: " + output));
                     } catch (IOException e) {
                         ready.completeExceptionally(e);
                     }
@@ -166,52 +171,52 @@
         return ready;
     }
 
-    /** A line that it wrote; once the run is over nobody listens any more. */
-    private void tell(String line) {
+    /** Reports a line of the process's output; lines after the end of the run are ignored. */
+    private void reportOutput(String line) {
         try {
-            loop.execute(() -> time.happens(() -> between.nodeOutput(number, line)));
+            loop.execute(() -> time.runExternalEvent(() -> interceptor.nodeOutput(number, line)));
         } catch (RejectedExecutionException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Starts it before the run begins; returns once it takes clients.
+     * Starts the process before the run begins, and returns once it accepts clients.
      *
-     * @throws IOException if it does not start; the message holds what it said
+     * @throws IOException if the process does not start; the message contains its output
      */
     void launch() throws IOException, InterruptedException {
         try {
-            process = launched().get();
+            process = launchAsync().get();
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e.getCause());
         }
     }
 
-    // ---------------------------------------------------------------- its life
+    // ---------------------------------------------------------------- process
 
     @Override
     public boolean isUp() {
         return up;
     }
 
-    /** Takes clients at once where its process runs already, else once that is up. */
+    /** Accepts clients at once if the process is already running, otherwise as soon as it is. */
     @Override
     public void start() {
         if (process != null) {
             up = true;
-            between.nodeStarted(number);
+            interceptor.nodeStarted(number);
             return;
         }
-        int life = ++lives;
-        launched()
+        int launchedIncarnation = ++incarnation;
+        launchAsync()
                 .whenComplete((started, failed) -> loop.execute(() -> {
-                    if (started != null && life == lives) {
+                    if (started != null && launchedIncarnation == incarnation) {
                         process = started;
                         up = true;
-                        time.happens(() -> between.nodeStarted(number));
+                        time.runExternalEvent(() -> interceptor.nodeStarted(number));
                     } else if (started != null) {
-                        end(started);
+                        destroy(started);
                     }
                 }));
     }
@@ -219,186 +224,208 @@
     @Override
     public void kill() {
         up = false;
-        lives++;
+        incarnation++;
         if (process != null) {
-            usedUs += cpuUs();
-            end(process);
+            endedProcessesCpuUs += cpuUs();
+            destroy(process);
             process = null;
-            between.nodeStopped(number);
+            interceptor.nodeStopped(number);
         }
     }
 
-    /** Its process is killed, and clients go on dialling it: its machine has gone, and says nothing. */
+    /**
+     * Kills the process without a notification of the clients, which continue to connect: models the loss of the
+     * whole machine.
+     */
     void vanish() {
         kill();
         up = true;
     }
 
-    /** Whether the front deals clients out to it, whatever its process does. */
-    void dealt(boolean to) {
-        up = to;
+    /** Sets whether the front sends clients to this node, whatever the state of its process. */
+    void setReceivesClients(boolean receivesClients) {
+        up = receivesClients;
     }
 
-    /** Its process gets a signal by its name; nothing happens where there is none. */
+    /** Sends a signal to the process by the signal's name; does nothing without a process. */
     void signal(String name) throws IOException {
         if (process != null) {
-            new ProcessBuilder("kill", "-" + name, Long.toString(itself(process).pid())).start();
+            new ProcessBuilder(
+                            "kill",
+                            "-" + name,
+                            Long.toString(nodeHandle(process).pid()))
+                    .start();
         }
     }
 
-    /** The process of the node, which whoever started it may stand before. */
-    private static ProcessHandle itself(Process started) {
+    /** Returns the node's process itself, which may be the child of a guard process. */
+    private static ProcessHandle nodeHandle(Process started) {
         return started.children().findFirst().orElse(started.toHandle());
     }
 
-    private static void end(Process started) {
+    private static void destroy(Process started) {
         started.children().forEach(ProcessHandle::destroyForcibly);
         started.destroyForcibly();
     }
 
     private double cpuUs() {
-        return itself(process).info().totalCpuDuration().orElse(Duration.ZERO).toNanos() / 1e3;
+        return nodeHandle(process)
+                        .info()
+                        .totalCpuDuration()
+                        .orElse(Duration.ZERO)
+                        .toNanos()
+                / 1e3;
     }
 
     @Override
     public void serversChanged(List<ServerEntry> entries) {
-        listed.accept(entries);
+        updateListener.accept(entries);
     }
 
     @Override
     public Stats stats() {
-        return new Stats(usedUs + (process == null ? 0 : cpuUs()), 0, 0, 0);
+        return new Stats(endedProcessesCpuUs + (process == null ? 0 : cpuUs()), 0, 0, 0);
     }
 
     // ---------------------------------------------------------------- clients
 
     @Override
-    public void submit(ClientTry one) {
-        between.trySubmitted(number, one);
-        asked.put(one.txn(), one);
-        waitsFromNow(one);
-        Client free = idle.poll();
-        while (free != null && !free.isUsable()) {
-            free.channel.close();
-            free = idle.poll();
+    public void submit(ClientTry clientTry) {
+        interceptor.trySubmitted(number, clientTry);
+        triesById.put(clientTry.txn(), clientTry);
+        startWait(clientTry);
+        Connection connection = idleConnections.poll();
+        while (connection != null && !connection.isUsable()) {
+            connection.channel.close();
+            connection = idleConnections.poll();
         }
-        if (free != null) {
-            free.ask(one);
+        if (connection != null) {
+            connection.send(clientTry);
             return;
         }
-        dial(one);
+        dial(clientTry);
     }
 
-    private void dial(ClientTry one) {
+    private void dial(ClientTry clientTry) {
         dialer.connect(address).addListener(done -> {
             Channel channel = ((ChannelFuture) done).channel();
             if (!done.isSuccess()) {
-                time.happens(() -> brokenUnder(one, false));
-            } else if (one.isOver()) {
+                time.runExternalEvent(() -> connectionLost(clientTry, false));
+            } else if (clientTry.isOver()) {
                 channel.close();
             } else {
-                channel.pipeline().get(Client.class).ask(one);
+                channel.pipeline().get(Connection.class).send(clientTry);
             }
         });
     }
 
-    private void waitsFromNow(ClientTry one) {
-        since.put(one, new Since(System.nanoTime(), between.totalStallNanos()));
+    private void startWait(ClientTry clientTry) {
+        waitStarts.put(clientTry, new WaitStart(System.nanoTime(), interceptor.totalStallNanos()));
     }
 
     @Override
-    public void completed(ClientTry one) {
-        busy.remove(one);
-        since.remove(one);
+    public void completed(ClientTry clientTry) {
+        activeConnections.remove(clientTry);
+        waitStarts.remove(clientTry);
     }
 
     /**
-     * What the player itself took is not its node's: the time runs from when the request was written, stands
-     * while the ways are held up, and whatever has come when it is over is read first.
+     * Excludes delays of the lab itself from the node's time. The deadline counts from when the request was written,
+     * is extended by the time in which relays were stalled, and data received by then is read before the try is
+     * abandoned.
      */
     @Override
-    public void deadlineReached(ClientTry one, long afterUs, Runnable leaves) {
-        Since from = since.get(one);
-        if (one.isOver() || from == null) {
-            leaves.run();
+    public void deadlineReached(ClientTry clientTry, long afterUs, Runnable abandon) {
+        WaitStart waitStart = waitStarts.get(clientTry);
+        if (clientTry.isOver() || waitStart == null) {
+            abandon.run();
             return;
         }
-        long waits = from.nanos + afterUs * 1_000 + between.totalStallNanos() - from.heldUpNanos - System.nanoTime();
-        if (waits > 0) {
-            loop.schedule(() -> time.happens(() -> deadlineReached(one, afterUs, leaves)), waits, TimeUnit.NANOSECONDS);
+        long remainingNanos = waitStart.startNanos
+                + afterUs * 1_000
+                + interceptor.totalStallNanos()
+                - waitStart.stallNanos
+                - System.nanoTime();
+        if (remainingNanos > 0) {
+            loop.schedule(
+                    () -> time.runExternalEvent(() -> deadlineReached(clientTry, afterUs, abandon)),
+                    remainingNanos,
+                    TimeUnit.NANOSECONDS);
         } else {
-            between.runAfterPendingTraffic(() -> LoopStallMonitor.runAfterSocketPoll(loop, () -> time.happens(leaves)));
+            interceptor.runAfterPendingTraffic(
+                    () -> LoopStallMonitor.runAfterSocketPoll(loop, () -> time.runExternalEvent(abandon)));
         }
     }
 
     /**
-     * Its client earns nothing any more, and goes on without it; its connection waits for the final answer
-     * until a request without one is lost, and is closed then, as nothing else calls a request off.
+     * The client goes on without this try, whose answer no longer counts. The connection waits for the final answer
+     * until the request counts as lost, and is closed then, as only that cancels the request.
      */
     @Override
-    public void abandoned(ClientTry one) {
-        since.remove(one);
-        Client client = busy.get(one);
-        if (client == null) {
-            between.tryAbandoned(one);
-        } else if (!client.amid) {
-            // What began to come in time is waited for to its end.
+    public void abandoned(ClientTry clientTry) {
+        waitStarts.remove(clientTry);
+        Connection connection = activeConnections.get(clientTry);
+        if (connection == null) {
+            interceptor.tryAbandoned(clientTry);
+        } else if (!connection.receivingLongAnswer) {
+            // An answer that has started to arrive in time is received to its end.
             loop.schedule(
-                    () -> time.happens(() -> {
-                        if (client.asks == one && !client.amid) {
-                            client.asks = null;
-                            busy.remove(one);
-                            between.tryAbandoned(one);
-                            client.channel.close();
+                    () -> time.runExternalEvent(() -> {
+                        if (connection.pendingTry == clientTry && !connection.receivingLongAnswer) {
+                            connection.pendingTry = null;
+                            activeConnections.remove(clientTry);
+                            interceptor.tryAbandoned(clientTry);
+                            connection.channel.close();
                         }
                     }),
-                    LAST_ANSWER_NANOS,
+                    FINAL_ANSWER_TIMEOUT_NANOS,
                     TimeUnit.NANOSECONDS);
         }
     }
 
-    private void brokenUnder(ClientTry one, boolean usedBefore) {
-        if (!one.isOver()) {
-            between.connectionLost(one, usedBefore);
+    private void connectionLost(ClientTry clientTry, boolean usedBefore) {
+        if (!clientTry.isOver()) {
+            interceptor.connectionLost(clientTry, usedBefore);
         }
-        one.onInternalError();
+        clientTry.onInternalError();
     }
 
-    private FullHttpRequest message(ClientTry one) {
-        RequestClass of = fleet.classes().get(one.classIndex()).requestClass();
-        boolean reads = of.retrySafety() == RetrySafety.SAFE;
-        FullHttpRequest message = new DefaultFullHttpRequest(
+    private FullHttpRequest buildRequest(ClientTry clientTry) {
+        RequestClass requestClass = fleet.classes().get(clientTry.classIndex()).requestClass();
+        boolean isSafe = requestClass.retrySafety() == RetrySafety.SAFE;
+        FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
-                reads ? HttpMethod.GET : HttpMethod.POST,
-                "/api/k" + one.txn(),
+                isSafe ? HttpMethod.GET : HttpMethod.POST,
+                "/api/k" + clientTry.txn(),
                 Unpooled.EMPTY_BUFFER);
-        message.headers()
+        request.headers()
                 .set(HttpHeaderNames.HOST, "backend.local")
-                .set("X-Txn", one.txn())
-                .set("X-Lane", of.name())
-                .set("X-Remaining", one.remainingUs() + "u");
-        if (one.tenant() >= 0) {
-            message.headers().set("X-Org", fleet.tenants().get(one.tenant()).name());
+                .set("X-Txn", clientTry.txn())
+                .set("X-Lane", requestClass.name())
+                .set("X-Remaining", clientTry.remainingUs() + "u");
+        if (clientTry.tenant() >= 0) {
+            request.headers()
+                    .set("X-Org", fleet.tenants().get(clientTry.tenant()).name());
         }
-        if (one.isRetry()) {
-            message.headers().set("X-Resent", "1");
+        if (clientTry.isRetry()) {
+            request.headers().set("X-Resent", "1");
         }
-        if (of.retrySafety() == RetrySafety.KEYED) {
-            message.headers().set("Idempotency-Key", "key-" + one.txn());
+        if (requestClass.retrySafety() == RetrySafety.KEYED) {
+            request.headers().set("Idempotency-Key", "key-" + clientTry.txn());
         }
-        if (!reads) {
-            message.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
+        if (!isSafe) {
+            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
         }
-        return message;
+        return request;
     }
 
-    /** A client's connection: one request at a time. */
-    private final class Client extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** A client's connection, which carries one request at a time. */
+    private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
-        private ClientTry asks;
+        private ClientTry pendingTry;
         private boolean reused;
-        /** A long answer has begun to come. */
-        private boolean amid;
+        /** Whether a long answer has started to arrive. */
+        private boolean receivingLongAnswer;
 
         private long idleSinceNanos;
 
@@ -407,17 +434,17 @@
             channel = context.channel();
         }
 
-        /** Stands before what makes answers whole. */
-        ChannelInboundHandler heads() {
+        /** Returns the handler that precedes the aggregation of answers and sees their heads. */
+        ChannelInboundHandler headHandler() {
             return new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelRead(ChannelHandlerContext context, Object part) {
                     if (part instanceof HttpResponse head
-                            && asks != null
+                            && pendingTry != null
                             && HttpUtil.getContentLength(head, 0L) >= LongAnswer.FIRST_PART_BYTES) {
-                        ClientTry one = asks;
-                        amid = true;
-                        time.happens(() -> between.longAnswerReceiving(one));
+                        ClientTry clientTry = pendingTry;
+                        receivingLongAnswer = true;
+                        time.runExternalEvent(() -> interceptor.longAnswerReceiving(clientTry));
                     }
                     context.fireChannelRead(part);
                 }
@@ -425,76 +452,77 @@
         }
 
         boolean isUsable() {
-            return channel.isActive() && System.nanoTime() - idleSinceNanos < FRESH_NANOS;
+            return channel.isActive() && System.nanoTime() - idleSinceNanos < MAX_REUSE_IDLE_NANOS;
         }
 
-        void ask(ClientTry one) {
-            asks = one;
-            busy.put(one, this);
-            waitsFromNow(one);
-            between.tryWritten(one, reused);
-            channel.writeAndFlush(message(one));
+        void send(ClientTry clientTry) {
+            pendingTry = clientTry;
+            activeConnections.put(clientTry, this);
+            startWait(clientTry);
+            interceptor.tryWritten(clientTry, reused);
+            channel.writeAndFlush(buildRequest(clientTry));
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-            ClientTry one = asks;
-            asks = null;
-            if (one == null) {
+            ClientTry clientTry = pendingTry;
+            pendingTry = null;
+            if (clientTry == null) {
                 channel.close();
                 return;
             }
-            busy.remove(one);
+            activeConnections.remove(clientTry);
             if (HttpUtil.isKeepAlive(answer)) {
                 reused = true;
                 idleSinceNanos = System.nanoTime();
-                idle.push(this);
+                idleConnections.push(this);
             } else {
                 channel.close();
             }
-            amid = false;
+            receivingLongAnswer = false;
             int status = answer.status().code();
-            String after = answer.headers().get(HttpHeaderNames.RETRY_AFTER);
-            time.happens(() -> {
-                long afterUs = after == null ? 0 : (long) (Double.parseDouble(after) * 1e6);
-                between.answerReceived(one, status, afterUs);
+            String retryAfter = answer.headers().get(HttpHeaderNames.RETRY_AFTER);
+            time.runExternalEvent(() -> {
+                long retryAfterUs = retryAfter == null ? 0 : (long) (Double.parseDouble(retryAfter) * 1e6);
+                interceptor.answerReceived(clientTry, status, retryAfterUs);
                 if (status == 200) {
-                    one.onServed(Boolean.TRUE);
+                    clientTry.onServed(Boolean.TRUE);
                 } else if (status == 429 || status == 503) {
-                    one.onRefused(afterUs);
+                    clientTry.onRefused(retryAfterUs);
                 } else {
-                    one.onFailed();
+                    clientTry.onFailed();
                 }
             });
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            idle.remove(this);
-            ClientTry one = asks;
-            asks = null;
-            if (one == null) {
+            idleConnections.remove(this);
+            ClientTry clientTry = pendingTry;
+            pendingTry = null;
+            if (clientTry == null) {
                 return;
             }
-            busy.remove(one);
-            if (amid) {
-                time.happens(() -> {
-                    between.longAnswerCutOff(one);
-                    one.onInternalError();
+            activeConnections.remove(clientTry);
+            if (receivingLongAnswer) {
+                time.runExternalEvent(() -> {
+                    interceptor.longAnswerCutOff(clientTry);
+                    clientTry.onInternalError();
                 });
                 return;
             }
-            if (one.isOver()) {
-                // It waited for its final answer alone, and will not get it.
-                time.happens(() -> between.tryAbandoned(one));
+            if (clientTry.isOver()) {
+                // The connection only waited for its final answer, which will not come.
+                time.runExternalEvent(() -> interceptor.tryAbandoned(clientTry));
                 return;
             }
             if (reused && up) {
-                // It crossed the end of an unused connection: asked once more, on a new one.
-                time.happens(() -> between.connectionLost(one, true));
-                dial(one);
+                // The node closed an idle connection while the request was sent: send it once more on a new
+                // connection.
+                time.runExternalEvent(() -> interceptor.connectionLost(clientTry, true));
+                dial(clientTry);
             } else {
-                time.happens(() -> brokenUnder(one, reused));
+                time.runExternalEvent(() -> connectionLost(clientTry, reused));
             }
         }
 
@@ -504,18 +532,18 @@
         }
     }
 
-    /** Ends all at once. */
+    /** Ends the process and closes all connections. */
     void close() {
-        List<Client> all = new ArrayList<>(idle);
-        all.addAll(busy.values());
-        all.forEach(client -> {
-            client.asks = null;
-            client.channel.close();
+        List<Connection> all = new ArrayList<>(idleConnections);
+        all.addAll(activeConnections.values());
+        all.forEach(connection -> {
+            connection.pendingTry = null;
+            connection.channel.close();
         });
-        lives++;
+        incarnation++;
         up = false;
         if (process != null) {
-            end(process);
+            destroy(process);
             try {
                 process.waitFor();
             } catch (InterruptedException e) {
--- a/src/main/java/kitemux/lab/PageTemplate.java
+++ b/src/main/java/kitemux/lab/PageTemplate.java
@@ -10,37 +10,38 @@
 import java.util.regex.Pattern;
 
 /**
- * Pages of this build with places to be filled in, such as {@code @TITLE@}; charts are put into them
- * whole.
+ * HTML pages among the resources of this build with placeholders such as {@code @TITLE@}. The chart library is
+ * embedded in the page.
  */
 public final class PageTemplate {
-    private static final String CHARTS = "/META-INF/resources/webjars/uplot/1.6.30/dist/uPlot.";
-    private static final Pattern PLACE = Pattern.compile("@([A-Z]+)@");
+    private static final String CHART_LIBRARY_PREFIX = "/META-INF/resources/webjars/uplot/1.6.30/dist/uPlot.";
+    private static final Pattern PLACEHOLDER = Pattern.compile("@([A-Z]+)@");
 
     private PageTemplate() {}
 
     /**
-     * A page, filled in. {@code STYLE} and {@code CHARTS} are the chart library's. What is put in is not
-     * searched again: a name may look like a place.
+     * Fills in the placeholders of a page. {@code STYLE} and {@code CHARTS} are replaced by the chart library.
+     * Inserted values are not searched for placeholders, as a name may look like one.
      *
-     * @param path of the page in this build, from its root
-     * @param places what stands where, as it is to stand there
-     * @throws IllegalArgumentException if the page has a place that is not among them
+     * @param path the resource path of the page, from the root
+     * @param values the values by placeholder name, already escaped
+     * @throws IllegalArgumentException if the page has a placeholder without a value
      */
-    public static String fill(String path, Map<String, String> places) {
-        Map<String, String> all = new HashMap<>(places);
-        all.put("STYLE", resource(CHARTS + "min.css"));
-        all.put("CHARTS", resource(CHARTS + "iife.min.js"));
-        return PLACE.matcher(resource(path)).replaceAll(place -> {
-            String text = all.get(place.group(1));
+    public static String fill(String path, Map<String, String> values) {
+        Map<String, String> all = new HashMap<>(values);
+        all.put("STYLE", resource(CHART_LIBRARY_PREFIX + "min.css"));
+        all.put("CHARTS", resource(CHART_LIBRARY_PREFIX + "iife.min.js"));
+        return PLACEHOLDER.matcher(resource(path)).replaceAll(placeholder -> {
+            String text = all.get(placeholder.group(1));
             if (text == null) {
-                throw new IllegalArgumentException(path + " has a place " + place.group() + " that is not filled");
+                throw new IllegalArgumentException(
+                        path + " has a placeholder " + placeholder.group() + " without a value");
             }
             return Matcher.quoteReplacement(text);
         });
     }
 
-    /** Text as it may stand in a page. */
+    /** Returns the text with the characters that are special in HTML escaped. */
     public static String escapeHtml(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
@@ -51,7 +52,7 @@
     private static String resource(String path) {
         try (InputStream in = PageTemplate.class.getResourceAsStream(path)) {
             if (in == null) {
-                throw new IOException(path + " is not in this build");
+                throw new IOException(path + " is missing from this build");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
--- a/src/main/java/kitemux/lab/PredictionReport.java
+++ b/src/main/java/kitemux/lab/PredictionReport.java
@@ -10,114 +10,122 @@
 import java.util.function.Predicate;
 import kitemux.plan.Estimate;
 
-/** What the runs of an experiment say: for each variant what was predicted and what happened over sockets. */
+/**
+ * Compares, for each variant of an experiment, the results predicted by the emulator with those measured over
+ * loopback.
+ */
 public final class PredictionReport {
-    /** A player that was behind its clock for longer measured itself. */
-    private static final long MOST_BEHIND_US = 50_000;
+    /** A run with a longer delay behind its clock measured the lab itself rather than the nodes. */
+    private static final long MAX_DELAY_US = 50_000;
 
     private PredictionReport() {}
 
     /**
-     * A variant's.
+     * The results of a variant.
      *
-     * @param predicted emulated; null if none was played
-     * @param measured over sockets; null if none was played
-     * @param violations rules broken, in all runs
-     * @param delayedRuns runs over sockets whose player was behind
+     * @param predicted the emulated share in time; null without an emulated run
+     * @param measured the share in time over loopback; null without such a run
+     * @param violations the number of broken rules in all runs
+     * @param delayedRuns the number of runs over loopback that were too far behind their clock
      */
     public record VariantResult(
             String variant, Estimate predicted, Estimate measured, long violations, long delayedRuns) {
-        /** How far the prediction is off, as a part of what happened; NaN where one of the two is missing. */
+        /** Returns the error of the prediction relative to the measured value; NaN if either is missing. */
         public double relativeError() {
             return predicted == null || measured == null ? Double.NaN : predicted.mean() / measured.mean() - 1;
         }
     }
 
-    /** A line for each variant, in the experiment's order. */
+    /** Returns the results of all variants, in the experiment's order. */
     public static List<VariantResult> variantResults(Experiment experiment, List<ResultRow> rows) {
         List<VariantResult> lines = new ArrayList<>();
         for (Experiment.Variant variant : experiment.variants()) {
-            List<ResultRow> of = rows.stream()
+            List<ResultRow> variantRows = rows.stream()
                     .filter(row -> row.variant().equals(variant.name()))
                     .toList();
             lines.add(new VariantResult(
                     variant.name(),
-                    inTime(of, row -> row.environment() == Experiment.Environment.EMULATOR),
-                    inTime(of, row -> row.environment() == Experiment.Environment.LOOPBACK),
-                    of.stream().mapToLong(ResultRow::violations).sum(),
-                    of.stream().filter(row -> row.maxDelayUs() > MOST_BEHIND_US).count()));
+                    estimateInTime(variantRows, row -> row.environment() == Experiment.Environment.EMULATOR),
+                    estimateInTime(variantRows, row -> row.environment() == Experiment.Environment.LOOPBACK),
+                    variantRows.stream().mapToLong(ResultRow::violations).sum(),
+                    variantRows.stream()
+                            .filter(row -> row.maxDelayUs() > MAX_DELAY_US)
+                            .count()));
         }
         return lines;
     }
 
-    private static Estimate inTime(List<ResultRow> rows, Predicate<ResultRow> which) {
+    private static Estimate estimateInTime(List<ResultRow> rows, Predicate<ResultRow> filter) {
         List<Double> values =
-                rows.stream().filter(which).map(ResultRow::inTimeRatio).toList();
+                rows.stream().filter(filter).map(ResultRow::inTimeRatio).toList();
         return values.isEmpty() ? null : Estimate.of(values);
     }
 
     /**
-     * Where a series crosses the goal.
+     * The position at which a series crosses the goal.
      *
-     * @param predicted on the series, between two of its points on a straight line; NaN if it does not
-     * @param measured the same over sockets
+     * @param predicted the emulated position, interpolated linearly between two points; NaN without a crossing
+     * @param measured the position over loopback; NaN without a crossing
      */
     public record GoalCrossing(String sweep, boolean higherIsBetter, double predicted, double measured) {
-        /** How far the prediction is off, as a part of what happened. */
+        /** Returns the error of the prediction relative to the measured value. */
         public double relativeError() {
             return predicted / measured - 1;
         }
     }
 
-    /** For each series where it crosses the goal. Of servers it is the first count that holds. */
+    /**
+     * Returns the position at which each series crosses the goal. In a series of server counts this is the first
+     * count that reaches the goal, without interpolation.
+     */
     public static List<GoalCrossing> goalCrossings(Experiment experiment, List<VariantResult> lines) {
         Map<String, VariantResult> byName = new LinkedHashMap<>();
         lines.forEach(line -> byName.put(line.variant(), line));
         LinkedHashSet<String> sweeps = new LinkedHashSet<>();
         experiment.variants().stream().filter(v -> !v.sweep().isEmpty()).forEach(v -> sweeps.add(v.sweep()));
-        List<GoalCrossing> found = new ArrayList<>();
+        List<GoalCrossing> crossings = new ArrayList<>();
         for (String sweep : sweeps) {
             List<Experiment.Variant> series = experiment.variants().stream()
                     .filter(v -> v.sweep().equals(sweep))
                     .sorted((a, b) -> Double.compare(a.position(), b.position()))
                     .toList();
-            found.add(new GoalCrossing(
+            crossings.add(new GoalCrossing(
                     sweep,
                     series.get(0).higherIsBetter(),
-                    crossing(
+                    findCrossing(
                             experiment.goal(), series, v -> byName.get(v.name()).predicted()),
-                    crossing(
+                    findCrossing(
                             experiment.goal(), series, v -> byName.get(v.name()).measured())));
         }
-        return found;
+        return crossings;
     }
 
-    private static double crossing(
-            double goal, List<Experiment.Variant> series, Function<Experiment.Variant, Estimate> of) {
+    private static double findCrossing(
+            double goal, List<Experiment.Variant> series, Function<Experiment.Variant, Estimate> estimateOf) {
         for (int i = 0; i < series.size(); i++) {
-            Estimate here = of.apply(series.get(i));
-            if (here == null) {
+            Estimate current = estimateOf.apply(series.get(i));
+            if (current == null) {
                 return Double.NaN;
             }
-            boolean more = series.get(i).higherIsBetter();
-            if (more ? here.mean() < goal : here.mean() >= goal) {
+            boolean higherIsBetter = series.get(i).higherIsBetter();
+            if (higherIsBetter ? current.mean() < goal : current.mean() >= goal) {
                 continue;
             }
-            if (more) {
+            if (higherIsBetter) {
                 return series.get(i).position();
             }
             if (i == 0) {
                 return Double.NaN;
             }
-            Estimate before = of.apply(series.get(i - 1));
-            double part = (before.mean() - goal) / (before.mean() - here.mean());
+            Estimate previous = estimateOf.apply(series.get(i - 1));
+            double fraction = (previous.mean() - goal) / (previous.mean() - current.mean());
             return series.get(i - 1).position()
-                    + part * (series.get(i).position() - series.get(i - 1).position());
+                    + fraction * (series.get(i).position() - series.get(i - 1).position());
         }
         return Double.NaN;
     }
 
-    /** As lines of a table that also reads as Markdown. */
+    /** Returns the lines of a table in Markdown. */
     public static List<String> table(Experiment experiment, List<ResultRow> rows) {
         List<VariantResult> lines = variantResults(experiment, rows);
         List<String> out = new ArrayList<>();
@@ -128,9 +136,9 @@
                     Locale.ROOT,
                     "| %s | %s | %s | %s | %d | %d |",
                     line.variant(),
-                    text(line.predicted()),
-                    text(line.measured()),
-                    percent(line.relativeError()),
+                    formatEstimate(line.predicted()),
+                    formatEstimate(line.measured()),
+                    formatPercent(line.relativeError()),
                     line.violations(),
                     line.delayedRuns()));
         }
@@ -146,30 +154,30 @@
                     Locale.ROOT,
                     "| %s | %s | %s | %s |",
                     crossing.sweep(),
-                    number(crossing.predicted()),
-                    number(crossing.measured()),
+                    formatNumber(crossing.predicted()),
+                    formatNumber(crossing.measured()),
                     crossing.higherIsBetter()
-                            ? number(crossing.predicted() - crossing.measured()) + " servers"
-                            : percent(crossing.relativeError())));
+                            ? formatNumber(crossing.predicted() - crossing.measured()) + " servers"
+                            : formatPercent(crossing.relativeError())));
         }
         return out;
     }
 
-    /** As it stands in tables. */
-    static String text(Estimate of) {
-        return of == null
+    /** Formats an estimate for a table. */
+    static String formatEstimate(Estimate estimate) {
+        return estimate == null
                 ? "-"
-                : of.sampleCount() < 2
-                        ? String.format(Locale.ROOT, "%.3f", of.mean())
-                        : String.format(Locale.ROOT, "%.3f ± %.3f", of.mean(), of.halfWidth());
+                : estimate.sampleCount() < 2
+                        ? String.format(Locale.ROOT, "%.3f", estimate.mean())
+                        : String.format(Locale.ROOT, "%.3f ± %.3f", estimate.mean(), estimate.halfWidth());
     }
 
-    /** As it stands in tables. */
-    static String percent(double of) {
-        return Double.isNaN(of) ? "-" : String.format(Locale.ROOT, "%+.1f%%", 100 * of);
+    /** Formats a ratio as a percentage for a table. */
+    static String formatPercent(double ratio) {
+        return Double.isNaN(ratio) ? "-" : String.format(Locale.ROOT, "%+.1f%%", 100 * ratio);
     }
 
-    private static String number(double of) {
-        return Double.isNaN(of) ? "none" : String.format(Locale.ROOT, "%.2f", of);
+    private static String formatNumber(double value) {
+        return Double.isNaN(value) ? "none" : String.format(Locale.ROOT, "%.2f", value);
     }
 }
--- a/src/main/java/kitemux/lab/RealTimeScheduler.java
+++ b/src/main/java/kitemux/lab/RealTimeScheduler.java
@@ -7,130 +7,132 @@
 import kitemux.sim.Scheduler;
 
 /**
- * Lets a run's time pass as the clock does, on one event loop: what is due happens by a timer of the loop,
- * and before anything that comes from outside. One thread has it all, so that servers and clients that were
- * written for virtual time need no locks here.
+ * Runs the events of a scheduler in real time on one event loop. A timer of the loop triggers due events; they also
+ * run before any external event. As all events run on one thread, servers and clients written for virtual time need
+ * no locks.
  */
 final class RealTimeScheduler {
-    /** Under this it is the usual unevenness of timers. */
-    private static final long TELL_NANOS = 15_000_000;
+    /** Shorter delays are the usual jitter of timers. */
+    private static final long MIN_REPORTED_DELAY_NANOS = 15_000_000;
 
-    private final Scheduler time = new Scheduler();
+    private final Scheduler scheduler = new Scheduler();
     private final EventLoop loop;
-    private final LongConsumer late;
-    private long beganNanos;
-    private boolean began;
-    private boolean passing;
-    private Future<?> armed;
-    private long armedAt;
-    private long mostLateNanos;
+    private final LongConsumer delayListener;
+    private long startNanos;
+    private boolean started;
+    private boolean runningDueEvents;
+    private Future<?> timer;
+    private long timerDueNanos;
+    private long maxDelayNanos;
     private RuntimeException failure;
 
     /**
-     * @param late told when the run was behind by so many microseconds, where that is worth telling
+     * Creates a scheduler that is not started.
+     *
+     * @param delayListener called with the delay in microseconds when the run was noticeably behind its clock
      */
-    RealTimeScheduler(EventLoop loop, LongConsumer late) {
-        this.late = late;
+    RealTimeScheduler(EventLoop loop, LongConsumer delayListener) {
+        this.delayListener = delayListener;
         this.loop = loop;
     }
 
     Scheduler scheduler() {
-        return time;
+        return scheduler;
     }
 
-    /** The run's time is 0 now. */
-    void begin() {
-        beganNanos = System.nanoTime();
-        began = true;
+    /** Starts the run: its time is 0 now. */
+    void start() {
+        startNanos = System.nanoTime();
+        started = true;
     }
 
-    /** The longest that something due was late by, in microseconds: what a run says is as good as this. */
-    long mostLateUs() {
-        return mostLateNanos / 1_000;
+    /** Returns the longest delay of a due event in microseconds, which limits the accuracy of the run's results. */
+    long maxDelayUs() {
+        return maxDelayNanos / 1_000;
     }
 
-    /** Something comes from outside: what was due before it happens first. */
-    void happens(Runnable what) {
-        if (passing || !began) {
-            // It came of what is happening now, whose time is the run's; or before its time began.
-            what.run();
+    /** Runs an external event, after all events that are due before it. */
+    void runExternalEvent(Runnable event) {
+        if (runningDueEvents || !started) {
+            // The event is caused by one that is running now, at the run's current time, or the run has not started.
+            event.run();
             return;
         }
-        pass();
+        runDueEvents();
         try {
-            what.run();
+            event.run();
         } catch (RuntimeException e) {
-            failed(e);
+            recordFailure(e);
         }
-        arm();
+        armTimer();
     }
 
-    /** A defect met by one event must not pass for what a fleet did. */
-    private void failed(RuntimeException e) {
+    /** Records a defect that an event has met, so that it is not mistaken for a result of the fleet. */
+    private void recordFailure(RuntimeException e) {
         if (failure == null) {
             failure = e;
         }
     }
 
-    /** The first defect that was met, or null. */
+    /** Returns the first recorded defect, or null. */
     RuntimeException failure() {
         return failure;
     }
 
-    private void pass() {
-        passing = true;
+    private void runDueEvents() {
+        runningDueEvents = true;
         try {
-            long now = System.nanoTime() - beganNanos;
-            long by = now - time.nextEventNanos();
-            // What is due behind a step that took long is late as well: not just the first is looked at.
-            while (time.runNext(now)) {
-                now = System.nanoTime() - beganNanos;
-                by = Math.max(by, now - time.nextEventNanos());
+            long now = System.nanoTime() - startNanos;
+            long delayNanos = now - scheduler.nextEventNanos();
+            // Events that are due behind a slow one are late as well, so the delay of each is taken into account.
+            while (scheduler.runNext(now)) {
+                now = System.nanoTime() - startNanos;
+                delayNanos = Math.max(delayNanos, now - scheduler.nextEventNanos());
             }
-            wasLate(by);
+            recordDelay(delayNanos);
         } catch (RuntimeException e) {
-            failed(e);
+            recordFailure(e);
         } finally {
-            passing = false;
+            runningDueEvents = false;
         }
     }
 
-    /** It has been behind by so much, until now. */
-    void wasLate(long byNanos) {
-        mostLateNanos = Math.max(mostLateNanos, byNanos);
-        if (byNanos > TELL_NANOS) {
-            late.accept(byNanos / 1_000);
+    /** Records that the run has been behind its clock until now. */
+    void recordDelay(long delayNanos) {
+        maxDelayNanos = Math.max(maxDelayNanos, delayNanos);
+        if (delayNanos > MIN_REPORTED_DELAY_NANOS) {
+            delayListener.accept(delayNanos / 1_000);
         }
     }
 
-    private void arm() {
-        long next = time.nextEventNanos();
-        if (armed != null && armedAt <= next) {
+    private void armTimer() {
+        long next = scheduler.nextEventNanos();
+        if (timer != null && timerDueNanos <= next) {
             return;
         }
-        if (armed != null) {
-            armed.cancel(false);
-            armed = null;
+        if (timer != null) {
+            timer.cancel(false);
+            timer = null;
         }
         if (next != Long.MAX_VALUE) {
-            armedAt = next;
-            armed = loop.schedule(
+            timerDueNanos = next;
+            timer = loop.schedule(
                     () -> {
-                        armed = null;
-                        pass();
-                        arm();
+                        timer = null;
+                        runDueEvents();
+                        armTimer();
                     },
-                    Math.max(0, next - (System.nanoTime() - beganNanos)),
+                    Math.max(0, next - (System.nanoTime() - startNanos)),
                     TimeUnit.NANOSECONDS);
         }
     }
 
-    /** Nothing more happens by itself. */
+    /** Stops running due events. */
     void stop() {
-        if (armed != null) {
-            armed.cancel(false);
+        if (timer != null) {
+            timer.cancel(false);
         }
-        armedAt = Long.MIN_VALUE;
-        armed = loop.newSucceededFuture(null);
+        timerDueNanos = Long.MIN_VALUE;
+        timer = loop.newSucceededFuture(null);
     }
 }
--- a/src/main/java/kitemux/lab/ResultRow.java
+++ b/src/main/java/kitemux/lab/ResultRow.java
@@ -4,13 +4,18 @@
 import kitemux.fleet.RunResult;
 
 /**
- * What is kept of a run, as a line of a table.
+ * The result of a run, stored as one line of a table.
  *
- * @param variant its name
- * @param inTimeRatio worth answered within its aim, over the worth asked for
- * @param worstWindowRatio the same of the worst 10 s
- * @param servedRatio requests answered 200, in time or late, over all that were wanted
- * @param maxDelayUs the longest that the player was behind its clock; 0 where time is virtual
+ * @param variant the name of the variant
+ * @param inTimeRatio the worth answered within its target latency, relative to the worth requested
+ * @param worstWindowRatio the lowest such ratio of any 10 s window
+ * @param servedRatio the requests answered 200, in time or late, relative to all requests
+ * @param p50Us the median latency in microseconds
+ * @param p99Us the 99th percentile of the latency in microseconds
+ * @param triesPerRequest the mean number of tries that clients made for a request
+ * @param requests the number of requests
+ * @param violations the number of broken rules
+ * @param maxDelayUs the longest delay of the run behind its clock in microseconds; 0 in virtual time
  */
 public record ResultRow(
         String variant,
@@ -26,7 +31,7 @@
         long violations,
         long maxDelayUs) {
 
-    /** The names of a line's fields, as a line. */
+    /** The header line of the table. */
     public static final String HEADER = String.join(
             "\t",
             "variant",
@@ -42,7 +47,7 @@
             "rules_broken",
             "behind_us");
 
-    private static final int FIELDS = 12;
+    private static final int FIELD_COUNT = 12;
 
     static ResultRow of(Experiment.Run run, RunResult result, long behindUs) {
         long served =
@@ -62,7 +67,7 @@
                 behindUs);
     }
 
-    /** As a line without its end. */
+    /** Returns the row as a line without a line terminator. */
     public String toLine() {
         return String.join(
                 "\t",
@@ -81,31 +86,31 @@
     }
 
     /**
-     * Reads a line.
+     * Parses a line.
      *
-     * @throws IllegalArgumentException if it is none
+     * @throws IllegalArgumentException if the line is not a valid row
      */
     public static ResultRow parse(String line) {
-        String[] f = line.split("\t", -1);
-        if (f.length != FIELDS) {
-            throw new IllegalArgumentException("has " + f.length + " fields, not " + FIELDS);
+        String[] fields = line.split("\t", -1);
+        if (fields.length != FIELD_COUNT) {
+            throw new IllegalArgumentException("has " + fields.length + " fields, not " + FIELD_COUNT);
         }
         return new ResultRow(
-                f[0],
-                Experiment.Environment.valueOf(f[1].toUpperCase(Locale.ROOT)),
-                Long.parseLong(f[2]),
-                Double.parseDouble(f[3]),
-                Double.parseDouble(f[4]),
-                Double.parseDouble(f[5]),
-                Long.parseLong(f[6]),
-                Long.parseLong(f[7]),
-                Double.parseDouble(f[8]),
-                Long.parseLong(f[9]),
-                Long.parseLong(f[10]),
-                Long.parseLong(f[11]));
+                fields[0],
+                Experiment.Environment.valueOf(fields[1].toUpperCase(Locale.ROOT)),
+                Long.parseLong(fields[2]),
+                Double.parseDouble(fields[3]),
+                Double.parseDouble(fields[4]),
+                Double.parseDouble(fields[5]),
+                Long.parseLong(fields[6]),
+                Long.parseLong(fields[7]),
+                Double.parseDouble(fields[8]),
+                Long.parseLong(fields[9]),
+                Long.parseLong(fields[10]),
+                Long.parseLong(fields[11]));
     }
 
-    /** Whether it is this run's. */
+    /** Returns whether this is the result of the run. */
     boolean isResultOf(Experiment.Run run) {
         return variant.equals(run.variant().name()) && environment == run.environment() && seed == run.seed();
     }
--- a/src/main/java/kitemux/lab/ResultsComparison.java
+++ b/src/main/java/kitemux/lab/ResultsComparison.java
@@ -10,31 +10,34 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Two folders of results, run by run: what the same variant, seed and place gave in one and in the other. The
- * intervals are of the mean difference, by drawing the pairs again with replacement (bootstrap, percentiles,
- * 95%).
+ * Compares two results folders by pairs of runs with the same variant, seed and environment. The intervals are 95%
+ * percentile bootstrap intervals of the mean difference.
  */
 public final class ResultsComparison {
-    private static final int DRAWS = 10_000;
+    private static final int RESAMPLE_COUNT = 10_000;
     private static final long SEED = 20_261_201L;
 
     private ResultsComparison() {}
 
     /**
-     * @param pairs runs that both have
-     * @param mean of the second less the first
+     * The difference between the paired runs of a variant.
+     *
+     * @param pairs the number of runs that both folders have
+     * @param mean the mean of the second folder's values minus the first folder's
+     * @param low the lower end of the 95% interval
+     * @param high the upper end of the 95% interval
      */
     public record Difference(
             String variant, Experiment.Environment environment, int pairs, double mean, double low, double high) {
-        /** Whether the interval lies on one side of 0; one pair alone tells nothing. */
+        /** Returns whether the interval excludes 0; a single pair is never significant. */
         public boolean isSignificant() {
             return pairs > 1 && (low > 0 || high < 0);
         }
     }
 
     /**
-     * The share in time, by variant and place, and of all variants of a place together, which is named
-     * "all".
+     * Compares the share in time for each variant and environment, and for all variants of an environment together
+     * under the name "all".
      */
     public static List<Difference> compare(List<ResultRow> first, List<ResultRow> second) {
         Map<String, List<Double>> pairs = new LinkedHashMap<>();
@@ -52,43 +55,43 @@
                     });
         }
         List<Difference> found = new ArrayList<>();
-        pairs.forEach((key, of) ->
-                found.add(difference(names.get(key).variant(), names.get(key).environment(), of)));
-        for (Experiment.Environment where : Experiment.Environment.values()) {
+        pairs.forEach((key, differences) ->
+                found.add(difference(names.get(key).variant(), names.get(key).environment(), differences)));
+        for (Experiment.Environment environment : Experiment.Environment.values()) {
             List<Double> all = new ArrayList<>();
-            pairs.forEach((key, of) -> {
-                if (names.get(key).environment() == where) {
-                    all.addAll(of);
+            pairs.forEach((key, differences) -> {
+                if (names.get(key).environment() == environment) {
+                    all.addAll(differences);
                 }
             });
             if (!all.isEmpty()) {
-                found.add(difference("all", where, all));
+                found.add(difference("all", environment, all));
             }
         }
         return found;
     }
 
-    private static Difference difference(String variant, Experiment.Environment where, List<Double> of) {
+    private static Difference difference(String variant, Experiment.Environment environment, List<Double> differences) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(SEED);
-        double[] means = new double[DRAWS];
-        for (int i = 0; i < DRAWS; i++) {
+        double[] means = new double[RESAMPLE_COUNT];
+        for (int i = 0; i < RESAMPLE_COUNT; i++) {
             double sum = 0;
-            for (int j = 0; j < of.size(); j++) {
-                sum += of.get(random.nextInt(of.size()));
+            for (int j = 0; j < differences.size(); j++) {
+                sum += differences.get(random.nextInt(differences.size()));
             }
-            means[i] = sum / of.size();
+            means[i] = sum / differences.size();
         }
         Arrays.sort(means);
         return new Difference(
                 variant,
-                where,
-                of.size(),
-                of.stream().mapToDouble(d -> d).average().orElse(0),
-                means[(int) (0.025 * DRAWS)],
-                means[(int) (0.975 * DRAWS)]);
+                environment,
+                differences.size(),
+                differences.stream().mapToDouble(d -> d).average().orElse(0),
+                means[(int) (0.025 * RESAMPLE_COUNT)],
+                means[(int) (0.975 * RESAMPLE_COUNT)]);
     }
 
-    /** As lines. */
+    /** Returns the lines of a table in Markdown. */
     public static List<String> table(List<Difference> differences) {
         List<String> out = new ArrayList<>();
         out.add("| scenario | where | pairs | second less first | |");
--- a/src/main/java/kitemux/lab/ResultsFolder.java
+++ b/src/main/java/kitemux/lab/ResultsFolder.java
@@ -12,11 +12,11 @@
 import java.util.Map;
 
 /**
- * Where an experiment's runs are kept: what was described, by what it was played, and a line for each run. A
- * run that was cut off left no whole line and is played again; nothing else is written twice.
+ * A folder with the results of an experiment: its description, the build that was used, and one line for each run. An
+ * interrupted run leaves an incomplete line or none and is executed again; other lines are never rewritten.
  */
 public final class ResultsFolder {
-    private static final String RUNS = "runs.tsv";
+    private static final String RUNS_FILE = "runs.tsv";
 
     private final Path folder;
 
@@ -25,24 +25,23 @@
     }
 
     /**
-     * One that is there.
+     * Opens an existing folder.
      *
-     * @throws IOException if there is none; the message says so
+     * @throws IOException if the folder holds no results
      */
     public static ResultsFolder open(Path folder) throws IOException {
-        if (!Files.isRegularFile(folder.resolve(RUNS))) {
-            throw new IOException(folder + " holds no results: " + RUNS + " is not there");
+        if (!Files.isRegularFile(folder.resolve(RUNS_FILE))) {
+            throw new IOException(folder + " holds no results: " + RUNS_FILE + " is missing");
         }
         return new ResultsFolder(folder);
     }
 
     /**
-     * Makes one, or opens the one that is there for the same.
+     * Opens the folder of an experiment, and creates it if it does not exist.
      *
-     * @param texts what is described and by what it is played, by the names of the files that keep it
-     * @throws IOException if it cannot be written, or holds the results of something else; the message
-     * says of
-     *     which file
+     * @param texts the texts that identify the experiment and the build, by the names of the files that store them
+     * @throws IOException if the folder cannot be written or holds results of another experiment or build; the
+     *     message names the file that differs
      */
     public static ResultsFolder openOrCreate(Path folder, Map<String, String> texts) throws IOException {
         Files.createDirectories(folder);
@@ -53,10 +52,10 @@
             } else if (!Files.readString(file).equals(text.getValue())) {
                 throw new IOException(folder + " holds results of another experiment or build: "
                         + text.getKey()
-                        + " differs; take another folder, or take that one away");
+                        + " differs; use another folder or remove that one");
             }
         }
-        Path runs = folder.resolve(RUNS);
+        Path runs = folder.resolve(RUNS_FILE);
         if (!Files.exists(runs)) {
             Files.writeString(runs, ResultRow.HEADER + "\n");
         }
@@ -64,37 +63,39 @@
     }
 
     /**
-     * The runs that are there.
+     * Returns the results in the folder.
      *
-     * @throws IOException if a line that is whole cannot be read; the message says which and why
+     * @throws IOException if a complete line is invalid; the message names the line and the reason
      */
     public List<ResultRow> rows() throws IOException {
         List<ResultRow> rows = new ArrayList<>();
-        String text = Files.readString(folder.resolve(RUNS));
-        int whole = text.lastIndexOf('\n');
-        String[] lines = whole < 0 ? new String[0] : text.substring(0, whole).split("\n");
+        String text = Files.readString(folder.resolve(RUNS_FILE));
+        int completeLength = text.lastIndexOf('\n');
+        String[] lines = completeLength < 0
+                ? new String[0]
+                : text.substring(0, completeLength).split("\n");
         for (int i = 1; i < lines.length; i++) {
             try {
                 rows.add(ResultRow.parse(lines[i]));
             } catch (IllegalArgumentException e) {
-                throw new IOException(folder.resolve(RUNS) + ", line " + (i + 1) + ": " + e.getMessage(), e);
+                throw new IOException(folder.resolve(RUNS_FILE) + ", line " + (i + 1) + ": " + e.getMessage(), e);
             }
         }
         return rows;
     }
 
-    /** Keeps a run. What a cut-off one left behind the last whole line goes first. */
+    /** Appends a result. An incomplete last line of an interrupted run is removed first. */
     public synchronized void append(ResultRow row) throws IOException {
-        Path runs = folder.resolve(RUNS);
-        byte[] there = Files.readAllBytes(runs);
-        int whole = there.length;
-        while (whole > 0 && there[whole - 1] != '\n') {
-            whole--;
+        Path runs = folder.resolve(RUNS_FILE);
+        byte[] content = Files.readAllBytes(runs);
+        int completeLength = content.length;
+        while (completeLength > 0 && content[completeLength - 1] != '\n') {
+            completeLength--;
         }
         try (FileChannel file = FileChannel.open(runs, StandardOpenOption.WRITE)) {
-            file.truncate(whole);
+            file.truncate(completeLength);
             ByteBuffer line = ByteBuffer.wrap((row.toLine() + "\n").getBytes(StandardCharsets.UTF_8));
-            file.position(whole);
+            file.position(completeLength);
             while (line.hasRemaining()) {
                 file.write(line);
             }
@@ -102,12 +103,16 @@
         }
     }
 
-    /** A text that is kept beside the runs. */
+    /** Returns the text of a file in the folder. */
     public String readText(String name) throws IOException {
         return Files.readString(folder.resolve(name));
     }
 
-    /** Keeps a page or a chart beside the runs; returns where. */
+    /**
+     * Writes a file, such as a page, into the folder.
+     *
+     * @return the path of the file
+     */
     public Path writeText(String name, String text) throws IOException {
         return Files.writeString(folder.resolve(name), text);
     }
--- a/src/main/java/kitemux/lab/ResultsPage.java
+++ b/src/main/java/kitemux/lab/ResultsPage.java
@@ -10,32 +10,32 @@
 import java.util.Map;
 import kitemux.plan.Estimate;
 
-/** Results as one page with charts, which holds all that it needs and opens without a network. */
+/** Renders results as a self-contained HTML page with charts, which opens without a network. */
 public final class ResultsPage {
     private static final JsonFactory JSON = new JsonFactory();
-    /** Beyond this part a prediction is marked: what the operators asked for. */
-    private static final double MOST_OFF = 0.1;
+    /** Predictions with a larger error are highlighted. */
+    private static final double MAX_ERROR_RATIO = 0.1;
 
     private ResultsPage() {}
 
     /**
-     * A page of an experiment's results.
+     * Renders the page of an experiment's results.
      *
-     * @param title what it is called
+     * @param title the title of the page
      */
     public static String render(String title, Experiment experiment, List<ResultRow> rows) {
         List<PredictionReport.VariantResult> lines = PredictionReport.variantResults(experiment, rows);
         StringBuilder table = new StringBuilder();
         for (PredictionReport.VariantResult line : lines) {
-            boolean off = Math.abs(line.relativeError()) > MOST_OFF;
+            boolean isOff = Math.abs(line.relativeError()) > MAX_ERROR_RATIO;
             table.append("<tr><td>")
                     .append(PageTemplate.escapeHtml(line.variant()))
                     .append("</td><td>")
-                    .append(PredictionReport.text(line.predicted()))
+                    .append(PredictionReport.formatEstimate(line.predicted()))
                     .append("</td><td>")
-                    .append(PredictionReport.text(line.measured()))
-                    .append(off ? "</td><td class=\"off\">" : "</td><td>")
-                    .append(PredictionReport.percent(line.relativeError()))
+                    .append(PredictionReport.formatEstimate(line.measured()))
+                    .append(isOff ? "</td><td class=\"off\">" : "</td><td>")
+                    .append(PredictionReport.formatPercent(line.relativeError()))
                     .append("</td><td>")
                     .append(line.violations())
                     .append("</td></tr>\n");
@@ -50,28 +50,28 @@
                         "ROWS",
                         table.toString(),
                         "DATA",
-                        data(lines, experiment.goal())));
+                        chartData(lines, experiment.goal())));
     }
 
-    private static String data(List<PredictionReport.VariantResult> lines, double goal) {
+    private static String chartData(List<PredictionReport.VariantResult> lines, double goal) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
             json.writeNumberField("goal", goal);
             json.writeArrayFieldStart("names");
             for (PredictionReport.VariantResult line : lines) {
-                // A name that ended the script would end the page.
+                // A name with a closing script tag would end the script.
                 json.writeString(line.variant().replace("<", " "));
             }
             json.writeEndArray();
             json.writeArrayFieldStart("predicted");
             for (PredictionReport.VariantResult line : lines) {
-                write(json, line.predicted());
+                writeMean(json, line.predicted());
             }
             json.writeEndArray();
             json.writeArrayFieldStart("happened");
             for (PredictionReport.VariantResult line : lines) {
-                write(json, line.measured());
+                writeMean(json, line.measured());
             }
             json.writeEndArray();
             json.writeEndObject();
@@ -81,11 +81,11 @@
         return text.toString();
     }
 
-    private static void write(JsonGenerator json, Estimate of) throws IOException {
-        if (of == null) {
+    private static void writeMean(JsonGenerator json, Estimate estimate) throws IOException {
+        if (estimate == null) {
             json.writeNull();
         } else {
-            json.writeNumber(of.mean());
+            json.writeNumber(estimate.mean());
         }
     }
 }
--- a/src/main/java/kitemux/lab/RunInterceptor.java
+++ b/src/main/java/kitemux/lab/RunInterceptor.java
@@ -7,104 +7,142 @@
 import kitemux.fleet.ClientTry;
 
 /**
- * Who stands between the parties of a run over sockets, and looks on: where each party is told that another
- * one listens, and what they do. All is called on the run's thread, at the run's time; what is not of
- * interest
- * is left as it is.
+ * Intercepts and observes a run over sockets. It decides the address under which each party reaches another one, is
+ * notified of what the parties do, and may give servers long answers to send. All methods are called on the run's
+ * thread with the run's time, unless stated otherwise; the defaults change nothing and ignore notifications.
  */
 public interface RunInterceptor {
-    /** Nobody: parties meet as they listen. */
+    /** An interceptor that changes nothing: parties connect to each other directly. */
     RunInterceptor NONE = new RunInterceptor() {};
 
-    /** Where clients reach a node. */
-    default InetSocketAddress nodeAddress(int node, InetSocketAddress listens) {
-        return listens;
+    /**
+     * Returns the address at which clients reach a node.
+     *
+     * @param listenAddress the address at which the node listens
+     */
+    default InetSocketAddress nodeAddress(int node, InetSocketAddress listenAddress) {
+        return listenAddress;
     }
 
-    /** Where a node reaches a server. */
-    default InetSocketAddress boxAddress(int node, String box, InetSocketAddress listens) {
-        return listens;
+    /**
+     * Returns the address at which a node reaches a server.
+     *
+     * @param listenAddress the address at which the server listens
+     */
+    default InetSocketAddress boxAddress(int node, String box, InetSocketAddress listenAddress) {
+        return listenAddress;
     }
 
-    /** Where a node reaches discovery. */
-    default InetSocketAddress discoveryAddress(int node, InetSocketAddress listens) {
-        return listens;
+    /**
+     * Returns the address at which a node reaches discovery.
+     *
+     * @param listenAddress the address at which discovery listens
+     */
+    default InetSocketAddress discoveryAddress(int node, InetSocketAddress listenAddress) {
+        return listenAddress;
     }
 
-    /** The run begins: clients come from now on. */
-    default void runStarted(LoopbackRun.RunControl live) {}
-
-    /** The run was behind its clock by so much, until now: what came meanwhile was seen late. */
-    default void runDelayed(long byUs) {}
+    /** The run has started: clients send requests from now on. */
+    default void runStarted(LoopbackRun.RunControl control) {}
 
     /**
-     * Does something once all that has come to a way by now was passed on, on any thread.
+     * The run was behind its clock until now, so what arrived in that time was observed late.
+     *
+     * @param delayUs how far the run was behind, in microseconds
      */
-    default void runAfterPendingTraffic(Runnable then) {
-        then.run();
+    default void runDelayed(long delayUs) {}
+
+    /** Runs a task once all data that has reached a relay by now has been forwarded; the task runs on any thread. */
+    default void runAfterPendingTraffic(Runnable task) {
+        task.run();
     }
 
-    /** For how long, in all, the ways have passed on nothing though they were to, in nanoseconds. */
+    /** Returns the total time in which relays forwarded nothing although they should have, in nanoseconds. */
     default long totalStallNanos() {
         return 0;
     }
 
-    /** A node's process takes clients, or takes them again. */
+    /** A node's process accepts clients, for the first time or again. */
     default void nodeStarted(int node) {}
 
-    /** A node's process was ended. */
+    /** A node's process was killed. */
     default void nodeStopped(int node) {}
 
-    /** A node's process wrote a line, at some time not long ago. */
+    /**
+     * A node's process has written a line of output; the line may have been written a short time before the call.
+     */
     default void nodeOutput(int node, String line) {}
 
-    /** A client's try is on its way to a node. */
-    default void trySubmitted(int node, ClientTry one) {}
+    /** A client sends a try to a node. */
+    default void trySubmitted(int node, ClientTry clientTry) {}
 
-    /** A client has written a try to a connection, one that was used before or a new one. */
-    default void tryWritten(ClientTry one, boolean usedBefore) {}
+    /**
+     * A client has written a try to a connection.
+     *
+     * @param usedBefore whether the connection has carried an earlier request
+     */
+    default void tryWritten(ClientTry clientTry, boolean usedBefore) {}
 
-    /** A connection ended under a try, with no byte of an answer. */
-    default void connectionLost(ClientTry one, boolean usedBefore) {}
+    /**
+     * A connection ended before any byte of the answer to its try was received.
+     *
+     * @param usedBefore whether the connection has carried an earlier request
+     */
+    default void connectionLost(ClientTry clientTry, boolean usedBefore) {}
 
-    /** An answer has come whole. */
-    default void answerReceived(ClientTry one, int status, long retryAfterUs) {}
+    /**
+     * A complete answer was received.
+     *
+     * @param retryAfterUs the Retry-After time of the answer in microseconds; 0 without one
+     */
+    default void answerReceived(ClientTry clientTry, int status, long retryAfterUs) {}
 
-    /** A client waits no more for a try, and closes its connection. */
-    default void tryAbandoned(ClientTry one) {}
+    /** A client no longer waits for a try, and closes its connection. */
+    default void tryAbandoned(ClientTry clientTry) {}
 
-    /** A connection to a server has come up. */
+    /** A connection to a server was established. */
     default void boxConnected(String box, InetSocketAddress from) {}
 
-    /** A request has come whole to a server that runs, or to one that says nothing. */
-    default void requestReceived(String box, InetSocketAddress from, ClientTry one, boolean runs) {}
+    /**
+     * A complete request was received by a server that is running or silent.
+     *
+     * @param isUp whether the server processes requests; false while it is silent
+     */
+    default void requestReceived(String box, InetSocketAddress from, ClientTry clientTry, boolean isUp) {}
 
-    /** A server says how a request ended there. */
-    default void requestCompleted(String box, ClientTry one, Result result) {}
+    /** A server has finished a request with a result. */
+    default void requestCompleted(String box, ClientTry clientTry, Result result) {}
 
-    /** The answer that a server gives to a try that it serves, where it is a long one; else null. */
-    default LongAnswer longAnswer(String box, ClientTry one) {
+    /** Returns the long answer that a server sends to a try that it serves, or null for an ordinary answer. */
+    default LongAnswer longAnswer(String box, ClientTry clientTry) {
         return null;
     }
 
-    /** A server begins to give a long answer. */
-    default void longAnswerStarted(String box, ClientTry one) {}
+    /** A server starts to send a long answer. */
+    default void longAnswerStarted(String box, ClientTry clientTry) {}
 
-    /** It gives no more of it. */
-    default void longAnswerEnded(String box, ClientTry one, LongAnswer.End how) {}
+    /** A server has stopped sending a long answer. */
+    default void longAnswerEnded(String box, ClientTry clientTry, LongAnswer.End end) {}
 
-    /** A long answer begins to come to a client, which waits for the rest from now on, whatever its time. */
-    default void longAnswerReceiving(ClientTry one) {}
+    /**
+     * The head of a long answer was received. The client waits for the rest from now on, whatever the deadline of its
+     * try.
+     */
+    default void longAnswerReceiving(ClientTry clientTry) {}
 
-    /** A connection ended amid a long answer that had begun to come. */
-    default void longAnswerCutOff(ClientTry one) {}
+    /** A connection ended while a long answer was being received. */
+    default void longAnswerCutOff(ClientTry clientTry) {}
 
-    /** A server's process has begun, or ended, or gone on without a word. */
+    /** A server's process has started, ended or become silent. */
     default void boxStateChanged(String box, boolean up, boolean silent) {}
 
-    /** Discovery writes a change to a node. */
+    /** Discovery sends a change to a node. */
     default void discoveryUpdateSent(int node, List<ServerEntry> entries) {}
 
-    /** A node calls discovery, or watches it from now on. */
+    /**
+     * A node sends a request to discovery.
+     *
+     * @param watch whether the request opens a watch
+     */
     default void discoveryRequested(int node, boolean watch) {}
 }
--- a/src/test/java/kitemux/lab/RunDelayTest.java
+++ b/src/test/java/kitemux/lab/RunDelayTest.java
@@ -65,13 +65,13 @@
                         time[0] = new RealTimeScheduler(
                                 loop,
                                 by -> told.add(new long[] {time[0].scheduler().nowUs(), by}));
-                        time[0].begin();
-                        time[0].happens(() -> {
+                        time[0].start();
+                        time[0].runExternalEvent(() -> {
                             time[0].scheduler().scheduleAfterUs(0, RunDelayTest::stall);
                             time[0].scheduler().scheduleAfterUs(1_000, () -> {});
                             dueUs[0] = time[0].scheduler().nowUs() + 1_000;
                         });
-                        time[0].happens(() -> {});
+                        time[0].runExternalEvent(() -> {});
                     })
                     .sync();
             loop.submit(() -> {
@@ -81,7 +81,7 @@
                         assertTrue(
                                 from >= dueUs[0] && from < dueUs[0] + STALL_NANOS / 2_000,
                                 "told as of " + from + " us, where " + dueUs[0] + " was due");
-                        assertTrue(time[0].mostLateUs() >= STALL_NANOS / 1_000 - 1_000);
+                        assertTrue(time[0].maxDelayUs() >= STALL_NANOS / 1_000 - 1_000);
                         time[0].stop();
                     })
                     .sync();
