--- a/src/main/java/kitemux/lab/ExperimentFile.java
+++ b/src/main/java/kitemux/lab/ExperimentFile.java
@@ -88,43 +88,43 @@
     }
 
     private static void addScenario(
-            String name, Section of, Fleet base, List<Experiment.Variant> variants, List<String> errors) {
-        double load = of.number("load", 1);
-        Fleet fleet = base.with(withProfile(base.load().scaledBy(load), of));
-        Section counts = of.block("counts", false);
+            String name, Section section, Fleet base, List<Experiment.Variant> variants, List<String> errors) {
+        double load = section.number("load", 1);
+        Fleet fleet = base.with(withProfile(base.load().scaledBy(load), section));
+        Section counts = section.block("counts", false);
         if (counts != null) {
             List<Fleet.ServerKind> kinds = new ArrayList<>();
             fleet.kinds().forEach(kind -> kinds.add(withCount(kind, counts.whole(kind.name(), kind.count()))));
             counts.end();
             fleet = fleet.withKinds(kinds);
         }
-        if (!of.yes("choke", true)) {
+        if (!section.yes("choke", true)) {
             fleet = fleet.with((Fleet.OverloadSlowdown) null);
         }
         Fleet.Clients clients = fleet.clients();
         fleet = fleet.with(new Fleet.Clients(
                 clients.oneWayUs(),
-                of.whole("retries", clients.maxRetries()),
+                section.whole("retries", clients.maxRetries()),
                 clients.minTryTimeoutRatio(),
                 clients.maxTryTimeoutRatio(),
                 clients.backoffUs(),
-                of.number("honour", clients.retryAfterComplianceRatio()),
+                section.number("honour", clients.retryAfterComplianceRatio()),
                 clients.maxRetryAfterUs(),
                 clients.nodeSkew()));
         Fleet.Nodes nodes = fleet.nodes();
         fleet = fleet.with(new Fleet.Nodes(
-                of.whole("nodes", nodes.count()),
+                section.whole("nodes", nodes.count()),
                 nodes.eventCostUs(),
                 nodes.cores(),
                 nodes.startupUs(),
                 nodes.failureDetectionUs()));
         List<Fleet.Fault> faults = new ArrayList<>(fleet.faults());
-        of.repeated("fault").forEach(fault -> faults.add(FleetFile.readFault(fault)));
+        section.repeated("fault").forEach(fault -> faults.add(FleetFile.readFault(fault)));
         fleet = fleet.withFaults(faults);
-        List<Double> loads = of.numbers("loads");
-        List<Double> boxes = of.numbers("boxes");
-        String kind = boxes.isEmpty() ? "" : of.text("of");
-        of.end();
+        List<Double> loads = section.numbers("loads");
+        List<Double> boxes = section.numbers("boxes");
+        String kind = boxes.isEmpty() ? "" : section.text("of");
+        section.end();
         if (loads.isEmpty() && boxes.isEmpty()) {
             variants.add(new Experiment.Variant(name, "", 0, false, fleet));
         }
@@ -152,29 +152,29 @@
         }
     }
 
-    private static Fleet.Load withProfile(Fleet.Load load, Section of) {
-        List<Fleet.LoadPoint> shape = new ArrayList<>();
-        for (Section point : of.repeated("point")) {
-            shape.add(new Fleet.LoadPoint(point.time("at", 0), point.number("times", Double.NaN)));
+    private static Fleet.Load withProfile(Fleet.Load load, Section section) {
+        List<Fleet.LoadPoint> profile = new ArrayList<>();
+        for (Section point : section.repeated("point")) {
+            profile.add(new Fleet.LoadPoint(point.time("at", 0), point.number("times", Double.NaN)));
             point.end();
         }
-        return shape.isEmpty()
+        return profile.isEmpty()
                 ? load
-                : new Fleet.Load(load.ratePerS(), load.durationUs(), shape, load.quotaPerS(), load.overShareWorth());
+                : new Fleet.Load(load.ratePerS(), load.durationUs(), profile, load.quotaPerS(), load.overShareWorth());
     }
 
-    private static Fleet.ServerKind withCount(Fleet.ServerKind k, int count) {
+    private static Fleet.ServerKind withCount(Fleet.ServerKind kind, int count) {
         return new Fleet.ServerKind(
-                k.name(),
+                kind.name(),
                 count,
-                k.cores(),
-                k.speed(),
-                k.speedCv(),
-                k.queueCapacity(),
-                k.initialCapacityRatio(),
-                k.warmUpUs(),
-                k.warmsByWork(),
-                k.cost());
+                kind.cores(),
+                kind.speed(),
+                kind.speedCv(),
+                kind.queueCapacity(),
+                kind.initialCapacityRatio(),
+                kind.warmUpUs(),
+                kind.warmsByWork(),
+                kind.cost());
     }
 
     private static void validate(
@@ -185,33 +185,33 @@
                 "scenario: the number of variants must be from 1 to " + MAX_VARIANT_COUNT + ", not " + variants.size());
         Set<String> names = new HashSet<>();
         for (Experiment.Variant variant : variants) {
-            String at = "scenario \"" + variant.name() + "\": ";
-            require(errors, names.add(variant.name()), at + "is there twice");
+            String prefix = "scenario \"" + variant.name() + "\": ";
+            require(errors, names.add(variant.name()), prefix + "is there twice");
             require(
                     errors,
                     variant.name().indexOf('\t') < 0 && variant.name().indexOf('\n') < 0,
-                    at + "its name contains a tab or a line break");
-            variant.fleet().validate().forEach(fault -> errors.add(at + fault));
+                    prefix + "its name contains a tab or a line break");
+            variant.fleet().validate().forEach(fault -> errors.add(prefix + fault));
             if (environments.contains(Experiment.Environment.LOOPBACK)) {
                 require(
                         errors,
                         variant.fleet().nodes().count() <= MAX_NODE_COUNT,
-                        at + "over sockets at most " + MAX_NODE_COUNT + " nodes can be started");
+                        prefix + "over sockets at most " + MAX_NODE_COUNT + " nodes can be started");
                 require(
                         errors,
                         variant.fleet().serverCount() <= MAX_SERVER_COUNT,
-                        at + "over sockets at most " + MAX_SERVER_COUNT + " servers can be started");
+                        prefix + "over sockets at most " + MAX_SERVER_COUNT + " servers can be started");
                 require(
                         errors,
                         variant.fleet().faults().stream()
                                 .noneMatch(fault ->
                                         fault.kind() == Fleet.FaultKind.VANISH || fault.kind() == Fleet.FaultKind.CUT),
-                        at + "the faults vanish and cut cannot be played over loopback;"
+                        prefix + "the faults vanish and cut cannot be played over loopback;"
                                 + " use where = [\"emulator\"]");
                 require(
                         errors,
                         variant.fleet().zones().crossZoneDelayUs() == 0,
-                        at + "there is no delay between zones over loopback: across must be 0");
+                        prefix + "there is no delay between zones over loopback: across must be 0");
             }
         }
     }
--- a/src/main/java/kitemux/lab/LoopbackRun.java
+++ b/src/main/java/kitemux/lab/LoopbackRun.java
@@ -186,8 +186,8 @@
         Emulation[] emulation = new Emulation[1];
         try {
             callOnLoop(loop, () -> {
-                emulation[0] = Emulation.create(fleet, seed, time.scheduler(), (n, of) -> {
-                    NodeProcess node = createNode(n, of, time, loop, folder);
+                emulation[0] = Emulation.create(fleet, seed, time.scheduler(), (nodeNumber, created) -> {
+                    NodeProcess node = createNode(nodeNumber, created, time, loop, folder);
                     nodes.add(node);
                     return node;
                 });
@@ -265,18 +265,20 @@
         }
     }
 
-    private NodeProcess createNode(int number, Emulation of, RealTimeScheduler time, EventLoop loop, Path folder) {
+    private NodeProcess createNode(
+            int number, Emulation emulation, RealTimeScheduler time, EventLoop loop, Path folder) {
         if (number == 0) {
             int boxNumber = 0;
-            for (Box box : of.boxes()) {
-                InetSocketAddress at = subnet.address(boxNumber++, BOX_PORT);
-                addresses.put(box.id(), at);
+            for (Box box : emulation.boxes()) {
+                InetSocketAddress address = subnet.address(boxNumber++, BOX_PORT);
+                addresses.put(box.id(), address);
                 boxServers.add(new BoxServer(
-                        box, at, loop, time, triesById, fleet.links().handshakeWorkUs(), interceptor));
+                        box, address, loop, time, triesById, fleet.links().handshakeWorkUs(), interceptor));
             }
         }
         Map<String, InetSocketAddress> visibleAddresses = new LinkedHashMap<>();
-        addresses.forEach((box, listens) -> visibleAddresses.put(box, interceptor.boxAddress(number, box, listens)));
+        addresses.forEach(
+                (box, listenAddress) -> visibleAddresses.put(box, interceptor.boxAddress(number, box, listenAddress)));
         InetSocketAddress discoveryAddress = subnet.address(number, DISCOVERY_PORT);
         DiscoveryStub discovery = new DiscoveryStub(
                 discoveryAddress,
@@ -285,17 +287,17 @@
                 visibleAddresses,
                 watch -> time.runExternalEvent(() -> interceptor.discoveryRequested(number, watch)));
         discoveryStubs.add(discovery);
-        List<ServerEntry> all = of.boxes().stream()
+        List<ServerEntry> initialServers = emulation.boxes().stream()
                 .map(box -> new ServerEntry(box.id(), 0, box.rack(), ServerState.READY, 1, 0))
                 .toList();
-        InetSocketAddress at = subnet.address(number, NODE_PORT);
+        InetSocketAddress address = subnet.address(number, NODE_PORT);
         Path config = folder.resolve("n" + number + ".json");
-        Settings settings = of.settings(number);
+        Settings settings = emulation.settings(number);
         // A pushed list comes from an agent, which this run does not have.
         settings.listOnRequest = true;
         ConfigText.Node node = new ConfigText.Node(
                 "n" + number,
-                NetUtil.toSocketAddressString(at),
+                NetUtil.toSocketAddressString(address),
                 NetUtil.toSocketAddressString(interceptor.discoveryAddress(number, discoveryAddress)),
                 Long.toHexString(seed * 31 + number),
                 NODE_SOCKET_COUNT,
@@ -303,10 +305,11 @@
                 fleet.links().idleTimeoutUs());
         try {
             Files.writeString(
-                    config, ConfigText.node(node, settings, DiscoveryStub.withAddresses(all, visibleAddresses)));
+                    config,
+                    ConfigText.node(node, settings, DiscoveryStub.withAddresses(initialServers, visibleAddresses)));
             return new NodeProcess(
                     number,
-                    interceptor.nodeAddress(number, at),
+                    interceptor.nodeAddress(number, address),
                     interceptor,
                     fleet,
                     time,
--- a/src/main/java/kitemux/lab/PredictionReport.java
+++ b/src/main/java/kitemux/lab/PredictionReport.java
@@ -38,12 +38,12 @@
 
     /** Returns the results of all variants, in the experiment's order. */
     public static List<VariantResult> variantResults(Experiment experiment, List<ResultRow> rows) {
-        List<VariantResult> lines = new ArrayList<>();
+        List<VariantResult> results = new ArrayList<>();
         for (Experiment.Variant variant : experiment.variants()) {
             List<ResultRow> variantRows = rows.stream()
                     .filter(row -> row.variant().equals(variant.name()))
                     .toList();
-            lines.add(new VariantResult(
+            results.add(new VariantResult(
                     variant.name(),
                     estimateInTime(variantRows, row -> row.environment() == Experiment.Environment.EMULATOR),
                     estimateInTime(variantRows, row -> row.environment() == Experiment.Environment.LOOPBACK),
@@ -52,7 +52,7 @@
                             .filter(row -> row.maxDelayUs() > MAX_DELAY_US)
                             .count()));
         }
-        return lines;
+        return results;
     }
 
     private static Estimate estimateInTime(List<ResultRow> rows, Predicate<ResultRow> filter) {
@@ -78,9 +78,9 @@
      * Returns the position at which each series crosses the goal. In a series of server counts this is the first
      * count that reaches the goal, without interpolation.
      */
-    public static List<GoalCrossing> goalCrossings(Experiment experiment, List<VariantResult> lines) {
+    public static List<GoalCrossing> goalCrossings(Experiment experiment, List<VariantResult> results) {
         Map<String, VariantResult> byName = new LinkedHashMap<>();
-        lines.forEach(line -> byName.put(line.variant(), line));
+        results.forEach(result -> byName.put(result.variant(), result));
         LinkedHashSet<String> sweeps = new LinkedHashSet<>();
         experiment.variants().stream().filter(v -> !v.sweep().isEmpty()).forEach(v -> sweeps.add(v.sweep()));
         List<GoalCrossing> crossings = new ArrayList<>();
@@ -127,22 +127,22 @@
 
     /** Returns the lines of a table in Markdown. */
     public static List<String> table(Experiment experiment, List<ResultRow> rows) {
-        List<VariantResult> lines = variantResults(experiment, rows);
+        List<VariantResult> results = variantResults(experiment, rows);
         List<String> out = new ArrayList<>();
         out.add("| scenario | predicted in time | happened | off by | rules broken | player behind |");
         out.add("| --- | --- | --- | --- | --- | --- |");
-        for (VariantResult line : lines) {
+        for (VariantResult result : results) {
             out.add(String.format(
                     Locale.ROOT,
                     "| %s | %s | %s | %s | %d | %d |",
-                    line.variant(),
-                    formatEstimate(line.predicted()),
-                    formatEstimate(line.measured()),
-                    formatPercent(line.relativeError()),
-                    line.violations(),
-                    line.delayedRuns()));
+                    result.variant(),
+                    formatEstimate(result.predicted()),
+                    formatEstimate(result.measured()),
+                    formatPercent(result.relativeError()),
+                    result.violations(),
+                    result.delayedRuns()));
         }
-        List<GoalCrossing> crossings = goalCrossings(experiment, lines);
+        List<GoalCrossing> crossings = goalCrossings(experiment, results);
         if (!crossings.isEmpty()) {
             out.add("");
             out.add(String.format(
--- a/src/main/java/kitemux/lab/ResultRow.java
+++ b/src/main/java/kitemux/lab/ResultRow.java
@@ -49,7 +49,7 @@
 
     private static final int FIELD_COUNT = 12;
 
-    static ResultRow of(Experiment.Run run, RunResult result, long behindUs) {
+    static ResultRow of(Experiment.Run run, RunResult result, long maxDelayUs) {
         long served =
                 result.classes().stream().mapToLong(c -> c.inTime() + c.late()).sum();
         return new ResultRow(
@@ -64,7 +64,7 @@
                 result.triesPerRequest(),
                 result.requests(),
                 result.violationCount(),
-                behindUs);
+                maxDelayUs);
     }
 
     /** Returns the row as a line without a line terminator. */
--- a/src/main/java/kitemux/lab/ResultsFolder.java
+++ b/src/main/java/kitemux/lab/ResultsFolder.java
@@ -13,7 +13,7 @@
 
 /**
  * A folder with the results of an experiment: its description, the build that was used, and one line for each run. An
- * interrupted run leaves an incomplete line or none and is executed again; other lines are never rewritten.
+ * interrupted run leaves an incomplete line or none and is executed again; completed runs are stored once.
  */
 public final class ResultsFolder {
     private static final String RUNS_FILE = "runs.tsv";
--- a/src/main/java/kitemux/lab/ResultsPage.java
+++ b/src/main/java/kitemux/lab/ResultsPage.java
@@ -13,7 +13,7 @@
 /** Renders results as a self-contained HTML page with charts, which opens without a network. */
 public final class ResultsPage {
     private static final JsonFactory JSON = new JsonFactory();
-    /** Predictions with a larger error are highlighted. */
+    /** Predictions with a larger error are highlighted, as the operators require. */
     private static final double MAX_ERROR_RATIO = 0.1;
 
     private ResultsPage() {}
@@ -24,20 +24,20 @@
      * @param title the title of the page
      */
     public static String render(String title, Experiment experiment, List<ResultRow> rows) {
-        List<PredictionReport.VariantResult> lines = PredictionReport.variantResults(experiment, rows);
+        List<PredictionReport.VariantResult> results = PredictionReport.variantResults(experiment, rows);
         StringBuilder table = new StringBuilder();
-        for (PredictionReport.VariantResult line : lines) {
-            boolean isOff = Math.abs(line.relativeError()) > MAX_ERROR_RATIO;
+        for (PredictionReport.VariantResult result : results) {
+            boolean isOff = Math.abs(result.relativeError()) > MAX_ERROR_RATIO;
             table.append("<tr><td>")
-                    .append(PageTemplate.escapeHtml(line.variant()))
+                    .append(PageTemplate.escapeHtml(result.variant()))
                     .append("</td><td>")
-                    .append(PredictionReport.formatEstimate(line.predicted()))
+                    .append(PredictionReport.formatEstimate(result.predicted()))
                     .append("</td><td>")
-                    .append(PredictionReport.formatEstimate(line.measured()))
+                    .append(PredictionReport.formatEstimate(result.measured()))
                     .append(isOff ? "</td><td class=\"off\">" : "</td><td>")
-                    .append(PredictionReport.formatPercent(line.relativeError()))
+                    .append(PredictionReport.formatPercent(result.relativeError()))
                     .append("</td><td>")
-                    .append(line.violations())
+                    .append(result.violations())
                     .append("</td></tr>\n");
         }
         return PageTemplate.fill(
@@ -50,28 +50,28 @@
                         "ROWS",
                         table.toString(),
                         "DATA",
-                        chartData(lines, experiment.goal())));
+                        chartData(results, experiment.goal())));
     }
 
-    private static String chartData(List<PredictionReport.VariantResult> lines, double goal) {
+    private static String chartData(List<PredictionReport.VariantResult> results, double goal) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
             json.writeNumberField("goal", goal);
             json.writeArrayFieldStart("names");
-            for (PredictionReport.VariantResult line : lines) {
+            for (PredictionReport.VariantResult result : results) {
                 // A name with a closing script tag would end the script.
-                json.writeString(line.variant().replace("<", " "));
+                json.writeString(result.variant().replace("<", " "));
             }
             json.writeEndArray();
             json.writeArrayFieldStart("predicted");
-            for (PredictionReport.VariantResult line : lines) {
-                writeMean(json, line.predicted());
+            for (PredictionReport.VariantResult result : results) {
+                writeMean(json, result.predicted());
             }
             json.writeEndArray();
             json.writeArrayFieldStart("happened");
-            for (PredictionReport.VariantResult line : lines) {
-                writeMean(json, line.measured());
+            for (PredictionReport.VariantResult result : results) {
+                writeMean(json, result.measured());
             }
             json.writeEndArray();
             json.writeEndObject();
--- a/src/test/java/kitemux/lab/ExperimentFileTest.java
+++ b/src/test/java/kitemux/lab/ExperimentFileTest.java
@@ -14,7 +14,7 @@
 
 class ExperimentFileTest {
 
-    private static Experiment read(String text, List<String> faults) {
+    private static Experiment read(String text, List<String> errors) {
         return ExperimentFile.read(
                 "e",
                 text,
@@ -22,14 +22,14 @@
                     if (!path.equals("small.hcl")) {
                         throw new IOException("no such file");
                     }
-                    return TestFleets.SMALL;
+                    return TestFleets.SMALL_FLEET_HCL;
                 },
-                faults);
+                errors);
     }
 
     @Test
     void scenariosBecomeVariantsOfTheFleet() {
-        List<String> faults = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         Experiment experiment = read("""
                 fleet  = "small.hcl"
                 goal   = 0.9
@@ -53,8 +53,8 @@
                   of    = "std"
                   boxes = [2, 3]
                 }
-                """, faults);
-        assertEquals(List.of(), faults);
+                """, errors);
+        assertEquals(List.of(), errors);
         assertEquals(
                 List.of(
                         "as it is",
@@ -78,8 +78,8 @@
     }
 
     @Test
-    void everyFaultIsToldWithItsField() {
-        List<String> faults = new ArrayList<>();
+    void eachErrorNamesItsField() {
+        List<String> errors = new ArrayList<>();
         read("""
                 fleet  = "small.hcl"
                 goal   = 1.5
@@ -99,8 +99,8 @@
                     for     = "soon"
                   }
                 }
-                """, faults);
-        String all = String.join("\n", faults);
+                """, errors);
+        String all = String.join("\n", errors);
         for (String each : List.of(
                 "goal: is not above 0 and under 1",
                 "seeds: is not from 1 to",
@@ -115,8 +115,8 @@
     }
 
     @Test
-    void whatCannotBePlayedOverSocketsIsTold() {
-        List<String> faults = new ArrayList<>();
+    void unsupportedLoopbackSettingsAreRejected() {
+        List<String> errors = new ArrayList<>();
         read("""
                 fleet = "small.hcl"
                 scenario "b" {
@@ -127,33 +127,33 @@
                     for     = "1s"
                   }
                 }
-                """, faults);
-        assertEquals(2, faults.size(), faults::toString);
-        assertTrue(faults.get(0).contains("at most 16 nodes"), faults::toString);
-        assertTrue(faults.get(1).contains("cannot be played over loopback"), faults::toString);
+                """, errors);
+        assertEquals(2, errors.size(), errors::toString);
+        assertTrue(errors.get(0).contains("at most 16 nodes"), errors::toString);
+        assertTrue(errors.get(1).contains("cannot be played over loopback"), errors::toString);
     }
 
     @Test
-    void aFleetThatIsNotThereOrFaultyIsTold() {
-        List<String> faults = new ArrayList<>();
-        read("fleet = \"other.hcl\"\nscenario \"a\" { }", faults);
-        assertEquals(List.of("e:1:1: fleet: other.hcl cannot be read: no such file"), faults);
-        faults.clear();
-        ExperimentFile.read("e", "fleet = \"f\"\nscenario \"a\" { }", path -> "racks = 0", faults);
-        assertFalse(faults.isEmpty());
-        assertTrue(faults.stream().allMatch(fault -> fault.startsWith("f:")), faults::toString);
+    void missingOrInvalidFleetIsRejected() {
+        List<String> errors = new ArrayList<>();
+        read("fleet = \"other.hcl\"\nscenario \"a\" { }", errors);
+        assertEquals(List.of("e:1:1: fleet: other.hcl cannot be read: no such file"), errors);
+        errors.clear();
+        ExperimentFile.read("e", "fleet = \"f\"\nscenario \"a\" { }", path -> "racks = 0", errors);
+        assertFalse(errors.isEmpty());
+        assertTrue(errors.stream().allMatch(error -> error.startsWith("f:")), errors::toString);
     }
 
     @Test
-    void theExampleCanBePlayed() throws IOException {
-        List<String> faults = new ArrayList<>();
+    void exampleExperimentIsValid() throws IOException {
+        List<String> errors = new ArrayList<>();
         Path examples = Path.of("examples", "lab");
         Experiment experiment = ExperimentFile.read(
                 "e",
                 Files.readString(examples.resolve("validation.hcl")),
                 path -> Files.readString(examples.resolve(path)),
-                faults);
-        assertEquals(List.of(), faults);
+                errors);
+        assertEquals(List.of(), errors);
         assertTrue(experiment.variants().size() >= 24);
     }
 }
--- a/src/test/java/kitemux/lab/LoopbackRunTest.java
+++ b/src/test/java/kitemux/lab/LoopbackRunTest.java
@@ -23,65 +23,70 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Described fleets over sockets, with processes of real nodes. */
+/** Tests runs of described fleets over loopback with node processes. */
 class LoopbackRunTest {
 
-    private static List<Long> offered(RunResult result) {
+    private static List<Long> offeredCounts(RunResult result) {
         return result.classes().stream().map(RunResult.ClassOutcome::offered).toList();
     }
 
-    private static long ended(RunResult result) {
+    private static long completedCount(RunResult result) {
         return result.classes().stream()
                 .mapToLong(c -> c.inTime() + c.late() + c.refused() + c.failed())
                 .sum();
     }
 
     @Test
-    void theSameClientsAreServedAsTheEmulatorSays() throws Exception {
-        Fleet fleet = TestFleets.small();
+    void resultsMatchEmulatorPrediction() throws Exception {
+        Fleet fleet = TestFleets.smallFleet();
         RunResult predicted = Emulation.run(fleet, 3);
-        RunResult happened = LoopbackRun.execute(fleet, 3, TestFleets::node).result();
-        assertEquals(offered(predicted), offered(happened), "the same clients come");
-        assertEquals(happened.requests(), ended(happened), "each wish ends once");
-        assertEquals(List.of(), happened.violations());
-        assertEquals(predicted.inTimeRatio(), happened.inTimeRatio(), 0.1);
+        RunResult measured =
+                LoopbackRun.execute(fleet, 3, TestFleets::nodeCommand).result();
+        assertEquals(offeredCounts(predicted), offeredCounts(measured), "the offered load differs");
+        assertEquals(measured.requests(), completedCount(measured), "each request ends once");
+        assertEquals(List.of(), measured.violations());
+        assertEquals(predicted.inTimeRatio(), measured.inTimeRatio(), 0.1);
     }
 
     @Test
-    void whoeverAsksADeadNodeIsToldAndAReleaseBreaksNoRule() throws Exception {
-        Fleet fleet = TestFleets.small()
+    void nodeRestartFailsSomeRequestsAndReleaseBreaksNoRule() throws Exception {
+        Fleet fleet = TestFleets.smallFleet()
                 .withFaults(List.of(
                         new Fleet.Fault(Fleet.FaultKind.RELEASE, Fleet.FaultScope.ANY, 0, 2, 300_000, 200_000, 2),
                         new Fleet.Fault(
                                 Fleet.FaultKind.NODES_RESTART, Fleet.FaultScope.ANY, 0, 1, 1_000_000, 100_000, 1)));
-        RunResult happened = LoopbackRun.execute(fleet, 5, TestFleets::node).result();
-        assertEquals(happened.requests(), ended(happened), "each wish ends once");
-        assertEquals(List.of(), happened.violations());
-        // One of two nodes is gone for a second or more, which the front notices late; the other serves.
-        assertTrue(happened.inTimeRatio() > 0.4, "in time " + happened.inTimeRatio());
-        assertTrue(happened.classes().stream().mapToLong(c -> c.failed()).sum() > 0, "nobody met the dead node");
+        RunResult measured =
+                LoopbackRun.execute(fleet, 5, TestFleets::nodeCommand).result();
+        assertEquals(measured.requests(), completedCount(measured), "each request ends once");
+        assertEquals(List.of(), measured.violations());
+        // One of two nodes is down for at least a second, which the front detects late; the other one serves.
+        assertTrue(measured.inTimeRatio() > 0.4, "in-time ratio " + measured.inTimeRatio());
+        assertTrue(
+                measured.classes().stream().mapToLong(c -> c.failed()).sum() > 0, "no request reached the dead node");
     }
 
     @Test
-    void aNodeThatDoesNotStartIsToldWithWhatItSaid() {
-        IOException told = assertThrows(
+    void failedNodeStartReportsOutput() {
+        IOException failure = assertThrows(
                 IOException.class,
                 () -> LoopbackRun.execute(
-                        TestFleets.small(), 1, () -> new ProcessBuilder("sh", "-c", "echo no such thing; exit 3")));
-        assertTrue(told.getMessage().contains("no such thing"), told.getMessage());
+                        TestFleets.smallFleet(),
+                        1,
+                        () -> new ProcessBuilder("sh", "-c", "echo no such thing; exit 3")));
+        assertTrue(failure.getMessage().contains("no such thing"), failure.getMessage());
     }
 
-    /** Three times what the fleet can do: most is refused, and asked again. */
+    /** Under three times the fleet's capacity, most requests are rejected and retried. */
     @Test
-    void whatWasWantedIsFoundAgainBehindABadAfternoon(@TempDir Path folder) throws Exception {
-        Fleet small = TestFleets.small();
-        // Clients that heed no advice and are back at once.
+    void capturesCountFirstTriesUnderOverload(@TempDir Path folder) throws Exception {
+        Fleet small = TestFleets.smallFleet();
+        // Clients ignore Retry-After and retry at once.
         Fleet fleet = small.with(small.load().scaledBy(12)).with(new Fleet.Clients(700, 4, 0.4, 0.8, 10_000, 0, 0, 0));
         Path settings = Files.writeString(
                 folder.resolve("own.json"),
                 "{\"load\":{\"folder\":\"" + folder.resolve("load") + "\",\"ring\":65536}}");
-        RunResult happened = LoopbackRun.execute(fleet, 7, () -> {
-                    ProcessBuilder node = TestFleets.node();
+        RunResult measured = LoopbackRun.execute(fleet, 7, () -> {
+                    ProcessBuilder node = TestFleets.nodeCommand();
                     node.environment().put("KITEMUX_SETTINGS", settings.toString());
                     return node;
                 })
@@ -92,37 +97,41 @@
                 summary.add(CaptureFile.read(file));
             }
         }
-        assertEquals(2, summary.nodes().size(), "both nodes write into one folder");
-        assertTrue(happened.triesPerRequest() > 1.2, "tries " + happened.triesPerRequest());
-        for (RunResult.ClassOutcome of : happened.classes()) {
-            // What the nodes had in their last batch as they were killed is missing: a fifth of a second
-            // of some.
-            assertEquals(of.offered(), summary.classes().get(of.name()).firstTries(), 0.05 * of.offered(), of.name());
+        assertEquals(2, summary.nodes().size(), "both nodes write to the same folder");
+        assertTrue(measured.triesPerRequest() > 1.2, "tries per request " + measured.triesPerRequest());
+        for (RunResult.ClassOutcome outcome : measured.classes()) {
+            // The captures lack the last batch of the killed nodes, about 0.2 s of some of the load.
+            assertEquals(
+                    outcome.offered(),
+                    summary.classes().get(outcome.name()).firstTries(),
+                    0.05 * outcome.offered(),
+                    outcome.name());
         }
     }
 
     /**
-     * Resets that cross the ends of connections: a defect met there once went by, and the servers lived
-     * on.
+     * Guards against resets that cross the end of a connection: a defect in an event used to go unreported, and
+     * servers stayed up.
      */
     @Test
-    void serversThatAllDieServeNobodyMeanwhile() throws Exception {
-        Fleet fleet = TestFleets.small()
-                .with(TestFleets.small().load().scaledBy(2))
+    void nothingIsServedWhileAllServersAreDead() throws Exception {
+        Fleet fleet = TestFleets.smallFleet()
+                .with(TestFleets.smallFleet().load().scaledBy(2))
                 .withFaults(List.of(
                         new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.ANY, 0, 0, 1_000_000, 1_000_000, 1)));
         RunResult predicted = Emulation.run(fleet, 2);
-        RunResult happened = LoopbackRun.execute(fleet, 2, TestFleets::node).result();
-        assertEquals(List.of(), happened.violations());
-        assertTrue(happened.inTimeBySecond().get(1) < 0.3, "served while all were dead: " + happened.inTimeBySecond());
-        assertEquals(predicted.inTimeRatio(), happened.inTimeRatio(), 0.12);
+        RunResult measured =
+                LoopbackRun.execute(fleet, 2, TestFleets::nodeCommand).result();
+        assertEquals(List.of(), measured.violations());
+        assertTrue(measured.inTimeBySecond().get(1) < 0.3, "served while all were dead: " + measured.inTimeBySecond());
+        assertEquals(predicted.inTimeRatio(), measured.inTimeRatio(), 0.12);
     }
 
     @Test
-    void speedsAreFoundAgainFromWhatTheNodesCaptured(@TempDir Path folder) throws Exception {
+    void serverSpeedsAreEstimatedFromCaptures(@TempDir Path folder) throws Exception {
         List<String> faults = new ArrayList<>();
         Fleet fleet = FleetFile.read(
-                TestFleets.SMALL
+                TestFleets.SMALL_FLEET_HCL
                         .replace("boxes \"std\" {\n  count     = 4", """
                 boxes "old" {
                   count = 2
@@ -139,7 +148,7 @@
         Path settings = Files.writeString(
                 folder.resolve("own.json"), "{\"load\":{\"folder\":\"" + folder.resolve("load") + "\"}}");
         LoopbackRun.execute(fleet, 9, () -> {
-            ProcessBuilder node = TestFleets.node();
+            ProcessBuilder node = TestFleets.nodeCommand();
             node.environment().put("KITEMUX_SETTINGS", settings.toString());
             return node;
         });
@@ -149,11 +158,11 @@
                 speeds.add(CaptureFile.read(file));
             }
         }
-        Map<String, Double> found = speeds.estimateSpeeds().stream()
+        Map<String, Double> estimated = speeds.estimateSpeeds().stream()
                 .collect(Collectors.toMap(
                         ServerSpeedEstimator.ServerSpeed::server, ServerSpeedEstimator.ServerSpeed::speed));
-        assertEquals(Set.of("old-0", "old-1", "std-0", "std-1"), found.keySet());
-        assertEquals(2, found.get("std-0") / found.get("old-0"), 0.3, found::toString);
-        assertEquals(2, found.get("std-1") / found.get("old-1"), 0.3, found::toString);
+        assertEquals(Set.of("old-0", "old-1", "std-0", "std-1"), estimated.keySet());
+        assertEquals(2, estimated.get("std-0") / estimated.get("old-0"), 0.3, estimated::toString);
+        assertEquals(2, estimated.get("std-1") / estimated.get("old-1"), 0.3, estimated::toString);
     }
 }
--- a/src/test/java/kitemux/lab/ProcessGuardTest.java
+++ b/src/test/java/kitemux/lab/ProcessGuardTest.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.Test;
 
 class ProcessGuardTest {
-    private static Process guarded(String script) throws Exception {
+    private static Process startGuarded(String script) throws Exception {
         return ProcessGuard.wrap(new ProcessBuilder("sh", "-c", script))
                 .redirectErrorStream(true)
                 .start();
     }
 
-    /** Else whoever waits for a node that does not start waits for good. */
+    /** Otherwise the parent of a node that fails to start would wait for its output forever. */
     @Test
-    void theOutputOfAProcessThatEndsEndsToo() throws Exception {
-        Process guard = guarded("echo no such thing; exit 3");
+    void outputEndsWithGuardedProcess() throws Exception {
+        Process guard = startGuarded("echo no such thing; exit 3");
         try {
-            // On a thread of its own: a read of what never ends cannot be broken off.
+            // Reads on a separate thread, as a read that never ends cannot be interrupted.
             assertEquals(
                     List.of("no such thing"),
                     CompletableFuture.supplyAsync(
@@ -32,8 +32,8 @@
     }
 
     @Test
-    void aProcessEndsOnceNobodyHoldsItsGuard() throws Exception {
-        Process guard = guarded("echo up; exec sleep 600");
+    void guardedProcessEndsWhenGuardInputIsClosed() throws Exception {
+        Process guard = startGuarded("echo up; exec sleep 600");
         try (BufferedReader lines = guard.inputReader()) {
             assertEquals("up", lines.readLine());
             ProcessHandle process = guard.children().findFirst().orElseThrow();
--- a/src/test/java/kitemux/lab/RunDelayTest.java
+++ b/src/test/java/kitemux/lab/RunDelayTest.java
@@ -16,11 +16,11 @@
 import kitemux.plan.FleetFile;
 import org.junit.jupiter.api.Test;
 
-/** A player that was late itself: it measures that, and does not hold it against nodes. */
+/** Tests that delays of the lab itself are measured and not attributed to nodes. */
 class RunDelayTest {
     private static final long STALL_NANOS = 500_000_000;
 
-    /** The thread does nothing else for so long, as one that has no processor. */
+    /** Blocks the thread, as if it did not get a processor. */
     private static void stall() {
         long until = System.nanoTime() + STALL_NANOS;
         while (System.nanoTime() < until) {
@@ -28,43 +28,44 @@
         }
     }
 
-    /** Whoever asks and whose time ends while the player stands still has not been answered by then. */
+    /** A try whose deadline passes during a stall of the lab may have an answer that is not read yet. */
     @Test
-    void whatLiesUnreadWhileThePlayerStandsStillIsNotLost() throws Exception {
+    void dataUnreadDuringStallIsNotLost() throws Exception {
         List<String> faults = new ArrayList<>();
-        Fleet fleet = FleetFile.read(TestFleets.SMALL.replace("clients {", """
+        Fleet fleet = FleetFile.read(TestFleets.SMALL_FLEET_HCL.replace("clients {", """
                 clients {
                   try_from = 0.1
                   try_to   = 0.3"""), faults);
         assertEquals(List.of(), faults);
         int[] stalls = new int[1];
-        LoopbackRun.Outcome played = LoopbackRun.execute(fleet, 3, TestFleets::node, (live, nowUs) -> {
+        LoopbackRun.Outcome outcome = LoopbackRun.execute(fleet, 3, TestFleets::nodeCommand, (emulation, nowUs) -> {
             if (nowUs > 1_000_000 * (stalls[0] + 1L) && stalls[0] < 2) {
                 stalls[0]++;
-                // What is due meanwhile comes late, all in one turn, before any socket is looked at.
+                // Events that are due in the meantime run late in one iteration, before any socket is polled.
                 stall();
             }
             return true;
         });
-        RunResult result = played.result();
+        RunResult result = outcome.result();
         assertEquals(2, stalls[0]);
         assertEquals(List.of(), result.violations());
-        assertTrue(played.maxDelayUs() > STALL_NANOS / 2_000, "late by " + played.maxDelayUs() + " us");
+        assertTrue(outcome.maxDelayUs() > STALL_NANOS / 2_000, "late by " + outcome.maxDelayUs() + " us");
     }
 
-    /** The step that took long was on time itself: what is due behind it is late. */
+    /** The slow event itself ran on time; the event that is due behind it is late. */
     @Test
-    void aStepThatTakesLongIsTold() throws Exception {
+    void delayBehindSlowEventIsReported() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             EventLoop loop = (EventLoop) group.next();
-            List<long[]> told = new ArrayList<>();
+            List<long[]> reported = new ArrayList<>();
             RealTimeScheduler[] time = new RealTimeScheduler[1];
             long[] dueUs = new long[1];
             loop.submit(() -> {
                         time[0] = new RealTimeScheduler(
                                 loop,
-                                by -> told.add(new long[] {time[0].scheduler().nowUs(), by}));
+                                delay -> reported.add(
+                                        new long[] {time[0].scheduler().nowUs(), delay}));
                         time[0].start();
                         time[0].runExternalEvent(() -> {
                             time[0].scheduler().scheduleAfterUs(0, RunDelayTest::stall);
@@ -75,12 +76,12 @@
                     })
                     .sync();
             loop.submit(() -> {
-                        assertEquals(1, told.size());
-                        long from = told.get(0)[0] - told.get(0)[1];
-                        assertTrue(told.get(0)[1] >= STALL_NANOS / 1_000 - 1_000, "late by " + told.get(0)[1]);
+                        assertEquals(1, reported.size());
+                        long from = reported.get(0)[0] - reported.get(0)[1];
+                        assertTrue(reported.get(0)[1] >= STALL_NANOS / 1_000 - 1_000, "late by " + reported.get(0)[1]);
                         assertTrue(
                                 from >= dueUs[0] && from < dueUs[0] + STALL_NANOS / 2_000,
-                                "told as of " + from + " us, where " + dueUs[0] + " was due");
+                                "reported from " + from + " us, where " + dueUs[0] + " was due");
                         assertTrue(time[0].maxDelayUs() >= STALL_NANOS / 1_000 - 1_000);
                         time[0].stop();
                     })
@@ -90,26 +91,26 @@
         }
     }
 
-    /** A loop that stands still looks at no socket: its beat says for how long. */
+    /** A blocked loop does not poll its sockets, and the monitor measures for how long. */
     @Test
-    void aLoopThatStandsStillIsMeasured() throws Exception {
+    void loopStallIsMeasured() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             EventLoop loop = (EventLoop) group.next();
-            CompletableFuture<Long> told = new CompletableFuture<>();
-            LoopStallMonitor beat = new LoopStallMonitor(loop, by -> {
-                if (by >= STALL_NANOS / 2) {
-                    told.complete(by);
+            CompletableFuture<Long> reported = new CompletableFuture<>();
+            LoopStallMonitor monitor = new LoopStallMonitor(loop, delay -> {
+                if (delay >= STALL_NANOS / 2) {
+                    reported.complete(delay);
                 }
             });
             loop.submit(() -> {
-                        beat.start();
+                        monitor.start();
                         stall();
                     })
                     .sync();
-            assertTrue(told.get(20, TimeUnit.SECONDS) >= STALL_NANOS - 10_000_000);
-            assertTrue(beat.totalStallNanos() >= STALL_NANOS - 10_000_000);
-            loop.submit(beat::stop).sync();
+            assertTrue(reported.get(20, TimeUnit.SECONDS) >= STALL_NANOS - 10_000_000);
+            assertTrue(monitor.totalStallNanos() >= STALL_NANOS - 10_000_000);
+            loop.submit(monitor::stop).sync();
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(20, TimeUnit.SECONDS);
         }
--- a/src/test/java/kitemux/lab/TestFleets.java
+++ b/src/test/java/kitemux/lab/TestFleets.java
@@ -7,9 +7,9 @@
 import kitemux.fleet.Fleet;
 import kitemux.plan.FleetFile;
 
-/** Small fleets, and nodes of the classes under test. */
+/** Small fleets and commands for nodes that run the classes under test. */
 final class TestFleets {
-    static final String SMALL = """
+    static final String SMALL_FLEET_HCL = """
             racks = 2
             boxes "std" {
               count     = 4
@@ -53,17 +53,17 @@
 
     private TestFleets() {}
 
-    static Fleet small() {
+    static Fleet smallFleet() {
         List<String> faults = new ArrayList<>();
-        Fleet fleet = FleetFile.read(SMALL, faults);
+        Fleet fleet = FleetFile.read(SMALL_FLEET_HCL, faults);
         if (!faults.isEmpty()) {
             throw new IllegalStateException(faults.toString());
         }
         return fleet;
     }
 
-    /** A node of the classes under test, in a process of its own. */
-    static ProcessBuilder node() throws IOException {
+    /** Returns a command that runs a node of the classes under test in a process of its own. */
+    static ProcessBuilder nodeCommand() throws IOException {
         return new ProcessBuilder(
                 ProcessHandle.current().info().command().orElseThrow(),
                 "-Xmx64m",
