--- a/src/main/java/kitemux/bench/JournalBench.java
+++ b/src/main/java/kitemux/bench/JournalBench.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.stream.Stream;
-import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.engine.Asked;
 import kitemux.engine.Observer;
@@ -134,7 +134,7 @@
 
     private void fill(OrderSettings how) throws IOException, InterruptedException {
         Settings settings = new Settings();
-        settings.classes.add(new RequestClass("order", 1, 0, 2, 1, 0, Repeat.UNSAFE, null, 0, false));
+        settings.classes.add(new RequestClass("order", 1, 0, 2, 1, 0, RetrySafety.UNSAFE, null, 0, false));
         WallTime time = new WallTime();
         // What is told is told on the writer's thread: it only counts, and nothing here has a loop.
         Orders open = Orders.open(how, time, Runnable::run, line -> {});
--- a/src/main/java/kitemux/drill/Drill.java
+++ b/src/main/java/kitemux/drill/Drill.java
@@ -320,10 +320,10 @@
             RequestClass of = work.of();
             json.writeStartObject();
             json.writeStringField("name", of.name());
-            json.writeStringField("repeat", of.repeat().name());
-            json.writeStringField("group", of.group().name());
-            json.writeNumberField("aim", of.aimUs());
-            json.writeNumberField("window", of.windowUs());
+            json.writeStringField("repeat", of.retrySafety().name());
+            json.writeStringField("group", of.dedupScope().name());
+            json.writeNumberField("aim", of.targetLatencyUs());
+            json.writeNumberField("window", of.dedupWindowUs());
             json.writeNumberField("worth", of.worth());
             json.writeEndObject();
         }
--- a/src/main/java/kitemux/engine/Engine.java
+++ b/src/main/java/kitemux/engine/Engine.java
@@ -271,7 +271,7 @@
 
     /** How many servers of the list the module avoids of its own choice. */
     public int avoided() {
-        return balancer.avoided();
+        return balancer.ejectedServerCount();
     }
 
     /** Tells the module nothing more by itself; the transport is to be closed before. */
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -140,7 +140,7 @@
     public Settings settings(int me) {
         Settings set = new Settings();
         set.nodes = fleet.nodes().count();
-        set.me = me;
+        set.nodeIndex = me;
         for (int z = 0; z < fleet.zones().count(); z++) {
             set.zones.add("zone-" + z);
         }
@@ -152,16 +152,17 @@
                 .forEach(t -> set.tenants.add(new Tenant(t.name(), fleet.load().quotaPerS() * t.share() / shares)));
         set.overShareWorth = fleet.load().overShareWorth();
         set.maxAttempts = 4;
-        set.secondCopies = true;
-        set.cancel = true;
+        set.hedgingAllowed = true;
+        set.cancellationAllowed = true;
         set.maxRetryAfterUs = fleet.clients().mostRetryAfterUs();
         set.connectTimeoutUs = fleet.links().connectUs();
         set.drainGraceUs = fleet.list().graceUs();
-        set.coldFrom =
+        set.coldCapacityRatio =
                 fleet.kinds().stream().mapToDouble(Fleet.Kind::coldFrom).min().orElse(1);
-        set.coldUs = fleet.kinds().stream().mapToLong(Fleet.Kind::coldUs).max().orElse(0);
-        set.fallMultiple = FALL_MULTIPLE;
-        set.fallUs = FALL_US;
+        set.warmUpUs =
+                fleet.kinds().stream().mapToLong(Fleet.Kind::coldUs).max().orElse(0);
+        set.overloadRatio = FALL_MULTIPLE;
+        set.overloadOutageUs = FALL_US;
         return set;
     }
 
--- a/src/main/java/kitemux/fleet/Fleet.java
+++ b/src/main/java/kitemux/fleet/Fleet.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 
 /**
  * A fleet, its load and what goes wrong, as the emulator plays it. Times are microseconds; a rate is a
@@ -351,11 +351,11 @@
             require(found, work.cv >= 0, at + "cv is under 0");
             require(
                     found,
-                    work.of.aimUs() > 0 && work.of.deadlineUs() >= work.of.aimUs(),
+                    work.of.targetLatencyUs() > 0 && work.of.deadlineUs() >= work.of.targetLatencyUs(),
                     at + "aim is not above 0, or beyond the deadline");
             require(
                     found,
-                    work.of.repeat() != Repeat.KEYED || work.of.windowUs() > 0,
+                    work.of.retrySafety() != RetrySafety.KEYED || work.of.dedupWindowUs() > 0,
                     at + "a keyed class needs a window above 0");
         }
         require(found, load.ratePerS > 0, "load: rate is not above 0");
--- a/src/main/java/kitemux/fleet/Population.java
+++ b/src/main/java/kitemux/fleet/Population.java
@@ -1,8 +1,8 @@
 package kitemux.fleet;
 
 import java.util.List;
-import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.sim.Scheduler;
 
 /**
@@ -223,11 +223,11 @@
 
         private void over(Try.End how, long retryAfterUs) {
             if (how == Try.End.SERVED) {
-                tally.served(cameUs, classIndex, tenant, worth, time.nowUs() - cameUs, of.aimUs());
+                tally.served(cameUs, classIndex, tenant, worth, time.nowUs() - cameUs, of.targetLatencyUs());
                 return;
             }
             Fleet.Clients clients = fleet.clients();
-            boolean harmless = how == Try.End.REFUSED || of.repeat() != Repeat.UNSAFE;
+            boolean harmless = how == Try.End.REFUSED || of.retrySafety() != RetrySafety.UNSAFE;
             long waitUs = (long) (clients.backoffUs() * (1L << (asked - 1)) * (0.5 + patience.share()));
             if (how == Try.End.REFUSED && patience.share() < clients.honour()) {
                 waitUs = Math.max(waitUs, retryAfterUs);
--- a/src/main/java/kitemux/fleet/Rules.java
+++ b/src/main/java/kitemux/fleet/Rules.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.sim.Scheduler;
 
 /**
@@ -54,7 +54,7 @@
 
     /** A server begins work on it, which was sent at this time. */
     void runs(Asked asked, Box box, long sentUs) {
-        if (asked.refused && asked.of.repeat() == Repeat.UNSAFE) {
+        if (asked.refused && asked.of.retrySafety() == RetrySafety.UNSAFE) {
             breakOf("no effect twice: request " + asked.number + " of " + asked.of.name()
                     + " runs though it was refused as harmless");
         }
@@ -64,12 +64,12 @@
             return;
         }
         boolean lawful =
-                switch (asked.of.repeat()) {
+                switch (asked.of.retrySafety()) {
                     case SAFE -> true;
                     // Of two copies the one that was sent last may begin first: the rack remembers either.
                     case KEYED ->
-                        sentUs <= asked.firstSentUs + asked.of.windowUs()
-                                && (asked.of.group() != Group.CELL || asked.rack == box.rack);
+                        sentUs <= asked.firstSentUs + asked.of.dedupWindowUs()
+                                && (asked.of.dedupScope() != DedupScope.CELL || asked.rack == box.rack);
                     case UNSAFE -> false;
                 };
         if (!lawful) {
@@ -84,7 +84,7 @@
         }
         asked.answered = true;
         asked.refused |= refused;
-        if (refused && asked.runs > 0 && asked.of.repeat() == Repeat.UNSAFE) {
+        if (refused && asked.runs > 0 && asked.of.retrySafety() == RetrySafety.UNSAFE) {
             breakOf("no effect twice: request " + asked.number + " of " + asked.of.name()
                     + " has run and is refused as harmless");
         }
--- a/src/main/java/kitemux/lab/NodeProcess.java
+++ b/src/main/java/kitemux/lab/NodeProcess.java
@@ -38,8 +38,8 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerEntry;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.FleetNode;
@@ -366,7 +366,7 @@
 
     private FullHttpRequest message(Try one) {
         RequestClass of = fleet.classes().get(one.classIndex()).of();
-        boolean reads = of.repeat() == Repeat.SAFE;
+        boolean reads = of.retrySafety() == RetrySafety.SAFE;
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 reads ? HttpMethod.GET : HttpMethod.POST,
@@ -383,7 +383,7 @@
         if (one.retry()) {
             message.headers().set("X-Resent", "1");
         }
-        if (of.repeat() == Repeat.KEYED) {
+        if (of.retrySafety() == RetrySafety.KEYED) {
             message.headers().set("Idempotency-Key", "key-" + one.txn());
         }
         if (!reads) {
--- a/src/main/java/kitemux/node/NodeConfig.java
+++ b/src/main/java/kitemux/node/NodeConfig.java
@@ -147,7 +147,7 @@
         apart.classes.addAll(settings.classes);
         apart.tenants.addAll(settings.tenants);
         apart.maxAttempts = settings.maxAttempts;
-        apart.cancel = settings.cancel;
+        apart.cancellationAllowed = settings.cancellationAllowed;
         // It is its own discovery, so that it calls none: each start would cost the fleet's a call more.
         InetSocketAddress own = new InetSocketAddress(listen.getAddress(), 0);
         return new NodeConfig(own, null, own, seed, sockets, connIdleUs, folder, servers, apart);
--- a/src/main/java/kitemux/node/RolloutLink.java
+++ b/src/main/java/kitemux/node/RolloutLink.java
@@ -41,7 +41,7 @@
                 throw new IllegalStateException(e);
             }
         });
-        int node = config.settings().me;
+        int node = config.settings().nodeIndex;
         long life = time.nowUs() / 1_000;
         Subscriber subscriber = new Subscriber(
                 Terms.usual(), live, node, life, keepers.size(), 0, new TreeMap<>(), config.seed(), time.nowUs());
--- a/src/main/java/kitemux/orders/OrderKeeper.java
+++ b/src/main/java/kitemux/orders/OrderKeeper.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import kitemux.Balancer;
-import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.engine.Asked;
 import kitemux.engine.Observer;
@@ -60,7 +60,7 @@
 
     private boolean isKept(int classIndex) {
         RequestClass of = settings.classes.get(classIndex);
-        return of.repeat() == Repeat.UNSAFE || how.classes().contains(of.name());
+        return of.retrySafety() == RetrySafety.UNSAFE || how.classes().contains(of.name());
     }
 
     @Override
--- a/src/main/java/kitemux/plan/FleetFile.java
+++ b/src/main/java/kitemux/plan/FleetFile.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.fleet.Fleet;
 import kitemux.hcl.Places;
 import kitemux.hcl.Section;
@@ -155,11 +155,11 @@
                 of.number("worth", 1),
                 of.number("late_worth", 0),
                 switch (repeat) {
-                    case SAFE -> Repeat.SAFE;
-                    case KEYED -> Repeat.KEYED;
-                    case NEVER_TWICE -> Repeat.UNSAFE;
+                    case SAFE -> RetrySafety.SAFE;
+                    case KEYED -> RetrySafety.KEYED;
+                    case NEVER_TWICE -> RetrySafety.UNSAFE;
                 },
-                group == Drops.ALL ? Group.ALL : Group.CELL,
+                group == Drops.ALL ? DedupScope.ALL : DedupScope.CELL,
                 of.time("window", 0),
                 false);
         Fleet.Work work = new Fleet.Work(
--- a/src/main/java/kitemux/world/Box.java
+++ b/src/main/java/kitemux/world/Box.java
@@ -85,7 +85,7 @@
             boolean chokes) {
         this.world = world;
         this.settings = settings;
-        coldWork = new ColdWork(Clients.meanWorkUs(), settings.fallUs);
+        coldWork = new ColdWork(Clients.meanWorkUs(), settings.overloadOutageUs);
         this.random = random;
         this.machine = machine;
         uid = machine.name;
@@ -146,8 +146,8 @@
 
     /** The part of its work that it can do by now, in (0, 1]. */
     private double warmth() {
-        double age = (double) (world.time.nowUs() - startedUs) / settings.coldUs;
-        return age >= 1 ? 1 : settings.coldFrom + (1 - settings.coldFrom) * age;
+        double age = (double) (world.time.nowUs() - startedUs) / settings.warmUpUs;
+        return age >= 1 ? 1 : settings.coldCapacityRatio + (1 - settings.coldCapacityRatio) * age;
     }
 
     private double pace() {
@@ -409,7 +409,7 @@
                         coldWork,
                         ask.workUs,
                         from.knowsStartOf(this),
-                        settings.fallMultiple * speed * warmth() * settings.fallUs);
+                        settings.overloadRatio * speed * warmth() * settings.overloadOutageUs);
     }
 
     private void watchCrowd() {
--- a/src/main/java/kitemux/world/Clients.java
+++ b/src/main/java/kitemux/world/Clients.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.http.Limits;
 
@@ -111,10 +111,10 @@
 
     /** Half of the mean is certain, the rest is chance, as for work that is mostly alike. */
     private long workOf(RequestClass cls) {
-        return 1 + (long) (meanWorkUs(cls.repeat()) * (0.5 - 0.5 * Math.log(1 - random.nextDouble())));
+        return 1 + (long) (meanWorkUs(cls.retrySafety()) * (0.5 - 0.5 * Math.log(1 - random.nextDouble())));
     }
 
-    private static double meanWorkUs(Repeat repeat) {
+    private static double meanWorkUs(RetrySafety repeat) {
         return switch (repeat) {
             case SAFE -> 19_000;
             case KEYED -> 22_000;
@@ -124,9 +124,9 @@
 
     /** Mean work of what is asked, in microseconds on a core of speed 1. */
     static double meanWorkUs() {
-        return SAFE_SHARE * meanWorkUs(Repeat.SAFE)
-                + KEYED_SHARE * meanWorkUs(Repeat.KEYED)
-                + (1 - SAFE_SHARE - KEYED_SHARE) * meanWorkUs(Repeat.UNSAFE);
+        return SAFE_SHARE * meanWorkUs(RetrySafety.SAFE)
+                + KEYED_SHARE * meanWorkUs(RetrySafety.KEYED)
+                + (1 - SAFE_SHARE - KEYED_SHARE) * meanWorkUs(RetrySafety.UNSAFE);
     }
 
     private void want(Want want) {
@@ -160,7 +160,7 @@
         RequestClass cls = want.cls;
         long number = ++asked;
         String txn = Long.toHexString(Tape.mix(number)) + "-" + number;
-        boolean safe = cls.repeat() == Repeat.SAFE;
+        boolean safe = cls.retrySafety() == RetrySafety.SAFE;
         String what = (safe ? "GET" : "POST") + " /api/" + want.key + (number % 5 == 0 ? "?page=" + number : "");
         byte[] body =
                 safe ? new byte[0] : new byte[random.nextInt(12) == 0 ? random.nextInt(30_000) : random.nextInt(300)];
@@ -208,8 +208,9 @@
         boolean refused = status == 429 || status == 503;
         boolean mayTryAgain = refused
                 || status != 200
-                        && (want.cls.repeat() == Repeat.SAFE
-                                || want.cls.repeat() == Repeat.KEYED && want.cls.group() == Group.ALL);
+                        && (want.cls.retrySafety() == RetrySafety.SAFE
+                                || want.cls.retrySafety() == RetrySafety.KEYED
+                                        && want.cls.dedupScope() == DedupScope.ALL);
         if (mayTryAgain) {
             String after = answer.header("retry-after");
             long us = after == null ? 50_000 : (long) (Double.parseDouble(after) * 1e6);
@@ -519,7 +520,7 @@
             } else if (taken && !last) {
                 world.judge.lost(
                         ask, "was taken, and its connection #" + end.connection + " ended with no whole answer");
-            } else if (sent.want != null && (!end.connected || sent.want.cls.repeat() == Repeat.SAFE)) {
+            } else if (sent.want != null && (!end.connected || sent.want.cls.retrySafety() == RetrySafety.SAFE)) {
                 later(sent.want, 100_000 + random.nextInt(400_000));
             }
         }
--- a/src/main/java/kitemux/world/Judge.java
+++ b/src/main/java/kitemux/world/Judge.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.sim.ColdWork;
 import kitemux.sim.Scheduler;
@@ -159,7 +159,8 @@
 
     private void checkRefusal(Ask ask, Ask.Run run) {
         RequestClass cls = ask.cls;
-        boolean harmless = cls.repeat() == Repeat.SAFE || cls.repeat() == Repeat.KEYED && cls.group() == Group.ALL;
+        boolean harmless = cls.retrySafety() == RetrySafety.SAFE
+                || cls.retrySafety() == RetrySafety.KEYED && cls.dedupScope() == DedupScope.ALL;
         if (!harmless && run.mayHaveRun(ask.answerSentAt)) {
             breach(Rule.EFFECTS, ask + " was refused though it may have run at " + run.box);
         }
@@ -209,18 +210,20 @@
             if (!earlier.mayHaveRun(run.sentAt)) {
                 continue;
             }
-            if (cls.repeat() == Repeat.UNSAFE) {
+            if (cls.retrySafety() == RetrySafety.UNSAFE) {
                 breach(Rule.EFFECTS, ask + " was sent to " + run.box + " though it may have run at " + earlier.box);
-            } else if (cls.repeat() == Repeat.KEYED && cls.group() == Group.CELL && earlier.box.cell != run.box.cell) {
+            } else if (cls.retrySafety() == RetrySafety.KEYED
+                    && cls.dedupScope() == DedupScope.CELL
+                    && earlier.box.cell != run.box.cell) {
                 breach(Rule.EFFECTS, ask + " was repeated at " + run.box + ", outside the group of " + earlier.box);
-            } else if (cls.repeat() == Repeat.KEYED
-                    && run.sentAt - earlier.sentAt > (cls.windowUs() + LONGER_US) * 1_000) {
+            } else if (cls.retrySafety() == RetrySafety.KEYED
+                    && run.sentAt - earlier.sentAt > (cls.dedupWindowUs() + LONGER_US) * 1_000) {
                 breach(
                         Rule.EFFECTS,
                         ask + " was repeated " + (run.sentAt - earlier.sentAt) / 1_000_000 + " ms after it was sent to "
                                 + earlier.box);
             }
-            if (!settings.secondCopies
+            if (!settings.hedgingAllowed
                     && !earlier.answerHeard
                     && !earlier.end.peer.closed
                     && !earlier.end.peer.resetIn
@@ -251,7 +254,7 @@
             breach(
                     Rule.COLD,
                     box + " was sent " + Math.round(sent.requests()) + " requests in "
-                            + settings.fallUs / 1_000 + " ms, in which it may get "
+                            + settings.overloadOutageUs / 1_000 + " ms, in which it may get "
                             + Math.round(allowedUs / Clients.meanWorkUs()));
         }
         return verdict != ColdWork.Verdict.STANDS;
--- a/src/main/java/kitemux/world/World.java
+++ b/src/main/java/kitemux/world/World.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
 import kitemux.sim.Scheduler;
@@ -144,30 +144,30 @@
         Settings set = new Settings();
         set.nodes = plan.nodes();
         set.zones.add("amman-room");
-        set.classes.add(
-                new RequestClass("view-page", 100_000, 0, 500_000, 1, 0, Repeat.SAFE, Group.ALL, 5_000_000, false));
         set.classes.add(new RequestClass(
-                "add-photo", 200_000, 0, 600_000, 5, 0, Repeat.KEYED, plan.group(), plan.windowUs(), false));
+                "view-page", 100_000, 0, 500_000, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 5_000_000, false));
         set.classes.add(new RequestClass(
-                "place-order", 300_000, 0, 1_000_000, 5, 0, Repeat.UNSAFE, Group.ALL, 5_000_000, false));
+                "add-photo", 200_000, 0, 600_000, 5, 0, RetrySafety.KEYED, plan.group(), plan.windowUs(), false));
+        set.classes.add(new RequestClass(
+                "place-order", 300_000, 0, 1_000_000, 5, 0, RetrySafety.UNSAFE, DedupScope.ALL, 5_000_000, false));
         double all = plan.boxes() * SERVED_PER_S;
         for (int i = 0; i < 3; i++) {
             set.tenants.add(new Tenant("school-" + (char) ('a' + i), all / 3));
         }
         set.overShareWorth = 0.1;
         set.maxAttempts = 4;
-        set.secondCopies = plan.secondCopies();
-        set.cancel = true;
+        set.hedgingAllowed = plan.secondCopies();
+        set.cancellationAllowed = true;
         set.probes = true;
         set.maxRetryAfterUs = 1_000_000;
         set.tickUs = 2_000;
         set.connectTimeoutUs = 50_000;
         set.listOnRequest = true;
         set.drainGraceUs = 500_000;
-        set.coldFrom = 0.12;
-        set.coldUs = 23_000_000;
-        set.fallMultiple = 4;
-        set.fallUs = 2_000_000;
+        set.coldCapacityRatio = 0.12;
+        set.warmUpUs = 23_000_000;
+        set.overloadRatio = 4;
+        set.overloadOutageUs = 2_000_000;
         return set;
     }
 
@@ -181,7 +181,7 @@
 
     /** Whether nodes expect a key with requests of this class. */
     boolean isKeyed(RequestClass of) {
-        return told.classes.get(settings.classes.indexOf(of)).repeat() == Repeat.KEYED;
+        return told.classes.get(settings.classes.indexOf(of)).retrySafety() == RetrySafety.KEYED;
     }
 
     long unixMs() {
--- a/src/test/java/kitemux/LateNodeTest.java
+++ b/src/test/java/kitemux/LateNodeTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import kitemux.Balancer.Repeat;
 import kitemux.Balancer.Request;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -64,7 +64,7 @@
     void whereALateAnswerIsWorthSomethingItIsSentAllTheSame() {
         Settings settings = Node.settings();
         settings.classes.set(
-                Node.SAFE, new RequestClass("safe", 200_000, 0, 1_000_000, 1, 0.5, Repeat.SAFE, null, 0, false));
+                Node.SAFE, new RequestClass("safe", 200_000, 0, 1_000_000, 1, 0.5, RetrySafety.SAFE, null, 0, false));
         Node node = node(settings);
         ask(node, Node.SAFE, 150_000);
         assertEquals(1, node.attempts(NEXT));
--- a/src/test/java/kitemux/engine/EngineTest.java
+++ b/src/test/java/kitemux/engine/EngineTest.java
@@ -15,10 +15,10 @@
 import kitemux.Balancer;
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Repeat;
 import kitemux.Balancer.Request;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
@@ -224,7 +224,7 @@
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                     if (method.getName().equals("onRequest")) {
-                        assertEquals(agoUs, ((Request) args[1]).agoUs(), "as the protocol has it");
+                        assertEquals(agoUs, ((Request) args[1]).ageUs(), "as the protocol has it");
                         for (int i = 0; i < sends; i++) {
                             actions.send(((Request) args[1]).id(), "s", 0);
                         }
@@ -422,7 +422,7 @@
     void theDecisionModuleTriesNothingAgainOnceAnAnswerHasBegun() {
         Settings settings = new Settings();
         settings.zones.add("z");
-        settings.classes.add(new RequestClass("select", 200_000, 0, 1_000_000, 1, 0, Repeat.SAFE, null, 0, true));
+        settings.classes.add(new RequestClass("select", 200_000, 0, 1_000_000, 1, 0, RetrySafety.SAFE, null, 0, true));
         Engine<Ask, String> engine = engine(actions -> new ServiceQBalancer(settings, 1, actions));
         engine.listed(
                 ListKind.FULL,
--- a/src/test/java/kitemux/fleet/BoxTest.java
+++ b/src/test/java/kitemux/fleet/BoxTest.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleSupplier;
-import kitemux.Balancer.Repeat;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.plan.Estimate;
 import kitemux.plan.Queues;
 import kitemux.sim.Scheduler;
@@ -56,7 +56,7 @@
                 return;
             }
             box.take(new Box.Job(
-                    new Rules.Asked(Fleets.of("c", 1, 2, 1, Repeat.SAFE), 1),
+                    new Rules.Asked(Fleets.of("c", 1, 2, 1, RetrySafety.SAFE), 1),
                     workUs.getAsDouble(),
                     came,
                     new Box.Reply() {
@@ -103,15 +103,16 @@
 
     private void send(Box box, int count, double workUs) {
         for (int i = 0; i < count; i++) {
-            box.take(new Box.Job(new Rules.Asked(Fleets.of("c", 1, 2, 1, Repeat.SAFE), i), workUs, 0, new Box.Reply() {
-                @Override
-                public void came(Result result) {}
-
-                @Override
-                public boolean isWanted() {
-                    return false;
-                }
-            }));
+            box.take(new Box.Job(
+                    new Rules.Asked(Fleets.of("c", 1, 2, 1, RetrySafety.SAFE), i), workUs, 0, new Box.Reply() {
+                        @Override
+                        public void came(Result result) {}
+
+                        @Override
+                        public boolean isWanted() {
+                            return false;
+                        }
+                    }));
         }
     }
 
@@ -141,20 +142,21 @@
         box.start();
         for (int i = 0; i < 203; i++) {
             boolean told = i % 2 == 0;
-            box.take(new Box.Job(new Rules.Asked(Fleets.of("c", 1, 2, 1, Repeat.SAFE), i), 10_000, 0, new Box.Reply() {
-                @Override
-                public void came(Result result) {}
-
-                @Override
-                public boolean isWanted() {
-                    return false;
-                }
-
-                @Override
-                public boolean isFromTold() {
-                    return told;
-                }
-            }));
+            box.take(new Box.Job(
+                    new Rules.Asked(Fleets.of("c", 1, 2, 1, RetrySafety.SAFE), i), 10_000, 0, new Box.Reply() {
+                        @Override
+                        public void came(Result result) {}
+
+                        @Override
+                        public boolean isWanted() {
+                            return false;
+                        }
+
+                        @Override
+                        public boolean isFromTold() {
+                            return told;
+                        }
+                    }));
         }
         assertTrue(box.hasFallen());
         assertEquals(0, rules.breaks(), rules.told().toString());
@@ -187,7 +189,7 @@
 
     @Test
     void whatMayRunOnceAndRunsTwiceIsTold() {
-        Rules.Asked unsafe = new Rules.Asked(Fleets.of("order", 1, 2, 1, Repeat.UNSAFE), 7);
+        Rules.Asked unsafe = new Rules.Asked(Fleets.of("order", 1, 2, 1, RetrySafety.UNSAFE), 7);
         Box box = box(1, 10, null);
         rules.runs(unsafe, box, 0);
         assertEquals(0, rules.breaks());
@@ -197,9 +199,9 @@
         assertEquals(2, rules.breaks(), "a refusal of what has run");
         rules.answered(unsafe, false);
         assertEquals(3, rules.breaks(), "a second answer");
-        rules.unanswered(new Rules.Asked(Fleets.of("page", 1, 2, 1, Repeat.SAFE), 8));
+        rules.unanswered(new Rules.Asked(Fleets.of("page", 1, 2, 1, RetrySafety.SAFE), 8));
         assertEquals(4, rules.breaks());
-        Rules.Asked refused = new Rules.Asked(Fleets.of("order", 1, 2, 1, Repeat.UNSAFE), 9);
+        Rules.Asked refused = new Rules.Asked(Fleets.of("order", 1, 2, 1, RetrySafety.UNSAFE), 9);
         rules.answered(refused, true);
         assertEquals(4, rules.breaks());
         rules.runs(refused, box, 0);
@@ -213,13 +215,13 @@
     void aKeyedRequestRunsAgainOnlyInItsRackAndWhileThatRemembersIt() {
         Box here = box(1, 10, null);
         Box elsewhere = new Box("e", 0, 1, fleet(here.of, null), 1, time, rules, new Draws(1, Draws.Cause.BOXES));
-        Rules.Asked keyed = new Rules.Asked(Fleets.of("photo", 1, 2, 1, Repeat.KEYED), 7);
+        Rules.Asked keyed = new Rules.Asked(Fleets.of("photo", 1, 2, 1, RetrySafety.KEYED), 7);
         rules.runs(keyed, here, 1_000);
-        rules.runs(keyed, here, 1_000 + keyed.of.windowUs());
+        rules.runs(keyed, here, 1_000 + keyed.of.dedupWindowUs());
         assertEquals(0, rules.breaks());
         rules.runs(keyed, elsewhere, 2_000);
         assertEquals(1, rules.breaks(), "another rack");
-        rules.runs(keyed, here, 1_001 + keyed.of.windowUs());
+        rules.runs(keyed, here, 1_001 + keyed.of.dedupWindowUs());
         assertEquals(2, rules.breaks(), "forgotten by then");
     }
 }
--- a/src/test/java/kitemux/fleet/BudgetsByNode.java
+++ b/src/test/java/kitemux/fleet/BudgetsByNode.java
@@ -82,13 +82,13 @@
     private String instead(long request, String server) {
         if (begun.add(request)) {
             for (Map.Entry<String, Long> start : starts.entrySet()) {
-                double age = (double) (nowUs - start.getValue()) / set.coldUs;
-                double share = set.coldFrom + (1 - set.coldFrom) * age;
+                double age = (double) (nowUs - start.getValue()) / set.warmUpUs;
+                double share = set.coldCapacityRatio + (1 - set.coldCapacityRatio) * age;
                 ArrayDeque<Long> mine = sent.computeIfAbsent(start.getKey(), id -> new ArrayDeque<>());
-                while (!mine.isEmpty() && mine.peek() <= nowUs - set.fallUs) {
+                while (!mine.isEmpty() && mine.peek() <= nowUs - set.overloadOutageUs) {
                     mine.poll();
                 }
-                if (age < 1 && mine.size() + 1 <= set.fallMultiple * share * set.fallUs / meanWorkUs) {
+                if (age < 1 && mine.size() + 1 <= set.overloadRatio * share * set.overloadOutageUs / meanWorkUs) {
                     mine.add(nowUs);
                     return start.getKey();
                 }
--- a/src/test/java/kitemux/fleet/Fleets.java
+++ b/src/test/java/kitemux/fleet/Fleets.java
@@ -1,17 +1,17 @@
 package kitemux.fleet;
 
 import java.util.List;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 
 /** Fleets that tests begin with. */
 public final class Fleets {
     private Fleets() {}
 
-    static RequestClass of(String name, long aimMs, long deadlineMs, double worth, Repeat repeat) {
+    static RequestClass of(String name, long aimMs, long deadlineMs, double worth, RetrySafety repeat) {
         return new RequestClass(
-                name, aimMs * 1_000, 0, deadlineMs * 1_000, worth, 0, repeat, Group.CELL, 1_200_000, false);
+                name, aimMs * 1_000, 0, deadlineMs * 1_000, worth, 0, repeat, DedupScope.CELL, 1_200_000, false);
     }
 
     /** The same, its racks and nodes spread over so many zones. */
@@ -37,10 +37,16 @@
                 new Fleet.Kind("std", std, 1, 0.97, 0.15, 500, 0.2, 18_000_000, false, 1),
                 new Fleet.Kind("old", old, 1, 0.75, 0.1, 400, 0.2, 18_000_000, false, 1));
         List<Fleet.Work> classes = List.of(
-                new Fleet.Work(of("view-page", 100, 500, 1, Repeat.SAFE), 0.51, 19_000, Fleet.Spread.EXPONENTIAL, 1),
-                new Fleet.Work(of("add-photo", 200, 600, 5, Repeat.KEYED), 0.30, 22_000, Fleet.Spread.LOGNORMAL, 0.5),
                 new Fleet.Work(
-                        of("place-order", 300, 1_000, 5, Repeat.UNSAFE), 0.19, 33_000, Fleet.Spread.LOGNORMAL, 0.6));
+                        of("view-page", 100, 500, 1, RetrySafety.SAFE), 0.51, 19_000, Fleet.Spread.EXPONENTIAL, 1),
+                new Fleet.Work(
+                        of("add-photo", 200, 600, 5, RetrySafety.KEYED), 0.30, 22_000, Fleet.Spread.LOGNORMAL, 0.5),
+                new Fleet.Work(
+                        of("place-order", 300, 1_000, 5, RetrySafety.UNSAFE),
+                        0.19,
+                        33_000,
+                        Fleet.Spread.LOGNORMAL,
+                        0.6));
         double capacity = std * 0.97 + old * 0.75;
         double meanUs = 0.51 * 19_000 + 0.3 * 22_000 + 0.19 * 33_000;
         double rate = load * capacity * 1e6 / meanUs;
--- a/src/test/java/kitemux/http/LongAnswerBoundsTest.java
+++ b/src/test/java/kitemux/http/LongAnswerBoundsTest.java
@@ -20,10 +20,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
@@ -109,7 +109,8 @@
     void anAnswerHasBegun() throws Exception {
         listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         Settings settings = new Settings();
-        settings.classes.add(new RequestClass("page", 100_000, 0, DEADLINE_US, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
+        settings.classes.add(
+                new RequestClass("page", 100_000, 0, DEADLINE_US, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 0, false));
         Log log = new Log() {
             @Override
             public void line(String text) {}
--- a/src/test/java/kitemux/mysql/MysqlServersTest.java
+++ b/src/test/java/kitemux/mysql/MysqlServersTest.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
@@ -123,12 +123,12 @@
     private void start(int servers) throws Exception {
         Settings settings = new Settings();
         settings.zones.add("here");
-        for (Repeat repeat : List.of(Repeat.SAFE, Repeat.UNSAFE)) {
+        for (RetrySafety repeat : List.of(RetrySafety.SAFE, RetrySafety.UNSAFE)) {
             settings.classes.add(
                     new RequestClass(repeat.name(), 1_000_000, 0, 5_000_000, 1, 0, repeat, null, 0, false));
         }
         settings.maxAttempts = 4;
-        settings.cancel = true;
+        settings.cancellationAllowed = true;
         settings.connectTimeoutUs = 5_000_000;
         LoopTime time = LoopTime.of(loop);
         Log log = new Log() {
--- a/src/test/java/kitemux/node/BacklogTest.java
+++ b/src/test/java/kitemux/node/BacklogTest.java
@@ -312,9 +312,9 @@
                             20_000_000,
                             page.worth(),
                             page.lateWorth(),
-                            page.repeat(),
-                            page.group(),
-                            page.windowUs(),
+                            page.retrySafety(),
+                            page.dedupScope(),
+                            page.dedupWindowUs(),
                             page.stream()));
             site.start(server);
             CountDownLatch drained = new CountDownLatch(1);
--- a/src/test/java/kitemux/orders/OrderKeeperTest.java
+++ b/src/test/java/kitemux/orders/OrderKeeperTest.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.disk.MemoryDisk;
 import kitemux.engine.Asked;
@@ -85,8 +85,8 @@
     private OrderLog log;
 
     private OrderKeeper<Ask> keeper(Set<String> more) throws Exception {
-        for (Repeat repeat : List.of(Repeat.SAFE, Repeat.KEYED, Repeat.UNSAFE)) {
-            settings.classes.add(new RequestClass(repeat.name(), 1, 0, 2, 1, 0, repeat, Group.ALL, 1, false));
+        for (RetrySafety repeat : List.of(RetrySafety.SAFE, RetrySafety.KEYED, RetrySafety.UNSAFE)) {
+            settings.classes.add(new RequestClass(repeat.name(), 1, 0, 2, 1, 0, repeat, DedupScope.ALL, 1, false));
         }
         log = OrderLog.start(
                 failed -> Journal.open(
--- a/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
+++ b/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
@@ -16,8 +16,8 @@
 import java.util.function.UnaryOperator;
 import kitemux.Balancer;
 import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
@@ -243,8 +243,8 @@
         Settings set = new Settings();
         set.nodes = NODES;
         set.zones.add("z");
-        set.classes.add(
-                new RequestClass("page", 100_000, 0, 500_000, 1, 0, Repeat.SAFE, Balancer.Group.ALL, 5_000_000, false));
+        set.classes.add(new RequestClass(
+                "page", 100_000, 0, 500_000, 1, 0, RetrySafety.SAFE, Balancer.DedupScope.ALL, 5_000_000, false));
         set.listOnRequest = true;
         set.connectTimeoutUs = 1_000_000;
         return set;
--- a/src/test/java/kitemux/world/Mutant.java
+++ b/src/test/java/kitemux/world/Mutant.java
@@ -145,19 +145,19 @@
             Balancer.Settings set = new Balancer.Settings();
             sound.classes.forEach(c -> set.classes.add(new Balancer.RequestClass(
                     c.name(),
-                    c.aimUs(),
-                    c.aimStretch(),
+                    c.targetLatencyUs(),
+                    c.targetLatencyPerWork(),
                     c.deadlineUs(),
                     c.worth(),
                     c.lateWorth(),
-                    c.repeat(),
-                    c.group(),
+                    c.retrySafety(),
+                    c.dedupScope(),
                     10_000_000,
                     c.stream())));
             set.tenants.addAll(sound.tenants);
             set.zones.addAll(sound.zones);
             set.maxAttempts = sound.maxAttempts;
-            set.cancel = true;
+            set.cancellationAllowed = true;
             set.listOnRequest = true;
             set.nodes = sound.nodes;
             return set;
@@ -232,7 +232,7 @@
                                     r.id(),
                                     r.classIndex(),
                                     r.tenant(),
-                                    r.leftUs() + 500_000,
+                                    r.remainingUs() + 500_000,
                                     r.workUs(),
                                     r.retry(),
                                     r.key()));
