--- a/src/main/java/kitemux/Balancer.java
+++ b/src/main/java/kitemux/Balancer.java
@@ -301,23 +301,25 @@
                     "a length of time is negative");
             require(coldCapacityRatio > 0 && coldCapacityRatio <= 1, "coldFrom is not in (0, 1]");
             require(overloadRatio > 0, "fallMultiple is not above 0");
-            for (RequestClass c : classes) {
+            for (RequestClass requestClass : classes) {
                 require(
-                        c.targetLatencyUs() >= 0
-                                && c.deadlineUs() > 0
-                                && c.dedupWindowUs() >= 0
-                                && c.targetLatencyPerWork() >= 0,
-                        "class " + c.name() + " has a length of time out of range");
-                require(c.worth() >= 0 && c.lateWorth() >= 0, "class " + c.name() + " has a negative worth");
+                        requestClass.targetLatencyUs() >= 0
+                                && requestClass.deadlineUs() > 0
+                                && requestClass.dedupWindowUs() >= 0
+                                && requestClass.targetLatencyPerWork() >= 0,
+                        "class " + requestClass.name() + " has a length of time out of range");
                 require(
-                        c.retrySafety() != RetrySafety.KEYED || c.dedupScope() != null,
-                        "class " + c.name() + " has no group");
+                        requestClass.worth() >= 0 && requestClass.lateWorth() >= 0,
+                        "class " + requestClass.name() + " has a negative worth");
+                require(
+                        requestClass.retrySafety() != RetrySafety.KEYED || requestClass.dedupScope() != null,
+                        "class " + requestClass.name() + " has no group");
             }
         }
 
-        private static void require(boolean holds, String otherwise) {
-            if (!holds) {
-                throw new IllegalArgumentException(otherwise);
+        private static void require(boolean valid, String message) {
+            if (!valid) {
+                throw new IllegalArgumentException(message);
             }
         }
     }
--- a/src/main/java/kitemux/ServiceQBalancer.java
+++ b/src/main/java/kitemux/ServiceQBalancer.java
@@ -30,272 +30,274 @@
 public final class ServiceQBalancer implements Balancer {
 
     /** Further draws for one that may not be sent to: to look through a large fleet took too much CPU. */
-    private static final int REDRAWS = 15;
+    private static final int MAX_REDRAW_COUNT = 15;
     /** Draws by key, some of which the weights turn down: with three a burst waited in vain, with sixteen it
      * spread over servers that did not know the key. */
-    private static final int KEY_DRAWS = 8;
+    private static final int KEY_DRAW_COUNT = 8;
     /** Shortest sweep over waiting requests: long against its cost, short against any aim. */
-    private static final long MIN_SWEEP_US = 5_000;
+    private static final long MIN_SWEEP_INTERVAL_US = 5_000;
     /** Share of a new value in a running mean, and in the share of timely answers, which follows a jam. */
-    private static final double MEAN_GAIN = 1.0 / 32;
+    private static final double MEAN_SMOOTHING_RATIO = 1.0 / 32;
 
-    private static final double TIMELY_GAIN = 1.0 / 8;
+    private static final double TIMELY_SMOOTHING_RATIO = 1.0 / 8;
     /** Share of timely answers under which a sparse node throttles what it takes up, by the square, but for
      * a part without which it would learn of no recovery. */
-    private static final double THROTTLED_AT = 0.7;
+    private static final double THROTTLING_TIMELY_RATIO = 0.7;
 
-    private static final double LEAST_ADMITTED = 0.05;
+    private static final double MIN_ADMISSION_RATIO = 0.05;
     /** What a request costs a server that knows no keys yet, against the mean of others: a careful guess. */
-    private static final double UNKNOWN_KEY_COST = 3;
+    private static final double UNKNOWN_KEY_COST_RATIO = 3;
     /** Gap between answers that a node assumes before it has seen any: careful with cold servers. */
-    private static final double FIRST_GAP_US = 50_000;
+    private static final double INITIAL_ANSWER_GAP_US = 50_000;
     /** Requests in flight that all nodes together start with for each server: few enough for one core. */
-    private static final double FIRST_LIMIT = 4;
+    private static final double INITIAL_CONCURRENCY_LIMIT = 4;
     /** The same where keys are warm: past what a server holds, so that the first cut finds the limit. */
-    private static final double FIRST_WARM_LIMIT = 64;
+    private static final double INITIAL_WARM_KEY_CONCURRENCY_LIMIT = 64;
     /** Answers slower than this share of the aim say that a server is crowded: the rest is for chance, and a
      * server that is crowded up to its aim may already have turned slower. */
-    private static final double CROWDED_AT = 0.35;
+    private static final double CROWDED_TARGET_RATIO = 0.35;
     /** The same share at a node of many, and at a sparse one: what many nodes send evens out badly, so even
      * servers with much room answer some requests slowly. */
-    private static final double MANY_CROWDED_AT = 0.6;
+    private static final double MANY_NODES_CROWDED_TARGET_RATIO = 0.6;
 
-    private static final double SPARSE_CROWDED_AT = 0.7;
+    private static final double SPARSE_CROWDED_TARGET_RATIO = 0.7;
     /** Part of that growth that stays while half of the answers come late: some must, or none comes back. */
-    private static final double LEAST_GROWTH = 0.1;
+    private static final double MIN_LIMIT_GROWTH_RATIO = 0.1;
     /** Growth of a server's limit over all nodes for an answer in good time, and its cut for a slow one: at a
      * limit of four, one slow answer in four holds the balance. */
-    private static final double LIMIT_STEP = 0.15;
+    private static final double LIMIT_INCREASE_STEP = 0.15;
 
-    private static final double LIMIT_CUT = 0.1;
+    private static final double LIMIT_DECREASE_RATIO = 0.1;
     /** Answers that take this many times the least mean of their class say so too, however far the aim is. */
-    private static final double CROWDED_BY = 3;
+    private static final double CROWDED_LATENCY_RATIO = 3;
     /** Share of the mean of their class here over which answers are slower than most, as times are skewed. */
-    private static final double SLOW_BY = 0.8;
+    private static final double SLOW_LATENCY_RATIO = 0.8;
     /** So many times that tell of a slow server, and not of chance. */
-    private static final double FAR_SLOWER = 2;
+    private static final double SLOW_LATENCY_MARGIN_RATIO = 2;
     /** Most errors that slow answers add up to: a server that is slower still has its limit. */
-    private static final int MOST_SLOW = 8;
+    private static final int MAX_SLOW_ANSWER_ERROR_COUNT = 8;
     /** Growth of that least mean with each answer, so that it follows a change of work: by half in 4,000. */
-    private static final double LEAST_DRIFT = 1.0001;
+    private static final double MINIMUM_DRIFT_RATIO = 1.0001;
     /** Longest time between two requests to a server whose limit is under one: 1 s kept them choked. */
-    private static final long MOST_REST_US = 2_000_000;
+    private static final long MAX_PACING_INTERVAL_US = 2_000_000;
     /** Requests that a sparse node may send ahead of a server's rest, as arrivals come in bunches. */
-    private static final double BURST = 2;
+    private static final double SPARSE_BURST_COUNT = 2;
     /** Power of the nodes with which step and cut grow: at 0 many learn slowly, at a half chance rules. */
-    private static final double LEARN_BY_NODES = 0.25;
+    private static final double LIMIT_ADAPTATION_EXPONENT = 0.25;
     /** Cut of a limit for a request turned away or not answered in time, which is more than slow. */
-    private static final double LIMIT_HARD_CUT = 0.3;
+    private static final double LIMIT_OVERLOAD_DECREASE_RATIO = 0.3;
     /** A waiting request with fewer of its class's usual latencies left to its aim is too late: in overload
      * all that is served has waited so long; but at most with this share left. At a node of many it is one
      * less for what is worth most, which goes first, unless a quarter of its class waits in vain. */
-    private static final double TOO_LATE_AT = 2;
+    private static final double MIN_REMAINING_LATENCY_RATIO = 2;
 
-    private static final double IN_VAIN_BY = 4;
-    private static final double MOST_LATE_AT = 0.8;
-    /** Failures among a server's last {@link #REMEMBERED} answers from which on it is ejected, beside so many
+    private static final double UNSERVED_PENALTY_RATIO = 4;
+    private static final double MAX_REMAINING_TARGET_RATIO = 0.8;
+    /** Failures among a server's last {@link #HEALTH_HISTORY_COUNT} answers from which on it is ejected, beside so many
      * times what all servers fail in common: connections that break anywhere are no server's fault. */
-    private static final int EJECT_AT = 4;
+    private static final int EJECTION_FAILURE_COUNT = 4;
 
-    private static final double IN_COMMON = 2;
-    private static final double COMMON_GAIN = 1.0 / 256;
-    private static final int REMEMBERED = 16;
+    private static final double COMMON_FAILURE_ALLOWANCE_RATIO = 2;
+    private static final double COMMON_FAILURE_SMOOTHING_RATIO = 1.0 / 256;
+    private static final int HEALTH_HISTORY_COUNT = 16;
     /** Successes in a row that restore a server: one may be luck, three hardly if most fail. */
-    private static final int TRIALS = 3;
+    private static final int RESTORING_SUCCESS_COUNT = 3;
     /** First time without requests for an ejected server, doubled with each failed trial; the longest. */
-    private static final long EJECT_US = 250_000;
+    private static final long INITIAL_EJECTION_US = 250_000;
 
-    private static final long MOST_EJECT_US = 4_000_000;
+    private static final long MAX_EJECTION_US = 4_000_000;
     /** Trials with unsafe requests are this much further apart: each that fails is lost. */
-    private static final int UNSAFE_TRIALS = 4;
+    private static final int UNSAFE_TRIAL_DELAY_RATIO = 4;
     /** Times the usual latency of its class after which an unanswered attempt is silent: of work that is
      * spread exponentially, one answer in fifty takes longer. */
-    private static final double SILENT_BY = 4;
+    private static final double SILENCE_LATENCY_RATIO = 4;
     /** A node whose wake-up comes this much too late was paused itself. */
-    private static final long PAUSED_US = 50_000;
+    private static final long NODE_PAUSE_THRESHOLD_US = 50_000;
     /** Budget of hedges: a share of first tries, and so many at once. */
-    private static final double HEDGE_SHARE = 0.2;
+    private static final double HEDGE_BUDGET_RATIO = 0.2;
 
-    private static final double MOST_HEDGES = 20;
+    private static final double MAX_HEDGE_BUDGET_COUNT = 20;
     /** Own requests in flight from which on a local server is compared with those of other zones. */
-    private static final int SPILL_AT = 2;
+    private static final int ZONE_SPILLOVER_COUNT = 2;
 
-    private static final long LOG_EVERY_US = 1_000_000;
+    private static final long MIN_LOG_INTERVAL_US = 1_000_000;
     /** Part of the limits for requests beyond their tenant's share. */
-    private static final double OVER_SHARE_PART = 0.5;
+    private static final double OVER_SHARE_LIMIT_RATIO = 0.5;
     /** A tenant may use up this much of its share at once before it counts as beyond it, and so many
      * requests: at a node of many its part is a few requests a second, which come in bunches. */
-    private static final double SHARE_BURST_S = 1;
+    private static final double QUOTA_BURST_S = 1;
 
-    private static final double LEAST_SHARE_BURST = 8;
+    private static final double MIN_QUOTA_BURST_COUNT = 8;
     /** Wait before a failed list call is made again, at first and at most, drawn from half to half as much
      * more. Calls are taken in turn, and a turn comes no later for having asked early. At most: a call that
      * discovery is down for lasts 4 s, and what it has at its return counts after 6 s. */
-    private static final long LIST_BACKOFF_US = 50_000;
+    private static final long INITIAL_LIST_BACKOFF_US = 50_000;
 
-    private static final long MOST_LIST_BACKOFF_US = 660_000;
+    private static final long MAX_LIST_BACKOFF_US = 660_000;
 
     /** Most nodes that share a server in a large fleet, against the connections that a server accepts. */
-    private static final int SHARERS = 24;
-    /** How many suffice where there are many nodes, if each has {@link #ENOUGH_IN_USE} servers: it sees its
+    private static final int MAX_NODES_PER_SERVER_COUNT = 24;
+    /** How many suffice where there are many nodes, if each has {@link #SUFFICIENT_SUBSET_COUNT} servers: it sees its
      * own attempts alone, so with fewer sharers its requests in flight tell more of a server. With 14 at each
      * of 60 servers they told nothing: half of the pages came too late at 0.58 of capacity. */
-    private static final int MANY_NODES = 4;
+    private static final int MANY_NODES_MIN_COUNT = 4;
 
-    private static final int FEW_SHARERS = 2;
-    private static final int ENOUGH_IN_USE = 8;
+    private static final int MIN_NODES_PER_SERVER_COUNT = 2;
+    private static final int SUFFICIENT_SUBSET_COUNT = 8;
     /** Nodes that share a server from which on a node counts as sparse: its first part of a place is then a
      * fifth at most. With fewer, being sparse lost more than it gained. */
-    private static final double SPARSE_FROM = 20;
+    private static final double SPARSE_NODES_PER_SERVER_COUNT = 20;
     /** Least servers that a node uses, where there are as many: one may fail and one hang. */
-    private static final int LEAST_IN_USE = 4;
+    private static final int MIN_SUBSET_COUNT = 4;
     /** Places in the table of subsets for each server, at least: all then have about equally many nodes. */
-    private static final int ROW_PLACES = 4;
+    private static final int SUBSET_SLOTS_PER_SERVER_COUNT = 4;
     /** Places for each server in the table that keys draw from, at least: parts then differ by some percent.
      * Their number changes only as the fleet doubles, since with it all keys move. */
-    private static final int KEY_PLACES = 16;
+    private static final int KEY_SLOTS_PER_SERVER_COUNT = 16;
     /** Waiting requests with a key that are tried in vain at each event and at each sweep: CPU is scarce. */
-    private static final int KEYS_TRIED = 4;
+    private static final int KEYED_TRIES_PER_EVENT_COUNT = 4;
 
-    private static final int KEYS_SWEPT = 64;
+    private static final int KEYED_TRIES_PER_SWEEP_COUNT = 64;
 
-    private static final Comparator<Call> BY_VALUE = Comparator.comparingDouble(call -> -call.value);
+    private static final Comparator<PendingRequest> HIGHEST_VALUE_FIRST =
+            Comparator.comparingDouble(pending -> -pending.value);
 
-    private final Settings set;
-    private final Actions out;
+    private final Settings settings;
+    private final Actions actions;
     private final SplittableRandom random;
-    private final long sweepUs;
-    private double limitStep;
-    private double limitCut;
+    private final long sweepIntervalUs;
+    private double limitIncrease;
+    private double limitDecreaseRatio;
     /** Whether so many nodes share a server that own requests in flight tell little of its load. */
     private boolean sparse;
 
-    private final boolean many;
-    private double timely = 0.75;
-    private double failing;
+    private final boolean manyNodes;
+    private double timelyRatio = 0.75;
+    private double commonFailureRatio;
 
-    private final Map<String, Server> byId = new HashMap<>();
-    private final Set<Server> listed = new LinkedHashSet<>();
+    private final Map<String, Server> serversById = new HashMap<>();
+    private final Set<Server> listedServers = new LinkedHashSet<>();
     /** The servers in use: all that are ready, or this node's part of them in a large fleet. */
-    private Server[] ready = new Server[0];
+    private Server[] usedServers = new Server[0];
 
-    private double sharers;
-    private double firstLimit;
-    /** Nodes that may send to a server: {@link #sharers} counts those that rarely do for less. */
-    private double senders;
+    private double effectiveNodesPerServer;
+    private double initialLimit;
+    /** Nodes that may send to a server: {@link #effectiveNodesPerServer} counts those that rarely do for less. */
+    private double nodesPerServer;
 
-    private int nearSize;
-    private Pool everywhere = new Pool(ready, false);
-    private Pool nearby = everywhere;
+    private int localSubsetSize;
+    private DrawPool fullPool = new DrawPool(usedServers, false);
+    private DrawPool preferredPool = fullPool;
     private boolean weightsStale;
-    private double largestEffect = 1;
-    private final List<Server> ejected = new ArrayList<>();
-    private long logFreeAt;
+    private double maxWeight = 1;
+    private final List<Server> ejectedServers = new ArrayList<>();
+    private long nextLogAt;
     /** Attempts by class, in the order sent, until they are known or found silent. */
-    private final List<ArrayDeque<Try>> watched = new ArrayList<>();
+    private final List<ArrayDeque<WatchedAttempt>> watchedAttempts = new ArrayList<>();
 
-    private double hedgesLeft = MOST_HEDGES;
+    private double hedgeBudget = MAX_HEDGE_BUDGET_COUNT;
 
-    private final Map<Long, Call> calls = new HashMap<>();
-    private final ArrayList<Call> waiting = new ArrayList<>();
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+    private final ArrayList<PendingRequest> queue = new ArrayList<>();
 
     private long now;
-    private long wakePending = Long.MAX_VALUE;
+    private long pendingWakeAt = Long.MAX_VALUE;
     private long lastServedAt;
     /** Time between answers of one server, at an even part of what this node gets: now, and at the best. */
-    private double evenGapUs;
+    private double meanAnswerGapUs;
 
-    private double leastGapUs = Double.MAX_VALUE;
-    private final double[] latencyUs;
-    private final double[] leastLatencyUs;
-    private final int[] answers;
+    private double minAnswerGapUs = Double.MAX_VALUE;
+    private final double[] meanLatencyUs;
+    private final double[] minMeanLatencyUs;
+    private final int[] answerCounts;
     /** By class, the share that ended without an attempt. */
-    private final double[] inVain;
+    private final double[] unservedRatios;
 
-    private final double[] shareLeft;
-    private final long[] shareSeenAt;
-    private int inFlight;
-    private double limits;
-    private long askListAt = Long.MAX_VALUE;
-    private long listBackoffUs = LIST_BACKOFF_US;
+    private final double[] quotaTokens;
+    private final long[] quotaRefilledAt;
+    private int totalInFlight;
+    private double totalLimit;
+    private long nextListRequestAt = Long.MAX_VALUE;
+    private long listBackoffUs = INITIAL_LIST_BACKOFF_US;
 
     private static final class Server {
         final String id;
-        final long hash;
+        final long placementHash;
         /** Whether it is one of those that come first. */
-        boolean first;
+        boolean preferred;
 
         int zone;
         int cell;
         ServerState state;
         long startedAt;
         int position;
-        int errors;
+        int errorCount;
         int inFlight;
         /** Those of them that were found silent: they say nothing of the room at other servers. */
-        int hung;
+        int silentInFlight;
 
         double limit;
-        long limitCutAt;
-        long restUntil;
-        long restUs;
-        long wantedAt;
+        long limitDecreasedAt;
+        long pacedUntil;
+        long pacingIntervalUs;
+        long limitReachedAt;
         boolean inUse;
         /** What all its answers say, and those of each class: it may fail one class and serve the others. */
-        final Health overall = new Health();
+        final Health overallHealth = new Health();
 
-        final Health[] byClass;
+        final Health[] healthByClass;
         long nextColdSendAt;
 
-        Server(String id, int classes) {
+        Server(String id, int classCount) {
             this.id = id;
-            hash = new SplittableRandom(id.hashCode()).nextLong();
-            byClass = Stream.generate(Health::new).limit(classes).toArray(Health[]::new);
+            placementHash = new SplittableRandom(id.hashCode()).nextLong();
+            healthByClass = Stream.generate(Health::new).limit(classCount).toArray(Health[]::new);
         }
 
         boolean isEjectedFor(int classIndex) {
-            return overall.ejected || byClass[classIndex].ejected;
+            return overallHealth.ejected || healthByClass[classIndex].ejected;
         }
     }
 
     /** The last answers of a server and what follows from them. */
     private static final class Health {
-        int history;
+        int failureBits;
         boolean ejected;
-        long trialAt;
-        long ejectedForUs;
-        int trialsWon;
-        long answeredAt;
-        long servedAt;
+        long nextTrialAt;
+        long ejectionUs;
+        int trialSuccesses;
+        long lastAnsweredAt;
+        long lastSucceededAt;
 
-        int recentFailures() {
-            return Integer.bitCount(history & (1 << REMEMBERED) - 1);
+        int recentFailureCount() {
+            return Integer.bitCount(failureBits & (1 << HEALTH_HISTORY_COUNT) - 1);
         }
     }
 
     /** An attempt that is watched for silence. */
-    private record Try(Call call, int attempt) {}
+    private record WatchedAttempt(PendingRequest pending, int attempt) {}
 
     /** What is drawn from: servers with their weights summed up to each, and the places that keys draw. */
-    private static final class Pool {
+    private static final class DrawPool {
         final Server[] servers;
-        final long[] weightsUpTo;
-        final Server[] places;
+        final long[] cumulativeWeights;
+        final Server[] keySlots;
 
-        Pool(Server[] servers, boolean forKeys) {
+        DrawPool(Server[] servers, boolean forKeys) {
             this.servers = servers;
-            weightsUpTo = new long[servers.length];
-            places = !forKeys || servers.length == 0
+            cumulativeWeights = new long[servers.length];
+            keySlots = !forKeys || servers.length == 0
                     ? new Server[0]
-                    : table(servers, nextPrime(KEY_PLACES * Integer.highestOneBit(servers.length)), 1);
+                    : buildSlotTable(
+                            servers, nextPrime(KEY_SLOTS_PER_SERVER_COUNT * Integer.highestOneBit(servers.length)), 1);
         }
     }
 
-    private static final class Call {
+    private static final class PendingRequest {
         final Request request;
-        final RequestClass cls;
+        final RequestClass requestClass;
         final long arrivedAt;
-        final long aimAt;
+        final long targetAt;
         final long deadlineAt;
         final Server[] servers;
         final long[] sentAt;
@@ -308,31 +310,34 @@
         double value;
         boolean overShare;
         boolean late;
-        int attempts;
-        int outstanding;
-        boolean waiting;
-        boolean left;
+        int attemptCount;
+        int outstandingCount;
+        boolean queued;
+        boolean clientGone;
         boolean streaming;
         boolean ended;
 
-        Call(Request request, Settings set, long now) {
+        PendingRequest(Request request, Settings settings, long now) {
             this.request = request;
-            cls = set.classes.get(request.classIndex());
-            long aim = Math.min(
-                    cls.deadlineUs(), cls.targetLatencyUs() + (long) (cls.targetLatencyPerWork() * request.workUs()));
+            requestClass = settings.classes.get(request.classIndex());
+            long targetUs = Math.min(
+                    requestClass.deadlineUs(),
+                    requestClass.targetLatencyUs() + (long) (requestClass.targetLatencyPerWork() * request.workUs()));
             arrivedAt = now - Math.max(0, request.ageUs());
             deadlineAt = now + Math.max(0, request.remainingUs());
-            aimAt = Math.min(deadlineAt, arrivedAt + aim);
-            servers = new Server[set.maxAttempts];
-            sentAt = new long[set.maxAttempts];
-            results = new Result[set.maxAttempts];
-            silent = new boolean[set.maxAttempts];
-            keySeed = set.warmKeys && request.key() != null ? mix(request.key().hashCode()) | 1 : 0;
+            targetAt = Math.min(deadlineAt, arrivedAt + targetUs);
+            servers = new Server[settings.maxAttempts];
+            sentAt = new long[settings.maxAttempts];
+            results = new Result[settings.maxAttempts];
+            silent = new boolean[settings.maxAttempts];
+            keySeed = settings.warmKeys && request.key() != null
+                    ? mixBits(request.key().hashCode()) | 1
+                    : 0;
         }
 
         /** The earliest attempt not known never to have run, or -1: it binds repeats and refusals. */
-        int binding() {
-            for (int i = 0; i < attempts; i++) {
+        int firstPossiblyExecutedAttempt() {
+            for (int i = 0; i < attemptCount; i++) {
                 if (results[i] == null || !results[i].neverRan) {
                     return i;
                 }
@@ -346,32 +351,33 @@
      *
      * @throws IllegalArgumentException if the settings are out of range
      */
-    public ServiceQBalancer(Settings settings, long seed, Actions actions) {
-        settings.validate();
-        set = settings;
-        out = actions;
+    public ServiceQBalancer(Settings nodeSettings, long seed, Actions nodeActions) {
+        nodeSettings.validate();
+        settings = nodeSettings;
+        actions = nodeActions;
         random = new SplittableRandom(seed);
-        sweepUs = Math.max(MIN_SWEEP_US, 2 * settings.tickUs);
-        many = set.nodes >= MANY_NODES;
-        shareAmong(set.nodes);
-        latencyUs = new double[set.classes.size()];
-        leastLatencyUs = new double[set.classes.size()];
-        answers = new int[set.classes.size()];
-        inVain = new double[set.classes.size()];
-        shareLeft = new double[set.tenants.size()];
-        shareSeenAt = new long[set.tenants.size()];
-        set.classes.forEach(c -> watched.add(new ArrayDeque<>()));
-    }
-
-    private void shareAmong(double nodes) {
-        sharers = nodes;
+        sweepIntervalUs = Math.max(MIN_SWEEP_INTERVAL_US, 2 * nodeSettings.tickUs);
+        manyNodes = settings.nodes >= MANY_NODES_MIN_COUNT;
+        setEffectiveNodesPerServer(settings.nodes);
+        meanLatencyUs = new double[settings.classes.size()];
+        minMeanLatencyUs = new double[settings.classes.size()];
+        answerCounts = new int[settings.classes.size()];
+        unservedRatios = new double[settings.classes.size()];
+        quotaTokens = new double[settings.tenants.size()];
+        quotaRefilledAt = new long[settings.tenants.size()];
+        settings.classes.forEach(requestClass -> watchedAttempts.add(new ArrayDeque<>()));
+    }
+
+    private void setEffectiveNodesPerServer(double nodes) {
+        effectiveNodesPerServer = nodes;
         // Where keys are warm, what a server can hold depends on the keys it knows: the first cut shows it.
-        firstLimit = (set.warmKeys ? FIRST_WARM_LIMIT : FIRST_LIMIT) / sharers;
+        initialLimit = (settings.warmKeys ? INITIAL_WARM_KEY_CONCURRENCY_LIMIT : INITIAL_CONCURRENCY_LIMIT)
+                / effectiveNodesPerServer;
         // Both by the same factor: for all nodes together the balance between step and cut stays.
-        double pace = Math.pow(nodes, LEARN_BY_NODES);
-        limitStep = LIMIT_STEP / pace;
-        limitCut = 1 - Math.pow(1 - LIMIT_CUT, pace);
-        sparse = senders > SPARSE_FROM;
+        double adaptationFactor = Math.pow(nodes, LIMIT_ADAPTATION_EXPONENT);
+        limitIncrease = LIMIT_INCREASE_STEP / adaptationFactor;
+        limitDecreaseRatio = 1 - Math.pow(1 - LIMIT_DECREASE_RATIO, adaptationFactor);
+        sparse = nodesPerServer > SPARSE_NODES_PER_SERVER_COUNT;
     }
 
     // ---------------------------------------------------------------- the server list
@@ -380,19 +386,19 @@
     public void onServers(long nowUs, ListKind kind, List<ServerEntry> entries) {
         now = nowUs;
         if (kind != ListKind.CHANGES) {
-            listed.forEach(server -> server.state = ServerState.GONE);
-            listed.clear();
+            listedServers.forEach(server -> server.state = ServerState.GONE);
+            listedServers.clear();
         }
         for (ServerEntry entry : entries) {
-            Server server = byId.computeIfAbsent(entry.id(), id -> new Server(id, set.classes.size()));
+            Server server = serversById.computeIfAbsent(entry.id(), id -> new Server(id, settings.classes.size()));
             if (entry.state() == ServerState.GONE) {
-                listed.remove(server);
+                listedServers.remove(server);
             } else {
-                listed.add(server);
+                listedServers.add(server);
             }
             if (entry.startedAtUs() > server.startedAt) {
                 // A new process: what was counted against the old one says nothing of it.
-                startAnew(server);
+                resetServer(server);
                 server.nextColdSendAt = 0;
                 server.startedAt = entry.startedAtUs();
             }
@@ -400,93 +406,102 @@
             server.zone = entry.zone();
             server.cell = entry.cell();
         }
-        chooseServers();
+        updateUsedServers();
         // Servers come and go as long as a node runs: what is gone and holds nothing is forgotten.
-        byId.values().removeIf(server -> server.state == ServerState.GONE && server.inFlight == 0);
-        if (set.listOnRequest && kind == ListKind.CACHED) {
-            askForList();
+        serversById.values().removeIf(server -> server.state == ServerState.GONE && server.inFlight == 0);
+        if (settings.listOnRequest && kind == ListKind.CACHED) {
+            requestList();
         } else {
-            askListAt = Long.MAX_VALUE;
-            listBackoffUs = LIST_BACKOFF_US;
+            nextListRequestAt = Long.MAX_VALUE;
+            listBackoffUs = INITIAL_LIST_BACKOFF_US;
         }
-        serveWaiting(KEYS_TRIED);
+        serveQueue(KEYED_TRIES_PER_EVENT_COUNT);
         scheduleWake();
     }
 
-    private void chooseServers() {
-        Server[] before = ready;
-        ready = inUse(listed.stream().filter(s -> s.state == ServerState.READY).toArray(Server[]::new));
-        Arrays.stream(before).forEach(server -> server.inUse = false);
-        evenGapUs = evenGapUs == 0 ? FIRST_GAP_US * ready.length : evenGapUs;
-        for (int i = 0; i < ready.length; i++) {
-            ready[i].position = i;
-            ready[i].inUse = true;
+    private void updateUsedServers() {
+        Server[] previouslyUsed = usedServers;
+        usedServers = selectUsedServers(
+                listedServers.stream().filter(s -> s.state == ServerState.READY).toArray(Server[]::new));
+        Arrays.stream(previouslyUsed).forEach(server -> server.inUse = false);
+        meanAnswerGapUs = meanAnswerGapUs == 0 ? INITIAL_ANSWER_GAP_US * usedServers.length : meanAnswerGapUs;
+        for (int i = 0; i < usedServers.length; i++) {
+            usedServers[i].position = i;
+            usedServers[i].inUse = true;
             // Not before it is known how many nodes share it.
-            ready[i].limit = ready[i].limit == 0 ? firstLimit : ready[i].limit;
-            if (isCold(ready[i]) && ready[i].nextColdSendAt == 0) {
+            usedServers[i].limit = usedServers[i].limit == 0 ? initialLimit : usedServers[i].limit;
+            if (isCold(usedServers[i]) && usedServers[i].nextColdSendAt == 0) {
                 // All nodes hear of a start at once: their first sends together would be a burst.
-                ready[i].nextColdSendAt = now + (long) (random.nextDouble() * coldGap(ready[i], -1));
+                usedServers[i].nextColdSendAt = now + (long) (random.nextDouble() * coldSendGapUs(usedServers[i], -1));
             }
         }
-        Arrays.stream(before).forEach(this::closeIfUnused);
-        everywhere = new Pool(ready, set.warmKeys);
-        nearby = set.crossZonePrice == 0 && Arrays.stream(ready).allMatch(s -> s.first)
-                ? everywhere
-                : new Pool(Arrays.stream(ready).filter(s -> s.first).toArray(Server[]::new), false);
+        Arrays.stream(previouslyUsed).forEach(this::closeIfUnused);
+        fullPool = new DrawPool(usedServers, settings.warmKeys);
+        preferredPool = settings.crossZonePrice == 0
+                        && Arrays.stream(usedServers).allMatch(s -> s.preferred)
+                ? fullPool
+                : new DrawPool(
+                        Arrays.stream(usedServers).filter(s -> s.preferred).toArray(Server[]::new), false);
         weightsStale = true;
-        countReady();
+        recountUsedServers();
     }
 
     /** Connections to a server no longer in use would hold its places for the nodes that do use it. */
     private void closeIfUnused(Server server) {
         if (!server.inUse && server.inFlight == 0) {
-            out.closeIdle(server.id);
+            actions.closeIdle(server.id);
         }
     }
 
     /**
-     * Exception, subsets: acts from {@link #MANY_NODES} nodes at a server on, and keeps to fewer. Connections
+     * Exception, subsets: acts from {@link #MANY_NODES_MIN_COUNT} nodes at a server on, and keeps to fewer. Connections
      * are capped, cost work and are priced, and what a node sees is spread thinner with each server it uses:
      * every node then keeps to a part of the servers, near ones first where crossing zones costs, else
      * the first half of it, of which it then knows more. Where these are busy or sick it has the others.
      */
-    private Server[] inUse(Server[] all) {
-        List<Server> part = part(all);
-        boolean halved = set.crossZonePrice == 0 && part.size() < all.length;
-        List<Server> first = halved ? part.subList(0, (part.size() + 1) / 2) : part;
-        part.forEach(s -> s.first = halved ? first.contains(s) : set.crossZonePrice == 0 || s.zone == set.myZone);
-        senders = Math.max(1, (double) set.nodes * part.size() / Math.max(1, all.length));
-        shareAmong(Math.max(1, senders * Math.sqrt((double) first.size() / Math.max(1, part.size()))));
-        Set<Server> used = new HashSet<>(part);
+    private Server[] selectUsedServers(Server[] all) {
+        List<Server> subset = selectSubset(all);
+        boolean halved = settings.crossZonePrice == 0 && subset.size() < all.length;
+        List<Server> preferred = halved ? subset.subList(0, (subset.size() + 1) / 2) : subset;
+        subset.forEach(s -> s.preferred =
+                halved ? preferred.contains(s) : settings.crossZonePrice == 0 || s.zone == settings.myZone);
+        nodesPerServer = Math.max(1, (double) settings.nodes * subset.size() / Math.max(1, all.length));
+        setEffectiveNodesPerServer(Math.max(
+                1, nodesPerServer * Math.sqrt((double) preferred.size() / Math.max(1, subset.size()))));
+        Set<Server> used = new HashSet<>(subset);
         return Arrays.stream(all).filter(used::contains).toArray(Server[]::new);
     }
 
     /** This node's part of these servers. */
-    private List<Server> part(Server[] all) {
-        int zones = set.crossZonePrice == 0 ? 1 : Math.max(1, set.zones.size());
-        boolean whole = zones == 1;
-        Server[] near =
-                Arrays.stream(all).filter(s -> whole || s.zone == set.myZone).toArray(Server[]::new);
-        Server[] far =
-                Arrays.stream(all).filter(s -> !whole && s.zone != set.myZone).toArray(Server[]::new);
-        int nearUsed = partOf(near.length, (double) set.nodes / zones, zones == 1 ? 2 : 1);
-        int farUsed = partOf(far.length, set.nodes, 1);
-        if (nearUsed == near.length && farUsed == far.length) {
+    private List<Server> selectSubset(Server[] all) {
+        int zones = settings.crossZonePrice == 0 ? 1 : Math.max(1, settings.zones.size());
+        boolean ignoresZones = zones == 1;
+        Server[] local = Arrays.stream(all)
+                .filter(s -> ignoresZones || s.zone == settings.myZone)
+                .toArray(Server[]::new);
+        Server[] remote = Arrays.stream(all)
+                .filter(s -> !ignoresZones && s.zone != settings.myZone)
+                .toArray(Server[]::new);
+        int localSize = subsetSize(local.length, (double) settings.nodes / zones, zones == 1 ? 2 : 1);
+        int remoteSize = subsetSize(remote.length, settings.nodes, 1);
+        if (localSize == local.length && remoteSize == remote.length) {
             return Arrays.asList(all);
         }
         // Sizes are kept through small changes of the list, since with them all places move.
-        nearSize = 2 * nearUsed > nearSize && nearUsed < 2 * nearSize ? nearSize : nearUsed;
-        List<Server> used = new ArrayList<>(subset(near, Math.min(near.length, nearSize)));
-        used.addAll(subset(far, Math.min(farUsed, Math.max(LEAST_IN_USE, nearSize / 2))));
+        localSubsetSize =
+                2 * localSize > localSubsetSize && localSize < 2 * localSubsetSize ? localSubsetSize : localSize;
+        List<Server> used = new ArrayList<>(pickSubset(local, Math.min(local.length, localSubsetSize)));
+        used.addAll(pickSubset(remote, Math.min(remoteSize, Math.max(MIN_SUBSET_COUNT, localSubsetSize / 2))));
         return used;
     }
 
-    private static int partOf(int servers, double nodes, int atLeast) {
+    private static int subsetSize(int serverCount, double nodeCount, int lowerBound) {
         // In a fleet that has shrunk, the least of all nodes would meet the cap on connections.
-        int least = (int) Math.max(atLeast, Math.min(LEAST_IN_USE, 2 * SHARERS * servers / nodes));
-        double enough = Math.max(ENOUGH_IN_USE, FEW_SHARERS * servers / nodes);
-        int part = (int) Math.ceil(Math.min(enough, SHARERS * servers / nodes));
-        return nodes < MANY_NODES ? servers : Math.min(servers, Math.max(least, part));
+        int minSize = (int) Math.max(
+                lowerBound, Math.min(MIN_SUBSET_COUNT, 2 * MAX_NODES_PER_SERVER_COUNT * serverCount / nodeCount));
+        double sufficientSize = Math.max(SUFFICIENT_SUBSET_COUNT, MIN_NODES_PER_SERVER_COUNT * serverCount / nodeCount);
+        int size = (int) Math.ceil(Math.min(sufficientSize, MAX_NODES_PER_SERVER_COUNT * serverCount / nodeCount));
+        return nodeCount < MANY_NODES_MIN_COUNT ? serverCount : Math.min(serverCount, Math.max(minSize, size));
     }
 
     /**
@@ -495,70 +510,73 @@
      * many, every node finds the same table from the same list, and a change of the list moves few places.
      * A row for each node takes much CPU in a large fleet; few nodes would share rows unevenly.
      */
-    private List<Server> subset(Server[] from, int size) {
-        if (size == from.length) {
-            return Arrays.asList(from);
-        }
-        int rows = set.nodes * size > 2 * ROW_PLACES * from.length ? 1 : set.nodes;
-        while (rows < set.nodes && rows * size < ROW_PLACES * from.length) {
-            rows *= 2;
-        }
-        Server[] table = table(from, nextPrime(rows * size), size);
-        int first = set.nodeIndex % rows * size;
-        return Arrays.stream(table, first, first + size)
+    private List<Server> pickSubset(Server[] candidates, int size) {
+        if (size == candidates.length) {
+            return Arrays.asList(candidates);
+        }
+        int rowCount =
+                settings.nodes * size > 2 * SUBSET_SLOTS_PER_SERVER_COUNT * candidates.length ? 1 : settings.nodes;
+        while (rowCount < settings.nodes && rowCount * size < SUBSET_SLOTS_PER_SERVER_COUNT * candidates.length) {
+            rowCount *= 2;
+        }
+        Server[] slots = buildSlotTable(candidates, nextPrime(rowCount * size), size);
+        int firstSlot = settings.nodeIndex % rowCount * size;
+        return Arrays.stream(slots, firstSlot, firstSlot + size)
                 .filter(Objects::nonNull)
                 .toList();
     }
 
     /** The servers take turns in claiming places, each in an order of its own, none twice in a row. */
-    private static Server[] table(Server[] from, int places, int row) {
-        Server[] turns = from.clone();
-        Arrays.sort(turns, Comparator.comparingLong(server -> server.hash));
-        Server[] table = new Server[places];
+    private static Server[] buildSlotTable(Server[] candidates, int slotCount, int rowSize) {
+        Server[] servers = candidates.clone();
+        Arrays.sort(servers, Comparator.comparingLong(server -> server.placementHash));
+        Server[] slots = new Server[slotCount];
         // A bit for each server and row with a place of its own. A row of one place is full with one.
         BitSet claimed = new BitSet();
-        int rows = places / row + 1;
-        int[] at = new int[turns.length];
-        int[] tries = new int[turns.length];
-        for (int i = 0; i < turns.length; i++) {
-            at[i] = (int) Math.floorMod(turns[i].hash, (long) places);
-        }
-        int left = places;
-        int idle = 0;
-        for (int i = 0; left > 0 && idle < turns.length; i = (i + 1) % turns.length) {
-            int skip = 1 + (int) Math.floorMod(turns[i].hash >> 32, places - 1L);
-            while (tries[i] < places && (table[at[i]] != null || row > 1 && claimed.get(i * rows + at[i] / row))) {
-                at[i] = (at[i] + skip) % places;
-                tries[i]++;
+        int rowCount = slotCount / rowSize + 1;
+        int[] nextSlot = new int[servers.length];
+        int[] triedSlotCount = new int[servers.length];
+        for (int i = 0; i < servers.length; i++) {
+            nextSlot[i] = (int) Math.floorMod(servers[i].placementHash, (long) slotCount);
+        }
+        int freeSlotCount = slotCount;
+        int exhaustedServerCount = 0;
+        for (int i = 0; freeSlotCount > 0 && exhaustedServerCount < servers.length; i = (i + 1) % servers.length) {
+            int step = 1 + (int) Math.floorMod(servers[i].placementHash >> 32, slotCount - 1L);
+            while (triedSlotCount[i] < slotCount
+                    && (slots[nextSlot[i]] != null
+                            || rowSize > 1 && claimed.get(i * rowCount + nextSlot[i] / rowSize))) {
+                nextSlot[i] = (nextSlot[i] + step) % slotCount;
+                triedSlotCount[i]++;
             }
-            idle = tries[i] == places ? idle + 1 : 0;
-            if (tries[i] < places) {
-                left--;
-                table[at[i]] = turns[i];
-                claimed.set(row > 1 ? i * rows + at[i] / row : 0);
+            exhaustedServerCount = triedSlotCount[i] == slotCount ? exhaustedServerCount + 1 : 0;
+            if (triedSlotCount[i] < slotCount) {
+                freeSlotCount--;
+                slots[nextSlot[i]] = servers[i];
+                claimed.set(rowSize > 1 ? i * rowCount + nextSlot[i] / rowSize : 0);
             }
         }
-        return table;
+        return slots;
     }
 
-    private static int nextPrime(int from) {
-        return BigInteger.valueOf(from - 1).nextProbablePrime().intValue();
+    private static int nextPrime(int lowerBound) {
+        return BigInteger.valueOf(lowerBound - 1).nextProbablePrime().intValue();
     }
 
     @Override
     public void onListFailed(long nowUs) {
         now = nowUs;
-        if (set.listOnRequest) {
+        if (settings.listOnRequest) {
             // Jittered backoff: nodes that failed together must not ask together again.
-            askListAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
-            listBackoffUs = Math.min(4 * listBackoffUs, MOST_LIST_BACKOFF_US);
+            nextListRequestAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
+            listBackoffUs = Math.min(4 * listBackoffUs, MAX_LIST_BACKOFF_US);
             scheduleWake();
         }
     }
 
-    private void askForList() {
-        out.subscribe();
-        askListAt = now + Math.max(1, set.askWithinUs / 2);
+    private void requestList() {
+        actions.subscribe();
+        nextListRequestAt = now + Math.max(1, settings.askWithinUs / 2);
     }
 
     // ---------------------------------------------------------------- requests and outcomes
@@ -567,28 +585,29 @@
     public void onRequest(long nowUs, Request request) {
         now = nowUs;
         if (request.classIndex() < 0
-                || request.classIndex() >= set.classes.size()
-                || request.tenant() >= set.tenants.size()
-                || calls.containsKey(request.id())) {
+                || request.classIndex() >= settings.classes.size()
+                || request.tenant() >= settings.tenants.size()
+                || pendingRequests.containsKey(request.id())) {
             throw new IllegalArgumentException("unknown class or tenant, or an id that is held: " + request);
         }
-        Call call = new Call(request, set, now);
-        calls.put(request.id(), call);
-        call.value = value(call);
+        PendingRequest pending = new PendingRequest(request, settings, now);
+        pendingRequests.put(request.id(), pending);
+        pending.value = computeValue(pending);
         // A node that is behind spends no more on what it has read too late: that is how it catches up.
-        if (sparse && random.nextDouble() >= admitted(call) || isTooLate(call) && call.cls.lateWorth() == 0) {
-            giveUp(call);
+        if (sparse && random.nextDouble() >= admissionProbability(pending)
+                || isTooLate(pending) && pending.requestClass.lateWorth() == 0) {
+            refuseOrFail(pending);
             scheduleWake();
             return;
         }
         // Nobody waits for the same server, or those who do are tried with each answer.
-        boolean first = waiting.isEmpty() || call.keySeed != 0;
-        Server server = first && now < call.deadlineAt ? drawForFirstTry(call) : null;
+        boolean mayBypassQueue = queue.isEmpty() || pending.keySeed != 0;
+        Server server = mayBypassQueue && now < pending.deadlineAt ? selectServer(pending) : null;
         if (server != null) {
-            send(call, server);
+            send(pending, server);
         } else {
-            defer(call);
-            serveWaiting(KEYS_TRIED);
+            enqueue(pending);
+            serveQueue(KEYED_TRIES_PER_EVENT_COUNT);
         }
         scheduleWake();
     }
@@ -596,61 +615,65 @@
     @Override
     public void onOutcome(long nowUs, Outcome outcome) {
         now = nowUs;
-        Call call = calls.get(outcome.requestId());
+        PendingRequest pending = pendingRequests.get(outcome.requestId());
         int attempt = outcome.attempt();
-        if (call == null || attempt < 0 || attempt >= call.attempts || call.results[attempt] != null) {
+        if (pending == null || attempt < 0 || attempt >= pending.attemptCount || pending.results[attempt] != null) {
             return;
         }
-        Server server = call.servers[attempt];
+        Server server = pending.servers[attempt];
         Result result = outcome.result();
-        call.results[attempt] = result;
-        call.outstanding--;
+        pending.results[attempt] = result;
+        pending.outstandingCount--;
         server.inFlight--;
-        inFlight -= isCounted(server) && !call.silent[attempt] ? 1 : 0;
-        server.hung -= call.silent[attempt] ? 1 : 0;
+        totalInFlight -= countsTowardTotals(server) && !pending.silent[attempt] ? 1 : 0;
+        server.silentInFlight -= pending.silent[attempt] ? 1 : 0;
         closeIfUnused(server);
-        Health ofClass = server.byClass[call.request.classIndex()];
+        Health classHealth = server.healthByClass[pending.request.classIndex()];
         if (result == Result.OK) {
-            succeeded(
+            recordSuccess(
                     server,
-                    ofClass,
-                    outcome.latencyUs() > (sparse ? 1 : FAR_SLOWER) * SLOW_BY * latencyUs[call.request.classIndex()]);
-        } else if (result != Result.CANCELLED && result != Result.MOOT && !call.silent[attempt]) {
+                    classHealth,
+                    outcome.latencyUs()
+                            > (sparse ? 1 : SLOW_LATENCY_MARGIN_RATIO)
+                                    * SLOW_LATENCY_RATIO
+                                    * meanLatencyUs[pending.request.classIndex()]);
+        } else if (result != Result.CANCELLED && result != Result.MOOT && !pending.silent[attempt]) {
             // A time-out of a server that has answered since tells of crowding, not of silence, as being
             // full does: the limit heeds it.
-            failed(
+            recordFailure(
                     server,
-                    ofClass,
-                    result != Result.FULL && (result != Result.TIMEOUT || ofClass.answeredAt < call.sentAt[attempt]));
+                    classHealth,
+                    result != Result.FULL
+                            && (result != Result.TIMEOUT || classHealth.lastAnsweredAt < pending.sentAt[attempt]));
         }
-        ofClass.answeredAt = result == Result.OK || result == Result.ERROR ? now : ofClass.answeredAt;
-        adaptLimit(call, attempt, outcome);
+        classHealth.lastAnsweredAt = result == Result.OK || result == Result.ERROR ? now : classHealth.lastAnsweredAt;
+        adaptLimit(pending, attempt, outcome);
         if (outcome.requestEnded()) {
-            end(call);
-        } else if (!call.ended && call.outstanding == 0) {
-            passOn(call, server);
+            finish(pending);
+        } else if (!pending.ended && pending.outstandingCount == 0) {
+            retryOrFinish(pending, server);
         }
-        forgetIfOver(call);
-        serveWaiting(KEYS_TRIED);
+        removeIfFinished(pending);
+        serveQueue(KEYED_TRIES_PER_EVENT_COUNT);
         scheduleWake();
     }
 
     @Override
     public void onFirstByte(long nowUs, long requestId, int attempt) {
         now = nowUs;
-        Call call = calls.get(requestId);
-        if (call != null) {
-            call.streaming = true;
+        PendingRequest pending = pendingRequests.get(requestId);
+        if (pending != null) {
+            pending.streaming = true;
         }
     }
 
     @Override
     public void onClientGone(long nowUs, long requestId) {
         now = nowUs;
-        Call call = calls.get(requestId);
-        if (call != null) {
-            call.left = true;
-            end(call);
+        PendingRequest pending = pendingRequests.get(requestId);
+        if (pending != null) {
+            pending.clientGone = true;
+            finish(pending);
         }
     }
 
@@ -661,54 +684,62 @@
     @Override
     public void onWake(long nowUs) {
         now = nowUs;
-        boolean paused = wakePending != Long.MAX_VALUE && now > wakePending + PAUSED_US;
-        wakePending = now >= wakePending ? Long.MAX_VALUE : wakePending;
-        if (now >= askListAt) {
-            askForList();
+        boolean paused = pendingWakeAt != Long.MAX_VALUE && now > pendingWakeAt + NODE_PAUSE_THRESHOLD_US;
+        pendingWakeAt = now >= pendingWakeAt ? Long.MAX_VALUE : pendingWakeAt;
+        if (now >= nextListRequestAt) {
+            requestList();
         }
         if (!paused) {
-            lookForSilence();
+            detectSilentAttempts();
         }
-        serveWaiting(KEYS_SWEPT);
+        serveQueue(KEYED_TRIES_PER_SWEEP_COUNT);
         scheduleWake();
     }
 
     private void scheduleWake() {
-        long at = waiting.isEmpty() ? askListAt : Math.min(askListAt, now + sweepUs);
-        for (int c = 0; c < watched.size(); c++) {
-            Try first = watched.get(c).peek();
-            at = first == null
-                    ? at
-                    : Math.min(at, Math.max(now + sweepUs, first.call.sentAt[first.attempt] + silentAfter(c)));
+        long wakeAt = queue.isEmpty() ? nextListRequestAt : Math.min(nextListRequestAt, now + sweepIntervalUs);
+        for (int classIndex = 0; classIndex < watchedAttempts.size(); classIndex++) {
+            WatchedAttempt oldest = watchedAttempts.get(classIndex).peek();
+            wakeAt = oldest == null
+                    ? wakeAt
+                    : Math.min(
+                            wakeAt,
+                            Math.max(
+                                    now + sweepIntervalUs,
+                                    oldest.pending.sentAt[oldest.attempt] + silenceTimeoutUs(classIndex)));
         }
-        if (at < wakePending) {
-            wakePending = Math.max(at, now + 1);
-            out.wakeAt(wakePending);
+        if (wakeAt < pendingWakeAt) {
+            pendingWakeAt = Math.max(wakeAt, now + 1);
+            actions.wakeAt(pendingWakeAt);
         }
     }
 
     // ---------------------------------------------------------------- the mechanism
 
     /** A failure adds one; failures that say something of health, not of crowding, may eject the server. */
-    private void failed(Server server, Health ofClass, boolean ill) {
-        server.errors++;
+    private void recordFailure(Server server, Health classHealth, boolean unhealthy) {
+        server.errorCount++;
         weightsStale = true;
-        failing += ill && !server.overall.ejected ? COMMON_GAIN * (1 - failing) : 0;
-        for (Health health : ill ? new Health[] {server.overall, ofClass} : new Health[0]) {
-            health.history = health.history << 1 | 1;
-            health.trialsWon = 0;
+        commonFailureRatio += unhealthy && !server.overallHealth.ejected
+                ? COMMON_FAILURE_SMOOTHING_RATIO * (1 - commonFailureRatio)
+                : 0;
+        for (Health health : unhealthy ? new Health[] {server.overallHealth, classHealth} : new Health[0]) {
+            health.failureBits = health.failureBits << 1 | 1;
+            health.trialSuccesses = 0;
             if (health.ejected
-                    || health.recentFailures() >= EJECT_AT + IN_COMMON * REMEMBERED * failing
-                            && (health == ofClass || !servesOthers(server, ofClass))) {
+                    || health.recentFailureCount()
+                                    >= EJECTION_FAILURE_COUNT
+                                            + COMMON_FAILURE_ALLOWANCE_RATIO * HEALTH_HISTORY_COUNT * commonFailureRatio
+                            && (health == classHealth || !servesOtherClasses(server, classHealth))) {
                 eject(server, health);
             }
         }
     }
 
     /** Whether another class has been served since this one was, without a failure among its last answers. */
-    private static boolean servesOthers(Server server, Health ofClass) {
-        for (Health other : server.byClass) {
-            if (other.servedAt > ofClass.servedAt && other.recentFailures() == 0) {
+    private static boolean servesOtherClasses(Server server, Health classHealth) {
+        for (Health other : server.healthByClass) {
+            if (other.lastSucceededAt > classHealth.lastSucceededAt && other.recentFailureCount() == 0) {
                 return true;
             }
         }
@@ -716,88 +747,90 @@
     }
 
     /** A success clears the count; an ejected server has to succeed several times in a row. */
-    private void succeeded(Server server, Health ofClass, boolean slow) {
-        failing -= COMMON_GAIN * failing;
-        for (Health health : new Health[] {server.overall, ofClass}) {
-            health.history <<= 1;
-            health.servedAt = now;
-            health.trialAt = now;
-            if (health.ejected && ++health.trialsWon >= TRIALS) {
-                log("restored server " + server.id + (health == ofClass ? " for a class" : ""));
+    private void recordSuccess(Server server, Health classHealth, boolean slow) {
+        commonFailureRatio -= COMMON_FAILURE_SMOOTHING_RATIO * commonFailureRatio;
+        for (Health health : new Health[] {server.overallHealth, classHealth}) {
+            health.failureBits <<= 1;
+            health.lastSucceededAt = now;
+            health.nextTrialAt = now;
+            if (health.ejected && ++health.trialSuccesses >= RESTORING_SUCCESS_COUNT) {
+                log("restored server " + server.id + (health == classHealth ? " for a class" : ""));
                 restore(health);
-                if (health == server.overall) {
-                    startAnew(server);
+                if (health == server.overallHealth) {
+                    resetServer(server);
                 }
-                countReady();
+                recountUsedServers();
                 return;
             }
         }
-        if (!server.overall.ejected) {
+        if (!server.overallHealth.ejected) {
             // Exception, slow answers: at a node of many a slow answer adds an error and any other takes one
             // off, so the weights settle where all servers are about equally quick.
-            int errors = !many
+            int errorCount = !manyNodes
                     ? 0
                     : slow
-                            ? Math.max(server.errors, Math.min(MOST_SLOW, server.errors + 1))
-                            : Math.max(0, server.errors - 1);
-            weightsStale |= errors != server.errors;
-            server.errors = errors;
+                            ? Math.max(server.errorCount, Math.min(MAX_SLOW_ANSWER_ERROR_COUNT, server.errorCount + 1))
+                            : Math.max(0, server.errorCount - 1);
+            weightsStale |= errorCount != server.errorCount;
+            server.errorCount = errorCount;
         }
     }
 
     // ---------------------------------------------------------------- ejection
 
     /**
-     * Exception, ejection: a server that failed {@link #EJECT_AT} of its last {@link #REMEMBERED} answers,
+     * Exception, ejection: a server that failed {@link #EJECTION_FAILURE_COUNT} of its last {@link #HEALTH_HISTORY_COUNT} answers,
      * of all or of one class, gets nothing of these but single trials, further apart each time one fails.
      * Never more than half of the servers are out: when most fail, the trouble is not theirs, and the
      * weights alone decide. By class, since a class that a server serves would else hide one that it fails.
      */
     private void eject(Server server, Health health) {
         if (!health.ejected) {
-            int c = Arrays.asList(server.byClass).indexOf(health);
-            long out = ejected.stream()
-                    .filter(s -> c < 0 ? s.overall.ejected : s.byClass[c].ejected)
+            int classIndex = Arrays.asList(server.healthByClass).indexOf(health);
+            long alreadyEjected = ejectedServers.stream()
+                    .filter(s -> classIndex < 0 ? s.overallHealth.ejected : s.healthByClass[classIndex].ejected)
                     .count();
-            if (2 * (out + 1) > ready.length) {
+            if (2 * (alreadyEjected + 1) > usedServers.length) {
                 return;
             }
             health.ejected = true;
-            health.ejectedForUs = EJECT_US / 2;
-            log("ejected server " + server.id + " after " + health.recentFailures() + " failures"
-                    + (c < 0 ? "" : " of class " + set.classes.get(c).name()));
+            health.ejectionUs = INITIAL_EJECTION_US / 2;
+            log("ejected server " + server.id + " after " + health.recentFailureCount() + " failures"
+                    + (classIndex < 0
+                            ? ""
+                            : " of class " + settings.classes.get(classIndex).name()));
         }
-        health.ejectedForUs = Math.min(MOST_EJECT_US, 2 * health.ejectedForUs);
-        health.trialAt = now + health.ejectedForUs / 2 + random.nextLong(health.ejectedForUs);
-        countReady();
+        health.ejectionUs = Math.min(MAX_EJECTION_US, 2 * health.ejectionUs);
+        health.nextTrialAt = now + health.ejectionUs / 2 + random.nextLong(health.ejectionUs);
+        recountUsedServers();
     }
 
     private static void restore(Health health) {
-        health.history = 0;
+        health.failureBits = 0;
         health.ejected = false;
-        health.trialsWon = 0;
+        health.trialSuccesses = 0;
     }
 
-    private void startAnew(Server server) {
-        weightsStale |= server.errors > 0;
-        server.errors = 0;
-        restore(server.overall);
-        Arrays.stream(server.byClass).forEach(ServiceQBalancer::restore);
-        server.limit = firstLimit;
+    private void resetServer(Server server) {
+        weightsStale |= server.errorCount > 0;
+        server.errorCount = 0;
+        restore(server.overallHealth);
+        Arrays.stream(server.healthByClass).forEach(ServiceQBalancer::restore);
+        server.limit = initialLimit;
     }
 
     /** An ejected server that is due for a trial with this request, or null. */
-    private Server trial(Call call) {
-        for (Server server : ejected) {
-            Health ofClass = server.byClass[call.request.classIndex()];
+    private Server findServerDueForTrial(PendingRequest pending) {
+        for (Server server : ejectedServers) {
+            Health classHealth = server.healthByClass[pending.request.classIndex()];
             // Unsafe requests are risked only where no other could tell: for a class of their own.
-            boolean due = call.cls.retrySafety() == RetrySafety.UNSAFE
-                    ? !server.overall.ejected
-                            && ofClass.ejected
-                            && now >= ofClass.trialAt + UNSAFE_TRIALS * ofClass.ejectedForUs
-                    : server.overall.ejected && now >= server.overall.trialAt
-                            || ofClass.ejected && now >= ofClass.trialAt;
-            if (due && server.inFlight == 0 && isAllowed(call, server)) {
+            boolean due = pending.requestClass.retrySafety() == RetrySafety.UNSAFE
+                    ? !server.overallHealth.ejected
+                            && classHealth.ejected
+                            && now >= classHealth.nextTrialAt + UNSAFE_TRIAL_DELAY_RATIO * classHealth.ejectionUs
+                    : server.overallHealth.ejected && now >= server.overallHealth.nextTrialAt
+                            || classHealth.ejected && now >= classHealth.nextTrialAt;
+            if (due && server.inFlight == 0 && isAllowed(pending, server)) {
                 return server;
             }
         }
@@ -805,94 +838,99 @@
     }
 
     /** Counts the servers in use anew: what hangs at one ejected or gone must not hold back the others. */
-    private void countReady() {
+    private void recountUsedServers() {
         weightsStale = true;
-        limits = 0;
-        inFlight = 0;
-        ejected.clear();
-        for (Server server : ready) {
-            if (isCounted(server)) {
-                limits += server.limit;
-                inFlight += server.inFlight - server.hung;
+        totalLimit = 0;
+        totalInFlight = 0;
+        ejectedServers.clear();
+        for (Server server : usedServers) {
+            if (countsTowardTotals(server)) {
+                totalLimit += server.limit;
+                totalInFlight += server.inFlight - server.silentInFlight;
             }
-            if (server.overall.ejected || Arrays.stream(server.byClass).anyMatch(h -> h.ejected)) {
-                ejected.add(server);
+            if (server.overallHealth.ejected
+                    || Arrays.stream(server.healthByClass).anyMatch(h -> h.ejected)) {
+                ejectedServers.add(server);
             }
         }
     }
 
     @Override
     public int ejectedServerCount() {
-        return (int) ejected.stream().filter(s -> s.overall.ejected).count();
+        return (int)
+                ejectedServers.stream().filter(s -> s.overallHealth.ejected).count();
     }
 
-    private static boolean isCounted(Server server) {
-        return server.inUse && !server.overall.ejected;
+    private static boolean countsTowardTotals(Server server) {
+        return server.inUse && !server.overallHealth.ejected;
     }
 
     private void log(String line) {
-        if (now >= logFreeAt) {
-            logFreeAt = now + LOG_EVERY_US;
-            out.log(line);
+        if (now >= nextLogAt) {
+            nextLogAt = now + MIN_LOG_INTERVAL_US;
+            actions.log(line);
         }
     }
 
     // ---------------------------------------------------------------- draws
 
     /** Two draws by weight; the one with fewer own requests in flight, ties at random. Trials go first. */
-    private Server drawForFirstTry(Call call) {
-        Server due = trial(call);
-        Server server = due != null ? due : drawTwo(call, call.keySeed != 0 ? everywhere : nearby);
-        int spillAt = set.crossZonePrice == 0 ? 1 : SPILL_AT;
+    private Server selectServer(PendingRequest pending) {
+        Server trialServer = findServerDueForTrial(pending);
+        Server server = trialServer != null
+                ? trialServer
+                : drawBetterOfTwo(pending, pending.keySeed != 0 ? fullPool : preferredPool);
+        int spilloverCount = settings.crossZonePrice == 0 ? 1 : ZONE_SPILLOVER_COUNT;
         // Exception, zones and halves: both draws are of those that come first, and two more from all win
         // only if that choice is busy or fails: if it has one more in flight, two where crossing costs.
-        if (due != null
-                || nearby == everywhere
-                || call.keySeed != 0
-                || server != null && server.inFlight < spillAt && server.errors == 0) {
+        if (trialServer != null
+                || preferredPool == fullPool
+                || pending.keySeed != 0
+                || server != null && server.inFlight < spilloverCount && server.errorCount == 0) {
             return server;
         }
-        Server other = drawTwo(call, everywhere);
+        Server other = drawBetterOfTwo(pending, fullPool);
         return server == null
                         || other != null
-                                && (other.inFlight + spillAt <= server.inFlight || other.errors < server.errors)
+                                && (other.inFlight + spilloverCount <= server.inFlight
+                                        || other.errorCount < server.errorCount)
                 ? other
                 : server;
     }
 
-    private Server drawTwo(Call call, Pool from) {
-        Server first = draw(call, from, null);
-        Server second = first == null ? null : draw(call, from, first);
+    private Server drawBetterOfTwo(PendingRequest pending, DrawPool pool) {
+        Server first = draw(pending, pool, null);
+        Server second = first == null ? null : draw(pending, pool, first);
         if (second == null || first.inFlight != second.inFlight) {
             return second == null || first.inFlight < second.inFlight ? first : second;
         }
         // Draws are in random order, but by weight: a tie is broken by a toss of its own, or by the key.
-        return call.keySeed != 0 || random.nextInt(2) == 0 ? first : second;
+        return pending.keySeed != 0 || random.nextInt(2) == 0 ? first : second;
     }
 
     /** One draw by weight among the servers that may be sent to, but for {@code except}; null if none may. */
-    private Server draw(Call call, Pool from, Server except) {
+    private Server draw(PendingRequest pending, DrawPool pool, Server excluded) {
         if (weightsStale) {
-            weigh();
+            updateWeights();
         }
-        if (call.keySeed != 0) {
-            return drawByKey(call, from, Collections.singletonList(except));
+        if (pending.keySeed != 0) {
+            return drawByKey(pending, pool, Collections.singletonList(excluded));
         }
-        for (int i = 0; i <= REDRAWS && from.servers.length > 0; i++) {
-            Server server = from.servers[drawPosition(from)];
-            if (server != except && maySend(call, server)) {
+        for (int i = 0; i <= MAX_REDRAW_COUNT && pool.servers.length > 0; i++) {
+            Server server = pool.servers[drawPosition(pool)];
+            if (server != excluded && maySend(pending, server)) {
                 return server;
             }
         }
         return null;
     }
 
-    private int drawPosition(Pool from) {
-        int last = from.servers.length - 1;
-        if (largestEffect == 1) {
-            return random.nextInt(last + 1);
+    private int drawPosition(DrawPool pool) {
+        int lastPosition = pool.servers.length - 1;
+        if (maxWeight == 1) {
+            return random.nextInt(lastPosition + 1);
         }
-        int found = Arrays.binarySearch(from.weightsUpTo, random.nextLong(from.weightsUpTo[last]));
+        int found = Arrays.binarySearch(pool.cumulativeWeights, random.nextLong(pool.cumulativeWeights[lastPosition]));
         return found < 0 ? -1 - found : found + 1;
     }
 
@@ -903,66 +941,66 @@
      * all draws are full the request waits: at just any server it would cost the work that memory saves, and
      * a crowd would feed itself. Harm: a few hot keys may wait while other servers have room.
      */
-    private Server drawByKey(Call call, Pool from, List<Server> except) {
-        for (int i = 0; i < KEY_DRAWS && from.places.length > 0; i++) {
-            long hash = mix(call.keySeed + i * 0x9E3779B97F4A7C15L);
-            Server server = from.places[(int) ((hash >>> 32) % from.places.length)];
-            boolean drawn = (hash & 0xFFFFFFFFL) * largestEffect < weight(server) * 0x1p32;
-            if (drawn && !except.contains(server) && maySend(call, server)) {
+    private Server drawByKey(PendingRequest pending, DrawPool pool, List<Server> excluded) {
+        for (int i = 0; i < KEY_DRAW_COUNT && pool.keySlots.length > 0; i++) {
+            long hash = mixBits(pending.keySeed + i * 0x9E3779B97F4A7C15L);
+            Server server = pool.keySlots[(int) ((hash >>> 32) % pool.keySlots.length)];
+            boolean drawn = (hash & 0xFFFFFFFFL) * maxWeight < weightOf(server) * 0x1p32;
+            if (drawn && !excluded.contains(server) && maySend(pending, server)) {
                 return server;
             }
         }
         return null;
     }
 
-    private static long mix(long z) {
+    private static long mixBits(long z) {
         z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
         z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
         return z ^ z >>> 31;
     }
 
     /** The paper's weights, worked out anew only when a count or the list has changed. */
-    private void weigh() {
-        int most = 0;
-        for (Server server : ready) {
-            most = Math.max(most, server.errors);
-        }
-        largestEffect = Math.floor(Math.pow(1 + most, 1.5));
-        sumUp(everywhere);
-        sumUp(nearby);
+    private void updateWeights() {
+        int maxErrorCount = 0;
+        for (Server server : usedServers) {
+            maxErrorCount = Math.max(maxErrorCount, server.errorCount);
+        }
+        maxWeight = Math.floor(Math.pow(1 + maxErrorCount, 1.5));
+        accumulateWeights(fullPool);
+        accumulateWeights(preferredPool);
         weightsStale = false;
     }
 
-    private void sumUp(Pool pool) {
+    private void accumulateWeights(DrawPool pool) {
         for (int i = 0; i < pool.servers.length; i++) {
-            pool.weightsUpTo[i] = weight(pool.servers[i]) + (i == 0 ? 0 : pool.weightsUpTo[i - 1]);
+            pool.cumulativeWeights[i] = weightOf(pool.servers[i]) + (i == 0 ? 0 : pool.cumulativeWeights[i - 1]);
         }
     }
 
-    private long weight(Server server) {
-        return server.overall.ejected ? 1 : (long) Math.ceil(largestEffect / (1 + server.errors));
+    private long weightOf(Server server) {
+        return server.overallHealth.ejected ? 1 : (long) Math.ceil(maxWeight / (1 + server.errorCount));
     }
 
     /** A failed request goes to the next server in list order, or waits, or has its final answer. */
-    private void passOn(Call call, Server failed) {
-        Server next = mayTryAgain(call) ? nextInTurn(call, failed) : null;
+    private void retryOrFinish(PendingRequest pending, Server failedServer) {
+        Server next = mayRetry(pending) ? nextUntriedServer(pending, failedServer) : null;
         if (next != null) {
-            send(call, next);
-        } else if (mayTryAgain(call)) {
-            defer(call);
+            send(pending, next);
+        } else if (mayRetry(pending)) {
+            enqueue(pending);
         } else {
-            giveUp(call);
+            refuseOrFail(pending);
         }
     }
 
-    private Server nextInTurn(Call call, Server failed) {
-        List<Server> tried = Arrays.asList(call.servers);
-        if (call.keySeed != 0 && call.binding() < 0) {
-            return drawByKey(call, everywhere, tried);
+    private Server nextUntriedServer(PendingRequest pending, Server failedServer) {
+        List<Server> tried = Arrays.asList(pending.servers);
+        if (pending.keySeed != 0 && pending.firstPossiblyExecutedAttempt() < 0) {
+            return drawByKey(pending, fullPool, tried);
         }
-        for (int i = 1; i <= ready.length; i++) {
-            Server next = ready[(failed.position + i) % ready.length];
-            if (!tried.contains(next) && maySend(call, next)) {
+        for (int i = 1; i <= usedServers.length; i++) {
+            Server next = usedServers[(failedServer.position + i) % usedServers.length];
+            if (!tried.contains(next) && maySend(pending, next)) {
                 return next;
             }
         }
@@ -972,55 +1010,59 @@
     // ---------------------------------------------------------------- silence
 
     /**
-     * Exception, silence: an attempt without an answer for {@link #SILENT_BY} times its class's usual time,
+     * Exception, silence: an attempt without an answer for {@link #SILENCE_LATENCY_RATIO} times its class's usual time,
      * at a server that has answered nothing of the class since, counts as a failure while it is still out,
      * and a repeatable request passes on to a second server (a hedge, within a retry budget). Guards against
      * whatever swallows requests or answers while clients leave before any time-out tells. Not after a
      * pause of this node's own, when answers are still to be read. Harm: rare heavy requests run twice.
      */
-    private void lookForSilence() {
-        for (int c = 0; c < watched.size(); c++) {
-            ArrayDeque<Try> line = watched.get(c);
-            while (!line.isEmpty()) {
-                Call call = line.peek().call;
-                int attempt = line.peek().attempt;
-                boolean known = call.ended || call.streaming || call.results[attempt] != null;
-                if (!known && now < call.sentAt[attempt] + silentAfter(c)) {
+    private void detectSilentAttempts() {
+        for (int classIndex = 0; classIndex < watchedAttempts.size(); classIndex++) {
+            ArrayDeque<WatchedAttempt> attempts = watchedAttempts.get(classIndex);
+            while (!attempts.isEmpty()) {
+                PendingRequest pending = attempts.peek().pending;
+                int attempt = attempts.peek().attempt;
+                boolean resolved = pending.ended || pending.streaming || pending.results[attempt] != null;
+                if (!resolved && now < pending.sentAt[attempt] + silenceTimeoutUs(classIndex)) {
                     break;
                 }
-                line.poll();
-                if (!known) {
-                    foundSilent(call, attempt);
+                attempts.poll();
+                if (!resolved) {
+                    handleSilentAttempt(pending, attempt);
                 }
             }
         }
     }
 
-    private long silentAfter(int classIndex) {
-        return !isUsualKnown(classIndex)
+    private long silenceTimeoutUs(int classIndex) {
+        return !isMeanLatencyKnown(classIndex)
                 ? Long.MAX_VALUE / 4
-                : (long) (SILENT_BY * latencyUs[classIndex]) + 2 * set.tickUs;
+                : (long) (SILENCE_LATENCY_RATIO * meanLatencyUs[classIndex]) + 2 * settings.tickUs;
     }
 
     /** Whether a class has had answers enough for their mean to be more than chance. */
-    private boolean isUsualKnown(int classIndex) {
-        return answers[classIndex] * MEAN_GAIN >= 0.5;
-    }
-
-    private void foundSilent(Call call, int attempt) {
-        Server server = call.servers[attempt];
-        Health ofClass = server.byClass[call.request.classIndex()];
-        if (ofClass.answeredAt < call.sentAt[attempt]) {
-            call.silent[attempt] = true;
-            server.hung++;
-            inFlight -= isCounted(server) ? 1 : 0;
-            failed(server, ofClass, true);
-        }
-        if (set.hedgingAllowed && !call.waiting && hedgesLeft >= 1 && mayTryAgain(call) && call.outstanding == 1) {
-            Server next = nextInTurn(call, server);
+    private boolean isMeanLatencyKnown(int classIndex) {
+        return answerCounts[classIndex] * MEAN_SMOOTHING_RATIO >= 0.5;
+    }
+
+    private void handleSilentAttempt(PendingRequest pending, int attempt) {
+        Server server = pending.servers[attempt];
+        Health classHealth = server.healthByClass[pending.request.classIndex()];
+        if (classHealth.lastAnsweredAt < pending.sentAt[attempt]) {
+            pending.silent[attempt] = true;
+            server.silentInFlight++;
+            totalInFlight -= countsTowardTotals(server) ? 1 : 0;
+            recordFailure(server, classHealth, true);
+        }
+        if (settings.hedgingAllowed
+                && !pending.queued
+                && hedgeBudget >= 1
+                && mayRetry(pending)
+                && pending.outstandingCount == 1) {
+            Server next = nextUntriedServer(pending, server);
             if (next != null) {
-                hedgesLeft--;
-                send(call, next);
+                hedgeBudget--;
+                send(pending, next);
             }
         }
     }
@@ -1028,68 +1070,74 @@
     // ---------------------------------------------------------------- the deferred queue
 
     /** Puts a request into the deferred queue: first come first served among those of equal value. */
-    private void defer(Call call) {
-        call.waiting = true;
-        int at = waiting.size();
-        while (at > 0 && BY_VALUE.compare(waiting.get(at - 1), call) > 0) {
-            at--;
+    private void enqueue(PendingRequest pending) {
+        pending.queued = true;
+        int position = queue.size();
+        while (position > 0 && HIGHEST_VALUE_FIRST.compare(queue.get(position - 1), pending) > 0) {
+            position--;
         }
-        waiting.add(at, call);
+        queue.add(position, pending);
     }
 
     /** Sends what waits as far as servers allow and ends what has run out of time. */
-    private void serveWaiting(int keysToTry) {
-        int kept = 0;
-        boolean full = false;
+    private void serveQueue(int keyedTriesLeft) {
+        int keptCount = 0;
+        boolean fullForAll = false;
         boolean fullForUnsafe = false;
-        boolean fullForOver = false;
+        boolean fullForOverShare = false;
         boolean unsorted = false;
-        for (int i = 0; i < waiting.size(); i++) {
-            Call call = waiting.get(i);
-            if (!call.waiting) {
+        for (int i = 0; i < queue.size(); i++) {
+            PendingRequest pending = queue.get(i);
+            if (!pending.queued) {
                 continue;
             }
-            boolean late = isTooLate(call);
-            if (call.deadlineAt - now <= sweepUs + set.tickUs
-                    || late && call.cls.lateWorth() == 0
-                    || !mayTryAgain(call)) {
-                giveUp(call);
+            boolean late = isTooLate(pending);
+            if (pending.deadlineAt - now <= sweepIntervalUs + settings.tickUs
+                    || late && pending.requestClass.lateWorth() == 0
+                    || !mayRetry(pending)) {
+                refuseOrFail(pending);
                 continue;
             }
-            if (late && !call.late) {
-                call.late = true;
-                call.value *= call.cls.lateWorth();
+            if (late && !pending.late) {
+                pending.late = true;
+                pending.value *= pending.requestClass.lateWorth();
                 unsorted = true;
-                waiting.set(kept++, call);
+                queue.set(keptCount++, pending);
                 continue;
             }
-            boolean unsafe = call.cls.retrySafety() == RetrySafety.UNSAFE;
-            boolean barred = full || unsafe && fullForUnsafe || call.overShare && fullForOver;
-            Server server = barred ? null : drawForFirstTry(call);
+            boolean unsafe = pending.requestClass.retrySafety() == RetrySafety.UNSAFE;
+            boolean blocked = fullForAll || unsafe && fullForUnsafe || pending.overShare && fullForOverShare;
+            Server server = blocked ? null : selectServer(pending);
             if (server != null) {
-                call.waiting = false;
-                send(call, server);
+                pending.queued = false;
+                send(pending, server);
             } else {
                 // What has not been sent may go anywhere, but for unsafe requests and ejected servers: if it
                 // finds no server, nor does the next one. With a key it may go to few.
-                fullForOver |= call.overShare;
-                boolean last = !call.overShare && call.attempts == 0 && (call.keySeed == 0 || --keysToTry <= 0);
-                fullForUnsafe |= last;
-                full |= last && (!unsafe || call.keySeed != 0);
-                waiting.set(kept++, call);
+                fullForOverShare |= pending.overShare;
+                boolean exhausted = !pending.overShare
+                        && pending.attemptCount == 0
+                        && (pending.keySeed == 0 || --keyedTriesLeft <= 0);
+                fullForUnsafe |= exhausted;
+                fullForAll |= exhausted && (!unsafe || pending.keySeed != 0);
+                queue.set(keptCount++, pending);
             }
         }
-        waiting.subList(kept, waiting.size()).clear();
+        queue.subList(keptCount, queue.size()).clear();
         if (unsorted) {
-            waiting.sort(BY_VALUE);
+            queue.sort(HIGHEST_VALUE_FIRST);
         }
     }
 
-    private boolean isTooLate(Call call) {
-        int c = call.request.classIndex();
-        double first = many ? rank(call) * Math.max(0, 1 - IN_VAIN_BY * inVain[c]) : 0;
-        return call.aimAt - now
-                < Math.min(MOST_LATE_AT * (call.aimAt - call.arrivedAt), (TOO_LATE_AT - first) * latencyUs[c]);
+    private boolean isTooLate(PendingRequest pending) {
+        int classIndex = pending.request.classIndex();
+        double priority = manyNodes
+                ? relativeValue(pending) * Math.max(0, 1 - UNSERVED_PENALTY_RATIO * unservedRatios[classIndex])
+                : 0;
+        return pending.targetAt - now
+                < Math.min(
+                        MAX_REMAINING_TARGET_RATIO * (pending.targetAt - pending.arrivedAt),
+                        (MIN_REMAINING_LATENCY_RATIO - priority) * meanLatencyUs[classIndex]);
     }
 
     /**
@@ -1097,27 +1145,27 @@
      * if its tenant is beyond this node's part of its share, over the usual latency of its class as the
      * measure of work.
      */
-    private double value(Call call) {
-        double worth = call.cls.worth();
-        int tenant = call.request.tenant();
-        double quota = tenant < 0 ? 0 : set.tenants.get(tenant).quotaPerS() / set.nodes;
+    private double computeValue(PendingRequest pending) {
+        double worth = pending.requestClass.worth();
+        int tenant = pending.request.tenant();
+        double quota = tenant < 0 ? 0 : settings.tenants.get(tenant).quotaPerS() / settings.nodes;
         if (quota > 0) {
-            double most = Math.max(LEAST_SHARE_BURST, quota * SHARE_BURST_S);
-            double since = shareSeenAt[tenant] == 0 ? SHARE_BURST_S : (now - shareSeenAt[tenant]) / 1e6;
-            shareSeenAt[tenant] = now;
-            shareLeft[tenant] = Math.min(most, shareLeft[tenant] + quota * since);
-            if (shareLeft[tenant] >= 1) {
-                shareLeft[tenant]--;
+            double maxTokens = Math.max(MIN_QUOTA_BURST_COUNT, quota * QUOTA_BURST_S);
+            double elapsedS = quotaRefilledAt[tenant] == 0 ? QUOTA_BURST_S : (now - quotaRefilledAt[tenant]) / 1e6;
+            quotaRefilledAt[tenant] = now;
+            quotaTokens[tenant] = Math.min(maxTokens, quotaTokens[tenant] + quota * elapsedS);
+            if (quotaTokens[tenant] >= 1) {
+                quotaTokens[tenant]--;
             } else {
-                worth *= set.overShareWorth;
-                call.overShare = !set.warmKeys;
+                worth *= settings.overShareWorth;
+                pending.overShare = !settings.warmKeys;
             }
         }
-        return forItsWork(worth, call.request.classIndex());
+        return perUnitOfWork(worth, pending.request.classIndex());
     }
 
-    private double forItsWork(double worth, int classIndex) {
-        return set.worthByWork ? worth : worth / Math.max(1, latencyUs[classIndex]);
+    private double perUnitOfWork(double worth, int classIndex) {
+        return settings.worthByWork ? worth : worth / Math.max(1, meanLatencyUs[classIndex]);
     }
 
     // ---------------------------------------------------------------- concurrency limits
@@ -1128,85 +1176,97 @@
      * Acts only when a draw would exceed a server's limit, or the node the sum of all limits (with many
      * nodes a server's part is under one).
      */
-    private void adaptLimit(Call call, int attempt, Outcome outcome) {
-        Server server = call.servers[attempt];
+    private void adaptLimit(PendingRequest pending, int attempt, Outcome outcome) {
+        Server server = pending.servers[attempt];
         Result result = outcome.result();
-        double before = server.limit;
-        int c = call.request.classIndex();
+        double limitBefore = server.limit;
+        int classIndex = pending.request.classIndex();
         // A client that leaves hides how long its answer would have taken, so that only quick ones stay in
         // sight: after more than the usual time, what it has waited counts like an answer no quicker.
-        boolean left = result == Result.CANCELLED && call.left && outcome.latencyUs() > SLOW_BY * latencyUs[c];
-        if (result == Result.OK || result == Result.TIMEOUT || result == Result.FULL || left) {
-            timely += TIMELY_GAIN * ((result == Result.OK && now <= call.aimAt ? 1 : 0) - timely);
+        boolean abandoned = result == Result.CANCELLED
+                && pending.clientGone
+                && outcome.latencyUs() > SLOW_LATENCY_RATIO * meanLatencyUs[classIndex];
+        if (result == Result.OK || result == Result.TIMEOUT || result == Result.FULL || abandoned) {
+            timelyRatio +=
+                    TIMELY_SMOOTHING_RATIO * ((result == Result.OK && now <= pending.targetAt ? 1 : 0) - timelyRatio);
         }
         if (result == Result.OK) {
-            latencyUs[c] += Math.max(MEAN_GAIN, 1.0 / ++answers[c]) * (outcome.latencyUs() - latencyUs[c]);
+            meanLatencyUs[classIndex] += Math.max(MEAN_SMOOTHING_RATIO, 1.0 / ++answerCounts[classIndex])
+                    * (outcome.latencyUs() - meanLatencyUs[classIndex]);
             // The first answers' mean is chance; until then the aim alone tells.
-            leastLatencyUs[c] =
-                    !isUsualKnown(c) ? Double.MAX_VALUE : Math.min(leastLatencyUs[c] * LEAST_DRIFT, latencyUs[c]);
-            evenGapUs += MEAN_GAIN * ((now - lastServedAt) * Math.max(1, ready.length) - evenGapUs);
-            leastGapUs = Math.min(leastGapUs * LEAST_DRIFT, evenGapUs);
+            minMeanLatencyUs[classIndex] = !isMeanLatencyKnown(classIndex)
+                    ? Double.MAX_VALUE
+                    : Math.min(minMeanLatencyUs[classIndex] * MINIMUM_DRIFT_RATIO, meanLatencyUs[classIndex]);
+            meanAnswerGapUs +=
+                    MEAN_SMOOTHING_RATIO * ((now - lastServedAt) * Math.max(1, usedServers.length) - meanAnswerGapUs);
+            minAnswerGapUs = Math.min(minAnswerGapUs * MINIMUM_DRIFT_RATIO, meanAnswerGapUs);
             lastServedAt = now;
         }
-        if (result == Result.OK || left) {
-            double aim = call.aimAt - call.arrivedAt;
-            boolean patient = set.warmKeys || sparse && leastLatencyUs[c] < Double.MAX_VALUE;
-            double crowdedAt = patient ? SPARSE_CROWDED_AT : many ? MANY_CROWDED_AT : CROWDED_AT;
-            double crowded = Math.min(
-                    crowdedAt * aim,
-                    set.warmKeys ? Double.MAX_VALUE : (sparse ? 2 : 1) * CROWDED_BY * leastLatencyUs[c]);
-            double rank = sparse ? rank(call) : 1;
-            if (outcome.latencyUs() > crowded) {
-                cutLimit(call, attempt, limitCut * rank);
-            } else if (!left) {
+        if (result == Result.OK || abandoned) {
+            double targetUs = pending.targetAt - pending.arrivedAt;
+            boolean tolerant = settings.warmKeys || sparse && minMeanLatencyUs[classIndex] < Double.MAX_VALUE;
+            double crowdedTargetRatio = tolerant
+                    ? SPARSE_CROWDED_TARGET_RATIO
+                    : manyNodes ? MANY_NODES_CROWDED_TARGET_RATIO : CROWDED_TARGET_RATIO;
+            double crowdedLatencyUs = Math.min(
+                    crowdedTargetRatio * targetUs,
+                    settings.warmKeys
+                            ? Double.MAX_VALUE
+                            : (sparse ? 2 : 1) * CROWDED_LATENCY_RATIO * minMeanLatencyUs[classIndex]);
+            double relativeValue = sparse ? relativeValue(pending) : 1;
+            if (outcome.latencyUs() > crowdedLatencyUs) {
+                decreaseLimit(pending, attempt, limitDecreaseRatio * relativeValue);
+            } else if (!abandoned) {
                 // A cold server gets little and is quick with it: were its limit to pass the others', all
                 // nodes together would choke it as soon as slow start lets go.
                 // While answers come late everywhere, one in time says little: growth would hold the jam.
-                double ease = set.warmKeys ? 1 : Math.max(LEAST_GROWTH, 2 * timely - 1);
-                server.limit += server.wantedAt >= call.sentAt[attempt]
-                                && (!isCold(server) || server.limit * ready.length < limits)
-                        ? limitStep * rank * ease
+                double growthRatio = settings.warmKeys ? 1 : Math.max(MIN_LIMIT_GROWTH_RATIO, 2 * timelyRatio - 1);
+                server.limit += server.limitReachedAt >= pending.sentAt[attempt]
+                                && (!isCold(server) || server.limit * usedServers.length < totalLimit)
+                        ? limitIncrease * relativeValue * growthRatio
                         : 0;
             }
         } else if (result == Result.TIMEOUT || result == Result.FULL) {
             // Where keys are warm a full server is cut to what it held: less would send its keys elsewhere.
-            boolean toHeld = set.warmKeys && result == Result.FULL;
-            cutLimit(call, attempt, toHeld ? 0 : LIMIT_HARD_CUT);
+            boolean cutsToHeld = settings.warmKeys && result == Result.FULL;
+            decreaseLimit(pending, attempt, cutsToHeld ? 0 : LIMIT_OVERLOAD_DECREASE_RATIO);
         }
         if (server.limit < 1) {
             // A part of a place is kept by time: in flight for that part of it only.
-            server.restUs = Math.min(MOST_REST_US, (long) (outcome.latencyUs() / server.limit));
-            server.restUntil = Math.max(server.restUntil, call.sentAt[attempt]) + server.restUs;
+            server.pacingIntervalUs = Math.min(MAX_PACING_INTERVAL_US, (long) (outcome.latencyUs() / server.limit));
+            server.pacedUntil = Math.max(server.pacedUntil, pending.sentAt[attempt]) + server.pacingIntervalUs;
         }
-        if (isCounted(server)) {
-            limits += server.limit - before;
+        if (countsTowardTotals(server)) {
+            totalLimit += server.limit - limitBefore;
         }
     }
 
     /** One cut for all that was sent before the last one. */
-    private void cutLimit(Call call, int attempt, double cut) {
-        Server server = call.servers[attempt];
-        if (call.sentAt[attempt] >= server.limitCutAt) {
+    private void decreaseLimit(PendingRequest pending, int attempt, double decreaseRatio) {
+        Server server = pending.servers[attempt];
+        if (pending.sentAt[attempt] >= server.limitDecreasedAt) {
             // A limit that was never met says nothing of what the server held.
-            double from = set.warmKeys ? Math.min(server.limit, server.inFlight + 1) : server.limit;
-            server.limit = Math.max(1.0 / sharers, from * (1 - cut));
-            server.limitCutAt = now;
+            double base = settings.warmKeys ? Math.min(server.limit, server.inFlight + 1) : server.limit;
+            server.limit = Math.max(1.0 / effectiveNodesPerServer, base * (1 - decreaseRatio));
+            server.limitDecreasedAt = now;
         }
     }
 
-    private boolean isCrowded(Call call, Server server) {
+    private boolean isAtConcurrencyLimit(PendingRequest pending, Server server) {
         // The sum guards against a stall: what many nodes may each have at every server is then out at once.
         // Lent by how timely answers are: in a jam it would keep choked servers choked.
-        double ease = sparse ? Math.max(0, call.overShare ? 4 * timely - 3 : 2 * timely - 1) : 0;
-        double ahead = sparse ? BURST * rank(call) : 0;
+        double leniencyRatio = sparse ? Math.max(0, pending.overShare ? 4 * timelyRatio - 3 : 2 * timelyRatio - 1) : 0;
+        double burstCount = sparse ? SPARSE_BURST_COUNT * relativeValue(pending) : 0;
         // Exception, shares: what is beyond its tenant's share gets a part of each limit and is lent less, so
         // that bursts inside a share find room; it does not raise limits either. Not where keys are warm,
         // since limits are no measure of room there.
-        double part = call.overShare ? OVER_SHARE_PART : 1;
-        boolean atLimit = server.inFlight + 1 > part * server.limit
-                && (server.inFlight > ease * ahead || now < server.restUntil - ease * ahead * server.restUs);
-        if (atLimit || inFlight > ease * (1 + ahead) && inFlight + 1 > part * limits) {
-            server.wantedAt = call.overShare ? server.wantedAt : now;
+        double limitRatio = pending.overShare ? OVER_SHARE_LIMIT_RATIO : 1;
+        boolean atLimit = server.inFlight + 1 > limitRatio * server.limit
+                && (server.inFlight > leniencyRatio * burstCount
+                        || now < server.pacedUntil - leniencyRatio * burstCount * server.pacingIntervalUs);
+        if (atLimit
+                || totalInFlight > leniencyRatio * (1 + burstCount) && totalInFlight + 1 > limitRatio * totalLimit) {
+            server.limitReachedAt = pending.overShare ? server.limitReachedAt : now;
             return true;
         }
         return false;
@@ -1217,109 +1277,117 @@
      * come late, first for what is worth little. All nodes hold back alike, so that servers that have
      * choked come to the rest that they need.
      */
-    private double admitted(Call call) {
-        double part = timely / THROTTLED_AT;
-        return Math.max(LEAST_ADMITTED, part * part * (0.75 + rank(call) / 2));
+    private double admissionProbability(PendingRequest pending) {
+        double timeliness = timelyRatio / THROTTLING_TIMELY_RATIO;
+        return Math.max(MIN_ADMISSION_RATIO, timeliness * timeliness * (0.75 + relativeValue(pending) / 2));
     }
 
     /** The value of a request against that of the most valuable class, 1 at most. */
-    private double rank(Call call) {
-        double top = call.value;
-        for (int c = 0; c < latencyUs.length; c++) {
+    private double relativeValue(PendingRequest pending) {
+        double maxValue = pending.value;
+        for (int classIndex = 0; classIndex < meanLatencyUs.length; classIndex++) {
             // A class that has not been answered yet has no measure of work; it must not outrank all others.
-            double worth = answers[c] > 0 ? set.classes.get(c).worth() : 0;
-            top = Math.max(top, forItsWork(worth, c));
+            double worth = answerCounts[classIndex] > 0
+                    ? settings.classes.get(classIndex).worth()
+                    : 0;
+            maxValue = Math.max(maxValue, perUnitOfWork(worth, classIndex));
         }
-        return top > 0 ? call.value / top : 0;
+        return maxValue > 0 ? pending.value / maxValue : 0;
     }
 
     // ---------------------------------------------------------------- sending
 
-    private void send(Call call, Server server) {
-        int attempt = call.attempts++;
-        call.servers[attempt] = server;
-        call.sentAt[attempt] = now;
-        call.outstanding++;
-        hedgesLeft = Math.min(MOST_HEDGES, hedgesLeft + (attempt == 0 ? HEDGE_SHARE : 0));
-        watched.get(call.request.classIndex()).add(new Try(call, attempt));
+    private void send(PendingRequest pending, Server server) {
+        int attempt = pending.attemptCount++;
+        pending.servers[attempt] = server;
+        pending.sentAt[attempt] = now;
+        pending.outstandingCount++;
+        hedgeBudget = Math.min(MAX_HEDGE_BUDGET_COUNT, hedgeBudget + (attempt == 0 ? HEDGE_BUDGET_RATIO : 0));
+        watchedAttempts.get(pending.request.classIndex()).add(new WatchedAttempt(pending, attempt));
         server.inFlight++;
-        inFlight += isCounted(server) ? 1 : 0;
+        totalInFlight += countsTowardTotals(server) ? 1 : 0;
         // Gaps are counted from the first request on, not from the start of the clock.
         lastServedAt = lastServedAt == 0 ? now : lastServedAt;
         if (isCold(server)) {
-            server.nextColdSendAt = Math.max(now, server.nextColdSendAt) + coldGap(server, call.request.classIndex());
+            server.nextColdSendAt =
+                    Math.max(now, server.nextColdSendAt) + coldSendGapUs(server, pending.request.classIndex());
         }
-        out.send(call.request.id(), server.id, call.deadlineAt);
+        actions.send(pending.request.id(), server.id, pending.deadlineAt);
     }
 
     // ---------------------------------------------------------------- the four rules
 
     /** Rule 1: the one final answer, a refusal wherever that is known to be harmless. */
-    private void giveUp(Call call) {
-        boolean harmless = call.binding() < 0
-                || call.cls.retrySafety() == RetrySafety.SAFE
-                || call.cls.retrySafety() == RetrySafety.KEYED && call.cls.dedupScope() == DedupScope.ALL;
+    private void refuseOrFail(PendingRequest pending) {
+        boolean harmless = pending.firstPossiblyExecutedAttempt() < 0
+                || pending.requestClass.retrySafety() == RetrySafety.SAFE
+                || pending.requestClass.retrySafety() == RetrySafety.KEYED
+                        && pending.requestClass.dedupScope() == DedupScope.ALL;
         if (harmless) {
-            out.refuse(call.request.id(), set.maxRetryAfterUs);
+            actions.refuse(pending.request.id(), settings.maxRetryAfterUs);
         } else {
-            out.fail(call.request.id());
+            actions.fail(pending.request.id());
         }
-        end(call);
+        finish(pending);
     }
 
-    private void end(Call call) {
-        int c = call.request.classIndex();
-        inVain[c] += TIMELY_GAIN * ((call.attempts == 0 ? 1 : 0) - inVain[c]);
-        call.ended = true;
-        call.waiting = false;
-        for (int i = 0; i < call.attempts && call.outstanding > 0 && set.cancellationAllowed; i++) {
-            if (call.results[i] == null) {
-                out.cancel(call.request.id(), i);
+    private void finish(PendingRequest pending) {
+        int classIndex = pending.request.classIndex();
+        unservedRatios[classIndex] +=
+                TIMELY_SMOOTHING_RATIO * ((pending.attemptCount == 0 ? 1 : 0) - unservedRatios[classIndex]);
+        pending.ended = true;
+        pending.queued = false;
+        for (int i = 0; i < pending.attemptCount && pending.outstandingCount > 0 && settings.cancellationAllowed; i++) {
+            if (pending.results[i] == null) {
+                actions.cancel(pending.request.id(), i);
             }
         }
-        forgetIfOver(call);
+        removeIfFinished(pending);
     }
 
-    private void forgetIfOver(Call call) {
-        if (call.ended && call.outstanding == 0) {
-            calls.remove(call.request.id());
+    private void removeIfFinished(PendingRequest pending) {
+        if (pending.ended && pending.outstandingCount == 0) {
+            pendingRequests.remove(pending.request.id());
         }
     }
 
     /** Rule 2: whether any further attempt could be lawful, wherever it goes. */
-    private boolean mayTryAgain(Call call) {
-        if (call.attempts >= set.maxAttempts || now >= call.deadlineAt || call.streaming) {
+    private boolean mayRetry(PendingRequest pending) {
+        if (pending.attemptCount >= settings.maxAttempts || now >= pending.deadlineAt || pending.streaming) {
             return false;
         }
-        int binding = call.binding();
-        return binding < 0
-                || switch (call.cls.retrySafety()) {
+        int executedAttempt = pending.firstPossiblyExecutedAttempt();
+        return executedAttempt < 0
+                || switch (pending.requestClass.retrySafety()) {
                     case SAFE -> true;
-                    case KEYED -> now <= call.sentAt[binding] + call.cls.dedupWindowUs();
+                    case KEYED -> now <= pending.sentAt[executedAttempt] + pending.requestClass.dedupWindowUs();
                     case UNSAFE -> false;
                 };
     }
 
     /** Rules 2 to 4 for one server: the keyed group, the list's word, and a cold server's budget. */
-    private boolean maySend(Call call, Server server) {
-        return !server.isEjectedFor(call.request.classIndex()) && !isCrowded(call, server) && isAllowed(call, server);
+    private boolean maySend(PendingRequest pending, Server server) {
+        return !server.isEjectedFor(pending.request.classIndex())
+                && !isAtConcurrencyLimit(pending, server)
+                && isAllowed(pending, server);
     }
 
-    private boolean isAllowed(Call call, Server server) {
+    private boolean isAllowed(PendingRequest pending, Server server) {
         if (server.state != ServerState.READY || isCold(server) && now < server.nextColdSendAt) {
             return false;
         }
-        int binding = call.cls.retrySafety() == RetrySafety.KEYED ? call.binding() : -1;
-        return binding < 0
-                || switch (call.cls.dedupScope()) {
+        int executedAttempt =
+                pending.requestClass.retrySafety() == RetrySafety.KEYED ? pending.firstPossiblyExecutedAttempt() : -1;
+        return executedAttempt < 0
+                || switch (pending.requestClass.dedupScope()) {
                     case ALL -> true;
-                    case ZONE -> server.zone == call.servers[binding].zone;
-                    case CELL -> server.cell == call.servers[binding].cell;
+                    case ZONE -> server.zone == pending.servers[executedAttempt].zone;
+                    case CELL -> server.cell == pending.servers[executedAttempt].cell;
                 };
     }
 
     private boolean isCold(Server server) {
-        return server.startedAt > 0 && now < server.startedAt + set.warmUpUs;
+        return server.startedAt > 0 && now < server.startedAt + settings.warmUpUs;
     }
 
     /**
@@ -1331,14 +1399,14 @@
      * half, and the best that was, which may have been more than servers can do now, by the other half. At a
      * node of many it is no less than one core does of such work: half of a fleet may be replaced at once.
      */
-    private long coldGap(Server server, int classIndex) {
-        double age = Math.max(0, now - server.startedAt) / (double) set.warmUpUs;
-        double share = set.coldCapacityRatio + (1 - set.coldCapacityRatio) * Math.min(1, age);
-        double units = Math.max(1, set.overloadRatio / 2) / (set.warmKeys ? UNKNOWN_KEY_COST : 1);
-        double unitUs = Math.sqrt(Math.min(leastGapUs, evenGapUs) * evenGapUs);
-        if (many && !set.warmKeys && classIndex >= 0 && isUsualKnown(classIndex)) {
-            unitUs = Math.min(unitUs, leastLatencyUs[classIndex] * senders);
-        }
-        return (long) (unitUs / (share * units));
+    private long coldSendGapUs(Server server, int classIndex) {
+        double ageRatio = Math.max(0, now - server.startedAt) / (double) settings.warmUpUs;
+        double capacityRatio = settings.coldCapacityRatio + (1 - settings.coldCapacityRatio) * Math.min(1, ageRatio);
+        double units = Math.max(1, settings.overloadRatio / 2) / (settings.warmKeys ? UNKNOWN_KEY_COST_RATIO : 1);
+        double unitUs = Math.sqrt(Math.min(minAnswerGapUs, meanAnswerGapUs) * meanAnswerGapUs);
+        if (manyNodes && !settings.warmKeys && classIndex >= 0 && isMeanLatencyKnown(classIndex)) {
+            unitUs = Math.min(unitUs, minMeanLatencyUs[classIndex] * nodesPerServer);
+        }
+        return (long) (unitUs / (capacityRatio * units));
     }
 }
--- a/src/main/java/kitemux/adapter/Line.java
+++ b/src/main/java/kitemux/adapter/LineReader.java
@@ -6,91 +6,91 @@
 import java.util.Arrays;
 
 /** Reads the wire line by line: a name, then name=value pairs, parted by single spaces. Keeps no garbage. */
-final class Line {
-    private static final int FIRST_BUFFER = 1 << 16;
+final class LineReader {
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final InputStream in;
-    private byte[] buffer = new byte[FIRST_BUFFER];
-    private int filled;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    private int filledBytes;
     private int start;
     private int end;
-    private long number;
+    private long lineNumber;
 
     private int nameEnd;
-    private int fields;
+    private int fieldCount;
     private int[] keyStart = new int[16];
     private int[] valueStart = new int[16];
     private int[] valueEnd = new int[16];
 
-    Line(InputStream in) {
+    LineReader(InputStream in) {
         this.in = in;
     }
 
     /** Moves to the next line; false at the end of input. */
-    boolean next() throws IOException {
-        start = number == 0 ? 0 : end + 1;
-        number++;
+    boolean readNext() throws IOException {
+        start = lineNumber == 0 ? 0 : end + 1;
+        lineNumber++;
         int scan = start;
         while (true) {
-            while (scan < filled && buffer[scan] != '\n') {
+            while (scan < filledBytes && buffer[scan] != '\n') {
                 scan++;
             }
-            if (scan < filled) {
+            if (scan < filledBytes) {
                 end = scan;
                 split();
                 return true;
             }
             if (start > 0) {
-                System.arraycopy(buffer, start, buffer, 0, filled - start);
-                filled -= start;
+                System.arraycopy(buffer, start, buffer, 0, filledBytes - start);
+                filledBytes -= start;
                 scan -= start;
                 start = 0;
             }
-            if (filled == buffer.length) {
+            if (filledBytes == buffer.length) {
                 buffer = Arrays.copyOf(buffer, 2 * buffer.length);
             }
-            int read = in.read(buffer, filled, buffer.length - filled);
+            int read = in.read(buffer, filledBytes, buffer.length - filledBytes);
             if (read < 0) {
-                end = filled;
-                if (filled == start) {
+                end = filledBytes;
+                if (filledBytes == start) {
                     return false;
                 }
                 split();
                 // The next call must find nothing more.
                 buffer[end < buffer.length ? end : end - 1] = '\n';
-                filled = Math.min(end + 1, buffer.length);
+                filledBytes = Math.min(end + 1, buffer.length);
                 return true;
             }
-            filled += read;
+            filledBytes += read;
         }
     }
 
     private void split() {
-        int at = start;
-        while (at < end && buffer[at] != ' ') {
-            at++;
-        }
-        nameEnd = at;
-        fields = 0;
-        while (at < end) {
-            int key = at + 1;
+        int position = start;
+        while (position < end && buffer[position] != ' ') {
+            position++;
+        }
+        nameEnd = position;
+        fieldCount = 0;
+        while (position < end) {
+            int key = position + 1;
             int equals = key;
             while (equals < end && buffer[equals] != '=' && buffer[equals] != ' ') {
                 equals++;
             }
-            at = equals;
-            while (at < end && buffer[at] != ' ') {
-                at++;
+            position = equals;
+            while (position < end && buffer[position] != ' ') {
+                position++;
             }
-            if (fields == keyStart.length) {
-                keyStart = Arrays.copyOf(keyStart, 2 * fields);
-                valueStart = Arrays.copyOf(valueStart, 2 * fields);
-                valueEnd = Arrays.copyOf(valueEnd, 2 * fields);
+            if (fieldCount == keyStart.length) {
+                keyStart = Arrays.copyOf(keyStart, 2 * fieldCount);
+                valueStart = Arrays.copyOf(valueStart, 2 * fieldCount);
+                valueEnd = Arrays.copyOf(valueEnd, 2 * fieldCount);
             }
-            keyStart[fields] = key;
-            valueStart[fields] = Math.min(equals + 1, at);
-            valueEnd[fields] = at;
-            fields++;
+            keyStart[fieldCount] = key;
+            valueStart[fieldCount] = Math.min(equals + 1, position);
+            valueEnd[fieldCount] = position;
+            fieldCount++;
         }
     }
 
@@ -98,12 +98,12 @@
         return new String(buffer, start, nameEnd - start, StandardCharsets.UTF_8);
     }
 
-    boolean is(String name) {
+    boolean hasName(String name) {
         return matches(start, nameEnd, name);
     }
 
     int fieldCount() {
-        return fields;
+        return fieldCount;
     }
 
     String key(int field) {
@@ -128,8 +128,8 @@
         return true;
     }
 
-    private int find(String key) {
-        for (int i = 0; i < fields; i++) {
+    private int findField(String key) {
+        for (int i = 0; i < fieldCount; i++) {
             if (valueStart[i] > keyStart[i] && matches(keyStart[i], valueStart[i] - 1, key)) {
                 return i;
             }
@@ -137,54 +137,54 @@
         return -1;
     }
 
-    private int need(String key) throws WireException {
-        int field = find(key);
+    private int requireField(String key) throws WireException {
+        int field = findField(key);
         if (field < 0) {
-            throw bad(key, "is missing");
+            throw malformed(key, "is missing");
         }
         return field;
     }
 
     /** A field's text, or null if it is left out. */
     String textOrNull(String key) {
-        int field = find(key);
+        int field = findField(key);
         return field < 0 ? null : value(field);
     }
 
     String text(String key) throws WireException {
-        return value(need(key));
+        return value(requireField(key));
     }
 
-    long whole(String key) throws WireException {
-        return whole(key, need(key));
+    long integer(String key) throws WireException {
+        return integer(key, requireField(key));
     }
 
-    long whole(String key, long otherwise) throws WireException {
-        int field = find(key);
-        return field < 0 ? otherwise : whole(key, field);
+    long integer(String key, long defaultValue) throws WireException {
+        int field = findField(key);
+        return field < 0 ? defaultValue : integer(key, field);
     }
 
-    private long whole(String key, int field) throws WireException {
-        int at = valueStart[field];
+    private long integer(String key, int field) throws WireException {
+        int position = valueStart[field];
         int to = valueEnd[field];
-        boolean minus = at < to && buffer[at] == '-';
-        at += minus ? 1 : 0;
-        if (at == to || to - at > 18) {
-            throw bad(key, "is not a whole number");
+        boolean negative = position < to && buffer[position] == '-';
+        position += negative ? 1 : 0;
+        if (position == to || to - position > 18) {
+            throw malformed(key, "is not a whole number");
         }
         long value = 0;
-        for (; at < to; at++) {
-            int digit = buffer[at] - '0';
+        for (; position < to; position++) {
+            int digit = buffer[position] - '0';
             if (digit < 0 || digit > 9) {
-                throw bad(key, "is not a whole number");
+                throw malformed(key, "is not a whole number");
             }
             value = 10 * value + digit;
         }
-        return minus ? -value : value;
+        return negative ? -value : value;
     }
 
     boolean flag(String key) throws WireException {
-        int field = find(key);
+        int field = findField(key);
         if (field < 0
                 || matches(valueStart[field], valueEnd[field], "0")
                 || matches(valueStart[field], valueEnd[field], "false")) {
@@ -193,59 +193,61 @@
         if (matches(valueStart[field], valueEnd[field], "1") || matches(valueStart[field], valueEnd[field], "true")) {
             return true;
         }
-        throw bad(key, "is neither 1 nor 0: " + value(field));
+        throw malformed(key, "is neither 1 nor 0: " + value(field));
     }
 
-    double decimal(String key, double otherwise) throws WireException {
-        int field = find(key);
-        return field < 0 ? otherwise : decimal(key, value(field));
+    double decimal(String key, double defaultValue) throws WireException {
+        int field = findField(key);
+        return field < 0 ? defaultValue : decimal(key, value(field));
     }
 
     private double decimal(String key, String text) throws WireException {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw bad(key, "is not a number");
+            throw malformed(key, "is not a number");
         }
     }
 
     /** Numbers parted by commas, or null if the field is left out. */
-    double[] row(String key) throws WireException {
-        int field = find(key);
+    double[] decimals(String key) throws WireException {
+        int field = findField(key);
         if (field < 0 || valueStart[field] == valueEnd[field]) {
             return null;
         }
         String[] parts = value(field).split(",", -1);
-        double[] row = new double[parts.length];
+        double[] numbers = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
-            row[i] = decimal(key, parts[i]);
+            numbers[i] = decimal(key, parts[i]);
         }
-        return row;
+        return numbers;
     }
 
     /** A request id: 16 hex digits. */
-    long id(String key) throws WireException {
-        int field = need(key);
+    long requestId(String key) throws WireException {
+        int field = requireField(key);
         if (valueEnd[field] - valueStart[field] != 16) {
-            throw bad(key, "is not 16 hex digits");
+            throw malformed(key, "is not 16 hex digits");
         }
         long id = 0;
-        for (int at = valueStart[field]; at < valueEnd[field]; at++) {
-            int b = buffer[at];
-            int digit = b >= '0' && b <= '9' ? b - '0' : b >= 'a' && b <= 'f' ? b - 'a' + 10 : -1;
+        for (int position = valueStart[field]; position < valueEnd[field]; position++) {
+            int character = buffer[position];
+            int digit = character >= '0' && character <= '9'
+                    ? character - '0'
+                    : character >= 'a' && character <= 'f' ? character - 'a' + 10 : -1;
             if (digit < 0) {
-                throw bad(key, "is not 16 hex digits");
+                throw malformed(key, "is not 16 hex digits");
             }
             id = id << 4 | digit;
         }
         return id;
     }
 
-    WireException bad(String field, String reason) {
-        return new WireException("line " + number + ": " + name() + ": field " + field + " " + reason);
+    WireException malformed(String field, String reason) {
+        return new WireException("line " + lineNumber + ": " + name() + ": field " + field + " " + reason);
     }
 
-    WireException bad(String reason) {
-        return new WireException("line " + number + ": " + reason);
+    WireException malformed(String reason) {
+        return new WireException("line " + lineNumber + ": " + reason);
     }
 }
--- a/src/main/java/kitemux/adapter/Link.java
+++ b/src/main/java/kitemux/adapter/Link.java
@@ -20,7 +20,7 @@
 
 /** Carries events from the wire to the instances and their actions back. It decides nothing. */
 final class Link {
-    private static final int MOST_ROSTERS = 16;
+    private static final int MAX_ROSTER_COUNT = 16;
 
     /** One node's module with what is needed to translate for it. */
     private record Instance(
@@ -30,132 +30,132 @@
             Map<String, Integer> zones) {}
 
     /** A roster's line; its zone is still a name, since instances number zones by their own settings. */
-    private record RosterLine(String id, String zone, int cell, ServerState state, double weight, long startedAt) {}
+    private record RosterEntry(String id, String zone, int cell, ServerState state, double weight, long startedAtUs) {}
 
-    private final Line line;
-    private final Reply reply;
+    private final LineReader line;
+    private final ReplyWriter reply;
     private final Map<String, Instance> instances = new HashMap<>();
-    private final List<List<RosterLine>> rosters = new ArrayList<>();
-    private long now;
+    private final List<List<RosterEntry>> rosters = new ArrayList<>();
+    private long nowUs;
 
     Link(InputStream in, OutputStream out) {
-        line = new Line(in);
-        reply = new Reply(out);
-        for (int i = 0; i < MOST_ROSTERS; i++) {
+        line = new LineReader(in);
+        reply = new ReplyWriter(out);
+        for (int i = 0; i < MAX_ROSTER_COUNT; i++) {
             rosters.add(null);
         }
     }
 
     /** Answers batch after batch until the input ends. */
     void run() throws IOException, WireException {
-        while (line.next()) {
+        while (line.readNext()) {
             if (line.name().isEmpty()) {
                 continue;
             }
-            if (!line.is("begin_batch")) {
-                throw line.bad("a batch must open with begin_batch, not " + line.name());
+            if (!line.hasName("begin_batch")) {
+                throw line.malformed("a batch must open with begin_batch, not " + line.name());
             }
-            now = line.whole("timeUs");
-            nextLine();
-            while (!line.is("eob")) {
-                event();
-                nextLine();
+            nowUs = line.integer("timeUs");
+            readLine();
+            while (!line.hasName("eob")) {
+                handleEvent();
+                readLine();
             }
             reply.flush();
         }
     }
 
-    private void nextLine() throws IOException, WireException {
-        if (!line.next()) {
-            throw line.bad("the input ends inside a batch");
+    private void readLine() throws IOException, WireException {
+        if (!line.readNext()) {
+            throw line.malformed("the input ends inside a batch");
         }
     }
 
-    private void event() throws IOException, WireException {
-        if (line.is("roster")) {
-            roster();
+    private void handleEvent() throws IOException, WireException {
+        if (line.hasName("roster")) {
+            readRoster();
             return;
         }
         String node = line.text("node");
-        reply.actFor(node);
-        if (line.is("boot")) {
-            boot(node);
+        reply.setNode(node);
+        if (line.hasName("boot")) {
+            startInstance(node);
             return;
         }
         Instance instance = instances.get(node);
         if (instance == null) {
-            throw line.bad("node", "names an instance that was never started: " + node);
+            throw line.malformed("node", "names an instance that was never started: " + node);
         }
-        if (line.is("shutdown")) {
+        if (line.hasName("shutdown")) {
             instances.remove(node);
             return;
         }
-        Runnable call = translate(instance);
+        Runnable call = toCall(instance);
         try {
             call.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            reply.fault(e + (trace.length > 0 ? " at " + trace[0] : ""));
+            reply.reportFault(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
-    private Runnable translate(Instance to) throws WireException {
-        Balancer balancer = to.balancer;
-        long at = now;
-        if (line.is("resolved")) {
+    private Runnable toCall(Instance instance) throws WireException {
+        Balancer balancer = instance.balancer;
+        long eventUs = nowUs;
+        if (line.hasName("resolved")) {
             Outcome outcome = new Outcome(
-                    line.id("handle"),
-                    (int) line.whole("seqNo"),
-                    result(),
-                    line.whole("latencyUs", 0),
+                    line.requestId("handle"),
+                    (int) line.integer("seqNo"),
+                    readResult(),
+                    line.integer("latencyUs", 0),
                     line.flag("ended"),
-                    line.row("metrics"));
-            return () -> balancer.onOutcome(at, outcome);
+                    line.decimals("metrics"));
+            return () -> balancer.onOutcome(eventUs, outcome);
         }
-        if (line.is("work_item")) {
+        if (line.hasName("work_item")) {
             String tenant = line.textOrNull("realm");
             boolean anyTenant = tenant != null && !tenant.equals("0");
             Request request = new Request(
-                    line.id("handle"),
-                    index(to.classes, "lane", line.text("lane")),
-                    anyTenant ? index(to.tenants, "realm", tenant) : -1,
-                    line.whole("patienceLeftUs"),
-                    line.whole("workUs", 0),
+                    line.requestId("handle"),
+                    indexOf(instance.classes, "lane", line.text("lane")),
+                    anyTenant ? indexOf(instance.tenants, "realm", tenant) : -1,
+                    line.integer("patienceLeftUs"),
+                    line.integer("workUs", 0),
                     line.flag("resent"),
                     line.textOrNull("routeKey"));
-            return () -> balancer.onRequest(at, request);
+            return () -> balancer.onRequest(eventUs, request);
         }
-        if (line.is("bell")) {
-            return () -> balancer.onWake(at);
+        if (line.hasName("bell")) {
+            return () -> balancer.onWake(eventUs);
         }
-        if (line.is("topology")) {
-            return topology(to);
+        if (line.hasName("topology")) {
+            return toListCall(instance);
         }
-        if (line.is("client_gone")) {
-            long id = line.id("handle");
-            return () -> balancer.onClientGone(at, id);
+        if (line.hasName("client_gone")) {
+            long id = line.requestId("handle");
+            return () -> balancer.onClientGone(eventUs, id);
         }
-        if (line.is("first_byte")) {
-            long id = line.id("handle");
-            int attempt = (int) line.whole("seqNo");
-            return () -> balancer.onFirstByte(at, id, attempt);
+        if (line.hasName("first_byte")) {
+            long id = line.requestId("handle");
+            int attempt = (int) line.integer("seqNo");
+            return () -> balancer.onFirstByte(eventUs, id, attempt);
         }
-        if (line.is("echo")) {
+        if (line.hasName("echo")) {
             String server = line.text("server");
-            Result result = result();
-            long latency = line.whole("latencyUs", 0);
-            double[] report = line.row("metrics");
-            return () -> balancer.onProbe(at, server, result, latency, report);
+            Result result = readResult();
+            long latency = line.integer("latencyUs", 0);
+            double[] report = line.decimals("metrics");
+            return () -> balancer.onProbe(eventUs, server, result, latency, report);
         }
-        if (line.is("memo")) {
+        if (line.hasName("memo")) {
             return () -> {};
         }
-        throw line.bad("unknown event " + line.name());
+        throw line.malformed("unknown event " + line.name());
     }
 
-    private void boot(String node) throws WireException {
-        Settings settings = settings(line);
-        long seed = line.whole("initSeed");
+    private void startInstance(String node) throws WireException {
+        Settings settings = readSettings(line);
+        long seed = line.integer("initSeed");
         Map<String, Integer> classes = new HashMap<>();
         settings.classes.forEach(c -> classes.put(c.name(), classes.size()));
         Map<String, Integer> tenants = new HashMap<>();
@@ -166,11 +166,11 @@
             Balancer balancer = new ServiceQBalancer(settings, seed, reply);
             instances.put(node, new Instance(balancer, classes, tenants, zones));
         } catch (IllegalArgumentException e) {
-            throw line.bad("boot: " + e.getMessage());
+            throw line.malformed("boot: " + e.getMessage());
         }
     }
 
-    private static Settings settings(Line line) throws WireException {
+    private static Settings readSettings(LineReader line) throws WireException {
         Map<String, String> values = new HashMap<>();
         for (int i = 0; i < line.fieldCount(); i++) {
             values.put(line.key(i), line.value(i));
@@ -178,84 +178,84 @@
         try {
             return SettingsReader.read(values);
         } catch (SettingsReader.BadSettingException e) {
-            throw line.bad(e.field, e.reason);
+            throw line.malformed(e.field, e.reason);
         }
     }
 
-    private void roster() throws IOException, WireException {
-        int number = rosterNumber();
-        long count = line.whole("nodesList", 0);
-        List<RosterLine> entries = new ArrayList<>();
+    private void readRoster() throws IOException, WireException {
+        int number = readRosterNumber();
+        long count = line.integer("nodesList", 0);
+        List<RosterEntry> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            nextLine();
-            if (!line.is("server")) {
-                throw line.bad("a roster's line must be server, not " + line.name());
+            readLine();
+            if (!line.hasName("server")) {
+                throw line.malformed("a roster's line must be server, not " + line.name());
             }
             String state = line.text("lifecycle");
-            entries.add(new RosterLine(
+            entries.add(new RosterEntry(
                     line.text("server"),
                     line.textOrNull("site"),
-                    (int) line.whole("block", 0),
+                    (int) line.integer("block", 0),
                     switch (state) {
                         case "Running" -> ServerState.READY;
                         case "Stopping" -> ServerState.DRAINING;
                         case "Deleted" -> ServerState.GONE;
-                        default -> throw line.bad("lifecycle", "is unknown: " + state);
+                        default -> throw line.malformed("lifecycle", "is unknown: " + state);
                     },
                     line.decimal("scale", 1),
-                    line.whole("sinceUs", 0)));
+                    line.integer("sinceUs", 0)));
         }
         rosters.set(number, entries);
     }
 
-    private int rosterNumber() throws WireException {
-        long number = line.whole("setId");
-        if (number < 0 || number >= MOST_ROSTERS) {
-            throw line.bad("setId", "is not from 0 to " + (MOST_ROSTERS - 1));
+    private int readRosterNumber() throws WireException {
+        long number = line.integer("setId");
+        if (number < 0 || number >= MAX_ROSTER_COUNT) {
+            throw line.malformed("setId", "is not from 0 to " + (MAX_ROSTER_COUNT - 1));
         }
         return (int) number;
     }
 
-    private Runnable topology(Instance to) throws WireException {
-        long at = now;
+    private Runnable toListCall(Instance instance) throws WireException {
+        long eventUs = nowUs;
         String kind = line.text("kind");
         if (kind.equals("broken")) {
-            return () -> to.balancer.onListFailed(at);
+            return () -> instance.balancer.onListFailed(eventUs);
         }
         ListKind listKind =
                 switch (kind) {
                     case "patch" -> ListKind.CHANGES;
                     case "whole" -> ListKind.FULL;
                     case "stale_copy" -> ListKind.CACHED;
-                    default -> throw line.bad("kind", "is unknown: " + kind);
+                    default -> throw line.malformed("kind", "is unknown: " + kind);
                 };
-        List<RosterLine> roster = rosters.get(rosterNumber());
+        List<RosterEntry> roster = rosters.get(readRosterNumber());
         if (roster == null) {
-            throw line.bad("setId", "names a roster that was never given");
+            throw line.malformed("setId", "names a roster that was never given");
         }
         List<ServerEntry> entries = new ArrayList<>(roster.size());
-        for (RosterLine entry : roster) {
+        for (RosterEntry entry : roster) {
             entries.add(new ServerEntry(
                     entry.id,
-                    to.zones.getOrDefault(entry.zone, -1),
+                    instance.zones.getOrDefault(entry.zone, -1),
                     entry.cell,
                     entry.state,
                     entry.weight,
-                    entry.startedAt));
+                    entry.startedAtUs));
         }
-        return () -> to.balancer.onServers(at, listKind, entries);
+        return () -> instance.balancer.onServers(eventUs, listKind, entries);
     }
 
-    private int index(Map<String, Integer> names, String field, String name) throws WireException {
+    private int indexOf(Map<String, Integer> names, String field, String name) throws WireException {
         Integer index = names.get(name);
         if (index == null) {
-            throw line.bad(field, "is not in the settings: " + name);
+            throw line.malformed(field, "is not in the settings: " + name);
         }
         return index;
     }
 
-    private Result result() throws WireException {
-        long code = line.whole("rc");
+    private Result readResult() throws WireException {
+        long code = line.integer("rc");
         return switch ((int) code) {
             case 10 -> Result.OK;
             case 20 -> Result.ERROR;
@@ -265,7 +265,7 @@
             case 60 -> Result.RESET;
             case 70 -> Result.CANCELLED;
             case 80 -> Result.MOOT;
-            default -> throw line.bad("rc", "is unknown: " + code);
+            default -> throw line.malformed("rc", "is unknown: " + code);
         };
     }
 }
--- a/src/test/java/kitemux/ArchitectureTest.java
+++ b/src/test/java/kitemux/ArchitectureTest.java
@@ -21,12 +21,12 @@
 
 /** Which package may know which: arrows go one way, and what decides reaches nothing outside itself. */
 class ArchitectureTest {
-    private static final JavaClasses PROGRAM = new ClassFileImporter()
+    private static final JavaClasses MAIN_CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("kitemux");
 
     /** For each package those that it may know besides itself. The root holds the decisions. */
-    private static final Map<String, Set<String>> MAY_KNOW = Map.ofEntries(
+    private static final Map<String, Set<String>> ALLOWED_DEPENDENCIES = Map.ofEntries(
             Map.entry("", Set.of()),
             Map.entry("config", Set.of("")),
             Map.entry("disk", Set.of()),
@@ -78,24 +78,26 @@
                             "adapter", "node", "world", "bench", "standin", "orders", "fleet", "plan", "lab", "load",
                             "hcl", "app", "sidecar", "drill", "scale", "keeper", "soak")));
 
-    private static String room(JavaClass c) {
+    private static String topPackage(JavaClass c) {
         String[] parts = c.getPackageName().split("\\.");
         return parts.length < 2 ? "" : parts[1];
     }
 
-    private static boolean isOurs(JavaClass c) {
+    private static boolean isProjectClass(JavaClass c) {
         return c.getPackageName().equals("kitemux") || c.getPackageName().startsWith("kitemux.");
     }
 
     /** The arrows that are not allowed, as "from -> to", with one place each. */
-    private static Map<String, String> forbidden(JavaClasses classes) {
+    private static Map<String, String> forbiddenDependencies(JavaClasses classes) {
         Map<String, String> found = new TreeMap<>();
         for (JavaClass from : classes) {
-            Set<String> may = MAY_KNOW.get(room(from));
-            for (Dependency arrow : from.getDirectDependenciesFromSelf()) {
-                JavaClass to = arrow.getTargetClass();
-                if (isOurs(to) && !room(to).equals(room(from)) && (may == null || !may.contains(room(to)))) {
-                    found.putIfAbsent(room(from) + " -> " + room(to), arrow.getDescription());
+            Set<String> allowed = ALLOWED_DEPENDENCIES.get(topPackage(from));
+            for (Dependency dependency : from.getDirectDependenciesFromSelf()) {
+                JavaClass to = dependency.getTargetClass();
+                if (isProjectClass(to)
+                        && !topPackage(to).equals(topPackage(from))
+                        && (allowed == null || !allowed.contains(topPackage(to)))) {
+                    found.putIfAbsent(topPackage(from) + " -> " + topPackage(to), dependency.getDescription());
                 }
             }
         }
@@ -103,26 +105,26 @@
     }
 
     @Test
-    void arrowsBetweenPackagesPointOneWay() {
-        Set<String> rooms = new TreeSet<>();
-        PROGRAM.forEach(c -> rooms.add(room(c)));
-        rooms.removeAll(MAY_KNOW.keySet());
-        assertEquals(Set.of(), rooms, "packages of which nothing is said");
-        assertEquals(Map.of(), forbidden(PROGRAM));
+    void packagesDependOnlyOnAllowedPackages() {
+        Set<String> unlisted = new TreeSet<>();
+        MAIN_CLASSES.forEach(c -> unlisted.add(topPackage(c)));
+        unlisted.removeAll(ALLOWED_DEPENDENCIES.keySet());
+        assertEquals(Set.of(), unlisted, "packages of which nothing is said");
+        assertEquals(Map.of(), forbiddenDependencies(MAIN_CLASSES));
     }
 
     @Test
-    void anArrowThatPointsUpIsFound() {
-        JavaClasses withTests = new ClassFileImporter().importClasses(UpwardArrow.class);
-        assertEquals(Set.of(" -> engine"), forbidden(withTests).keySet());
+    void forbiddenDependencyIsReported() {
+        JavaClasses withTests = new ClassFileImporter().importClasses(DependsOnEngine.class);
+        assertEquals(Set.of(" -> engine"), forbiddenDependencies(withTests).keySet());
     }
 
     /** The decisions know an engine here, which they must not. */
-    private static final class UpwardArrow {
-        static final Object LOOKS_UP = kitemux.engine.Observer.NONE;
+    private static final class DependsOnEngine {
+        static final Object OBSERVER = kitemux.engine.Observer.NONE;
     }
 
-    private static final DescribedPredicate<JavaClass> OUTSIDE =
+    private static final DescribedPredicate<JavaClass> EXTERNAL_CLASSES =
             new DescribedPredicate<>("Netty, JSON, files, sockets, threads or the system's clocks") {
                 private static final List<String> PACKAGES = List.of(
                         "io.netty",
@@ -156,40 +158,40 @@
                 }
             };
 
-    private static ArchRule pure(String... packages) {
+    private static ArchRule noExternalAccess(String... packages) {
         return noClasses()
                 .that()
                 .resideInAnyPackage(packages)
                 .should()
-                .dependOnClassesThat(OUTSIDE)
+                .dependOnClassesThat(EXTERNAL_CLASSES)
                 .orShould()
                 .callMethodWhere(DescribedPredicate.describe(SYSTEM_CALLS.getDescription(), SYSTEM_CALLS::test));
     }
 
     @Test
-    void whatDecidesAndTheEngineReachNothingOutside() {
-        pure("kitemux", "kitemux.engine").check(PROGRAM);
+    void decisionModuleAndEngineUseNothingExternal() {
+        noExternalAccess("kitemux", "kitemux.engine").check(MAIN_CLASSES);
     }
 
     /** Bytes are all that it may know of what is outside, and only where messages become bytes. */
     @Test
-    void whoDecidesAboutMembersReachesNothingOutside() {
-        pure("kitemux.peers")
-                .check(PROGRAM.that(DescribedPredicate.describe(
+    void membershipUsesNothingExternal() {
+        noExternalAccess("kitemux.peers")
+                .check(MAIN_CLASSES.that(DescribedPredicate.describe(
                         "decide", c -> !c.getSimpleName().equals("Datagram"))));
     }
 
     /** JSON's text is all that it may know of what is outside, and only where records become bytes. */
     @Test
-    void whoPassesConfigurationOnReachesNothingOutside() {
-        pure("kitemux.rollout")
-                .check(PROGRAM.that(DescribedPredicate.describe(
+    void rolloutUsesNothingExternal() {
+        noExternalAccess("kitemux.rollout")
+                .check(MAIN_CLASSES.that(DescribedPredicate.describe(
                         "decide", c -> !c.getName().startsWith("kitemux.rollout.RolloutText"))));
     }
 
     /** Whatever else a node loads must not bring it along: it is off unless the operator's file has it. */
     @Test
-    void onlyItsLinkAndItsCommandKnowOfConfigurationThatIsPassedOn() {
+    void onlyRolloutLinkLiveSettingsAndKeepCommandUseRollout() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("kitemux.rollout..", "kitemux.keeper..")
@@ -201,7 +203,7 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("kitemux.rollout..", "kitemux.keeper..")
-                .check(PROGRAM);
+                .check(MAIN_CLASSES);
         assertThrows(
                 AssertionError.class,
                 () -> noClasses()
@@ -210,19 +212,20 @@
                         .should()
                         .dependOnClassesThat()
                         .resideInAPackage("kitemux.engine..")
-                        .check(PROGRAM));
+                        .check(MAIN_CLASSES));
     }
 
     @Test
-    void aReachOutsideIsFound() {
-        assertThrows(AssertionError.class, () -> pure("kitemux.node").check(PROGRAM));
+    void externalAccessIsReported() {
+        assertThrows(
+                AssertionError.class, () -> noExternalAccess("kitemux.node").check(MAIN_CLASSES));
         assertThrows(
                 AssertionError.class,
-                () -> pure("kitemux").check(new ClassFileImporter().importClasses(ReadsTheClock.class)));
+                () -> noExternalAccess("kitemux").check(new ClassFileImporter().importClasses(ReadsSystemClock.class)));
     }
 
     /** Asks the system for the time. */
-    private static final class ReadsTheClock {
+    private static final class ReadsSystemClock {
         static long now() {
             return System.nanoTime();
         }
--- a/src/test/java/kitemux/ExampleTest.java
+++ b/src/test/java/kitemux/ExampleTest.java
@@ -10,27 +10,27 @@
 class ExampleTest {
 
     /** A proxy's side of the interface: here it only writes down what it is asked for. */
-    static final class Proxy implements Balancer.Actions {
-        final List<String> asked = new ArrayList<>();
+    static final class RecordingProxy implements Balancer.Actions {
+        final List<String> actions = new ArrayList<>();
 
         @Override
         public void send(long requestId, String serverId, long untilUs) {
-            asked.add("send " + requestId + " to " + serverId);
+            actions.add("send " + requestId + " to " + serverId);
         }
 
         @Override
         public void cancel(long requestId, int attempt) {
-            asked.add("cancel " + requestId + "/" + attempt);
+            actions.add("cancel " + requestId + "/" + attempt);
         }
 
         @Override
         public void refuse(long requestId, long retryAfterUs) {
-            asked.add("refuse " + requestId);
+            actions.add("refuse " + requestId);
         }
 
         @Override
         public void fail(long requestId) {
-            asked.add("fail " + requestId);
+            actions.add("fail " + requestId);
         }
 
         @Override
@@ -50,11 +50,11 @@
     }
 
     @Test
-    void aRequestIsSentAndServed() {
+    void requestIsSentAndServed() {
         Balancer.Settings settings = new Balancer.Settings();
         settings.classes.add(new Balancer.RequestClass(
                 "page", 200_000, 0, 1_000_000, 1, 0, Balancer.RetrySafety.SAFE, Balancer.DedupScope.ALL, 0, false));
-        Proxy proxy = new Proxy();
+        RecordingProxy proxy = new RecordingProxy();
         Balancer balancer = new ServiceQBalancer(settings, 42, proxy);
         long now = 0;
         balancer.onServers(
@@ -62,9 +62,9 @@
                 Balancer.ListKind.CACHED,
                 List.of(new Balancer.ServerEntry("10.0.0.1:80", 0, 0, Balancer.ServerState.READY, 1, 0)));
         balancer.onRequest(now, new Balancer.Request(1, 0, -1, 1_000_000, 0, false, null));
-        assertEquals(List.of("send 1 to 10.0.0.1:80"), proxy.asked);
+        assertEquals(List.of("send 1 to 10.0.0.1:80"), proxy.actions);
         now += 20_000;
         balancer.onOutcome(now, new Balancer.Outcome(1, 0, Balancer.Result.OK, 20_000, true, null));
-        assertEquals(1, proxy.asked.size());
+        assertEquals(1, proxy.actions.size());
     }
 }
--- a/src/test/java/kitemux/KeysTest.java
+++ b/src/test/java/kitemux/KeysTest.java
@@ -21,34 +21,34 @@
     private static final int SERVERS = 20;
     private static final int KEYS = 400;
 
-    private static Node node(int me, boolean warmKeys) {
-        Settings set = Node.settings();
+    private static TestNode node(int me, boolean warmKeys) {
+        Settings set = TestNode.settings();
         set.nodes = 4;
         set.nodeIndex = me;
         set.warmKeys = warmKeys;
         set.crossZonePrice = 0.01;
-        return new Node(set, 50 + me).with(SERVERS);
+        return new TestNode(set, 50 + me).withServers(SERVERS);
     }
 
-    private static String serve(Node node, String key, Result result) {
-        long id = node.askFor(key, Node.UNSAFE);
-        String server = node.last(id).server();
-        node.answer(id, result, 5_000);
+    private static String submitAndComplete(TestNode node, String key, Result result) {
+        long id = node.submitWithKey(key, TestNode.UNSAFE);
+        String server = node.lastAttempt(id).server();
+        node.complete(id, result, 5_000);
         return server;
     }
 
-    private static Map<String, String> placesOf(Node node) {
-        Map<String, String> places = new HashMap<>();
+    private static Map<String, String> serverByKey(TestNode node) {
+        Map<String, String> servers = new HashMap<>();
         for (int k = 0; k < KEYS; k++) {
-            places.put("k" + k, serve(node, "k" + k, Result.OK));
+            servers.put("k" + k, submitAndComplete(node, "k" + k, Result.OK));
         }
-        return places;
+        return servers;
     }
 
     @Test
-    void everyNodeSendsAKeyToTheSameServerWhileNothingIsInFlight() {
-        Map<String, String> places = placesOf(node(0, true));
-        assertEquals(places, placesOf(node(1, true)));
+    void allNodesSendAKeyToTheSameIdleServer() {
+        Map<String, String> places = serverByKey(node(0, true));
+        assertEquals(places, serverByKey(node(1, true)));
         Map<String, Integer> keysOf = new HashMap<>();
         places.values().forEach(s -> keysOf.merge(s, 1, Integer::sum));
         assertEquals(SERVERS, keysOf.size());
@@ -56,36 +56,42 @@
     }
 
     @Test
-    void whereServersForgetKeysTheyDoNotMatter() {
-        Node node = node(0, false);
+    void keysAreIgnoredWhenServersDoNotCacheThem() {
+        TestNode node = node(0, false);
         Map<String, Integer> hits = new HashMap<>();
         for (int i = 0; i < 100; i++) {
-            hits.merge(serve(node, "same", Result.OK), 1, Integer::sum);
+            hits.merge(submitAndComplete(node, "same", Result.OK), 1, Integer::sum);
         }
         assertTrue(hits.size() > 10, hits.toString());
     }
 
     @Test
-    void theSecondDrawOfAKeyTakesOverWhileTheFirstHasMoreInFlight() {
-        Node node = node(0, true);
-        String first = node.last(node.askFor("hot", Node.UNSAFE)).server();
-        String second = node.last(node.askFor("hot", Node.UNSAFE)).server();
+    void secondDrawOfKeyIsUsedWhileFirstHasMoreInFlight() {
+        TestNode node = node(0, true);
+        String first =
+                node.lastAttempt(node.submitWithKey("hot", TestNode.UNSAFE)).server();
+        String second =
+                node.lastAttempt(node.submitWithKey("hot", TestNode.UNSAFE)).server();
         assertTrue(!first.equals(second));
         assertEquals(
                 List.of(first, second, first, second),
                 List.of(
-                        node.last(node.askFor("hot", Node.UNSAFE)).server(),
-                        node.last(node.askFor("hot", Node.UNSAFE)).server(),
-                        node.last(node.askFor("hot", Node.UNSAFE)).server(),
-                        node.last(node.askFor("hot", Node.UNSAFE)).server()));
+                        node.lastAttempt(node.submitWithKey("hot", TestNode.UNSAFE))
+                                .server(),
+                        node.lastAttempt(node.submitWithKey("hot", TestNode.UNSAFE))
+                                .server(),
+                        node.lastAttempt(node.submitWithKey("hot", TestNode.UNSAFE))
+                                .server(),
+                        node.lastAttempt(node.submitWithKey("hot", TestNode.UNSAFE))
+                                .server()));
     }
 
     @Test
-    void aLostServerMovesItsOwnKeysAndFewOthers() {
-        Node node = node(0, true);
-        Map<String, String> before = placesOf(node);
-        node.list(ListKind.CHANGES, List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
-        Map<String, String> after = placesOf(node);
+    void removedServerMovesItsOwnKeysAndFewOthers() {
+        TestNode node = node(0, true);
+        Map<String, String> before = serverByKey(node);
+        node.updateServers(ListKind.CHANGES, List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
+        Map<String, String> after = serverByKey(node);
         long moved = before.keySet().stream()
                 .filter(k -> !before.get(k).equals("s7") && !before.get(k).equals(after.get(k)))
                 .count();
@@ -94,29 +100,31 @@
     }
 
     @Test
-    void aServerWithErrorsLosesKeysAndTheOthersKeepTheirs() {
-        Node node = node(0, true);
-        Map<String, String> before = placesOf(node);
+    void serverWithErrorsLosesKeysWhileOtherKeysStay() {
+        TestNode node = node(0, true);
+        Map<String, String> before = serverByKey(node);
         String key = before.keySet().stream()
                 .sorted()
                 .filter(k -> before.get(k).equals("s3"))
                 .findFirst()
                 .get();
         // Two failures: two in three of its keys are now drawn elsewhere.
-        assertEquals("s3", serve(node, key, Result.ERROR));
-        for (int i = 0; i < KEYS && !serve(node, "x" + i, Result.ERROR).equals("s3"); i++) {
-            node.list(ListKind.FULL, List.of());
-            node.with(SERVERS);
+        assertEquals("s3", submitAndComplete(node, key, Result.ERROR));
+        for (int i = 0;
+                i < KEYS && !submitAndComplete(node, "x" + i, Result.ERROR).equals("s3");
+                i++) {
+            node.updateServers(ListKind.FULL, List.of());
+            node.withServers(SERVERS);
         }
         long kept = 0;
         long moved = 0;
         for (Map.Entry<String, String> e : before.entrySet()) {
-            long id = node.askFor(e.getKey(), Node.UNSAFE);
-            String now = node.last(id).server();
+            long id = node.submitWithKey(e.getKey(), TestNode.UNSAFE);
+            String now = node.lastAttempt(id).server();
             kept += e.getValue().equals("s3") && now.equals("s3") ? 1 : 0;
             moved += !e.getValue().equals("s3") && !now.equals(e.getValue()) ? 1 : 0;
             node.balancer.onClientGone(node.now, id);
-            node.answer(id, Result.CANCELLED, 0);
+            node.complete(id, Result.CANCELLED, 0);
         }
         long had = before.values().stream().filter("s3"::equals).count();
         assertTrue(kept < had, "keys kept: " + kept + " of " + had);
@@ -124,37 +132,37 @@
     }
 
     @Test
-    void whenAKeysServersAreFullItWaitsAndDoesNotGoWhereItIsUnknown() {
-        Node node = node(0, true);
+    void keyedRequestWaitsWhenItsServersAreFull() {
+        TestNode node = node(0, true);
         Map<String, Integer> used = new HashMap<>();
         long id = 0;
         for (int i = 0; i < 400; i++) {
-            id = node.askFor("hot", Node.UNSAFE);
-            if (node.last(id) != null) {
-                used.merge(node.last(id).server(), 1, Integer::sum);
+            id = node.submitWithKey("hot", TestNode.UNSAFE);
+            if (node.lastAttempt(id) != null) {
+                used.merge(node.lastAttempt(id).server(), 1, Integer::sum);
             }
         }
         assertTrue(used.size() >= 2 && used.size() <= 8, used.toString());
-        assertNull(node.last(id));
+        assertNull(node.lastAttempt(id));
         // Others are not held back by it for long: it waits in the queue, and they have room.
-        long other = node.askFor("cool", Node.UNSAFE);
+        long other = node.submitWithKey("cool", TestNode.UNSAFE);
         node.advance(10_000);
-        assertTrue(node.last(other) != null || used.size() == SERVERS);
+        assertTrue(node.lastAttempt(other) != null || used.size() == SERVERS);
     }
 
     @Test
-    void limitsStartHighWhereKeysAreWarmAndAFullAnswerCutsThemToWhatWasHeld() {
-        Node node = node(0, true);
+    void warmKeyLimitStartsHighAndFullAnswerCutsItToInFlight() {
+        TestNode node = node(0, true);
         long[] ids = new long[24];
         for (int i = 0; i < ids.length; i++) {
-            ids[i] = node.askFor("hot", Node.UNSAFE);
-            assertEquals(1, node.attempts(ids[i]));
+            ids[i] = node.submitWithKey("hot", TestNode.UNSAFE);
+            assertEquals(1, node.attemptCount(ids[i]));
         }
-        node.answer(ids[0], Result.FULL, 1_000);
+        node.complete(ids[0], Result.FULL, 1_000);
         String full = node.sent.get(0).server();
         long more = 0;
         for (int i = 0; i < 24; i++) {
-            Node.Sent sent = node.last(node.askFor("hot", Node.UNSAFE));
+            TestNode.SentAttempt sent = node.lastAttempt(node.submitWithKey("hot", TestNode.UNSAFE));
             more += sent != null && sent.server().equals(full) ? 1 : 0;
         }
         assertTrue(more <= 1, "sent to the full server: " + more);
@@ -162,14 +170,14 @@
 
     /** Guards i629bed: turned away in a burst, requests hopped on to servers that did not know their key. */
     @Test
-    void aRequestThatWasTurnedAwayPassesOnToServersThatItsKeyDraws() {
+    void rejectedRequestRetriesOnServersDrawnByItsKey() {
         List<List<String>> paths = new ArrayList<>();
         for (int me = 0; me < 4; me++) {
-            Node node = node(me, true);
-            long id = node.askFor("hot", Node.UNSAFE);
-            node.answer(id, Result.FULL, 1_000);
-            node.answer(id, Result.FULL, 1_000);
-            paths.add(node.sent.stream().map(Node.Sent::server).toList());
+            TestNode node = node(me, true);
+            long id = node.submitWithKey("hot", TestNode.UNSAFE);
+            node.complete(id, Result.FULL, 1_000);
+            node.complete(id, Result.FULL, 1_000);
+            paths.add(node.sent.stream().map(TestNode.SentAttempt::server).toList());
         }
         assertEquals(3, new HashSet<>(paths.get(0)).size());
         // All nodes hop alike.
--- a/src/test/java/kitemux/RandomEventsTest.java
+++ b/src/test/java/kitemux/RandomEventsTest.java
@@ -35,13 +35,13 @@
     }
 
     /** A request as the judge knows it. */
-    private static final class Held {
-        RequestClass cls;
+    private static final class TrackedRequest {
+        RequestClass requestClass;
         long deadlineAt;
-        boolean over;
+        boolean finished;
         final List<Attempt> attempts = new ArrayList<>();
 
-        Attempt binding() {
+        Attempt firstPossiblyExecutedAttempt() {
             return attempts.stream()
                     .filter(a -> a.result == null || !a.result.neverRan)
                     .findFirst()
@@ -50,24 +50,24 @@
     }
 
     /** Plays a node's part and fails the test on the first broken rule. */
-    private static final class Judge implements Balancer.Actions {
+    private static final class RuleChecker implements Balancer.Actions {
         final SplittableRandom random;
-        final Settings set = Node.settings();
+        final Settings settings = TestNode.settings();
         final Balancer balancer;
-        final Map<Long, Held> held = new LinkedHashMap<>();
+        final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
         final Map<String, ServerEntry> servers = new LinkedHashMap<>();
         final Map<ServerEntry, List<long[]>> coldSends = new LinkedHashMap<>();
         final PriorityQueue<long[]> answers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
-        final PriorityQueue<Long> wakes = new PriorityQueue<>();
+        final PriorityQueue<Long> wakeUps = new PriorityQueue<>();
         final StringBuilder trace = new StringBuilder();
         long now = 5_000_000;
         long nextId = 1;
-        long served;
-        int finals;
+        long servedCount;
+        int finalAnswerCount;
 
-        Judge(long seed) {
+        RuleChecker(long seed) {
             random = new SplittableRandom(seed);
-            set.classes.replaceAll(c -> new RequestClass(
+            settings.classes.replaceAll(c -> new RequestClass(
                     c.name(),
                     c.targetLatencyUs(),
                     0,
@@ -78,18 +78,18 @@
                     c.dedupScope(),
                     80_000,
                     false));
-            set.nodes = 1 + random.nextInt(5);
-            set.maxAttempts = 1 + random.nextInt(5);
-            set.cancellationAllowed = random.nextBoolean();
-            set.hedgingAllowed = random.nextBoolean();
-            set.listOnRequest = random.nextBoolean();
-            set.crossZonePrice = random.nextBoolean() ? 0.02 : 0;
-            set.tickUs = 1_000 * (1 + random.nextInt(5));
-            set.drainGraceUs = 0;
-            set.warmUpUs = 8_000_000;
-            set.coldCapacityRatio = 0.2;
-            set.warmKeys = random.nextBoolean();
-            balancer = new ServiceQBalancer(set, seed, this);
+            settings.nodes = 1 + random.nextInt(5);
+            settings.maxAttempts = 1 + random.nextInt(5);
+            settings.cancellationAllowed = random.nextBoolean();
+            settings.hedgingAllowed = random.nextBoolean();
+            settings.listOnRequest = random.nextBoolean();
+            settings.crossZonePrice = random.nextBoolean() ? 0.02 : 0;
+            settings.tickUs = 1_000 * (1 + random.nextInt(5));
+            settings.drainGraceUs = 0;
+            settings.warmUpUs = 8_000_000;
+            settings.coldCapacityRatio = 0.2;
+            settings.warmKeys = random.nextBoolean();
+            balancer = new ServiceQBalancer(settings, seed, this);
         }
 
         @Override
@@ -99,25 +99,30 @@
                     .append(requestId)
                     .append(serverId)
                     .append('\n');
-            Held request = held.get(requestId);
+            TrackedRequest request = requests.get(requestId);
             ServerEntry server = servers.get(serverId);
             assertNotNull(request, "a request that is held");
-            assertFalse(request.over, "rule 1: nothing is sent after the end");
+            assertFalse(request.finished, "rule 1: nothing is sent after the end");
             assertTrue(untilUs <= request.deadlineAt, "rule 1: inside the client's time");
             assertTrue(now < request.deadlineAt, "rule 1: time is left");
-            assertTrue(request.attempts.size() < set.maxAttempts);
-            Attempt binding = request.binding();
+            assertTrue(request.attempts.size() < settings.maxAttempts);
+            Attempt binding = request.firstPossiblyExecutedAttempt();
             if (binding != null) {
-                assertTrue(request.cls.retrySafety() != RetrySafety.UNSAFE, "rule 2: an unsafe request may have run");
-                if (request.cls.retrySafety() == RetrySafety.KEYED) {
-                    assertTrue(now <= binding.sentAt + request.cls.dedupWindowUs(), "rule 2: inside the window");
-                    assertTrue(sameGroup(request.cls.dedupScope(), binding.server, server), "rule 2: in the group");
+                assertTrue(
+                        request.requestClass.retrySafety() != RetrySafety.UNSAFE,
+                        "rule 2: an unsafe request may have run");
+                if (request.requestClass.retrySafety() == RetrySafety.KEYED) {
+                    assertTrue(
+                            now <= binding.sentAt + request.requestClass.dedupWindowUs(), "rule 2: inside the window");
+                    assertTrue(
+                            sameGroup(request.requestClass.dedupScope(), binding.server, server),
+                            "rule 2: in the group");
                 }
-                assertTrue(set.hedgingAllowed || request.attempts.stream().allMatch(a -> a.result != null));
+                assertTrue(settings.hedgingAllowed || request.attempts.stream().allMatch(a -> a.result != null));
             }
             assertTrue(server.state() == ServerState.READY, "rule 3: nothing to a draining or gone server");
-            if (server.startedAtUs() > 0 && now < server.startedAtUs() + set.warmUpUs) {
-                coldSends.computeIfAbsent(server, k -> new ArrayList<>()).add(new long[] {now, ready()});
+            if (server.startedAtUs() > 0 && now < server.startedAtUs() + settings.warmUpUs) {
+                coldSends.computeIfAbsent(server, k -> new ArrayList<>()).add(new long[] {now, readyServerCount()});
             }
             Attempt attempt = new Attempt();
             attempt.server = server;
@@ -129,13 +134,13 @@
                 at,
                 requestId,
                 request.attempts.size() - 1,
-                timesOut || at == untilUs ? Result.TIMEOUT.ordinal() : draw()
+                timesOut || at == untilUs ? Result.TIMEOUT.ordinal() : drawResult()
             });
         }
 
-        private int draw() {
-            Result[] bad = {Result.ERROR, Result.FULL, Result.CONNECT_FAILED, Result.RESET, Result.MOOT};
-            return (random.nextInt(8) > 0 ? Result.OK : bad[random.nextInt(bad.length)]).ordinal();
+        private int drawResult() {
+            Result[] failures = {Result.ERROR, Result.FULL, Result.CONNECT_FAILED, Result.RESET, Result.MOOT};
+            return (random.nextInt(8) > 0 ? Result.OK : failures[random.nextInt(failures.length)]).ordinal();
         }
 
         private static boolean sameGroup(DedupScope group, ServerEntry a, ServerEntry b) {
@@ -144,19 +149,19 @@
 
         private void finish(long id, boolean refusal) {
             trace.append(now).append(refusal ? " refuse " : " fail ").append(id).append('\n');
-            Held request = held.get(id);
+            TrackedRequest request = requests.get(id);
             assertNotNull(request);
-            assertFalse(request.over, "rule 1: one final answer only");
-            assertTrue(now <= request.deadlineAt + set.tickUs, "rule 1: the answer comes in time");
-            if (refusal && request.binding() != null) {
+            assertFalse(request.finished, "rule 1: one final answer only");
+            assertTrue(now <= request.deadlineAt + settings.tickUs, "rule 1: the answer comes in time");
+            if (refusal && request.firstPossiblyExecutedAttempt() != null) {
                 assertTrue(
-                        request.cls.retrySafety() == RetrySafety.SAFE
-                                || request.cls.retrySafety() == RetrySafety.KEYED
-                                        && request.cls.dedupScope() == DedupScope.ALL,
+                        request.requestClass.retrySafety() == RetrySafety.SAFE
+                                || request.requestClass.retrySafety() == RetrySafety.KEYED
+                                        && request.requestClass.dedupScope() == DedupScope.ALL,
                         "rule 2: a refusal promises that trying again is harmless");
             }
-            request.over = true;
-            finals++;
+            request.finished = true;
+            finalAnswerCount++;
         }
 
         @Override
@@ -171,8 +176,8 @@
 
         @Override
         public void cancel(long requestId, int attempt) {
-            assertTrue(set.cancellationAllowed);
-            Attempt out = held.get(requestId).attempts.get(attempt);
+            assertTrue(settings.cancellationAllowed);
+            Attempt out = requests.get(requestId).attempts.get(attempt);
             if (out.result == null) {
                 answers.removeIf(a -> a[1] == requestId && a[2] == attempt);
                 answers.add(new long[] {now, requestId, attempt, Result.CANCELLED.ordinal()});
@@ -182,7 +187,7 @@
         @Override
         public void wakeAt(long atUs) {
             assertTrue(atUs > now);
-            wakes.add(atUs);
+            wakeUps.add(atUs);
         }
 
         @Override
@@ -190,12 +195,12 @@
 
         @Override
         public void probe(String serverId) {
-            assertTrue(set.probes);
+            assertTrue(settings.probes);
         }
 
         @Override
         public void subscribe() {
-            assertTrue(set.listOnRequest);
+            assertTrue(settings.listOnRequest);
         }
 
         @Override
@@ -203,14 +208,14 @@
             trace.append(line).append('\n');
         }
 
-        void ask() {
-            Held request = new Held();
-            int classIndex = random.nextInt(set.classes.size());
-            request.cls = set.classes.get(classIndex);
+        void submit() {
+            TrackedRequest request = new TrackedRequest();
+            int classIndex = random.nextInt(settings.classes.size());
+            request.requestClass = settings.classes.get(classIndex);
             long left = random.nextInt(10) == 0 ? random.nextInt(3_000) : 20_000 + random.nextInt(900_000);
             request.deadlineAt = now + left;
             long id = nextId++;
-            held.put(id, request);
+            requests.put(id, request);
             balancer.onRequest(
                     now,
                     new Request(
@@ -251,17 +256,18 @@
             }
         }
 
-        void answer(long[] due) {
-            Held request = held.get(due[1]);
+        void complete(long[] due) {
+            TrackedRequest request = requests.get(due[1]);
             Attempt attempt = request.attempts.get((int) due[2]);
             attempt.result = Result.values()[(int) due[3]];
-            if (attempt.result == Result.OK && !request.over) {
-                request.over = true;
-                finals++;
-                served++;
+            if (attempt.result == Result.OK && !request.finished) {
+                request.finished = true;
+                finalAnswerCount++;
+                servedCount++;
             }
             balancer.onOutcome(
-                    now, new Outcome(due[1], (int) due[2], attempt.result, now - attempt.sentAt, request.over, null));
+                    now,
+                    new Outcome(due[1], (int) due[2], attempt.result, now - attempt.sentAt, request.finished, null));
         }
 
         void run(int events) {
@@ -270,49 +276,49 @@
                 changeList();
             }
             long nextEvent = now;
-            for (int done = 0; done < events || !answers.isEmpty() || open() > 0; ) {
+            for (int done = 0; done < events || !answers.isEmpty() || openRequestCount() > 0; ) {
                 long at = done < events ? nextEvent : Long.MAX_VALUE;
                 at = Math.min(at, answers.isEmpty() ? Long.MAX_VALUE : answers.peek()[0]);
-                at = Math.min(at, wakes.isEmpty() ? Long.MAX_VALUE : wakes.peek());
+                at = Math.min(at, wakeUps.isEmpty() ? Long.MAX_VALUE : wakeUps.peek());
                 assertTrue(at < Long.MAX_VALUE, "rule 1: requests held and nothing to wake the module");
                 now = Math.max(now, at);
                 if (!answers.isEmpty() && answers.peek()[0] <= now) {
-                    answer(answers.poll());
-                } else if (!wakes.isEmpty() && wakes.peek() <= now) {
-                    wakes.poll();
+                    complete(answers.poll());
+                } else if (!wakeUps.isEmpty() && wakeUps.peek() <= now) {
+                    wakeUps.poll();
                     balancer.onWake(now);
                 } else {
                     done++;
                     nextEvent = now + random.nextInt(30_000);
-                    int what = random.nextInt(100);
-                    if (what < 2) {
+                    int choice = random.nextInt(100);
+                    if (choice < 2) {
                         changeList();
-                    } else if (what < 3) {
+                    } else if (choice < 3) {
                         balancer.onListFailed(now);
-                    } else if (what < 5 && nextId > 1) {
-                        leave(1 + random.nextLong(nextId - 1));
+                    } else if (choice < 5 && nextId > 1) {
+                        disconnectClient(1 + random.nextLong(nextId - 1));
                     } else {
-                        ask();
+                        submit();
                     }
                 }
             }
         }
 
-        private long ready() {
+        private long readyServerCount() {
             return servers.values().stream()
                     .filter(e -> e.state() == ServerState.READY)
                     .count();
         }
 
-        private long open() {
-            return held.values().stream().filter(h -> !h.over).count();
+        private long openRequestCount() {
+            return requests.values().stream().filter(h -> !h.finished).count();
         }
 
-        private void leave(long id) {
-            Held request = held.get(id);
-            if (!request.over) {
-                request.over = true;
-                finals++;
+        private void disconnectClient(long id) {
+            TrackedRequest request = requests.get(id);
+            if (!request.finished) {
+                request.finished = true;
+                finalAnswerCount++;
             }
             balancer.onClientGone(now, id);
         }
@@ -320,17 +326,18 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-    void allRulesHoldOverOddSequences(long seed) {
-        Judge judge = new Judge(seed);
-        judge.run(1_500);
-        assertEquals(judge.held.size(), judge.finals, "rule 1: every request has its one final answer");
-        assertTrue(judge.served > 100, "the run must do real work: " + judge.served);
+    void allRulesHoldForRandomEventSequences(long seed) {
+        RuleChecker checker = new RuleChecker(seed);
+        checker.run(1_500);
+        assertEquals(
+                checker.requests.size(), checker.finalAnswerCount, "rule 1: every request has its one final answer");
+        assertTrue(checker.servedCount > 100, "the run must do real work: " + checker.servedCount);
         // Rule 4: in any span this node stays under its part of the multiple of what a cold server can
         // do, taking its answers over the servers then ready (three at most: many are always gone) as its
         // part of what a warm one does; two requests more are chance.
-        double rate = judge.served / ((judge.now - 5_000_000) / 1e6);
-        Settings set = judge.set;
-        judge.coldSends.forEach((start, sends) -> {
+        double rate = checker.servedCount / ((checker.now - 5_000_000) / 1e6);
+        Settings set = checker.settings;
+        checker.coldSends.forEach((start, sends) -> {
             for (long[] first : sends) {
                 List<long[]> span = sends.stream()
                         .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.overloadOutageUs)
@@ -349,9 +356,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = {21, 22})
-    void theSameEventsAndSeedGiveTheSameActions(long seed) {
-        Judge one = new Judge(seed);
-        Judge two = new Judge(seed);
+    void sameEventsAndSeedGiveSameActions(long seed) {
+        RuleChecker one = new RuleChecker(seed);
+        RuleChecker two = new RuleChecker(seed);
         one.run(800);
         two.run(800);
         assertEquals(one.trace.toString(), two.trace.toString());
--- a/src/test/java/kitemux/RulesTest.java
+++ b/src/test/java/kitemux/RulesTest.java
@@ -19,7 +19,7 @@
 /** Rules 1 to 3 in named cases. */
 class RulesTest {
 
-    private static ServerEntry in(String id, int zone, int cell, ServerState state) {
+    private static ServerEntry server(String id, int zone, int cell, ServerState state) {
         return new ServerEntry(id, zone, cell, state, 1, 0);
     }
 
@@ -49,139 +49,141 @@
         "4, CANCELLED, failed",
         "4, MOOT, again"
     })
-    void repeatsFollowTheClass(int classIndex, Result result, String then) {
-        Node node = new Node().with(4);
-        long id = node.ask(classIndex);
-        node.answer(id, result, 1_000);
-        assertEquals(then.equals("again") ? 2 : 1, node.attempts(id));
-        assertEquals(then.equals("failed") ? List.of(id) : List.of(), node.failed);
+    void retriesFollowTheRequestClass(int classIndex, Result result, String expected) {
+        TestNode node = new TestNode().withServers(4);
+        long id = node.submit(classIndex);
+        node.complete(id, result, 1_000);
+        assertEquals(expected.equals("again") ? 2 : 1, node.attemptCount(id));
+        assertEquals(expected.equals("failed") ? List.of(id) : List.of(), node.failed);
         assertEquals(List.of(), node.refused);
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunStaysInItsCellAndZone() {
-        for (int classIndex : new int[] {Node.KEYED_CELL, Node.KEYED_ZONE}) {
-            Node node = new Node();
-            node.list(
+    void keyedRequestThatMayHaveRunStaysInItsCellOrZone() {
+        for (int classIndex : new int[] {TestNode.KEYED_CELL, TestNode.KEYED_ZONE}) {
+            TestNode node = new TestNode();
+            node.updateServers(
                     ListKind.CACHED,
                     List.of(
-                            in("a", 0, 1, ServerState.READY),
-                            in("x", 1, 2, ServerState.READY),
-                            in("b", 0, 1, ServerState.READY),
-                            in("y", 1, 2, ServerState.READY)));
-            long id = node.ask(classIndex);
-            String first = node.last(id).server();
-            node.answer(id, Result.RESET, 1_000);
-            String second = node.last(id).server();
-            assertEquals(2, node.attempts(id));
+                            server("a", 0, 1, ServerState.READY),
+                            server("x", 1, 2, ServerState.READY),
+                            server("b", 0, 1, ServerState.READY),
+                            server("y", 1, 2, ServerState.READY)));
+            long id = node.submit(classIndex);
+            String first = node.lastAttempt(id).server();
+            node.complete(id, Result.RESET, 1_000);
+            String second = node.lastAttempt(id).server();
+            assertEquals(2, node.attemptCount(id));
             assertTrue((first + second).matches("ab|ba|xy|yx"), first + second);
         }
     }
 
     @Test
-    void aKeyedRequestThatSurelyNeverRanMayGoAnywhere() {
-        Node node = new Node();
-        node.list(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY), in("x", 1, 2, ServerState.READY)));
-        long id = node.ask(Node.KEYED_CELL);
-        node.answer(id, Result.FULL, 1_000);
-        assertEquals(2, node.attempts(id));
+    void keyedRequestThatNeverRanMayBeSentAnywhere() {
+        TestNode node = new TestNode();
+        node.updateServers(
+                ListKind.CACHED, List.of(server("a", 0, 1, ServerState.READY), server("x", 1, 2, ServerState.READY)));
+        long id = node.submit(TestNode.KEYED_CELL);
+        node.complete(id, Result.FULL, 1_000);
+        assertEquals(2, node.attemptCount(id));
     }
 
     @Test
-    void aKeyedRequestIsNotRepeatedAfterItsWindowAndRefusedOnlyIfAllDropRepeats() {
-        for (int classIndex : new int[] {Node.KEYED_ALL, Node.KEYED_CELL}) {
-            Node node = new Node().with(3);
-            long id = node.ask(classIndex);
-            node.answer(id, Result.ERROR, 400_001);
-            assertEquals(1, node.attempts(id));
-            assertEquals(classIndex == Node.KEYED_ALL ? List.of(id) : List.of(), node.refused);
-            assertEquals(classIndex == Node.KEYED_ALL ? List.of() : List.of(id), node.failed);
+    void keyedRequestIsNotRetriedAfterWindowAndRefusedOnlyIfAllServersDeduplicate() {
+        for (int classIndex : new int[] {TestNode.KEYED_ALL, TestNode.KEYED_CELL}) {
+            TestNode node = new TestNode().withServers(3);
+            long id = node.submit(classIndex);
+            node.complete(id, Result.ERROR, 400_001);
+            assertEquals(1, node.attemptCount(id));
+            assertEquals(classIndex == TestNode.KEYED_ALL ? List.of(id) : List.of(), node.refused);
+            assertEquals(classIndex == TestNode.KEYED_ALL ? List.of() : List.of(id), node.failed);
         }
     }
 
     @Test
-    void theWindowCountsFromTheFirstAttemptThatMayHaveRun() {
-        Node node = new Node().with(4);
-        long id = node.ask(Node.KEYED_ALL);
-        node.answer(id, Result.CONNECT_FAILED, 300_000);
-        node.answer(id, Result.ERROR, 300_000);
-        assertEquals(3, node.attempts(id));
-        node.answer(id, Result.ERROR, 100_001);
-        assertEquals(3, node.attempts(id));
+    void dedupWindowStartsAtFirstAttemptThatMayHaveRun() {
+        TestNode node = new TestNode().withServers(4);
+        long id = node.submit(TestNode.KEYED_ALL);
+        node.complete(id, Result.CONNECT_FAILED, 300_000);
+        node.complete(id, Result.ERROR, 300_000);
+        assertEquals(3, node.attemptCount(id));
+        node.complete(id, Result.ERROR, 100_001);
+        assertEquals(3, node.attemptCount(id));
     }
 
     @Test
-    void aTimeOutAtTheDeadlineIsAnsweredAtOnceAndNothingFollows() {
-        Node node = new Node().with(3);
-        long safe = node.ask(Node.SAFE, 100_000);
-        long unsafe = node.ask(Node.UNSAFE, 100_000);
-        node.answer(safe, Result.TIMEOUT, 100_000);
-        node.answer(unsafe, Result.TIMEOUT, 0);
+    void timeoutAtDeadlineIsAnsweredImmediatelyWithoutRetry() {
+        TestNode node = new TestNode().withServers(3);
+        long safe = node.submit(TestNode.SAFE, 100_000);
+        long unsafe = node.submit(TestNode.UNSAFE, 100_000);
+        node.complete(safe, Result.TIMEOUT, 100_000);
+        node.complete(unsafe, Result.TIMEOUT, 0);
         assertEquals(List.of(safe), node.refused);
         assertEquals(List.of(unsafe), node.failed);
         node.advance(1_000_000);
-        assertEquals(1, node.attempts(safe));
+        assertEquals(1, node.attemptCount(safe));
     }
 
     @Test
-    void noAttemptIsSentToEndAfterTheClientsTime() {
-        Node node = new Node().with(3);
-        long id = node.ask(Node.SAFE, 123_000);
-        assertEquals(node.now + 123_000, node.last(id).untilUs());
+    void attemptEndsAtClientDeadline() {
+        TestNode node = new TestNode().withServers(3);
+        long id = node.submit(TestNode.SAFE, 123_000);
+        assertEquals(node.now + 123_000, node.lastAttempt(id).untilUs());
     }
 
     @Test
-    void nothingIsOwedToAClientThatHasGone() {
-        Node node = new Node().with(1);
-        long id = node.ask(Node.SAFE);
+    void goneClientReceivesNoFurtherAttemptsOrAnswers() {
+        TestNode node = new TestNode().withServers(1);
+        long id = node.submit(TestNode.SAFE);
         node.balancer.onClientGone(node.now, id);
-        node.answer(id, Result.ERROR, 1_000);
+        node.complete(id, Result.ERROR, 1_000);
         node.advance(2_000_000);
-        assertEquals(1, node.attempts(id));
+        assertEquals(1, node.attemptCount(id));
         assertTrue(node.refused.isEmpty() && node.failed.isEmpty());
         node.balancer.onClientGone(node.now, id);
         node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, 1, true, null));
     }
 
     @Test
-    void nothingGoesToADrainingOrGoneServer() {
+    void drainingOrGoneServerReceivesNoNewRequests() {
         for (ServerState state : new ServerState[] {ServerState.DRAINING, ServerState.GONE}) {
-            Node node = new Node().with(2);
-            node.list(ListKind.CHANGES, List.of(in("s0", 0, 0, state)));
+            TestNode node = new TestNode().withServers(2);
+            node.updateServers(ListKind.CHANGES, List.of(server("s0", 0, 0, state)));
             for (int i = 0; i < 50; i++) {
-                assertEquals("s1", node.serve(Node.UNSAFE, i % 3 == 0 ? Result.ERROR : Result.OK, 1_000));
+                assertEquals(
+                        "s1", node.submitAndComplete(TestNode.UNSAFE, i % 3 == 0 ? Result.ERROR : Result.OK, 1_000));
                 node.advance(1_100_000);
             }
         }
     }
 
     @Test
-    void serversThatComeAndGoLeaveNothingBehind() throws ReflectiveOperationException {
-        Node node = new Node().with(1);
+    void goneServersAreForgotten() throws ReflectiveOperationException {
+        TestNode node = new TestNode().withServers(1);
         for (int i = 0; i < 500; i++) {
-            node.list(ListKind.CHANGES, List.of(Node.server("t" + i)));
-            node.serve(Node.UNSAFE, Result.ERROR, 1_000);
-            node.list(ListKind.CHANGES, List.of(in("t" + i, 0, 0, ServerState.GONE)));
+            node.updateServers(ListKind.CHANGES, List.of(TestNode.server("t" + i)));
+            node.submitAndComplete(TestNode.UNSAFE, Result.ERROR, 1_000);
+            node.updateServers(ListKind.CHANGES, List.of(server("t" + i, 0, 0, ServerState.GONE)));
         }
-        var known = ServiceQBalancer.class.getDeclaredField("byId");
-        known.setAccessible(true);
-        assertEquals(1, ((java.util.Map<?, ?>) known.get(node.balancer)).size());
+        var serversById = ServiceQBalancer.class.getDeclaredField("serversById");
+        serversById.setAccessible(true);
+        assertEquals(1, ((java.util.Map<?, ?>) serversById.get(node.balancer)).size());
     }
 
     @Test
-    void aServerThatAFullListLeavesOutHasGone() {
-        Node node = new Node().with(2);
-        node.list(ListKind.FULL, List.of(Node.server("s1")));
+    void serverMissingFromFullListIsGone() {
+        TestNode node = new TestNode().withServers(2);
+        node.updateServers(ListKind.FULL, List.of(TestNode.server("s1")));
         for (int i = 0; i < 20; i++) {
-            assertEquals("s1", node.serve(Node.SAFE, Result.OK, 1_000));
+            assertEquals("s1", node.submitAndComplete(TestNode.SAFE, Result.OK, 1_000));
         }
     }
 
     @Test
-    void aListOnRequestIsAskedForAtOnceAndAgainAfterFailuresWithGrowingJitteredWaits() {
-        Settings set = Node.settings();
+    void listIsRequestedImmediatelyAndAgainAfterFailuresWithJitteredBackoff() {
+        Settings set = TestNode.settings();
         set.listOnRequest = true;
-        Node node = new Node(set, 1).with(1);
+        TestNode node = new TestNode(set, 1).withServers(1);
         assertEquals(1, node.subscriptions);
         for (int failures = 1; failures <= 6; failures++) {
             node.balancer.onListFailed(node.now);
@@ -189,20 +191,20 @@
             node.advance(set.askWithinUs / 2);
             assertEquals(failures + 1, node.subscriptions);
         }
-        node.list(ListKind.CHANGES, List.of());
+        node.updateServers(ListKind.CHANGES, List.of());
         node.advance(10 * set.askWithinUs);
         assertEquals(7, node.subscriptions);
     }
 
     /** Watches of all nodes may end at once, and calls are taken in turn: the last has to hear in time. */
     @Test
-    void afterAWatchThatEndedTheNextCallIsMadeWithinATenthOfASecond() {
+    void listIsRequestedWithin100MsAfterWatchEnds() {
         for (int seed = 1; seed <= 100; seed++) {
-            Settings set = Node.settings();
+            Settings set = TestNode.settings();
             set.listOnRequest = true;
-            Node node = new Node(set, seed).with(1);
+            TestNode node = new TestNode(set, seed).withServers(1);
             for (int watches = 1; watches <= 3; watches++) {
-                node.list(ListKind.CHANGES, List.of());
+                node.updateServers(ListKind.CHANGES, List.of());
                 node.balancer.onListFailed(node.now);
                 assertEquals(watches, node.subscriptions, "nodes would ask together");
                 node.advance(100_000);
@@ -214,11 +216,11 @@
     /** What discovery has at its return counts as told 6 s later, and a call that it was down for may last
      * 4 s: however long it was down, the wait and the next call's turn have 2 s. */
     @Test
-    void howeverOftenCallsHaveFailedTheNextIsMadeWithinASecond() {
+    void listIsRequestedWithinOneSecondAfterAnyNumberOfFailures() {
         for (int seed = 1; seed <= 100; seed++) {
-            Settings set = Node.settings();
+            Settings set = TestNode.settings();
             set.listOnRequest = true;
-            Node node = new Node(set, seed).with(1);
+            TestNode node = new TestNode(set, seed).withServers(1);
             for (int failures = 1; failures <= 10; failures++) {
                 node.balancer.onListFailed(node.now);
                 node.advance(1_000_000);
@@ -228,26 +230,26 @@
     }
 
     @Test
-    void aCallThatIsNeverAnsweredIsMadeAgainInsideTheTimeAllowed() {
-        Settings set = Node.settings();
+    void unansweredListRequestIsRepeatedWithinAllowedTime() {
+        Settings set = TestNode.settings();
         set.listOnRequest = true;
-        Node node = new Node(set, 1).with(1);
+        TestNode node = new TestNode(set, 1).withServers(1);
         node.advance(set.askWithinUs - 1);
         assertTrue(node.subscriptions >= 2);
     }
 
     @Test
-    void settingsAndRequestsOutOfRangeAreRejectedByName() {
+    void settingsAndRequestsOutOfRangeAreRejected() {
         Settings none = new Settings();
-        assertThrows(IllegalArgumentException.class, () -> new Node(none, 1));
-        Settings negative = Node.settings();
+        assertThrows(IllegalArgumentException.class, () -> new TestNode(none, 1));
+        Settings negative = TestNode.settings();
         negative.warmUpUs = -1;
-        assertThrows(IllegalArgumentException.class, () -> new Node(negative, 1));
-        Settings zone = Node.settings();
+        assertThrows(IllegalArgumentException.class, () -> new TestNode(negative, 1));
+        Settings zone = TestNode.settings();
         zone.myZone = 9;
-        assertThrows(IllegalArgumentException.class, () -> new Node(zone, 1));
-        Node node = new Node().with(1);
-        assertThrows(IllegalArgumentException.class, () -> node.ask(99));
+        assertThrows(IllegalArgumentException.class, () -> new TestNode(zone, 1));
+        TestNode node = new TestNode().withServers(1);
+        assertThrows(IllegalArgumentException.class, () -> node.submit(99));
         assertThrows(
                 IllegalArgumentException.class,
                 () -> node.balancer.onRequest(node.now, new Request(5, 0, 7, 1_000, 0, false, null)));
--- a/src/test/java/kitemux/SilenceTest.java
+++ b/src/test/java/kitemux/SilenceTest.java
@@ -15,23 +15,23 @@
 class SilenceTest {
     private static final long USUAL_US = 10_000;
 
-    private static Node used(Settings set, int servers) {
-        Node node = new Node(set, 11).with(servers);
+    private static TestNode warmedUpNode(Settings set, int serverCount) {
+        TestNode node = new TestNode(set, 11).withServers(serverCount);
         for (int i = 0; i < 200; i++) {
-            node.serve(i % 5, Result.OK, USUAL_US);
+            node.submitAndComplete(i % 5, Result.OK, USUAL_US);
         }
         return node;
     }
 
-    private static boolean said(Node node, String start) {
-        return node.logged.stream().anyMatch(l -> l.startsWith(start));
+    private static boolean hasLogged(TestNode node, String prefix) {
+        return node.logged.stream().anyMatch(l -> l.startsWith(prefix));
     }
 
     /** Lets a request of this class go unanswered at {@code s0}, and answers all others. */
-    private static boolean meetsSilence(Node node, int classIndex) {
-        long id = node.ask(classIndex);
-        if (!node.last(id).server().equals("s0")) {
-            node.answer(id, Result.OK, USUAL_US);
+    private static boolean reachesSilentServer(TestNode node, int classIndex) {
+        long id = node.submit(classIndex);
+        if (!node.lastAttempt(id).server().equals("s0")) {
+            node.complete(id, Result.OK, USUAL_US);
             return false;
         }
         node.advance(30 * USUAL_US);
@@ -42,21 +42,21 @@
     }
 
     @Test
-    void aServerThatSwallowsRequestsIsEjectedThoughClientsLeaveBeforeAnyTimeOut() {
-        Node node = used(Node.settings(), 4);
-        int met = 0;
+    void silentServerIsEjectedEvenIfClientsLeaveBeforeTimeouts() {
+        TestNode node = warmedUpNode(TestNode.settings(), 4);
+        int lostCount = 0;
         for (int i = 0; i < 200; i++) {
-            met += meetsSilence(node, Node.UNSAFE) ? 1 : 0;
+            lostCount += reachesSilentServer(node, TestNode.UNSAFE) ? 1 : 0;
         }
-        assertTrue(said(node, "ejected server s0"), node.logged.toString());
-        assertTrue(met <= 8, "lost at the silent server: " + met);
+        assertTrue(hasLogged(node, "ejected server s0"), node.logged.toString());
+        assertTrue(lostCount <= 8, "lost at the silent server: " + lostCount);
     }
 
     @Test
-    void clientsThatLeaveAfterAShortWaitSayNothingOfAServer() {
-        Node node = used(Node.settings(), 4);
+    void clientsLeavingAfterShortWaitDoNotCountAsFailures() {
+        TestNode node = warmedUpNode(TestNode.settings(), 4);
         for (int i = 0; i < 200; i++) {
-            long id = node.ask(Node.UNSAFE);
+            long id = node.submit(TestNode.UNSAFE);
             node.advance(USUAL_US / 2);
             node.balancer.onClientGone(node.now, id);
             node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.CANCELLED, USUAL_US / 2, true, null));
@@ -65,36 +65,36 @@
     }
 
     @Test
-    void aRepeatableRequestThatMeetsSilencePassesToASecondServerInTime() {
-        Node node = used(Node.settings(), 4);
-        long id = node.ask(Node.SAFE);
-        String silent = node.last(id).server();
+    void safeRequestAtSilentServerIsHedged() {
+        TestNode node = warmedUpNode(TestNode.settings(), 4);
+        long id = node.submit(TestNode.SAFE);
+        String silent = node.lastAttempt(id).server();
         node.advance(10 * USUAL_US);
-        assertEquals(2, node.attempts(id));
-        assertNotEquals(silent, node.last(id).server());
-        long unsafe = node.ask(Node.UNSAFE);
+        assertEquals(2, node.attemptCount(id));
+        assertNotEquals(silent, node.lastAttempt(id).server());
+        long unsafe = node.submit(TestNode.UNSAFE);
         node.advance(10 * USUAL_US);
-        assertEquals(1, node.attempts(unsafe));
+        assertEquals(1, node.attemptCount(unsafe));
     }
 
     @Test
-    void whereNoSecondCopiesAreAllowedNothingIsHedged() {
-        Settings set = Node.settings();
+    void nothingIsHedgedWhenHedgingIsNotAllowed() {
+        Settings set = TestNode.settings();
         set.hedgingAllowed = false;
-        Node node = used(set, 4);
-        long id = node.ask(Node.SAFE);
+        TestNode node = warmedUpNode(set, 4);
+        long id = node.submit(TestNode.SAFE);
         node.advance(10 * USUAL_US);
-        assertEquals(1, node.attempts(id));
+        assertEquals(1, node.attemptCount(id));
     }
 
     @Test
-    void hedgesAreABudgetedShareOfFirstTries() {
-        Node node = used(Node.settings(), 40);
+    void hedgesStayWithinBudgetOfFirstTries() {
+        TestNode node = warmedUpNode(TestNode.settings(), 40);
         int before = node.sent.size();
         for (int i = 0; i < 300; i++) {
-            long id = node.ask(Node.SAFE);
+            long id = node.submit(TestNode.SAFE);
             node.advance(10 * USUAL_US);
-            int tries = node.attempts(id);
+            int tries = node.attemptCount(id);
             for (int attempt = 0; attempt < tries; attempt++) {
                 node.balancer.onOutcome(node.now, new Outcome(id, attempt, Result.OK, 10_000, true, null));
             }
@@ -104,11 +104,11 @@
     }
 
     @Test
-    void aPauseOfTheNodeItselfIsNotTakenForSilence() {
-        Node node = used(Node.settings(), 4);
+    void pauseOfTheNodeIsNotTakenForServerSilence() {
+        TestNode node = warmedUpNode(TestNode.settings(), 4);
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            ids.add(node.ask(Node.SAFE));
+            ids.add(node.submit(TestNode.SAFE));
         }
         int sent = node.sent.size();
         // The node stands still for a second; the late wake-up is handled first, then the answers.
@@ -120,60 +120,62 @@
     }
 
     @Test
-    void aServerThatFailsOneClassIsEjectedForItAndServesTheOthers() {
-        Node node = used(Node.settings(), 4);
+    void serverFailingOneClassIsEjectedForThatClassOnly() {
+        TestNode node = warmedUpNode(TestNode.settings(), 4);
         int failed = 0;
         int served = 0;
         for (int i = 0; i < 600; i++) {
-            int classIndex = i % 2 == 0 ? Node.UNSAFE : Node.SAFE;
-            long id = node.ask(classIndex);
-            boolean bad = node.last(id).server().equals("s0") && classIndex == Node.UNSAFE;
-            failed += bad ? 1 : 0;
-            served += node.last(id).server().equals("s0") && !bad ? 1 : 0;
-            node.answer(id, bad ? Result.ERROR : Result.OK, USUAL_US);
+            int classIndex = i % 2 == 0 ? TestNode.UNSAFE : TestNode.SAFE;
+            long id = node.submit(classIndex);
+            boolean failing = node.lastAttempt(id).server().equals("s0") && classIndex == TestNode.UNSAFE;
+            failed += failing ? 1 : 0;
+            served += node.lastAttempt(id).server().equals("s0") && !failing ? 1 : 0;
+            node.complete(id, failing ? Result.ERROR : Result.OK, USUAL_US);
         }
-        assertTrue(said(node, "ejected server s0 after 5 failures of class unsafe"), node.logged.toString());
+        assertTrue(hasLogged(node, "ejected server s0 after 5 failures of class unsafe"), node.logged.toString());
         assertTrue(failed <= 8, "failed at the server: " + failed);
         assertTrue(served >= 40, "served by it in the other class: " + served);
     }
 
     @Test
-    void anUnsafeClassComesBackAfterRareTrials() {
-        Node node = used(Node.settings(), 4);
+    void serverIsRestoredForUnsafeClassAfterTrials() {
+        TestNode node = warmedUpNode(TestNode.settings(), 4);
         for (int i = 0; i < 200 && node.logged.isEmpty(); i++) {
-            long id = node.ask(Node.UNSAFE);
-            node.answer(id, node.last(id).server().equals("s0") ? Result.ERROR : Result.OK, USUAL_US);
-            node.serve(Node.SAFE, Result.OK, USUAL_US);
+            long id = node.submit(TestNode.UNSAFE);
+            node.complete(id, node.lastAttempt(id).server().equals("s0") ? Result.ERROR : Result.OK, USUAL_US);
+            node.submitAndComplete(TestNode.SAFE, Result.OK, USUAL_US);
         }
-        assertTrue(said(node, "ejected server s0"), node.logged.toString());
+        assertTrue(hasLogged(node, "ejected server s0"), node.logged.toString());
         for (int i = 0; i < 400; i++) {
-            node.serve(Node.UNSAFE, Result.OK, USUAL_US);
+            node.submitAndComplete(TestNode.UNSAFE, Result.OK, USUAL_US);
         }
-        assertTrue(said(node, "restored server s0"), node.logged.toString());
+        assertTrue(hasLogged(node, "restored server s0"), node.logged.toString());
     }
 
     /** Guards against limits that rose until servers choked, as slow answers went unseen. */
     @Test
-    void whatClientsWaitedBeforeTheyLeftLowersLimits() {
-        int[] held = new int[2];
-        for (int leave = 0; leave < 2; leave++) {
-            Node node = used(Node.settings(), 1);
+    void longWaitsOfDepartedClientsLowerLimits() {
+        int[] sentCount = new int[2];
+        for (int clientsLeave = 0; clientsLeave < 2; clientsLeave++) {
+            TestNode node = warmedUpNode(TestNode.settings(), 1);
             for (int i = 0; i < 30; i++) {
-                long id = node.ask(Node.UNSAFE);
-                if (leave == 1) {
+                long id = node.submit(TestNode.UNSAFE);
+                if (clientsLeave == 1) {
                     node.advance(12 * USUAL_US);
                     node.balancer.onClientGone(node.now, id);
-                    node.answer(id, Result.CANCELLED, 0);
+                    node.complete(id, Result.CANCELLED, 0);
                 } else {
-                    node.answer(id, Result.OK, USUAL_US);
+                    node.complete(id, Result.OK, USUAL_US);
                 }
             }
             int before = node.sent.size();
             for (int i = 0; i < 20; i++) {
-                node.ask(Node.UNSAFE);
+                node.submit(TestNode.UNSAFE);
             }
-            held[leave] = node.sent.size() - before;
+            sentCount[clientsLeave] = node.sent.size() - before;
         }
-        assertTrue(held[1] < held[0] && held[1] <= 2, "held at once: " + held[1] + " and " + held[0]);
+        assertTrue(
+                sentCount[1] < sentCount[0] && sentCount[1] <= 2,
+                "held at once: " + sentCount[1] + " and " + sentCount[0]);
     }
 }
