--- a/src/test/java/kitemux/Node.java
+++ b/src/test/java/kitemux/TestNode.java
@@ -16,7 +16,7 @@
 import kitemux.Balancer.Tenant;
 
 /** A node for tests: a clock, a module and a record of what it asked for. */
-final class Node implements Actions {
+final class TestNode implements Actions {
     static final int SAFE = 0;
     static final int KEYED_ALL = 1;
     static final int KEYED_ZONE = 2;
@@ -24,28 +24,28 @@
     static final int UNSAFE = 4;
 
     /** An attempt as it was asked for. */
-    record Sent(long atUs, long request, int attempt, String server, long untilUs) {}
+    record SentAttempt(long atUs, long request, int attempt, String server, long untilUs) {}
 
     final Settings settings;
-    final List<Sent> sent = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
     final List<Long> refused = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<String> logged = new ArrayList<>();
-    final List<String> closed = new ArrayList<>();
+    final List<String> idleClosed = new ArrayList<>();
     final List<String> probed = new ArrayList<>();
     int subscriptions;
     long now = 1_000_000;
-    private final List<Long> wakes = new ArrayList<>();
+    private final List<Long> wakeUps = new ArrayList<>();
     private long nextId = 1;
     Balancer balancer;
 
-    Node(Settings settings, long seed) {
+    TestNode(Settings settings, long seed) {
         this.settings = settings;
         balancer = new ServiceQBalancer(settings, seed, this);
     }
 
-    Node() {
+    TestNode() {
         this(settings(), 7);
     }
 
@@ -74,41 +74,41 @@
     }
 
     /** Gives the first list: servers s0, s1, ... all warm, in one zone and cell. */
-    Node with(int servers) {
+    TestNode withServers(int serverCount) {
         List<ServerEntry> entries = new ArrayList<>();
-        for (int i = 0; i < servers; i++) {
+        for (int i = 0; i < serverCount; i++) {
             entries.add(server("s" + i));
         }
-        return list(ListKind.CACHED, entries);
+        return updateServers(ListKind.CACHED, entries);
     }
 
-    Node list(ListKind kind, List<ServerEntry> entries) {
+    TestNode updateServers(ListKind kind, List<ServerEntry> entries) {
         balancer.onServers(now, kind, entries);
         return this;
     }
 
-    long ask(int classIndex) {
-        return ask(classIndex, 1_000_000);
+    long submit(int classIndex) {
+        return submit(classIndex, 1_000_000);
     }
 
-    long ask(int classIndex, long leftUs) {
-        return ask(classIndex, 0, leftUs);
+    long submit(int classIndex, long remainingUs) {
+        return submit(classIndex, 0, remainingUs);
     }
 
-    long ask(int classIndex, int tenant, long leftUs) {
+    long submit(int classIndex, int tenant, long remainingUs) {
         long id = nextId++;
-        balancer.onRequest(now, new Request(id, classIndex, tenant, leftUs, 0, false, null));
+        balancer.onRequest(now, new Request(id, classIndex, tenant, remainingUs, 0, false, null));
         return id;
     }
 
-    long askFor(String key, int classIndex) {
+    long submitWithKey(String key, int classIndex) {
         long id = nextId++;
         balancer.onRequest(now, new Request(id, classIndex, 0, 1_000_000, 0, false, key));
         return id;
     }
 
     /** The newest attempt of a request, or null. */
-    Sent last(long request) {
+    SentAttempt lastAttempt(long request) {
         for (int i = sent.size() - 1; i >= 0; i--) {
             if (sent.get(i).request == request) {
                 return sent.get(i);
@@ -117,39 +117,39 @@
         return null;
     }
 
-    int attempts(long request) {
+    int attemptCount(long request) {
         return (int) sent.stream().filter(s -> s.request == request).count();
     }
 
-    long sentTo(String server) {
+    long attemptCountTo(String server) {
         return sent.stream().filter(s -> s.server.equals(server)).count();
     }
 
     /** Ends a request's newest attempt after some time. */
-    void answer(long request, Result result, long afterUs) {
-        advance(afterUs);
-        Sent attempt = last(request);
+    void complete(long request, Result result, long delayUs) {
+        advance(delayUs);
+        SentAttempt attempt = lastAttempt(request);
         balancer.onOutcome(
                 now, new Outcome(request, attempt.attempt, result, now - attempt.atUs, result == Result.OK, null));
     }
 
     /** One request sent and ended; its server. */
-    String serve(int classIndex, Result result, long afterUs) {
-        long id = ask(classIndex);
-        String server = last(id).server;
-        answer(id, result, afterUs);
+    String submitAndComplete(int classIndex, Result result, long delayUs) {
+        long id = submit(classIndex);
+        String server = lastAttempt(id).server;
+        complete(id, result, delayUs);
         return server;
     }
 
     /** Moves the clock on, firing the wake-ups that come due. */
-    void advance(long us) {
-        long until = now + us;
+    void advance(long durationUs) {
+        long until = now + durationUs;
         while (true) {
-            long first = wakes.stream().mapToLong(w -> w).min().orElse(Long.MAX_VALUE);
+            long first = wakeUps.stream().mapToLong(w -> w).min().orElse(Long.MAX_VALUE);
             if (first > until) {
                 break;
             }
-            wakes.remove(first);
+            wakeUps.remove(first);
             now = Math.max(now, first);
             balancer.onWake(now);
         }
@@ -158,7 +158,7 @@
 
     @Override
     public void send(long requestId, String serverId, long untilUs) {
-        sent.add(new Sent(now, requestId, attempts(requestId), serverId, untilUs));
+        sent.add(new SentAttempt(now, requestId, attemptCount(requestId), serverId, untilUs));
     }
 
     @Override
@@ -178,12 +178,12 @@
 
     @Override
     public void wakeAt(long atUs) {
-        wakes.add(atUs);
+        wakeUps.add(atUs);
     }
 
     @Override
     public void closeIdle(String serverId) {
-        closed.add(serverId);
+        idleClosed.add(serverId);
     }
 
     @Override
--- a/src/test/java/kitemux/adapter/LinkTest.java
+++ b/src/test/java/kitemux/adapter/LinkTest.java
@@ -20,9 +20,9 @@
     private static final String LIST = "roster setId=0 nodesList=1\n"
             + "server server=10.0.0.7:8003 site=z generationHw=k block=0 lifecycle=Running scale=1 extra=2\n"
             + "topology node=node-3 setId=0 generation=1 kind=stale_copy\n";
-    private static final String ITEM =
+    private static final String REQUEST =
             "work_item node=node-3 handle=b7c6f2075d3a91c4 lane=view" + " patienceLeftUs=240000" + " novel=x\n";
-    private static final String OPEN = "begin_batch timeUs=1000000\n";
+    private static final String BEGIN_BATCH = "begin_batch timeUs=1000000\n";
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
@@ -32,13 +32,13 @@
     }
 
     @Test
-    void anEmptyBatchAndTheEndOfInput() throws Exception {
+    void emptyBatchIsAnsweredWithNext() throws Exception {
         assertEquals("next\n", run("begin_batch timeUs=8412250\neob\n"));
     }
 
     @Test
-    void aRequestIsRoutedAndItsIdGivenBackUnchanged() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + "eob\n");
+    void requestIsRoutedWithItsOriginalId() throws Exception {
+        String reply = run(BEGIN_BATCH + BOOT + LIST + REQUEST + "eob\n");
         assertTrue(
                 reply.contains("route node=node-3 handle=b7c6f2075d3a91c4" + " server=10.0.0.7:8003 untilUs=1240000\n"),
                 reply);
@@ -46,8 +46,8 @@
     }
 
     @Test
-    void anOutcomeEndsARequestAndAFailureFollowsTheModule() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
+    void timedOutRequestIsDeclined() throws Exception {
+        String reply = run(BEGIN_BATCH + BOOT + LIST + REQUEST + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
                 + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
         assertTrue(reply.contains("decline node=node-3 handle=b7c6f2075d3a91c4\n"), reply);
     }
@@ -80,17 +80,17 @@
                         + " | kind",
                 "begin_batch timeUs=1;boot node=n initSeed=1;eob | classes is empty"
             })
-    void malformedInputIsNamedByLineAndFieldAndNothingIsWritten(String lines, String named) {
-        String input = lines.trim().replace("B;", OPEN + BOOT).replace(';', '\n') + "\n";
+    void malformedInputIsReportedByLineAndFieldWithoutOutput(String lines, String expected) {
+        String input = lines.trim().replace("B;", BEGIN_BATCH + BOOT).replace(';', '\n') + "\n";
         WireException e = assertThrows(WireException.class, () -> run(input));
-        assertTrue(e.getMessage().contains(named.trim()), e.getMessage());
+        assertTrue(e.getMessage().contains(expected.trim()), e.getMessage());
         assertTrue(e.getMessage().startsWith("line "), e.getMessage());
         assertEquals(-1, e.getMessage().indexOf('\n'));
         assertEquals(0, out.size());
     }
 
     @Test
-    void theKeyOfARequestAndWarmKeysReachTheModule() throws Exception {
+    void requestKeyAndWarmKeysReachTheModule() throws Exception {
         String boot = BOOT.replace("unknown.key=1", "extra.warmKeys=true");
         StringBuilder list = new StringBuilder("roster setId=0 nodesList=9\n");
         for (int i = 0; i < 9; i++) {
@@ -98,8 +98,8 @@
         }
         list.append("topology node=node-3 setId=0 generation=1 kind=stale_copy\n");
         for (String seed : new String[] {"5", "6", "7", "8"}) {
-            run(OPEN + boot.replace("initSeed=5", "initSeed=" + seed) + list
-                    + ITEM.replace("novel=x", "routeKey=k:same") + "eob\n");
+            run(BEGIN_BATCH + boot.replace("initSeed=5", "initSeed=" + seed) + list
+                    + REQUEST.replace("novel=x", "routeKey=k:same") + "eob\n");
         }
         // Whatever the seed, the key draws the same server.
         assertEquals(
@@ -112,27 +112,28 @@
     }
 
     @Test
-    void anExceptionInTheModuleIsReportedAsAFault() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + ITEM + "eob\n");
+    void moduleExceptionIsReportedAsFault() throws Exception {
+        String reply = run(BEGIN_BATCH + BOOT + LIST + REQUEST + REQUEST + "eob\n");
         assertTrue(reply.contains("fault node=node-3 noteText=java.lang.IllegalArgumentException"), reply);
         assertTrue(reply.endsWith("next\n"));
     }
 
     @Test
-    void aLineWithoutItsEndIsStillRead() throws Exception {
+    void lastLineWithoutLineFeedIsRead() throws Exception {
         assertEquals("next\n", run("begin_batch timeUs=8412250\neob"));
     }
 
     @Test
-    void instancesActAlikeAloneAndTogether() throws Exception {
-        String one = run(OPEN + BOOT + LIST + ITEM + "eob\n");
+    void instancesDoNotAffectEachOther() throws Exception {
+        String alone = run(BEGIN_BATCH + BOOT + LIST + REQUEST + "eob\n");
         out.reset();
-        String both = run(OPEN + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5") + BOOT
-                + LIST + ITEM.replace("node-3", "node-5") + ITEM + "eob\n");
-        StringBuilder own = new StringBuilder();
-        both.lines()
+        String together =
+                run(BEGIN_BATCH + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5") + BOOT
+                        + LIST + REQUEST.replace("node-3", "node-5") + REQUEST + "eob\n");
+        StringBuilder ownLines = new StringBuilder();
+        together.lines()
                 .filter(l -> !l.contains("node-5"))
-                .forEach(l -> own.append(l).append('\n'));
-        assertEquals(one, own.toString());
+                .forEach(l -> ownLines.append(l).append('\n'));
+        assertEquals(alone, ownLines.toString());
     }
 }
