--- a/src/main/java/kitemux/Balancer.java
+++ b/src/main/java/kitemux/Balancer.java
@@ -334,12 +334,13 @@
         public long warmUpUs = 20_000_000;
 
         /**
-         * Multiple of a cold server's current capacity; if all nodes together send it more, the server falls over.
+         * A cold server falls over when all nodes together send it more than this multiple of its current capacity
+         * within {@link #overloadWindowUs}.
          */
         public double overloadRatio = 3;
 
-        /** Duration for which an overloaded cold server is down, and over which its load is measured. */
-        public long overloadOutageUs = 2_000_000;
+        /** Period over which the load of a cold server is measured. */
+        public long overloadWindowUs = 2_000_000;
 
         /** Price of an attempt that crosses zones; 0 if crossing is free. */
         public double crossZonePrice;
@@ -358,20 +359,20 @@
         public void validate() {
             require(!classes.isEmpty(), "classes is empty");
             require(nodes >= 1, "nodes is under 1");
-            require(nodeIndex >= 0 && nodeIndex < nodes, "me is not among nodes");
+            require(nodeIndex >= 0 && nodeIndex < nodes, "me is not in [0, nodes)");
             require(maxAttempts >= 1, "maxAttempts is under 1");
-            require(myZone >= 0 && myZone < Math.max(1, zones.size()), "myZone is not among zones");
+            require(myZone >= 0 && myZone < Math.max(1, zones.size()), "myZone is not an index into zones");
             require(
                     tickUs >= 0
                             && warmUpUs >= 0
-                            && overloadOutageUs >= 0
+                            && overloadWindowUs >= 0
                             && drainGraceUs >= 0
                             && connectTimeoutUs >= 0
                             && askWithinUs >= 0
                             && maxRetryAfterUs >= 0,
-                    "a length of time is negative");
+                    "a duration is negative");
             require(coldCapacityRatio > 0 && coldCapacityRatio <= 1, "coldFrom is not in (0, 1]");
-            require(overloadRatio > 0, "fallMultiple is not above 0");
+            require(overloadRatio > 0, "overloadFactor is not above 0");
             for (RequestClass requestClass : classes) {
                 require(
                         requestClass.targetLatencyUs() >= 0
@@ -381,10 +382,10 @@
                         "class " + requestClass.name() + " has a length of time out of range");
                 require(
                         requestClass.worth() >= 0 && requestClass.lateWorth() >= 0,
-                        "class " + requestClass.name() + " has a negative worth");
+                        "class " + requestClass.name() + " has a negative worth or late worth");
                 require(
                         requestClass.retrySafety() != RetrySafety.KEYED || requestClass.dedupScope() != null,
-                        "class " + requestClass.name() + " has no group");
+                        "class " + requestClass.name() + " is keyed but has no group");
             }
         }
 
--- a/src/main/java/kitemux/ServiceQBalancer.java
+++ b/src/main/java/kitemux/ServiceQBalancer.java
@@ -871,7 +871,8 @@
                 || request.classIndex() >= settings.classes.size()
                 || request.tenant() >= settings.tenants.size()
                 || pendingRequests.containsKey(request.id())) {
-            throw new IllegalArgumentException("request rejected: unknown class or tenant, or its id is still in use: " + request);
+            throw new IllegalArgumentException(
+                    "request rejected: unknown class or tenant, or its id is still in use: " + request);
         }
         PendingRequest pending = new PendingRequest(request, settings, now);
         pendingRequests.put(request.id(), pending);
--- a/src/main/java/kitemux/adapter/Link.java
+++ b/src/main/java/kitemux/adapter/Link.java
@@ -18,26 +18,33 @@
 import kitemux.ServiceQBalancer;
 import kitemux.config.SettingsReader;
 
-/** Carries events from the wire to the instances and their actions back. It decides nothing. */
+/**
+ * Translates events of the wire protocol into calls of the instances, and writes their actions back. Makes no
+ * decisions.
+ */
 final class Link {
+    /** Number of rosters (server lists) that the protocol can refer to at once. */
     private static final int MAX_ROSTER_COUNT = 16;
 
-    /** One node's module with what is needed to translate for it. */
+    /** The decision module of one node, with the indices by name that its events need. */
     private record Instance(
             Balancer balancer,
             Map<String, Integer> classes,
             Map<String, Integer> tenants,
             Map<String, Integer> zones) {}
 
-    /** A roster's line; its zone is still a name, since instances number zones by their own settings. */
+    /** A line of a roster. Its zone is still a name, since instances number zones by their own settings. */
     private record RosterEntry(String id, String zone, int cell, ServerState state, double weight, long startedAtUs) {}
 
     private final LineReader line;
     private final ReplyWriter reply;
     private final Map<String, Instance> instances = new HashMap<>();
     private final List<List<RosterEntry>> rosters = new ArrayList<>();
+
+    /** Time of the current batch, in microseconds. */
     private long nowUs;
 
+    /** Creates a link that reads events from one stream and writes replies to the other. */
     Link(InputStream in, OutputStream out) {
         line = new LineReader(in);
         reply = new ReplyWriter(out);
@@ -46,7 +53,12 @@
         }
     }
 
-    /** Answers batch after batch until the input ends. */
+    /**
+     * Answers one batch after another until the input ends.
+     *
+     * @throws WireException if the input is malformed
+     * @throws IOException if reading or writing fails
+     */
     void run() throws IOException, WireException {
         while (line.readNext()) {
             if (line.name().isEmpty()) {
@@ -99,6 +111,9 @@
         }
     }
 
+    /**
+     * Translates the current line into a call of the instance. Errors in the line are thrown here, before the call.
+     */
     private Runnable toCall(Instance instance) throws WireException {
         Balancer balancer = instance.balancer;
         long eventUs = nowUs;
@@ -246,6 +261,7 @@
         return () -> instance.balancer.onServers(eventUs, listKind, entries);
     }
 
+    /** Returns the index of a name in the settings. */
     private int indexOf(Map<String, Integer> names, String field, String name) throws WireException {
         Integer index = names.get(name);
         if (index == null) {
--- a/src/main/java/kitemux/adapter/Main.java
+++ b/src/main/java/kitemux/adapter/Main.java
@@ -4,13 +4,12 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** Hosts instances of the module for the bench: the wire on standard input and output. */
+/** Hosts instances of the decision module for the bench, over the wire protocol on standard input and output. */
 public final class Main {
     private Main() {}
 
     /**
-     * Runs until the input ends; a malformed input ends it with one line on standard error and exit
-     * code 2.
+     * Runs until the input ends. Malformed input ends the process with one line on standard error and exit code 2.
      */
     public static void run() {
         try {
--- a/src/main/java/kitemux/adapter/ReplyWriter.java
+++ b/src/main/java/kitemux/adapter/ReplyWriter.java
@@ -6,7 +6,10 @@
 import java.util.Arrays;
 import kitemux.Balancer;
 
-/** Writes the actions of the instance whose event is being handled; a reply goes out whole or not at all. */
+/**
+ * Writes the actions of the instance whose event is being handled. A reply is buffered and written as a whole, or not
+ * at all.
+ */
 final class ReplyWriter implements Balancer.Actions {
     private static final byte[] HEX_DIGITS = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
@@ -19,10 +22,12 @@
         this.out = out;
     }
 
+    /** Sets the node whose actions follow. */
     void setNode(String instance) {
         node = instance;
     }
 
+    /** Ends the reply and writes it. */
     void flush() throws IOException {
         writeText("next\n");
         out.write(buffer, 0, filledBytes);
@@ -107,7 +112,7 @@
         writeNoteAndEnd(line);
     }
 
-    /** The module has thrown: the day ends with this text. */
+    /** Reports that the module has thrown an exception. The bench ends the run with this text. */
     void reportFault(String line) {
         beginAction("fault");
         writeNoteAndEnd(line);
@@ -130,6 +135,7 @@
         buffer[filledBytes++] = '\n';
     }
 
+    /** Writes the id as 16 hex digits. */
     private void writeRequestId(long id) {
         writeText(" handle=");
         ensureCapacity(16);
--- a/src/main/java/kitemux/adapter/WireException.java
+++ b/src/main/java/kitemux/adapter/WireException.java
@@ -1,6 +1,6 @@
 package kitemux.adapter;
 
-/** The input is not what the wire allows; the message is one plain line for the operator. */
+/** Thrown when the input violates the wire protocol. The message is one plain line for the operator. */
 final class WireException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -162,7 +162,7 @@
         set.warmUpUs =
                 fleet.kinds().stream().mapToLong(Fleet.Kind::coldUs).max().orElse(0);
         set.overloadRatio = FALL_MULTIPLE;
-        set.overloadOutageUs = FALL_US;
+        set.overloadWindowUs = FALL_US;
         return set;
     }
 
