--- a/src/test/java/kitemux/ArchitectureTest.java
+++ b/src/test/java/kitemux/ArchitectureTest.java
@@ -19,13 +19,18 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Which package may know which: arrows go one way, and what decides reaches nothing outside itself. */
+/**
+ * Checks which packages may depend on which: dependencies are one-way, and code that makes decisions uses nothing
+ * outside the project.
+ */
 class ArchitectureTest {
     private static final JavaClasses MAIN_CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("kitemux");
 
-    /** For each package those that it may know besides itself. The root holds the decisions. */
+    /**
+     * The packages that each package may depend on besides itself. The root package, "", holds the decision module.
+     */
     private static final Map<String, Set<String>> ALLOWED_DEPENDENCIES = Map.ofEntries(
             Map.entry("", Set.of()),
             Map.entry("config", Set.of("")),
@@ -78,6 +83,7 @@
                             "adapter", "node", "world", "bench", "standin", "orders", "fleet", "plan", "lab", "load",
                             "hcl", "app", "sidecar", "drill", "scale", "keeper", "soak")));
 
+    /** Returns the package below {@code kitemux}, or "" for the root package. */
     private static String topPackage(JavaClass c) {
         String[] parts = c.getPackageName().split("\\.");
         return parts.length < 2 ? "" : parts[1];
@@ -87,7 +93,7 @@
         return c.getPackageName().equals("kitemux") || c.getPackageName().startsWith("kitemux.");
     }
 
-    /** The arrows that are not allowed, as "from -> to", with one place each. */
+    /** Returns the forbidden dependencies as "from -> to", with one example each. */
     private static Map<String, String> forbiddenDependencies(JavaClasses classes) {
         Map<String, String> found = new TreeMap<>();
         for (JavaClass from : classes) {
@@ -109,7 +115,7 @@
         Set<String> unlisted = new TreeSet<>();
         MAIN_CLASSES.forEach(c -> unlisted.add(topPackage(c)));
         unlisted.removeAll(ALLOWED_DEPENDENCIES.keySet());
-        assertEquals(Set.of(), unlisted, "packages of which nothing is said");
+        assertEquals(Set.of(), unlisted, "packages without a rule");
         assertEquals(Map.of(), forbiddenDependencies(MAIN_CLASSES));
     }
 
@@ -119,13 +125,13 @@
         assertEquals(Set.of(" -> engine"), forbiddenDependencies(withTests).keySet());
     }
 
-    /** The decisions know an engine here, which they must not. */
+    /** A class of the root package that depends on the engine, which is forbidden. */
     private static final class DependsOnEngine {
         static final Object OBSERVER = kitemux.engine.Observer.NONE;
     }
 
     private static final DescribedPredicate<JavaClass> EXTERNAL_CLASSES =
-            new DescribedPredicate<>("Netty, JSON, files, sockets, threads or the system's clocks") {
+            new DescribedPredicate<>("Netty, JSON, files, sockets, threads or system clocks") {
                 private static final List<String> PACKAGES = List.of(
                         "io.netty",
                         "com.fasterxml",
@@ -149,7 +155,7 @@
             };
 
     private static final DescribedPredicate<JavaCall<?>> SYSTEM_CALLS =
-            new DescribedPredicate<>("the system's clocks, streams or environment") {
+            new DescribedPredicate<>("system clocks, streams or environment") {
                 @Override
                 public boolean test(JavaCall<?> call) {
                     return call.getTargetOwner().isEquivalentTo(System.class)
@@ -173,30 +179,30 @@
         noExternalAccess("kitemux", "kitemux.engine").check(MAIN_CLASSES);
     }
 
-    /** Bytes are all that it may know of what is outside, and only where messages become bytes. */
+    /** The membership protocol may use external classes only where messages are encoded as bytes. */
     @Test
     void membershipUsesNothingExternal() {
         noExternalAccess("kitemux.peers")
                 .check(MAIN_CLASSES.that(DescribedPredicate.describe(
-                        "decide", c -> !c.getSimpleName().equals("Datagram"))));
+                        "decide without encoding", c -> !c.getSimpleName().equals("Datagram"))));
     }
 
-    /** JSON's text is all that it may know of what is outside, and only where records become bytes. */
+    /** The rollout protocol may use external classes only where records are encoded as JSON. */
     @Test
     void rolloutUsesNothingExternal() {
         noExternalAccess("kitemux.rollout")
                 .check(MAIN_CLASSES.that(DescribedPredicate.describe(
-                        "decide", c -> !c.getName().startsWith("kitemux.rollout.RolloutText"))));
+                        "decide without encoding", c -> !c.getName().startsWith("kitemux.rollout.RolloutText"))));
     }
 
-    /** Whatever else a node loads must not bring it along: it is off unless the operator's file has it. */
+    /** No other class of a node may load the rollout, which is off unless the operator's file enables it. */
     @Test
     void onlyRolloutLinkLiveSettingsAndKeepCommandUseRollout() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("kitemux.rollout..", "kitemux.keeper..")
                 .and(DescribedPredicate.describe(
-                        "are not those that begin it",
+                        "are not the entry points of the rollout",
                         c -> !c.getName()
                                 .matches("kitemux\\.node\\.(RolloutLink|LiveSettings)(\\$.*)?"
                                         + "|kitemux\\.cli\\.KeepCommand(\\$.*)?")))
@@ -224,7 +230,7 @@
                 () -> noExternalAccess("kitemux").check(new ClassFileImporter().importClasses(ReadsSystemClock.class)));
     }
 
-    /** Asks the system for the time. */
+    /** A class that reads the system clock. */
     private static final class ReadsSystemClock {
         static long now() {
             return System.nanoTime();
--- a/src/test/java/kitemux/ColdServerTest.java
+++ b/src/test/java/kitemux/ColdServerTest.java
@@ -11,7 +11,7 @@
 import kitemux.Balancer.ServerState;
 import org.junit.jupiter.api.Test;
 
-/** Rule 4: a node's part of a cold server's budget. */
+/** Rule 4: a node's share of the budget of a cold server. */
 class ColdServerTest {
 
     private static ServerEntry started(String id, long atUs) {
@@ -25,15 +25,15 @@
             node.submitAndComplete(TestNode.SAFE, Result.OK, 10_000);
         }
         node.updateServers(ListKind.CHANGES, List.of(started("cold", node.now)));
-        // 100 answers a second from five servers: an even part is 20 a second, a fifth of which a cold
-        // one can do.
+        // 100 answers a second from five servers: an even share is 20 a second, of which a cold server can serve one
+        // fifth.
         for (int round = 0; round < 200; round++) {
             List<Long> burst = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 burst.add(node.submit(TestNode.SAFE));
             }
             node.advance(10_000);
-            // Only one of ten is answered, so that arrivals are ten times what the fleet gets done.
+            // Only one request in ten is answered, so that arrivals are ten times what the fleet serves.
             burst.stream()
                     .map(node::lastAttempt)
                     .filter(s -> s != null && !s.server().equals("cold"))
@@ -57,7 +57,8 @@
     }
 
     /**
-     * Sent in four seconds to a server that has just started beside four, when each of these answers so fast.
+     * Returns the number of requests sent within four seconds to a server that has just started beside four others,
+     * when up to four answers arrive in each interval.
      */
     private static long sentToColdServerAtInterval(long intervalUs) {
         TestNode node = new TestNode().withServers(4);
@@ -65,7 +66,7 @@
             node.submitAndComplete(TestNode.SAFE, Result.OK, 10_000);
         }
         node.updateServers(ListKind.CHANGES, List.of(started("cold", node.now)));
-        // As many wait as there is room for, and more.
+        // More requests wait than the servers have capacity for.
         int answered = node.sent.size();
         for (long until = node.now + 4_000_000; node.now < until; node.advance(intervalUs)) {
             for (int i = 0; i < 10; i++) {
@@ -78,32 +79,37 @@
         return node.attemptCountTo("cold");
     }
 
+    /**
+     * Guards against slow start that sustains congestion: while half of the servers were cold during a release and
+     * others were slow, few answers left cold servers with few requests, which reduced the number of answers further.
+     */
     @Test
     void congestionReducesColdServerShareOnlyPartially() {
-        // On a day of releases half of the servers were cold and others slow: as little was answered, cold
-        // ones
-        // got little, so that less was answered still, for as long as the release went on.
         long sentWhenFast = sentToColdServerAtInterval(40_000);
         long sentWhenCongested = sentToColdServerAtInterval(320_000);
         assertTrue(
                 sentWhenCongested * 7 >= sentWhenFast * 2,
-                "sent to the cold server: " + sentWhenFast + ", in a jam " + sentWhenCongested);
+                "sent to the cold server: " + sentWhenFast + ", during congestion " + sentWhenCongested);
     }
 
-    /** While servers were replaced twice a second little was answered, and cold ones got little for it. */
+    /**
+     * Guards against cold servers that receive almost nothing because few requests are answered, as happened while
+     * servers were replaced twice a second.
+     */
     @Test
     void coldServerReceivesWhatOneCoreServesWhenManyNodesGetFewAnswers() {
         long[] toCold = new long[2];
         for (int run = 0; run < 40; run++) {
-            Balancer.Settings set = TestNode.settings();
-            set.nodes = run % 2 == 1 ? 8 : 3;
-            TestNode node = new TestNode(set, run).withServers(4);
+            Balancer.Settings settings = TestNode.settings();
+            settings.nodes = run % 2 == 1 ? 8 : 3;
+            TestNode node = new TestNode(settings, run).withServers(4);
             for (int i = 0; i < 100; i++) {
                 node.submitAndComplete(TestNode.SAFE, Result.OK, 10_000);
                 node.advance(190_000);
             }
             node.updateServers(ListKind.CHANGES, List.of(started("cold", node.now)));
-            // Five a second for three seconds: an even part is one a second, of which it got two fifths.
+            // Five answers a second for three seconds: an even share is one a second, of which the server received two
+            // fifths.
             for (int i = 0; i < 15; i++) {
                 node.submitAndComplete(TestNode.SAFE, Result.OK, 10_000);
                 node.advance(190_000);
@@ -112,12 +118,12 @@
         }
         assertTrue(
                 5 * toCold[1] > 6 * toCold[0] && toCold[1] <= 20 * 4,
-                "sent to the cold server by nodes of eight: " + toCold[1] + ", by three: " + toCold[0]);
+                "sent to the cold server by one of eight nodes: " + toCold[1] + ", by one of three: " + toCold[0]);
     }
 
+    /** Guards against a first gap between answers that is measured from the start of the clock. */
     @Test
     void slowStartDoesNotDependOnClockEpoch() {
-        // Guards against a first gap between answers that was counted from the start of the clock.
         List<Long> sentToCold = new ArrayList<>();
         for (long epoch : new long[] {1_000_000, 900_000_000_000L}) {
             TestNode node = new TestNode();
@@ -136,10 +142,12 @@
         assertTrue(sentToCold.get(0) > 1, "sent to the cold server in three seconds: " + sentToCold.get(0));
     }
 
+    /**
+     * Guards against a gap measured from 1970: a restarted node sent nothing to servers that had started seconds
+     * before until they were warm, and 67% of the requests were refused.
+     */
     @Test
     void restartedNodeSendsToColdServersForAnyClockEpoch() {
-        // A restarted node met servers that had started seconds before: before its first request the gap was
-        // counted from 1970, and it sent them nothing until they were warm, at 67% of requests refused.
         for (long epoch : new long[] {1_000_000, 1_700_000_000_000_000L}) {
             TestNode node = new TestNode();
             node.now = epoch;
@@ -152,14 +160,14 @@
         }
     }
 
+    /** Guards against limits raised by fast answers to single requests, which overload a server once it is warm. */
     @Test
     void coldServerLimitDoesNotOutgrowOthersDuringSlowStart() {
-        // Quick answers to single requests raised limits that choked servers once warm.
-        Balancer.Settings set = TestNode.settings();
-        set.nodes = 8;
-        TestNode node = new TestNode(set, 5);
+        Balancer.Settings settings = TestNode.settings();
+        settings.nodes = 8;
+        TestNode node = new TestNode(settings, 5);
         node.updateServers(ListKind.CACHED, List.of(started("cold", node.now), TestNode.server("warm")));
-        long warmAt = node.now + set.warmUpUs;
+        long warmAt = node.now + settings.warmUpUs;
         int answered = 0;
         while (node.now < warmAt) {
             for (int i = 0; i < 3; i++) {
@@ -184,15 +192,18 @@
         assertTrue(toWarmedServer <= 3, "sent in a second to the server that is now warm: " + toWarmedServer);
     }
 
-    /** Guards i5680d6: all nodes hear of a start at once; their first sends together pushed servers over. */
+    /**
+     * Guards against issue i5680d6: all nodes learn of a start at once, and their first requests together made cold
+     * servers fall over.
+     */
     @Test
     void firstSendsOfManyNodesToColdServerAreSpreadOut() {
         int sendingNodes = 0;
-        for (int me = 0; me < 40; me++) {
-            Balancer.Settings set = TestNode.settings();
-            set.nodes = 24;
-            set.nodeIndex = me % 24;
-            TestNode node = new TestNode(set, 300 + me).withServers(10);
+        for (int nodeIndex = 0; nodeIndex < 40; nodeIndex++) {
+            Balancer.Settings settings = TestNode.settings();
+            settings.nodes = 24;
+            settings.nodeIndex = nodeIndex % 24;
+            TestNode node = new TestNode(settings, 300 + nodeIndex).withServers(10);
             for (int i = 0; i < 200; i++) {
                 node.submitAndComplete(TestNode.SAFE, Result.OK, 20_000);
             }
@@ -202,7 +213,7 @@
             }
             sendingNodes += node.attemptCountTo("cold") > 0 ? 1 : 0;
         }
-        // A node's gap is about two seconds: in 0.3 s a sixth of the nodes may send.
+        // The gap of a node is about two seconds, so within 0.3 s one sixth of the nodes may send.
         assertTrue(sendingNodes <= 14, "nodes that sent at once: " + sendingNodes);
     }
 
@@ -210,9 +221,9 @@
     void coldServerReceivesLessWhenServersCacheKeys() {
         long[] sent = new long[2];
         for (int warm = 0; warm < 2; warm++) {
-            Balancer.Settings set = TestNode.settings();
-            set.warmKeys = warm == 1;
-            TestNode node = new TestNode(set, 9).withServers(4);
+            Balancer.Settings settings = TestNode.settings();
+            settings.warmKeys = warm == 1;
+            TestNode node = new TestNode(settings, 9).withServers(4);
             node.updateServers(ListKind.CHANGES, List.of(started("cold", node.now)));
             for (int i = 0; i < 1_000; i++) {
                 long id = node.submitWithKey("k" + i % 300, TestNode.UNSAFE);
--- a/src/test/java/kitemux/ExampleTest.java
+++ b/src/test/java/kitemux/ExampleTest.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's example, compiled and run. */
+/** Compiles and runs the example of the README. */
 class ExampleTest {
 
-    /** A proxy's side of the interface: here it only writes down what it is asked for. */
+    /** The proxy's side of the interface; it only records the requested actions. */
     static final class RecordingProxy implements Balancer.Actions {
         final List<String> actions = new ArrayList<>();
 
--- a/src/test/java/kitemux/HealthTest.java
+++ b/src/test/java/kitemux/HealthTest.java
@@ -14,10 +14,13 @@
 import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
-/** Exceptions: ejection and trials, silent servers, zones. */
+/** Ejection and trials, silent servers, and preference for the local zone. */
 class HealthTest {
 
-    /** Serves one request; {@code s0} fails, all others succeed. */
+    /**
+     * Submits and completes one request; attempts at {@code s0} fail and all others succeed. Returns whether the
+     * first attempt reached {@code s0}.
+     */
     private static boolean reachesFailingServer(TestNode node, int classIndex) {
         long id = node.submit(classIndex);
         boolean failing = node.lastAttempt(id).server().equals("s0");
@@ -28,7 +31,7 @@
         return failing;
     }
 
-    /** Four servers, of which {@code s0} has failed all it was sent among 400 requests. */
+    /** Returns a node with four servers, of which {@code s0} has failed all attempts among 400 requests. */
     private static TestNode withFailingServer() {
         TestNode node = new TestNode().withServers(4);
         for (int i = 0; i < 400; i++) {
@@ -53,7 +56,9 @@
         assertTrue(hits >= 2 && hits <= 14, "trials in 20 s: " + hits);
     }
 
-    /** Ten servers at which one attempt in 14 is reset, and all attempts at the one that is named. */
+    /**
+     * Returns a node with ten servers at which one attempt in 14 is reset, as are all attempts at the named server.
+     */
     private static TestNode withResets(String failingServer) {
         TestNode node = new TestNode().withServers(10);
         SplittableRandom random = new SplittableRandom(3);
@@ -104,7 +109,8 @@
         for (int i = 0; i < 300; i++) {
             node.submitAndComplete(TestNode.UNSAFE, Result.ERROR, 5_000);
         }
-        // All fail: two may be out, and requests must still be tried on the others, not held.
+        // All servers fail: at most two are ejected, and requests must still be sent to the others instead of being
+        // queued.
         long id = node.submit(TestNode.UNSAFE);
         assertNotEquals(null, node.lastAttempt(id));
     }
@@ -131,7 +137,7 @@
     void overloadedServerThatStillAnswersIsNotEjectedForTimeouts() {
         TestNode node = new TestNode().withServers(2);
         for (int round = 0; round < 80; round++) {
-            // Ever one more than fits, so that the limits are met and grow.
+            // One request more than fits in each round, so that the limits are reached and grow.
             List<Long> burst = new ArrayList<>();
             do {
                 burst.add(node.submit(TestNode.SAFE));
@@ -157,9 +163,9 @@
 
     @Test
     void localServersArePreferredUntilBusyWhenCrossZoneTrafficCosts() {
-        Settings set = TestNode.settings();
-        set.crossZonePrice = 0.02;
-        TestNode node = new TestNode(set, 5);
+        Settings settings = TestNode.settings();
+        settings.crossZonePrice = 0.02;
+        TestNode node = new TestNode(settings, 5);
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             entries.add(new ServerEntry("s" + i, i < 2 ? 0 : 1, 0, ServerState.READY, 1, 0));
@@ -173,12 +179,12 @@
             long id = node.submit(TestNode.SAFE);
             crossZoneCount += List.of("s0", "s1").contains(node.lastAttempt(id).server()) ? 0 : 1;
         }
-        assertTrue(crossZoneCount >= 6, "crossed " + crossZoneCount);
+        assertTrue(crossZoneCount >= 6, "cross-zone attempts: " + crossZoneCount);
     }
 
+    /** Guards against a node whose whole limit in flight hangs at servers that are no longer in use. */
     @Test
     void attemptsHangingAtGoneServerDoNotBlockOtherServers() {
-        // Guards against a node whose whole allowance in flight hangs at servers no longer in use.
         TestNode node = new TestNode().withServers(1);
         for (int i = 0; i < 4; i++) {
             assertNotEquals(null, node.lastAttempt(node.submit(TestNode.UNSAFE)));
@@ -186,7 +192,7 @@
         node.updateServers(ListKind.FULL, List.of(TestNode.server("other")));
         for (int i = 0; i < 3; i++) {
             TestNode.SentAttempt sent = node.lastAttempt(node.submit(TestNode.UNSAFE));
-            assertTrue(sent != null && sent.server().equals("other"), "request " + i + " at " + sent);
+            assertTrue(sent != null && sent.server().equals("other"), "request " + i + " sent as " + sent);
         }
     }
 }
--- a/src/test/java/kitemux/KeysTest.java
+++ b/src/test/java/kitemux/KeysTest.java
@@ -16,18 +16,18 @@
 import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
-/** Exception, keys: draws fixed by the request's key where servers remember keys. */
+/** Draws fixed by the request's key where servers remember keys. */
 class KeysTest {
     private static final int SERVERS = 20;
     private static final int KEYS = 400;
 
-    private static TestNode node(int me, boolean warmKeys) {
-        Settings set = TestNode.settings();
-        set.nodes = 4;
-        set.nodeIndex = me;
-        set.warmKeys = warmKeys;
-        set.crossZonePrice = 0.01;
-        return new TestNode(set, 50 + me).withServers(SERVERS);
+    private static TestNode node(int nodeIndex, boolean warmKeys) {
+        Settings settings = TestNode.settings();
+        settings.nodes = 4;
+        settings.nodeIndex = nodeIndex;
+        settings.warmKeys = warmKeys;
+        settings.crossZonePrice = 0.01;
+        return new TestNode(settings, 50 + nodeIndex).withServers(SERVERS);
     }
 
     private static String submitAndComplete(TestNode node, String key, Result result) {
@@ -37,6 +37,7 @@
         return server;
     }
 
+    /** Submits one request for each key and returns the server that each key was sent to. */
     private static Map<String, String> serverByKey(TestNode node) {
         Map<String, String> servers = new HashMap<>();
         for (int k = 0; k < KEYS; k++) {
@@ -108,7 +109,7 @@
                 .filter(k -> before.get(k).equals("s3"))
                 .findFirst()
                 .get();
-        // Two failures: two in three of its keys are now drawn elsewhere.
+        // After two failures, two in three of its keys are drawn elsewhere.
         assertEquals("s3", submitAndComplete(node, key, Result.ERROR));
         for (int i = 0;
                 i < KEYS && !submitAndComplete(node, "x" + i, Result.ERROR).equals("s3");
@@ -144,7 +145,7 @@
         }
         assertTrue(used.size() >= 2 && used.size() <= 8, used.toString());
         assertNull(node.lastAttempt(id));
-        // Others are not held back by it for long: it waits in the queue, and they have room.
+        // Other keys are not held back for long: the hot key waits in the queue, and other servers have capacity.
         long other = node.submitWithKey("cool", TestNode.UNSAFE);
         node.advance(10_000);
         assertTrue(node.lastAttempt(other) != null || used.size() == SERVERS);
@@ -168,19 +169,21 @@
         assertTrue(more <= 1, "sent to the full server: " + more);
     }
 
-    /** Guards i629bed: turned away in a burst, requests hopped on to servers that did not know their key. */
+    /**
+     * Guards against issue i629bed: requests rejected in a burst were retried on servers that did not know their key.
+     */
     @Test
     void rejectedRequestRetriesOnServersDrawnByItsKey() {
         List<List<String>> paths = new ArrayList<>();
-        for (int me = 0; me < 4; me++) {
-            TestNode node = node(me, true);
+        for (int nodeIndex = 0; nodeIndex < 4; nodeIndex++) {
+            TestNode node = node(nodeIndex, true);
             long id = node.submitWithKey("hot", TestNode.UNSAFE);
             node.complete(id, Result.FULL, 1_000);
             node.complete(id, Result.FULL, 1_000);
             paths.add(node.sent.stream().map(TestNode.SentAttempt::server).toList());
         }
         assertEquals(3, new HashSet<>(paths.get(0)).size());
-        // All nodes hop alike.
+        // All nodes retry on the same servers.
         assertEquals(1, new HashSet<>(paths).size());
     }
 }
--- a/src/test/java/kitemux/LargeFleetTest.java
+++ b/src/test/java/kitemux/LargeFleetTest.java
@@ -17,22 +17,22 @@
 import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
-/** Exceptions of large fleets: subsets of servers, slow answers as errors, throttling. */
+/** Large fleets: subsets of servers, slow answers as errors, throttling. */
 class LargeFleetTest {
     private static final int NODES = 240;
     private static final int SERVERS = 40;
 
-    private static TestNode node(int me) {
-        Settings set = TestNode.settings();
-        set.nodes = NODES;
-        set.nodeIndex = me;
-        return new TestNode(set, 100 + me);
+    private static TestNode node(int nodeIndex) {
+        Settings settings = TestNode.settings();
+        settings.nodes = NODES;
+        settings.nodeIndex = nodeIndex;
+        return new TestNode(settings, 100 + nodeIndex);
     }
 
     /**
-     * The servers that a node sends to, also where the first of them do not take what comes: attempts that
-     * were never
-     * sent on pass to the next ones in turn and say nothing of any server.
+     * Returns the servers that a node sends to, including those that it uses only when the preferred ones do not
+     * accept a request. Attempts reported as never sent are retried on the next servers and affect no server's
+     * health.
      */
     private static Set<String> usedServers(TestNode node) {
         return usedServers(node, 100);
@@ -67,21 +67,21 @@
     @Test
     void subsetsOfManyNodesShareServersEvenly() {
         Map<String, Integer> nodesOf = new HashMap<>();
-        for (int me = 0; me < NODES; me++) {
-            Set<String> used = usedServers(node(me).withServers(SERVERS));
-            assertTrue(used.size() >= 3 && used.size() <= 5, "node " + me + " uses " + used);
+        for (int nodeIndex = 0; nodeIndex < NODES; nodeIndex++) {
+            Set<String> used = usedServers(node(nodeIndex).withServers(SERVERS));
+            assertTrue(used.size() >= 3 && used.size() <= 5, "node " + nodeIndex + " uses " + used);
             used.forEach(s -> nodesOf.merge(s, 1, Integer::sum));
         }
         assertEquals(SERVERS, nodesOf.size());
         nodesOf.forEach((s, n) -> assertTrue(n >= 16 && n <= 36, s + " is shared by " + n));
     }
 
-    /** What an error is counted against is passed over until it is drawn with others that have one too. */
+    /** The preferred half of a subset receives most requests, and the other half those for which it is busy. */
     @Test
     void preferredHalfOfSubsetReceivesMostAndOtherHalfTakesOverflow() {
-        Settings set = TestNode.settings();
-        set.nodes = 14;
-        TestNode node = new TestNode(set, 3).withServers(60);
+        Settings settings = TestNode.settings();
+        settings.nodes = 14;
+        TestNode node = new TestNode(settings, 3).withServers(60);
         Map<String, Integer> sent = new HashMap<>();
         for (int i = 0; i < 400; i++) {
             sent.merge(node.submitAndComplete(TestNode.SAFE, Result.OK, 5_000), 1, Integer::sum);
@@ -92,63 +92,70 @@
                 .limit(5)
                 .toList();
         int most = first.stream().mapToInt(sent::get).sum();
-        // Five of nine alike would be 222.
-        assertTrue(most > 300, "the first five got " + most + " of 400: " + sent);
+        // Five of nine servers with equal shares would receive 222.
+        assertTrue(most > 300, "the five preferred servers received " + most + " of 400: " + sent);
         Set<String> busy = new HashSet<>();
         for (int i = 0; i < 9; i++) {
             busy.add(node.lastAttempt(node.submit(TestNode.SAFE)).server());
         }
-        assertTrue(busy.size() >= 7, "held at " + busy + ", first " + first);
+        assertTrue(busy.size() >= 7, "sent to " + busy + ", preferred " + first);
     }
 
     @Test
     void nodesUseFewerServersAfterFleetShrinks() {
         Map<String, Integer> nodesOf = new HashMap<>();
-        for (int me = 0; me < NODES; me++) {
-            usedServers(node(me).withServers(8)).forEach(s -> nodesOf.merge(s, 1, Integer::sum));
+        for (int nodeIndex = 0; nodeIndex < NODES; nodeIndex++) {
+            usedServers(node(nodeIndex).withServers(8)).forEach(s -> nodesOf.merge(s, 1, Integer::sum));
         }
         nodesOf.forEach((s, n) -> assertTrue(n <= 80, s + " is shared by " + n));
     }
 
     @Test
     void fewNodesUseAllServers() {
-        Settings set = TestNode.settings();
-        set.nodes = 3;
-        assertEquals(20, usedServers(new TestNode(set, 3).withServers(20)).size());
+        Settings settings = TestNode.settings();
+        settings.nodes = 3;
+        assertEquals(20, usedServers(new TestNode(settings, 3).withServers(20)).size());
     }
 
-    /** With 14 nodes at each of 60 servers no node knew what a server held: half of the pages came late. */
+    /**
+     * Guards against many nodes per server: with 14 nodes at each of 60 servers no node knew the load of a server,
+     * and half of the pages were late.
+     */
     @Test
     void fewNodesShareEachServerAfterFleetGrows() {
         Map<String, Integer> nodesOf = new HashMap<>();
-        for (int me = 0; me < 14; me++) {
-            Settings set = TestNode.settings();
-            set.nodes = 14;
-            set.nodeIndex = me;
-            Set<String> used = usedServers(new TestNode(set, 100 + me).withServers(60), 400);
-            assertEquals(9, used.size(), "node " + me + " uses " + used);
+        for (int nodeIndex = 0; nodeIndex < 14; nodeIndex++) {
+            Settings settings = TestNode.settings();
+            settings.nodes = 14;
+            settings.nodeIndex = nodeIndex;
+            Set<String> used = usedServers(new TestNode(settings, 100 + nodeIndex).withServers(60), 400);
+            assertEquals(9, used.size(), "node " + nodeIndex + " uses " + used);
             used.forEach(s -> nodesOf.merge(s, 1, Integer::sum));
         }
         assertEquals(60, nodesOf.size());
         nodesOf.forEach((s, n) -> assertTrue(n >= 1 && n <= 3, s + " is shared by " + n));
     }
 
-    /** Two nodes to a server would leave each node three, which may all fail at once. */
+    /** Two nodes per server would leave each node three servers, which may all fail at once. */
     @Test
     void subsetHasSufficientServersForAnyNodeCount() {
-        Settings set = TestNode.settings();
-        set.nodes = 14;
-        assertEquals(8, usedServers(new TestNode(set, 3).withServers(20), 400).size());
+        Settings settings = TestNode.settings();
+        settings.nodes = 14;
+        assertEquals(
+                8, usedServers(new TestNode(settings, 3).withServers(20), 400).size());
     }
 
-    /** A third of the servers turned slow for ten seconds and were sent to as before. */
+    /**
+     * Guards against a third of the servers that became slow for ten seconds and still received as many requests as
+     * before.
+     */
     @Test
     void muchSlowerServerReceivesLessWithManyNodes() {
         int[] hits = new int[2];
         for (int many = 0; many < 2; many++) {
-            Settings set = TestNode.settings();
-            set.nodes = many == 1 ? 8 : 3;
-            TestNode node = new TestNode(set, 5).withServers(8);
+            Settings settings = TestNode.settings();
+            settings.nodes = many == 1 ? 8 : 3;
+            TestNode node = new TestNode(settings, 5).withServers(8);
             for (int i = 0; i < 800; i++) {
                 long id = node.submit(TestNode.SAFE);
                 boolean slow = node.lastAttempt(id).server().equals("s0");
@@ -157,14 +164,14 @@
                 node.advance(100_000);
             }
         }
-        assertTrue(3 * hits[1] < 2 * hits[0], "sent of 800: " + hits[1] + ", at a node of few " + hits[0]);
+        assertTrue(3 * hits[1] < 2 * hits[0], "sent of 800: " + hits[1] + ", with few nodes " + hits[0]);
     }
 
     @Test
     void removedServerMovesFewSlotsAndItsConnectionsAreClosed() {
         int moved = 0;
-        for (int me = 0; me < 60; me++) {
-            TestNode node = node(me).withServers(SERVERS);
+        for (int nodeIndex = 0; nodeIndex < 60; nodeIndex++) {
+            TestNode node = node(nodeIndex).withServers(SERVERS);
             Set<String> before = usedServers(node);
             node.idleClosed.clear();
             node.updateServers(ListKind.CHANGES, List.of(new ServerEntry("s7", 0, 0, ServerState.GONE, 1, 0)));
@@ -175,7 +182,7 @@
                 moved += after.contains(server) || server.equals("s7") ? 0 : 1;
             }
         }
-        assertTrue(moved < 60, "places moved: " + moved + " of 240");
+        assertTrue(moved < 60, "slots moved: " + moved + " of 240");
     }
 
     @Test
@@ -191,8 +198,8 @@
             node.complete(id, Result.OK, hit ? 12_000 : 4_000);
             node.advance(200_000);
         }
-        // An even part of the two that come first would be 200, and two draws leave it no less while nothing
-        // is in flight.
+        // An even share of the two preferred servers would be 200, and drawing two servers does not reduce it while
+        // nothing is in flight.
         assertTrue(hits < 140, "slow server was sent " + hits + " of 400");
     }
 
@@ -211,7 +218,7 @@
             node.advance(4_000_000);
         }
         assertTrue(refusedAtOnce > 100 && refusedAtOnce < 200, "refused at once: " + refusedAtOnce);
-        // Some are still taken up, so the node learns that answers are timely again.
+        // Some requests are still admitted, so the node observes that answers are timely again.
         for (int i = 0; i < 400; i++) {
             long id = node.submit(TestNode.UNSAFE);
             if (node.attemptCount(id) > 0) {
@@ -229,26 +236,29 @@
         TestNode node = node(3).withServers(SERVERS);
         usedServers(node);
         for (int i = 0; i < 3; i++) {
-            assertEquals(1, node.attemptCount(node.submit(TestNode.SAFE)), "request " + i + " of the bunch");
+            assertEquals(1, node.attemptCount(node.submit(TestNode.SAFE)), "request " + i + " of the burst");
         }
     }
 
-    /** Guards i39f6d5 at size: a tenant's flood took what was lent for bunches inside the shares. */
+    /**
+     * Guards against issue i39f6d5 in a large fleet: the flood of one tenant used the burst capacity meant for
+     * requests within their shares.
+     */
     @Test
     void sparseNodeAllowsSmallerBurstForOverShareTenant() {
         int[] sent = new int[2];
         for (int tenant = 0; tenant < 2; tenant++) {
-            Settings set = TestNode.settings();
-            set.nodes = NODES;
-            set.nodeIndex = 3;
-            set.tenants.clear();
-            set.overShareWorth = 0.1;
-            set.tenants.add(new Balancer.Tenant("greedy", 1));
-            set.tenants.add(new Balancer.Tenant("modest", 100_000));
-            TestNode node = new TestNode(set, 103).withServers(SERVERS);
+            Settings settings = TestNode.settings();
+            settings.nodes = NODES;
+            settings.nodeIndex = 3;
+            settings.tenants.clear();
+            settings.overShareWorth = 0.1;
+            settings.tenants.add(new Balancer.Tenant("greedy", 1));
+            settings.tenants.add(new Balancer.Tenant("modest", 100_000));
+            TestNode node = new TestNode(settings, 103).withServers(SERVERS);
             for (int i = 0; i < 100; i++) {
                 long id = node.submit(TestNode.UNSAFE, 1, 1_000_000);
-                // One answer in five comes late.
+                // One answer in five is late.
                 if (node.attemptCount(id) > 0) {
                     node.complete(id, Result.OK, i % 5 == 3 ? 210_000 : 5_000);
                 }
@@ -260,6 +270,6 @@
             }
             sent[tenant] = node.sent.size() - before;
         }
-        assertTrue(sent[0] < sent[1], "sent beyond the share and inside: " + sent[0] + " and " + sent[1]);
+        assertTrue(sent[0] < sent[1], "sent beyond and within the share: " + sent[0] + " and " + sent[1]);
     }
 }
--- a/src/test/java/kitemux/LateNodeTest.java
+++ b/src/test/java/kitemux/LateNodeTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a node that is behind does with requests that it reads late; their aim is 200 ms after they came. */
+/** Handling of requests that a node which is behind reads late. The target latency is 200 ms after their arrival. */
 class LateNodeTest {
     private static final long NEXT_REQUEST_ID = 1_000;
 
@@ -57,7 +57,7 @@
         }
         submit(node, TestNode.UNSAFE, 150_000);
         assertEquals(0, node.attemptCount(NEXT_REQUEST_ID));
-        assertEquals(List.of(NEXT_REQUEST_ID), node.refused, "harmless to try again");
+        assertEquals(List.of(NEXT_REQUEST_ID), node.refused, "a retry is harmless");
     }
 
     @Test
@@ -71,6 +71,6 @@
         assertEquals(1, node.attemptCount(NEXT_REQUEST_ID));
         assertTrue(
                 node.lastAttempt(NEXT_REQUEST_ID).untilUs() > node.now + 800_000,
-                "its deadline is what the client waits");
+                "the deadline follows the waiting time of the client");
     }
 }
--- a/src/test/java/kitemux/ManyNodesTest.java
+++ b/src/test/java/kitemux/ManyNodesTest.java
@@ -12,7 +12,7 @@
 import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
-/** What a node that shares its servers with many others does in a storm. */
+/** Behaviour under overload of a node that shares its servers with many others. */
 class ManyNodesTest {
     private static final int CHEAP = 0;
     private static final int VALUABLE = 1;
@@ -22,13 +22,14 @@
         return new RequestClass(name, 200_000, 0, 1_000_000, worth, 0, RetrySafety.UNSAFE, DedupScope.ALL, 0, false);
     }
 
+    /** Returns a node that has already completed 100 requests with the given latency. */
     private static TestNode warmedUpNode(int nodeCount, int serverCount, long usualUs) {
-        Settings set = TestNode.settings();
-        set.nodes = nodeCount;
-        set.classes.clear();
-        set.classes.add(requestClass("cheap", 1));
-        set.classes.add(requestClass("dear", 5));
-        TestNode node = new TestNode(set, 5).withServers(serverCount);
+        Settings settings = TestNode.settings();
+        settings.nodes = nodeCount;
+        settings.classes.clear();
+        settings.classes.add(requestClass("cheap", 1));
+        settings.classes.add(requestClass("valuable", 5));
+        TestNode node = new TestNode(settings, 5).withServers(serverCount);
         for (int i = 0; i < 100; i++) {
             node.advance(2_000_000);
             node.submitAndComplete(i % 2, Result.OK, usualUs);
@@ -36,7 +37,7 @@
         return node;
     }
 
-    /** Asks for cheap ones until one has to wait; those that are out. */
+    /** Submits cheap requests until one has to wait, and returns the ids of those in flight. */
     private static List<Long> fillServers(TestNode node) {
         List<Long> inFlight = new ArrayList<>();
         long id = node.submit(CHEAP);
@@ -60,7 +61,7 @@
             node.complete(id, Result.OK, 0);
         }
         node.advance(50_000);
-        assertEquals(1, node.attemptCount(valuable), "140 ms before its aim, of which it takes 80");
+        assertEquals(1, node.attemptCount(valuable), "140 ms before its target, with a latency of 80 ms");
     }
 
     @Test
@@ -69,7 +70,7 @@
         fillServers(node);
         long cheap = node.submit(CHEAP);
         node.advance(70_000);
-        assertTrue(node.refused.contains(cheap), "130 ms before its aim");
+        assertTrue(node.refused.contains(cheap), "130 ms before its target");
     }
 
     @Test
@@ -82,7 +83,7 @@
         node.advance(130_000);
         long valuable = node.submit(VALUABLE);
         node.advance(60_000);
-        assertTrue(node.refused.contains(valuable), "most of its class waited in vain");
+        assertTrue(node.refused.contains(valuable), "most requests of its class went unserved");
     }
 
     @Test
@@ -94,10 +95,10 @@
                 .distinct()
                 .toList();
         assertTrue(silent.size() >= 3 && silent.size() < 8, silent.toString());
-        // Four times the usual latency has passed, and none has said anything.
+        // Four times the usual latency has passed without an answer.
         node.advance(60_000);
         List<Long> more = fillServers(node);
-        assertTrue(more.size() >= 2, "of " + silent.size() + " silent servers, more: " + more.size());
+        assertTrue(more.size() >= 2, "silent servers: " + silent.size() + ", further requests sent: " + more.size());
         assertTrue(more.stream()
                 .noneMatch(id -> silent.contains(node.lastAttempt(id).server())));
     }
--- a/src/test/java/kitemux/MechanismTest.java
+++ b/src/test/java/kitemux/MechanismTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The ordinary path of DESIGN: weighted draws, own requests in flight, counting, pass-on, deferral. */
+/** The ordinary path: weighted draws, own requests in flight, error counts, retries, and the queue. */
 class MechanismTest {
 
     @Test
@@ -46,14 +46,14 @@
     void emptierServerIsChosenDespiteAnError() {
         TestNode node = new TestNode().withServers(2);
         long id = node.submit(TestNode.UNSAFE);
-        String bad = node.lastAttempt(id).server();
+        String failed = node.lastAttempt(id).server();
         node.complete(id, Result.ERROR, 1_000);
         long held = node.submit(TestNode.SAFE);
         String other = node.lastAttempt(held).server();
-        // With one error the draw of two still sees both; the emptier one takes it.
+        // After one error both servers are still drawn; the one with fewer requests in flight receives the request.
         String emptier = other.equals("s0") ? "s1" : "s0";
         assertEquals(emptier, node.lastAttempt(node.submit(TestNode.SAFE)).server());
-        assertTrue(List.of("s0", "s1").contains(bad));
+        assertTrue(List.of("s0", "s1").contains(failed));
     }
 
     @Test
@@ -105,17 +105,17 @@
 
     @Test
     void serverAtLimitIsSkippedAndQueueServesHighestWorthFirst() {
-        Settings set = TestNode.settings();
-        set.classes.add(new Balancer.RequestClass(
-                "dear", 200_000, 0, 1_000_000, 9, 0, Balancer.RetrySafety.SAFE, Balancer.DedupScope.ALL, 0, false));
-        set.nodes = 2;
-        TestNode node = new TestNode(set, 3).withServers(2);
+        Settings settings = TestNode.settings();
+        settings.classes.add(new Balancer.RequestClass(
+                "valuable", 200_000, 0, 1_000_000, 9, 0, Balancer.RetrySafety.SAFE, Balancer.DedupScope.ALL, 0, false));
+        settings.nodes = 2;
+        TestNode node = new TestNode(settings, 3).withServers(2);
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             ids.add(node.submit(TestNode.SAFE));
         }
         long valuable = node.submit(5);
-        // Two nodes start with room for two each at two servers: the fifth request and the dear one wait.
+        // Each of two nodes starts with a limit of two at each of two servers: the fifth and the valuable request wait.
         assertEquals(4, node.sent.size());
         node.complete(ids.get(0), Result.OK, 10_000);
         assertEquals(valuable, node.sent.get(4).request());
@@ -141,12 +141,12 @@
 
     @Test
     void overShareTenantWaitsBehindTenantWithinShare() {
-        Settings set = TestNode.settings();
-        set.tenants.clear();
-        set.overShareWorth = 0.1;
-        set.tenants.add(new Balancer.Tenant("greedy", 1));
-        set.tenants.add(new Balancer.Tenant("modest", 100));
-        TestNode node = new TestNode(set, 3).withServers(1);
+        Settings settings = TestNode.settings();
+        settings.tenants.clear();
+        settings.overShareWorth = 0.1;
+        settings.tenants.add(new Balancer.Tenant("greedy", 1));
+        settings.tenants.add(new Balancer.Tenant("modest", 100));
+        TestNode node = new TestNode(settings, 3).withServers(1);
         List<Long> first = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             first.add(node.submit(TestNode.SAFE, 1, 1_000_000));
@@ -168,31 +168,37 @@
                         .toList());
     }
 
+    /**
+     * Guards against issue i39f6d5: the flood of one tenant filled the limits, and requests of other tenants within
+     * their shares were refused.
+     */
     @Test
     void overShareRequestsLeaveCapacityForRequestsWithinShare() {
-        // Guards i39f6d5: one tenant's flood filled the limits, and others inside their shares were refused.
-        Settings set = TestNode.settings();
-        set.tenants.clear();
-        set.overShareWorth = 0.1;
-        set.tenants.add(new Balancer.Tenant("greedy", 1));
-        set.tenants.add(new Balancer.Tenant("modest", 100));
-        TestNode node = new TestNode(set, 3).withServers(2);
+        Settings settings = TestNode.settings();
+        settings.tenants.clear();
+        settings.overShareWorth = 0.1;
+        settings.tenants.add(new Balancer.Tenant("greedy", 1));
+        settings.tenants.add(new Balancer.Tenant("modest", 100));
+        TestNode node = new TestNode(settings, 3).withServers(2);
         for (int i = 0; i < 40; i++) {
             node.submit(TestNode.SAFE, 0, 1_000_000);
         }
-        // Two servers start with limits of four: half of that, and the one request inside the share.
+        // Two servers start with limits of four: half of these for the flood, and one request within the share.
         int flood = node.sent.size();
-        assertTrue(flood >= 4 && flood <= 5, "sent of the flood: " + flood);
+        assertTrue(flood >= 4 && flood <= 5, "requests of the flood sent: " + flood);
         for (int i = 0; i < 3; i++) {
-            assertEquals(1, node.attemptCount(node.submit(TestNode.SAFE, 1, 1_000_000)), "request " + i + " inside");
+            assertEquals(
+                    1,
+                    node.attemptCount(node.submit(TestNode.SAFE, 1, 1_000_000)),
+                    "request " + i + " within the share");
         }
     }
 
     @Test
     void serverWithLimitUnderOneIsPaced() {
-        Settings set = TestNode.settings();
-        set.nodes = 8;
-        TestNode node = new TestNode(set, 3).withServers(1);
+        Settings settings = TestNode.settings();
+        settings.nodes = 8;
+        TestNode node = new TestNode(settings, 3).withServers(1);
         node.submitAndComplete(TestNode.SAFE, Result.OK, 60_000);
         long id = node.submit(TestNode.SAFE);
         node.advance(20_000);
@@ -201,12 +207,12 @@
         assertEquals(1, node.attemptCount(id));
     }
 
+    /** Guards against overload of the whole fleet by one request from each node at every server. */
     @Test
     void requestsInFlightStayWithinSumOfServerLimits() {
-        // Guards a fleet whose servers choke: one request from each node at every server choked the fleet.
-        Settings set = TestNode.settings();
-        set.nodes = 8;
-        TestNode node = new TestNode(set, 3).withServers(8);
+        Settings settings = TestNode.settings();
+        settings.nodes = 8;
+        TestNode node = new TestNode(settings, 3).withServers(8);
         for (int i = 0; i < 8; i++) {
             node.submit(TestNode.SAFE);
         }
@@ -215,9 +221,9 @@
 
     @Test
     void answersFarSlowerThanClassMinimumLowerLimitDespiteDistantTarget() {
-        Settings set = TestNode.settings();
-        set.classes.add(new Balancer.RequestClass(
-                "patient",
+        Settings settings = TestNode.settings();
+        settings.classes.add(new Balancer.RequestClass(
+                "distant-target",
                 20_000_000,
                 0,
                 30_000_000,
@@ -227,7 +233,7 @@
                 Balancer.DedupScope.ALL,
                 0,
                 false));
-        TestNode node = new TestNode(set, 3).withServers(1);
+        TestNode node = new TestNode(settings, 3).withServers(1);
         for (int i = 0; i < 80; i++) {
             node.submitAndComplete(5, Result.OK, i < 40 ? 10_000 : 200_000);
         }
@@ -239,8 +245,9 @@
     }
 
     /**
-     * With the mark at half a usual latency, an overloaded fleet answered mostly late. Where
-     * servers take longer than the aim, something may still wait a while.
+     * Guards against late refusals: when requests were refused at half a usual latency before the target, an
+     * overloaded fleet answered mostly late. Where servers take longer than the target, a request may still wait for
+     * a while.
      */
     @ParameterizedTest
     @CsvSource({"50000, 80000", "250000, 30000"})
@@ -258,7 +265,8 @@
     }
 
     /**
-     * Guards i8c4c9a: while half of the answers came late, timely ones raised limits again and held the jam.
+     * Guards against issue i8c4c9a: while half of the answers were late, timely ones raised limits again and
+     * sustained the congestion.
      */
     @Test
     void timelyAnswersRaiseLimitsLessWhileOthersAreLate() {
@@ -288,9 +296,10 @@
             }
             sent[late] = node.attemptCountTo("s1") - before;
         }
-        assertTrue(sent[1] < sent[0] * 2 / 3, "held by the quick server: " + sent[1] + " and " + sent[0]);
+        assertTrue(sent[1] < sent[0] * 2 / 3, "sent to the fast server: " + sent[1] + " and " + sent[0]);
     }
 
+    /** Completes one request of the burst that was sent to this server; returns whether there was one. */
     private static boolean completeOneAt(TestNode node, List<Long> burst, String server) {
         for (long id : burst) {
             if (node.lastAttempt(id) != null && node.lastAttempt(id).server().equals(server)) {
--- a/src/test/java/kitemux/RandomEventsTest.java
+++ b/src/test/java/kitemux/RandomEventsTest.java
@@ -24,17 +24,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long odd sequences of events with fixed seeds; what the module does is held against all four rules. */
+/** Sends long random event sequences with fixed seeds and checks the module's actions against all four rules. */
 class RandomEventsTest {
 
-    /** An attempt as the judge knows it. */
+    /** An attempt as the rule checker knows it. */
     private static final class Attempt {
         ServerEntry server;
         long sentAt;
         Result result;
     }
 
-    /** A request as the judge knows it. */
+    /** A request as the rule checker knows it. */
     private static final class TrackedRequest {
         RequestClass requestClass;
         long deadlineAt;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Plays a node's part and fails the test on the first broken rule. */
+    /** Acts as the node and fails the test on the first violated rule. */
     private static final class RuleChecker implements Balancer.Actions {
         final SplittableRandom random;
         final Settings settings = TestNode.settings();
@@ -101,26 +101,27 @@
                     .append('\n');
             TrackedRequest request = requests.get(requestId);
             ServerEntry server = servers.get(serverId);
-            assertNotNull(request, "a request that is held");
-            assertFalse(request.finished, "rule 1: nothing is sent after the end");
-            assertTrue(untilUs <= request.deadlineAt, "rule 1: inside the client's time");
-            assertTrue(now < request.deadlineAt, "rule 1: time is left");
+            assertNotNull(request, "the request is known and has not been removed");
+            assertFalse(request.finished, "rule 1: nothing is sent after the final answer");
+            assertTrue(untilUs <= request.deadlineAt, "rule 1: the attempt ends before the deadline");
+            assertTrue(now < request.deadlineAt, "rule 1: the deadline has not passed");
             assertTrue(request.attempts.size() < settings.maxAttempts);
-            Attempt binding = request.firstPossiblyExecutedAttempt();
-            if (binding != null) {
+            Attempt executedAttempt = request.firstPossiblyExecutedAttempt();
+            if (executedAttempt != null) {
                 assertTrue(
                         request.requestClass.retrySafety() != RetrySafety.UNSAFE,
-                        "rule 2: an unsafe request may have run");
+                        "rule 2: an unsafe request that may have run is not retried");
                 if (request.requestClass.retrySafety() == RetrySafety.KEYED) {
                     assertTrue(
-                            now <= binding.sentAt + request.requestClass.dedupWindowUs(), "rule 2: inside the window");
+                            now <= executedAttempt.sentAt + request.requestClass.dedupWindowUs(),
+                            "rule 2: the retry is within the dedup window");
                     assertTrue(
-                            sameGroup(request.requestClass.dedupScope(), binding.server, server),
-                            "rule 2: in the group");
+                            sameGroup(request.requestClass.dedupScope(), executedAttempt.server, server),
+                            "rule 2: the retry is within the dedup scope");
                 }
                 assertTrue(settings.hedgingAllowed || request.attempts.stream().allMatch(a -> a.result != null));
             }
-            assertTrue(server.state() == ServerState.READY, "rule 3: nothing to a draining or gone server");
+            assertTrue(server.state() == ServerState.READY, "rule 3: nothing is sent to a draining or gone server");
             if (server.startedAtUs() > 0 && now < server.startedAtUs() + settings.warmUpUs) {
                 coldSends.computeIfAbsent(server, k -> new ArrayList<>()).add(new long[] {now, readyServerCount()});
             }
@@ -151,14 +152,14 @@
             trace.append(now).append(refusal ? " refuse " : " fail ").append(id).append('\n');
             TrackedRequest request = requests.get(id);
             assertNotNull(request);
-            assertFalse(request.finished, "rule 1: one final answer only");
+            assertFalse(request.finished, "rule 1: there is only one final answer");
             assertTrue(now <= request.deadlineAt + settings.tickUs, "rule 1: the answer comes in time");
             if (refusal && request.firstPossiblyExecutedAttempt() != null) {
                 assertTrue(
                         request.requestClass.retrySafety() == RetrySafety.SAFE
                                 || request.requestClass.retrySafety() == RetrySafety.KEYED
                                         && request.requestClass.dedupScope() == DedupScope.ALL,
-                        "rule 2: a refusal promises that trying again is harmless");
+                        "rule 2: a refusal promises that a retry is harmless");
             }
             request.finished = true;
             finalAnswerCount++;
@@ -280,7 +281,7 @@
                 long at = done < events ? nextEvent : Long.MAX_VALUE;
                 at = Math.min(at, answers.isEmpty() ? Long.MAX_VALUE : answers.peek()[0]);
                 at = Math.min(at, wakeUps.isEmpty() ? Long.MAX_VALUE : wakeUps.peek());
-                assertTrue(at < Long.MAX_VALUE, "rule 1: requests held and nothing to wake the module");
+                assertTrue(at < Long.MAX_VALUE, "rule 1: requests are pending and no wake-up is scheduled");
                 now = Math.max(now, at);
                 if (!answers.isEmpty() && answers.peek()[0] <= now) {
                     complete(answers.poll());
@@ -330,26 +331,29 @@
         RuleChecker checker = new RuleChecker(seed);
         checker.run(1_500);
         assertEquals(
-                checker.requests.size(), checker.finalAnswerCount, "rule 1: every request has its one final answer");
-        assertTrue(checker.servedCount > 100, "the run must do real work: " + checker.servedCount);
-        // Rule 4: in any span this node stays under its part of the multiple of what a cold server can
-        // do, taking its answers over the servers then ready (three at most: many are always gone) as its
-        // part of what a warm one does; two requests more are chance.
+                checker.requests.size(),
+                checker.finalAnswerCount,
+                "rule 1: every request has exactly one final answer");
+        assertTrue(checker.servedCount > 100, "the run must serve requests: " + checker.servedCount);
+        // Rule 4: over any period this node stays below its part of the overload ratio times the capacity of a cold
+        // server. Its answers, divided by the servers then ready (three at most, since many are always gone), measure
+        // its part of the capacity of a warm server. Two additional requests are chance.
         double rate = checker.servedCount / ((checker.now - 5_000_000) / 1e6);
-        Settings set = checker.settings;
+        Settings settings = checker.settings;
         checker.coldSends.forEach((start, sends) -> {
             for (long[] first : sends) {
                 List<long[]> span = sends.stream()
-                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.overloadWindowUs)
+                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + settings.overloadWindowUs)
                         .toList();
                 double ready =
                         Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
-                double age =
-                        Math.min(1, (first[0] + set.overloadWindowUs - start.startedAtUs()) / (double) set.warmUpUs);
-                double share = set.coldCapacityRatio + (1 - set.coldCapacityRatio) * age;
+                double age = Math.min(
+                        1, (first[0] + settings.overloadWindowUs - start.startedAtUs()) / (double) settings.warmUpUs);
+                double share = settings.coldCapacityRatio + (1 - settings.coldCapacityRatio) * age;
                 assertTrue(
-                        span.size() - 2 <= set.overloadRatio * share * rate / ready * set.overloadWindowUs / 1e6,
-                        "rule 4: " + span.size() + " sends in one span");
+                        span.size() - 2
+                                <= settings.overloadRatio * share * rate / ready * settings.overloadWindowUs / 1e6,
+                        "rule 4: " + span.size() + " sends in one period");
             }
         });
     }
--- a/src/test/java/kitemux/RulesTest.java
+++ b/src/test/java/kitemux/RulesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Rules 1 to 3 in named cases. */
+/** Rules 1 to 3 in individual cases. */
 class RulesTest {
 
     private static ServerEntry server(String id, int zone, int cell, ServerState state) {
@@ -49,6 +49,10 @@
         "4, CANCELLED, failed",
         "4, MOOT, again"
     })
+
+    /**
+     * After a first attempt with this result, either a second attempt follows or the request has this final answer.
+     */
     void retriesFollowTheRequestClass(int classIndex, Result result, String expected) {
         TestNode node = new TestNode().withServers(4);
         long id = node.submit(classIndex);
@@ -181,46 +185,52 @@
 
     @Test
     void listIsRequestedImmediatelyAndAgainAfterFailuresWithJitteredBackoff() {
-        Settings set = TestNode.settings();
-        set.listOnRequest = true;
-        TestNode node = new TestNode(set, 1).withServers(1);
+        Settings settings = TestNode.settings();
+        settings.listOnRequest = true;
+        TestNode node = new TestNode(settings, 1).withServers(1);
         assertEquals(1, node.subscriptions);
         for (int failures = 1; failures <= 6; failures++) {
             node.balancer.onListFailed(node.now);
             assertEquals(failures, node.subscriptions);
-            node.advance(set.askWithinUs / 2);
+            node.advance(settings.askWithinUs / 2);
             assertEquals(failures + 1, node.subscriptions);
         }
         node.updateServers(ListKind.CHANGES, List.of());
-        node.advance(10 * set.askWithinUs);
+        node.advance(10 * settings.askWithinUs);
         assertEquals(7, node.subscriptions);
     }
 
-    /** Watches of all nodes may end at once, and calls are taken in turn: the last has to hear in time. */
+    /**
+     * The watches of all nodes may end at once, and list requests are answered in turn: the last node must hear in
+     * time.
+     */
     @Test
     void listIsRequestedWithin100MsAfterWatchEnds() {
         for (int seed = 1; seed <= 100; seed++) {
-            Settings set = TestNode.settings();
-            set.listOnRequest = true;
-            TestNode node = new TestNode(set, seed).withServers(1);
+            Settings settings = TestNode.settings();
+            settings.listOnRequest = true;
+            TestNode node = new TestNode(settings, seed).withServers(1);
             for (int watches = 1; watches <= 3; watches++) {
                 node.updateServers(ListKind.CHANGES, List.of());
                 node.balancer.onListFailed(node.now);
-                assertEquals(watches, node.subscriptions, "nodes would ask together");
+                assertEquals(watches, node.subscriptions, "nodes would request the list together");
                 node.advance(100_000);
                 assertEquals(watches + 1, node.subscriptions, "seed " + seed);
             }
         }
     }
 
-    /** What discovery has at its return counts as told 6 s later, and a call that it was down for may last
-     * 4 s: however long it was down, the wait and the next call's turn have 2 s. */
+    /**
+     * The list that discovery has at its return counts as announced 6 s later, and a request that discovery is down
+     * for may last 4 s. However long discovery was down, 2 s remain for the backoff and for the turn of the next
+     * request.
+     */
     @Test
     void listIsRequestedWithinOneSecondAfterAnyNumberOfFailures() {
         for (int seed = 1; seed <= 100; seed++) {
-            Settings set = TestNode.settings();
-            set.listOnRequest = true;
-            TestNode node = new TestNode(set, seed).withServers(1);
+            Settings settings = TestNode.settings();
+            settings.listOnRequest = true;
+            TestNode node = new TestNode(settings, seed).withServers(1);
             for (int failures = 1; failures <= 10; failures++) {
                 node.balancer.onListFailed(node.now);
                 node.advance(1_000_000);
@@ -231,10 +241,10 @@
 
     @Test
     void unansweredListRequestIsRepeatedWithinAllowedTime() {
-        Settings set = TestNode.settings();
-        set.listOnRequest = true;
-        TestNode node = new TestNode(set, 1).withServers(1);
-        node.advance(set.askWithinUs - 1);
+        Settings settings = TestNode.settings();
+        settings.listOnRequest = true;
+        TestNode node = new TestNode(settings, 1).withServers(1);
+        node.advance(settings.askWithinUs - 1);
         assertTrue(node.subscriptions >= 2);
     }
 
--- a/src/test/java/kitemux/SilenceTest.java
+++ b/src/test/java/kitemux/SilenceTest.java
@@ -11,12 +11,12 @@
 import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
-/** Exceptions: silence counts while an attempt is out, hedges, health by class. */
+/** Detection of silent attempts, hedging, and health by class. */
 class SilenceTest {
     private static final long USUAL_US = 10_000;
 
-    private static TestNode warmedUpNode(Settings set, int serverCount) {
-        TestNode node = new TestNode(set, 11).withServers(serverCount);
+    private static TestNode warmedUpNode(Settings settings, int serverCount) {
+        TestNode node = new TestNode(settings, 11).withServers(serverCount);
         for (int i = 0; i < 200; i++) {
             node.submitAndComplete(i % 5, Result.OK, USUAL_US);
         }
@@ -27,7 +27,10 @@
         return node.logged.stream().anyMatch(l -> l.startsWith(prefix));
     }
 
-    /** Lets a request of this class go unanswered at {@code s0}, and answers all others. */
+    /**
+     * Leaves a request of this class unanswered if it is sent to {@code s0}, and otherwise completes it. Returns
+     * whether it was sent to {@code s0}.
+     */
     private static boolean reachesSilentServer(TestNode node, int classIndex) {
         long id = node.submit(classIndex);
         if (!node.lastAttempt(id).server().equals("s0")) {
@@ -35,7 +38,7 @@
             return false;
         }
         node.advance(30 * USUAL_US);
-        // The client leaves long before its deadline: no time-out ever tells.
+        // The client leaves long before its deadline, so no time-out ever reports the silence.
         node.balancer.onClientGone(node.now, id);
         node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.CANCELLED, 30 * USUAL_US, true, null));
         return true;
@@ -49,7 +52,7 @@
             lostCount += reachesSilentServer(node, TestNode.UNSAFE) ? 1 : 0;
         }
         assertTrue(hasLogged(node, "ejected server s0"), node.logged.toString());
-        assertTrue(lostCount <= 8, "lost at the silent server: " + lostCount);
+        assertTrue(lostCount <= 8, "requests lost at the silent server: " + lostCount);
     }
 
     @Test
@@ -79,9 +82,9 @@
 
     @Test
     void nothingIsHedgedWhenHedgingIsNotAllowed() {
-        Settings set = TestNode.settings();
-        set.hedgingAllowed = false;
-        TestNode node = warmedUpNode(set, 4);
+        Settings settings = TestNode.settings();
+        settings.hedgingAllowed = false;
+        TestNode node = warmedUpNode(settings, 4);
         long id = node.submit(TestNode.SAFE);
         node.advance(10 * USUAL_US);
         assertEquals(1, node.attemptCount(id));
@@ -111,7 +114,7 @@
             ids.add(node.submit(TestNode.SAFE));
         }
         int sent = node.sent.size();
-        // The node stands still for a second; the late wake-up is handled first, then the answers.
+        // The node pauses for a second; the late wake-up is handled first, then the answers.
         node.now += 1_000_000 - 1;
         node.balancer.onWake(node.now);
         ids.forEach(id -> node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, USUAL_US, true, null)));
@@ -133,8 +136,8 @@
             node.complete(id, failing ? Result.ERROR : Result.OK, USUAL_US);
         }
         assertTrue(hasLogged(node, "ejected server s0 after 5 failures of class unsafe"), node.logged.toString());
-        assertTrue(failed <= 8, "failed at the server: " + failed);
-        assertTrue(served >= 40, "served by it in the other class: " + served);
+        assertTrue(failed <= 8, "requests failed at the server: " + failed);
+        assertTrue(served >= 40, "requests of the other class served: " + served);
     }
 
     @Test
@@ -152,7 +155,7 @@
         assertTrue(hasLogged(node, "restored server s0"), node.logged.toString());
     }
 
-    /** Guards against limits that rose until servers choked, as slow answers went unseen. */
+    /** Guards against limits that rose until servers were overloaded because slow answers were never observed. */
     @Test
     void longWaitsOfDepartedClientsLowerLimits() {
         int[] sentCount = new int[2];
@@ -176,6 +179,6 @@
         }
         assertTrue(
                 sentCount[1] < sentCount[0] && sentCount[1] <= 2,
-                "held at once: " + sentCount[1] + " and " + sentCount[0]);
+                "in flight at once: " + sentCount[1] + " and " + sentCount[0]);
     }
 }
--- a/src/test/java/kitemux/TestNode.java
+++ b/src/test/java/kitemux/TestNode.java
@@ -15,7 +15,7 @@
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
 
-/** A node for tests: a clock, a module and a record of what it asked for. */
+/** A node for tests: a clock, a decision module, and a record of the actions it requested. */
 final class TestNode implements Actions {
     static final int SAFE = 0;
     static final int KEYED_ALL = 1;
@@ -23,7 +23,7 @@
     static final int KEYED_CELL = 3;
     static final int UNSAFE = 4;
 
-    /** An attempt as it was asked for. */
+    /** An attempt that the module sent. */
     record SentAttempt(long atUs, long request, int attempt, String server, long untilUs) {}
 
     final Settings settings;
@@ -49,20 +49,23 @@
         this(settings(), 7);
     }
 
+    /**
+     * Returns settings with one class for each retry safety and dedup scope; the class constants are their indices.
+     */
     static Settings settings() {
-        Settings set = new Settings();
-        set.zones.add("here");
-        set.zones.add("there");
-        set.classes.add(requestClass("safe", RetrySafety.SAFE, DedupScope.ALL));
-        set.classes.add(requestClass("keyed-all", RetrySafety.KEYED, DedupScope.ALL));
-        set.classes.add(requestClass("keyed-zone", RetrySafety.KEYED, DedupScope.ZONE));
-        set.classes.add(requestClass("keyed-cell", RetrySafety.KEYED, DedupScope.CELL));
-        set.classes.add(requestClass("unsafe", RetrySafety.UNSAFE, DedupScope.ALL));
-        set.tenants.add(new Tenant("tenant", 0));
-        set.maxAttempts = 4;
-        set.hedgingAllowed = true;
-        set.cancellationAllowed = true;
-        return set;
+        Settings settings = new Settings();
+        settings.zones.add("here");
+        settings.zones.add("there");
+        settings.classes.add(requestClass("safe", RetrySafety.SAFE, DedupScope.ALL));
+        settings.classes.add(requestClass("keyed-all", RetrySafety.KEYED, DedupScope.ALL));
+        settings.classes.add(requestClass("keyed-zone", RetrySafety.KEYED, DedupScope.ZONE));
+        settings.classes.add(requestClass("keyed-cell", RetrySafety.KEYED, DedupScope.CELL));
+        settings.classes.add(requestClass("unsafe", RetrySafety.UNSAFE, DedupScope.ALL));
+        settings.tenants.add(new Tenant("tenant", 0));
+        settings.maxAttempts = 4;
+        settings.hedgingAllowed = true;
+        settings.cancellationAllowed = true;
+        return settings;
     }
 
     static RequestClass requestClass(String name, RetrySafety repeat, DedupScope group) {
@@ -73,7 +76,7 @@
         return new ServerEntry(id, 0, 0, ServerState.READY, 1, 0);
     }
 
-    /** Gives the first list: servers s0, s1, ... all warm, in one zone and cell. */
+    /** Reports the first list: servers s0, s1, ..., all warm, in one zone and cell. */
     TestNode withServers(int serverCount) {
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < serverCount; i++) {
@@ -82,11 +85,13 @@
         return updateServers(ListKind.CACHED, entries);
     }
 
+    /** Reports a server list. */
     TestNode updateServers(ListKind kind, List<ServerEntry> entries) {
         balancer.onServers(now, kind, entries);
         return this;
     }
 
+    /** Submits a request and returns its id. */
     long submit(int classIndex) {
         return submit(classIndex, 1_000_000);
     }
@@ -101,13 +106,14 @@
         return id;
     }
 
+    /** Submits a request with a key and returns its id. */
     long submitWithKey(String key, int classIndex) {
         long id = nextId++;
         balancer.onRequest(now, new Request(id, classIndex, 0, 1_000_000, 0, false, key));
         return id;
     }
 
-    /** The newest attempt of a request, or null. */
+    /** Returns the newest attempt of a request, or null. */
     SentAttempt lastAttempt(long request) {
         for (int i = sent.size() - 1; i >= 0; i--) {
             if (sent.get(i).request == request) {
@@ -125,7 +131,7 @@
         return sent.stream().filter(s -> s.server.equals(server)).count();
     }
 
-    /** Ends a request's newest attempt after some time. */
+    /** Ends the newest attempt of a request after a delay. */
     void complete(long request, Result result, long delayUs) {
         advance(delayUs);
         SentAttempt attempt = lastAttempt(request);
@@ -133,7 +139,7 @@
                 now, new Outcome(request, attempt.attempt, result, now - attempt.atUs, result == Result.OK, null));
     }
 
-    /** One request sent and ended; its server. */
+    /** Submits a request, ends its attempt, and returns the server it was sent to. */
     String submitAndComplete(int classIndex, Result result, long delayUs) {
         long id = submit(classIndex);
         String server = lastAttempt(id).server;
@@ -141,7 +147,7 @@
         return server;
     }
 
-    /** Moves the clock on, firing the wake-ups that come due. */
+    /** Advances the clock and fires the wake-ups that become due. */
     void advance(long durationUs) {
         long until = now + durationUs;
         while (true) {
--- a/src/test/java/kitemux/adapter/LinkTest.java
+++ b/src/test/java/kitemux/adapter/LinkTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter on small pieces of the wire. */
+/** The adapter on short inputs of the wire protocol. */
 class LinkTest {
     private static final String BOOT = "boot node=node-3 initSeed=5 balancers=1 classes.count=1"
             + " classes.0.name=view"
@@ -101,7 +101,7 @@
             run(BEGIN_BATCH + boot.replace("initSeed=5", "initSeed=" + seed) + list
                     + REQUEST.replace("novel=x", "routeKey=k:same") + "eob\n");
         }
-        // Whatever the seed, the key draws the same server.
+        // The key draws the same server for every seed.
         assertEquals(
                 1,
                 out.toString(StandardCharsets.UTF_8)
