--- a/src/main/java/kitemux/ServiceQBalancer.java
+++ b/src/main/java/kitemux/ServiceQBalancer.java
@@ -306,10 +306,10 @@
      */
     private static final int KEY_SLOTS_PER_SERVER_COUNT = 16;
 
-    /** Maximum number of queued keyed requests that are tried in vain at each event; it bounds CPU use. */
+    /** Maximum number of queued keyed requests that may fail to find a server at each event; bounds CPU use. */
     private static final int KEYED_TRIES_PER_EVENT_COUNT = 4;
 
-    /** Maximum number of queued keyed requests that are tried in vain at each sweep; it bounds CPU use. */
+    /** Maximum number of queued keyed requests that may fail to find a server at each sweep; bounds CPU use. */
     private static final int KEYED_TRIES_PER_SWEEP_COUNT = 64;
 
     /** Orders the queue by falling value. */
@@ -328,8 +328,8 @@
     private double limitDecreaseRatio;
 
     /**
-     * Whether so many nodes share a server that this node's own requests in flight say little about the server's
-     * load.
+     * Whether a server is shared by many nodes, so that this node's own requests in flight say little about the
+     * server's load.
      */
     private boolean sparse;
 
@@ -785,8 +785,8 @@
      * Returns this node's subset by consistent assignment. As in Maglev hashing, the servers take turns in claiming
      * slots of a table of rows, each in an order of its own, and node i uses row i modulo the number of rows. All
      * servers get about the same number of nodes, every node computes the same table from the same list, and a change
-     * of the list moves few slots. A row for each node would take much CPU in a large fleet; too few rows would be
-     * shared unevenly by the nodes.
+     * of the list moves few slots. A row for each node takes much CPU in a large fleet, while a small number of nodes
+     * would share rows unevenly.
      */
     private List<Server> pickSubset(Server[] candidates, int size) {
         if (size == candidates.length) {
@@ -884,7 +884,8 @@
             scheduleWake();
             return;
         }
-        // The queue is empty, or it holds keyed requests, which are tried at each answer.
+        // Either no request waits, or this one has a key: keyed requests that wait for the same servers are tried at
+        // each event.
         boolean mayBypassQueue = queue.isEmpty() || pending.keySeed != 0;
         Server server = mayBypassQueue && now < pending.deadlineAt ? selectServer(pending) : null;
         if (server != null) {
@@ -1387,7 +1388,7 @@
     /**
      * Sends queued requests as far as servers allow, and ends those that are too late.
      *
-     * @param keyedTriesLeft maximum number of keyed requests that are tried in vain
+     * @param keyedTriesLeft maximum number of keyed requests that may fail to find a server
      */
     private void serveQueue(int keyedTriesLeft) {
         int keptCount = 0;
--- a/src/test/java/kitemux/HealthTest.java
+++ b/src/test/java/kitemux/HealthTest.java
@@ -144,20 +144,20 @@
             } while (node.lastAttempt(burst.get(burst.size() - 1)) != null && burst.size() < 40);
             burst.forEach(id -> node.complete(id, Result.OK, 100));
         }
-        List<Long> crowd = new ArrayList<>();
+        List<Long> overloadRequests = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
-            crowd.add(node.submit(TestNode.SAFE, 30_000));
+            overloadRequests.add(node.submit(TestNode.SAFE, 30_000));
         }
         for (String server : List.of("s0", "s1")) {
-            long answered = crowd.stream()
+            long answered = overloadRequests.stream()
                     .filter(id -> node.lastAttempt(id).server().equals(server))
                     .findFirst()
                     .get();
             node.complete(answered, Result.OK, 1_000);
-            crowd.remove(answered);
+            overloadRequests.remove(answered);
         }
         node.advance(28_000);
-        crowd.forEach(id -> node.complete(id, Result.TIMEOUT, 0));
+        overloadRequests.forEach(id -> node.complete(id, Result.TIMEOUT, 0));
         assertTrue(node.logged.stream().noneMatch(l -> l.startsWith("ejected")), node.logged.toString());
     }
 
