--- a/src/test/java/kitemux/ManyNodesTest.java
+++ b/src/test/java/kitemux/ManyNodesTest.java
@@ -28,7 +28,7 @@
         settings.nodes = nodeCount;
         settings.classes.clear();
         settings.classes.add(requestClass("cheap", 1));
-        settings.classes.add(requestClass("valuable", 5));
+        settings.classes.add(requestClass("dear", 5));
         TestNode node = new TestNode(settings, 5).withServers(serverCount);
         for (int i = 0; i < 100; i++) {
             node.advance(2_000_000);
--- a/src/test/java/kitemux/MechanismTest.java
+++ b/src/test/java/kitemux/MechanismTest.java
@@ -107,7 +107,7 @@
     void serverAtLimitIsSkippedAndQueueServesHighestWorthFirst() {
         Settings settings = TestNode.settings();
         settings.classes.add(new Balancer.RequestClass(
-                "valuable", 200_000, 0, 1_000_000, 9, 0, Balancer.RetrySafety.SAFE, Balancer.DedupScope.ALL, 0, false));
+                "dear", 200_000, 0, 1_000_000, 9, 0, Balancer.RetrySafety.SAFE, Balancer.DedupScope.ALL, 0, false));
         settings.nodes = 2;
         TestNode node = new TestNode(settings, 3).withServers(2);
         List<Long> ids = new ArrayList<>();
@@ -223,7 +223,7 @@
     void answersFarSlowerThanClassMinimumLowerLimitDespiteDistantTarget() {
         Settings settings = TestNode.settings();
         settings.classes.add(new Balancer.RequestClass(
-                "distant-target",
+                "patient",
                 20_000_000,
                 0,
                 30_000_000,
