--- a/src/main/java/kitemux/cli/TryCommand.java
+++ b/src/main/java/kitemux/cli/TryCommand.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
-import kitemux.lab.Deeds;
-import kitemux.lab.Loopback;
+import kitemux.fleet.RunResult;
+import kitemux.lab.FaultScript;
+import kitemux.lab.LoopbackRun;
 import kitemux.plan.FleetFile;
 import kitemux.standin.Builds;
 import org.jline.terminal.Attributes;
@@ -74,8 +74,8 @@
                     "what is done, a line each, such as: 3s kill old-1; without a terminal this " + "is the only way")
     private Path script;
 
-    private final Loopback.Launcher launcher;
-    private final Deque<Deeds.Timed> deeds = new ArrayDeque<>();
+    private final LoopbackRun.Launcher launcher;
+    private final Deque<FaultScript.TimedAction> deeds = new ArrayDeque<>();
     private final ConcurrentLinkedQueue<Integer> keys = new ConcurrentLinkedQueue<>();
     private final List<String> done = new ArrayList<>();
     private Fleet fleet;
@@ -88,7 +88,7 @@
         this(() -> Builds.java(List.of(), ownJar(), "node"));
     }
 
-    TryCommand(Loopback.Launcher launcher) {
+    TryCommand(LoopbackRun.Launcher launcher) {
         this.launcher = launcher;
     }
 
@@ -118,7 +118,7 @@
         if (script != null) {
             try {
                 List<String> inScript = new ArrayList<>();
-                deeds.addAll(Deeds.read(Files.readString(script), fleet, inScript));
+                deeds.addAll(FaultScript.parse(Files.readString(script), fleet, inScript));
                 inScript.forEach(fault -> faults.add(script + ": " + fault));
             } catch (IOException e) {
                 faults.add("--script: " + script + " cannot be read");
@@ -129,7 +129,7 @@
             spec.commandLine().getErr().flush();
             return Main.UNUSABLE;
         }
-        Result result;
+        RunResult result;
         if (script == null && System.console() != null) {
             result = inTerminal();
         } else {
@@ -143,7 +143,7 @@
         }
         summary(result, out);
         out.flush();
-        return result.breaks() == 0 ? Main.DONE : Main.FOUND;
+        return result.violationCount() == 0 ? Main.DONE : Main.FOUND;
     }
 
     private static Fleet fleet(double seconds) throws IOException {
@@ -155,18 +155,18 @@
         }
         Fleet.Load load = read.load();
         return read.with(new Fleet.Load(
-                load.ratePerS(), (long) (seconds * 1e6), load.shape(), load.quotaPerS(), load.overShareWorth()));
+                load.ratePerS(), (long) (seconds * 1e6), load.profile(), load.quotaPerS(), load.overShareWorth()));
     }
 
     private interface Shown {
         void show(Emulation live, long nowUs);
     }
 
-    private Result play(Shown shown) throws IOException, InterruptedException {
-        return Loopback.play(fleet, 1, launcher, (live, nowUs) -> {
+    private RunResult play(Shown shown) throws IOException, InterruptedException {
+        return LoopbackRun.execute(fleet, 1, launcher, (live, nowUs) -> {
                     while (!deeds.isEmpty() && deeds.peek().atUs() <= nowUs) {
-                        Deeds.Timed next = deeds.poll();
-                        act(next.deed(), next.to(), live, nowUs);
+                        FaultScript.TimedAction next = deeds.poll();
+                        act(next.action(), next.target(), live, nowUs);
                     }
                     boolean goesOn = heed(live, nowUs);
                     shown.show(live, nowUs);
@@ -175,8 +175,8 @@
                 .result();
     }
 
-    private void act(Deeds.Deed deed, String to, Emulation live, long nowUs) {
-        Deeds.act(deed, to, fleet, live);
+    private void act(FaultScript.Action deed, String to, Emulation live, long nowUs) {
+        FaultScript.apply(deed, to, fleet, live);
         done.add(String.format(
                 Locale.ROOT, "%.1f s  %s %s", nowUs / 1e6, deed.name().toLowerCase(Locale.ROOT), to));
     }
@@ -190,17 +190,17 @@
             if (key == 'q' || key == 3) {
                 return false;
             }
-            List<Emulation.BoxNow> boxes = live.boxesNow();
+            List<Emulation.BoxStatus> boxes = live.boxStatuses();
             if (key >= '1' && key < '1' + boxes.size()) {
                 chosen = key - '1';
             }
-            for (Deeds.Deed deed : Deeds.Deed.values()) {
+            for (FaultScript.Action deed : FaultScript.Action.values()) {
                 if (deed.key().charAt(0) == key) {
                     act(
                             deed,
-                            deed.isToBox()
+                            deed.targetsBox()
                                     ? boxes.get(chosen).id()
-                                    : deed == Deeds.Deed.FLOOD
+                                    : deed == FaultScript.Action.FLOOD
                                             ? fleet.tenants()
                                                     .get(fleet.tenants().size() - 1)
                                                     .name()
@@ -213,7 +213,7 @@
         return true;
     }
 
-    private Result inTerminal() throws IOException, InterruptedException {
+    private RunResult inTerminal() throws IOException, InterruptedException {
         try (Terminal terminal = TerminalBuilder.builder().system(true).build()) {
             Attributes before = terminal.enterRawMode();
             NonBlockingReader reader = terminal.reader();
@@ -256,9 +256,9 @@
         List<String> lines = new ArrayList<>();
         lines.add(line(live, nowUs));
         lines.add("");
-        List<Emulation.BoxNow> boxes = live.boxesNow();
+        List<Emulation.BoxStatus> boxes = live.boxStatuses();
         for (int i = 0; i < boxes.size(); i++) {
-            Emulation.BoxNow box = boxes.get(i);
+            Emulation.BoxStatus box = boxes.get(i);
             lines.add(String.format(
                     Locale.ROOT,
                     "%s%d %-8s %-9s %3d%% warm  %-" + BAR + "s %3d held, %3d connections," + " %d done",
@@ -266,11 +266,11 @@
                     i + 1,
                     box.id(),
                     box.state(),
-                    Math.round(100 * box.warmth()),
-                    "#".repeat(Math.min(BAR, box.held())),
-                    box.held(),
+                    Math.round(100 * box.warmUpRatio()),
+                    "#".repeat(Math.min(BAR, box.inFlight())),
+                    box.inFlight(),
                     box.connections(),
-                    box.done()));
+                    box.completed()));
         }
         lines.add("");
         lines.add("number: server; k kill s silence l slow f fail d drain b back; r restart node; t " + "flood; q end");
@@ -279,36 +279,36 @@
     }
 
     private String line(Emulation live, long nowUs) {
-        Result now = live.result();
-        long refused = now.classes().stream().mapToLong(Result.OfClass::refused).sum();
-        long failed = now.classes().stream().mapToLong(Result.OfClass::failed).sum();
-        List<Double> seconds = now.bySecond();
+        RunResult now = live.result();
+        long refused = now.classes().stream().mapToLong(RunResult.ClassOutcome::refused).sum();
+        long failed = now.classes().stream().mapToLong(RunResult.ClassOutcome::failed).sum();
+        List<Double> seconds = now.inTimeBySecond();
         int second = (int) Math.min(seconds.size(), nowUs / 1_000_000) - 1;
         return String.format(
                 Locale.ROOT,
                 "%5.1f s  %d asked, %.3f in time, %.3f in the last second, %d refused, %d"
                         + " failed; node %s; servers %s; rules broken %d",
                 nowUs / 1e6,
-                now.wishes(),
-                now.inTime(),
+                now.requests(),
+                now.inTimeRatio(),
                 second < 0 ? 1 : seconds.get(second),
                 refused,
                 failed,
                 live.nodesUp().get(0) ? "up" : "down",
                 states(live),
-                now.breaks());
+                now.violationCount());
     }
 
     /** How many are in each state, the usual one last. */
     private static String states(Emulation live) {
         Map<String, Integer> counted = new TreeMap<>();
-        live.boxesNow().forEach(box -> counted.merge(box.state(), 1, Integer::sum));
+        live.boxStatuses().forEach(box -> counted.merge(box.state(), 1, Integer::sum));
         List<String> shown = new ArrayList<>();
         counted.forEach((state, count) -> shown.add(count + " " + state));
         return String.join(", ", shown);
     }
 
-    private void summary(Result result, PrintWriter out) {
+    private void summary(RunResult result, PrintWriter out) {
         out.println();
         done.forEach(deed -> out.println("  " + deed));
         result.classes()
@@ -321,18 +321,18 @@
                         of.late(),
                         of.refused(),
                         of.failed()));
-        for (int t = 0; t < result.byTenant().size(); t++) {
+        for (int t = 0; t < result.inTimeByTenant().size(); t++) {
             out.printf(
                     Locale.ROOT,
                     "%s: %.3f in time, of what is within its share%n",
                     fleet.tenants().get(t).name(),
-                    result.byTenant().get(t));
+                    result.inTimeByTenant().get(t));
         }
         for (String rule : RULES) {
             long told =
-                    result.told().stream().filter(line -> line.contains(rule)).count();
+                    result.violations().stream().filter(line -> line.contains(rule)).count();
             out.println(rule + ": " + (told == 0 ? "kept" : "BROKEN, " + told + " told of"));
         }
-        result.told().forEach(line -> out.println("  " + line));
+        result.violations().forEach(line -> out.println("  " + line));
     }
 }
--- a/src/main/java/kitemux/discovery/Discovery.java
+++ b/src/main/java/kitemux/discovery/Discovery.java
@@ -30,10 +30,10 @@
 import kitemux.Balancer.ServerState;
 import kitemux.config.ConfigException;
 import kitemux.config.Json;
-import kitemux.engine.Lists;
+import kitemux.engine.ServerListSource;
 import kitemux.engine.Log;
 import kitemux.net.HostList;
-import kitemux.net.ListLines;
+import kitemux.net.JsonFrameReader;
 import kitemux.net.Network;
 
 /**
@@ -44,29 +44,29 @@
  * the new place's comes up to a second later.
  *
  * <p>What it has at its return counts as told 6 s later. The longest chain up to its word: a call that it was
- * down for is over after 4 s at most ({@link #MOST_SILENCE_US}; a dial that hangs after 1 s), the module then
+ * down for is over after 4 s at most ({@link #MAX_SILENCE_US}; a dial that hangs after 1 s), the module then
  * waits for 1 s at most, and 1 s is left for the next call's turn. A call that failed in the last instant
  * before leaves 5 s. Open: where calls stand in turn for longer, as those of many nodes after a return may,
  * that is too late.
  */
-public final class Discovery implements Lists {
+public final class Discovery implements ServerListSource {
     /** What the watch tells. */
     public interface Listener {
         /** A list has come; its version is the one to go on from. */
-        void listed(HostList list);
+        void onList(HostList list);
 
         /** The watch is over, or could not begin; it is not opened again by itself. */
-        void failed(String reason);
+        void onFailure(String reason);
 
         /** Discovery is elsewhere from now on, and a watch opens there: what failed before tells nothing of
          * that place. */
-        default void moved() {}
+        default void onMoved() {}
     }
 
     /** Discovery writes every 2 s. A watch that is silent for so long is broken: what it misses counts as
      * told 6 s after it fell silent, by when another has to be open, and what is left is for the wait before
      * it and for a call among many. */
-    public static final long MOST_SILENCE_US = 4_000_000;
+    public static final long MAX_SILENCE_US = 4_000_000;
     /** Watches fall silent at all nodes at once, and discovery takes calls in turn: each watch has a patience
      * of its own, drawn between this part of the most and the most. That is one beat missed and a quarter of
      * one for its way. Harm: where a beat comes half a second late, some nodes call for nothing. */
@@ -126,7 +126,7 @@
         place = new Place(at, knownRev, true);
         dialer = new Bootstrap()
                 .group(loop)
-                .channelFactory(network::dialer)
+                .channelFactory(network::newOutboundChannel)
                 // Addresses only: no name is ever looked up, and no resolver kept for the loop.
                 .disableResolver()
                 .option(ChannelOption.ALLOCATOR, network.allocator())
@@ -193,12 +193,12 @@
      * Discovery is elsewhere from now on. A watch opens there at once; no failure is told of the old one.
      * Nothing says that versions mean the same at both places, so the whole list is asked for.
      */
-    public void moveTo(InetSocketAddress to) {
+    public void setAddress(InetSocketAddress to) {
         if (!to.equals(place.address)) {
-            log.line("discovery is at " + to + " now");
+            log.info("discovery is at " + to + " now");
             place = new Place(to, 0, false);
             if (wanted) {
-                listener.moved();
+                listener.onMoved();
                 subscribe();
             }
         }
@@ -206,7 +206,7 @@
 
     /** All of it is asked for once more, as after a watch that broke. */
     @Override
-    public void unusable() {
+    public void requestFullList() {
         place.revIsOfHere = false;
         if (former != null) {
             former.end();
@@ -214,7 +214,7 @@
         if (current != null) {
             current.broken(UNUSABLE);
         } else {
-            listener.failed(UNUSABLE);
+            listener.onFailure(UNUSABLE);
         }
     }
 
@@ -235,7 +235,7 @@
 
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final long patienceUs = patienceUs(mostSilenceUs, random);
-        private final ListLines lines = new ListLines();
+        private final JsonFrameReader lines = new JsonFrameReader();
         private final Place place;
         private Channel channel;
         private Future<?> silence;
@@ -289,7 +289,7 @@
             if (!over) {
                 end();
                 if (told) {
-                    listener.failed(reason);
+                    listener.onFailure(reason);
                 }
             }
         }
@@ -314,14 +314,14 @@
 
         /** Only what is whole is a sign of life: bytes that never make a list tell nothing. */
         private void read(ByteBuf bytes) {
-            ListLines.What what;
-            while (!over && (what = lines.next(bytes)) != ListLines.What.NOTHING) {
+            JsonFrameReader.Frame what;
+            while (!over && (what = lines.nextFrame(bytes)) != JsonFrameReader.Frame.INCOMPLETE) {
                 expectMore();
                 switch (what) {
-                    case LIST -> readList(lines.list());
+                    case OBJECT -> readList(lines.takeObject());
                     // A beat. As the first word it says that nothing has changed: the call has its answer.
-                    case BEAT -> heard(told || !place.revIsOfHere ? null : new HostList(place.rev, false, List.of()));
-                    default -> broken("bad line: " + lines.spoilt());
+                    case HEARTBEAT -> heard(told || !place.revIsOfHere ? null : new HostList(place.rev, false, List.of()));
+                    default -> broken("bad line: " + lines.malformedText());
                 }
             }
         }
@@ -336,7 +336,7 @@
 
         private void heard(HostList list) {
             HostList news = list;
-            if (list != null && list.rev() < place.heardRev) {
+            if (list != null && list.revision() < place.heardRev) {
                 news = older(list);
             } else if (list != null) {
                 note(list);
@@ -347,16 +347,16 @@
             }
             if (news != null) {
                 told = true;
-                place.rev = news.rev();
+                place.rev = news.revision();
                 place.revIsOfHere = true;
                 place.heardRev = place.rev;
                 if (this == current && former != null) {
                     former.end();
                 }
-                listener.listed(news);
+                listener.onList(news);
                 if (current == null && wanted) {
                     // It was the former's, and no watch follows it yet: one is still to be asked for.
-                    listener.failed("no watch yet in the place of the one that told this");
+                    listener.onFailure("no watch yet in the place of the one that told this");
                 }
             }
         }
@@ -371,7 +371,7 @@
          */
         private HostList older(HostList list) {
             if (lasting == null) {
-                log.line("discovery: its list is older than the one that it told; waiting for it to catch " + "up");
+                log.info("discovery: its list is older than the one that it told; waiting for it to catch " + "up");
                 lasting = loop.schedule(
                         () -> {
                             if (this == current) {
@@ -395,7 +395,7 @@
         }
 
         private void note(HostList list) {
-            if (list.all()) {
+            if (list.isFull()) {
                 startedAtUs.clear();
             }
             for (HostList.Host host : list.hosts()) {
--- a/src/main/java/kitemux/http/ClientConnection.java
+++ b/src/main/java/kitemux/http/ClientConnection.java
@@ -28,18 +28,18 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import kitemux.engine.Client;
+import kitemux.engine.ResponseSink;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
-import kitemux.net.Answer;
-import kitemux.net.LoopTime;
-import kitemux.net.QuietChannel;
+import kitemux.net.ServerResponse;
+import kitemux.net.EventLoopClock;
+import kitemux.net.InputAwareChannel;
 
 /**
  * A client's connection: one request at a time, further ones wait their turn. Behind what is turned down as
  * the client's error nothing is read or served, and the connection ends.
  */
-final class ClientConnection extends ChannelInboundHandlerAdapter implements Client<Answer> {
+final class ClientConnection extends ChannelInboundHandlerAdapter implements ResponseSink<ServerResponse> {
     private static final byte[] NO_BODY = {};
     /** Bytes of what was kept that are taken apart at once: fewer requests than may be sent ahead. */
     private static final int KEPT_PART = 512;
@@ -49,11 +49,11 @@
     private final long number;
 
     private final RequestReader reader;
-    private final Engine<ClientRequest, Answer> engine;
+    private final Engine<ClientRequest, ServerResponse> engine;
     private final Log log;
-    private final QuietChannel channel;
+    private final InputAwareChannel channel;
     private final Ticker ticker;
-    private final LoopTime time;
+    private final EventLoopClock time;
     /** The earliest that it may have come up: what is read at first may have come with it. */
     private final long openedUs;
 
@@ -75,7 +75,7 @@
     private ChannelHandlerContext gateContext;
 
     private HttpRequest head;
-    private Body body;
+    private RequestBody body;
     /** What is set aside for the body that comes, and for those that came and have had no answer. */
     private long comingBytes;
 
@@ -100,9 +100,9 @@
     /** Why this side closed it; null while it has not. */
     private CloseReason closeReason;
     /** The request that is open, as the engine knows it. */
-    private Engine.Held<ClientRequest, Answer> held;
+    private Engine.PendingRequest<ClientRequest, ServerResponse> held;
     /** What is passed on to the client as it comes, or null. */
-    private Answer passing;
+    private ServerResponse passing;
 
     /** A request, or the status that what came instead of one is owed. */
     private record Incoming(HttpRequest head, List<byte[]> body, long cameUs, HttpResponseStatus error) {}
@@ -111,10 +111,10 @@
             ClientServer server,
             long number,
             RequestReader reader,
-            Engine<ClientRequest, Answer> engine,
-            LoopTime time,
+            Engine<ClientRequest, ServerResponse> engine,
+            EventLoopClock time,
             Log log,
-            QuietChannel channel,
+            InputAwareChannel channel,
             long openedUs) {
         this.server = server;
         this.number = number;
@@ -161,7 +161,7 @@
                 context.fireChannelReadComplete();
                 // Not before all of it is taken apart: what has left the socket and is not known here yet
                 // would pass for an idle connection, which an answer to another may have to make room for.
-                time.runOverdue();
+                time.runOverdueTimers();
             }
         };
     }
@@ -179,7 +179,7 @@
     private void drop(ByteBuf bytes) {
         dropped += bytes.readableBytes();
         bytes.release();
-        if (dropped > Limits.MOST_DROPPED && (busy || !waiting.isEmpty())) {
+        if (dropped > Limits.MAX_DISCARDED_BYTES && (busy || !waiting.isEmpty())) {
             channel.config().setAutoRead(false);
         }
     }
@@ -195,7 +195,7 @@
         bytes.release();
         boolean room = server.setAside(more);
         aheadBytes += room ? more : 0;
-        if (!room || ahead.readableBytes() >= Limits.MOST_AHEAD_BYTES) {
+        if (!room || ahead.readableBytes() >= Limits.MAX_PIPELINED_BYTES) {
             channel.config().setAutoRead(false);
         }
     }
@@ -218,7 +218,7 @@
                 aheadBytes -= more;
             }
         }
-        channel.config().setAutoRead(ahead == null || ahead.readableBytes() < Limits.MOST_AHEAD_BYTES);
+        channel.config().setAutoRead(ahead == null || ahead.readableBytes() < Limits.MAX_PIPELINED_BYTES);
     }
 
     private void forgetAhead() {
@@ -249,7 +249,7 @@
         }
         if (part instanceof HttpRequest begun) {
             head = begun;
-            body = new Body();
+            body = new RequestBody();
             HttpResponseStatus error = RequestReader.errorOf(begun);
             if (error != null) {
                 turnDown(error);
@@ -266,7 +266,7 @@
         }
         if (part instanceof HttpContent content) {
             ByteBuf bytes = content.content();
-            if (body.size() + bytes.readableBytes() > Limits.MOST_BODY) {
+            if (body.size() + bytes.readableBytes() > Limits.MAX_REQUEST_BODY_BYTES) {
                 turnDown(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                 return;
             }
@@ -287,7 +287,7 @@
 
     /** The earliest that what is read now may have come. */
     private long cameUs() {
-        long sinceLook = Math.min(keptSinceUs, time.nowUs() - time.unreadUs());
+        long sinceLook = Math.min(keptSinceUs, time.nowUs() - time.readLagUs());
         return readBefore ? sinceLook : Math.min(sinceLook, openedUs);
     }
 
@@ -298,7 +298,7 @@
 
     /** Room for so much of the body that comes; false if there is none, and nothing more is set aside. */
     private boolean setAside(long bytes) {
-        long more = bytes <= Limits.SMALL_BODY ? 0 : bytes - comingBytes;
+        long more = bytes <= Limits.SMALL_REQUEST_BODY_BYTES ? 0 : bytes - comingBytes;
         if (more > 0 && !server.setAside(more)) {
             return false;
         }
@@ -341,7 +341,7 @@
         // Sent ahead of the answer: what comes is taken apart only once it is its turn, so that what waits is
         // bounded.
         paused = true;
-        if (waiting.size() > (busy ? 0 : 1) + Limits.MOST_AHEAD && !deaf) {
+        if (waiting.size() > (busy ? 0 : 1) + Limits.MAX_PIPELINED_REQUEST_COUNT && !deaf) {
             waiting.removeLast();
             turnDown(HttpResponseStatus.BAD_REQUEST);
         }
@@ -369,7 +369,7 @@
                 if (turnedAway || server.isAnsweringRest()) {
                     // Never sent anywhere, so that trying again does no harm.
                     server.turnedAway(request);
-                    refused(reader.retryAfterUs());
+                    onRefused(reader.retryAfterUs());
                 } else {
                     ask(request);
                 }
@@ -389,17 +389,17 @@
     }
 
     private void ask(ClientRequest request) throws BadRequestException {
-        Engine.Held<ClientRequest, Answer> taken = engine.take(this, request);
+        Engine.PendingRequest<ClientRequest, ServerResponse> taken = engine.accept(this, request);
         if (taken == null) {
             throw new BadRequestException("X-Txn is that of an open request");
         }
         held = taken;
         server.requested(this, request);
-        engine.ask(taken);
+        engine.dispatch(taken);
     }
 
     @Override
-    public void begun(Answer answer) {
+    public void onResponseStarted(ServerResponse answer) {
         passing = answer;
         sinceNanos = ticker.nanoTime();
         HttpResponse begins = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -415,7 +415,7 @@
         }
         sayIfLast(begins);
         channel.write(begins);
-        answer.passTo(bytes -> {
+        answer.streamTo(bytes -> {
             channel.writeAndFlush(new DefaultHttpContent(bytes)).addListener(written -> sinceNanos = ticker.nanoTime());
             // One that has left takes no more: what cannot be called off is read to its end.
             answer.setReading(channel.isWritable() || !channel.isActive());
@@ -430,7 +430,7 @@
     }
 
     @Override
-    public void served(Answer answer) {
+    public void onServed(ServerResponse answer) {
         if (answer != null) {
             answer(HttpResponseStatus.OK, answer.body(), 0);
             return;
@@ -458,7 +458,7 @@
     }
 
     @Override
-    public void refused(long retryAfterUs) {
+    public void onRefused(long retryAfterUs) {
         if (isBrokenOff()) {
             return;
         }
@@ -466,7 +466,7 @@
     }
 
     @Override
-    public void failed() {
+    public void onFailed() {
         if (isBrokenOff()) {
             return;
         }
@@ -474,7 +474,7 @@
     }
 
     @Override
-    public void broken() {
+    public void onInternalError() {
         if (isBrokenOff()) {
             return;
         }
@@ -541,7 +541,7 @@
     }
 
     private void serveNext() {
-        time.runOverdue();
+        time.runOverdueTimers();
         Incoming next = busy || !keepAlive || !channel.isActive() ? null : waiting.poll();
         if (next != null) {
             serve(next);
@@ -564,12 +564,12 @@
             return;
         }
         if (busy) {
-            closeIfOlderThan(Limits.WRITING_MS, CloseReason.ANSWER_NOT_TAKEN);
+            closeIfOlderThan(Limits.WRITE_TIMEOUT_MS, CloseReason.ANSWER_NOT_TAKEN);
         } else if (!reading) {
             if (isQuiet()) {
-                closeIfOlderThan(everAsked ? Limits.IDLE_MS : Limits.READING_MS, CloseReason.IDLE);
+                closeIfOlderThan(everAsked ? Limits.IDLE_TIMEOUT_MS : Limits.REQUEST_READ_TIMEOUT_MS, CloseReason.IDLE);
             }
-        } else if (isOlderThan(Limits.READING_MS + (body == null ? 0 : body.size() / Limits.LEAST_PACE))) {
+        } else if (isOlderThan(Limits.REQUEST_READ_TIMEOUT_MS + (body == null ? 0 : body.size() / Limits.MIN_BODY_RATE_BYTES_PER_MS))) {
             turnDown(HttpResponseStatus.REQUEST_TIMEOUT);
         }
     }
@@ -598,7 +598,7 @@
 
     /** Whether all that has come is read. */
     boolean isQuiet() {
-        return channel.isQuiet();
+        return channel.hasNoUnreadInput();
     }
 
     /** Closes it for this reason, unless it is being closed for another. */
@@ -625,7 +625,7 @@
         }
         server.ended(this, closeReason == null ? CloseReason.BY_CLIENT : closeReason);
         if (held != null) {
-            engine.left(held);
+            engine.clientDisconnected(held);
         }
     }
 
--- a/src/main/java/kitemux/http/HttpServers.java
+++ b/src/main/java/kitemux/http/HttpServers.java
@@ -23,14 +23,14 @@
 import kitemux.Balancer.Result;
 import kitemux.Balancer.Settings;
 import kitemux.engine.Log;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.engine.Transport.Exchange;
-import kitemux.net.Answer;
+import kitemux.net.ServerResponse;
 import kitemux.net.ServerPool;
 
 /** HTTP/1.1 towards servers: how an exchange is written, and what their answers say. */
-public final class HttpServers implements ServerPool.Protocol<ClientRequest, Answer> {
-    private final Time clock;
+public final class HttpServers implements ServerPool.Protocol<ClientRequest, ServerResponse> {
+    private final Clock clock;
     private final Settings settings;
     private final ByteBufAllocator allocator;
     private final Log log;
@@ -38,7 +38,7 @@
     private int answersBytes;
 
     /** For the classes of these settings. */
-    public HttpServers(Time clock, Settings settings, ByteBufAllocator allocator, Log log) {
+    public HttpServers(Clock clock, Settings settings, ByteBufAllocator allocator, Log log) {
         this.clock = clock;
         this.settings = settings;
         this.allocator = allocator;
@@ -46,22 +46,22 @@
     }
 
     @Override
-    public void prepare(ChannelPipeline pipeline) {
-        pipeline.addLast(new AnswerDecoder(), new HttpRequestEncoder());
+    public void initPipeline(ChannelPipeline pipeline) {
+        pipeline.addLast(new StrictResponseDecoder(), new HttpRequestEncoder());
     }
 
     @Override
-    public ServerPool.Link<ClientRequest, Answer> link() {
+    public ServerPool.ServerConnection<ClientRequest, ServerResponse> newConnection() {
         return new Connection();
     }
 
     @Override
-    public ClientRequest probe() {
+    public ClientRequest probeRequest() {
         return ClientRequest.PROBE;
     }
 
     /** As late as a connection is there to carry it: it says how long the node will wait. */
-    private FullHttpRequest message(Exchange<ClientRequest, Answer> exchange) {
+    private FullHttpRequest message(Exchange<ClientRequest, ServerResponse> exchange) {
         ClientRequest request = exchange.request();
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -73,7 +73,7 @@
             message.headers()
                     .set("X-Txn", request.txn())
                     .set("X-Lane", settings.classes.get(request.classIndex()).name())
-                    .set("X-Remaining", Math.max(1, exchange.untilUs() - clock.nowUs()) + "u");
+                    .set("X-Remaining", Math.max(1, exchange.expiresAtUs() - clock.nowUs()) + "u");
         }
         if (request.idempotencyKey() != null) {
             message.headers().set("Idempotency-Key", request.idempotencyKey());
@@ -87,12 +87,12 @@
 
     // ---------------------------------------------------------------- a connection
 
-    private final class Connection extends ServerPool.Link<ClientRequest, Answer> {
+    private final class Connection extends ServerPool.ServerConnection<ClientRequest, ServerResponse> {
         private HttpResponse head;
         /** What has come of an answer that is gathered; null before one, and while one is passed on. */
         private ByteBuf body;
         /** An answer that is passed on as it comes, or null. */
-        private Answer passing;
+        private ServerResponse passing;
 
         private boolean reading = true;
         private long readAtUs;
@@ -105,12 +105,12 @@
         private boolean broken;
 
         @Override
-        protected void opened() {
-            free();
+        protected void onConnected() {
+            markAvailable();
         }
 
         @Override
-        protected Object message(Exchange<ClientRequest, Answer> next) {
+        protected Object createMessage(Exchange<ClientRequest, ServerResponse> next) {
             return HttpServers.this.message(next);
         }
 
@@ -134,17 +134,17 @@
                 head = response;
                 dropBody();
                 // A length that is past all bounds spoils the answer before any of it has come.
-                if (HttpUtil.getContentLength(response, 0L) > Limits.MOST_ANSWER) {
+                if (HttpUtil.getContentLength(response, 0L) > Limits.MAX_RESPONSE_BYTES) {
                     fail();
                     return;
                 }
-                body = allocator.buffer((int) Math.min(HttpUtil.getContentLength(response, 256L), Limits.FIRST_ROOM));
+                body = allocator.buffer((int) Math.min(HttpUtil.getContentLength(response, 256L), Limits.MAX_INITIAL_BUFFER_BYTES));
             }
             if (message instanceof HttpContent content && !gather(content.content())) {
                 return;
             }
             if (message instanceof LastHttpContent && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-                if ((broken || isClosedHere()) && isEndedByClose()) {
+                if ((broken || isClosedLocally()) && isEndedByClose()) {
                     // The decoder takes any end of the connection for the answer's.
                     fail();
                     return;
@@ -157,24 +157,24 @@
         private boolean gather(ByteBuf more) {
             if (passing != null) {
                 passed += more.readableBytes();
-                if (passed > Limits.MOST_ANSWER) {
+                if (passed > Limits.MAX_RESPONSE_BYTES) {
                     fail();
                     return false;
                 }
-                passing.more(more.retain());
+                passing.deliver(more.retain());
                 return exchange() != null;
             }
             int bytes = more.readableBytes();
             if (head.status().code() != 200
-                    ? body.readableBytes() + bytes > Limits.MOST_ERROR
-                    : answersBytes + bytes > Limits.MOST_ANSWERS) {
+                    ? body.readableBytes() + bytes > Limits.MAX_ERROR_BODY_BYTES
+                    : answersBytes + bytes > Limits.MAX_TOTAL_BUFFERED_RESPONSE_BYTES) {
                 fail();
                 return false;
             }
             answersBytes += bytes;
             body.writeBytes(more);
             if (head.status().code() == 200
-                    && Math.max(body.readableBytes(), HttpUtil.getContentLength(head, 0L)) > Limits.MOST_GATHERED) {
+                    && Math.max(body.readableBytes(), HttpUtil.getContentLength(head, 0L)) > Limits.MAX_BUFFERED_RESPONSE_BYTES) {
                 return passOn();
             }
             return true;
@@ -182,9 +182,9 @@
 
         /** Too long to be held: it goes on as it comes, and can be tried nowhere else from here on. */
         private boolean passOn() {
-            Answer begins = Answer.beginning(HttpUtil.getContentLength(head, -1L), this::setReading);
-            if (!begin(begins)) {
-                letGo();
+            ServerResponse begins = ServerResponse.streaming(HttpUtil.getContentLength(head, -1L), this::setReading);
+            if (!startResponse(begins)) {
+                releaseResponse();
                 return false;
             }
             passing = begins;
@@ -193,7 +193,7 @@
             ByteBuf first = body;
             body = null;
             passed = first.readableBytes();
-            passing.more(first);
+            passing.deliver(first);
             return exchange() != null;
         }
 
@@ -211,11 +211,11 @@
                 return false;
             }
             // What has come since the loop last looked may lie unread: a loop that stood still stalls nobody.
-            long lookedUs = clock.nowUs() - clock.unreadUs();
+            long lookedUs = clock.nowUs() - clock.readLagUs();
             long deadlineUs = exchange().deadlineUs();
-            boolean silent = lookedUs - readAtUs > Limits.STALLED_US
-                    || readAtUs <= deadlineUs && lookedUs - deadlineUs > Limits.LAST_WORD_US;
-            return reading && silent || lookedUs - passingSinceUs > Limits.MOST_PASSING_US;
+            boolean silent = lookedUs - readAtUs > Limits.STALL_TIMEOUT_US
+                    || readAtUs <= deadlineUs && lookedUs - deadlineUs > Limits.DEADLINE_GRACE_US;
+            return reading && silent || lookedUs - passingSinceUs > Limits.MAX_STREAMING_US;
         }
 
         /** Whether nothing but the end of the connection ends the body (RFC 9112, 6.3). */
@@ -232,12 +232,12 @@
                                     && "1".equals(head.headers().get("X-Turned-Away"))
                             ? Result.FULL
                             : Result.ERROR;
-            answered = isWritten() && HttpUtil.isKeepAlive(head) && !isEndedByClose();
+            answered = isRequestWritten() && HttpUtil.isKeepAlive(head) && !isEndedByClose();
             if (!answered) {
                 channel().close();
             }
-            letGo();
-            end(result, result == Result.OK && bytes != null ? Answer.of(bytes) : null);
+            releaseResponse();
+            completeExchange(result, result == Result.OK && bytes != null ? ServerResponse.buffered(bytes) : null);
         }
 
         @Override
@@ -245,7 +245,7 @@
             // Not before all that came is read: what came behind the answer must not answer the next.
             if (answered && exchange() == null) {
                 answered = false;
-                free();
+                markAvailable();
             }
         }
 
@@ -253,8 +253,8 @@
         private void fail() {
             answered = false;
             close();
-            letGo();
-            end(Result.RESET, null);
+            releaseResponse();
+            completeExchange(Result.RESET, null);
         }
 
         private void dropBody() {
@@ -266,7 +266,7 @@
         }
 
         @Override
-        protected void letGo() {
+        protected void releaseResponse() {
             head = null;
             passing = null;
             dropBody();
--- a/src/main/java/kitemux/keeper/KeeperFile.java
+++ b/src/main/java/kitemux/keeper/KeeperSettingsParser.java
@@ -14,15 +14,15 @@
 import kitemux.hcl.Section;
 import kitemux.hcl.Text;
 import kitemux.net.Addresses;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Voter;
 
 /** Reads a keeper's settings in HCL; {@code docs/operate/rollout.md} has all fields. */
-public final class KeeperFile {
+public final class KeeperSettingsParser {
     /** Numbers of keepers have three digits at most; eight machines are planned for. */
     static final int MOST_KEEPERS = 32;
 
-    private KeeperFile() {}
+    private KeeperSettingsParser() {}
 
     /**
      * @param file what faults call the file
@@ -30,7 +30,7 @@
      * @param faults gets all that is wrong, one line each with place, field and reason
      * @return the settings; null if there are faults
      */
-    public static KeeperSettings read(String file, String text, List<String> faults) {
+    public static KeeperSettings parse(String file, String text, List<String> faults) {
         Map<String, Object> parsed;
         try {
             parsed = Text.parse(text, Places.of(text));
@@ -50,8 +50,8 @@
         if (number < 0 || all.has("keeper") && number >= keepers.size()) {
             own.add("keeper: is not from 0 to " + (keepers.size() - 1) + ", the last of keepers");
         }
-        if (nodes < 1 || nodes > Terms.MOST_NODES) {
-            own.add("nodes: is not from 1 to " + Terms.MOST_NODES);
+        if (nodes < 1 || nodes > ProtocolParameters.MAX_NODE_COUNT) {
+            own.add("nodes: is not from 1 to " + ProtocolParameters.MAX_NODE_COUNT);
         }
         InetSocketAddress at = listen.isEmpty() ? null : address("listen", listen, own);
         faults.addAll(Places.placed(file, text, own));
@@ -78,7 +78,7 @@
 
     private static InetSocketAddress address(String field, String text, List<String> faults) {
         try {
-            return Addresses.read(field + ":", text);
+            return Addresses.parse(field + ":", text);
         } catch (ConfigException e) {
             faults.add(e.getMessage());
             return null;
@@ -99,7 +99,7 @@
         Set<Integer> once = new HashSet<>();
         List<String> texts = all.texts("voters", List.of());
         for (String text : texts) {
-            Voter voter = Voter.read(text);
+            Voter voter = Voter.parse(text);
             if (voter == null) {
                 faults.add("voters: \"" + text + "\" is no voter as \"0:9f2c\", the number of a keeper and "
                         + "the identity of its folder");
@@ -111,7 +111,7 @@
                 voters.add(voter);
             }
         }
-        if (texts.size() % 2 == 0 || texts.size() > Terms.MOST_VOTERS) {
+        if (texts.size() % 2 == 0 || texts.size() > ProtocolParameters.MAX_VOTER_COUNT) {
             faults.add("voters: names " + texts.size() + "; 1, 3 or 5 are needed");
         }
         return voters;
--- a/src/main/java/kitemux/keeper/RolloutWatch.java
+++ b/src/main/java/kitemux/keeper/RolloutWatch.java
@@ -31,12 +31,12 @@
 import java.util.SortedMap;
 import java.util.concurrent.TimeUnit;
 import kitemux.engine.Log;
-import kitemux.engine.Time;
-import kitemux.net.ListLines;
+import kitemux.engine.Clock;
+import kitemux.net.JsonFrameReader;
 import kitemux.net.Network;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.rollout.Effect;
-import kitemux.rollout.Line;
+import kitemux.rollout.WatchEvent;
 import kitemux.rollout.Report;
 import kitemux.rollout.RolloutText;
 import kitemux.rollout.Subscriber;
@@ -52,27 +52,27 @@
     private static final long REPORT_MS = 2_000;
 
     private final EventLoop loop;
-    private final Time time;
+    private final Clock time;
     private final List<InetSocketAddress> keepers;
-    private final Subscriber machine;
+    private final Subscriber subscriber;
     private final String who;
-    private final InForce inForce;
+    private final ConfigurationApplier inForce;
     private final Log log;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final Bootstrap dialer;
     /** Dials and watches that the machine knows, by its numbers. */
     private final Map<Long, Watch> watches = new HashMap<>();
 
     private final Set<Channel> reports = new HashSet<>();
-    private long reportsNotSent;
-    private Time.Timer timer;
+    private long droppedReports;
+    private Clock.Timer timer;
     private boolean closed;
     private Subscriber.State stood;
 
     /** Has values in force. */
-    public interface InForce {
+    public interface ConfigurationApplier {
         /** From now on these are in force, whole; called between two events of the loop. */
-        void put(long rev, SortedMap<String, String> values);
+        void apply(long rev, SortedMap<String, String> values);
     }
 
     /**
@@ -86,25 +86,25 @@
     public RolloutWatch(
             EventLoop loop,
             Network network,
-            Time time,
+            Clock time,
             List<InetSocketAddress> keepers,
             Subscriber machine,
             int node,
             long life,
-            Sockets sockets,
-            InForce inForce,
+            SocketBudget sockets,
+            ConfigurationApplier inForce,
             Log log) {
         this.loop = loop;
         this.sockets = sockets;
         this.time = time;
         this.keepers = List.copyOf(keepers);
-        this.machine = machine;
+        this.subscriber = machine;
         who = "&node=" + node + "&life=" + life;
         this.inForce = inForce;
         this.log = log;
         dialer = new Bootstrap()
                 .group(loop)
-                .channelFactory(network::dialer)
+                .channelFactory(network::newOutboundChannel)
                 .disableResolver()
                 .option(ChannelOption.ALLOCATOR, network.allocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) REPORT_MS)
@@ -117,18 +117,18 @@
     }
 
     /** Dials a keeper; from any thread. */
-    public void begin() {
+    public void start() {
         loop.execute(this::tick);
     }
 
     /** How it stands, what is in force, and counters; to be looked at on the loop. */
-    public Subscriber machine() {
-        return machine;
+    public Subscriber subscriber() {
+        return subscriber;
     }
 
     /** Reports that were not sent as too many were on their way. */
-    public long reportsNotSent() {
-        return reportsNotSent;
+    public long droppedReports() {
+        return droppedReports;
     }
 
     /** Lets go of all sockets and timers; on the loop. */
@@ -143,7 +143,7 @@
 
     private void tick() {
         timer = null;
-        carry(machine.tick(time.nowUs()));
+        carry(subscriber.tick(time.nowUs()));
     }
 
     private void carry(List<Effect> effects) {
@@ -151,14 +151,14 @@
             return;
         }
         for (Effect effect : effects) {
-            if (effect instanceof Effect.Dial dial) {
+            if (effect instanceof Effect.OpenWatch dial) {
                 dial(dial);
-            } else if (effect instanceof Effect.HangUp hangUp) {
+            } else if (effect instanceof Effect.CloseWatch hangUp) {
                 Watch watch = watches.remove(hangUp.watch());
                 if (watch != null) {
                     watch.channel.close();
                 }
-            } else if (effect instanceof Effect.PutInForce put) {
+            } else if (effect instanceof Effect.Apply put) {
                 // An event of its own: whoever is in the middle of one sees the old values to its end.
                 loop.execute(() -> put(put));
             } else if (effect instanceof Effect.SendReport send) {
@@ -167,30 +167,30 @@
                 throw new IllegalStateException("no effect of a node: " + effect);
             }
         }
-        if (machine.state() != stood) {
-            stood = machine.state();
-            log.line("rollout: "
+        if (subscriber.state() != stood) {
+            stood = subscriber.state();
+            log.info("rollout: "
                     + switch (stood) {
-                        case DIALING -> "no keeper is watched; version " + machine.rev() + " stays in force";
-                        case CATCHING_UP -> "catching up from version " + machine.rev();
+                        case CONNECTING -> "no keeper is watched; version " + subscriber.rev() + " stays in force";
+                        case CATCHING_UP -> "catching up from version " + subscriber.rev();
                         case CURRENT -> "told all that its keeper knows";
-                        case ALONE -> "its keeper hears no majority: there may be versions later than " + machine.rev();
+                        case NO_QUORUM -> "its keeper hears no majority: there may be versions later than " + subscriber.rev();
                     });
         }
         if (timer != null) {
             timer.cancel();
         }
-        timer = time.after(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
+        timer = time.schedule(Math.max(0, subscriber.nextAtUs() - time.nowUs()), this::tick);
     }
 
-    private void put(Effect.PutInForce put) {
+    private void put(Effect.Apply put) {
         if (!closed) {
-            inForce.put(put.rev(), put.values());
-            carry(machine.inForce(time.nowUs(), put.rev(), put.values()));
+            inForce.apply(put.rev(), put.values());
+            carry(subscriber.applied(time.nowUs(), put.rev(), put.values()));
         }
     }
 
-    private void dial(Effect.Dial dial) {
+    private void dial(Effect.OpenWatch dial) {
         Watch watch = new Watch(dial.watch());
         watches.put(dial.watch(), watch);
         ChannelFuture opening = dialer.connect(keepers.get(dial.keeper()));
@@ -203,13 +203,13 @@
             }
             watch.channel.pipeline().addLast(watch);
             watch.channel.writeAndFlush(
-                    request(HttpMethod.GET, "/rollout/watch?after=" + dial.after() + who, new byte[0]));
+                    request(HttpMethod.GET, "/rollout/watch?after=" + dial.afterRev() + who, new byte[0]));
         });
     }
 
     private Channel counted(Channel channel) {
-        sockets.opened();
-        channel.closeFuture().addListener(done -> sockets.closed());
+        sockets.serverConnectionOpened();
+        channel.closeFuture().addListener(done -> sockets.serverConnectionClosed());
         return channel;
     }
 
@@ -228,7 +228,7 @@
     /** It does not matter if it is lost: the next one tells all. */
     private void report(int keeper, Report report) {
         if (reports.size() >= MOST_REPORTS) {
-            reportsNotSent++;
+            droppedReports++;
             return;
         }
         ChannelFuture opening = dialer.connect(keepers.get(keeper));
@@ -263,7 +263,7 @@
 
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final long number;
-        private final ListLines lines = new ListLines();
+        private final JsonFrameReader lines = new JsonFrameReader();
         private Channel channel;
 
         Watch(long number) {
@@ -278,7 +278,7 @@
             if (isWanted()) {
                 watches.remove(number);
                 channel.close();
-                carry(machine.ended(time.nowUs(), number));
+                carry(subscriber.watchEnded(time.nowUs(), number));
             }
         }
 
@@ -293,7 +293,7 @@
                     && response.status().code() != 200) {
                 ended();
             } else if (part instanceof HttpResponse) {
-                carry(machine.connected(time.nowUs(), number));
+                carry(subscriber.watchOpened(time.nowUs(), number));
             } else if (part instanceof HttpContent content) {
                 read(content.content());
                 if (part instanceof LastHttpContent) {
@@ -304,29 +304,29 @@
 
         private void read(ByteBuf bytes) {
             while (isWanted()) {
-                switch (lines.next(bytes)) {
-                    case NOTHING -> {
+                switch (lines.nextFrame(bytes)) {
+                    case INCOMPLETE -> {
                         return;
                     }
-                    case BEAT -> carry(machine.line(time.nowUs(), number, new Line.Beat()));
-                    case LIST -> line(lines.list());
-                    case SPOILT -> bad(lines.spoilt());
+                    case HEARTBEAT -> carry(subscriber.handleEvent(time.nowUs(), number, new WatchEvent.Heartbeat()));
+                    case OBJECT -> line(lines.takeObject());
+                    case MALFORMED -> bad(lines.malformedText());
                 }
             }
         }
 
         private void line(byte[] text) {
-            RolloutText.Read<Line> read = RolloutText.readLine(text);
-            if (read.faults().isEmpty()) {
-                carry(machine.line(time.nowUs(), number, read.value()));
+            RolloutText.ParseResult<WatchEvent> read = RolloutText.readWatchEvent(text);
+            if (read.errors().isEmpty()) {
+                carry(subscriber.handleEvent(time.nowUs(), number, read.value()));
             } else {
-                bad(read.faults().get(0).toString());
+                bad(read.errors().get(0).toString());
             }
         }
 
         private void bad(String what) {
-            log.line("rollout: bad line: " + what);
-            carry(machine.badLine(time.nowUs(), number));
+            log.info("rollout: bad line: " + what);
+            carry(subscriber.handleMalformedEvent(time.nowUs(), number));
         }
 
         @Override
--- a/src/main/java/kitemux/lab/NodeProcess.java
+++ b/src/main/java/kitemux/lab/NodeProcess.java
@@ -43,7 +43,7 @@
 import kitemux.Balancer.ServerEntry;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.FleetNode;
-import kitemux.fleet.Try;
+import kitemux.fleet.ClientTry;
 
 /**
  * A real node's process on a loopback address, and its clients' connections: each try is a request of its
@@ -58,17 +58,17 @@
 
     private final int number;
     private final InetSocketAddress address;
-    private final Between between;
+    private final RunInterceptor between;
     private final Fleet fleet;
-    private final RealTime time;
+    private final RealTimeScheduler time;
     private final EventLoop loop;
-    private final Map<String, Try> asked;
+    private final Map<String, ClientTry> asked;
     private final Consumer<List<ServerEntry>> listed;
     private final ProcessBuilder command;
     private final Bootstrap dialer;
     private final ArrayDeque<Client> idle = new ArrayDeque<>();
-    private final Map<Try, Client> busy = new HashMap<>();
-    private final Map<Try, Since> since = new HashMap<>();
+    private final Map<ClientTry, Client> busy = new HashMap<>();
+    private final Map<ClientTry, Since> since = new HashMap<>();
     private Process process;
     private boolean up;
     private int lives;
@@ -94,11 +94,11 @@
     NodeProcess(
             int number,
             InetSocketAddress address,
-            Between between,
+            RunInterceptor between,
             Fleet fleet,
-            RealTime time,
+            RealTimeScheduler time,
             EventLoop loop,
-            Map<String, Try> asked,
+            Map<String, ClientTry> asked,
             Consumer<List<ServerEntry>> listed,
             ProcessBuilder command,
             Path config)
@@ -169,7 +169,7 @@
     /** A line that it wrote; once the run is over nobody listens any more. */
     private void tell(String line) {
         try {
-            loop.execute(() -> time.happens(() -> between.said(number, line)));
+            loop.execute(() -> time.happens(() -> between.nodeOutput(number, line)));
         } catch (RejectedExecutionException e) {
             Thread.currentThread().interrupt();
         }
@@ -200,7 +200,7 @@
     public void start() {
         if (process != null) {
             up = true;
-            between.up(number);
+            between.nodeStarted(number);
             return;
         }
         int life = ++lives;
@@ -209,7 +209,7 @@
                     if (started != null && life == lives) {
                         process = started;
                         up = true;
-                        time.happens(() -> between.up(number));
+                        time.happens(() -> between.nodeStarted(number));
                     } else if (started != null) {
                         end(started);
                     }
@@ -217,20 +217,20 @@
     }
 
     @Override
-    public void die() {
+    public void kill() {
         up = false;
         lives++;
         if (process != null) {
             usedUs += cpuUs();
             end(process);
             process = null;
-            between.down(number);
+            between.nodeStopped(number);
         }
     }
 
     /** Its process is killed, and clients go on dialling it: its machine has gone, and says nothing. */
     void vanish() {
-        die();
+        kill();
         up = true;
     }
 
@@ -261,20 +261,20 @@
     }
 
     @Override
-    public void listed(List<ServerEntry> entries) {
+    public void serversChanged(List<ServerEntry> entries) {
         listed.accept(entries);
     }
 
     @Override
-    public Figures figures() {
-        return new Figures(usedUs + (process == null ? 0 : cpuUs()), 0, 0, 0);
+    public Stats stats() {
+        return new Stats(usedUs + (process == null ? 0 : cpuUs()), 0, 0, 0);
     }
 
     // ---------------------------------------------------------------- clients
 
     @Override
-    public void take(Try one) {
-        between.asked(number, one);
+    public void submit(ClientTry one) {
+        between.trySubmitted(number, one);
         asked.put(one.txn(), one);
         waitsFromNow(one);
         Client free = idle.poll();
@@ -289,7 +289,7 @@
         dial(one);
     }
 
-    private void dial(Try one) {
+    private void dial(ClientTry one) {
         dialer.connect(address).addListener(done -> {
             Channel channel = ((ChannelFuture) done).channel();
             if (!done.isSuccess()) {
@@ -302,12 +302,12 @@
         });
     }
 
-    private void waitsFromNow(Try one) {
-        since.put(one, new Since(System.nanoTime(), between.heldUpNanos()));
+    private void waitsFromNow(ClientTry one) {
+        since.put(one, new Since(System.nanoTime(), between.totalStallNanos()));
     }
 
     @Override
-    public void answered(Try one) {
+    public void completed(ClientTry one) {
         busy.remove(one);
         since.remove(one);
     }
@@ -317,17 +317,17 @@
      * while the ways are held up, and whatever has come when it is over is read first.
      */
     @Override
-    public void timeOver(Try one, long afterUs, Runnable leaves) {
+    public void deadlineReached(ClientTry one, long afterUs, Runnable leaves) {
         Since from = since.get(one);
         if (one.isOver() || from == null) {
             leaves.run();
             return;
         }
-        long waits = from.nanos + afterUs * 1_000 + between.heldUpNanos() - from.heldUpNanos - System.nanoTime();
+        long waits = from.nanos + afterUs * 1_000 + between.totalStallNanos() - from.heldUpNanos - System.nanoTime();
         if (waits > 0) {
-            loop.schedule(() -> time.happens(() -> timeOver(one, afterUs, leaves)), waits, TimeUnit.NANOSECONDS);
+            loop.schedule(() -> time.happens(() -> deadlineReached(one, afterUs, leaves)), waits, TimeUnit.NANOSECONDS);
         } else {
-            between.passedOn(() -> LoopBeat.afterALook(loop, () -> time.happens(leaves)));
+            between.runAfterPendingTraffic(() -> LoopStallMonitor.runAfterSocketPoll(loop, () -> time.happens(leaves)));
         }
     }
 
@@ -336,11 +336,11 @@
      * until a request without one is lost, and is closed then, as nothing else calls a request off.
      */
     @Override
-    public void left(Try one) {
+    public void abandoned(ClientTry one) {
         since.remove(one);
         Client client = busy.get(one);
         if (client == null) {
-            between.left(one);
+            between.tryAbandoned(one);
         } else if (!client.amid) {
             // What began to come in time is waited for to its end.
             loop.schedule(
@@ -348,7 +348,7 @@
                         if (client.asks == one && !client.amid) {
                             client.asks = null;
                             busy.remove(one);
-                            between.left(one);
+                            between.tryAbandoned(one);
                             client.channel.close();
                         }
                     }),
@@ -357,15 +357,15 @@
         }
     }
 
-    private void brokenUnder(Try one, boolean usedBefore) {
+    private void brokenUnder(ClientTry one, boolean usedBefore) {
         if (!one.isOver()) {
-            between.broken(one, usedBefore);
+            between.connectionLost(one, usedBefore);
         }
-        one.broken();
+        one.onInternalError();
     }
 
-    private FullHttpRequest message(Try one) {
-        RequestClass of = fleet.classes().get(one.classIndex()).of();
+    private FullHttpRequest message(ClientTry one) {
+        RequestClass of = fleet.classes().get(one.classIndex()).requestClass();
         boolean reads = of.retrySafety() == RetrySafety.SAFE;
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -376,11 +376,11 @@
                 .set(HttpHeaderNames.HOST, "backend.local")
                 .set("X-Txn", one.txn())
                 .set("X-Lane", of.name())
-                .set("X-Remaining", one.leftUs() + "u");
+                .set("X-Remaining", one.remainingUs() + "u");
         if (one.tenant() >= 0) {
             message.headers().set("X-Org", fleet.tenants().get(one.tenant()).name());
         }
-        if (one.retry()) {
+        if (one.isRetry()) {
             message.headers().set("X-Resent", "1");
         }
         if (of.retrySafety() == RetrySafety.KEYED) {
@@ -395,7 +395,7 @@
     /** A client's connection: one request at a time. */
     private final class Client extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
-        private Try asks;
+        private ClientTry asks;
         private boolean reused;
         /** A long answer has begun to come. */
         private boolean amid;
@@ -414,10 +414,10 @@
                 public void channelRead(ChannelHandlerContext context, Object part) {
                     if (part instanceof HttpResponse head
                             && asks != null
-                            && HttpUtil.getContentLength(head, 0L) >= LongAnswer.FIRST) {
-                        Try one = asks;
+                            && HttpUtil.getContentLength(head, 0L) >= LongAnswer.FIRST_PART_BYTES) {
+                        ClientTry one = asks;
                         amid = true;
-                        time.happens(() -> between.begun(one));
+                        time.happens(() -> between.longAnswerReceiving(one));
                     }
                     context.fireChannelRead(part);
                 }
@@ -428,17 +428,17 @@
             return channel.isActive() && System.nanoTime() - idleSinceNanos < FRESH_NANOS;
         }
 
-        void ask(Try one) {
+        void ask(ClientTry one) {
             asks = one;
             busy.put(one, this);
             waitsFromNow(one);
-            between.written(one, reused);
+            between.tryWritten(one, reused);
             channel.writeAndFlush(message(one));
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-            Try one = asks;
+            ClientTry one = asks;
             asks = null;
             if (one == null) {
                 channel.close();
@@ -457,13 +457,13 @@
             String after = answer.headers().get(HttpHeaderNames.RETRY_AFTER);
             time.happens(() -> {
                 long afterUs = after == null ? 0 : (long) (Double.parseDouble(after) * 1e6);
-                between.answered(one, status, afterUs);
+                between.answerReceived(one, status, afterUs);
                 if (status == 200) {
-                    one.served(Boolean.TRUE);
+                    one.onServed(Boolean.TRUE);
                 } else if (status == 429 || status == 503) {
-                    one.refused(afterUs);
+                    one.onRefused(afterUs);
                 } else {
-                    one.failed();
+                    one.onFailed();
                 }
             });
         }
@@ -471,7 +471,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             idle.remove(this);
-            Try one = asks;
+            ClientTry one = asks;
             asks = null;
             if (one == null) {
                 return;
@@ -479,19 +479,19 @@
             busy.remove(one);
             if (amid) {
                 time.happens(() -> {
-                    between.cutOff(one);
-                    one.broken();
+                    between.longAnswerCutOff(one);
+                    one.onInternalError();
                 });
                 return;
             }
             if (one.isOver()) {
                 // It waited for its final answer alone, and will not get it.
-                time.happens(() -> between.left(one));
+                time.happens(() -> between.tryAbandoned(one));
                 return;
             }
             if (reused && up) {
                 // It crossed the end of an unused connection: asked once more, on a new one.
-                time.happens(() -> between.broken(one, true));
+                time.happens(() -> between.connectionLost(one, true));
                 dial(one);
             } else {
                 time.happens(() -> brokenUnder(one, reused));
--- a/src/main/java/kitemux/lab/RealTime.java
+++ b/src/main/java/kitemux/lab/RealTimeScheduler.java
@@ -11,7 +11,7 @@
  * and before anything that comes from outside. One thread has it all, so that servers and clients that were
  * written for virtual time need no locks here.
  */
-final class RealTime {
+final class RealTimeScheduler {
     /** Under this it is the usual unevenness of timers. */
     private static final long TELL_NANOS = 15_000_000;
 
@@ -29,7 +29,7 @@
     /**
      * @param late told when the run was behind by so many microseconds, where that is worth telling
      */
-    RealTime(EventLoop loop, LongConsumer late) {
+    RealTimeScheduler(EventLoop loop, LongConsumer late) {
         this.late = late;
         this.loop = loop;
     }
@@ -81,11 +81,11 @@
         passing = true;
         try {
             long now = System.nanoTime() - beganNanos;
-            long by = now - time.nextAt();
+            long by = now - time.nextEventNanos();
             // What is due behind a step that took long is late as well: not just the first is looked at.
-            while (time.step(now)) {
+            while (time.runNext(now)) {
                 now = System.nanoTime() - beganNanos;
-                by = Math.max(by, now - time.nextAt());
+                by = Math.max(by, now - time.nextEventNanos());
             }
             wasLate(by);
         } catch (RuntimeException e) {
@@ -104,7 +104,7 @@
     }
 
     private void arm() {
-        long next = time.nextAt();
+        long next = time.nextEventNanos();
         if (armed != null && armedAt <= next) {
             return;
         }
--- a/src/main/java/kitemux/node/NodeConfig.java
+++ b/src/main/java/kitemux/node/NodeConfig.java
@@ -78,9 +78,9 @@
                 env.getOrDefault("PROXY_DISCOVERY", json.path("discovery").text());
         String operators = env.getOrDefault("PROXY_MGMT", json.path("mgmt").text());
         return new NodeConfig(
-                Addresses.read("listen", listen),
-                operators.isEmpty() ? null : Addresses.read("mgmt", operators),
-                Addresses.read("discovery", discovery),
+                Addresses.parse("listen", listen),
+                operators.isEmpty() ? null : Addresses.parse("mgmt", operators),
+                Addresses.parse("discovery", discovery),
                 seed(json.path("seed").text()),
                 (int) sockets,
                 idle,
--- a/src/main/java/kitemux/world/Clients.java
+++ b/src/main/java/kitemux/world/Clients.java
@@ -74,7 +74,7 @@
                 end.close();
             }
         });
-        world.time.afterMs(UP_EVERY_MS, () -> {
+        world.time.scheduleAfterMs(UP_EVERY_MS, () -> {
             if (process == node.process() && !inFront.contains(node) && !over) {
                 watch(node);
             }
@@ -89,7 +89,7 @@
     // ---------------------------------------------------------------- what is asked
 
     void begin() {
-        world.time.afterUs(gapUs(), this::arrive);
+        world.time.scheduleAfterUs(gapUs(), this::arrive);
     }
 
     private long gapUs() {
@@ -97,7 +97,7 @@
     }
 
     private void arrive() {
-        if (world.time.now() >= plan.lengthMs() * 1_000_000L || wanted >= plan.requests()) {
+        if (world.time.nowNanos() >= plan.lengthMs() * 1_000_000L || wanted >= plan.requests()) {
             over = true;
             return;
         }
@@ -106,7 +106,7 @@
         RequestClass cls = settings.classes.get(pick < SAFE_SHARE ? 0 : pick < SAFE_SHARE + KEYED_SHARE ? 1 : 2);
         int tenant = (int) (settings.tenants.size() * random.nextDouble() * random.nextDouble());
         want(new Want(cls, tenant, workOf(cls), 0, Long.toHexString(random.nextLong())));
-        world.time.afterUs(gapUs(), this::arrive);
+        world.time.scheduleAfterUs(gapUs(), this::arrive);
     }
 
     /** Half of the mean is certain, the rest is chance, as for work that is mostly alike. */
@@ -152,7 +152,7 @@
             line.send(ask, want, ask.wire.length);
         }
         if (rude > 1 - plan.leaving()) {
-            world.time.afterUs((long) (random.nextDouble() * ask.remainingUs), () -> line.leave(ask));
+            world.time.scheduleAfterUs((long) (random.nextDouble() * ask.remainingUs), () -> line.leave(ask));
         }
     }
 
@@ -199,7 +199,7 @@
     private void later(Want want, long us) {
         if (want.tries + 1 < MOST_TRIES && !over) {
             Want next = new Want(want.cls, want.tenant, want.workUs, want.tries + 1, want.key);
-            world.time.afterUs(us, () -> want(next));
+            world.time.scheduleAfterUs(us, () -> want(next));
         }
     }
 
@@ -265,7 +265,7 @@
             this.free = free;
             open++;
             end = world.fabric.connect(machine, node.machine.address, this);
-            world.time.afterMs(DIAL_MS, () -> {
+            world.time.scheduleAfterMs(DIAL_MS, () -> {
                 if (!end.connected) {
                     ended();
                 }
@@ -279,7 +279,7 @@
         void sendOnceUp(byte[] bytes) {
             mute = true;
             write(bytes);
-            world.time.afterMs(200 + random.nextInt(4_000), this::close);
+            world.time.scheduleAfterMs(200 + random.nextInt(4_000), this::close);
         }
 
         /** Sends a request, or so much of it, and the rest after a while or never. */
@@ -295,9 +295,9 @@
             mute = true;
             write(java.util.Arrays.copyOf(ask.wire, first));
             if (random.nextBoolean()) {
-                world.time.afterMs(random.nextInt(3_000), this::close);
+                world.time.scheduleAfterMs(random.nextInt(3_000), this::close);
             } else {
-                world.time.afterUs(random.nextInt(200_000), () -> {
+                world.time.scheduleAfterUs(random.nextInt(200_000), () -> {
                     if (!gone && waiting.stream().anyMatch(s -> s.ask == ask)) {
                         write(java.util.Arrays.copyOfRange(ask.wire, first, ask.wire.length));
                         sent(ask);
@@ -319,9 +319,9 @@
             if (!end.connected) {
                 return;
             }
-            ask.sentAt = world.time.now();
+            ask.sentAt = world.time.nowNanos();
             if (!ask.behind) {
-                world.time.at(Judge.dueAt(ask), () -> look(ask));
+                world.time.scheduleAt(Judge.dueAt(ask), () -> look(ask));
             }
         }
 
@@ -331,10 +331,10 @@
                 return;
             }
             long deadline = ask.sentAt + ask.remainingUs * 1_000;
-            long had = world.time.now() - deadline - node.stalledBetween(deadline, world.time.now());
+            long had = world.time.nowNanos() - deadline - node.stalledBetween(deadline, world.time.nowNanos());
             long more = Judge.dueAt(ask) - deadline - had + world.judge.moreGraceNanos;
             if (more > 0) {
-                world.time.at(world.time.now() + more, () -> look(ask));
+                world.time.scheduleAt(world.time.nowNanos() + more, () -> look(ask));
                 return;
             }
             if (isLongAmid() && waiting.peek().ask == ask) {
@@ -358,8 +358,8 @@
             }
             long due = world.judge.longAnswerDueAt(ask, heardAt) + world.judge.moreGraceNanos;
             due += node.stalledBetween(Math.min(heardAt, ask.sentAt + ask.remainingUs * 1_000), due);
-            if (world.time.now() < due) {
-                world.time.at(due, () -> lookAtLong(ask));
+            if (world.time.nowNanos() < due) {
+                world.time.scheduleAt(due, () -> lookAtLong(ask));
                 return;
             }
             if (isTaken(ask)) {
@@ -370,7 +370,7 @@
         }
 
         private boolean isLongAmid() {
-            return reader.lengthAmid() > Limits.MOST_GATHERED;
+            return reader.lengthAmid() > Limits.MAX_BUFFERED_RESPONSE_BYTES;
         }
 
         /** Whether the node's machine had its last byte on a connection that the process had not let go
@@ -394,7 +394,7 @@
             if (!gone) {
                 waiting.forEach(s -> {
                     s.ask.over = true;
-                    s.ask.leftAt = world.time.now();
+                    s.ask.leftAt = world.time.nowNanos();
                 });
                 waiting.clear();
                 if (random.nextInt(4) == 0) {
@@ -433,7 +433,7 @@
             }
             End.Segment segment;
             while (!gone && (segment = end.read()) != null) {
-                heardAt = world.time.now();
+                heardAt = world.time.nowNanos();
                 try {
                     reader.take(segment, this::got);
                 } catch (IllegalArgumentException e) {
--- a/src/main/java/kitemux/world/DiskGate.java
+++ b/src/main/java/kitemux/world/DiskGate.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void before(
+    public void admit(
             long id,
             ClientRequest request,
             int attempt,
--- a/src/main/java/kitemux/world/Judge.java
+++ b/src/main/java/kitemux/world/Judge.java
@@ -10,7 +10,7 @@
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
-import kitemux.sim.ColdWork;
+import kitemux.sim.ColdStartLoad;
 import kitemux.sim.Scheduler;
 
 /**
@@ -66,7 +66,7 @@
 
     void breach(Rule rule, String what) {
         tape.note(Tape.What.BREACH, rule.ordinal(), breaches.size());
-        Breach breach = new Breach(rule, time.steps(), time.now() / 1e6, what);
+        Breach breach = new Breach(rule, time.executedEventCount(), time.nowNanos() / 1e6, what);
         if (tape.isOn()) {
             tape.line(Tape.What.BREACH, breach.toString());
         }
@@ -91,7 +91,7 @@
         int status = answer.status();
         ask.status = status;
         ask.answerSentAt = answer.lastSentAt();
-        ask.answeredAt = time.now();
+        ask.answeredAt = time.nowNanos();
         tape.note(Tape.What.ANSWER, ask.number, status);
         if (tape.isOn()) {
             tape.line(Tape.What.ANSWER, ask + " " + status);
@@ -154,7 +154,7 @@
         breach(
                 Rule.LONG_ANSWERS,
                 ask + (ask.given() != null ? " is withheld since " : " has no end since ")
-                        + (time.now() - heardAt) / 1_000_000 + " ms");
+                        + (time.nowNanos() - heardAt) / 1_000_000 + " ms");
     }
 
     private void checkRefusal(Ask ask, Ask.Run run) {
@@ -248,16 +248,16 @@
      * @param allowedUs what the settings allow it in their time, as warm as it is now
      * @return whether it falls over
      */
-    boolean fallsOver(Box box, ColdWork sent, double workUs, boolean fromTold, double allowedUs) {
-        ColdWork.Verdict verdict = sent.came(time.nowUs(), workUs, fromTold, allowedUs);
-        if (verdict == ColdWork.Verdict.PUSHED_OVER) {
+    boolean fallsOver(Box box, ColdStartLoad sent, double workUs, boolean fromTold, double allowedUs) {
+        ColdStartLoad.Verdict verdict = sent.recordArrival(time.nowUs(), workUs, fromTold, allowedUs);
+        if (verdict == ColdStartLoad.Verdict.OVERLOADED_BY_NODES) {
             breach(
                     Rule.COLD,
-                    box + " was sent " + Math.round(sent.requests()) + " requests in "
+                    box + " was sent " + Math.round(sent.recentRequests()) + " requests in "
                             + settings.overloadWindowUs / 1_000 + " ms, in which it may get "
                             + Math.round(allowedUs / Clients.meanWorkUs()));
         }
-        return verdict != ColdWork.Verdict.STANDS;
+        return verdict != ColdStartLoad.Verdict.WITHIN_LIMIT;
     }
 
     // ---------------------------------------------------------------- what is out
--- a/src/main/java/kitemux/world/World.java
+++ b/src/main/java/kitemux/world/World.java
@@ -217,13 +217,13 @@
             node.start();
             clients.watch(node);
         }
-        time.afterMs(300, clients::begin);
+        time.scheduleAfterMs(300, clients::begin);
         for (Fault fault : plan.faults()) {
-            time.afterMs(fault.atMs(), () -> begin(fault));
+            time.scheduleAfterMs(fault.atMs(), () -> begin(fault));
         }
         try {
             long settled = (plan.lengthMs() + SETTLE_MS) * 1_000_000;
-            while (time.step(settled)) {
+            while (time.runNext(settled)) {
                 // What happens next is the step's.
             }
             nodes.forEach(NodeHost::checkEnd);
@@ -237,8 +237,8 @@
         }
         return new Verdict(
                 plan,
-                time.steps(),
-                time.now() / 1e6,
+                time.executedEventCount(),
+                time.nowNanos() / 1e6,
                 tape.digest(),
                 clients.asked(),
                 judge.served,
@@ -260,7 +260,7 @@
     private void list(Box box, String state) {
         ListServer.Entry entry = entry(box, state);
         for (ListServer each : lists) {
-            time.afterMs(100 + chance.nextInt(900) + listDelayMs, () -> each.learn(entry));
+            time.scheduleAfterMs(100 + chance.nextInt(900) + listDelayMs, () -> each.learn(entry));
         }
     }
 
@@ -301,16 +301,16 @@
             case NODE_KILLED -> {
                 NodeHost node = node(fault);
                 node.kill();
-                time.afterMs(1_000 + chance.nextInt(2_900), () -> noticeEnd(node));
+                time.scheduleAfterMs(1_000 + chance.nextInt(2_900), () -> noticeEnd(node));
                 restart(node, fault.forMs());
             }
             case NODE_TERMINATED -> {
                 NodeHost node = node(fault);
                 node.terminate(KILL_AFTER_MS);
-                time.afterMs(200 + chance.nextInt(200), () -> clients.takeOut(node));
+                time.scheduleAfterMs(200 + chance.nextInt(200), () -> clients.takeOut(node));
                 restart(node, KILL_AFTER_MS + fault.forMs());
             }
-            case NODE_STALLS -> stall(node(fault), fault, time.now() + fault.forMs() * 1_000_000);
+            case NODE_STALLS -> stall(node(fault), fault, time.nowNanos() + fault.forMs() * 1_000_000);
             case LIST_DOWN -> listDown(fault);
             case LIST_LATE -> {
                 listDelayMs = (long) (5_000 * fault.share());
@@ -343,7 +343,7 @@
     }
 
     private void until(Fault fault, Runnable end) {
-        time.afterMs(fault.forMs(), () -> {
+        time.scheduleAfterMs(fault.forMs(), () -> {
             fault(fault.kind() + " ends");
             end.run();
         });
@@ -374,7 +374,7 @@
             box.die();
             list(box, "Gone");
         }
-        time.afterMs(forMs, () -> backCold(box));
+        time.scheduleAfterMs(forMs, () -> backCold(box));
     }
 
     private void backCold(Box box) {
@@ -394,14 +394,14 @@
         list(box, "Terminating");
         // What discovery has to tell counts as told six seconds later at the latest.
         long boot = box.bootMs;
-        time.afterMs(Math.min(6_000, 1_500 + listDelayMs), () -> box.draining |= box.bootMs == boot);
-        time.afterMs(1_000 + listDelayMs + forMs / 2, () -> {
+        time.scheduleAfterMs(Math.min(6_000, 1_500 + listDelayMs), () -> box.draining |= box.bootMs == boot);
+        time.scheduleAfterMs(1_000 + listDelayMs + forMs / 2, () -> {
             if (box.isUp() && box.bootMs == boot) {
                 box.die();
                 list(box, "Gone");
             }
         });
-        time.afterMs(2_000 + listDelayMs + forMs, () -> backCold(box));
+        time.scheduleAfterMs(2_000 + listDelayMs + forMs, () -> backCold(box));
     }
 
     private void noticeEnd(NodeHost node) {
@@ -411,7 +411,7 @@
     }
 
     private void restart(NodeHost node, long afterMs) {
-        time.afterMs(afterMs + plan.startMs(), () -> {
+        time.scheduleAfterMs(afterMs + plan.startMs(), () -> {
             if (!node.isUp()) {
                 clients.takeOut(node);
                 node.start();
@@ -421,19 +421,19 @@
     }
 
     private void stall(NodeHost node, Fault fault, long until) {
-        if (time.now() < until) {
+        if (time.nowNanos() < until) {
             node.stall(20 + (long) (fault.share() * (60 + chance.nextInt(120))));
-            time.afterMs(40 + chance.nextInt(250), () -> stall(node, fault, until));
+            time.scheduleAfterMs(40 + chance.nextInt(250), () -> stall(node, fault, until));
         }
     }
 
     private void listDown(Fault fault) {
         ListServer list = lists.get(0);
         list.goDown(fault.pick() < 0.3);
-        time.afterMs(fault.forMs(), () -> {
+        time.scheduleAfterMs(fault.forMs(), () -> {
             fault("discovery is back");
             list.comeUp((int) (fault.share() * 4));
-            time.afterMs(1_000 + chance.nextInt(3_000), list::catchUp);
+            time.scheduleAfterMs(1_000 + chance.nextInt(3_000), list::catchUp);
         });
     }
 }
--- a/src/test/java/kitemux/http/RequestReaderTest.java
+++ b/src/test/java/kitemux/http/RequestReaderTest.java
@@ -24,10 +24,10 @@
 
     @Test
     void itsTimeRunsFromTheEarliestThatItMayHaveComeAndItsAimFromTheMiddle() throws Exception {
-        assertEquals(0, read(0).agoUs());
-        long allUs = read(0).leftUs();
-        assertEquals(allUs - 80_000, read(80_000).leftUs());
-        assertEquals(40_000, read(80_000).agoUs());
-        assertEquals(0, read(400_000).leftUs());
+        assertEquals(0, read(0).ageUs());
+        long allUs = read(0).remainingUs();
+        assertEquals(allUs - 80_000, read(80_000).remainingUs());
+        assertEquals(40_000, read(80_000).ageUs());
+        assertEquals(0, read(400_000).remainingUs());
     }
 }
--- a/src/test/java/kitemux/mysql/MysqlServersTest.java
+++ b/src/test/java/kitemux/mysql/MysqlServersTest.java
@@ -17,19 +17,19 @@
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
 import kitemux.ServiceQBalancer;
-import kitemux.engine.Client;
+import kitemux.engine.ResponseSink;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
-import kitemux.mysql.AnswerTracker.Form;
-import kitemux.net.Answer;
+import kitemux.mysql.ResponseTracker.ResponseType;
+import kitemux.net.ServerResponse;
 import kitemux.net.HostList;
-import kitemux.net.LoopTime;
+import kitemux.net.EventLoopClock;
 import kitemux.net.NioNetwork;
 import kitemux.net.SelectorLoop;
 import kitemux.net.ServerPool;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.standin.OrderDatabase;
 import kitemux.standin.OrderDatabase.Fault;
 import org.junit.jupiter.api.AfterEach;
@@ -49,8 +49,8 @@
     private final SelectorLoop loop = SelectorLoop.open();
     private final List<OrderDatabase> databases = new ArrayList<>();
     private final List<String> lines = new ArrayList<>();
-    private Engine<Command, Answer> engine;
-    private ServerPool<Command, Answer> pool;
+    private Engine<Command, ServerResponse> engine;
+    private ServerPool<Command, ServerResponse> pool;
     private int asked;
 
     @AfterEach
@@ -62,7 +62,7 @@
     }
 
     /** What a client was told; one answer, and its bytes. */
-    private static final class Told implements Client<Answer> {
+    private static final class Told implements ResponseSink<ServerResponse> {
         private final CompletableFuture<String> end = new CompletableFuture<>();
         private final List<Integer> firstBytes = new ArrayList<>();
         private long bytes;
@@ -76,10 +76,10 @@
         }
 
         @Override
-        public void begun(Answer answer) {
+        public void onResponseStarted(ServerResponse answer) {
             assertFalse(begun, "begun once");
             begun = true;
-            answer.passTo(packets -> {
+            answer.streamTo(packets -> {
                 byte[] copy = new byte[packets.readableBytes()];
                 packets.readBytes(copy);
                 packets.release();
@@ -88,7 +88,7 @@
         }
 
         @Override
-        public void served(Answer answer) {
+        public void onServed(ServerResponse answer) {
             if (answer != null) {
                 see(answer.body());
             }
@@ -96,17 +96,17 @@
         }
 
         @Override
-        public void refused(long retryAfterUs) {
+        public void onRefused(long retryAfterUs) {
             tell("refused");
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             tell("failed");
         }
 
         @Override
-        public void broken() {
+        public void onInternalError() {
             tell("broken");
         }
 
@@ -130,10 +130,10 @@
         settings.maxAttempts = 4;
         settings.cancellationAllowed = true;
         settings.connectTimeoutUs = 5_000_000;
-        LoopTime time = LoopTime.of(loop);
+        EventLoopClock time = EventLoopClock.of(loop);
         Log log = new Log() {
             @Override
-            public void line(String text) {
+            public void info(String text) {
                 lines.add(text);
             }
 
@@ -145,18 +145,18 @@
         pool = new ServerPool<>(
                 loop,
                 NioNetwork.SYSTEM,
-                new Sockets(256),
+                new SocketBudget(256),
                 time,
                 settings.connectTimeoutUs,
                 60_000_000,
-                new MysqlServers(new BackConnection.Account(OrderDatabase.USER, OrderDatabase.PASSWORD, ""), log));
+                new MysqlServerProtocol(new BackendConnection.Account(OrderDatabase.USER, OrderDatabase.PASSWORD, ""), log));
         engine = new Engine<>(
                 settings.maxAttempts,
                 time,
                 pool,
                 () -> {},
                 Observer.NONE,
-                SendGate.open(),
+                SendGate.alwaysOpen(),
                 log,
                 actions -> new ServiceQBalancer(settings, 7, actions));
         List<HostList.Host> hosts = new ArrayList<>();
@@ -166,7 +166,7 @@
             hosts.add(new HostList.Host(new ServerEntry("s" + i, 0, 0, ServerState.READY, 1, 0), database.address()));
         }
         HostList list = new HostList(1, true, hosts);
-        loop.submit(() -> engine.listed(ListKind.FULL, list.entries(), () -> pool.update(list)))
+        loop.submit(() -> engine.updateServers(ListKind.FULL, list.entries(), () -> pool.update(list)))
                 .sync();
     }
 
@@ -175,9 +175,9 @@
         byte[] payload = new byte[1 + text.length];
         payload[0] = 3;
         System.arraycopy(text, 0, payload, 1, text.length);
-        Command command = new Command("c" + ++asked, classIndex, -1, 4_000_000, Form.RESULTS, payload);
+        Command command = new Command("c" + ++asked, classIndex, -1, 4_000_000, ResponseType.RESULT_SETS, payload);
         Told told = new Told();
-        loop.execute(() -> engine.ask(engine.take(told, command)));
+        loop.execute(() -> engine.dispatch(engine.accept(told, command)));
         return told;
     }
 
--- a/src/test/java/kitemux/node/ServerPoolTest.java
+++ b/src/test/java/kitemux/node/ServerPoolTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import kitemux.net.NioNetwork;
-import kitemux.net.QuietChannel;
+import kitemux.net.InputAwareChannel;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -39,8 +39,8 @@
 
     @Test
     void aRefusedConnectionNeverRan() throws Exception {
-        try (FarServer dead = FarServer.serving("x");
-                FarServer good = FarServer.serving("x");
+        try (ScriptedServer dead = ScriptedServer.serving("x");
+                ScriptedServer good = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             dead.stop();
             site.start(dead, good);
@@ -51,9 +51,9 @@
 
     @Test
     void aRequestTurnedAwayNeverRan() throws Exception {
-        try (FarServer full = new FarServer(
+        try (ScriptedServer full = new ScriptedServer(
                         (request, peer) -> peer.write(Http.answer("504 Over", "X-Turned-Away: 1\r\n", "")));
-                FarServer good = FarServer.serving("x");
+                ScriptedServer good = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(full, good)) {
             allServed(site);
             assertEquals(ASKED, good.requests.size());
@@ -80,7 +80,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n" + "1\r\nx\r\n0\r\n\r\n",
             })
     void aBadAnswerMayHaveRunAndIsNeverServed(String answer) throws Exception {
-        try (FarServer bad = new FarServer((request, peer) -> {
+        try (ScriptedServer bad = new ScriptedServer((request, peer) -> {
                     peer.write(answer);
                     peer.socket().close();
                 });
@@ -92,8 +92,8 @@
 
     @Test
     void aRepeatableRequestPassesOnAfterAReset() throws Exception {
-        try (FarServer bad = new FarServer((request, peer) -> peer.reset());
-                FarServer good = FarServer.serving("x");
+        try (ScriptedServer bad = new ScriptedServer((request, peer) -> peer.reset());
+                ScriptedServer good = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(bad, good)) {
             for (int i = 0; i < ASKED; i++) {
                 assertEquals(
@@ -105,18 +105,18 @@
 
     @Test
     void anAnswerPastAllBoundsIsGivenUpAtOnce() throws Exception {
-        try (FarServer bad = new FarServer(
+        try (ScriptedServer bad = new ScriptedServer(
                         (request, peer) -> peer.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"));
                 Site site = Site.quiet().start(bad)) {
             assertEquals(502, site.ask(Http.order("t", "3600000m")).status());
-            FarServer.next(bad.ended);
+            ScriptedServer.next(bad.disconnectedPeers);
         }
     }
 
     @Test
     void anAnswerLargerThanRequestsMayBePassesOnWhole() throws Exception {
         String large = "photo".repeat(70_000);
-        try (FarServer server = FarServer.serving(large);
+        try (ScriptedServer server = ScriptedServer.serving(large);
                 Site site = Site.quiet().start(server)) {
             assertEquals(large, site.ask(Http.order("t", "4000m")).body());
             assertEquals(large, site.ask(Http.order("u", "4000m")).body());
@@ -143,7 +143,7 @@
     @ValueSource(ints = {1, 65_536, 65_537, 1_000_000, 20_000_000})
     void anAnswerOfAnyLengthPassesOnWholeHoweverItIsFramed(int length) throws Exception {
         String body = "yearbook!".repeat(length / 9 + 1).substring(0, length);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     if (request.path().contains("chunked")) {
                         peer.write(chunked(body, 70_001));
                     } else if (request.path().contains("close")) {
@@ -187,7 +187,7 @@
     @ValueSource(booleans = {true, false})
     void aLongAnswerThatBreaksOffIsTriedNowhereElseAndSeenToBeCut(boolean chunked) throws Exception {
         String part = "p".repeat(100_000);
-        try (FarServer bad = new FarServer((request, peer) -> {
+        try (ScriptedServer bad = new ScriptedServer((request, peer) -> {
                     peer.write(
                             chunked
                                     ? Site.watchHead() + Site.chunk(part)
@@ -207,7 +207,7 @@
 
     @Test
     void aBrokenEndOfWhatOnlyTheEndDelimitsIsNotServed() throws Exception {
-        try (FarServer bad = new FarServer((request, peer) -> {
+        try (ScriptedServer bad = new ScriptedServer((request, peer) -> {
                     peer.write("HTTP/1.1 200 OK\r\n\r\nonly part of it");
                     peer.reset();
                 });
@@ -220,7 +220,7 @@
     void aClientThatReadsNothingHoldsTheServerBackAndIsCutOff() throws Exception {
         AtomicLong written = new AtomicLong();
         CountDownLatch over = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     if (!request.path().contains("large")) {
                         peer.write(Http.ok("x"));
                         return;
@@ -247,7 +247,7 @@
 
     @Test
     void aClientThatLeavesInTheMiddleLetsGoOfTheServer() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     peer.write(
                             request.path().contains("large")
                                     ? "HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + "z".repeat(100_000)
@@ -258,14 +258,14 @@
             Site.write(client, Http.page("/api/large", "t", "4000m"));
             assertEquals(100_000, client.getInputStream().readNBytes(100_000).length);
             client.close();
-            FarServer.next(server.ended);
+            ScriptedServer.next(server.disconnectedPeers);
             assertEquals(200, site.ask(Http.page("after")).status());
         }
     }
 
     @Test
     void anUnreadableLoadReportSpoilsNoAnswer() throws Exception {
-        try (FarServer server = new FarServer(
+        try (ScriptedServer server = new ScriptedServer(
                         (request, peer) -> peer.write(Http.answer("200 OK", "X-Pressure: TEXT %%=;{\"\r\n", "good")));
                 Site site = Site.quiet().start(server)) {
             assertEquals("good", site.ask(Http.order("t", "4000m")).body());
@@ -278,26 +278,26 @@
         EventLoop loop = Node.newLoop();
         try (ServerSocket far = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             // Nothing is read by itself, as when the loop has not come to it yet.
-            QuietChannel channel = (QuietChannel) new Bootstrap()
+            InputAwareChannel channel = (InputAwareChannel) new Bootstrap()
                     .group(loop)
-                    .channelFactory(NioNetwork.SYSTEM::dialer)
+                    .channelFactory(NioNetwork.SYSTEM::newOutboundChannel)
                     .option(ChannelOption.AUTO_READ, false)
                     .handler(new ChannelInboundHandlerAdapter())
                     .connect(far.getLocalSocketAddress())
                     .sync()
                     .channel();
             Socket server = far.accept();
-            assertTrue(channel.isQuiet());
+            assertTrue(channel.hasNoUnreadInput());
             server.getOutputStream().write('x');
-            while (channel.isQuiet()) {
+            while (channel.hasNoUnreadInput()) {
                 Thread.onSpinWait();
             }
-            assertTrue(channel.isQuiet(), "the byte is gone");
+            assertTrue(channel.hasNoUnreadInput(), "the byte is gone");
             server.close();
-            while (channel.isQuiet()) {
+            while (channel.hasNoUnreadInput()) {
                 Thread.onSpinWait();
             }
-            assertFalse(channel.isQuiet(), "the end stays");
+            assertFalse(channel.hasNoUnreadInput(), "the end stays");
         } finally {
             loop.parent().shutdownGracefully();
         }
@@ -305,7 +305,7 @@
 
     @Test
     void interimAnswersArePassedOver() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> peer.write("HTTP/1.1 102 Processing\r\n\r\n"
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> peer.write("HTTP/1.1 102 Processing\r\n\r\n"
                         + "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + Http.ok("final")));
                 Site site = Site.quiet().start(server)) {
             assertEquals("final", site.ask(Http.page("t")).body());
@@ -314,7 +314,7 @@
 
     @Test
     void whatComesBehindAnAnswerDoesNotAnswerTheNext() throws Exception {
-        try (FarServer server = new FarServer(
+        try (ScriptedServer server = new ScriptedServer(
                         (request, peer) -> peer.write(Http.ok(request.headers().get("x-txn")) + Http.ok("stray")));
                 Site site = Site.quiet().start(server)) {
             for (int i = 0; i < 3; i++) {
@@ -326,26 +326,26 @@
 
     @Test
     void anAttemptOutOfTimeIsGivenUpByClosingItsConnection() throws Exception {
-        try (FarServer silent = new FarServer((request, peer) -> {});
+        try (ScriptedServer silent = new ScriptedServer((request, peer) -> {});
                 Site site = Site.quiet().start(silent)) {
             assertEquals(502, site.ask(Http.order("t", "100m")).status());
-            FarServer.next(silent.ended);
+            ScriptedServer.next(silent.disconnectedPeers);
         }
     }
 
     @Test
     void theMostRecentlyUsedConnectionIsTakenAndOldOnesAreClosed() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.connIdleUs = 200_000;
             site.start(server);
             assertEquals(200, site.ask(Http.page("a")).status());
             assertEquals(200, site.ask(Http.page("b")).status());
-            FarServer.Peer first = FarServer.next(server.peers);
-            assertEquals(first, FarServer.next(server.peers), "used again");
-            assertEquals(first, FarServer.next(server.ended), "closed by the node before the server does");
+            ScriptedServer.Peer first = ScriptedServer.next(server.answeredPeers);
+            assertEquals(first, ScriptedServer.next(server.answeredPeers), "used again");
+            assertEquals(first, ScriptedServer.next(server.disconnectedPeers), "closed by the node before the server does");
             assertEquals(200, site.ask(Http.page("c")).status());
-            assertNotEquals(first, FarServer.next(server.peers));
+            assertNotEquals(first, ScriptedServer.next(server.answeredPeers));
         }
     }
 
@@ -355,12 +355,12 @@
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket one = new Socket(hanging.getInetAddress(), hanging.getLocalPort());
                 Socket two = new Socket(hanging.getInetAddress(), hanging.getLocalPort());
-                FarServer good = FarServer.serving("x");
+                ScriptedServer good = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             assertTrue(one.isConnected() && two.isConnected());
             String hangs = "s0=127.0.0.1:" + hanging.getLocalPort();
             site.startKnowing(Site.list(1, true, hangs + "=Ready"));
-            FarServer.Peer watch = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer watch = ScriptedServer.next(site.discovery.answeredPeers);
             Socket client = site.connect();
             Site.write(client, Http.order("t", "5000m"));
             // Once the answer to a later request is there, the order has been taken up and awaits its turn.
@@ -373,13 +373,13 @@
 
     @Test
     void aChangedEndpointMovesNewConnections() throws Exception {
-        try (FarServer before = FarServer.serving("old");
-                FarServer after = FarServer.serving("new");
+        try (ScriptedServer before = ScriptedServer.serving("old");
+                ScriptedServer after = ScriptedServer.serving("new");
                 Site site = Site.quiet().start(before)) {
-            FarServer.Peer watch = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer watch = ScriptedServer.next(site.discovery.answeredPeers);
             assertEquals("old", site.ask(Http.page("a")).body());
             watch.write(Site.chunk(Site.list(2, false, "s0=" + after.endpoint() + "=Ready") + "\n"));
-            FarServer.next(before.ended);
+            ScriptedServer.next(before.disconnectedPeers);
             assertEquals("new", site.ask(Http.page("b")).body());
         }
     }
