--- a/src/main/java/kitemux/keeper/KeeperProcess.java
+++ b/src/main/java/kitemux/keeper/KeeperProcess.java
@@ -12,7 +12,7 @@
 import kitemux.net.NioNetwork;
 import kitemux.net.PollingLoop;
 import kitemux.net.SelectorLoop;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 
 /** A process that is a keeper: the folder's lock, the loop, and the end. */
 public final class KeeperProcess {
@@ -53,7 +53,7 @@
         try {
             keeper = Keeper.open(
                     settings,
-                    Terms.usual(),
+                    ProtocolParameters.defaults(),
                     new ConfigRules(),
                     new Keeper.Parts(loop, NioNetwork.SYSTEM, LoopTime.of(loop), log),
                     folder(settings.folder()),
--- a/src/main/java/kitemux/keeper/RolloutWatch.java
+++ b/src/main/java/kitemux/keeper/RolloutWatch.java
@@ -36,10 +36,10 @@
 import kitemux.net.Network;
 import kitemux.net.Sockets;
 import kitemux.rollout.Effect;
-import kitemux.rollout.Line;
 import kitemux.rollout.Report;
 import kitemux.rollout.RolloutText;
 import kitemux.rollout.Subscriber;
+import kitemux.rollout.WatchEvent;
 
 /**
  * A node's watch on the keepers: carries the effects of its {@link Subscriber} to sockets, and what is to be
@@ -151,14 +151,14 @@
             return;
         }
         for (Effect effect : effects) {
-            if (effect instanceof Effect.Dial dial) {
+            if (effect instanceof Effect.OpenWatch dial) {
                 dial(dial);
-            } else if (effect instanceof Effect.HangUp hangUp) {
+            } else if (effect instanceof Effect.CloseWatch hangUp) {
                 Watch watch = watches.remove(hangUp.watch());
                 if (watch != null) {
                     watch.channel.close();
                 }
-            } else if (effect instanceof Effect.PutInForce put) {
+            } else if (effect instanceof Effect.Apply put) {
                 // An event of its own: whoever is in the middle of one sees the old values to its end.
                 loop.execute(() -> put(put));
             } else if (effect instanceof Effect.SendReport send) {
@@ -171,10 +171,11 @@
             stood = machine.state();
             log.line("rollout: "
                     + switch (stood) {
-                        case DIALING -> "no keeper is watched; version " + machine.rev() + " stays in force";
+                        case CONNECTING -> "no keeper is watched; version " + machine.rev() + " stays in force";
                         case CATCHING_UP -> "catching up from version " + machine.rev();
                         case CURRENT -> "told all that its keeper knows";
-                        case ALONE -> "its keeper hears no majority: there may be versions later than " + machine.rev();
+                        case NO_QUORUM ->
+                            "its keeper hears no majority: there may be versions later than " + machine.rev();
                     });
         }
         if (timer != null) {
@@ -183,14 +184,14 @@
         timer = time.after(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
     }
 
-    private void put(Effect.PutInForce put) {
+    private void put(Effect.Apply put) {
         if (!closed) {
             inForce.put(put.rev(), put.values());
-            carry(machine.inForce(time.nowUs(), put.rev(), put.values()));
+            carry(machine.applied(time.nowUs(), put.rev(), put.values()));
         }
     }
 
-    private void dial(Effect.Dial dial) {
+    private void dial(Effect.OpenWatch dial) {
         Watch watch = new Watch(dial.watch());
         watches.put(dial.watch(), watch);
         ChannelFuture opening = dialer.connect(keepers.get(dial.keeper()));
@@ -203,7 +204,7 @@
             }
             watch.channel.pipeline().addLast(watch);
             watch.channel.writeAndFlush(
-                    request(HttpMethod.GET, "/rollout/watch?after=" + dial.after() + who, new byte[0]));
+                    request(HttpMethod.GET, "/rollout/watch?after=" + dial.afterRev() + who, new byte[0]));
         });
     }
 
@@ -278,7 +279,7 @@
             if (isWanted()) {
                 watches.remove(number);
                 channel.close();
-                carry(machine.ended(time.nowUs(), number));
+                carry(machine.watchEnded(time.nowUs(), number));
             }
         }
 
@@ -293,7 +294,7 @@
                     && response.status().code() != 200) {
                 ended();
             } else if (part instanceof HttpResponse) {
-                carry(machine.connected(time.nowUs(), number));
+                carry(machine.watchOpened(time.nowUs(), number));
             } else if (part instanceof HttpContent content) {
                 read(content.content());
                 if (part instanceof LastHttpContent) {
@@ -308,7 +309,7 @@
                     case NOTHING -> {
                         return;
                     }
-                    case BEAT -> carry(machine.line(time.nowUs(), number, new Line.Beat()));
+                    case BEAT -> carry(machine.handleEvent(time.nowUs(), number, new WatchEvent.Heartbeat()));
                     case LIST -> line(lines.list());
                     case SPOILT -> bad(lines.spoilt());
                 }
@@ -316,17 +317,17 @@
         }
 
         private void line(byte[] text) {
-            RolloutText.Read<Line> read = RolloutText.readLine(text);
-            if (read.faults().isEmpty()) {
-                carry(machine.line(time.nowUs(), number, read.value()));
+            RolloutText.ParseResult<WatchEvent> read = RolloutText.readWatchEvent(text);
+            if (read.errors().isEmpty()) {
+                carry(machine.handleEvent(time.nowUs(), number, read.value()));
             } else {
-                bad(read.faults().get(0).toString());
+                bad(read.errors().get(0).toString());
             }
         }
 
         private void bad(String what) {
             log.line("rollout: bad line: " + what);
-            carry(machine.badLine(time.nowUs(), number));
+            carry(machine.handleMalformedEvent(time.nowUs(), number));
         }
 
         @Override
--- a/src/main/java/kitemux/node/LiveSettings.java
+++ b/src/main/java/kitemux/node/LiveSettings.java
@@ -16,9 +16,9 @@
 import kitemux.Balancer.Tenant;
 import kitemux.config.Json;
 import kitemux.keeper.ConfigRules;
-import kitemux.rollout.Fault;
 import kitemux.rollout.History;
 import kitemux.rollout.Rules;
+import kitemux.rollout.ValidationError;
 
 /**
  * What a node takes of a configuration that it is told while it runs. What that does not name stays as the
@@ -56,17 +56,17 @@
         overShareWorth = settings.overShareWorth;
         classes.forEach(one -> live.add("classes/" + one.name()));
         tenants.forEach(one -> live.add("realms/" + one.name()));
-        live.addAll(List.of("overShareWorth", "discovery", History.VOTERS));
+        live.addAll(List.of("overShareWorth", "discovery", History.VOTERS_PATH));
     }
 
     @Override
-    public List<Fault> faults(Map<String, String> whole) {
-        return rules.faults(whole);
+    public List<ValidationError> validate(Map<String, String> whole) {
+        return rules.validate(whole);
     }
 
     /** By what the file says: the first is what the node started with besides, which is nothing. */
     @Override
-    public Set<String> waitRestart(Map<String, String> first, Map<String, String> next) {
+    public Set<String> pathsNeedingRestart(Map<String, String> first, Map<String, String> next) {
         Set<String> waits = new TreeSet<>();
         next.forEach((path, value) -> {
             if (!live.contains(path) || path.startsWith("classes/") && !isLive(path, read(value))) {
@@ -149,7 +149,7 @@
         told = at;
     }
 
-    /** What {@link #faults} found nothing wrong with. */
+    /** What {@link #validate} found nothing wrong with. */
     private static Json read(String value) {
         try {
             return Json.read(value.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/kitemux/node/RolloutLink.java
+++ b/src/main/java/kitemux/node/RolloutLink.java
@@ -12,8 +12,8 @@
 import kitemux.net.Addresses;
 import kitemux.net.NioNetwork;
 import kitemux.net.Sockets;
+import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Subscriber;
-import kitemux.rollout.Terms;
 
 /** A node's tie to keepers; the only class of the node that names what carries configuration. */
 final class RolloutLink {
@@ -44,7 +44,15 @@
         int node = config.settings().me;
         long life = time.nowUs() / 1_000;
         Subscriber subscriber = new Subscriber(
-                Terms.usual(), live, node, life, keepers.size(), 0, new TreeMap<>(), config.seed(), time.nowUs());
+                ProtocolParameters.defaults(),
+                live,
+                node,
+                life,
+                keepers.size(),
+                0,
+                new TreeMap<>(),
+                config.seed(),
+                time.nowUs());
         new RolloutWatch(
                         loop,
                         NioNetwork.SYSTEM,
--- a/src/test/java/kitemux/keeper/Keepers.java
+++ b/src/test/java/kitemux/keeper/Keepers.java
@@ -33,8 +33,8 @@
 import kitemux.net.PollingLoop;
 import kitemux.net.SelectorLoop;
 import kitemux.net.Sockets;
+import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Subscriber;
-import kitemux.rollout.Terms;
 import kitemux.rollout.Voter;
 
 /**
@@ -44,7 +44,7 @@
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private final Path root;
-    private final Terms terms;
+    private final ProtocolParameters terms;
     private final int nodes;
     private final int count;
     /** Of the ways between. */
@@ -70,7 +70,7 @@
     private final List<Node> started = new ArrayList<>();
 
     /** The first ones vote. */
-    Keepers(Path root, int count, int voting, int nodes, Terms terms) throws IOException {
+    Keepers(Path root, int count, int voting, int nodes, ProtocolParameters terms) throws IOException {
         this.root = root;
         this.count = count;
         this.nodes = nodes;
@@ -89,7 +89,7 @@
             }
             if (k < voting) {
                 try (FolderDisk disk = FolderDisk.toWrite(folder(k))) {
-                    voters.add(Voter.read(Keeper.make(disk, k, draws::incrementAndGet, lines[k])));
+                    voters.add(Voter.parse(Keeper.make(disk, k, draws::incrementAndGet, lines[k])));
                 }
             }
         }
--- a/src/test/java/kitemux/keeper/RolloutWatchTest.java
+++ b/src/test/java/kitemux/keeper/RolloutWatchTest.java
@@ -22,8 +22,8 @@
 import kitemux.net.PollingLoop;
 import kitemux.net.SelectorLoop;
 import kitemux.net.Sockets;
+import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Subscriber;
-import kitemux.rollout.Terms;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -76,7 +76,16 @@
                 NioNetwork.SYSTEM,
                 time,
                 List.of((InetSocketAddress) listening.getLocalSocketAddress()),
-                new Subscriber(Terms.usual(), new ConfigRules(), 17, 5, 1, 0, new TreeMap<>(), 1, time.nowUs()),
+                new Subscriber(
+                        ProtocolParameters.defaults(),
+                        new ConfigRules(),
+                        17,
+                        5,
+                        1,
+                        0,
+                        new TreeMap<>(),
+                        1,
+                        time.nowUs()),
                 17,
                 5,
                 sockets,
@@ -146,7 +155,7 @@
     }
 
     private long badLines() throws Exception {
-        return loop.submit(() -> watch.machine().badLines()).get();
+        return loop.submit(() -> watch.machine().malformedEvents()).get();
     }
 
     @Test
--- a/src/test/java/kitemux/node/LiveSettingsTest.java
+++ b/src/test/java/kitemux/node/LiveSettingsTest.java
@@ -66,7 +66,7 @@
     void whatIsNotLiveIsSaidToWait() {
         assertEquals(
                 Set.of(),
-                live.waitRestart(
+                live.pathsNeedingRestart(
                         Map.of(),
                         Map.of(
                                 "realms/a",
@@ -81,9 +81,10 @@
                                 "[]")));
         assertEquals(
                 Set.of("realms/new", "classes/new", "limits/attemptsCap"),
-                live.waitRestart(Map.of(), Map.of("realms/new", "{}", "classes/new", FAST, "limits/attemptsCap", "9")));
+                live.pathsNeedingRestart(
+                        Map.of(), Map.of("realms/new", "{}", "classes/new", FAST, "limits/attemptsCap", "9")));
         String order = "{\"repeat\":\"unsafe\",\"group\":\"cell\",\"windowUs\":7,\"stream\":true}";
-        assertEquals(Set.of(), live.waitRestart(Map.of(), Map.of("classes/order", order)));
+        assertEquals(Set.of(), live.pathsNeedingRestart(Map.of(), Map.of("classes/order", order)));
         for (String other : List.of(
                 order.replace("unsafe", "safe"),
                 order.replace("cell", "all"),
@@ -91,7 +92,8 @@
                 order.replace("true", "false"),
                 order.replace("\"repeat\"", "\"aimStretch\":1,\"repeat\""),
                 order.replace("\"group\":\"cell\",", ""))) {
-            assertEquals(Set.of("classes/order"), live.waitRestart(Map.of(), Map.of("classes/order", other)), other);
+            assertEquals(
+                    Set.of("classes/order"), live.pathsNeedingRestart(Map.of(), Map.of("classes/order", other)), other);
         }
     }
 
--- a/src/test/java/kitemux/rollout/Play.java
+++ b/src/test/java/kitemux/rollout/Play.java
@@ -190,7 +190,7 @@
         again.add(change);
         at.change(change, outcome -> {
             fleet.count(outcome.getClass().getSimpleName());
-            if (outcome instanceof Outcome.Taken taken) {
+            if (outcome instanceof Outcome.Committed taken) {
                 fleet.see(new Judge.Answered(fleet.nowUs(), change.id(), taken.rev()));
             }
         });
--- a/src/test/java/kitemux/rollout/RolloutSeedsTest.java
+++ b/src/test/java/kitemux/rollout/RolloutSeedsTest.java
@@ -34,8 +34,8 @@
         System.out.println("rollout: " + SEEDS + " seeds from " + FIRST + ", " + counts);
         assertEquals(List.of(), broken);
         for (String each : List.of(
-                "Taken",
-                "Faulty",
+                "Committed",
+                "Invalid",
                 "Conflict",
                 "Unavailable",
                 "status IN_FORCE",
