--- a/src/main/java/kitemux/rollout/Acceptor.java
+++ b/src/main/java/kitemux/rollout/Acceptor.java
@@ -25,20 +25,20 @@
     }
 
     /** Whether it promises; the request is of the open version. */
-    public Response prepare(Request.Prepare asked) {
-        if (!asked.ballot().isGreaterThan(vote.promised())) {
-            return new Response.Rejected(asked.rev(), asked.ballot(), vote.promised());
+    public Response prepare(Request.Prepare request) {
+        if (!request.ballot().isGreaterThan(vote.promised())) {
+            return new Response.Rejected(request.rev(), request.ballot(), vote.promised());
         }
-        vote = new Vote(vote.rev(), asked.ballot(), vote.acceptedAt(), vote.accepted());
-        return new Response.Promised(asked.rev(), asked.ballot(), vote.acceptedAt(), vote.accepted());
+        vote = new Vote(vote.rev(), request.ballot(), vote.acceptedAt(), vote.accepted());
+        return new Response.Promised(request.rev(), request.ballot(), vote.acceptedAt(), vote.accepted());
     }
 
     /** Whether it accepts; the request is of the open version. */
-    public Response accept(Request.Accept asked) {
-        if (vote.promised().isGreaterThan(asked.ballot())) {
-            return new Response.Rejected(asked.rev(), asked.ballot(), vote.promised());
+    public Response accept(Request.Accept request) {
+        if (vote.promised().isGreaterThan(request.ballot())) {
+            return new Response.Rejected(request.rev(), request.ballot(), vote.promised());
         }
-        vote = new Vote(vote.rev(), asked.ballot(), asked.ballot(), asked.value());
-        return new Response.Accepted(asked.rev(), asked.ballot());
+        vote = new Vote(vote.rev(), request.ballot(), request.ballot(), request.value());
+        return new Response.Accepted(request.rev(), request.ballot());
     }
 }
--- a/src/main/java/kitemux/rollout/Inventory.java
+++ b/src/main/java/kitemux/rollout/Inventory.java
@@ -7,10 +7,10 @@
 
 /** Which node has what in force, by what nodes reported to this keeper, and merged with what others heard. */
 public final class Inventory {
-    private final Map<Integer, Heard> heard = new TreeMap<>();
+    private final Map<Integer, ReceivedReport> receivedByNode = new TreeMap<>();
     private long rejectedReports;
 
-    private record Heard(Report report, long atUs) {}
+    private record ReceivedReport(Report report, long receivedAtUs) {}
 
     /** A report, and how long ago it came, in microseconds: clocks of keepers are not compared. */
     public record Row(Report report, long ageUs) {}
@@ -32,27 +32,27 @@
 
     /** A node's report came. One of an earlier life of that number does not count. */
     public void addReport(long nowUs, Report report) {
-        Heard last = heard.get(report.node());
-        if (last == null && heard.size() >= ProtocolParameters.MAX_NODE_COUNT) {
+        ReceivedReport previous = receivedByNode.get(report.node());
+        if (previous == null && receivedByNode.size() >= ProtocolParameters.MAX_NODE_COUNT) {
             rejectedReports++;
-        } else if (last == null || report.incarnation() >= last.report.incarnation()) {
-            heard.put(report.node(), new Heard(report, nowUs));
+        } else if (previous == null || report.incarnation() >= previous.report.incarnation()) {
+            receivedByNode.put(report.node(), new ReceivedReport(report, nowUs));
         }
     }
 
     /** All that is known here, for other keepers. */
     public List<Row> rows(long nowUs) {
-        return heard.values().stream()
-                .map(h -> new Row(h.report, nowUs - h.atUs))
+        return receivedByNode.values().stream()
+                .map(received -> new Row(received.report, nowUs - received.receivedAtUs))
                 .toList();
     }
 
     /** Rows of several keepers as one a node: the highest life counts, then the newest report. */
-    public static Map<Integer, Row> merge(List<List<Row>> all) {
-        Map<Integer, Row> best = new TreeMap<>();
-        for (List<Row> some : all) {
-            for (Row row : some) {
-                best.merge(
+    public static Map<Integer, Row> merge(List<List<Row>> rowsByKeeper) {
+        Map<Integer, Row> newestByNode = new TreeMap<>();
+        for (List<Row> rows : rowsByKeeper) {
+            for (Row row : rows) {
+                newestByNode.merge(
                         row.report.node(),
                         row,
                         (a, b) -> a.report.incarnation() != b.report.incarnation()
@@ -60,7 +60,7 @@
                                 : a.ageUs <= b.ageUs ? a : b);
             }
         }
-        return best;
+        return newestByNode;
     }
 
     /** How a node stands to a version; {@code row} null where nothing was heard. */
@@ -75,21 +75,21 @@
         if (report.rev() >= rev) {
             return report.pendingRestart().isEmpty() ? NodeStatus.IN_FORCE : NodeStatus.WAITS_RESTART;
         }
-        return report.rejections().stream().anyMatch(refusal -> refusal.rev() >= rev)
+        return report.rejections().stream().anyMatch(rejection -> rejection.rev() >= rev)
                 ? NodeStatus.REFUSED
                 : NodeStatus.BEHIND;
     }
 
     /** Numbers of nodes by how they stand to a version, of a fleet of so many; each node once. */
     public static Map<NodeStatus, List<Integer>> nodesByStatus(
-            ProtocolParameters terms, Map<Integer, Row> merged, int nodes, long rev) {
-        Map<NodeStatus, List<Integer>> found = new TreeMap<>();
-        for (NodeStatus each : NodeStatus.values()) {
-            found.put(each, new ArrayList<>());
+            ProtocolParameters terms, Map<Integer, Row> rowsByNode, int nodeCount, long rev) {
+        Map<NodeStatus, List<Integer>> nodesByStatus = new TreeMap<>();
+        for (NodeStatus status : NodeStatus.values()) {
+            nodesByStatus.put(status, new ArrayList<>());
         }
-        for (int node = 0; node < nodes; node++) {
-            found.get(statusOf(terms, merged.get(node), rev)).add(node);
+        for (int node = 0; node < nodeCount; node++) {
+            nodesByStatus.get(statusOf(terms, rowsByNode.get(node), rev)).add(node);
         }
-        return found;
+        return nodesByStatus;
     }
 }
--- a/src/main/java/kitemux/rollout/KeeperStateMachine.java
+++ b/src/main/java/kitemux/rollout/KeeperStateMachine.java
@@ -16,28 +16,28 @@
     private static final String NOT_CAUGHT_UP = "this keeper has not caught up yet";
 
     private final ProtocolParameters terms;
-    private final Voter me;
-    private final int keepers;
+    private final Voter self;
+    private final int keeperCount;
     private final History history;
     private final Acceptor acceptor;
     private final Proposer proposer;
     private final Inventory inventory = new Inventory();
-    private final Watch.Wholes wholes;
+    private final Watch.SnapshotCache snapshotCache;
     private final Map<Long, Watch> openWatches = new LinkedHashMap<>();
-    private final Map<Long, Long> watchAtUs = new HashMap<>();
-    private final SplittableRandom draws;
+    private final Map<Long, Long> nextSendAtUsByWatch = new HashMap<>();
+    private final SplittableRandom random;
     /** When each keeper last answered, in this life. */
-    private final Map<Integer, Long> heardUs = new HashMap<>();
+    private final Map<Integer, Long> lastResponseAtUsByKeeper = new HashMap<>();
     /** The newest version that another keeper has told of. */
-    private long newestHeard;
+    private long newestKnownRev;
 
     private boolean caughtUp;
-    private long pulseAtUs;
-    private long finishAtUs = Long.MAX_VALUE;
+    private long nextFetchAtUs;
+    private long recoverAtUs = Long.MAX_VALUE;
     private long rejectedWatches;
-    private long deafUntilUs;
+    private long discardReportsUntilUs;
     private long discardedReports;
-    private List<Effect> out = new ArrayList<>();
+    private List<Effect> effects = new ArrayList<>();
     private long nowUs;
 
     /**
@@ -51,35 +51,35 @@
      */
     public KeeperStateMachine(
             ProtocolParameters terms,
-            Voter me,
-            int keepers,
-            List<Voter> founding,
+            Voter self,
+            int keeperCount,
+            List<Voter> initialVoters,
             Rules rules,
-            List<LogRecord> kept,
+            List<LogRecord> records,
             long seed,
             long nowUs) {
         this.terms = terms;
-        this.me = me;
-        this.keepers = keepers;
+        this.self = self;
+        this.keeperCount = keeperCount;
         this.nowUs = nowUs;
-        draws = new SplittableRandom(seed);
-        history = new History(founding);
+        random = new SplittableRandom(seed);
+        history = new History(initialVoters);
         Vote vote = Vote.empty(1);
-        for (LogRecord each : kept) {
-            if (each instanceof LogRecord.Chosen chosen) {
+        for (LogRecord entry : records) {
+            if (entry instanceof LogRecord.Chosen chosen) {
                 history.append(chosen.version());
-            } else if (each instanceof LogRecord.Snapshot whole) {
+            } else if (entry instanceof LogRecord.Snapshot whole) {
                 history.installSnapshot(whole.rev(), whole.values());
-            } else if (each instanceof LogRecord.Voted voted) {
+            } else if (entry instanceof LogRecord.Voted voted) {
                 vote = voted.vote();
             }
         }
         acceptor = new Acceptor(vote);
         acceptor.advanceTo(history.rev());
-        proposer = new Proposer(terms, me.keeper(), history, rules, draws.nextLong(), this::chosen);
-        wholes = new Watch.Wholes(terms.snapshotPartBytes());
-        pulseAtUs = nowUs;
-        settle();
+        proposer = new Proposer(terms, self.keeper(), history, rules, random.nextLong(), this::onOwnProposalChosen);
+        snapshotCache = new Watch.SnapshotCache(terms.snapshotPartBytes());
+        nextFetchAtUs = nowUs;
+        updateCaughtUpAndRecovery();
     }
 
     /** Its part in decisions, whole but for times and draws. */
@@ -87,7 +87,7 @@
     public String toString() {
         Vote vote = acceptor.vote();
         return history.versionsAfter(0, ProtocolParameters.MAX_HISTORY_VERSION_COUNT).stream()
-                        .map(v -> v.change().id())
+                        .map(version -> version.change().id())
                         .toList()
                 + " "
                 + vote.rev() + " " + vote.promised() + " " + vote.acceptedAt() + " "
@@ -129,20 +129,20 @@
 
     /** Whether it hears no majority of the voters: there may be versions that it does not know. */
     public boolean lacksQuorum() {
-        return heard(terms.voterTimeoutUs()) <= history.voters().size() / 2;
+        return countReachableVoters(terms.voterTimeoutUs()) <= history.voters().size() / 2;
     }
 
     /** What a folder that is written anew has to hold, in order. */
     public List<LogRecord> toRecords() {
-        List<LogRecord> all = history.toRecords();
-        all.add(new LogRecord.Voted(acceptor.vote()));
-        return all;
+        List<LogRecord> records = history.toRecords();
+        records.add(new LogRecord.Voted(acceptor.vote()));
+        return records;
     }
 
     /** When {@link #tick} is to be called, in microseconds. */
     public long nextAtUs() {
-        long next = Math.min(Math.min(pulseAtUs, finishAtUs), proposer.nextAtUs());
-        for (long at : watchAtUs.values()) {
+        long next = Math.min(Math.min(nextFetchAtUs, recoverAtUs), proposer.nextAtUs());
+        for (long at : nextSendAtUsByWatch.values()) {
             next = Math.min(next, at);
         }
         return next;
@@ -152,189 +152,189 @@
      * Whoever stood still finds reports that lay unread; how long nobody knows. They are let pass for a
      * while: nodes report again.
      */
-    private void arrives(long now) {
+    private void advanceClock(long now) {
         if (now - nowUs > 2 * terms.fetchIntervalUs()) {
-            deafUntilUs = now + terms.fetchIntervalUs();
+            discardReportsUntilUs = now + terms.fetchIntervalUs();
         }
         nowUs = now;
     }
 
-    private List<Effect> events(long now, Runnable event) {
-        arrives(now);
-        out = new ArrayList<>();
+    private List<Effect> handle(long now, Runnable event) {
+        advanceClock(now);
+        effects = new ArrayList<>();
         event.run();
-        settle();
-        List<Effect> done = out;
-        out = new ArrayList<>();
-        return done;
+        updateCaughtUpAndRecovery();
+        List<Effect> result = effects;
+        effects = new ArrayList<>();
+        return result;
     }
 
     /** Time has passed. */
     public List<Effect> tick(long now) {
-        return events(now, () -> {
-            proposer.tick(now, out);
-            if (now >= pulseAtUs) {
-                pulseAtUs = now + terms.fetchIntervalUs();
-                toOthers(new Request.Fetch(history.rev()));
+        return handle(now, () -> {
+            proposer.tick(now, effects);
+            if (now >= nextFetchAtUs) {
+                nextFetchAtUs = now + terms.fetchIntervalUs();
+                broadcast(new Request.Fetch(history.rev()));
             }
-            if (now >= finishAtUs) {
-                finishAtUs = Long.MAX_VALUE;
-                proposer.recoverAccepted(now, out);
+            if (now >= recoverAtUs) {
+                recoverAtUs = Long.MAX_VALUE;
+                proposer.recoverAccepted(now, effects);
             }
-            watchAtUs.replaceAll((id, at) -> now >= at ? send(id) : at);
+            nextSendAtUsByWatch.replaceAll((id, at) -> now >= at ? sendPending(id) : at);
         });
     }
 
     /** Another keeper asks; the effects hold its answer, once, under this number of the call. */
     public List<Effect> handleRequest(long now, long call, Request request) {
-        return events(now, () -> {
-            if (request instanceof Request.Prepare asked) {
-                vote(call, asked.rev(), () -> acceptor.prepare(asked));
-            } else if (request instanceof Request.Accept asked) {
-                vote(call, asked.rev(), () -> acceptor.accept(asked));
-            } else if (request instanceof Request.Chosen asked) {
-                if (asked.version().rev() == history.rev() + 1) {
-                    learn(asked.version());
-                    proposer.historyAdvanced(nowUs, out);
+        return handle(now, () -> {
+            if (request instanceof Request.Prepare message) {
+                voteOn(call, message.rev(), () -> acceptor.prepare(message));
+            } else if (request instanceof Request.Accept message) {
+                voteOn(call, message.rev(), () -> acceptor.accept(message));
+            } else if (request instanceof Request.Chosen message) {
+                if (message.version().rev() == history.rev() + 1) {
+                    learn(message.version());
+                    proposer.historyAdvanced(nowUs, effects);
                 }
-                out.add(new Effect.Reply(call, since(history.rev())));
-            } else if (request instanceof Request.Fetch asked) {
-                newestHeard = Math.max(newestHeard, asked.afterRev());
-                out.add(new Effect.Reply(call, since(asked.afterRev())));
+                effects.add(new Effect.Reply(call, versionsSince(history.rev())));
+            } else if (request instanceof Request.Fetch message) {
+                newestKnownRev = Math.max(newestKnownRev, message.afterRev());
+                effects.add(new Effect.Reply(call, versionsSince(message.afterRev())));
             }
         });
     }
 
-    private boolean votes() {
-        return history.voters().contains(me);
+    private boolean isVoter() {
+        return history.voters().contains(self);
     }
 
-    private void vote(long call, long rev, Supplier<Response> open) {
+    private void voteOn(long call, long rev, Supplier<Response> decide) {
         if (rev <= history.rev()) {
-            out.add(new Effect.Reply(call, since(rev - 1)));
-        } else if (rev > history.rev() + 1 || !votes()) {
-            out.add(new Effect.Reply(call, new Response.Behind(rev, history.rev())));
+            effects.add(new Effect.Reply(call, versionsSince(rev - 1)));
+        } else if (rev > history.rev() + 1 || !isVoter()) {
+            effects.add(new Effect.Reply(call, new Response.Behind(rev, history.rev())));
         } else {
             Vote before = acceptor.vote();
-            Effect reply = new Effect.Reply(call, open.get());
+            Effect reply = new Effect.Reply(call, decide.get());
             if (acceptor.vote().equals(before)) {
-                out.add(reply);
+                effects.add(reply);
             } else {
-                out.add(new Effect.Persist(new LogRecord.Voted(acceptor.vote()), List.of(reply)));
+                effects.add(new Effect.Persist(new LogRecord.Voted(acceptor.vote()), List.of(reply)));
             }
         }
     }
 
-    private Response since(long after) {
-        return history.covers(after) || after >= history.rev()
+    private Response versionsSince(long afterRev) {
+        return history.covers(afterRev) || afterRev >= history.rev()
                 ? new Response.Versions(
-                        after,
+                        afterRev,
                         history.rev(),
-                        history.versionsAfter(after, ProtocolParameters.MAX_RESPONSE_VERSION_COUNT))
+                        history.versionsAfter(afterRev, ProtocolParameters.MAX_RESPONSE_VERSION_COUNT))
                 : new Response.Snapshot(history.rev(), history.values());
     }
 
     /** Another keeper has answered what was sent to it. */
     public List<Effect> handleResponse(long now, int from, Response answer) {
-        return events(now, () -> {
-            heardUs.put(from, now);
+        return handle(now, () -> {
+            lastResponseAtUsByKeeper.put(from, now);
             long before = history.rev();
             if (answer instanceof Response.Versions known) {
                 known.versions().forEach(this::learn);
-                newestHeard = Math.max(newestHeard, known.newestRev());
+                newestKnownRev = Math.max(newestKnownRev, known.newestRev());
                 if (history.rev() > before && known.newestRev() > history.rev()) {
-                    out.add(new Effect.Send(from, new Request.Fetch(history.rev())));
+                    effects.add(new Effect.Send(from, new Request.Fetch(history.rev())));
                 }
             } else if (answer instanceof Response.Snapshot whole) {
-                newestHeard = Math.max(newestHeard, whole.rev());
+                newestKnownRev = Math.max(newestKnownRev, whole.rev());
                 if (history.installSnapshot(whole.rev(), whole.values())) {
-                    learned(new LogRecord.Snapshot(whole.rev(), whole.values()));
+                    onHistoryAdvanced(new LogRecord.Snapshot(whole.rev(), whole.values()));
                 }
             } else if (answer instanceof Response.Behind behind) {
-                tellWhatItLacks(from, behind);
+                sendMissingVersions(from, behind);
             }
             if (history.rev() > before) {
-                proposer.historyAdvanced(now, out);
+                proposer.historyAdvanced(now, effects);
             }
-            proposer.handleResponse(now, from, answer, out);
+            proposer.handleResponse(now, from, answer, effects);
         });
     }
 
-    private void tellWhatItLacks(int to, Response.Behind behind) {
+    private void sendMissingVersions(int to, Response.Behind behind) {
         for (Version version :
                 history.versionsAfter(behind.newestRev(), ProtocolParameters.MAX_RESPONSE_VERSION_COUNT)) {
-            out.add(new Effect.Send(to, new Request.Chosen(version)));
+            effects.add(new Effect.Send(to, new Request.Chosen(version)));
         }
     }
 
     /** A version is known to be chosen. Need not be synced before it is told: a majority has it on disk. */
     private void learn(Version version) {
         if (history.append(version)) {
-            learned(new LogRecord.Chosen(version));
+            onHistoryAdvanced(new LogRecord.Chosen(version));
         }
     }
 
     /** A version was chosen by its own proposal. */
-    private void chosen(Version version) {
+    private void onOwnProposalChosen(Version version) {
         learn(version);
-        toOthers(new Request.Chosen(version));
+        broadcast(new Request.Chosen(version));
     }
 
-    private void toOthers(Request request) {
-        for (int to = 0; to < keepers; to++) {
-            if (to != me.keeper()) {
-                out.add(new Effect.Send(to, request));
+    private void broadcast(Request request) {
+        for (int to = 0; to < keeperCount; to++) {
+            if (to != self.keeper()) {
+                effects.add(new Effect.Send(to, request));
             }
         }
     }
 
-    private void learned(LogRecord kept) {
+    private void onHistoryAdvanced(LogRecord entry) {
         acceptor.advanceTo(history.rev());
-        out.add(new Effect.Persist(kept, List.of()));
-        watchAtUs.replaceAll((id, at) -> send(id));
+        effects.add(new Effect.Persist(entry, List.of()));
+        nextSendAtUsByWatch.replaceAll((id, at) -> sendPending(id));
     }
 
     /** An operator's change; {@link Effect.Conclude} follows once, at once or later. */
     public List<Effect> proposeChange(long now, long call, Change change) {
-        return events(now, () -> {
+        return handle(now, () -> {
             if (caughtUp) {
-                proposer.propose(now, call, change, out);
+                proposer.propose(now, call, change, effects);
             } else {
-                out.add(new Effect.CompleteChange(call, new Outcome.Unavailable(NOT_CAUGHT_UP)));
+                effects.add(new Effect.CompleteChange(call, new Outcome.Unavailable(NOT_CAUGHT_UP)));
             }
         });
     }
 
     /** A node wants to be told what comes after a version; lines follow, or the watch is refused. */
-    public List<Effect> openWatch(long now, long watch, long after) {
-        return events(now, () -> {
+    public List<Effect> openWatch(long now, long watchId, long afterRev) {
+        return handle(now, () -> {
             String reason = !caughtUp
                     ? NOT_CAUGHT_UP
-                    : after > history.rev()
-                            ? "version " + after + " is not known here yet"
+                    : afterRev > history.rev()
+                            ? "version " + afterRev + " is not known here yet"
                             : openWatches.size() >= ProtocolParameters.MAX_WATCH_COUNT
                                     ? ProtocolParameters.MAX_WATCH_COUNT + " watches are open"
                                     : null;
             if (reason != null) {
                 rejectedWatches++;
-                out.add(new Effect.RejectWatch(watch, reason));
+                effects.add(new Effect.RejectWatch(watchId, reason));
                 return;
             }
-            openWatches.put(watch, new Watch(now, terms, after));
-            watchAtUs.put(watch, send(watch));
+            openWatches.put(watchId, new Watch(now, terms, afterRev));
+            nextSendAtUsByWatch.put(watchId, sendPending(watchId));
         });
     }
 
     /** A watch has ended, from either side. */
-    public void watchEnded(long watch) {
-        openWatches.remove(watch);
-        watchAtUs.remove(watch);
+    public void watchEnded(long watchId) {
+        openWatches.remove(watchId);
+        nextSendAtUsByWatch.remove(watchId);
     }
 
     /** A node's report. */
     public void handleReport(long now, Report report) {
-        arrives(now);
-        if (now < deafUntilUs) {
+        advanceClock(now);
+        if (now < discardReportsUntilUs) {
             discardedReports++;
         } else {
             inventory.addReport(now, report);
@@ -346,26 +346,30 @@
         return discardedReports;
     }
 
-    private long send(long watch) {
-        return openWatches.get(watch).send(nowUs, watch, terms, history, wholes, lacksQuorum(), out);
+    private long sendPending(long watchId) {
+        return openWatches
+                .get(watchId)
+                .sendPending(nowUs, watchId, terms, history, snapshotCache, lacksQuorum(), effects);
     }
 
     /** Voters that were heard within a time, itself among them if it votes. */
-    private long heard(long withinUs) {
+    private long countReachableVoters(long windowUs) {
         return history.voters().stream()
-                .filter(voter -> voter.equals(me)
-                        || heardUs.getOrDefault(voter.keeper(), Long.MIN_VALUE / 2) >= nowUs - withinUs)
+                .filter(voter -> voter.equals(self)
+                        || lastResponseAtUsByKeeper.getOrDefault(voter.keeper(), Long.MIN_VALUE / 2)
+                                >= nowUs - windowUs)
                 .count();
     }
 
     /** What follows from any event: whether it has caught up, and whether something waits to be finished. */
-    private void settle() {
-        caughtUp |= heard(Long.MAX_VALUE / 2) > history.voters().size() / 2 && newestHeard <= history.rev();
-        boolean isOpen = acceptor.vote().accepted() != null && votes();
+    private void updateCaughtUpAndRecovery() {
+        caughtUp |= countReachableVoters(Long.MAX_VALUE / 2) > history.voters().size() / 2
+                && newestKnownRev <= history.rev();
+        boolean isOpen = acceptor.vote().accepted() != null && isVoter();
         if (!isOpen) {
-            finishAtUs = Long.MAX_VALUE;
-        } else if (finishAtUs == Long.MAX_VALUE) {
-            finishAtUs = nowUs + draws.nextLong(terms.recoveryDelayUs(), 2 * terms.recoveryDelayUs());
+            recoverAtUs = Long.MAX_VALUE;
+        } else if (recoverAtUs == Long.MAX_VALUE) {
+            recoverAtUs = nowUs + random.nextLong(terms.recoveryDelayUs(), 2 * terms.recoveryDelayUs());
         }
     }
 }
--- a/src/main/java/kitemux/rollout/Proposer.java
+++ b/src/main/java/kitemux/rollout/Proposer.java
@@ -13,21 +13,21 @@
  */
 public final class Proposer {
     private final ProtocolParameters terms;
-    private final int me;
+    private final int self;
     private final History history;
     private final Rules rules;
-    private final Consumer<Version> chosen;
-    private final SplittableRandom draws;
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    private final Consumer<Version> onChosen;
+    private final SplittableRandom random;
+    private final ArrayDeque<QueuedChange> queue = new ArrayDeque<>();
     private State state = State.IDLE;
-    private Attempt attempt;
+    private Proposal proposal;
     private long rev;
     private Ballot ballot = Ballot.NONE;
-    private long untilUs = Long.MAX_VALUE;
+    private long phaseDeadlineUs = Long.MAX_VALUE;
     /** Who has promised, while PREPARING; who has accepted, while ACCEPTING. */
-    private final Set<Integer> agreed = new HashSet<>();
+    private final Set<Integer> agreedKeepers = new HashSet<>();
     /** Of what was accepted before, by those who promised, that of the highest ballot. */
-    private Ballot highest;
+    private Ballot highestAcceptedBallot;
     /** What is to be accepted, or null while that is not known. */
     private Change value;
 
@@ -41,19 +41,19 @@
         ACCEPTING
     }
 
-    private record Call(long call, Change change) {}
+    private record QueuedChange(long callId, Change change) {}
 
     /** What is under way; own is null where another's change is finished. */
-    private static final class Attempt {
-        final Call own;
-        final long beganUs;
-        int tries;
+    private static final class Proposal {
+        final QueuedChange queued;
+        final long startedAtUs;
+        int ballotCount;
         /** Whether the own change may have been accepted by somebody, in the version that is open. */
-        boolean ownSent;
+        boolean mayHaveBeenAccepted;
 
-        Attempt(Call own, long beganUs) {
-            this.own = own;
-            this.beganUs = beganUs;
+        Proposal(QueuedChange queued, long startedAtUs) {
+            this.queued = queued;
+            this.startedAtUs = startedAtUs;
         }
     }
 
@@ -65,24 +65,24 @@
      * @param chosen is told each version that it had chosen
      */
     public Proposer(
-            ProtocolParameters terms, int me, History history, Rules rules, long seed, Consumer<Version> chosen) {
+            ProtocolParameters terms, int self, History history, Rules rules, long seed, Consumer<Version> onChosen) {
         this.terms = terms;
-        this.me = me;
+        this.self = self;
         this.history = history;
         this.rules = rules;
-        this.draws = new SplittableRandom(seed);
-        this.chosen = chosen;
+        this.random = new SplittableRandom(seed);
+        this.onChosen = onChosen;
     }
 
     /** Its state, whole but for times and draws: two that say the same go on alike. */
     @Override
     public String toString() {
-        return state + " " + rev + " " + ballot + " " + agreed + " " + highest + " "
-                + (value == null ? "" : value.id()) + " " + highestRound + " " + waiting.size()
+        return state + " " + rev + " " + ballot + " " + agreedKeepers + " " + highestAcceptedBallot + " "
+                + (value == null ? "" : value.id()) + " " + highestRound + " " + queue.size()
                 + (isIdle()
                         ? ""
-                        : (attempt.own == null ? "" : attempt.own.change.id()) + " " + attempt.ownSent + " "
-                                + attempt.tries);
+                        : (proposal.queued == null ? "" : proposal.queued.change.id()) + " "
+                                + proposal.mayHaveBeenAccepted + " " + proposal.ballotCount);
     }
 
     /** Whether nothing is under way. */
@@ -97,152 +97,156 @@
 
     /** When {@link #tick} is to be called, in microseconds; the clock's end while idle. */
     public long nextAtUs() {
-        return isIdle() ? Long.MAX_VALUE : untilUs;
+        return isIdle() ? Long.MAX_VALUE : phaseDeadlineUs;
     }
 
     /** An operator's change; concluded by {@link Effect.Conclude}, once. */
     public void propose(long nowUs, long call, Change change, List<Effect> out) {
-        if (waiting.size() >= ProtocolParameters.MAX_QUEUED_CHANGE_COUNT) {
+        if (queue.size() >= ProtocolParameters.MAX_QUEUED_CHANGE_COUNT) {
             rejectedChanges++;
             out.add(new Effect.CompleteChange(
                     call, new Outcome.Unavailable(ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + " changes wait")));
             return;
         }
-        waiting.add(new Call(call, change));
-        next(nowUs, out);
+        queue.add(new QueuedChange(call, change));
+        startNext(nowUs, out);
     }
 
     /** Something was accepted for the open version, and nobody said that it was chosen: it is finished. */
     public void recoverAccepted(long nowUs, List<Effect> out) {
         if (isIdle()) {
-            attempt = new Attempt(null, nowUs);
+            proposal = new Proposal(null, nowUs);
             prepare(nowUs, out);
         }
     }
 
-    private void next(long nowUs, List<Effect> out) {
-        while (isIdle() && !waiting.isEmpty()) {
-            attempt = new Attempt(waiting.poll(), nowUs);
-            check(nowUs, out);
+    private void startNext(long nowUs, List<Effect> out) {
+        while (isIdle() && !queue.isEmpty()) {
+            proposal = new Proposal(queue.poll(), nowUs);
+            validate(nowUs, out);
         }
     }
 
     /** CHECKING: against what is known now; the version in which it may have been accepted is decided. */
-    private void check(long nowUs, List<Effect> out) {
-        if (attempt.own == null) {
-            end(null, out);
+    private void validate(long nowUs, List<Effect> out) {
+        if (proposal.queued == null) {
+            complete(null, out);
             return;
         }
-        if (attempt.ownSent && !history.covers(rev - 1)) {
+        if (proposal.mayHaveBeenAccepted && !history.covers(rev - 1)) {
             // It was told the whole, in which no version has a name any more.
-            end(new Outcome.Unknown(), out);
+            complete(new Outcome.Unknown(), out);
             return;
         }
-        attempt.ownSent = false;
-        Outcome against = history.validate(attempt.own.change, rules);
-        if (against != null) {
-            end(against, out);
+        proposal.mayHaveBeenAccepted = false;
+        Outcome rejection = history.validate(proposal.queued.change, rules);
+        if (rejection != null) {
+            complete(rejection, out);
         } else {
             prepare(nowUs, out);
         }
     }
 
-    private void end(Outcome outcome, List<Effect> out) {
+    private void complete(Outcome outcome, List<Effect> out) {
         state = State.IDLE;
-        if (attempt.own != null) {
-            out.add(new Effect.CompleteChange(attempt.own.call, outcome));
+        if (proposal.queued != null) {
+            out.add(new Effect.CompleteChange(proposal.queued.callId, outcome));
         }
     }
 
     private void prepare(long nowUs, List<Effect> out) {
-        if (attempt.tries >= terms.maxBallots() || nowUs - attempt.beganUs >= terms.proposalTimeoutUs()) {
-            end(
-                    attempt.ownSent
+        if (proposal.ballotCount >= terms.maxBallots() || nowUs - proposal.startedAtUs >= terms.proposalTimeoutUs()) {
+            complete(
+                    proposal.mayHaveBeenAccepted
                             ? new Outcome.Unknown()
                             : new Outcome.Unavailable("no majority of the voters agreed in time"),
                     out);
             return;
         }
-        attempt.tries++;
-        ballot = new Ballot(++highestRound, me);
+        proposal.ballotCount++;
+        ballot = new Ballot(++highestRound, self);
         rev = history.rev() + 1;
-        highest = Ballot.NONE;
+        highestAcceptedBallot = Ballot.NONE;
         value = null;
-        begin(State.PREPARING, nowUs, new Request.Prepare(rev, ballot), out);
+        startPhase(State.PREPARING, nowUs, new Request.Prepare(rev, ballot), out);
     }
 
-    private void begin(State phase, long nowUs, Request asked, List<Effect> out) {
+    private void startPhase(State phase, long nowUs, Request asked, List<Effect> out) {
         state = phase;
-        agreed.clear();
-        untilUs = nowUs + draws.nextLong(terms.minPhaseTimeoutUs(), terms.maxPhaseTimeoutUs());
+        agreedKeepers.clear();
+        phaseDeadlineUs = nowUs + random.nextLong(terms.minPhaseTimeoutUs(), terms.maxPhaseTimeoutUs());
         history.voters().forEach(voter -> out.add(new Effect.Send(voter.keeper(), asked)));
     }
 
     private boolean isMajority() {
-        return agreed.size() > history.voters().size() / 2;
+        return agreedKeepers.size() > history.voters().size() / 2;
     }
 
     /** An answer to what it sent; what is of another version or ballot is let pass. */
-    public void handleResponse(long nowUs, int from, Response answer, List<Effect> out) {
+    public void handleResponse(long nowUs, int from, Response received, List<Effect> out) {
         if (history.voters().stream().noneMatch(voter -> voter.keeper() == from)) {
             return;
         }
-        if (answer instanceof Response.Promised a && isMine(State.PREPARING, a.rev(), a.ballot())) {
-            promised(nowUs, from, a, out);
-        } else if (answer instanceof Response.Accepted a && isMine(State.ACCEPTING, a.rev(), a.ballot())) {
-            accepted(nowUs, from, out);
-        } else if (answer instanceof Response.Rejected a) {
-            highestRound = Math.max(highestRound, a.promised().round());
-            if (isMine(state, a.rev(), a.ballot())) {
+        if (received instanceof Response.Promised response
+                && isCurrent(State.PREPARING, response.rev(), response.ballot())) {
+            onPromised(nowUs, from, response, out);
+        } else if (received instanceof Response.Accepted response
+                && isCurrent(State.ACCEPTING, response.rev(), response.ballot())) {
+            onAccepted(nowUs, from, out);
+        } else if (received instanceof Response.Rejected response) {
+            highestRound = Math.max(highestRound, response.promised().round());
+            if (isCurrent(state, response.rev(), response.ballot())) {
                 // Not at once, and the longer the more often it was tried: two that hinder each other would
                 // spend their tries within milliseconds. Until then the others may still agree.
-                untilUs = Math.min(
-                        untilUs,
-                        nowUs + terms.minBackoffUs() + draws.nextLong(attempt.tries * terms.minPhaseTimeoutUs() / 2));
+                phaseDeadlineUs = Math.min(
+                        phaseDeadlineUs,
+                        nowUs
+                                + terms.minBackoffUs()
+                                + random.nextLong(proposal.ballotCount * terms.minPhaseTimeoutUs() / 2));
             }
         }
-        next(nowUs, out);
+        startNext(nowUs, out);
     }
 
-    private boolean isMine(State in, long ofRev, Ballot of) {
+    private boolean isCurrent(State in, long ofRev, Ballot of) {
         return !isIdle() && state == in && ofRev == rev && of.equals(ballot);
     }
 
-    private void promised(long nowUs, int from, Response.Promised a, List<Effect> out) {
-        agreed.add(from);
-        if (a.accepted() != null && a.acceptedBallot().isGreaterThan(highest)) {
-            highest = a.acceptedBallot();
-            value = a.accepted();
+    private void onPromised(long nowUs, int from, Response.Promised response, List<Effect> out) {
+        agreedKeepers.add(from);
+        if (response.accepted() != null && response.acceptedBallot().isGreaterThan(highestAcceptedBallot)) {
+            highestAcceptedBallot = response.acceptedBallot();
+            value = response.accepted();
         }
         if (!isMajority()) {
             return;
         }
-        if (value == null && attempt.own == null) {
-            end(null, out);
+        if (value == null && proposal.queued == null) {
+            complete(null, out);
             return;
         }
-        value = value == null ? attempt.own.change : value;
-        attempt.ownSent |= attempt.own != null && value.equals(attempt.own.change);
-        begin(State.ACCEPTING, nowUs, new Request.Accept(rev, ballot, value), out);
+        value = value == null ? proposal.queued.change : value;
+        proposal.mayHaveBeenAccepted |= proposal.queued != null && value.equals(proposal.queued.change);
+        startPhase(State.ACCEPTING, nowUs, new Request.Accept(rev, ballot, value), out);
     }
 
-    private void accepted(long nowUs, int from, List<Effect> out) {
-        agreed.add(from);
+    private void onAccepted(long nowUs, int from, List<Effect> out) {
+        agreedKeepers.add(from);
         if (isMajority()) {
-            chosen.accept(new Version(rev, value));
+            onChosen.accept(new Version(rev, value));
             // Its own is known by its id now. After another's its own follows in the next version, and it was
             // not for want of a majority that its tries went.
-            attempt.tries = 0;
-            check(nowUs, out);
+            proposal.ballotCount = 0;
+            validate(nowUs, out);
         }
     }
 
     /** The history has gone on, by another's word: what is under way is checked anew. */
     public void historyAdvanced(long nowUs, List<Effect> out) {
         if (!isIdle() && rev <= history.rev()) {
-            check(nowUs, out);
+            validate(nowUs, out);
         }
-        next(nowUs, out);
+        startNext(nowUs, out);
     }
 
     /** Time has passed. */
@@ -250,6 +254,6 @@
         if (nowUs >= nextAtUs()) {
             prepare(nowUs, out);
         }
-        next(nowUs, out);
+        startNext(nowUs, out);
     }
 }
--- a/src/main/java/kitemux/rollout/RolloutText.java
+++ b/src/main/java/kitemux/rollout/RolloutText.java
@@ -20,10 +20,10 @@
  * on.
  */
 public final class RolloutText {
-    private static final Pattern PATH = Pattern.compile("[A-Za-z]+(/[^/\\p{Cntrl}]+)?");
-    private static final Pattern ID = Pattern.compile("[0-9a-f]{16}");
+    private static final Pattern PATH_PATTERN = Pattern.compile("[A-Za-z]+(/[^/\\p{Cntrl}]+)?");
+    private static final Pattern CHANGE_ID_PATTERN = Pattern.compile("[0-9a-f]{16}");
     /** A whole number as it may stand in an address or a file's name, too. */
-    private static final long MOST = Long.MAX_VALUE;
+    private static final long MAX_WHOLE_NUMBER = Long.MAX_VALUE;
 
     private RolloutText() {}
 
@@ -43,55 +43,55 @@
     // Writing.
 
     /** An object, field by field. */
-    private static final class Text {
-        private final StringBuilder to = new StringBuilder("{");
+    private static final class JsonWriter {
+        private final StringBuilder builder = new StringBuilder("{");
 
-        private Text name(String name) {
-            if (to.length() > 1) {
-                to.append(',');
+        private JsonWriter fieldName(String name) {
+            if (builder.length() > 1) {
+                builder.append(',');
             }
-            quote(to, name);
-            to.append(':');
+            quote(builder, name);
+            builder.append(':');
             return this;
         }
 
-        Text raw(String name, String value) {
-            name(name);
-            to.append(value);
+        JsonWriter raw(String name, String value) {
+            fieldName(name);
+            builder.append(value);
             return this;
         }
 
-        Text number(String name, long value) {
+        JsonWriter number(String name, long value) {
             return raw(name, Long.toString(value));
         }
 
-        Text text(String name, String value) {
-            name(name);
-            quote(to, value);
+        JsonWriter string(String name, String value) {
+            fieldName(name);
+            quote(builder, value);
             return this;
         }
 
-        Text ballot(String name, Ballot ballot) {
+        JsonWriter ballot(String name, Ballot ballot) {
             return raw(name, "[" + ballot.round() + "," + ballot.keeper() + "]");
         }
 
-        Text values(String name, Map<String, String> values) {
-            Text inner = new Text();
+        JsonWriter values(String name, Map<String, String> values) {
+            JsonWriter inner = new JsonWriter();
             values.forEach(inner::raw);
             return raw(name, inner.toString());
         }
 
-        Text texts(String name, Iterable<String> texts) {
+        JsonWriter strings(String name, Iterable<String> strings) {
             StringBuilder list = new StringBuilder("[");
-            for (String each : texts) {
+            for (String each : strings) {
                 quote(list.length() > 1 ? list.append(',') : list, each);
             }
             return raw(name, list.append(']').toString());
         }
 
-        Text objects(String name, List<Text> objects) {
+        JsonWriter objects(String name, List<JsonWriter> objects) {
             StringBuilder list = new StringBuilder("[");
-            for (Text each : objects) {
+            for (JsonWriter each : objects) {
                 (list.length() > 1 ? list.append(',') : list).append(each);
             }
             return raw(name, list.append(']').toString());
@@ -99,7 +99,7 @@
 
         @Override
         public String toString() {
-            return to + "}";
+            return builder + "}";
         }
 
         byte[] bytes() {
@@ -107,218 +107,226 @@
         }
     }
 
-    private static void quote(StringBuilder to, String text) {
-        to.append('"');
+    private static void quote(StringBuilder builder, String text) {
+        builder.append('"');
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c == '"' || c == '\\') {
-                to.append('\\').append(c);
+                builder.append('\\').append(c);
             } else if (c < ' ' || Character.isSurrogate(c) || c == 0x7f) {
-                to.append(String.format("\\u%04x", (int) c));
+                builder.append(String.format("\\u%04x", (int) c));
             } else {
-                to.append(c);
+                builder.append(c);
             }
         }
-        to.append('"');
+        builder.append('"');
     }
 
     /** A value as JSON without spaces. */
     public static String writeValue(Json json) {
-        StringBuilder to = new StringBuilder();
-        writeValue(to, json);
-        return to.toString();
+        StringBuilder builder = new StringBuilder();
+        writeValue(builder, json);
+        return builder.toString();
     }
 
-    private static void writeValue(StringBuilder to, Json json) {
+    private static void writeValue(StringBuilder builder, Json json) {
         if (json.isMissing()) {
-            to.append("null");
+            builder.append("null");
         } else if (json.isObject()) {
-            char before = '{';
+            char separator = '{';
             for (Map.Entry<String, Json> field : json.fields().entrySet()) {
-                quote(to.append(before), field.getKey());
-                writeValue(to.append(':'), field.getValue());
-                before = ',';
+                quote(builder.append(separator), field.getKey());
+                writeValue(builder.append(':'), field.getValue());
+                separator = ',';
             }
-            to.append(before == '{' ? "{}" : "}");
+            builder.append(separator == '{' ? "{}" : "}");
         } else if (json.isList()) {
-            char before = '[';
+            char separator = '[';
             for (Json each : json) {
-                writeValue(to.append(before), each);
-                before = ',';
+                writeValue(builder.append(separator), each);
+                separator = ',';
             }
-            to.append(before == '[' ? "[]" : "]");
+            builder.append(separator == '[' ? "[]" : "]");
         } else if (json.isString()) {
-            quote(to, json.text());
+            quote(builder, json.text());
         } else {
-            to.append(json.text());
+            builder.append(json.text());
         }
     }
 
-    private static Text text(Change change) {
-        return new Text()
-                .text("id", change.id())
+    private static JsonWriter toJson(Change change) {
+        return new JsonWriter()
+                .string("id", change.id())
                 .number("base", change.base())
                 .values("set", change.set())
-                .texts("drop", change.drop());
+                .strings("drop", change.drop());
     }
 
-    private static Text text(Version version) {
-        return new Text()
+    private static JsonWriter toJson(Version version) {
+        return new JsonWriter()
                 .number("rev", version.rev())
-                .raw("change", text(version.change()).toString());
+                .raw("change", toJson(version.change()).toString());
     }
 
     /** A change. */
     public static byte[] write(Change change) {
-        return text(change).bytes();
+        return toJson(change).bytes();
     }
 
     /** A line of a watch, without its end; a beat is empty. */
-    public static byte[] write(WatchEvent line) {
-        if (line instanceof WatchEvent.Update next) {
-            return new Text()
+    public static byte[] write(WatchEvent event) {
+        if (event instanceof WatchEvent.Update next) {
+            return new JsonWriter()
                     .number("rev", next.rev())
                     .values("set", next.set())
-                    .texts("drop", next.drop())
+                    .strings("drop", next.drop())
                     .bytes();
-        } else if (line instanceof WatchEvent.SnapshotPart part) {
-            return new Text()
+        } else if (event instanceof WatchEvent.SnapshotPart part) {
+            return new JsonWriter()
                     .number("rev", part.rev())
                     .number("part", part.part())
                     .number("of", part.partCount())
                     .values("set", part.set())
                     .bytes();
-        } else if (line instanceof WatchEvent.NoQuorum alone) {
-            return new Text().number("rev", alone.rev()).raw("alone", "true").bytes();
+        } else if (event instanceof WatchEvent.NoQuorum alone) {
+            return new JsonWriter()
+                    .number("rev", alone.rev())
+                    .raw("alone", "true")
+                    .bytes();
         }
         return new byte[0];
     }
 
-    private static Text text(Report report) {
-        List<Text> refused = new ArrayList<>();
+    private static JsonWriter toJson(Report report) {
+        List<JsonWriter> rejections = new ArrayList<>();
         for (Report.Rejection each : report.rejections()) {
-            refused.add(new Text()
+            rejections.add(new JsonWriter()
                     .number("rev", each.rev())
-                    .text("path", each.path())
-                    .text("reason", each.reason()));
+                    .string("path", each.path())
+                    .string("reason", each.reason()));
         }
-        return new Text()
+        return new JsonWriter()
                 .number("node", report.node())
                 .number("life", report.incarnation())
                 .number("rev", report.rev())
-                .texts("waits_restart", report.pendingRestart())
-                .objects("refused", refused);
+                .strings("waits_restart", report.pendingRestart())
+                .objects("refused", rejections);
     }
 
     /** A node's report. */
     public static byte[] write(Report report) {
-        return text(report).bytes();
+        return toJson(report).bytes();
     }
 
     /** Rows of an inventory. */
     public static byte[] writeRows(List<Inventory.Row> rows) {
-        List<Text> all = new ArrayList<>();
+        List<JsonWriter> all = new ArrayList<>();
         for (Inventory.Row row : rows) {
-            all.add(new Text()
+            all.add(new JsonWriter()
                     .number("age_us", row.ageUs())
-                    .raw("report", text(row.report()).toString()));
+                    .raw("report", toJson(row.report()).toString()));
         }
-        return new Text().objects("rows", all).bytes();
+        return new JsonWriter().objects("rows", all).bytes();
     }
 
     /** What one keeper asks another. */
     public static byte[] write(Request request) {
-        if (request instanceof Request.Prepare asked) {
-            return new Text()
-                    .text("kind", "prepare")
-                    .number("rev", asked.rev())
-                    .ballot("ballot", asked.ballot())
+        if (request instanceof Request.Prepare message) {
+            return new JsonWriter()
+                    .string("kind", "prepare")
+                    .number("rev", message.rev())
+                    .ballot("ballot", message.ballot())
                     .bytes();
-        } else if (request instanceof Request.Accept asked) {
-            return new Text()
-                    .text("kind", "accept")
-                    .number("rev", asked.rev())
-                    .ballot("ballot", asked.ballot())
-                    .raw("value", text(asked.value()).toString())
+        } else if (request instanceof Request.Accept message) {
+            return new JsonWriter()
+                    .string("kind", "accept")
+                    .number("rev", message.rev())
+                    .ballot("ballot", message.ballot())
+                    .raw("value", toJson(message.value()).toString())
                     .bytes();
-        } else if (request instanceof Request.Chosen asked) {
-            return new Text()
-                    .text("kind", "chosen")
-                    .raw("version", text(asked.version()).toString())
+        } else if (request instanceof Request.Chosen message) {
+            return new JsonWriter()
+                    .string("kind", "chosen")
+                    .raw("version", toJson(message.version()).toString())
                     .bytes();
         }
-        return new Text()
-                .text("kind", "ask")
+        return new JsonWriter()
+                .string("kind", "ask")
                 .number("after", ((Request.Fetch) request).afterRev())
                 .bytes();
     }
 
     /** What a keeper answers. */
-    public static byte[] write(Response answer) {
-        if (answer instanceof Response.Promised a) {
-            Text text =
-                    new Text().text("kind", "promised").number("rev", a.rev()).ballot("ballot", a.ballot());
+    public static byte[] write(Response response) {
+        if (response instanceof Response.Promised a) {
+            JsonWriter text = new JsonWriter()
+                    .string("kind", "promised")
+                    .number("rev", a.rev())
+                    .ballot("ballot", a.ballot());
             if (a.accepted() != null) {
                 text.ballot("accepted_at", a.acceptedBallot())
-                        .raw("accepted", text(a.accepted()).toString());
+                        .raw("accepted", toJson(a.accepted()).toString());
             }
             return text.bytes();
-        } else if (answer instanceof Response.Accepted a) {
-            return new Text()
-                    .text("kind", "accepted")
+        } else if (response instanceof Response.Accepted a) {
+            return new JsonWriter()
+                    .string("kind", "accepted")
                     .number("rev", a.rev())
                     .ballot("ballot", a.ballot())
                     .bytes();
-        } else if (answer instanceof Response.Rejected a) {
-            return new Text()
-                    .text("kind", "refused")
+        } else if (response instanceof Response.Rejected a) {
+            return new JsonWriter()
+                    .string("kind", "refused")
                     .number("rev", a.rev())
                     .ballot("ballot", a.ballot())
                     .ballot("promised", a.promised())
                     .bytes();
-        } else if (answer instanceof Response.Behind a) {
-            return new Text()
-                    .text("kind", "behind")
+        } else if (response instanceof Response.Behind a) {
+            return new JsonWriter()
+                    .string("kind", "behind")
                     .number("rev", a.rev())
                     .number("known", a.newestRev())
                     .bytes();
-        } else if (answer instanceof Response.Versions a) {
-            return new Text()
-                    .text("kind", "known")
+        } else if (response instanceof Response.Versions a) {
+            return new JsonWriter()
+                    .string("kind", "known")
                     .number("after", a.afterRev())
                     .number("known", a.newestRev())
                     .objects(
                             "versions",
-                            a.versions().stream().map(RolloutText::text).toList())
+                            a.versions().stream().map(RolloutText::toJson).toList())
                     .bytes();
         }
-        Response.Snapshot a = (Response.Snapshot) answer;
-        return new Text()
-                .text("kind", "whole")
+        Response.Snapshot a = (Response.Snapshot) response;
+        return new JsonWriter()
+                .string("kind", "whole")
                 .number("known", a.rev())
                 .values("values", a.values())
                 .bytes();
     }
 
     /** What a keeper writes to its folder. */
-    public static byte[] write(LogRecord kept) {
-        if (kept instanceof LogRecord.Chosen k) {
-            return new Text()
-                    .text("kind", "chosen")
-                    .raw("version", text(k.version()).toString())
+    public static byte[] write(LogRecord entry) {
+        if (entry instanceof LogRecord.Chosen k) {
+            return new JsonWriter()
+                    .string("kind", "chosen")
+                    .raw("version", toJson(k.version()).toString())
                     .bytes();
-        } else if (kept instanceof LogRecord.Snapshot k) {
-            return new Text()
-                    .text("kind", "whole")
+        } else if (entry instanceof LogRecord.Snapshot k) {
+            return new JsonWriter()
+                    .string("kind", "whole")
                     .number("rev", k.rev())
                     .values("values", k.values())
                     .bytes();
         }
-        Vote vote = ((LogRecord.Voted) kept).vote();
-        Text text = new Text().text("kind", "voted").number("rev", vote.rev()).ballot("promised", vote.promised());
+        Vote vote = ((LogRecord.Voted) entry).vote();
+        JsonWriter text = new JsonWriter()
+                .string("kind", "voted")
+                .number("rev", vote.rev())
+                .ballot("promised", vote.promised());
         if (vote.accepted() != null) {
             text.ballot("accepted_at", vote.acceptedAt())
-                    .raw("accepted", text(vote.accepted()).toString());
+                    .raw("accepted", toJson(vote.accepted()).toString());
         }
         return text.bytes();
     }
@@ -326,46 +334,49 @@
     /** What an operator is told. */
     public static byte[] write(Outcome outcome) {
         if (outcome instanceof Outcome.Committed o) {
-            return new Text().number("rev", o.rev()).bytes();
+            return new JsonWriter().number("rev", o.rev()).bytes();
         } else if (outcome instanceof Outcome.Invalid o) {
-            return new Text()
+            return new JsonWriter()
                     .objects(
                             "faults",
                             o.errors().stream()
-                                    .map(fault -> new Text()
-                                            .text("path", fault.path())
-                                            .text("reason", fault.reason()))
+                                    .map(fault -> new JsonWriter()
+                                            .string("path", fault.path())
+                                            .string("reason", fault.reason()))
                                     .toList())
                     .bytes();
         } else if (outcome instanceof Outcome.Conflict o) {
-            return new Text().text("path", o.path()).number("rev", o.rev()).bytes();
+            return new JsonWriter()
+                    .string("path", o.path())
+                    .number("rev", o.rev())
+                    .bytes();
         } else if (outcome instanceof Outcome.Unavailable o) {
-            return new Text().text("reason", o.reason()).bytes();
+            return new JsonWriter().string("reason", o.reason()).bytes();
         }
-        return new Text()
-                .text("reason", "not known whether it was chosen: ask again by its id")
+        return new JsonWriter()
+                .string("reason", "not known whether it was chosen: ask again by its id")
                 .bytes();
     }
 
     /** Values as the parts of a whole, in order; one at least, and each of one value at least. */
-    static List<WatchEvent.SnapshotPart> splitSnapshot(long rev, SortedMap<String, String> values, int partBytes) {
-        List<SortedMap<String, String>> cut = new ArrayList<>();
-        SortedMap<String, String> part = new TreeMap<>();
-        int size = 0;
+    static List<WatchEvent.SnapshotPart> splitSnapshot(long rev, SortedMap<String, String> values, int maxPartBytes) {
+        List<SortedMap<String, String>> chunks = new ArrayList<>();
+        SortedMap<String, String> chunk = new TreeMap<>();
+        int chunkBytes = 0;
         for (Map.Entry<String, String> value : values.entrySet()) {
-            int more = utf8Length(value.getKey()) + utf8Length(value.getValue()) + 4;
-            if (!part.isEmpty() && size + more > partBytes) {
-                cut.add(part);
-                part = new TreeMap<>();
-                size = 0;
+            int entryBytes = utf8Length(value.getKey()) + utf8Length(value.getValue()) + 4;
+            if (!chunk.isEmpty() && chunkBytes + entryBytes > maxPartBytes) {
+                chunks.add(chunk);
+                chunk = new TreeMap<>();
+                chunkBytes = 0;
             }
-            part.put(value.getKey(), value.getValue());
-            size += more;
+            chunk.put(value.getKey(), value.getValue());
+            chunkBytes += entryBytes;
         }
-        cut.add(part);
+        chunks.add(chunk);
         List<WatchEvent.SnapshotPart> parts = new ArrayList<>();
-        for (int i = 0; i < cut.size(); i++) {
-            parts.add(new WatchEvent.SnapshotPart(rev, i + 1, cut.size(), cut.get(i)));
+        for (int i = 0; i < chunks.size(); i++) {
+            parts.add(new WatchEvent.SnapshotPart(rev, i + 1, chunks.size(), chunks.get(i)));
         }
         return parts;
     }
@@ -373,31 +384,31 @@
     // Reading.
 
     /** An object that is read, and what is wrong with it so far. */
-    private static final class Source {
+    private static final class JsonReader {
         private final Json json;
-        private final String place;
-        private final List<ValidationError> faults;
+        private final String location;
+        private final List<ValidationError> errors;
 
-        Source(Json json, String place, List<ValidationError> faults, String... known) {
+        JsonReader(Json json, String location, List<ValidationError> errors, String... knownFields) {
             this.json = json;
-            this.place = place;
-            this.faults = faults;
+            this.location = location;
+            this.errors = errors;
             if (!json.isObject()) {
-                faults.add(new ValidationError(place.isEmpty() ? "body" : place, "is no object"));
+                errors.add(new ValidationError(location.isEmpty() ? "body" : location, "is no object"));
             }
-            List<String> names = List.of(known);
+            List<String> names = List.of(knownFields);
             json.fields().keySet().stream()
                     .filter(name -> !names.contains(name))
                     .sorted()
-                    .forEach(name -> fault(name, "is not known; known are " + String.join(", ", names)));
+                    .forEach(name -> addError(name, "is not known; known are " + String.join(", ", names)));
         }
 
-        String at(String name) {
-            return place.isEmpty() ? name : place + "." + name;
+        String locationOf(String name) {
+            return location.isEmpty() ? name : location + "." + name;
         }
 
-        void fault(String name, String reason) {
-            faults.add(new ValidationError(at(name), reason));
+        void addError(String name, String reason) {
+            errors.add(new ValidationError(locationOf(name), reason));
         }
 
         Json json(String name) {
@@ -408,26 +419,26 @@
             return !json.path(name).isMissing();
         }
 
-        long whole(String name, long least, long most) {
-            Json given = json.path(name);
-            long value = given.isWhole() ? given.whole(least - 1) : least - 1;
-            if (!given.isWhole() || value < least || value > most) {
-                fault(name, given.isMissing() ? "is missing" : "is not a whole number from " + least + " to " + most);
-                return least;
+        long wholeNumber(String name, long min, long max) {
+            Json field = json.path(name);
+            long value = field.isWhole() ? field.whole(min - 1) : min - 1;
+            if (!field.isWhole() || value < min || value > max) {
+                addError(name, field.isMissing() ? "is missing" : "is not a whole number from " + min + " to " + max);
+                return min;
             }
             return value;
         }
 
-        long rev(String name, long least) {
-            return whole(name, least, MOST);
+        long rev(String name, long min) {
+            return wholeNumber(name, min, MAX_WHOLE_NUMBER);
         }
 
-        String text(String name) {
-            Json given = json.path(name);
-            if (!given.isString()) {
-                fault(name, given.isMissing() ? "is missing" : "is no string");
+        String string(String name) {
+            Json field = json.path(name);
+            if (!field.isString()) {
+                addError(name, field.isMissing() ? "is missing" : "is no string");
             }
-            return given.text();
+            return field.text();
         }
 
         Ballot ballot(String name) {
@@ -438,7 +449,7 @@
                     || pair.get(0).whole(-1) < 0
                     || pair.get(1).whole(-2) < -1
                     || pair.get(1).whole(-2) > Integer.MAX_VALUE) {
-                fault(name, "is no ballot as [round, keeper]");
+                addError(name, "is no ballot as [round, keeper]");
                 return Ballot.NONE;
             }
             return new Ballot(pair.get(0).whole(0), (int) pair.get(1).whole(0));
@@ -447,90 +458,90 @@
         SortedMap<String, String> values(String name) {
             SortedMap<String, String> values = new TreeMap<>();
             if (has(name) && !json(name).isObject()) {
-                fault(name, "is no object of paths and values");
+                addError(name, "is no object of paths and values");
             }
             json(name).fields().forEach((path, value) -> {
                 if (value.isMissing()) {
-                    faults.add(new ValidationError(path, "is null; to drop it, name it in drop"));
+                    errors.add(new ValidationError(path, "is null; to drop it, name it in drop"));
                 } else {
                     values.put(path, RolloutText.writeValue(value));
                 }
-                path(path);
+                checkPath(path);
             });
             return values;
         }
 
-        void path(String path) {
-            if (!PATH.matcher(path).matches() || path.length() > ProtocolParameters.MAX_PATH_LENGTH_CHARS) {
-                faults.add(new ValidationError(
+        void checkPath(String path) {
+            if (!PATH_PATTERN.matcher(path).matches() || path.length() > ProtocolParameters.MAX_PATH_LENGTH_CHARS) {
+                errors.add(new ValidationError(
                         path,
                         "is no path: a section, a slash and a name, at most " + ProtocolParameters.MAX_PATH_LENGTH_CHARS
                                 + " characters"));
             }
         }
 
-        SortedSet<String> texts(String name) {
-            SortedSet<String> texts = new TreeSet<>();
+        SortedSet<String> stringSet(String name) {
+            SortedSet<String> strings = new TreeSet<>();
             if (has(name) && !json(name).isList()) {
-                fault(name, "is no list");
+                addError(name, "is no list");
             }
             for (Json each : json(name)) {
                 if (!each.isString()) {
-                    fault(name, "holds what is no string: " + RolloutText.writeValue(each));
-                } else if (!texts.add(each.text())) {
-                    fault(name, "holds twice " + each.text());
+                    addError(name, "holds what is no string: " + RolloutText.writeValue(each));
+                } else if (!strings.add(each.text())) {
+                    addError(name, "holds twice " + each.text());
                 }
             }
-            return texts;
+            return strings;
         }
 
         List<Json> list(String name) {
             if (!json(name).isList()) {
-                fault(name, has(name) ? "is no list" : "is missing");
+                addError(name, has(name) ? "is no list" : "is missing");
             }
             return json(name).values();
         }
 
         Change change(String name) {
-            return RolloutText.change(json(name), at(name), faults);
+            return RolloutText.readChangeObject(json(name), locationOf(name), errors);
         }
 
         Version version(String name) {
-            return RolloutText.version(json(name), at(name), faults);
+            return RolloutText.readVersionObject(json(name), locationOf(name), errors);
         }
     }
 
-    private interface Reader<T> {
-        T read(Json json, List<ValidationError> faults);
+    private interface JsonDecoder<T> {
+        T read(Json json, List<ValidationError> errors);
     }
 
-    private static <T> ParseResult<T> read(byte[] text, Reader<T> reader) {
-        List<ValidationError> faults = new ArrayList<>();
+    private static <T> ParseResult<T> read(byte[] text, JsonDecoder<T> reader) {
+        List<ValidationError> errors = new ArrayList<>();
         T value = null;
         try {
-            value = reader.read(Json.read(text), faults);
+            value = reader.read(Json.read(text), errors);
         } catch (IOException e) {
-            faults.add(new ValidationError("body", "is no JSON: " + e.getMessage()));
+            errors.add(new ValidationError("body", "is no JSON: " + e.getMessage()));
         }
-        return new ParseResult<>(faults.isEmpty() ? value : null, List.copyOf(faults));
+        return new ParseResult<>(errors.isEmpty() ? value : null, List.copyOf(errors));
     }
 
-    private static Change change(Json json, String place, List<ValidationError> faults) {
-        Source from = new Source(json, place, faults, "id", "base", "set", "drop");
-        String id = from.text("id");
-        if (from.json("id").isString() && !ID.matcher(id).matches()) {
-            from.fault("id", "is not 16 hex digits");
+    private static Change readChangeObject(Json json, String location, List<ValidationError> errors) {
+        JsonReader fields = new JsonReader(json, location, errors, "id", "base", "set", "drop");
+        String id = fields.string("id");
+        if (fields.json("id").isString() && !CHANGE_ID_PATTERN.matcher(id).matches()) {
+            fields.addError("id", "is not 16 hex digits");
         }
-        long base = from.rev("base", 0);
-        SortedMap<String, String> set = from.values("set");
-        SortedSet<String> drop = from.texts("drop");
-        drop.forEach(from::path);
+        long base = fields.rev("base", 0);
+        SortedMap<String, String> set = fields.values("set");
+        SortedSet<String> drop = fields.stringSet("drop");
+        drop.forEach(fields::checkPath);
         return new Change(id, base, set, drop);
     }
 
-    private static Version version(Json json, String place, List<ValidationError> faults) {
-        Source from = new Source(json, place, faults, "rev", "change");
-        return new Version(from.rev("rev", 1), from.change("change"));
+    private static Version readVersionObject(Json json, String location, List<ValidationError> errors) {
+        JsonReader fields = new JsonReader(json, location, errors, "rev", "change");
+        return new Version(fields.rev("rev", 1), fields.change("change"));
     }
 
     /** An operator's change. */
@@ -542,7 +553,7 @@
                             "change",
                             "has " + text.length + " bytes; " + ProtocolParameters.MAX_CHANGE_BYTES + " are allowed")));
         }
-        return read(text, (json, faults) -> change(json, "", faults));
+        return read(text, (json, errors) -> readChangeObject(json, "", errors));
     }
 
     /** A line of a watch, without its end. */
@@ -550,61 +561,63 @@
         if (text.length == 0) {
             return new ParseResult<>(new WatchEvent.Heartbeat(), List.of());
         }
-        return read(text, (json, faults) -> {
+        return read(text, (json, errors) -> {
             if (!json.path("alone").isMissing()) {
-                Source from = new Source(json, "", faults, "rev", "alone");
-                if (!from.json("alone").flag()) {
-                    from.fault("alone", "is not true");
+                JsonReader fields = new JsonReader(json, "", errors, "rev", "alone");
+                if (!fields.json("alone").flag()) {
+                    fields.addError("alone", "is not true");
                 }
-                return new WatchEvent.NoQuorum(from.rev("rev", 0));
+                return new WatchEvent.NoQuorum(fields.rev("rev", 0));
             }
             if (!json.path("part").isMissing()) {
-                Source from = new Source(json, "", faults, "rev", "part", "of", "set");
-                int of = (int) from.whole("of", 1, ProtocolParameters.MAX_PATH_COUNT);
+                JsonReader fields = new JsonReader(json, "", errors, "rev", "part", "of", "set");
+                int of = (int) fields.wholeNumber("of", 1, ProtocolParameters.MAX_PATH_COUNT);
                 return new WatchEvent.SnapshotPart(
-                        from.rev("rev", 1), (int) from.whole("part", 1, of), of, from.values("set"));
+                        fields.rev("rev", 1), (int) fields.wholeNumber("part", 1, of), of, fields.values("set"));
             }
-            Source from = new Source(json, "", faults, "rev", "set", "drop");
-            SortedSet<String> drop = from.texts("drop");
-            drop.forEach(from::path);
-            return new WatchEvent.Update(from.rev("rev", 1), from.values("set"), drop);
+            JsonReader fields = new JsonReader(json, "", errors, "rev", "set", "drop");
+            SortedSet<String> drop = fields.stringSet("drop");
+            drop.forEach(fields::checkPath);
+            return new WatchEvent.Update(fields.rev("rev", 1), fields.values("set"), drop);
         });
     }
 
-    private static Report report(Json json, String place, List<ValidationError> faults) {
-        Source from = new Source(json, place, faults, "node", "life", "rev", "waits_restart", "refused");
-        List<Report.Rejection> refused = new ArrayList<>();
-        for (Json each : from.list("refused")) {
-            Source one = new Source(each, from.at("refused"), faults, "rev", "path", "reason");
-            refused.add(new Report.Rejection(one.rev("rev", 1), one.text("path"), one.text("reason")));
+    private static Report readReportObject(Json json, String location, List<ValidationError> errors) {
+        JsonReader fields = new JsonReader(json, location, errors, "node", "life", "rev", "waits_restart", "refused");
+        List<Report.Rejection> rejections = new ArrayList<>();
+        for (Json each : fields.list("refused")) {
+            JsonReader rejection = new JsonReader(each, fields.locationOf("refused"), errors, "rev", "path", "reason");
+            rejections.add(new Report.Rejection(
+                    rejection.rev("rev", 1), rejection.string("path"), rejection.string("reason")));
         }
-        SortedSet<String> waits = from.texts("waits_restart");
-        if (refused.size() > ProtocolParameters.MAX_REPORTED_COUNT
-                || waits.size() > ProtocolParameters.MAX_REPORTED_COUNT) {
-            from.fault("refused", "or waits_restart has more than " + ProtocolParameters.MAX_REPORTED_COUNT);
+        SortedSet<String> pendingRestart = fields.stringSet("waits_restart");
+        if (rejections.size() > ProtocolParameters.MAX_REPORTED_COUNT
+                || pendingRestart.size() > ProtocolParameters.MAX_REPORTED_COUNT) {
+            fields.addError("refused", "or waits_restart has more than " + ProtocolParameters.MAX_REPORTED_COUNT);
         }
         return new Report(
-                (int) from.whole("node", 0, Integer.MAX_VALUE),
-                from.whole("life", 0, MOST),
-                from.rev("rev", 0),
-                waits,
-                List.copyOf(refused));
+                (int) fields.wholeNumber("node", 0, Integer.MAX_VALUE),
+                fields.wholeNumber("life", 0, MAX_WHOLE_NUMBER),
+                fields.rev("rev", 0),
+                pendingRestart,
+                List.copyOf(rejections));
     }
 
     /** A node's report. */
     public static ParseResult<Report> readReport(byte[] text) {
-        return read(text, (json, faults) -> report(json, "", faults));
+        return read(text, (json, errors) -> readReportObject(json, "", errors));
     }
 
     /** Rows of an inventory. */
     public static ParseResult<List<Inventory.Row>> readRows(byte[] text) {
-        return read(text, (json, faults) -> {
-            Source from = new Source(json, "", faults, "rows");
+        return read(text, (json, errors) -> {
+            JsonReader fields = new JsonReader(json, "", errors, "rows");
             List<Inventory.Row> rows = new ArrayList<>();
-            for (Json each : from.list("rows")) {
-                Source row = new Source(each, "rows", faults, "age_us", "report");
+            for (Json each : fields.list("rows")) {
+                JsonReader row = new JsonReader(each, "rows", errors, "age_us", "report");
                 rows.add(new Inventory.Row(
-                        report(row.json("report"), "rows.report", faults), row.whole("age_us", 0, MOST)));
+                        readReportObject(row.json("report"), "rows.report", errors),
+                        row.wholeNumber("age_us", 0, MAX_WHOLE_NUMBER)));
             }
             return List.copyOf(rows);
         });
@@ -612,19 +625,19 @@
 
     /** What another keeper asks. */
     public static ParseResult<Request> readRequest(byte[] text) {
-        return read(text, (json, faults) -> switch (json.path("kind").text()) {
+        return read(text, (json, errors) -> switch (json.path("kind").text()) {
             case "prepare" -> {
-                Source from = new Source(json, "", faults, "kind", "rev", "ballot");
-                yield new Request.Prepare(from.rev("rev", 1), from.ballot("ballot"));
+                JsonReader fields = new JsonReader(json, "", errors, "kind", "rev", "ballot");
+                yield new Request.Prepare(fields.rev("rev", 1), fields.ballot("ballot"));
             }
             case "accept" -> {
-                Source from = new Source(json, "", faults, "kind", "rev", "ballot", "value");
-                yield new Request.Accept(from.rev("rev", 1), from.ballot("ballot"), from.change("value"));
+                JsonReader fields = new JsonReader(json, "", errors, "kind", "rev", "ballot", "value");
+                yield new Request.Accept(fields.rev("rev", 1), fields.ballot("ballot"), fields.change("value"));
             }
-            case "chosen" -> new Request.Chosen(new Source(json, "", faults, "kind", "version").version("version"));
-            case "ask" -> new Request.Fetch(new Source(json, "", faults, "kind", "after").rev("after", 0));
+            case "chosen" -> new Request.Chosen(new JsonReader(json, "", errors, "kind", "version").version("version"));
+            case "ask" -> new Request.Fetch(new JsonReader(json, "", errors, "kind", "after").rev("after", 0));
             default -> {
-                faults.add(new ValidationError("kind", "is none of prepare, accept, chosen, ask"));
+                errors.add(new ValidationError("kind", "is none of prepare, accept, chosen, ask"));
                 yield null;
             }
         });
@@ -632,43 +645,44 @@
 
     /** What another keeper answers. */
     public static ParseResult<Response> readResponse(byte[] text) {
-        return read(text, (json, faults) -> switch (json.path("kind").text()) {
+        return read(text, (json, errors) -> switch (json.path("kind").text()) {
             case "promised" -> {
-                Source from = new Source(json, "", faults, "kind", "rev", "ballot", "accepted_at", "accepted");
-                boolean is = from.has("accepted") || from.has("accepted_at");
+                JsonReader fields =
+                        new JsonReader(json, "", errors, "kind", "rev", "ballot", "accepted_at", "accepted");
+                boolean hasAccepted = fields.has("accepted") || fields.has("accepted_at");
                 yield new Response.Promised(
-                        from.rev("rev", 1),
-                        from.ballot("ballot"),
-                        is ? from.ballot("accepted_at") : Ballot.NONE,
-                        is ? from.change("accepted") : null);
+                        fields.rev("rev", 1),
+                        fields.ballot("ballot"),
+                        hasAccepted ? fields.ballot("accepted_at") : Ballot.NONE,
+                        hasAccepted ? fields.change("accepted") : null);
             }
             case "accepted" -> {
-                Source from = new Source(json, "", faults, "kind", "rev", "ballot");
-                yield new Response.Accepted(from.rev("rev", 1), from.ballot("ballot"));
+                JsonReader fields = new JsonReader(json, "", errors, "kind", "rev", "ballot");
+                yield new Response.Accepted(fields.rev("rev", 1), fields.ballot("ballot"));
             }
             case "refused" -> {
-                Source from = new Source(json, "", faults, "kind", "rev", "ballot", "promised");
-                yield new Response.Rejected(from.rev("rev", 1), from.ballot("ballot"), from.ballot("promised"));
+                JsonReader fields = new JsonReader(json, "", errors, "kind", "rev", "ballot", "promised");
+                yield new Response.Rejected(fields.rev("rev", 1), fields.ballot("ballot"), fields.ballot("promised"));
             }
             case "behind" -> {
-                Source from = new Source(json, "", faults, "kind", "rev", "known");
-                yield new Response.Behind(from.rev("rev", 1), from.rev("known", 0));
+                JsonReader fields = new JsonReader(json, "", errors, "kind", "rev", "known");
+                yield new Response.Behind(fields.rev("rev", 1), fields.rev("known", 0));
             }
             case "known" -> {
-                Source from = new Source(json, "", faults, "kind", "after", "known", "versions");
+                JsonReader fields = new JsonReader(json, "", errors, "kind", "after", "known", "versions");
                 List<Version> versions = new ArrayList<>();
-                from.list("versions").forEach(each -> versions.add(version(each, "versions", faults)));
+                fields.list("versions").forEach(each -> versions.add(readVersionObject(each, "versions", errors)));
                 if (versions.size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
-                    from.fault("versions", "has more than " + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT);
+                    fields.addError("versions", "has more than " + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT);
                 }
-                yield new Response.Versions(from.rev("after", 0), from.rev("known", 0), List.copyOf(versions));
+                yield new Response.Versions(fields.rev("after", 0), fields.rev("known", 0), List.copyOf(versions));
             }
             case "whole" -> {
-                Source from = new Source(json, "", faults, "kind", "known", "values");
-                yield new Response.Snapshot(from.rev("known", 1), from.values("values"));
+                JsonReader fields = new JsonReader(json, "", errors, "kind", "known", "values");
+                yield new Response.Snapshot(fields.rev("known", 1), fields.values("values"));
             }
             default -> {
-                faults.add(new ValidationError("kind", "is none of promised, accepted, refused, behind, known, whole"));
+                errors.add(new ValidationError("kind", "is none of promised, accepted, refused, behind, known, whole"));
                 yield null;
             }
         });
@@ -676,23 +690,25 @@
 
     /** What a keeper's folder holds. */
     public static ParseResult<LogRecord> readLogRecord(byte[] text) {
-        return read(text, (json, faults) -> switch (json.path("kind").text()) {
-            case "chosen" -> new LogRecord.Chosen(new Source(json, "", faults, "kind", "version").version("version"));
+        return read(text, (json, errors) -> switch (json.path("kind").text()) {
+            case "chosen" ->
+                new LogRecord.Chosen(new JsonReader(json, "", errors, "kind", "version").version("version"));
             case "whole" -> {
-                Source from = new Source(json, "", faults, "kind", "rev", "values");
-                yield new LogRecord.Snapshot(from.rev("rev", 1), from.values("values"));
+                JsonReader fields = new JsonReader(json, "", errors, "kind", "rev", "values");
+                yield new LogRecord.Snapshot(fields.rev("rev", 1), fields.values("values"));
             }
             case "voted" -> {
-                Source from = new Source(json, "", faults, "kind", "rev", "promised", "accepted_at", "accepted");
-                boolean is = from.has("accepted") || from.has("accepted_at");
+                JsonReader fields =
+                        new JsonReader(json, "", errors, "kind", "rev", "promised", "accepted_at", "accepted");
+                boolean hasAccepted = fields.has("accepted") || fields.has("accepted_at");
                 yield new LogRecord.Voted(new Vote(
-                        from.rev("rev", 1),
-                        from.ballot("promised"),
-                        is ? from.ballot("accepted_at") : Ballot.NONE,
-                        is ? from.change("accepted") : null));
+                        fields.rev("rev", 1),
+                        fields.ballot("promised"),
+                        hasAccepted ? fields.ballot("accepted_at") : Ballot.NONE,
+                        hasAccepted ? fields.change("accepted") : null));
             }
             default -> {
-                faults.add(new ValidationError("kind", "is none of chosen, whole, voted"));
+                errors.add(new ValidationError("kind", "is none of chosen, whole, voted"));
                 yield null;
             }
         });
--- a/src/main/java/kitemux/rollout/Subscriber.java
+++ b/src/main/java/kitemux/rollout/Subscriber.java
@@ -26,14 +26,14 @@
     private final ProtocolParameters terms;
     private final Rules rules;
     private final int node;
-    private final long life;
-    private final int keepers;
-    private final SplittableRandom draws;
+    private final long incarnation;
+    private final int keeperCount;
+    private final SplittableRandom random;
     /** What the process has started with. */
-    private final SortedMap<String, String> first;
+    private final SortedMap<String, String> startupValues;
 
     private State state = State.CONNECTING;
-    private List<Effect> out = new ArrayList<>();
+    private List<Effect> effects = new ArrayList<>();
     private long nowUs;
 
     /** In force. */
@@ -46,34 +46,34 @@
      * what the watch is at. It stays when a watch ends: else a node that refuses something would be told all
      * since again.
      */
-    private long sideRev;
+    private long candidateRev;
 
-    private SortedMap<String, String> side;
-    private final List<Report.Rejection> refused = new ArrayList<>();
+    private SortedMap<String, String> candidateValues;
+    private final List<Report.Rejection> rejections = new ArrayList<>();
     /** Parts of a whole: of which version, and the last that came. */
-    private long wholeRev;
+    private long snapshotRev;
 
-    private int lastPart;
-    private SortedMap<String, String> whole;
+    private int lastSnapshotPart;
+    private SortedMap<String, String> snapshot;
 
-    private long watches;
+    private long lastWatchId;
     /** The watch, or its dial; 0 where there is none. */
-    private long watch;
+    private long watchId;
 
     private int keeper = -1;
     private boolean watchOpened;
-    private long silentAtUs = Long.MAX_VALUE;
-    private long dialAtUs;
+    private long watchTimeoutAtUs = Long.MAX_VALUE;
+    private long connectAtUs;
     private long reportAtUs = Long.MAX_VALUE;
     /** While ALONE: another keeper that is tried; the watch stays until that says that it is not alone. */
-    private long trial;
+    private long trialWatchId;
 
     private int trialKeeper;
-    private boolean trialConnected;
-    private long trialEndsAtUs = Long.MAX_VALUE;
-    private long trialAtUs = Long.MAX_VALUE;
-    private final Set<Integer> tried = new HashSet<>();
-    private long waitUs;
+    private boolean trialOpened;
+    private long trialTimeoutAtUs = Long.MAX_VALUE;
+    private long nextTrialAtUs = Long.MAX_VALUE;
+    private final Set<Integer> triedKeepers = new HashSet<>();
+    private long backoffUs;
     private long malformedEvents;
     private long reconnects;
 
@@ -90,8 +90,8 @@
             ProtocolParameters terms,
             Rules rules,
             int node,
-            long life,
-            int keepers,
+            long incarnation,
+            int keeperCount,
             long rev,
             SortedMap<String, String> values,
             long seed,
@@ -99,16 +99,16 @@
         this.terms = terms;
         this.rules = rules;
         this.node = node;
-        this.life = life;
-        this.keepers = keepers;
+        this.incarnation = incarnation;
+        this.keeperCount = keeperCount;
         this.rev = rev;
         this.values = values;
-        this.first = values;
-        this.draws = new SplittableRandom(seed);
-        this.dialAtUs = nowUs;
-        sideRev = rev;
-        side = values;
-        waitUs = terms.initialMaxBackoffUs();
+        this.startupValues = values;
+        this.random = new SplittableRandom(seed);
+        this.connectAtUs = nowUs;
+        candidateRev = rev;
+        candidateValues = values;
+        backoffUs = terms.initialMaxBackoffUs();
     }
 
     /** How it stands to keepers. */
@@ -138,299 +138,302 @@
 
     /** When {@link #tick} is to be called, in microseconds. */
     public long nextAtUs() {
-        return Math.min(Math.min(Math.min(silentAtUs, dialAtUs), reportAtUs), Math.min(trialEndsAtUs, trialAtUs));
+        return Math.min(
+                Math.min(Math.min(watchTimeoutAtUs, connectAtUs), reportAtUs),
+                Math.min(trialTimeoutAtUs, nextTrialAtUs));
     }
 
-    private List<Effect> events(long now, Runnable event) {
+    private List<Effect> handle(long now, Runnable event) {
         nowUs = now;
-        out = new ArrayList<>();
+        effects = new ArrayList<>();
         event.run();
-        List<Effect> done = out;
-        out = new ArrayList<>();
-        return done;
+        List<Effect> result = effects;
+        effects = new ArrayList<>();
+        return result;
     }
 
     /** Time has passed. */
     public List<Effect> tick(long now) {
-        return events(now, () -> {
-            if (now >= dialAtUs) {
-                dial();
+        return handle(now, () -> {
+            if (now >= connectAtUs) {
+                connect();
             }
-            if (now >= silentAtUs) {
-                lost(true);
+            if (now >= watchTimeoutAtUs) {
+                onWatchLost(true);
             }
-            if (now >= trialEndsAtUs) {
-                trialFailed(true);
+            if (now >= trialTimeoutAtUs) {
+                onTrialFailed(true);
             }
-            if (now >= trialAtUs) {
-                tryAnother();
+            if (now >= nextTrialAtUs) {
+                startTrial();
             }
             if (now >= reportAtUs) {
-                report();
+                sendReport();
             }
         });
     }
 
-    private int draw(Integer but) {
-        List<Integer> left = new ArrayList<>();
-        for (int k = 0; k < keepers; k++) {
-            if (!tried.contains(k) && !Integer.valueOf(k).equals(but)) {
-                left.add(k);
+    private int pickKeeper(Integer excluded) {
+        List<Integer> untried = new ArrayList<>();
+        for (int k = 0; k < keeperCount; k++) {
+            if (!triedKeepers.contains(k) && !Integer.valueOf(k).equals(excluded)) {
+                untried.add(k);
             }
         }
-        if (left.isEmpty()) {
-            tried.clear();
-            if (keepers == 1 || but == null) {
-                return draws.nextInt(keepers);
+        if (untried.isEmpty()) {
+            triedKeepers.clear();
+            if (keeperCount == 1 || excluded == null) {
+                return random.nextInt(keeperCount);
             }
-            return (but + 1 + draws.nextInt(keepers - 1)) % keepers;
+            return (excluded + 1 + random.nextInt(keeperCount - 1)) % keeperCount;
         }
-        return left.get(draws.nextInt(left.size()));
+        return untried.get(random.nextInt(untried.size()));
     }
 
-    private void dial() {
-        dialAtUs = Long.MAX_VALUE;
-        keeper = draw(null);
-        tried.add(keeper);
-        watch = ++watches;
+    private void connect() {
+        connectAtUs = Long.MAX_VALUE;
+        keeper = pickKeeper(null);
+        triedKeepers.add(keeper);
+        watchId = ++lastWatchId;
         watchOpened = false;
-        silentAtUs = nowUs + terms.connectTimeoutUs();
-        out.add(new Effect.OpenWatch(watch, keeper, sideRev));
+        watchTimeoutAtUs = nowUs + terms.connectTimeoutUs();
+        effects.add(new Effect.OpenWatch(watchId, keeper, candidateRev));
     }
 
-    private long patienceUs() {
-        return nowUs + draws.nextLong(terms.minWatchTimeoutUs(), terms.maxWatchTimeoutUs());
+    private long drawWatchTimeoutAtUs() {
+        return nowUs + random.nextLong(terms.minWatchTimeoutUs(), terms.maxWatchTimeoutUs());
     }
 
     /** A dial was answered: lines may follow. */
-    public List<Effect> watchOpened(long now, long on) {
-        return events(now, () -> {
-            if (on == watch && !watchOpened) {
-                begin();
-            } else if (on == trial && !trialConnected) {
-                trialConnected = true;
-                trialEndsAtUs = patienceUs();
+    public List<Effect> watchOpened(long now, long eventWatchId) {
+        return handle(now, () -> {
+            if (eventWatchId == watchId && !watchOpened) {
+                startCatchingUp();
+            } else if (eventWatchId == trialWatchId && !trialOpened) {
+                trialOpened = true;
+                trialTimeoutAtUs = drawWatchTimeoutAtUs();
             }
         });
     }
 
-    private void begin() {
+    private void startCatchingUp() {
         watchOpened = true;
         state = State.CATCHING_UP;
-        silentAtUs = patienceUs();
+        watchTimeoutAtUs = drawWatchTimeoutAtUs();
         reportAtUs = nowUs;
-        whole = null;
+        snapshot = null;
     }
 
     /** A dial has failed or was refused, or a watch has ended. */
-    public List<Effect> watchEnded(long now, long on) {
-        return events(now, () -> {
-            if (on == watch) {
-                lost(false);
-            } else if (on == trial) {
-                trialFailed(false);
+    public List<Effect> watchEnded(long now, long eventWatchId) {
+        return handle(now, () -> {
+            if (eventWatchId == watchId) {
+                onWatchLost(false);
+            } else if (eventWatchId == trialWatchId) {
+                onTrialFailed(false);
             }
         });
     }
 
-    private void lost(boolean hangUp) {
+    private void onWatchLost(boolean hangUp) {
         if (hangUp) {
-            out.add(new Effect.CloseWatch(watch));
+            effects.add(new Effect.CloseWatch(watchId));
         }
-        boolean wasConnected = watchOpened;
+        boolean wasOpened = watchOpened;
         reconnects++;
-        watch = 0;
+        watchId = 0;
         watchOpened = false;
-        whole = null;
-        silentAtUs = Long.MAX_VALUE;
+        snapshot = null;
+        watchTimeoutAtUs = Long.MAX_VALUE;
         state = State.CONNECTING;
-        if (trial != 0) {
-            takeTrial();
+        if (trialWatchId != 0) {
+            promoteTrial();
             return;
         }
-        trialAtUs = Long.MAX_VALUE;
-        long mostUs = terms.initialMaxBackoffUs();
-        if (wasConnected) {
-            tried.clear();
-            tried.add(keeper);
-            waitUs = terms.initialMaxBackoffUs();
-        } else if (tried.size() >= keepers) {
+        nextTrialAtUs = Long.MAX_VALUE;
+        long maxDelayUs = terms.initialMaxBackoffUs();
+        if (wasOpened) {
+            triedKeepers.clear();
+            triedKeepers.add(keeper);
+            backoffUs = terms.initialMaxBackoffUs();
+        } else if (triedKeepers.size() >= keeperCount) {
             // Only between two rounds: one of those that are back is found soon.
-            waitUs = Math.min(2 * waitUs, terms.maxBackoffUs());
-            mostUs = waitUs;
-            tried.clear();
+            backoffUs = Math.min(2 * backoffUs, terms.maxBackoffUs());
+            maxDelayUs = backoffUs;
+            triedKeepers.clear();
         }
-        dialAtUs = nowUs + draws.nextLong(terms.minBackoffUs(), mostUs + 1);
+        connectAtUs = nowUs + random.nextLong(terms.minBackoffUs(), maxDelayUs + 1);
     }
 
     /** The keeper that is tried is the one that it watches from now on, or dials. */
-    private void takeTrial() {
-        watch = trial;
+    private void promoteTrial() {
+        watchId = trialWatchId;
         keeper = trialKeeper;
-        silentAtUs = trialEndsAtUs;
-        boolean was = trialConnected;
-        dropTrial();
-        trialAtUs = Long.MAX_VALUE;
-        if (was) {
-            begin();
+        watchTimeoutAtUs = trialTimeoutAtUs;
+        boolean wasOpened = trialOpened;
+        clearTrial();
+        nextTrialAtUs = Long.MAX_VALUE;
+        if (wasOpened) {
+            startCatchingUp();
         } else {
             state = State.CONNECTING;
         }
     }
 
-    private void dropTrial() {
-        trial = 0;
-        trialConnected = false;
-        trialEndsAtUs = Long.MAX_VALUE;
+    private void clearTrial() {
+        trialWatchId = 0;
+        trialOpened = false;
+        trialTimeoutAtUs = Long.MAX_VALUE;
     }
 
-    private void tryAnother() {
-        trialAtUs = Long.MAX_VALUE;
-        trialKeeper = draw(keeper);
-        tried.add(trialKeeper);
-        trial = ++watches;
-        trialConnected = false;
-        trialEndsAtUs = nowUs + terms.connectTimeoutUs();
-        out.add(new Effect.OpenWatch(trial, trialKeeper, sideRev));
+    private void startTrial() {
+        nextTrialAtUs = Long.MAX_VALUE;
+        trialKeeper = pickKeeper(keeper);
+        triedKeepers.add(trialKeeper);
+        trialWatchId = ++lastWatchId;
+        trialOpened = false;
+        trialTimeoutAtUs = nowUs + terms.connectTimeoutUs();
+        effects.add(new Effect.OpenWatch(trialWatchId, trialKeeper, candidateRev));
     }
 
-    private void trialFailed(boolean hangUp) {
+    private void onTrialFailed(boolean hangUp) {
         if (hangUp) {
-            out.add(new Effect.CloseWatch(trial));
+            effects.add(new Effect.CloseWatch(trialWatchId));
         }
-        dropTrial();
-        trialAtUs = nowUs
-                + (tried.size() < keepers
-                        ? draws.nextLong(terms.minBackoffUs(), terms.initialMaxBackoffUs())
+        clearTrial();
+        nextTrialAtUs = nowUs
+                + (triedKeepers.size() < keeperCount
+                        ? random.nextLong(terms.minBackoffUs(), terms.initialMaxBackoffUs())
                         : terms.noQuorumRetryUs());
     }
 
     /** A line of a watch. */
-    public List<Effect> handleEvent(long now, long on, WatchEvent line) {
-        return events(now, () -> {
-            if (on == trial && trialConnected) {
-                if (line instanceof WatchEvent.NoQuorum) {
-                    trialFailed(true);
+    public List<Effect> handleEvent(long now, long eventWatchId, WatchEvent event) {
+        return handle(now, () -> {
+            if (eventWatchId == trialWatchId && trialOpened) {
+                if (event instanceof WatchEvent.NoQuorum) {
+                    onTrialFailed(true);
                     return;
                 }
-                out.add(new Effect.CloseWatch(watch));
-                takeTrial();
+                effects.add(new Effect.CloseWatch(watchId));
+                promoteTrial();
             }
-            if (on == watch && watchOpened) {
-                take(line);
+            if (eventWatchId == watchId && watchOpened) {
+                applyEvent(event);
             }
         });
     }
 
     /** A line of a watch that could not be read. */
-    public List<Effect> handleMalformedEvent(long now, long on) {
-        return events(now, () -> {
-            if (on == watch && watchOpened) {
-                bad();
-            } else if (on == trial && trialConnected) {
+    public List<Effect> handleMalformedEvent(long now, long eventWatchId) {
+        return handle(now, () -> {
+            if (eventWatchId == watchId && watchOpened) {
+                onMalformedEvent();
+            } else if (eventWatchId == trialWatchId && trialOpened) {
                 malformedEvents++;
-                trialFailed(true);
+                onTrialFailed(true);
             }
         });
     }
 
-    private void bad() {
+    private void onMalformedEvent() {
         malformedEvents++;
-        lost(true);
+        onWatchLost(true);
     }
 
-    private void take(WatchEvent line) {
-        silentAtUs = patienceUs();
-        if (line instanceof WatchEvent.NoQuorum) {
+    private void applyEvent(WatchEvent event) {
+        watchTimeoutAtUs = drawWatchTimeoutAtUs();
+        if (event instanceof WatchEvent.NoQuorum) {
             if (state != State.NO_QUORUM) {
                 state = State.NO_QUORUM;
-                tried.clear();
-                tried.add(keeper);
-                trialAtUs = nowUs;
+                triedKeepers.clear();
+                triedKeepers.add(keeper);
+                nextTrialAtUs = nowUs;
             }
             return;
         }
-        if (state == State.NO_QUORUM && trial != 0) {
-            out.add(new Effect.CloseWatch(trial));
-            dropTrial();
+        if (state == State.NO_QUORUM && trialWatchId != 0) {
+            effects.add(new Effect.CloseWatch(trialWatchId));
+            clearTrial();
         }
-        trialAtUs = Long.MAX_VALUE;
-        if (line instanceof WatchEvent.SnapshotPart part) {
+        nextTrialAtUs = Long.MAX_VALUE;
+        if (event instanceof WatchEvent.SnapshotPart part) {
             state = State.CATCHING_UP;
-            part(part);
-        } else if (line instanceof WatchEvent.Update next) {
-            next(next);
+            addSnapshotPart(part);
+        } else if (event instanceof WatchEvent.Update next) {
+            applyUpdate(next);
         } else {
             state = State.CURRENT;
         }
     }
 
-    private void part(WatchEvent.SnapshotPart part) {
-        boolean isFirst = part.part() == 1 && part.rev() > sideRev;
-        boolean isNext = whole != null && part.rev() == wholeRev && part.part() == lastPart + 1;
+    private void addSnapshotPart(WatchEvent.SnapshotPart part) {
+        boolean isFirst = part.part() == 1 && part.rev() > candidateRev;
+        boolean isNext = snapshot != null && part.rev() == snapshotRev && part.part() == lastSnapshotPart + 1;
         if (!isFirst && !isNext) {
-            bad();
+            onMalformedEvent();
             return;
         }
         if (isFirst) {
-            whole = new TreeMap<>();
+            snapshot = new TreeMap<>();
         }
-        wholeRev = part.rev();
-        lastPart = part.part();
-        whole.putAll(part.set());
+        snapshotRev = part.rev();
+        lastSnapshotPart = part.part();
+        snapshot.putAll(part.set());
         if (part.part() == part.partCount()) {
             state = State.CURRENT;
-            side = whole;
-            whole = null;
-            sideRev = part.rev();
-            judge();
+            candidateValues = snapshot;
+            snapshot = null;
+            candidateRev = part.rev();
+            validateCandidate();
         }
     }
 
-    private void next(WatchEvent.Update next) {
-        if (next.rev() != sideRev + 1 || whole != null) {
-            bad();
+    private void applyUpdate(WatchEvent.Update next) {
+        if (next.rev() != candidateRev + 1 || snapshot != null) {
+            onMalformedEvent();
             return;
         }
         state = State.CURRENT;
-        sideRev = next.rev();
-        side = new Change("", 0, next.set(), next.drop()).applyTo(side);
-        judge();
+        candidateRev = next.rev();
+        candidateValues = new Change("", 0, next.set(), next.drop()).applyTo(candidateValues);
+        validateCandidate();
     }
 
     /** The copy on the side is in force if it is sound as a whole; else it waits for what mends it. */
-    private void judge() {
-        List<ValidationError> faults = rules.validate(side);
-        refused.clear();
-        if (faults.isEmpty()) {
-            out.add(new Effect.Apply(sideRev, side));
+    private void validateCandidate() {
+        List<ValidationError> errors = rules.validate(candidateValues);
+        rejections.clear();
+        if (errors.isEmpty()) {
+            effects.add(new Effect.Apply(candidateRev, candidateValues));
         } else {
-            faults.stream()
+            errors.stream()
                     .limit(ProtocolParameters.MAX_REPORTED_COUNT)
-                    .forEach(fault -> refused.add(new Report.Rejection(sideRev, fault.path(), fault.reason())));
-            report();
+                    .forEach(error -> rejections.add(new Report.Rejection(candidateRev, error.path(), error.reason())));
+            sendReport();
         }
     }
 
     /** What was to be put in force is so: all that was asked for up to this version. */
-    public List<Effect> applied(long now, long nowRev, SortedMap<String, String> nowValues) {
-        return events(now, () -> {
-            if (nowRev > rev) {
-                rev = nowRev;
-                values = nowValues;
-                report();
+    public List<Effect> applied(long now, long appliedRev, SortedMap<String, String> appliedValues) {
+        return handle(now, () -> {
+            if (appliedRev > rev) {
+                rev = appliedRev;
+                values = appliedValues;
+                sendReport();
             }
         });
     }
 
-    private void report() {
+    private void sendReport() {
         reportAtUs = nowUs + terms.reportIntervalUs();
         if (watchOpened) {
-            SortedSet<String> waits = new TreeSet<>(rules.pathsNeedingRestart(first, values));
-            while (waits.size() > ProtocolParameters.MAX_REPORTED_COUNT) {
-                waits.remove(waits.last());
+            SortedSet<String> pendingRestart = new TreeSet<>(rules.pathsNeedingRestart(startupValues, values));
+            while (pendingRestart.size() > ProtocolParameters.MAX_REPORTED_COUNT) {
+                pendingRestart.remove(pendingRestart.last());
             }
-            out.add(new Effect.SendReport(keeper, new Report(node, life, rev, waits, List.copyOf(refused))));
+            effects.add(new Effect.SendReport(
+                    keeper, new Report(node, incarnation, rev, pendingRestart, List.copyOf(rejections))));
         }
     }
 }
--- a/src/main/java/kitemux/rollout/TokenBucket.java
+++ b/src/main/java/kitemux/rollout/TokenBucket.java
@@ -5,10 +5,10 @@
  * goes whatever was sent, and is made up for by what follows.
  */
 public final class TokenBucket {
-    private final long perSecond;
-    private final long atOnce;
-    private double bytes;
-    private long asOfUs;
+    private final long bytesPerSecond;
+    private final long burstBytes;
+    private double availableBytes;
+    private long updatedAtUs;
 
     /**
      * A new watch.
@@ -18,28 +18,29 @@
      * @param first bytes that may go at the beginning; 0 where nobody knows what was sent just before by
      *     another
      */
-    public TokenBucket(long nowUs, long perSecond, long atOnce, long first) {
-        this.perSecond = perSecond;
-        this.atOnce = atOnce;
-        this.bytes = first;
-        this.asOfUs = nowUs;
+    public TokenBucket(long nowUs, long bytesPerSecond, long burstBytes, long initialBytes) {
+        this.bytesPerSecond = bytesPerSecond;
+        this.burstBytes = burstBytes;
+        this.availableBytes = initialBytes;
+        this.updatedAtUs = nowUs;
     }
 
-    private void advance(long nowUs) {
-        bytes = Math.min(atOnce, bytes + (nowUs - asOfUs) * (double) perSecond / 1_000_000);
-        asOfUs = nowUs;
+    private void refill(long nowUs) {
+        availableBytes =
+                Math.min(burstBytes, availableBytes + (nowUs - updatedAtUs) * (double) bytesPerSecond / 1_000_000);
+        updatedAtUs = nowUs;
     }
 
     /** When so many bytes may go, in microseconds; no later than now if they may go at once. */
-    public long readyAtUs(long nowUs, int some) {
-        advance(nowUs);
-        double missing = Math.min(some, atOnce) - bytes;
-        return missing <= 0 ? nowUs : nowUs + (long) Math.ceil(missing * 1_000_000 / perSecond);
+    public long readyAtUs(long nowUs, int byteCount) {
+        refill(nowUs);
+        double missing = Math.min(byteCount, burstBytes) - availableBytes;
+        return missing <= 0 ? nowUs : nowUs + (long) Math.ceil(missing * 1_000_000 / bytesPerSecond);
     }
 
     /** So many bytes went. */
-    public void consume(long nowUs, int some) {
-        advance(nowUs);
-        bytes -= some;
+    public void consume(long nowUs, int byteCount) {
+        refill(nowUs);
+        availableBytes -= byteCount;
     }
 }
