--- a/src/main/java/kitemux/rollout/Ballot.java
+++ b/src/main/java/kitemux/rollout/Ballot.java
@@ -1,14 +1,13 @@
 package kitemux.rollout;
 
 /**
- * One attempt of one keeper to have a version decided. Of two the one with the higher round counts for more,
- * then the one of the higher keeper, so that no two keepers share one.
- *
- * @param round from 1; 0 in {@link #NONE} alone
- * @param keeper number of the keeper that drew it, from 0
+ * A Paxos ballot: one attempt of one keeper to get a version chosen. Ballots are ordered by round and then
+ * by keeper number, so no two keepers share a ballot.
+ * @param round round number, from 1; 0 only in {@link #NONE}
+ * @param keeper number of the keeper that created the ballot, from 0
  */
 public record Ballot(long round, int keeper) implements Comparable<Ballot> {
-    /** Less than all that are drawn. */
+    /** The null ballot, which is less than every ballot that a keeper creates. */
     public static final Ballot NONE = new Ballot(0, -1);
 
     @Override
@@ -21,7 +20,7 @@
         return round + "." + keeper;
     }
 
-    /** Whether it counts for more than another. */
+    /** Returns whether this ballot has priority over the other one. */
     public boolean isGreaterThan(Ballot other) {
         return compareTo(other) > 0;
     }
--- a/src/main/java/kitemux/rollout/History.java
+++ b/src/main/java/kitemux/rollout/History.java
@@ -9,14 +9,18 @@
 import java.util.TreeMap;
 
 /**
- * All that was chosen and is known: the newest values, and the last {@link ProtocolParameters#MAX_HISTORY_VERSION_COUNT} versions one by
- * one. Nothing in it is ever taken back.
+ * The chosen versions that a keeper knows: the newest values, and the last {@link
+ * ProtocolParameters#MAX_HISTORY_VERSION_COUNT} versions individually. Versions are only ever added, never
+ * taken back.
  */
 public final class History {
-    /** Path of the voters: a list of texts as of {@link Voter}. */
+    /** Path of the voters, whose value is a list of strings in the form of {@link Voter}. */
     public static final String VOTERS_PATH = "keepers/voters";
 
-    /** Values as of the version before the oldest that is kept. */
+    /**
+     * Values as of version {@code snapshotRev}, the one before the oldest version that is kept
+     * individually.
+     */
     private SortedMap<String, String> snapshotValues = new TreeMap<>();
 
     private SortedMap<String, String> values = new TreeMap<>();
@@ -28,36 +32,35 @@
     private final List<Voter> initialVoters;
 
     /**
-     * Nothing was chosen: version 0, without values.
-     *
-     * @param founding the voters as long as no version names others; the same at all keepers
+     * Creates a history in which nothing was chosen: version 0, without values.
+     * @param initialVoters the voters until a version names others; the same at all keepers
      */
     public History(List<Voter> initialVoters) {
         this.initialVoters = List.copyOf(initialVoters);
     }
 
-    /** Who decides the next version. */
+    /** Returns the voters that decide the next version. */
     public List<Voter> voters() {
         List<Voter> named = values.containsKey(VOTERS_PATH) ? RolloutText.readVoters(values.get(VOTERS_PATH)) : null;
         return named == null ? initialVoters : named;
     }
 
-    /** The newest version; 0 if there is none. */
+    /** Returns the number of the newest version; 0 if there is none. */
     public long rev() {
         return snapshotRev + versions.size();
     }
 
-    /** The newest values, JSON by path; not changed by what comes later. */
+    /** Returns the newest values, as JSON by path. Later versions do not modify the returned map. */
     public SortedMap<String, String> values() {
         return values;
     }
 
-    /** Whether all versions after this one are kept one by one. */
+    /** Returns whether all versions after this one are kept individually. */
     public boolean covers(long afterRev) {
         return afterRev >= snapshotRev;
     }
 
-    /** The versions after one, in order, {@code most} at most; none where they are not kept. */
+    /** Returns at most {@code maxCount} versions after the given one, in order; none if they are not kept. */
     public List<Version> versionsAfter(long afterRev, int maxCount) {
         List<Version> result = new ArrayList<>();
         if (covers(afterRev)) {
@@ -70,18 +73,18 @@
         return result;
     }
 
-    /** The version of this number, or null where it is not kept. */
+    /** Returns the version with this number, or null if it is not kept. */
     public Version version(long rev) {
         List<Version> result = rev <= snapshotRev ? List.of() : versionsAfter(rev - 1, 1);
         return result.isEmpty() ? null : result.get(0);
     }
 
-    /** Which version a change became; null where it is not known to be chosen. */
+    /** Returns the version that a change became, or null if the change is not known to be chosen. */
     public Version versionOfChange(String id) {
         return versionsByChangeId.get(id);
     }
 
-    /** Takes the next version in; false where this is not the next. */
+    /** Appends a version; returns false, without effect, if it is not the next one. */
     boolean append(Version version) {
         if (version.rev() != rev() + 1) {
             return false;
@@ -96,13 +99,13 @@
             snapshotRev = evicted.rev();
             snapshotValues = evicted.change().applyTo(snapshotValues);
             versionsByChangeId.remove(evicted.change().id(), evicted);
-            // A base before it is refused whatever it changes.
+            // A change based on an older version is rejected whatever paths it changes.
             lastChangeRevByPath.values().removeIf(rev -> rev <= snapshotRev);
         }
         return true;
     }
 
-    /** Takes a whole in; false where it is not newer. */
+    /** Replaces the history by a snapshot; returns false, without effect, if the snapshot is not newer. */
     boolean installSnapshot(long rev, SortedMap<String, String> snapshot) {
         if (rev <= rev()) {
             return false;
@@ -116,7 +119,7 @@
         return true;
     }
 
-    /** What a folder has to hold for it, in order. */
+    /** Returns the log records that restore this history, in order. */
     public List<LogRecord> toRecords() {
         List<LogRecord> records = new ArrayList<>();
         if (snapshotRev > 0) {
@@ -127,8 +130,9 @@
     }
 
     /**
-     * What stands against a change, or null: its id is known, it is faulty, its base is unknown or too old,
-     * or a path of it was changed since. Changes nothing.
+     * Checks a change against this history, without modifying it. Returns null if the change may be
+     * proposed. Otherwise returns its outcome: its id is known already, it is invalid, its base is unknown
+     * or too old, or one of its paths was changed since its base.
      */
     public Outcome validate(Change change, Rules rules) {
         Version existing = versionOfChange(change.id());
--- a/src/main/java/kitemux/rollout/Inventory.java
+++ b/src/main/java/kitemux/rollout/Inventory.java
@@ -5,17 +5,23 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Which node has what in force, by what nodes reported to this keeper, and merged with what others heard. */
+/**
+ * The configuration that each node has in force, according to the reports that this keeper received.
+ * Inventories of several keepers can be merged.
+ */
 public final class Inventory {
     private final Map<Integer, ReceivedReport> receivedByNode = new TreeMap<>();
     private long rejectedReports;
 
     private record ReceivedReport(Report report, long receivedAtUs) {}
 
-    /** A report, and how long ago it came, in microseconds: clocks of keepers are not compared. */
+    /**
+     * A report and its age in microseconds. Ages are exchanged instead of times, since the clocks of
+     * keepers are not synchronised.
+     */
     public record Row(Report report, long ageUs) {}
 
-    /** What counts for a node. */
+    /** The state of a node with regard to a version. */
     public enum NodeStatus {
         UNHEARD,
         BEHIND,
@@ -25,12 +31,15 @@
         SILENT
     }
 
-    /** Reports of nodes that found no room. */
+    /**
+     * Returns the number of reports rejected because {@link ProtocolParameters#MAX_NODE_COUNT} nodes are
+     * known already.
+     */
     public long rejectedReports() {
         return rejectedReports;
     }
 
-    /** A node's report came. One of an earlier life of that number does not count. */
+    /** Records a report of a node. A report of an earlier incarnation of that node is ignored. */
     public void addReport(long nowUs, Report report) {
         ReceivedReport previous = receivedByNode.get(report.node());
         if (previous == null && receivedByNode.size() >= ProtocolParameters.MAX_NODE_COUNT) {
@@ -40,14 +49,17 @@
         }
     }
 
-    /** All that is known here, for other keepers. */
+    /** Returns all reports with their ages, to be sent to other keepers. */
     public List<Row> rows(long nowUs) {
         return receivedByNode.values().stream()
                 .map(received -> new Row(received.report, nowUs - received.receivedAtUs))
                 .toList();
     }
 
-    /** Rows of several keepers as one a node: the highest life counts, then the newest report. */
+    /**
+     * Merges the rows of several keepers into one row per node: that of the highest incarnation, and of two
+     * of the same incarnation the newer one.
+     */
     public static Map<Integer, Row> merge(List<List<Row>> rowsByKeeper) {
         Map<Integer, Row> newestByNode = new TreeMap<>();
         for (List<Row> rows : rowsByKeeper) {
@@ -63,12 +75,14 @@
         return newestByNode;
     }
 
-    /** How a node stands to a version; {@code row} null where nothing was heard. */
-    public static NodeStatus statusOf(ProtocolParameters terms, Row row, long rev) {
+    /**
+     * Returns the state of a node with regard to a version; {@code row} is null if no report was received.
+     */
+    public static NodeStatus statusOf(ProtocolParameters parameters, Row row, long rev) {
         if (row == null) {
             return NodeStatus.UNHEARD;
         }
-        if (row.ageUs >= terms.reportTimeoutUs()) {
+        if (row.ageUs >= parameters.reportTimeoutUs()) {
             return NodeStatus.SILENT;
         }
         Report report = row.report;
@@ -80,15 +94,18 @@
                 : NodeStatus.BEHIND;
     }
 
-    /** Numbers of nodes by how they stand to a version, of a fleet of so many; each node once. */
+    /**
+     * Groups the nodes 0 to {@code nodeCount - 1} by their state with regard to a version. Each node is
+     * listed once.
+     */
     public static Map<NodeStatus, List<Integer>> nodesByStatus(
-            ProtocolParameters terms, Map<Integer, Row> rowsByNode, int nodeCount, long rev) {
+            ProtocolParameters parameters, Map<Integer, Row> rowsByNode, int nodeCount, long rev) {
         Map<NodeStatus, List<Integer>> nodesByStatus = new TreeMap<>();
         for (NodeStatus status : NodeStatus.values()) {
             nodesByStatus.put(status, new ArrayList<>());
         }
         for (int node = 0; node < nodeCount; node++) {
-            nodesByStatus.get(statusOf(terms, rowsByNode.get(node), rev)).add(node);
+            nodesByStatus.get(statusOf(parameters, rowsByNode.get(node), rev)).add(node);
         }
         return nodesByStatus;
     }
--- a/src/main/java/kitemux/rollout/KeeperStateMachine.java
+++ b/src/main/java/kitemux/rollout/KeeperStateMachine.java
@@ -9,13 +9,14 @@
 import java.util.function.Supplier;
 
 /**
- * A keeper: history, vote, proposals, watches and reports, and what it asks of the others to catch up. Events
- * come with the time; what is to be done comes out as effects, to be carried out in their order.
+ * The state machine of a keeper: its history, vote, proposals, watches and reports, and its requests to
+ * other keepers to catch up. Each event method takes the current time and returns the effects to carry out
+ * in their order.
  */
 public final class KeeperStateMachine {
     private static final String NOT_CAUGHT_UP = "this keeper has not caught up yet";
 
-    private final ProtocolParameters terms;
+    private final ProtocolParameters parameters;
     private final Voter self;
     private final int keeperCount;
     private final History history;
@@ -26,9 +27,9 @@
     private final Map<Long, Watch> openWatches = new LinkedHashMap<>();
     private final Map<Long, Long> nextSendAtUsByWatch = new HashMap<>();
     private final SplittableRandom random;
-    /** When each keeper last answered, in this life. */
+    /** When each keeper last responded to this process. */
     private final Map<Integer, Long> lastResponseAtUsByKeeper = new HashMap<>();
-    /** The newest version that another keeper has told of. */
+    /** The newest version that any other keeper has reported. */
     private long newestKnownRev;
 
     private boolean caughtUp;
@@ -41,16 +42,15 @@
     private long nowUs;
 
     /**
-     * Begins from what its folder holds.
-     *
-     * @param me its number and the identity of its folder
-     * @param keepers how many keepers there are, numbered from 0
-     * @param founding the voters as long as no version names others
-     * @param kept what was written, in order; what {@link #toRecords} gives will do as well
-     * @param seed of what it draws
+     * Restores the state from the log of the keeper.
+     * @param self number of this keeper and the identity of its folder
+     * @param keepers number of keepers, which are numbered from 0
+     * @param initialVoters the voters until a version names others
+     * @param records the records in the order in which they were written, or those of {@link #toRecords}
+     * @param seed seed of the random delays
      */
     public KeeperStateMachine(
-            ProtocolParameters terms,
+            ProtocolParameters parameters,
             Voter self,
             int keeperCount,
             List<Voter> initialVoters,
@@ -58,7 +58,7 @@
             List<LogRecord> records,
             long seed,
             long nowUs) {
-        this.terms = terms;
+        this.parameters = parameters;
         this.self = self;
         this.keeperCount = keeperCount;
         this.nowUs = nowUs;
@@ -68,21 +68,22 @@
         for (LogRecord entry : records) {
             if (entry instanceof LogRecord.Chosen chosen) {
                 history.append(chosen.version());
-            } else if (entry instanceof LogRecord.Snapshot whole) {
-                history.installSnapshot(whole.rev(), whole.values());
+            } else if (entry instanceof LogRecord.Snapshot snapshot) {
+                history.installSnapshot(snapshot.rev(), snapshot.values());
             } else if (entry instanceof LogRecord.Voted voted) {
                 vote = voted.vote();
             }
         }
         acceptor = new Acceptor(vote);
         acceptor.advanceTo(history.rev());
-        proposer = new Proposer(terms, self.keeper(), history, rules, random.nextLong(), this::onOwnProposalChosen);
-        snapshotCache = new Watch.SnapshotCache(terms.snapshotPartBytes());
+        proposer =
+                new Proposer(parameters, self.keeper(), history, rules, random.nextLong(), this::onOwnProposalChosen);
+        snapshotCache = new Watch.SnapshotCache(parameters.snapshotPartBytes());
         nextFetchAtUs = nowUs;
         updateCaughtUpAndRecovery();
     }
 
-    /** Its part in decisions, whole but for times and draws. */
+    /** Returns the state of the consensus protocol without times and random values. */
     @Override
     public String toString() {
         Vote vote = acceptor.vote();
@@ -94,52 +95,56 @@
                 + (vote.accepted() == null ? "" : vote.accepted().id()) + " " + proposer;
     }
 
-    /** What is known; to be read only. */
+    /** Returns the known versions. The caller must not modify them. */
     public History history() {
         return history;
     }
 
-    /** Who reported what here; to be read only. */
+    /** Returns the reports received by this keeper. The caller must not modify them. */
     public Inventory inventory() {
         return inventory;
     }
 
-    /** Watches that are open. */
+    /** Returns the number of open watches. */
     public int openWatches() {
         return openWatches.size();
     }
 
-    /** Watches that found no room. */
+    /** Returns the number of rejected watches. */
     public long rejectedWatches() {
         return rejectedWatches;
     }
 
-    /** Changes that found no room. */
+    /** Returns the number of changes rejected because the queue was full. */
     public long rejectedChanges() {
         return proposer.rejectedChanges();
     }
 
     /**
-     * Whether it has heard a majority since its start, and knew all that they knew; until then it serves
-     * nobody.
+     * Returns whether this keeper has reached a majority of the voters since its start and knows all
+     * versions that they knew. It serves nobody until then.
      */
     public boolean isCaughtUp() {
         return caughtUp;
     }
 
-    /** Whether it hears no majority of the voters: there may be versions that it does not know. */
+    /**
+     * Returns whether this keeper currently reaches no majority of the voters, so that there may be
+     * versions that it does not know.
+     */
     public boolean lacksQuorum() {
-        return countReachableVoters(terms.voterTimeoutUs()) <= history.voters().size() / 2;
+        return countReachableVoters(parameters.voterTimeoutUs())
+                <= history.voters().size() / 2;
     }
 
-    /** What a folder that is written anew has to hold, in order. */
+    /** Returns the records that a rewritten log must contain, in order. */
     public List<LogRecord> toRecords() {
         List<LogRecord> records = history.toRecords();
         records.add(new LogRecord.Voted(acceptor.vote()));
         return records;
     }
 
-    /** When {@link #tick} is to be called, in microseconds. */
+    /** Returns when {@link #tick} must be called, in microseconds. */
     public long nextAtUs() {
         long next = Math.min(Math.min(nextFetchAtUs, recoverAtUs), proposer.nextAtUs());
         for (long at : nextSendAtUsByWatch.values()) {
@@ -149,12 +154,12 @@
     }
 
     /**
-     * Whoever stood still finds reports that lay unread; how long nobody knows. They are let pass for a
-     * while: nodes report again.
+     * Advances the clock. After a stall, reports of unknown age may be waiting to be read, so reports are
+     * discarded for a short time. Nodes repeat their reports.
      */
     private void advanceClock(long now) {
-        if (now - nowUs > 2 * terms.fetchIntervalUs()) {
-            discardReportsUntilUs = now + terms.fetchIntervalUs();
+        if (now - nowUs > 2 * parameters.fetchIntervalUs()) {
+            discardReportsUntilUs = now + parameters.fetchIntervalUs();
         }
         nowUs = now;
     }
@@ -169,12 +174,12 @@
         return result;
     }
 
-    /** Time has passed. */
+    /** Handles all timeouts that have passed. */
     public List<Effect> tick(long now) {
         return handle(now, () -> {
             proposer.tick(now, effects);
             if (now >= nextFetchAtUs) {
-                nextFetchAtUs = now + terms.fetchIntervalUs();
+                nextFetchAtUs = now + parameters.fetchIntervalUs();
                 broadcast(new Request.Fetch(history.rev()));
             }
             if (now >= recoverAtUs) {
@@ -185,7 +190,9 @@
         });
     }
 
-    /** Another keeper asks; the effects hold its answer, once, under this number of the call. */
+    /**
+     * Handles a request of a keeper. The effects contain exactly one response with the number of this call.
+     */
     public List<Effect> handleRequest(long now, long call, Request request) {
         return handle(now, () -> {
             if (request instanceof Request.Prepare message) {
@@ -234,29 +241,29 @@
                 : new Response.Snapshot(history.rev(), history.values());
     }
 
-    /** Another keeper has answered what was sent to it. */
-    public List<Effect> handleResponse(long now, int from, Response answer) {
+    /** Handles a keeper's response to a request of this one. */
+    public List<Effect> handleResponse(long now, int from, Response response) {
         return handle(now, () -> {
             lastResponseAtUsByKeeper.put(from, now);
-            long before = history.rev();
-            if (answer instanceof Response.Versions known) {
-                known.versions().forEach(this::learn);
-                newestKnownRev = Math.max(newestKnownRev, known.newestRev());
-                if (history.rev() > before && known.newestRev() > history.rev()) {
+            long previousRev = history.rev();
+            if (response instanceof Response.Versions versions) {
+                versions.versions().forEach(this::learn);
+                newestKnownRev = Math.max(newestKnownRev, versions.newestRev());
+                if (history.rev() > previousRev && versions.newestRev() > history.rev()) {
                     effects.add(new Effect.Send(from, new Request.Fetch(history.rev())));
                 }
-            } else if (answer instanceof Response.Snapshot whole) {
-                newestKnownRev = Math.max(newestKnownRev, whole.rev());
-                if (history.installSnapshot(whole.rev(), whole.values())) {
-                    onHistoryAdvanced(new LogRecord.Snapshot(whole.rev(), whole.values()));
+            } else if (response instanceof Response.Snapshot snapshot) {
+                newestKnownRev = Math.max(newestKnownRev, snapshot.rev());
+                if (history.installSnapshot(snapshot.rev(), snapshot.values())) {
+                    onHistoryAdvanced(new LogRecord.Snapshot(snapshot.rev(), snapshot.values()));
                 }
-            } else if (answer instanceof Response.Behind behind) {
+            } else if (response instanceof Response.Behind behind) {
                 sendMissingVersions(from, behind);
             }
-            if (history.rev() > before) {
+            if (history.rev() > previousRev) {
                 proposer.historyAdvanced(now, effects);
             }
-            proposer.handleResponse(now, from, answer, effects);
+            proposer.handleResponse(now, from, response, effects);
         });
     }
 
@@ -267,14 +274,14 @@
         }
     }
 
-    /** A version is known to be chosen. Need not be synced before it is told: a majority has it on disk. */
+    /** Appends a chosen version. It may be passed on before it is synced, since a majority has it on disk. */
     private void learn(Version version) {
         if (history.append(version)) {
             onHistoryAdvanced(new LogRecord.Chosen(version));
         }
     }
 
-    /** A version was chosen by its own proposal. */
+    /** Appends a version that was chosen by a proposal of this keeper, and sends it to the other keepers. */
     private void onOwnProposalChosen(Version version) {
         learn(version);
         broadcast(new Request.Chosen(version));
@@ -294,7 +301,10 @@
         nextSendAtUsByWatch.replaceAll((id, at) -> sendPending(id));
     }
 
-    /** An operator's change; {@link Effect.Conclude} follows once, at once or later. */
+    /**
+     * Handles an operator's change. It is answered by exactly one {@link Effect.CompleteChange}, at once or
+     * later.
+     */
     public List<Effect> proposeChange(long now, long call, Change change) {
         return handle(now, () -> {
             if (caughtUp) {
@@ -305,7 +315,7 @@
         });
     }
 
-    /** A node wants to be told what comes after a version; lines follow, or the watch is refused. */
+    /** Opens a node's watch for all versions after {@code afterRev}, or rejects it. */
     public List<Effect> openWatch(long now, long watchId, long afterRev) {
         return handle(now, () -> {
             String reason = !caughtUp
@@ -320,18 +330,18 @@
                 effects.add(new Effect.RejectWatch(watchId, reason));
                 return;
             }
-            openWatches.put(watchId, new Watch(now, terms, afterRev));
+            openWatches.put(watchId, new Watch(now, parameters, afterRev));
             nextSendAtUsByWatch.put(watchId, sendPending(watchId));
         });
     }
 
-    /** A watch has ended, from either side. */
+    /** Removes a watch that has ended, whichever side closed it. */
     public void watchEnded(long watchId) {
         openWatches.remove(watchId);
         nextSendAtUsByWatch.remove(watchId);
     }
 
-    /** A node's report. */
+    /** Handles a node's report. */
     public void handleReport(long now, Report report) {
         advanceClock(now);
         if (now < discardReportsUntilUs) {
@@ -341,7 +351,7 @@
         }
     }
 
-    /** Reports that were let pass, since it stood still before. */
+    /** Returns the number of reports discarded because this process had stalled before. */
     public long discardedReports() {
         return discardedReports;
     }
@@ -349,10 +359,10 @@
     private long sendPending(long watchId) {
         return openWatches
                 .get(watchId)
-                .sendPending(nowUs, watchId, terms, history, snapshotCache, lacksQuorum(), effects);
+                .sendPending(nowUs, watchId, parameters, history, snapshotCache, lacksQuorum(), effects);
     }
 
-    /** Voters that were heard within a time, itself among them if it votes. */
+    /** Counts the voters that responded within the given time, including this keeper if it votes. */
     private long countReachableVoters(long windowUs) {
         return history.voters().stream()
                 .filter(voter -> voter.equals(self)
@@ -361,7 +371,10 @@
                 .count();
     }
 
-    /** What follows from any event: whether it has caught up, and whether something waits to be finished. */
+    /**
+     * Updates after each event whether this keeper has caught up, and when an accepted value that is not
+     * known to be chosen has to be proposed again.
+     */
     private void updateCaughtUpAndRecovery() {
         caughtUp |= countReachableVoters(Long.MAX_VALUE / 2) > history.voters().size() / 2
                 && newestKnownRev <= history.rev();
@@ -369,7 +382,7 @@
         if (!isOpen) {
             recoverAtUs = Long.MAX_VALUE;
         } else if (recoverAtUs == Long.MAX_VALUE) {
-            recoverAtUs = nowUs + random.nextLong(terms.recoveryDelayUs(), 2 * terms.recoveryDelayUs());
+            recoverAtUs = nowUs + random.nextLong(parameters.recoveryDelayUs(), 2 * parameters.recoveryDelayUs());
         }
     }
 }
--- a/src/main/java/kitemux/rollout/LogRecord.java
+++ b/src/main/java/kitemux/rollout/LogRecord.java
@@ -2,14 +2,17 @@
 
 import java.util.SortedMap;
 
-/** What a keeper writes to its folder, in order. Read back in order, it is the keeper again. */
+/**
+ * A record of a keeper's log. Replaying the records in the order in which they were written restores the
+ * state of the keeper.
+ */
 public sealed interface LogRecord {
     /** A version was chosen. */
     record Chosen(Version version) implements LogRecord {}
 
-    /** It has bound itself. */
+    /** The keeper has made a promise or accepted a value. */
     record Voted(Vote vote) implements LogRecord {}
 
-    /** All up to {@code rev} in one. */
+    /** A snapshot of the values as of version {@code rev}, which replaces all versions up to it. */
     record Snapshot(long rev, SortedMap<String, String> values) implements LogRecord {}
 }
--- a/src/main/java/kitemux/rollout/Proposer.java
+++ b/src/main/java/kitemux/rollout/Proposer.java
@@ -8,11 +8,11 @@
 import java.util.function.Consumer;
 
 /**
- * Has changes decided, one at a time, by ballots among the voters. What is chosen is told to {@code chosen},
- * which takes it into the history before it returns.
+ * A Paxos proposer: gets changes chosen one at a time by ballots among the voters. Each chosen version is
+ * passed to a callback, which must append it to the history before it returns.
  */
 public final class Proposer {
-    private final ProtocolParameters terms;
+    private final ProtocolParameters parameters;
     private final int self;
     private final History history;
     private final Rules rules;
@@ -24,17 +24,17 @@
     private long rev;
     private Ballot ballot = Ballot.NONE;
     private long phaseDeadlineUs = Long.MAX_VALUE;
-    /** Who has promised, while PREPARING; who has accepted, while ACCEPTING. */
+    /** Keepers that have promised while PREPARING, or accepted while ACCEPTING. */
     private final Set<Integer> agreedKeepers = new HashSet<>();
-    /** Of what was accepted before, by those who promised, that of the highest ballot. */
+    /** The highest ballot of the values that the promises report as accepted. */
     private Ballot highestAcceptedBallot;
-    /** What is to be accepted, or null while that is not known. */
+    /** The value to be accepted, or null while it is not known. */
     private Change value;
 
     private long highestRound;
     private long rejectedChanges;
 
-    /** CHECKING of the design is no state: it takes no time. */
+    /** The phase of the proposal. Validation needs no state of its own, as it takes no time. */
     private enum State {
         IDLE,
         PREPARING,
@@ -43,12 +43,15 @@
 
     private record QueuedChange(long callId, Change change) {}
 
-    /** What is under way; own is null where another's change is finished. */
+    /**
+     * The proposal in progress. {@code queued} is null if it completes a value that another keeper
+     * proposed.
+     */
     private static final class Proposal {
         final QueuedChange queued;
         final long startedAtUs;
         int ballotCount;
-        /** Whether the own change may have been accepted by somebody, in the version that is open. */
+        /** Whether a voter may have accepted the queued change for the open version. */
         boolean mayHaveBeenAccepted;
 
         Proposal(QueuedChange queued, long startedAtUs) {
@@ -58,15 +61,19 @@
     }
 
     /**
-     * Nothing is proposed yet.
-     *
-     * @param me this keeper's number
-     * @param seed of what it draws: the lengths of its phases
-     * @param chosen is told each version that it had chosen
+     * Creates an idle proposer.
+     * @param self number of this keeper
+     * @param seed seed of the random phase timeouts and backoffs
+     * @param onChosen receives each version that this proposer got chosen
      */
     public Proposer(
-            ProtocolParameters terms, int self, History history, Rules rules, long seed, Consumer<Version> onChosen) {
-        this.terms = terms;
+            ProtocolParameters parameters,
+            int self,
+            History history,
+            Rules rules,
+            long seed,
+            Consumer<Version> onChosen) {
+        this.parameters = parameters;
         this.self = self;
         this.history = history;
         this.rules = rules;
@@ -74,7 +81,7 @@
         this.onChosen = onChosen;
     }
 
-    /** Its state, whole but for times and draws: two that say the same go on alike. */
+    /** Returns the state without times and random values. Two proposers with the same text behave alike. */
     @Override
     public String toString() {
         return state + " " + rev + " " + ballot + " " + agreedKeepers + " " + highestAcceptedBallot + " "
@@ -85,22 +92,22 @@
                                 + proposal.mayHaveBeenAccepted + " " + proposal.ballotCount);
     }
 
-    /** Whether nothing is under way. */
+    /** Returns whether no proposal is in progress. */
     public boolean isIdle() {
         return state == State.IDLE;
     }
 
-    /** Calls that were refused since too many waited. */
+    /** Returns the number of changes rejected because the queue was full. */
     public long rejectedChanges() {
         return rejectedChanges;
     }
 
-    /** When {@link #tick} is to be called, in microseconds; the clock's end while idle. */
+    /** Returns when {@link #tick} must be called, in microseconds; {@link Long#MAX_VALUE} while idle. */
     public long nextAtUs() {
         return isIdle() ? Long.MAX_VALUE : phaseDeadlineUs;
     }
 
-    /** An operator's change; concluded by {@link Effect.Conclude}, once. */
+    /** Queues an operator's change. It is answered by exactly one {@link Effect.CompleteChange}. */
     public void propose(long nowUs, long call, Change change, List<Effect> out) {
         if (queue.size() >= ProtocolParameters.MAX_QUEUED_CHANGE_COUNT) {
             rejectedChanges++;
@@ -112,7 +119,10 @@
         startNext(nowUs, out);
     }
 
-    /** Something was accepted for the open version, and nobody said that it was chosen: it is finished. */
+    /**
+     * Proposes the value that this voter has accepted for the open version, if no proposal is in progress.
+     * It is called when this keeper has not learned for some time that the value was chosen.
+     */
     public void recoverAccepted(long nowUs, List<Effect> out) {
         if (isIdle()) {
             proposal = new Proposal(null, nowUs);
@@ -127,14 +137,17 @@
         }
     }
 
-    /** CHECKING: against what is known now; the version in which it may have been accepted is decided. */
+    /**
+     * Validates the queued change against the current history. The version for which it may have been
+     * accepted is decided by now.
+     */
     private void validate(long nowUs, List<Effect> out) {
         if (proposal.queued == null) {
             complete(null, out);
             return;
         }
         if (proposal.mayHaveBeenAccepted && !history.covers(rev - 1)) {
-            // It was told the whole, in which no version has a name any more.
+            // The history was replaced by a snapshot, which has no ids of changes.
             complete(new Outcome.Unknown(), out);
             return;
         }
@@ -155,7 +168,8 @@
     }
 
     private void prepare(long nowUs, List<Effect> out) {
-        if (proposal.ballotCount >= terms.maxBallots() || nowUs - proposal.startedAtUs >= terms.proposalTimeoutUs()) {
+        if (proposal.ballotCount >= parameters.maxBallots()
+                || nowUs - proposal.startedAtUs >= parameters.proposalTimeoutUs()) {
             complete(
                     proposal.mayHaveBeenAccepted
                             ? new Outcome.Unknown()
@@ -171,18 +185,21 @@
         startPhase(State.PREPARING, nowUs, new Request.Prepare(rev, ballot), out);
     }
 
-    private void startPhase(State phase, long nowUs, Request asked, List<Effect> out) {
+    private void startPhase(State phase, long nowUs, Request request, List<Effect> out) {
         state = phase;
         agreedKeepers.clear();
-        phaseDeadlineUs = nowUs + random.nextLong(terms.minPhaseTimeoutUs(), terms.maxPhaseTimeoutUs());
-        history.voters().forEach(voter -> out.add(new Effect.Send(voter.keeper(), asked)));
+        phaseDeadlineUs = nowUs + random.nextLong(parameters.minPhaseTimeoutUs(), parameters.maxPhaseTimeoutUs());
+        history.voters().forEach(voter -> out.add(new Effect.Send(voter.keeper(), request)));
     }
 
     private boolean isMajority() {
         return agreedKeepers.size() > history.voters().size() / 2;
     }
 
-    /** An answer to what it sent; what is of another version or ballot is let pass. */
+    /**
+     * Handles a response to a request of this proposer. Responses for another version or ballot are
+     * ignored.
+     */
     public void handleResponse(long nowUs, int from, Response received, List<Effect> out) {
         if (history.voters().stream().noneMatch(voter -> voter.keeper() == from)) {
             return;
@@ -196,13 +213,14 @@
         } else if (received instanceof Response.Rejected response) {
             highestRound = Math.max(highestRound, response.promised().round());
             if (isCurrent(state, response.rev(), response.ballot())) {
-                // Not at once, and the longer the more often it was tried: two that hinder each other would
-                // spend their tries within milliseconds. Until then the others may still agree.
+                // Retrying at once would let two competing proposers spend all their ballots within
+                // milliseconds, so the backoff grows with each ballot. Until then, the other voters may
+                // still agree.
                 phaseDeadlineUs = Math.min(
                         phaseDeadlineUs,
                         nowUs
-                                + terms.minBackoffUs()
-                                + random.nextLong(proposal.ballotCount * terms.minPhaseTimeoutUs() / 2));
+                                + parameters.minBackoffUs()
+                                + random.nextLong(proposal.ballotCount * parameters.minPhaseTimeoutUs() / 2));
             }
         }
         startNext(nowUs, out);
@@ -234,14 +252,14 @@
         agreedKeepers.add(from);
         if (isMajority()) {
             onChosen.accept(new Version(rev, value));
-            // Its own is known by its id now. After another's its own follows in the next version, and it was
-            // not for want of a majority that its tries went.
+            // The own change is found by its id now. After another keeper's value, the own change is
+            // proposed for the next version; the ballots so far did not fail for want of a majority.
             proposal.ballotCount = 0;
             validate(nowUs, out);
         }
     }
 
-    /** The history has gone on, by another's word: what is under way is checked anew. */
+    /** Validates the proposal again after versions were learned from other keepers. */
     public void historyAdvanced(long nowUs, List<Effect> out) {
         if (!isIdle() && rev <= history.rev()) {
             validate(nowUs, out);
@@ -249,7 +267,7 @@
         startNext(nowUs, out);
     }
 
-    /** Time has passed. */
+    /** Starts a new ballot if the current phase has timed out, and the next queued change if idle. */
     public void tick(long nowUs, List<Effect> out) {
         if (nowUs >= nextAtUs()) {
             prepare(nowUs, out);
--- a/src/main/java/kitemux/rollout/ProtocolParameters.java
+++ b/src/main/java/kitemux/rollout/ProtocolParameters.java
@@ -1,37 +1,47 @@
 package kitemux.rollout;
 
 /**
- * How configuration is passed on: what may be tuned in a trial, and as constants what may not. Times are
- * microseconds, sizes bytes.
+ * Timing and rates of the protocol as parameters, and its fixed limits as constants. Default values are
+ * chosen such that a change is in force within 4 s at each node that can reach a keeper with a majority.
+ * Times are in microseconds, sizes in bytes.
  *
- * @param heartbeatIntervalUs a watch on which nothing was sent for so long is sent a beat; 400 ms, two of which may be
- *     lost or late within the least patience
- * @param minWatchTimeoutUs a node gives up a watch that was silent for this long at least; 1 s
- * @param maxWatchTimeoutUs and at most, drawn for each watch, so that those of one keeper do not all dial at
- *     once; 1.6 s: with a dial that fails, a wait, a dial, catching up and a report 3.05 s of the 4 s
- * @param connectTimeoutUs a dial that has no answer for so long has failed; 0.5 s, three of the longest round trips
- * @param minBackoffUs before the next dial, drawn, at least; 50 ms
- * @param initialMaxBackoffUs and at most, while not all keepers were tried; 250 ms
- * @param maxBackoffUs it is doubled to this once all were tried; 2 s
- * @param noQuorumRetryUs a node whose keeper hears no majority tries another this often; 1 s: with 10 s it
- *     would not come within 4 s to a keeper that does
- * @param reportIntervalUs a node reports after each version, and this often; 10 s: 42 a second over eight keepers
- * @param reportTimeoutUs a node that reported nothing for so long counts as not heard; 25 s, two reports may be lost
- * @param minPhaseTimeoutUs a phase of a proposal is given up after this at least; 300 ms, twice the longest
- *     round trip
- * @param maxPhaseTimeoutUs and at most, drawn, so that two proposers do not hinder each other for ever; 600 ms
- * @param maxBallots ballots for one change; 5
- * @param proposalTimeoutUs and no further ballot after this; 2 s, half of the 4
- * @param fetchIntervalUs a keeper asks each other one for what it lacks this often; 400 ms, as a beat
- * @param voterTimeoutUs a voter counts as heard for so long after its last answer; 1.2 s, two pulses may be lost
- * @param recoveryDelayUs a voter that accepted something and does not hear that it was chosen proposes it again
- *     after one to two times this; 1 s: where the proposer has died, still within the 4 s
- * @param rateBytesPerSecond a watch is sent this much a second in the long run; 6,000, so that with what may go at
- *     once and the beats it is never over 16,384 in any 2 s (twice a node's 8 KB)
- * @param burstBytes and this much at once; 4,096, the largest change
- * @param initialBurstBytes and this much as it begins; 0, as nobody knows what the keeper before has sent
- * @param snapshotPartBytes a part of a whole configuration is about this long; 3,072, half a second of the pace,
- *     so that versions and beats do not wait
+ * @param heartbeatIntervalUs a heartbeat is sent on a watch after this time without any other event; 400
+ *     ms, so that two heartbeats may be lost or late within the shortest watch timeout
+ * @param minWatchTimeoutUs shortest silence after which a node closes a watch; 1 s
+ * @param maxWatchTimeoutUs longest such silence; it is drawn for each watch, so that the nodes of one
+ *     keeper do not all reconnect at once; 1.6 s, which with a failed connection attempt, a backoff, a
+ *     second attempt, catching up and a report takes 3.05 s of the 4 s
+ * @param connectTimeoutUs a connection attempt without answer fails after this time; 0.5 s, three times the
+ *     longest round trip
+ * @param minBackoffUs shortest backoff before the next connection attempt; 50 ms
+ * @param initialMaxBackoffUs longest backoff while some keeper has not been tried yet; 250 ms
+ * @param maxBackoffUs limit to which the longest backoff doubles each time that all keepers have been
+ *     tried; 2 s
+ * @param noQuorumRetryUs interval at which a node tries another keeper while its own reaches no majority; 1
+ *     s, as with 10 s it would not find a keeper that does within the 4 s
+ * @param reportIntervalUs interval of a node's reports, which it also sends after each version; 10 s, which
+ *     makes 42 reports a second over eight keepers
+ * @param reportTimeoutUs age of the last report from which a node counts as silent; 25 s, so that two
+ *     reports may be lost
+ * @param minPhaseTimeoutUs shortest timeout of a phase of a proposal; 300 ms, twice the longest round trip
+ * @param maxPhaseTimeoutUs longest timeout of a phase; it is drawn, so that two proposers do not obstruct
+ *     each other for ever; 600 ms
+ * @param maxBallots most ballots for one change; 5
+ * @param proposalTimeoutUs time after which no further ballot is started for a change; 2 s, half of the 4 s
+ * @param fetchIntervalUs interval at which a keeper asks each other one for versions that it lacks; 400 ms,
+ *     as for heartbeats
+ * @param voterTimeoutUs a voter counts as reachable for this time after its last response; 1.2 s, so that
+ *     two responses may be lost
+ * @param recoveryDelayUs a voter proposes a value that it has accepted again if it does not learn within
+ *     one to two times this delay that it was chosen; 1 s, which is still within the 4 s if the proposer
+ *     has died
+ * @param rateBytesPerSecond sustained rate of a watch; 6,000, so that together with the burst and the
+ *     heartbeats it never exceeds 16,384 bytes in any 2 s (twice the 8 KB a second of a node)
+ * @param burstBytes bytes that may be sent on a watch at once; 4,096, the size of the largest change
+ * @param initialBurstBytes bytes that may be sent at once on a new watch; 0, as it is not known what the
+ *     keeper before has sent
+ * @param snapshotPartBytes approximate size of a part of a snapshot; 3,072, half a second of the sustained
+ *     rate, so that versions and heartbeats are not delayed
  */
 public record ProtocolParameters(
         long heartbeatIntervalUs,
@@ -55,37 +65,61 @@
         long burstBytes,
         long initialBurstBytes,
         int snapshotPartBytes) {
-    /** Of a change as JSON: half a second of a node's 8 KB, and parsed in one turn. Beyond: refused, 400. */
+    /**
+     * Limit of a change as JSON: half a second of a node's 8 KB a second, and short enough to be parsed in
+     * one turn of the loop. Longer ones are rejected with status 400.
+     */
     public static final int MAX_CHANGE_BYTES = 4_096;
-    /** 11,000 tenants, 2,800 routes, 230 services and half as much again. Beyond: refused, 400. */
+    /**
+     * Limit of the paths of a configuration: 11,000 tenants, 2,800 routes and 230 services, and half as
+     * many again. A change that exceeds it is rejected with status 400.
+     */
     public static final int MAX_PATH_COUNT = 20_000;
-    /** Of paths and values together, twice what is expected (1.07 MB). Beyond: refused, 400. */
+    /**
+     * Limit of all paths and values of a configuration together: twice the expected 1.07 MB. A change that
+     * exceeds it is rejected with status 400.
+     */
     public static final int MAX_CONFIGURATION_BYTES = 2 << 20;
-    /** Of a path, in characters: a section, a slash and a name. Beyond: refused, 400. */
+    /**
+     * Limit of a path, which consists of a section, a slash and a name. A change with a longer one is
+     * rejected with status 400.
+     */
     public static final int MAX_PATH_LENGTH_CHARS = 128;
-    /** A line's end and what HTTP puts round a chunk, counted with each line of a watch. */
+    /** The line end and the framing of an HTTP chunk, which are added to the size of each event. */
     public static final int EVENT_FRAMING_BYTES = 9;
-    /** Versions that are kept one by one: four days of 240. Who is older is sent the whole. */
+    /**
+     * Versions that are kept individually: four days with 240 changes each. A keeper or node that is
+     * further behind receives a snapshot.
+     */
     public static final int MAX_HISTORY_VERSION_COUNT = 1_024;
     /**
-     * Unwritten bytes of a watch, some ten seconds of the pace. Beyond: the carrier ends it; the node asks
-     * anew.
+     * Limit of the bytes of a watch that wait to be written, about ten seconds of the sustained rate.
+     * Beyond it the host closes the watch, and the node opens a new one.
      */
     public static final int MAX_UNWRITTEN_BYTES = 64 << 10;
-    /** Watches of a keeper: half of 420 nodes, so that two of eight serve all. Beyond: 503. */
+    /**
+     * Limit of the watches of a keeper: half of 420 nodes, so that two of eight keepers can serve all.
+     * Further ones are rejected with status 503.
+     */
     public static final int MAX_WATCH_COUNT = 210;
-    /** Changes that wait behind the one that is proposed: a script that loops. Beyond: 503. */
+    /**
+     * Limit of the changes that wait behind the one being proposed, which guards against a script that
+     * loops. Further ones are rejected with status 503.
+     */
     public static final int MAX_QUEUED_CHANGE_COUNT = 16;
-    /** Versions that one answer between keepers brings; with the largest changes 64 KiB. */
+    /** Limit of the versions in one response between keepers; 64 KiB with the largest changes. */
     public static final int MAX_RESPONSE_VERSION_COUNT = 16;
-    /** Rows of an inventory: a fleet of twice the size. Beyond: the report is not taken in. */
+    /**
+     * Limit of the nodes in an inventory: twice the size of the fleet. Reports of further nodes are
+     * rejected.
+     */
     public static final int MAX_NODE_COUNT = 1_024;
-    /** Voters, so that any two may be gone. */
+    /** Limit of the voters. With five, any two may fail. */
     public static final int MAX_VOTER_COUNT = 5;
-    /** Paths and faults that a report tells of each; the first ones stand for the rest. */
+    /** Limit of the paths and of the errors that a report lists; only the first ones are listed. */
     public static final int MAX_REPORTED_COUNT = 16;
 
-    /** Those of the design. */
+    /** Returns the default parameters. */
     public static ProtocolParameters defaults() {
         return new ProtocolParameters(
                 400_000,
--- a/src/main/java/kitemux/rollout/Request.java
+++ b/src/main/java/kitemux/rollout/Request.java
@@ -1,16 +1,22 @@
 package kitemux.rollout;
 
-/** What one keeper asks another one. Each has one {@link Response}, or none where it or the answer is lost. */
+/**
+ * A request of one keeper to another one. Each has one {@link Response}, or none if the request or the
+ * response is lost.
+ */
 public sealed interface Request {
-    /** Promise to accept nothing of a lower ballot for this version. */
+    /** Asks for a promise to accept nothing with a lower ballot for this version. */
     record Prepare(long rev, Ballot ballot) implements Request {}
 
-    /** Accept this for the version. */
+    /** Asks the voter to accept a value for this version. */
     record Accept(long rev, Ballot ballot, Change value) implements Request {}
 
-    /** This was chosen. */
+    /** Tells the keeper that a version was chosen. */
     record Chosen(Version version) implements Request {}
 
-    /** What came after this version? Asked as a pulse, too: whoever answers is heard. */
+    /**
+     * Asks for the versions after {@code afterRev}. It is also sent periodically as a heartbeat: a keeper
+     * that responds is reachable.
+     */
     record Fetch(long afterRev) implements Request {}
 }
--- a/src/main/java/kitemux/rollout/RolloutText.java
+++ b/src/main/java/kitemux/rollout/RolloutText.java
@@ -15,34 +15,33 @@
 import kitemux.config.Json;
 
 /**
- * The records as JSON in UTF-8, one line each without its end. What is read is whole or not there: all that
- * is wrong is told with its place. Fields that are not known are faults, as they may be what somebody relies
- * on.
+ * Encodes messages and records as JSON in UTF-8, each on one line without its line end. An input is either
+ * read completely or rejected with all errors and their places. Unknown fields are errors, since the sender
+ * may rely on them.
  */
 public final class RolloutText {
     private static final Pattern PATH_PATTERN = Pattern.compile("[A-Za-z]+(/[^/\\p{Cntrl}]+)?");
     private static final Pattern CHANGE_ID_PATTERN = Pattern.compile("[0-9a-f]{16}");
-    /** A whole number as it may stand in an address or a file's name, too. */
+    /** Largest number accepted, which may also be part of an address or of a file name. */
     private static final long MAX_WHOLE_NUMBER = Long.MAX_VALUE;
 
     private RolloutText() {}
 
     /**
-     * What was read.
-     *
-     * @param value null where there are faults
-     * @param errors all that is wrong, each with its place
+     * The result of parsing an input.
+     * @param value the value; null if there are errors
+     * @param errors all errors, each with its place
      */
     public record ParseResult<T>(T value, List<ValidationError> errors) {}
 
-    /** How many bytes a text has. */
+    /** Returns the length of a text in bytes as UTF-8. */
     static int utf8Length(String text) {
         return text.getBytes(StandardCharsets.UTF_8).length;
     }
 
-    // Writing.
+    // Encoding.
 
-    /** An object, field by field. */
+    /** Builds a JSON object field by field. */
     private static final class JsonWriter {
         private final StringBuilder builder = new StringBuilder("{");
 
@@ -122,7 +121,7 @@
         builder.append('"');
     }
 
-    /** A value as JSON without spaces. */
+    /** Encodes a value as JSON without spaces. */
     public static String writeValue(Json json) {
         StringBuilder builder = new StringBuilder();
         writeValue(builder, json);
@@ -168,12 +167,12 @@
                 .raw("change", toJson(version.change()).toString());
     }
 
-    /** A change. */
+    /** Encodes a change. */
     public static byte[] write(Change change) {
         return toJson(change).bytes();
     }
 
-    /** A line of a watch, without its end; a beat is empty. */
+    /** Encodes an event of a watch without its line end; a heartbeat is empty. */
     public static byte[] write(WatchEvent event) {
         if (event instanceof WatchEvent.Update next) {
             return new JsonWriter()
@@ -213,12 +212,12 @@
                 .objects("refused", rejections);
     }
 
-    /** A node's report. */
+    /** Encodes a node's report. */
     public static byte[] write(Report report) {
         return toJson(report).bytes();
     }
 
-    /** Rows of an inventory. */
+    /** Encodes the rows of an inventory. */
     public static byte[] writeRows(List<Inventory.Row> rows) {
         List<JsonWriter> all = new ArrayList<>();
         for (Inventory.Row row : rows) {
@@ -229,7 +228,7 @@
         return new JsonWriter().objects("rows", all).bytes();
     }
 
-    /** What one keeper asks another. */
+    /** Encodes a request between keepers. */
     public static byte[] write(Request request) {
         if (request instanceof Request.Prepare message) {
             return new JsonWriter()
@@ -256,7 +255,7 @@
                 .bytes();
     }
 
-    /** What a keeper answers. */
+    /** Encodes a response between keepers. */
     public static byte[] write(Response response) {
         if (response instanceof Response.Promised a) {
             JsonWriter text = new JsonWriter()
@@ -305,7 +304,7 @@
                 .bytes();
     }
 
-    /** What a keeper writes to its folder. */
+    /** Encodes a record of a keeper's log. */
     public static byte[] write(LogRecord entry) {
         if (entry instanceof LogRecord.Chosen k) {
             return new JsonWriter()
@@ -331,7 +330,7 @@
         return text.bytes();
     }
 
-    /** What an operator is told. */
+    /** Encodes the outcome of a change. */
     public static byte[] write(Outcome outcome) {
         if (outcome instanceof Outcome.Committed o) {
             return new JsonWriter().number("rev", o.rev()).bytes();
@@ -358,7 +357,10 @@
                 .bytes();
     }
 
-    /** Values as the parts of a whole, in order; one at least, and each of one value at least. */
+    /**
+     * Splits values into the parts of a snapshot, in order. There is at least one part, and each part of a
+     * non-empty snapshot has at least one value.
+     */
     static List<WatchEvent.SnapshotPart> splitSnapshot(long rev, SortedMap<String, String> values, int maxPartBytes) {
         List<SortedMap<String, String>> chunks = new ArrayList<>();
         SortedMap<String, String> chunk = new TreeMap<>();
@@ -381,9 +383,9 @@
         return parts;
     }
 
-    // Reading.
+    // Decoding.
 
-    /** An object that is read, and what is wrong with it so far. */
+    /** Reads the fields of a JSON object and collects the errors. */
     private static final class JsonReader {
         private final Json json;
         private final String location;
@@ -544,7 +546,7 @@
         return new Version(fields.rev("rev", 1), fields.change("change"));
     }
 
-    /** An operator's change. */
+    /** Parses an operator's change. */
     public static ParseResult<Change> readChange(byte[] text) {
         if (text.length > ProtocolParameters.MAX_CHANGE_BYTES) {
             return new ParseResult<>(
@@ -556,7 +558,7 @@
         return read(text, (json, errors) -> readChangeObject(json, "", errors));
     }
 
-    /** A line of a watch, without its end. */
+    /** Parses an event of a watch without its line end. */
     public static ParseResult<WatchEvent> readWatchEvent(byte[] text) {
         if (text.length == 0) {
             return new ParseResult<>(new WatchEvent.Heartbeat(), List.of());
@@ -603,12 +605,12 @@
                 List.copyOf(rejections));
     }
 
-    /** A node's report. */
+    /** Parses a node's report. */
     public static ParseResult<Report> readReport(byte[] text) {
         return read(text, (json, errors) -> readReportObject(json, "", errors));
     }
 
-    /** Rows of an inventory. */
+    /** Parses the rows of an inventory. */
     public static ParseResult<List<Inventory.Row>> readRows(byte[] text) {
         return read(text, (json, errors) -> {
             JsonReader fields = new JsonReader(json, "", errors, "rows");
@@ -623,7 +625,7 @@
         });
     }
 
-    /** What another keeper asks. */
+    /** Parses a request between keepers. */
     public static ParseResult<Request> readRequest(byte[] text) {
         return read(text, (json, errors) -> switch (json.path("kind").text()) {
             case "prepare" -> {
@@ -643,7 +645,7 @@
         });
     }
 
-    /** What another keeper answers. */
+    /** Parses a response between keepers. */
     public static ParseResult<Response> readResponse(byte[] text) {
         return read(text, (json, errors) -> switch (json.path("kind").text()) {
             case "promised" -> {
@@ -688,7 +690,7 @@
         });
     }
 
-    /** What a keeper's folder holds. */
+    /** Parses a record of a keeper's log. */
     public static ParseResult<LogRecord> readLogRecord(byte[] text) {
         return read(text, (json, errors) -> switch (json.path("kind").text()) {
             case "chosen" ->
@@ -714,7 +716,10 @@
         });
     }
 
-    /** The voters that a value names; null where it names none that could be. */
+    /**
+     * Parses the voters of a configuration; returns null unless there is an odd number of them, at most
+     * {@link ProtocolParameters#MAX_VOTER_COUNT}, with each keeper at most once.
+     */
     static List<Voter> readVoters(String value) {
         List<Voter> voters = new ArrayList<>();
         Set<Integer> keepers = new HashSet<>();
--- a/src/main/java/kitemux/rollout/Rules.java
+++ b/src/main/java/kitemux/rollout/Rules.java
@@ -5,16 +5,19 @@
 import java.util.Set;
 
 /**
- * What a configuration means, as far as keepers and nodes have to know. The same code for both, so that a
- * keeper lets nothing be chosen that a node of its own program would refuse.
+ * The validity rules of a configuration. Keepers and nodes use the same implementation, so that a keeper
+ * lets nothing be chosen that a node with the same program would reject.
  */
 public interface Rules {
-    /** All that is wrong with a whole configuration, values as JSON by path; empty where nothing is. */
-    List<ValidationError> validate(Map<String, String> whole);
+    /**
+     * Validates a complete configuration, given as JSON values by path. Returns all errors; the list is
+     * empty if the configuration is valid.
+     */
+    List<ValidationError> validate(Map<String, String> values);
 
     /**
-     * Paths whose values in {@code next} are not in force before the process starts anew, where it started
-     * with {@code first}; empty where all are live.
+     * Returns the paths whose values in {@code next} take effect only after a restart of a process that
+     * started with {@code first}. The set is empty if all values can be applied at once.
      */
     Set<String> pathsNeedingRestart(Map<String, String> first, Map<String, String> next);
 }
--- a/src/main/java/kitemux/rollout/Subscriber.java
+++ b/src/main/java/kitemux/rollout/Subscriber.java
@@ -11,11 +11,11 @@
 import java.util.TreeSet;
 
 /**
- * A node's part: watches one keeper, takes versions in whole, and reports what is in force. Whatever keepers
- * do, the last good version stays in force.
+ * The state machine of a node: it watches one keeper, applies complete versions, and reports what is in
+ * force. Whatever keepers send, the last valid version stays in force.
  */
 public final class Subscriber {
-    /** How it stands to keepers. */
+    /** The state of the node with regard to the keepers. */
     public enum State {
         CONNECTING,
         CATCHING_UP,
@@ -23,41 +23,41 @@
         NO_QUORUM
     }
 
-    private final ProtocolParameters terms;
+    private final ProtocolParameters parameters;
     private final Rules rules;
     private final int node;
     private final long incarnation;
     private final int keeperCount;
     private final SplittableRandom random;
-    /** What the process has started with. */
+    /** The values with which the process started. */
     private final SortedMap<String, String> startupValues;
 
     private State state = State.CONNECTING;
     private List<Effect> effects = new ArrayList<>();
     private long nowUs;
 
-    /** In force. */
+    /** The version in force. */
     private long rev;
 
     private SortedMap<String, String> values;
 
     /**
-     * The copy on the side, with what was refused in it, and what is about to be in force; its version is
-     * what the watch is at. It stays when a watch ends: else a node that refuses something would be told all
-     * since again.
+     * The newest version received and its values, which may be rejected or about to be applied. They are
+     * kept when a watch ends; otherwise a node that rejects a version would receive all versions since the
+     * one in force again.
      */
     private long candidateRev;
 
     private SortedMap<String, String> candidateValues;
     private final List<Report.Rejection> rejections = new ArrayList<>();
-    /** Parts of a whole: of which version, and the last that came. */
+    /** Snapshot being received: its version, and the last part that has arrived. */
     private long snapshotRev;
 
     private int lastSnapshotPart;
     private SortedMap<String, String> snapshot;
 
     private long lastWatchId;
-    /** The watch, or its dial; 0 where there is none. */
+    /** The current watch or connection attempt; 0 if there is none. */
     private long watchId;
 
     private int keeper = -1;
@@ -65,7 +65,10 @@
     private long watchTimeoutAtUs = Long.MAX_VALUE;
     private long connectAtUs;
     private long reportAtUs = Long.MAX_VALUE;
-    /** While ALONE: another keeper that is tried; the watch stays until that says that it is not alone. */
+    /**
+     * While in NO_QUORUM: another keeper that is being tried. The current watch is kept until that keeper
+     * shows that it reaches a majority.
+     */
     private long trialWatchId;
 
     private int trialKeeper;
@@ -78,16 +81,15 @@
     private long reconnects;
 
     /**
-     * Begins with what the node's own file says.
-     *
-     * @param node its number
-     * @param life when its process started, in milliseconds since 1970
-     * @param keepers how many there are
-     * @param rev the version of {@code values}, 0 where the file tells none
-     * @param seed of what it draws
+     * Starts with the configuration in the node's own file.
+     * @param node number of the node
+     * @param incarnation start time of its process in milliseconds since 1970
+     * @param keepers number of keepers
+     * @param rev version of {@code values}; 0 if the file names none
+     * @param seed seed of the random choices and delays
      */
     public Subscriber(
-            ProtocolParameters terms,
+            ProtocolParameters parameters,
             Rules rules,
             int node,
             long incarnation,
@@ -96,7 +98,7 @@
             SortedMap<String, String> values,
             long seed,
             long nowUs) {
-        this.terms = terms;
+        this.parameters = parameters;
         this.rules = rules;
         this.node = node;
         this.incarnation = incarnation;
@@ -108,35 +110,35 @@
         this.connectAtUs = nowUs;
         candidateRev = rev;
         candidateValues = values;
-        backoffUs = terms.initialMaxBackoffUs();
+        backoffUs = parameters.initialMaxBackoffUs();
     }
 
-    /** How it stands to keepers. */
+    /** Returns the state of the node with regard to the keepers. */
     public State state() {
         return state;
     }
 
-    /** The version in force. */
+    /** Returns the version in force. */
     public long rev() {
         return rev;
     }
 
-    /** What is in force. */
+    /** Returns the values in force. */
     public SortedMap<String, String> values() {
         return values;
     }
 
-    /** Lines that could not be, since its start. */
+    /** Returns the number of malformed events since the start. */
     public long malformedEvents() {
         return malformedEvents;
     }
 
-    /** Watches that it gave up or lost, since its start. */
+    /** Returns the number of watches and connection attempts that were closed or lost since the start. */
     public long reconnects() {
         return reconnects;
     }
 
-    /** When {@link #tick} is to be called, in microseconds. */
+    /** Returns when {@link #tick} must be called, in microseconds. */
     public long nextAtUs() {
         return Math.min(
                 Math.min(Math.min(watchTimeoutAtUs, connectAtUs), reportAtUs),
@@ -152,7 +154,7 @@
         return result;
     }
 
-    /** Time has passed. */
+    /** Handles all timeouts that have passed. */
     public List<Effect> tick(long now) {
         return handle(now, () -> {
             if (now >= connectAtUs) {
@@ -196,15 +198,15 @@
         triedKeepers.add(keeper);
         watchId = ++lastWatchId;
         watchOpened = false;
-        watchTimeoutAtUs = nowUs + terms.connectTimeoutUs();
+        watchTimeoutAtUs = nowUs + parameters.connectTimeoutUs();
         effects.add(new Effect.OpenWatch(watchId, keeper, candidateRev));
     }
 
     private long drawWatchTimeoutAtUs() {
-        return nowUs + random.nextLong(terms.minWatchTimeoutUs(), terms.maxWatchTimeoutUs());
+        return nowUs + random.nextLong(parameters.minWatchTimeoutUs(), parameters.maxWatchTimeoutUs());
     }
 
-    /** A dial was answered: lines may follow. */
+    /** A keeper has accepted a watch; events may follow. */
     public List<Effect> watchOpened(long now, long eventWatchId) {
         return handle(now, () -> {
             if (eventWatchId == watchId && !watchOpened) {
@@ -224,7 +226,7 @@
         snapshot = null;
     }
 
-    /** A dial has failed or was refused, or a watch has ended. */
+    /** A connection attempt has failed, a watch was rejected, or a watch has ended. */
     public List<Effect> watchEnded(long now, long eventWatchId) {
         return handle(now, () -> {
             if (eventWatchId == watchId) {
@@ -251,21 +253,21 @@
             return;
         }
         nextTrialAtUs = Long.MAX_VALUE;
-        long maxDelayUs = terms.initialMaxBackoffUs();
+        long maxDelayUs = parameters.initialMaxBackoffUs();
         if (wasOpened) {
             triedKeepers.clear();
             triedKeepers.add(keeper);
-            backoffUs = terms.initialMaxBackoffUs();
+            backoffUs = parameters.initialMaxBackoffUs();
         } else if (triedKeepers.size() >= keeperCount) {
-            // Only between two rounds: one of those that are back is found soon.
-            backoffUs = Math.min(2 * backoffUs, terms.maxBackoffUs());
+            // The backoff grows only once all keepers were tried, so that one that is back is found soon.
+            backoffUs = Math.min(2 * backoffUs, parameters.maxBackoffUs());
             maxDelayUs = backoffUs;
             triedKeepers.clear();
         }
-        connectAtUs = nowUs + random.nextLong(terms.minBackoffUs(), maxDelayUs + 1);
+        connectAtUs = nowUs + random.nextLong(parameters.minBackoffUs(), maxDelayUs + 1);
     }
 
-    /** The keeper that is tried is the one that it watches from now on, or dials. */
+    /** Makes the trial watch the current one, whether it is open or still connecting. */
     private void promoteTrial() {
         watchId = trialWatchId;
         keeper = trialKeeper;
@@ -292,7 +294,7 @@
         triedKeepers.add(trialKeeper);
         trialWatchId = ++lastWatchId;
         trialOpened = false;
-        trialTimeoutAtUs = nowUs + terms.connectTimeoutUs();
+        trialTimeoutAtUs = nowUs + parameters.connectTimeoutUs();
         effects.add(new Effect.OpenWatch(trialWatchId, trialKeeper, candidateRev));
     }
 
@@ -303,11 +305,11 @@
         clearTrial();
         nextTrialAtUs = nowUs
                 + (triedKeepers.size() < keeperCount
-                        ? random.nextLong(terms.minBackoffUs(), terms.initialMaxBackoffUs())
-                        : terms.noQuorumRetryUs());
+                        ? random.nextLong(parameters.minBackoffUs(), parameters.initialMaxBackoffUs())
+                        : parameters.noQuorumRetryUs());
     }
 
-    /** A line of a watch. */
+    /** Handles an event of a watch. */
     public List<Effect> handleEvent(long now, long eventWatchId, WatchEvent event) {
         return handle(now, () -> {
             if (eventWatchId == trialWatchId && trialOpened) {
@@ -324,7 +326,7 @@
         });
     }
 
-    /** A line of a watch that could not be read. */
+    /** Handles an event that could not be parsed. */
     public List<Effect> handleMalformedEvent(long now, long eventWatchId) {
         return handle(now, () -> {
             if (eventWatchId == watchId && watchOpened) {
@@ -400,7 +402,10 @@
         validateCandidate();
     }
 
-    /** The copy on the side is in force if it is sound as a whole; else it waits for what mends it. */
+    /**
+     * Applies the candidate if it is valid as a whole. Otherwise it is kept until a later version corrects
+     * it.
+     */
     private void validateCandidate() {
         List<ValidationError> errors = rules.validate(candidateValues);
         rejections.clear();
@@ -414,7 +419,7 @@
         }
     }
 
-    /** What was to be put in force is so: all that was asked for up to this version. */
+    /** Confirms that a version was applied, and with it all that were requested before. */
     public List<Effect> applied(long now, long appliedRev, SortedMap<String, String> appliedValues) {
         return handle(now, () -> {
             if (appliedRev > rev) {
@@ -426,7 +431,7 @@
     }
 
     private void sendReport() {
-        reportAtUs = nowUs + terms.reportIntervalUs();
+        reportAtUs = nowUs + parameters.reportIntervalUs();
         if (watchOpened) {
             SortedSet<String> pendingRestart = new TreeSet<>(rules.pathsNeedingRestart(startupValues, values));
             while (pendingRestart.size() > ProtocolParameters.MAX_REPORTED_COUNT) {
--- a/src/main/java/kitemux/rollout/TokenBucket.java
+++ b/src/main/java/kitemux/rollout/TokenBucket.java
@@ -1,8 +1,8 @@
 package kitemux.rollout;
 
 /**
- * How much a watch may be sent: so much a second in the long run, and so much at once. What must go, a beat,
- * goes whatever was sent, and is made up for by what follows.
+ * Limits the bytes sent on a watch to a sustained rate and a burst. Heartbeats are sent even if the bucket
+ * is empty; the events after them make up for it.
  */
 public final class TokenBucket {
     private final long bytesPerSecond;
@@ -11,12 +11,11 @@
     private long updatedAtUs;
 
     /**
-     * A new watch.
-     *
-     * @param perSecond bytes a second, above 0
-     * @param atOnce bytes that may go at once after a pause
-     * @param first bytes that may go at the beginning; 0 where nobody knows what was sent just before by
-     *     another
+     * Creates a bucket for a new watch.
+     * @param bytesPerSecond sustained rate, above 0
+     * @param burstBytes bytes that may be sent at once after a pause
+     * @param initialBytes bytes that may be sent at the beginning; 0 if it is not known what another keeper
+     *     has sent just before
      */
     public TokenBucket(long nowUs, long bytesPerSecond, long burstBytes, long initialBytes) {
         this.bytesPerSecond = bytesPerSecond;
@@ -31,14 +30,17 @@
         updatedAtUs = nowUs;
     }
 
-    /** When so many bytes may go, in microseconds; no later than now if they may go at once. */
+    /**
+     * Returns when the given number of bytes may be sent, in microseconds; {@code nowUs} if it may be sent
+     * at once.
+     */
     public long readyAtUs(long nowUs, int byteCount) {
         refill(nowUs);
         double missing = Math.min(byteCount, burstBytes) - availableBytes;
         return missing <= 0 ? nowUs : nowUs + (long) Math.ceil(missing * 1_000_000 / bytesPerSecond);
     }
 
-    /** So many bytes went. */
+    /** Takes sent bytes from the bucket, which may become negative. */
     public void consume(long nowUs, int byteCount) {
         refill(nowUs);
         availableBytes -= byteCount;
--- a/src/main/java/kitemux/rollout/ValidationError.java
+++ b/src/main/java/kitemux/rollout/ValidationError.java
@@ -1,10 +1,9 @@
 package kitemux.rollout;
 
 /**
- * Something that is wrong, and where.
- *
- * @param path of the configuration, or the dotted name of a field
- * @param reason what is wrong, to stand behind it
+ * A problem found in a configuration or in a message, with the place where it was found.
+ * @param path path in the configuration, or dotted name of a field
+ * @param reason description of the problem, phrased to follow the path in a message
  */
 public record ValidationError(String path, String reason) {
     @Override
--- a/src/main/java/kitemux/rollout/Version.java
+++ b/src/main/java/kitemux/rollout/Version.java
@@ -2,8 +2,7 @@
 
 /**
  * A change that was chosen.
- *
- * @param rev its number, from 1, without gaps
- * @param change what it changes
+ * @param rev number of the version, from 1, without gaps
+ * @param change the change that this version applies
  */
 public record Version(long rev, Change change) {}
--- a/src/main/java/kitemux/rollout/Vote.java
+++ b/src/main/java/kitemux/rollout/Vote.java
@@ -1,16 +1,15 @@
 package kitemux.rollout;
 
 /**
- * What a voter has bound itself to for one version. PROMISED and ACCEPTED of the design are one record: an
- * accepted pair stays beside a higher promise.
- *
- * @param rev the version
- * @param promised nothing of a lower ballot is accepted; {@link Ballot#NONE} where nothing was promised
- * @param acceptedAt ballot of what was accepted; {@link Ballot#NONE} where nothing was
- * @param accepted what was accepted, or null
+ * The promise and the acceptance that a voter is bound to for one version. Both are kept in one record,
+ * since an accepted value remains valid beside a later promise of a higher ballot.
+ * @param rev number of the version
+ * @param promised lowest ballot that may still be accepted; {@link Ballot#NONE} if nothing was promised
+ * @param acceptedAt ballot of the accepted value; {@link Ballot#NONE} if nothing was accepted
+ * @param accepted the accepted value, or null if nothing was accepted
  */
 public record Vote(long rev, Ballot promised, Ballot acceptedAt, Change accepted) {
-    /** Bound to nothing. */
+    /** Returns a vote for a version without promise and acceptance. */
     public static Vote empty(long rev) {
         return new Vote(rev, Ballot.NONE, Ballot.NONE, null);
     }
--- a/src/main/java/kitemux/rollout/Watch.java
+++ b/src/main/java/kitemux/rollout/Watch.java
@@ -2,26 +2,31 @@
 
 import java.util.List;
 
-/** A node's watch at its keeper: how far it was told, and what may go next. */
+/** The keeper's side of a node's watch: what was sent on it, and what may be sent next. */
 final class Watch {
-    /** Lines of the whole that goes, with {@code at} to go next; null where versions go one by one. */
+    /**
+     * Parts of the snapshot that is being sent, of which {@code nextPartIndex} is next; null while versions
+     * are sent individually.
+     */
     private List<WatchEvent.SnapshotPart> snapshotParts;
 
     private int nextPartIndex;
-    /** Told up to this version; the whole that goes counts as told. */
+    /** The newest version that was sent; a snapshot counts from its first part on. */
     private long sentRev;
 
     private final TokenBucket tokenBucket;
     private long lastSentAtUs;
 
-    Watch(long nowUs, ProtocolParameters terms, long afterRev) {
+    Watch(long nowUs, ProtocolParameters parameters, long afterRev) {
         sentRev = afterRev;
-        tokenBucket = new TokenBucket(nowUs, terms.rateBytesPerSecond(), terms.burstBytes(), terms.initialBurstBytes());
-        // Whoever comes hears at once that the keeper is there, and whether it hears a majority.
-        lastSentAtUs = nowUs - terms.heartbeatIntervalUs();
+        tokenBucket = new TokenBucket(
+                nowUs, parameters.rateBytesPerSecond(), parameters.burstBytes(), parameters.initialBurstBytes());
+        // The first heartbeat is due at once, so that the node learns whether this keeper reaches a
+        // majority.
+        lastSentAtUs = nowUs - parameters.heartbeatIntervalUs();
     }
 
-    /** The next line that is no beat, or null where it is told all. */
+    /** Returns the next event other than a heartbeat, or null if everything was sent. */
     private WatchEvent nextEvent(History history, SnapshotCache snapshotCache) {
         if (snapshotParts != null && nextPartIndex < snapshotParts.size()) {
             return snapshotParts.get(nextPartIndex);
@@ -44,11 +49,11 @@
         return RolloutText.write(event).length + ProtocolParameters.EVENT_FRAMING_BYTES;
     }
 
-    /** Sends what may go now; when something may go again, in microseconds. */
+    /** Sends all events that may be sent now. Returns when the next one may be due, in microseconds. */
     long sendPending(
             long nowUs,
             long watchId,
-            ProtocolParameters terms,
+            ProtocolParameters parameters,
             History history,
             SnapshotCache snapshotCache,
             boolean isAlone,
@@ -64,11 +69,11 @@
                 } else {
                     sentRev++;
                 }
-            } else if (nowUs >= lastSentAtUs + terms.heartbeatIntervalUs()) {
+            } else if (nowUs >= lastSentAtUs + parameters.heartbeatIntervalUs()) {
                 event = isAlone ? new WatchEvent.NoQuorum(history.rev()) : new WatchEvent.Heartbeat();
                 bytes = framedLength(event);
             } else {
-                return Math.min(readyAtUs, lastSentAtUs + terms.heartbeatIntervalUs());
+                return Math.min(readyAtUs, lastSentAtUs + parameters.heartbeatIntervalUs());
             }
             tokenBucket.consume(nowUs, bytes);
             lastSentAtUs = nowUs;
@@ -76,7 +81,7 @@
         }
     }
 
-    /** The newest whole in parts, made once for all watches that need it. */
+    /** The newest snapshot split into parts, shared by all watches that need it. */
     static final class SnapshotCache {
         private final int partBytes;
         private long rev = -1;
