--- a/src/main/java/kitemux/rollout/History.java
+++ b/src/main/java/kitemux/rollout/History.java
@@ -139,10 +139,12 @@
         if (existing != null) {
             return existing.change().equals(change)
                     ? new Outcome.Committed(existing.rev())
-                    : new Outcome.Invalid(List.of(new ValidationError("id", "was used for another change")));
+                    : new Outcome.Invalid(
+                            List.of(new ValidationError("id", "has already been used for another change")));
         }
         if (change.base() > rev()) {
-            return new Outcome.Unavailable("version " + change.base() + " is not known here, the newest is " + rev());
+            return new Outcome.Unavailable(
+                    "version " + change.base() + " is not known to this keeper; its newest version is " + rev());
         }
         List<ValidationError> errors = validateShape(change);
         if (!errors.isEmpty()) {
@@ -174,13 +176,13 @@
     private List<ValidationError> validateShape(Change change) {
         List<ValidationError> errors = new ArrayList<>();
         if (change.set().isEmpty() && change.drop().isEmpty()) {
-            errors.add(new ValidationError("set", "and drop are empty"));
+            errors.add(new ValidationError("set", "and drop are both empty"));
         }
         for (String path : change.drop()) {
             if (change.set().containsKey(path)) {
-                errors.add(new ValidationError(path, "is set and dropped"));
+                errors.add(new ValidationError(path, "is both set and dropped"));
             } else if (!values.containsKey(path)) {
-                errors.add(new ValidationError(path, "is dropped, but is not there"));
+                errors.add(new ValidationError(path, "is dropped but does not exist"));
             } else if (path.equals(VOTERS_PATH)) {
                 errors.add(new ValidationError(path, "cannot be dropped"));
             }
@@ -188,7 +190,8 @@
         int bytes = RolloutText.write(change).length;
         if (bytes > ProtocolParameters.MAX_CHANGE_BYTES) {
             errors.add(new ValidationError(
-                    "change", "has " + bytes + " bytes; " + ProtocolParameters.MAX_CHANGE_BYTES + " are allowed"));
+                    "change",
+                    "has " + bytes + " bytes; at most " + ProtocolParameters.MAX_CHANGE_BYTES + " are allowed"));
         }
         return errors;
     }
@@ -198,7 +201,8 @@
         if (candidate.size() > ProtocolParameters.MAX_PATH_COUNT) {
             errors.add(new ValidationError(
                     "set",
-                    "makes " + candidate.size() + " paths; " + ProtocolParameters.MAX_PATH_COUNT + " are allowed"));
+                    "would result in " + candidate.size() + " paths; at most " + ProtocolParameters.MAX_PATH_COUNT
+                            + " are allowed"));
         }
         long bytes = 0;
         for (Map.Entry<String, String> value : candidate.entrySet()) {
@@ -207,11 +211,13 @@
         if (bytes > ProtocolParameters.MAX_CONFIGURATION_BYTES) {
             errors.add(new ValidationError(
                     "set",
-                    "makes " + bytes + " bytes; " + ProtocolParameters.MAX_CONFIGURATION_BYTES + " are allowed"));
+                    "would result in " + bytes + " bytes; at most " + ProtocolParameters.MAX_CONFIGURATION_BYTES
+                            + " are allowed"));
         }
         if (candidate.containsKey(VOTERS_PATH) && RolloutText.readVoters(candidate.get(VOTERS_PATH)) == null) {
-            errors.add(
-                    new ValidationError(VOTERS_PATH, "is no list of 1, 3 or 5 voters as \"0:9f2c\", each keeper once"));
+            errors.add(new ValidationError(
+                    VOTERS_PATH,
+                    "is not a list of 1, 3 or 5 voters of the form \"0:9f2c\" with each keeper at most once"));
         }
         return errors;
     }
--- a/src/main/java/kitemux/rollout/ProtocolParameters.java
+++ b/src/main/java/kitemux/rollout/ProtocolParameters.java
@@ -1,9 +1,9 @@
 package kitemux.rollout;
 
 /**
- * Timing and rates of the protocol as parameters, and its fixed limits as constants. Default values are
- * chosen such that a change is in force within 4 s at each node that can reach a keeper with a majority.
- * Times are in microseconds, sizes in bytes.
+ * Timing and rates of the protocol as parameters, and its fixed limits as constants. With the default
+ * values, a change is in force within 4 s at each node that can reach a keeper with a majority. Times are in
+ * microseconds, sizes in bytes.
  *
  * @param heartbeatIntervalUs a heartbeat is sent on a watch after this time without any other event; 400
  *     ms, so that two heartbeats may be lost or late within the shortest watch timeout
--- a/src/main/java/kitemux/rollout/RolloutText.java
+++ b/src/main/java/kitemux/rollout/RolloutText.java
@@ -353,7 +353,7 @@
             return new JsonWriter().string("reason", o.reason()).bytes();
         }
         return new JsonWriter()
-                .string("reason", "not known whether it was chosen: ask again by its id")
+                .string("reason", "it is not known whether the change was chosen; repeat the call with the same id")
                 .bytes();
     }
 
@@ -396,13 +396,13 @@
             this.location = location;
             this.errors = errors;
             if (!json.isObject()) {
-                errors.add(new ValidationError(location.isEmpty() ? "body" : location, "is no object"));
+                errors.add(new ValidationError(location.isEmpty() ? "body" : location, "is not an object"));
             }
             List<String> names = List.of(knownFields);
             json.fields().keySet().stream()
                     .filter(name -> !names.contains(name))
                     .sorted()
-                    .forEach(name -> addError(name, "is not known; known are " + String.join(", ", names)));
+                    .forEach(name -> addError(name, "is unknown; known fields are " + String.join(", ", names)));
         }
 
         String locationOf(String name) {
@@ -438,7 +438,7 @@
         String string(String name) {
             Json field = json.path(name);
             if (!field.isString()) {
-                addError(name, field.isMissing() ? "is missing" : "is no string");
+                addError(name, field.isMissing() ? "is missing" : "is not a string");
             }
             return field.text();
         }
@@ -451,7 +451,7 @@
                     || pair.get(0).whole(-1) < 0
                     || pair.get(1).whole(-2) < -1
                     || pair.get(1).whole(-2) > Integer.MAX_VALUE) {
-                addError(name, "is no ballot as [round, keeper]");
+                addError(name, "is not a ballot of the form [round, keeper]");
                 return Ballot.NONE;
             }
             return new Ballot(pair.get(0).whole(0), (int) pair.get(1).whole(0));
@@ -460,11 +460,11 @@
         SortedMap<String, String> values(String name) {
             SortedMap<String, String> values = new TreeMap<>();
             if (has(name) && !json(name).isObject()) {
-                addError(name, "is no object of paths and values");
+                addError(name, "is not an object of paths and values");
             }
             json(name).fields().forEach((path, value) -> {
                 if (value.isMissing()) {
-                    errors.add(new ValidationError(path, "is null; to drop it, name it in drop"));
+                    errors.add(new ValidationError(path, "is null; list it in drop to remove it"));
                 } else {
                     values.put(path, RolloutText.writeValue(value));
                 }
@@ -477,21 +477,21 @@
             if (!PATH_PATTERN.matcher(path).matches() || path.length() > ProtocolParameters.MAX_PATH_LENGTH_CHARS) {
                 errors.add(new ValidationError(
                         path,
-                        "is no path: a section, a slash and a name, at most " + ProtocolParameters.MAX_PATH_LENGTH_CHARS
-                                + " characters"));
+                        "is not a path of a section, a slash and a name with at most "
+                                + ProtocolParameters.MAX_PATH_LENGTH_CHARS + " characters"));
             }
         }
 
         SortedSet<String> stringSet(String name) {
             SortedSet<String> strings = new TreeSet<>();
             if (has(name) && !json(name).isList()) {
-                addError(name, "is no list");
+                addError(name, "is not a list");
             }
             for (Json each : json(name)) {
                 if (!each.isString()) {
-                    addError(name, "holds what is no string: " + RolloutText.writeValue(each));
+                    addError(name, "contains a value that is not a string: " + RolloutText.writeValue(each));
                 } else if (!strings.add(each.text())) {
-                    addError(name, "holds twice " + each.text());
+                    addError(name, "contains a duplicate: " + each.text());
                 }
             }
             return strings;
@@ -499,7 +499,7 @@
 
         List<Json> list(String name) {
             if (!json(name).isList()) {
-                addError(name, has(name) ? "is no list" : "is missing");
+                addError(name, has(name) ? "is not a list" : "is missing");
             }
             return json(name).values();
         }
@@ -523,7 +523,7 @@
         try {
             value = reader.read(Json.read(text), errors);
         } catch (IOException e) {
-            errors.add(new ValidationError("body", "is no JSON: " + e.getMessage()));
+            errors.add(new ValidationError("body", "is not valid JSON: " + e.getMessage()));
         }
         return new ParseResult<>(errors.isEmpty() ? value : null, List.copyOf(errors));
     }
@@ -553,7 +553,8 @@
                     null,
                     List.of(new ValidationError(
                             "change",
-                            "has " + text.length + " bytes; " + ProtocolParameters.MAX_CHANGE_BYTES + " are allowed")));
+                            "has " + text.length + " bytes; at most " + ProtocolParameters.MAX_CHANGE_BYTES
+                                    + " are allowed")));
         }
         return read(text, (json, errors) -> readChangeObject(json, "", errors));
     }
@@ -595,7 +596,9 @@
         SortedSet<String> pendingRestart = fields.stringSet("waits_restart");
         if (rejections.size() > ProtocolParameters.MAX_REPORTED_COUNT
                 || pendingRestart.size() > ProtocolParameters.MAX_REPORTED_COUNT) {
-            fields.addError("refused", "or waits_restart has more than " + ProtocolParameters.MAX_REPORTED_COUNT);
+            fields.addError(
+                    "refused",
+                    "or waits_restart has more entries than the limit of " + ProtocolParameters.MAX_REPORTED_COUNT);
         }
         return new Report(
                 (int) fields.wholeNumber("node", 0, Integer.MAX_VALUE),
@@ -639,7 +642,7 @@
             case "chosen" -> new Request.Chosen(new JsonReader(json, "", errors, "kind", "version").version("version"));
             case "ask" -> new Request.Fetch(new JsonReader(json, "", errors, "kind", "after").rev("after", 0));
             default -> {
-                errors.add(new ValidationError("kind", "is none of prepare, accept, chosen, ask"));
+                errors.add(new ValidationError("kind", "is not one of prepare, accept, chosen, ask"));
                 yield null;
             }
         });
@@ -675,7 +678,9 @@
                 List<Version> versions = new ArrayList<>();
                 fields.list("versions").forEach(each -> versions.add(readVersionObject(each, "versions", errors)));
                 if (versions.size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
-                    fields.addError("versions", "has more than " + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT);
+                    fields.addError(
+                            "versions",
+                            "has more entries than the limit of " + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT);
                 }
                 yield new Response.Versions(fields.rev("after", 0), fields.rev("known", 0), List.copyOf(versions));
             }
@@ -684,7 +689,8 @@
                 yield new Response.Snapshot(fields.rev("known", 1), fields.values("values"));
             }
             default -> {
-                errors.add(new ValidationError("kind", "is none of promised, accepted, refused, behind, known, whole"));
+                errors.add(
+                        new ValidationError("kind", "is not one of promised, accepted, refused, behind, known, whole"));
                 yield null;
             }
         });
@@ -710,7 +716,7 @@
                         hasAccepted ? fields.change("accepted") : null));
             }
             default -> {
-                errors.add(new ValidationError("kind", "is none of chosen, whole, voted"));
+                errors.add(new ValidationError("kind", "is not one of chosen, whole, voted"));
                 yield null;
             }
         });
--- a/src/test/java/kitemux/rollout/Defect.java
+++ b/src/test/java/kitemux/rollout/Defect.java
@@ -1,81 +1,84 @@
 package kitemux.rollout;
 
-/** What a defect does to the parts of a fleet, each at its boundary; nothing of it here. */
+/**
+ * The places at which a simulation lets a defect modify the behaviour of keepers and nodes. The default
+ * methods change nothing.
+ */
 interface Defect {
-    /** A fleet without one. */
+    /** No defect. */
     Defect NONE = new Defect() {};
 
-    /** Where in a version lines go that a keeper asks of itself and its like. */
-    default ProtocolParameters terms(ProtocolParameters terms) {
-        return terms;
+    /** Returns the protocol parameters of all keepers and nodes. */
+    default ProtocolParameters parameters(ProtocolParameters parameters) {
+        return parameters;
     }
 
-    /** By which a keeper checks. */
+    /** Returns the rules by which a keeper validates changes. */
     default Rules keeperRules(Rules rules) {
         return rules;
     }
 
-    /** What a keeper takes a request for. */
-    default Request asked(Request request, long turn) {
+    /** Returns the request that a keeper handles in place of the received one. */
+    default Request request(Request request, long turn) {
         return request;
     }
 
-    /** What goes out for an answer to a request. */
-    default Response answer(Request request, Response answer) {
-        return answer;
+    /** Returns the response that is sent in place of the actual one. */
+    default Response response(Request request, Response response) {
+        return response;
     }
 
-    /** Another keeper that an answer is taken for as well, or -1. */
-    default int alsoFrom(int from, Response answer) {
+    /** Returns another keeper from which the response is counted as well, or -1. */
+    default int duplicateSender(int from, Response response) {
         return -1;
     }
 
-    /** Whether a record is synced. */
-    default boolean syncs(LogRecord kept) {
+    /** Returns whether a log record is synced. */
+    default boolean syncs(LogRecord entry) {
         return true;
     }
 
-    /** Whether what is to wait for a sync waits. */
+    /** Returns whether effects that have to wait for a sync do so. */
     default boolean waitsForSync() {
         return true;
     }
 
-    /** Whether a keeper with an empty folder says that it is who it was. */
-    default boolean keepsIdentity() {
+    /** Returns whether a keeper with an empty folder keeps the identity of the lost one. */
+    default boolean keepsIdentityOfEmptyFolder() {
         return false;
     }
 
-    /** Whether a keeper takes itself for caught up, and has what nodes ask it for. */
-    default boolean servesAtOnce() {
+    /** Returns whether a keeper serves nodes before it has caught up, whatever version they ask for. */
+    default boolean servesBeforeCaughtUp() {
         return false;
     }
 
-    /** What a node takes a line for, and null for one that was not written. */
-    default WatchEvent line(WatchEvent line, Rules rules, Subscriber subscriber) {
-        return line;
+    /** Returns the event that a node handles in place of the received one, or null if it is dropped. */
+    default WatchEvent event(WatchEvent event, Rules rules, Subscriber subscriber) {
+        return event;
     }
 
-    /** Whether a line is written. */
-    default boolean writes(WatchEvent line, boolean wholeUnderWay) {
+    /** Returns whether a keeper sends an event. */
+    default boolean sendsEvent(WatchEvent event, boolean snapshotInProgress) {
         return true;
     }
 
-    /** Which keeper a node dials for the one that it drew. */
-    default int dialed(int node, int drawn) {
+    /** Returns the keeper that a node connects to in place of the chosen one. */
+    default int watchedKeeper(int node, int drawn) {
         return drawn;
     }
 
-    /** Whether a node forgets what it has when it dials. */
-    default boolean forgets() {
+    /** Returns whether a node forgets its version when it reconnects. */
+    default boolean forgetsVersionOnReconnect() {
         return false;
     }
 
-    /** Whether a node says that something is in force when it was told to put it there. */
-    default boolean reportsEarly() {
+    /** Returns whether a node reports a version before it is applied. */
+    default boolean reportsBeforeApplied() {
         return false;
     }
 
-    /** What a report is taken for. */
+    /** Returns the report that a keeper handles in place of the received one. */
     default Report report(Report report) {
         return report;
     }
--- a/src/test/java/kitemux/rollout/Mutant.java
+++ b/src/test/java/kitemux/rollout/Mutant.java
@@ -6,152 +6,162 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Deliberate defects, each with the promise that it breaks. */
+/** Deliberate defects, each with the invariant that it violates. */
 enum Mutant implements Defect {
-    BALLOTS_IGNORED(Judge.Promise.ONE_HISTORY) {
-        @Override
-        public Request asked(Request request, long turn) {
-            // Whoever comes last has the highest ballot.
-            if (request instanceof Request.Prepare asked) {
-                return new Request.Prepare(asked.rev(), raised(asked.ballot(), turn));
-            } else if (request instanceof Request.Accept asked) {
-                return new Request.Accept(asked.rev(), raised(asked.ballot(), turn), asked.value());
+    BALLOTS_IGNORED(InvariantChecker.Invariant.ONE_HISTORY) {
+        @Override
+        public Request request(Request request, long turn) {
+            // Raises the ballots so that the latest request always has the highest one.
+            if (request instanceof Request.Prepare received) {
+                return new Request.Prepare(received.rev(), raisedBallot(received.ballot(), turn));
+            } else if (request instanceof Request.Accept received) {
+                return new Request.Accept(received.rev(), raisedBallot(received.ballot(), turn), received.value());
             }
             return request;
         }
 
         @Override
-        public Response answer(Request request, Response answer) {
-            if (answer instanceof Response.Promised a) {
-                return new Response.Promised(a.rev(), lowered(a.ballot()), lowered(a.acceptedBallot()), a.accepted());
-            } else if (answer instanceof Response.Accepted a) {
-                return new Response.Accepted(a.rev(), lowered(a.ballot()));
+        public Response response(Request request, Response response) {
+            if (response instanceof Response.Promised promised) {
+                return new Response.Promised(
+                        promised.rev(),
+                        loweredBallot(promised.ballot()),
+                        loweredBallot(promised.acceptedBallot()),
+                        promised.accepted());
+            } else if (response instanceof Response.Accepted promised) {
+                return new Response.Accepted(promised.rev(), loweredBallot(promised.ballot()));
             }
-            return answer;
+            return response;
         }
     },
-    PROMISE_NOT_SYNCED(Judge.Promise.ONE_HISTORY) {
+    PROMISE_NOT_SYNCED(InvariantChecker.Invariant.ONE_HISTORY) {
         @Override
-        public boolean syncs(LogRecord kept) {
-            return !(kept instanceof LogRecord.Voted voted) || voted.vote().accepted() != null;
+        public boolean syncs(LogRecord entry) {
+            return !(entry instanceof LogRecord.Voted voted) || voted.vote().accepted() != null;
         }
     },
-    ACCEPTED_VALUE_NOT_TAKEN_UP(Judge.Promise.ONE_HISTORY) {
+    ACCEPTED_VALUE_NOT_TAKEN_UP(InvariantChecker.Invariant.ONE_HISTORY) {
         @Override
-        public Response answer(Request request, Response answer) {
-            return answer instanceof Response.Promised a
-                    ? new Response.Promised(a.rev(), a.ballot(), Ballot.NONE, null)
-                    : answer;
+        public Response response(Request request, Response response) {
+            return response instanceof Response.Promised promised
+                    ? new Response.Promised(promised.rev(), promised.ballot(), Ballot.NONE, null)
+                    : response;
         }
     },
-    EMPTY_FOLDER_VOTES(Judge.Promise.ONE_HISTORY) {
+    EMPTY_FOLDER_VOTES(InvariantChecker.Invariant.ONE_HISTORY) {
         @Override
-        public boolean keepsIdentity() {
+        public boolean keepsIdentityOfEmptyFolder() {
             return true;
         }
     },
-    LOWER_VERSION_TAKEN(Judge.Promise.MONOTONIC) {
+    LOWER_VERSION_TAKEN(InvariantChecker.Invariant.MONOTONIC) {
         @Override
-        public boolean forgets() {
+        public boolean forgetsVersionOnReconnect() {
             return true;
         }
     },
-    SERVES_BEFORE_IT_HAS_CAUGHT_UP(Judge.Promise.MONOTONIC) {
+    SERVES_BEFORE_IT_HAS_CAUGHT_UP(InvariantChecker.Invariant.MONOTONIC) {
         @Override
-        public boolean servesAtOnce() {
+        public boolean servesBeforeCaughtUp() {
             return true;
         }
 
         @Override
-        public WatchEvent line(WatchEvent line, Rules rules, Subscriber subscriber) {
-            return line instanceof WatchEvent.NoQuorum ? new WatchEvent.Heartbeat() : line;
+        public WatchEvent event(WatchEvent event, Rules rules, Subscriber subscriber) {
+            return event instanceof WatchEvent.NoQuorum ? new WatchEvent.Heartbeat() : event;
         }
     },
-    PART_OF_A_WHOLE_IN_FORCE(Judge.Promise.WHOLE) {
+    PART_OF_A_WHOLE_IN_FORCE(InvariantChecker.Invariant.WHOLE) {
         @Override
-        public WatchEvent line(WatchEvent line, Rules rules, Subscriber subscriber) {
-            return line instanceof WatchEvent.SnapshotPart part && part.part() == 1
+        public WatchEvent event(WatchEvent event, Rules rules, Subscriber subscriber) {
+            return event instanceof WatchEvent.SnapshotPart part && part.part() == 1
                     ? new WatchEvent.SnapshotPart(part.rev(), 1, 1, part.set())
-                    : line;
+                    : event;
         }
     },
-    HALF_OF_A_CHANGE_AFTER_A_FAULT(Judge.Promise.WHOLE) {
+    HALF_OF_A_CHANGE_AFTER_A_FAULT(InvariantChecker.Invariant.WHOLE) {
         @Override
-        public WatchEvent line(WatchEvent line, Rules rules, Subscriber subscriber) {
-            if (!(line instanceof WatchEvent.Update next)) {
-                return line;
+        public WatchEvent event(WatchEvent event, Rules rules, Subscriber subscriber) {
+            if (!(event instanceof WatchEvent.Update next)) {
+                return event;
             }
             Map<String, String> after = new Change("", 0, next.set(), next.drop()).applyTo(subscriber.values());
-            SortedMap<String, String> sound = new TreeMap<>(next.set());
-            rules.validate(after).forEach(fault -> sound.remove(fault.path()));
-            return new WatchEvent.Update(next.rev(), sound, next.drop());
+            SortedMap<String, String> validChanges = new TreeMap<>(next.set());
+            rules.validate(after).forEach(fault -> validChanges.remove(fault.path()));
+            return new WatchEvent.Update(next.rev(), validChanges, next.drop());
         }
     },
-    NO_PATIENCE(Judge.Promise.TIMELY) {
+    NO_PATIENCE(InvariantChecker.Invariant.TIMELY) {
         @Override
-        public ProtocolParameters terms(ProtocolParameters t) {
-            return with(t, 100, t.rateBytesPerSecond(), t.initialBurstBytes(), t.snapshotPartBytes());
+        public ProtocolParameters parameters(ProtocolParameters original) {
+            return withParameters(
+                    original,
+                    100,
+                    original.rateBytesPerSecond(),
+                    original.initialBurstBytes(),
+                    original.snapshotPartBytes());
         }
     },
-    SAME_KEEPER_REDIALED(Judge.Promise.TIMELY) {
+    SAME_KEEPER_REDIALED(InvariantChecker.Invariant.TIMELY) {
         @Override
-        public int dialed(int node, int drawn) {
-            return node % Fleet.KEEPERS;
+        public int watchedKeeper(int node, int drawn) {
+            return node % SimulatedFleet.KEEPER_COUNT;
         }
     },
-    BEATS_BEHIND_A_LONG_WHOLE(Judge.Promise.TIMELY) {
+    BEATS_BEHIND_A_LONG_WHOLE(InvariantChecker.Invariant.TIMELY) {
         @Override
-        public ProtocolParameters terms(ProtocolParameters t) {
-            return with(t, 1, t.rateBytesPerSecond(), t.initialBurstBytes(), 7_600);
+        public ProtocolParameters parameters(ProtocolParameters original) {
+            return withParameters(original, 1, original.rateBytesPerSecond(), original.initialBurstBytes(), 7_600);
         }
 
         @Override
-        public boolean writes(WatchEvent line, boolean wholeUnderWay) {
-            return !wholeUnderWay || line instanceof WatchEvent.SnapshotPart;
+        public boolean sendsEvent(WatchEvent event, boolean snapshotInProgress) {
+            return !snapshotInProgress || event instanceof WatchEvent.SnapshotPart;
         }
     },
-    REPORT_BEFORE_IT_IS_IN_FORCE(Judge.Promise.TRUTHFUL) {
+    REPORT_BEFORE_IT_IS_IN_FORCE(InvariantChecker.Invariant.TRUTHFUL) {
         @Override
-        public boolean reportsEarly() {
+        public boolean reportsBeforeApplied() {
             return true;
         }
     },
-    EARLIER_LIFE_COUNTED(Judge.Promise.TRUTHFUL) {
+    EARLIER_LIFE_COUNTED(InvariantChecker.Invariant.TRUTHFUL) {
         @Override
-        public Report report(Report r) {
-            return new Report(r.node(), 0, r.rev(), r.pendingRestart(), r.rejections());
+        public Report report(Report original) {
+            return new Report(original.node(), 0, original.rev(), original.pendingRestart(), original.rejections());
         }
     },
-    ANSWER_AFTER_TWO_ACCEPTANCES(Judge.Promise.DURABLE) {
+    ANSWER_AFTER_TWO_ACCEPTANCES(InvariantChecker.Invariant.DURABLE) {
         @Override
-        public int alsoFrom(int from, Response answer) {
-            return !(answer instanceof Response.Accepted) ? -1 : from == 0 ? 1 : 0;
+        public int duplicateSender(int from, Response response) {
+            return !(response instanceof Response.Accepted) ? -1 : from == 0 ? 1 : 0;
         }
     },
-    ANSWER_BEFORE_THE_SYNC(Judge.Promise.DURABLE) {
+    ANSWER_BEFORE_THE_SYNC(InvariantChecker.Invariant.DURABLE) {
         @Override
         public boolean waitsForSync() {
             return false;
         }
     },
-    NO_PACE(Judge.Promise.PACED) {
+    NO_PACE(InvariantChecker.Invariant.PACED) {
         @Override
-        public ProtocolParameters terms(ProtocolParameters t) {
-            return with(t, 1, 1_000_000, t.initialBurstBytes(), t.snapshotPartBytes());
+        public ProtocolParameters parameters(ProtocolParameters original) {
+            return withParameters(original, 1, 1_000_000, original.initialBurstBytes(), original.snapshotPartBytes());
         }
     },
-    PACE_FORGOTTEN_AFTER_A_REDIAL(Judge.Promise.PACED) {
+    PACE_FORGOTTEN_AFTER_A_REDIAL(InvariantChecker.Invariant.PACED) {
         @Override
-        public ProtocolParameters terms(ProtocolParameters t) {
-            return with(t, 1, t.rateBytesPerSecond(), t.burstBytes(), t.snapshotPartBytes());
+        public ProtocolParameters parameters(ProtocolParameters original) {
+            return withParameters(
+                    original, 1, original.rateBytesPerSecond(), original.burstBytes(), original.snapshotPartBytes());
         }
     },
-    CHECK_SKIPPED_AT_THE_KEEPER(Judge.Promise.SOUND) {
+    CHECK_SKIPPED_AT_THE_KEEPER(InvariantChecker.Invariant.SOUND) {
         @Override
         public Rules keeperRules(Rules rules) {
             return new Rules() {
                 @Override
-                public List<ValidationError> validate(Map<String, String> whole) {
+                public List<ValidationError> validate(Map<String, String> values) {
                     return List.of();
                 }
 
@@ -162,57 +172,57 @@
             };
         }
     },
-    FAULT_TOLD_WITHOUT_PATH(Judge.Promise.SOUND) {
+    FAULT_TOLD_WITHOUT_PATH(InvariantChecker.Invariant.SOUND) {
         @Override
-        public Report report(Report r) {
+        public Report report(Report original) {
             return new Report(
-                    r.node(),
-                    r.incarnation(),
-                    r.rev(),
-                    r.pendingRestart(),
-                    r.rejections().stream()
+                    original.node(),
+                    original.incarnation(),
+                    original.rev(),
+                    original.pendingRestart(),
+                    original.rejections().stream()
                             .map(each -> new Report.Rejection(each.rev(), "", each.reason()))
                             .toList());
         }
     };
 
-    private static final long RAISED = 1_000_000;
-    final Judge.Promise promise;
+    private static final long ROUND_OFFSET = 1_000_000;
+    final InvariantChecker.Invariant invariant;
 
-    Mutant(Judge.Promise promise) {
-        this.promise = promise;
+    Mutant(InvariantChecker.Invariant invariant) {
+        this.invariant = invariant;
     }
 
-    private static Ballot raised(Ballot ballot, long turn) {
-        return new Ballot(ballot.round() + turn * RAISED, ballot.keeper());
+    private static Ballot raisedBallot(Ballot ballot, long turn) {
+        return new Ballot(ballot.round() + turn * ROUND_OFFSET, ballot.keeper());
     }
 
-    private static Ballot lowered(Ballot ballot) {
-        return new Ballot(ballot.round() % RAISED, ballot.keeper());
+    private static Ballot loweredBallot(Ballot ballot) {
+        return new Ballot(ballot.round() % ROUND_OFFSET, ballot.keeper());
     }
 
-    private static ProtocolParameters with(
-            ProtocolParameters t, int patience, long paceBytes, long paceFirst, int partBytes) {
+    private static ProtocolParameters withParameters(
+            ProtocolParameters original, int timeoutFactor, long paceBytes, long paceFirst, int partBytes) {
         return new ProtocolParameters(
-                t.heartbeatIntervalUs(),
-                patience * t.minWatchTimeoutUs(),
-                patience * t.maxWatchTimeoutUs(),
-                t.connectTimeoutUs(),
-                t.minBackoffUs(),
-                t.initialMaxBackoffUs(),
-                t.maxBackoffUs(),
-                t.noQuorumRetryUs(),
-                t.reportIntervalUs(),
-                t.reportTimeoutUs(),
-                t.minPhaseTimeoutUs(),
-                t.maxPhaseTimeoutUs(),
-                t.maxBallots(),
-                t.proposalTimeoutUs(),
-                t.fetchIntervalUs(),
-                t.voterTimeoutUs(),
-                t.recoveryDelayUs(),
+                original.heartbeatIntervalUs(),
+                timeoutFactor * original.minWatchTimeoutUs(),
+                timeoutFactor * original.maxWatchTimeoutUs(),
+                original.connectTimeoutUs(),
+                original.minBackoffUs(),
+                original.initialMaxBackoffUs(),
+                original.maxBackoffUs(),
+                original.noQuorumRetryUs(),
+                original.reportIntervalUs(),
+                original.reportTimeoutUs(),
+                original.minPhaseTimeoutUs(),
+                original.maxPhaseTimeoutUs(),
+                original.maxBallots(),
+                original.proposalTimeoutUs(),
+                original.fetchIntervalUs(),
+                original.voterTimeoutUs(),
+                original.recoveryDelayUs(),
                 paceBytes,
-                t.burstBytes(),
+                original.burstBytes(),
                 paceFirst,
                 partBytes);
     }
--- a/src/test/java/kitemux/rollout/RolloutMutantsTest.java
+++ b/src/test/java/kitemux/rollout/RolloutMutantsTest.java
@@ -8,34 +8,34 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Deliberate defects: each has to break the promise that it is named with. Two need an order that plays
- * seldom draw; {@link OrdersTest} finds them.
+ * Each deliberate defect must violate the invariant that it is declared with. Two defects need message
+ * orders that random scenarios seldom produce; {@link MessageInterleavingsTest} covers them.
  */
 class RolloutMutantsTest {
-    private static final int SEEDS = 96;
-    private static final int AT_ONCE = 8;
+    private static final int SEED_COUNT = 96;
+    private static final int PARALLEL_COUNT = 8;
 
     @ParameterizedTest
     @EnumSource(
             mode = EnumSource.Mode.EXCLUDE,
             names = {"PROMISE_NOT_SYNCED", "EMPTY_FOLDER_VOTES"})
-    void aDeliberateDefectIsFound(Mutant mutant) {
+    void defectViolatesItsInvariant(Mutant mutant) {
         String found = null;
-        for (long first = 1; first <= SEEDS && found == null; first += AT_ONCE) {
-            found = LongStream.range(first, first + AT_ONCE)
-                    .filter(seed -> !Play.isLong(seed))
+        for (long first = 1; first <= SEED_COUNT && found == null; first += PARALLEL_COUNT) {
+            found = LongStream.range(first, first + PARALLEL_COUNT)
+                    .filter(seed -> !RandomScenario.isLong(seed))
                     .parallel()
                     .mapToObj(seed -> {
-                        Judge.Breach breach = new Play(seed, mutant).broken();
-                        return breach == null || breach.promise() != mutant.promise
+                        InvariantChecker.Violation violation = new RandomScenario(seed, mutant).run();
+                        return violation == null || violation.invariant() != mutant.invariant
                                 ? null
-                                : "seed " + seed + " " + breach;
+                                : "seed " + seed + " " + violation;
                     })
                     .filter(Objects::nonNull)
                     .findFirst()
                     .orElse(null);
         }
-        assertNotNull(found, mutant + " breaks " + mutant.promise + " in none of " + SEEDS + " seeds");
+        assertNotNull(found, mutant + " does not violate " + mutant.invariant + " in any of " + SEED_COUNT + " seeds");
         System.out.println(mutant + ": " + found.substring(0, Math.min(200, found.length())));
     }
 }
--- a/src/test/java/kitemux/rollout/RolloutSeedsTest.java
+++ b/src/test/java/kitemux/rollout/RolloutSeedsTest.java
@@ -10,29 +10,32 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** The promises over many seeds: {@code -Drollout.seeds=2000} for as many as are asked for. */
+/**
+ * No invariant is violated in random scenarios. The number of seeds is set with {@code
+ * -Drollout.seeds=2000}, the first one with {@code -Drollout.first}.
+ */
 class RolloutSeedsTest {
-    private static final int SEEDS = Integer.getInteger("rollout.seeds", 48);
-    private static final long FIRST = Long.getLong("rollout.first", 1);
+    private static final int SEED_COUNT = Integer.getInteger("rollout.seeds", 48);
+    private static final long FIRST_SEED = Long.getLong("rollout.first", 1);
 
     @Test
-    void noSeedBreaksAPromise() {
+    void noSeedViolatesAnInvariant() {
         Map<String, Long> counts = new TreeMap<>();
-        List<String> broken = LongStream.range(FIRST, FIRST + SEEDS)
+        List<String> violations = LongStream.range(FIRST_SEED, FIRST_SEED + SEED_COUNT)
                 .parallel()
                 .mapToObj(seed -> {
-                    Play play = new Play(seed, Defect.NONE);
-                    Judge.Breach breach = play.broken();
+                    RandomScenario scenario = new RandomScenario(seed, Defect.NONE);
+                    InvariantChecker.Violation violation = scenario.run();
                     synchronized (counts) {
-                        play.fleet.counts.forEach((what, n) -> counts.merge(what, n, Long::sum));
+                        scenario.fleet.counts.forEach((what, n) -> counts.merge(what, n, Long::sum));
                     }
-                    return breach == null ? null : "seed " + seed + ": " + breach;
+                    return violation == null ? null : "seed " + seed + ": " + violation;
                 })
                 .filter(Objects::nonNull)
                 .limit(20)
                 .toList();
-        System.out.println("rollout: " + SEEDS + " seeds from " + FIRST + ", " + counts);
-        assertEquals(List.of(), broken);
+        System.out.println("rollout: " + SEED_COUNT + " seeds from " + FIRST_SEED + ", " + counts);
+        assertEquals(List.of(), violations);
         for (String each : List.of(
                 "Committed",
                 "Invalid",
@@ -42,8 +45,8 @@
                 "status SILENT",
                 "status REFUSED",
                 "status WAITS_RESTART",
-                "refused watch")) {
-            assertTrue(counts.getOrDefault(each, 0L) > 0, "it was no idle run: no " + each);
+                "rejected watch")) {
+            assertTrue(counts.getOrDefault(each, 0L) > 0, "the scenarios never produced: " + each);
         }
     }
 }
--- a/src/test/java/kitemux/rollout/RolloutTextTest.java
+++ b/src/test/java/kitemux/rollout/RolloutTextTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Records as JSON: what is written is read back the same, and what is bad is told with its place, none of it
- * taken.
+ * Encoded messages and records are parsed back to equal values. Invalid input is rejected as a whole, with
+ * the path of each error.
  */
 class RolloutTextTest {
     private static Arbitrary<String> values() {
@@ -62,10 +62,13 @@
                         Change.of(String.format("%016x", id), base, RolloutTextTest.canonical(set), drop));
     }
 
-    /** As they are kept: without spaces, and escaped as they are written. */
+    /**
+     * Returns the values in the form in which they are stored: without spaces, and with the escapes used by
+     * the encoder.
+     */
     private static Map<String, String> canonical(Map<String, String> set) {
-        Map<String, String> as = new TreeMap<>();
-        set.forEach((path, value) -> as.put(
+        Map<String, String> canonicalValues = new TreeMap<>();
+        set.forEach((path, value) -> canonicalValues.put(
                 path,
                 RolloutText.readWatchEvent(("{\"rev\":1,\"part\":1,\"of\":1," + "\"set\":{\"realms/a\":" + value + "}}")
                                                 .getBytes(StandardCharsets.UTF_8))
@@ -73,7 +76,7 @@
                                 instanceof WatchEvent.SnapshotPart part
                         ? part.set().get("realms/a")
                         : null));
-        return as;
+        return canonicalValues;
     }
 
     private static Arbitrary<Ballot> ballots() {
@@ -91,11 +94,11 @@
         return Combinators.combine(revs(), changes()).as(Version::new);
     }
 
-    private static <T> void same(T value, byte[] text, Function<byte[], RolloutText.ParseResult<T>> read) {
-        RolloutText.ParseResult<T> again = read.apply(text);
-        assertEquals(List.of(), again.errors());
-        assertEquals(value, again.value());
-        assertTrue(new String(text, StandardCharsets.UTF_8).chars().noneMatch(c -> c < ' '), "one line");
+    private static <T> void assertRoundTrip(T value, byte[] text, Function<byte[], RolloutText.ParseResult<T>> read) {
+        RolloutText.ParseResult<T> parsed = read.apply(text);
+        assertEquals(List.of(), parsed.errors());
+        assertEquals(value, parsed.value());
+        assertTrue(new String(text, StandardCharsets.UTF_8).chars().noneMatch(c -> c < ' '), "expected a single line");
     }
 
     @Provide
@@ -104,8 +107,8 @@
     }
 
     @Property(tries = 300)
-    void aChangeIsReadBack(@ForAll("anyChange") Change change) {
-        same(change, RolloutText.write(change), RolloutText::readChange);
+    void changeRoundTrips(@ForAll("anyChange") Change change) {
+        assertRoundTrip(change, RolloutText.write(change), RolloutText::readChange);
     }
 
     @Provide
@@ -119,8 +122,8 @@
     }
 
     @Property(tries = 300)
-    void aLineIsReadBack(@ForAll("anyLine") WatchEvent line) {
-        same(line, RolloutText.write(line), RolloutText::readWatchEvent);
+    void watchEventRoundTrips(@ForAll("anyLine") WatchEvent event) {
+        assertRoundTrip(event, RolloutText.write(event), RolloutText::readWatchEvent);
     }
 
     @Provide
@@ -134,14 +137,15 @@
                                 .as(Report.Rejection::new)
                                 .list()
                                 .ofMaxSize(3))
-                .as((node, life, rev, waits, refused) -> new Report(node, life, rev, new TreeSet<>(waits), refused));
+                .as((node, incarnation, rev, pendingRestart, rejections) ->
+                        new Report(node, incarnation, rev, new TreeSet<>(pendingRestart), rejections));
     }
 
     @Property(tries = 200)
-    void aReportAndTheRowsOfAnInventoryAreReadBack(@ForAll("anyReport") Report report) {
-        same(report, RolloutText.write(report), RolloutText::readReport);
+    void reportAndInventoryRowsRoundTrip(@ForAll("anyReport") Report report) {
+        assertRoundTrip(report, RolloutText.write(report), RolloutText::readReport);
         List<Inventory.Row> rows = List.of(new Inventory.Row(report, 5), new Inventory.Row(report, 0));
-        same(rows, RolloutText.writeRows(rows), RolloutText::readRows);
+        assertRoundTrip(rows, RolloutText.writeRows(rows), RolloutText::readRows);
     }
 
     @Provide
@@ -154,8 +158,8 @@
     }
 
     @Property(tries = 200)
-    void aRequestIsReadBack(@ForAll("anyRequest") Request request) {
-        same(request, RolloutText.write(request), RolloutText::readRequest);
+    void requestRoundTrips(@ForAll("anyRequest") Request request) {
+        assertRoundTrip(request, RolloutText.write(request), RolloutText::readRequest);
     }
 
     @Provide
@@ -172,8 +176,8 @@
     }
 
     @Property(tries = 200)
-    void anAnswerIsReadBack(@ForAll("anyAnswer") Response answer) {
-        same(answer, RolloutText.write(answer), RolloutText::readResponse);
+    void responseRoundTrips(@ForAll("anyAnswer") Response response) {
+        assertRoundTrip(response, RolloutText.write(response), RolloutText::readResponse);
     }
 
     @Provide
@@ -188,20 +192,21 @@
     }
 
     @Property(tries = 200)
-    void aKeptRecordIsReadBack(@ForAll("anyKept") LogRecord kept) {
-        same(kept, RolloutText.write(kept), RolloutText::readLogRecord);
+    void logRecordRoundTrips(@ForAll("anyKept") LogRecord entry) {
+        assertRoundTrip(entry, RolloutText.write(entry), RolloutText::readLogRecord);
     }
 
-    private static void wholeOrFaults(RolloutText.ParseResult<?> read) {
-        assertEquals(read.value() == null, !read.errors().isEmpty(), "half taken in");
-        read.errors().forEach(fault -> {
-            assertTrue(!fault.path().isEmpty() || fault.reason().startsWith("is no path"), () -> "no place: " + fault);
-            assertTrue(!fault.reason().isEmpty(), () -> "no reason: " + fault);
+    private static void assertValueOrErrors(RolloutText.ParseResult<?> read) {
+        assertEquals(read.value() == null, !read.errors().isEmpty(), "expected either a value or errors");
+        read.errors().forEach(error -> {
+            assertTrue(
+                    !error.path().isEmpty() || error.reason().startsWith("is not a path"), () -> "no path: " + error);
+            assertTrue(!error.reason().isEmpty(), () -> "no reason: " + error);
         });
     }
 
     @Provide
-    Arbitrary<byte[]> spoilt() {
+    Arbitrary<byte[]> corruptedText() {
         Arbitrary<byte[]> texts = Arbitraries.oneOf(
                 changes().map(RolloutText::write),
                 anyLine().map(RolloutText::write),
@@ -216,53 +221,53 @@
                         Arbitraries.integers().between(0, 10_000),
                         Arbitraries.integers().between(0, 2),
                         Arbitraries.bytes())
-                .as((text, at, how, with) -> {
+                .as((text, offset, corruption, replacement) -> {
                     byte[] copy = text.clone();
                     if (copy.length == 0) {
                         return copy;
                     }
-                    int place = at % copy.length;
-                    copy[place] = with;
-                    return switch (how) {
+                    int position = offset % copy.length;
+                    copy[position] = replacement;
+                    return switch (corruption) {
                         case 0 -> text;
                         case 1 -> copy;
-                        default -> java.util.Arrays.copyOf(copy, place);
+                        default -> java.util.Arrays.copyOf(copy, position);
                     };
                 });
     }
 
     @Property(tries = 1_000)
-    void whateverComesIsWholeOrItsFaultsAreTold(@ForAll("spoilt") byte[] text) {
-        wholeOrFaults(RolloutText.readChange(text));
-        wholeOrFaults(RolloutText.readWatchEvent(text));
-        wholeOrFaults(RolloutText.readReport(text));
-        wholeOrFaults(RolloutText.readRows(text));
-        wholeOrFaults(RolloutText.readRequest(text));
-        wholeOrFaults(RolloutText.readResponse(text));
-        wholeOrFaults(RolloutText.readLogRecord(text));
+    void anyInputYieldsValueOrErrors(@ForAll("spoilt") byte[] text) {
+        assertValueOrErrors(RolloutText.readChange(text));
+        assertValueOrErrors(RolloutText.readWatchEvent(text));
+        assertValueOrErrors(RolloutText.readReport(text));
+        assertValueOrErrors(RolloutText.readRows(text));
+        assertValueOrErrors(RolloutText.readRequest(text));
+        assertValueOrErrors(RolloutText.readResponse(text));
+        assertValueOrErrors(RolloutText.readLogRecord(text));
     }
 
     @Test
-    void everyFaultOfAChangeIsToldWithItsPlace() {
+    void allErrorsOfAChangeAreReportedWithPaths() {
         RolloutText.ParseResult<Change> read = RolloutText.readChange(("{\"id\":\"xyz\",\"base\":-1,\"more\":1,"
                         + "\"set\":{\"realms/a\":null,\"/b\":1},\"drop\":[\"realms/c\",\"realms/c\",7,\"a/b/c\"]}")
                 .getBytes(StandardCharsets.UTF_8));
         assertNull(read.value());
         assertEquals(
                 List.of(
-                        "more is not known; known are id, base, set, drop",
+                        "more is unknown; known fields are id, base, set, drop",
                         "id is not 16 hex digits",
                         "base is not a whole number from 0 to 9223372036854775807",
-                        "realms/a is null; to drop it, name it in drop",
-                        "/b is no path: a section, a slash and a name, at most 128 characters",
-                        "drop holds twice realms/c",
-                        "drop holds what is no string: 7",
-                        "a/b/c is no path: a section, a slash and a name, at most 128 characters"),
+                        "realms/a is null; list it in drop to remove it",
+                        "/b is not a path of a section, a slash and a name with at most 128 characters",
+                        "drop contains a duplicate: realms/c",
+                        "drop contains a value that is not a string: 7",
+                        "a/b/c is not a path of a section, a slash and a name with at most 128 characters"),
                 read.errors().stream().map(ValidationError::toString).toList());
     }
 
     @Test
-    void whatIsMissingIsNamed() {
+    void missingFieldsAreReported() {
         assertEquals(
                 List.of("id is missing", "base is missing"),
                 RolloutText.readChange("{}".getBytes(StandardCharsets.UTF_8)).errors().stream()
@@ -276,7 +281,7 @@
     }
 
     @Test
-    void votersAreNamedOnceAndOdd() {
+    void votersMustBeUniqueAndOdd() {
         assertEquals(
                 List.of(new Voter(0, "a"), new Voter(2, "b"), new Voter(1, "c")),
                 RolloutText.readVoters("[\"0:a\",\"2:b\",\"1:c\"]"));
