--- a/src/main/java/kitemux/rollout/Ballot.java
+++ b/src/main/java/kitemux/rollout/Ballot.java
@@ -3,6 +3,7 @@
 /**
  * A Paxos ballot: one attempt of one keeper to get a version chosen. Ballots are ordered by round and then
  * by keeper number, so no two keepers share a ballot.
+ *
  * @param round round number, from 1; 0 only in {@link #NONE}
  * @param keeper number of the keeper that created the ballot, from 0
  */
--- a/src/main/java/kitemux/rollout/Change.java
+++ b/src/main/java/kitemux/rollout/Change.java
@@ -9,6 +9,7 @@
 
 /**
  * A change to the configuration that an operator requests. Two calls with the same id are the same change.
+ *
  * @param id 16 hexadecimal digits, drawn at random by the caller
  * @param base version on which the change is based, from 0
  * @param set new values by path, each as JSON without spaces
--- a/src/main/java/kitemux/rollout/History.java
+++ b/src/main/java/kitemux/rollout/History.java
@@ -33,6 +33,7 @@
 
     /**
      * Creates a history in which nothing was chosen: version 0, without values.
+     *
      * @param initialVoters the voters until a version names others; the same at all keepers
      */
     public History(List<Voter> initialVoters) {
--- a/src/main/java/kitemux/rollout/Inventory.java
+++ b/src/main/java/kitemux/rollout/Inventory.java
@@ -23,11 +23,17 @@
 
     /** The state of a node with regard to a version. */
     public enum NodeStatus {
+        /** No report of the node was received. */
         UNHEARD,
+        /** The node has an earlier version in force. */
         BEHIND,
+        /** The node has the version or a later one in force. */
         IN_FORCE,
+        /** The node has the version, but some of its values take effect only after a restart. */
         WAITS_RESTART,
+        /** The node rejects the version. */
         REFUSED,
+        /** The age of the last report of the node has reached {@link ProtocolParameters#reportTimeoutUs}. */
         SILENT
     }
 
--- a/src/main/java/kitemux/rollout/KeeperStateMachine.java
+++ b/src/main/java/kitemux/rollout/KeeperStateMachine.java
@@ -43,8 +43,9 @@
 
     /**
      * Restores the state from the log of the keeper.
+     *
      * @param self number of this keeper and the identity of its folder
-     * @param keepers number of keepers, which are numbered from 0
+     * @param keeperCount number of keepers, which are numbered from 0
      * @param initialVoters the voters until a version names others
      * @param records the records in the order in which they were written, or those of {@link #toRecords}
      * @param seed seed of the random delays
@@ -147,8 +148,8 @@
     /** Returns when {@link #tick} must be called, in microseconds. */
     public long nextAtUs() {
         long next = Math.min(Math.min(nextFetchAtUs, recoverAtUs), proposer.nextAtUs());
-        for (long at : nextSendAtUsByWatch.values()) {
-            next = Math.min(next, at);
+        for (long sendAtUs : nextSendAtUsByWatch.values()) {
+            next = Math.min(next, sendAtUs);
         }
         return next;
     }
@@ -193,21 +194,21 @@
     /**
      * Handles a request of a keeper. The effects contain exactly one response with the number of this call.
      */
-    public List<Effect> handleRequest(long now, long call, Request request) {
+    public List<Effect> handleRequest(long now, long callId, Request request) {
         return handle(now, () -> {
             if (request instanceof Request.Prepare message) {
-                voteOn(call, message.rev(), () -> acceptor.prepare(message));
+                voteOn(callId, message.rev(), () -> acceptor.prepare(message));
             } else if (request instanceof Request.Accept message) {
-                voteOn(call, message.rev(), () -> acceptor.accept(message));
+                voteOn(callId, message.rev(), () -> acceptor.accept(message));
             } else if (request instanceof Request.Chosen message) {
                 if (message.version().rev() == history.rev() + 1) {
                     learn(message.version());
                     proposer.historyAdvanced(nowUs, effects);
                 }
-                effects.add(new Effect.Reply(call, versionsSince(history.rev())));
+                effects.add(new Effect.Reply(callId, versionsSince(history.rev())));
             } else if (request instanceof Request.Fetch message) {
                 newestKnownRev = Math.max(newestKnownRev, message.afterRev());
-                effects.add(new Effect.Reply(call, versionsSince(message.afterRev())));
+                effects.add(new Effect.Reply(callId, versionsSince(message.afterRev())));
             }
         });
     }
@@ -216,14 +217,14 @@
         return history.voters().contains(self);
     }
 
-    private void voteOn(long call, long rev, Supplier<Response> decide) {
+    private void voteOn(long callId, long rev, Supplier<Response> decide) {
         if (rev <= history.rev()) {
-            effects.add(new Effect.Reply(call, versionsSince(rev - 1)));
+            effects.add(new Effect.Reply(callId, versionsSince(rev - 1)));
         } else if (rev > history.rev() + 1 || !isVoter()) {
-            effects.add(new Effect.Reply(call, new Response.Behind(rev, history.rev())));
+            effects.add(new Effect.Reply(callId, new Response.Behind(rev, history.rev())));
         } else {
             Vote before = acceptor.vote();
-            Effect reply = new Effect.Reply(call, decide.get());
+            Effect reply = new Effect.Reply(callId, decide.get());
             if (acceptor.vote().equals(before)) {
                 effects.add(reply);
             } else {
@@ -305,12 +306,12 @@
      * Handles an operator's change. It is answered by exactly one {@link Effect.CompleteChange}, at once or
      * later.
      */
-    public List<Effect> proposeChange(long now, long call, Change change) {
+    public List<Effect> proposeChange(long now, long callId, Change change) {
         return handle(now, () -> {
             if (caughtUp) {
-                proposer.propose(now, call, change, effects);
+                proposer.propose(now, callId, change, effects);
             } else {
-                effects.add(new Effect.CompleteChange(call, new Outcome.Unavailable(NOT_CAUGHT_UP)));
+                effects.add(new Effect.CompleteChange(callId, new Outcome.Unavailable(NOT_CAUGHT_UP)));
             }
         });
     }
--- a/src/main/java/kitemux/rollout/Proposer.java
+++ b/src/main/java/kitemux/rollout/Proposer.java
@@ -36,8 +36,11 @@
 
     /** The phase of the proposal. Validation needs no state of its own, as it takes no time. */
     private enum State {
+        /** No proposal is in progress. */
         IDLE,
+        /** Promises are being collected. */
         PREPARING,
+        /** Acceptances of a value are being collected. */
         ACCEPTING
     }
 
@@ -62,6 +65,7 @@
 
     /**
      * Creates an idle proposer.
+     *
      * @param self number of this keeper
      * @param seed seed of the random phase timeouts and backoffs
      * @param onChosen receives each version that this proposer got chosen
@@ -108,32 +112,32 @@
     }
 
     /** Queues an operator's change. It is answered by exactly one {@link Effect.CompleteChange}. */
-    public void propose(long nowUs, long call, Change change, List<Effect> out) {
+    public void propose(long nowUs, long callId, Change change, List<Effect> effects) {
         if (queue.size() >= ProtocolParameters.MAX_QUEUED_CHANGE_COUNT) {
             rejectedChanges++;
-            out.add(new Effect.CompleteChange(
-                    call, new Outcome.Unavailable(ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + " changes wait")));
+            effects.add(new Effect.CompleteChange(
+                    callId, new Outcome.Unavailable(ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + " changes wait")));
             return;
         }
-        queue.add(new QueuedChange(call, change));
-        startNext(nowUs, out);
+        queue.add(new QueuedChange(callId, change));
+        startNext(nowUs, effects);
     }
 
     /**
      * Proposes the value that this voter has accepted for the open version, if no proposal is in progress.
      * It is called when this keeper has not learned for some time that the value was chosen.
      */
-    public void recoverAccepted(long nowUs, List<Effect> out) {
+    public void recoverAccepted(long nowUs, List<Effect> effects) {
         if (isIdle()) {
             proposal = new Proposal(null, nowUs);
-            prepare(nowUs, out);
+            prepare(nowUs, effects);
         }
     }
 
-    private void startNext(long nowUs, List<Effect> out) {
+    private void startNext(long nowUs, List<Effect> effects) {
         while (isIdle() && !queue.isEmpty()) {
             proposal = new Proposal(queue.poll(), nowUs);
-            validate(nowUs, out);
+            validate(nowUs, effects);
         }
     }
 
@@ -141,40 +145,40 @@
      * Validates the queued change against the current history. The version for which it may have been
      * accepted is decided by now.
      */
-    private void validate(long nowUs, List<Effect> out) {
+    private void validate(long nowUs, List<Effect> effects) {
         if (proposal.queued == null) {
-            complete(null, out);
+            complete(null, effects);
             return;
         }
         if (proposal.mayHaveBeenAccepted && !history.covers(rev - 1)) {
             // The history was replaced by a snapshot, which has no ids of changes.
-            complete(new Outcome.Unknown(), out);
+            complete(new Outcome.Unknown(), effects);
             return;
         }
         proposal.mayHaveBeenAccepted = false;
-        Outcome rejection = history.validate(proposal.queued.change, rules);
-        if (rejection != null) {
-            complete(rejection, out);
+        Outcome outcome = history.validate(proposal.queued.change, rules);
+        if (outcome != null) {
+            complete(outcome, effects);
         } else {
-            prepare(nowUs, out);
+            prepare(nowUs, effects);
         }
     }
 
-    private void complete(Outcome outcome, List<Effect> out) {
+    private void complete(Outcome outcome, List<Effect> effects) {
         state = State.IDLE;
         if (proposal.queued != null) {
-            out.add(new Effect.CompleteChange(proposal.queued.callId, outcome));
+            effects.add(new Effect.CompleteChange(proposal.queued.callId, outcome));
         }
     }
 
-    private void prepare(long nowUs, List<Effect> out) {
+    private void prepare(long nowUs, List<Effect> effects) {
         if (proposal.ballotCount >= parameters.maxBallots()
                 || nowUs - proposal.startedAtUs >= parameters.proposalTimeoutUs()) {
             complete(
                     proposal.mayHaveBeenAccepted
                             ? new Outcome.Unknown()
                             : new Outcome.Unavailable("no majority of the voters agreed in time"),
-                    out);
+                    effects);
             return;
         }
         proposal.ballotCount++;
@@ -182,14 +186,14 @@
         rev = history.rev() + 1;
         highestAcceptedBallot = Ballot.NONE;
         value = null;
-        startPhase(State.PREPARING, nowUs, new Request.Prepare(rev, ballot), out);
+        startPhase(State.PREPARING, nowUs, new Request.Prepare(rev, ballot), effects);
     }
 
-    private void startPhase(State phase, long nowUs, Request request, List<Effect> out) {
+    private void startPhase(State phase, long nowUs, Request request, List<Effect> effects) {
         state = phase;
         agreedKeepers.clear();
         phaseDeadlineUs = nowUs + random.nextLong(parameters.minPhaseTimeoutUs(), parameters.maxPhaseTimeoutUs());
-        history.voters().forEach(voter -> out.add(new Effect.Send(voter.keeper(), request)));
+        history.voters().forEach(voter -> effects.add(new Effect.Send(voter.keeper(), request)));
     }
 
     private boolean isMajority() {
@@ -200,16 +204,16 @@
      * Handles a response to a request of this proposer. Responses for another version or ballot are
      * ignored.
      */
-    public void handleResponse(long nowUs, int from, Response received, List<Effect> out) {
+    public void handleResponse(long nowUs, int from, Response received, List<Effect> effects) {
         if (history.voters().stream().noneMatch(voter -> voter.keeper() == from)) {
             return;
         }
         if (received instanceof Response.Promised response
                 && isCurrent(State.PREPARING, response.rev(), response.ballot())) {
-            onPromised(nowUs, from, response, out);
+            onPromised(nowUs, from, response, effects);
         } else if (received instanceof Response.Accepted response
                 && isCurrent(State.ACCEPTING, response.rev(), response.ballot())) {
-            onAccepted(nowUs, from, out);
+            onAccepted(nowUs, from, effects);
         } else if (received instanceof Response.Rejected response) {
             highestRound = Math.max(highestRound, response.promised().round());
             if (isCurrent(state, response.rev(), response.ballot())) {
@@ -223,14 +227,14 @@
                                 + random.nextLong(proposal.ballotCount * parameters.minPhaseTimeoutUs() / 2));
             }
         }
-        startNext(nowUs, out);
+        startNext(nowUs, effects);
     }
 
-    private boolean isCurrent(State in, long ofRev, Ballot of) {
-        return !isIdle() && state == in && ofRev == rev && of.equals(ballot);
+    private boolean isCurrent(State expectedState, long requestRev, Ballot requestBallot) {
+        return !isIdle() && state == expectedState && requestRev == rev && requestBallot.equals(ballot);
     }
 
-    private void onPromised(long nowUs, int from, Response.Promised response, List<Effect> out) {
+    private void onPromised(long nowUs, int from, Response.Promised response, List<Effect> effects) {
         agreedKeepers.add(from);
         if (response.accepted() != null && response.acceptedBallot().isGreaterThan(highestAcceptedBallot)) {
             highestAcceptedBallot = response.acceptedBallot();
@@ -240,38 +244,38 @@
             return;
         }
         if (value == null && proposal.queued == null) {
-            complete(null, out);
+            complete(null, effects);
             return;
         }
         value = value == null ? proposal.queued.change : value;
         proposal.mayHaveBeenAccepted |= proposal.queued != null && value.equals(proposal.queued.change);
-        startPhase(State.ACCEPTING, nowUs, new Request.Accept(rev, ballot, value), out);
+        startPhase(State.ACCEPTING, nowUs, new Request.Accept(rev, ballot, value), effects);
     }
 
-    private void onAccepted(long nowUs, int from, List<Effect> out) {
+    private void onAccepted(long nowUs, int from, List<Effect> effects) {
         agreedKeepers.add(from);
         if (isMajority()) {
             onChosen.accept(new Version(rev, value));
             // The own change is found by its id now. After another keeper's value, the own change is
             // proposed for the next version; the ballots so far did not fail for want of a majority.
             proposal.ballotCount = 0;
-            validate(nowUs, out);
+            validate(nowUs, effects);
         }
     }
 
     /** Validates the proposal again after versions were learned from other keepers. */
-    public void historyAdvanced(long nowUs, List<Effect> out) {
+    public void historyAdvanced(long nowUs, List<Effect> effects) {
         if (!isIdle() && rev <= history.rev()) {
-            validate(nowUs, out);
+            validate(nowUs, effects);
         }
-        startNext(nowUs, out);
+        startNext(nowUs, effects);
     }
 
     /** Starts a new ballot if the current phase has timed out, and the next queued change if idle. */
-    public void tick(long nowUs, List<Effect> out) {
+    public void tick(long nowUs, List<Effect> effects) {
         if (nowUs >= nextAtUs()) {
-            prepare(nowUs, out);
+            prepare(nowUs, effects);
         }
-        startNext(nowUs, out);
+        startNext(nowUs, effects);
     }
 }
--- a/src/main/java/kitemux/rollout/Report.java
+++ b/src/main/java/kitemux/rollout/Report.java
@@ -5,6 +5,7 @@
 
 /**
  * A node's report of the configuration that it has in force.
+ *
  * @param node number of the node, from 0
  * @param incarnation start time of its process in milliseconds since 1970; of two processes with one node
  *     number the later one counts
--- a/src/main/java/kitemux/rollout/RolloutText.java
+++ b/src/main/java/kitemux/rollout/RolloutText.java
@@ -29,6 +29,7 @@
 
     /**
      * The result of parsing an input.
+     *
      * @param value the value; null if there are errors
      * @param errors all errors, each with its place
      */
@@ -517,11 +518,11 @@
         T read(Json json, List<ValidationError> errors);
     }
 
-    private static <T> ParseResult<T> read(byte[] text, JsonDecoder<T> reader) {
+    private static <T> ParseResult<T> read(byte[] text, JsonDecoder<T> decoder) {
         List<ValidationError> errors = new ArrayList<>();
         T value = null;
         try {
-            value = reader.read(Json.read(text), errors);
+            value = decoder.read(Json.read(text), errors);
         } catch (IOException e) {
             errors.add(new ValidationError("body", "is not valid JSON: " + e.getMessage()));
         }
--- a/src/main/java/kitemux/rollout/Subscriber.java
+++ b/src/main/java/kitemux/rollout/Subscriber.java
@@ -17,9 +17,13 @@
 public final class Subscriber {
     /** The state of the node with regard to the keepers. */
     public enum State {
+        /** No watch is open; a connection attempt is under way or scheduled. */
         CONNECTING,
+        /** A watch is open, and it has sent nothing yet or is sending a snapshot. */
         CATCHING_UP,
+        /** The node has received a version or a heartbeat from a keeper that reaches a majority of the voters. */
         CURRENT,
+        /** The keeper that the node watches reaches no majority of the voters. */
         NO_QUORUM
     }
 
@@ -82,9 +86,10 @@
 
     /**
      * Starts with the configuration in the node's own file.
+     *
      * @param node number of the node
      * @param incarnation start time of its process in milliseconds since 1970
-     * @param keepers number of keepers
+     * @param keeperCount number of keepers
      * @param rev version of {@code values}; 0 if the file names none
      * @param seed seed of the random choices and delays
      */
@@ -237,8 +242,8 @@
         });
     }
 
-    private void onWatchLost(boolean hangUp) {
-        if (hangUp) {
+    private void onWatchLost(boolean closeWatch) {
+        if (closeWatch) {
             effects.add(new Effect.CloseWatch(watchId));
         }
         boolean wasOpened = watchOpened;
@@ -298,8 +303,8 @@
         effects.add(new Effect.OpenWatch(trialWatchId, trialKeeper, candidateRev));
     }
 
-    private void onTrialFailed(boolean hangUp) {
-        if (hangUp) {
+    private void onTrialFailed(boolean closeWatch) {
+        if (closeWatch) {
             effects.add(new Effect.CloseWatch(trialWatchId));
         }
         clearTrial();
--- a/src/main/java/kitemux/rollout/TokenBucket.java
+++ b/src/main/java/kitemux/rollout/TokenBucket.java
@@ -12,6 +12,7 @@
 
     /**
      * Creates a bucket for a new watch.
+     *
      * @param bytesPerSecond sustained rate, above 0
      * @param burstBytes bytes that may be sent at once after a pause
      * @param initialBytes bytes that may be sent at the beginning; 0 if it is not known what another keeper
--- a/src/main/java/kitemux/rollout/Voter.java
+++ b/src/main/java/kitemux/rollout/Voter.java
@@ -4,6 +4,7 @@
  * A keeper that votes, identified by its number and by the identity of its folder. A keeper that returns
  * with an empty folder has a new identity and does not vote, since it could break promises that it made
  * before.
+ *
  * @param keeper number of the keeper, from 0
  * @param identity letters and digits, drawn at random when the folder was created
  */
--- a/src/main/java/kitemux/rollout/Watch.java
+++ b/src/main/java/kitemux/rollout/Watch.java
@@ -56,8 +56,8 @@
             ProtocolParameters parameters,
             History history,
             SnapshotCache snapshotCache,
-            boolean isAlone,
-            List<Effect> out) {
+            boolean lacksQuorum,
+            List<Effect> effects) {
         while (true) {
             WatchEvent event = nextEvent(history, snapshotCache);
             int bytes = event == null ? 0 : framedLength(event);
@@ -70,14 +70,14 @@
                     sentRev++;
                 }
             } else if (nowUs >= lastSentAtUs + parameters.heartbeatIntervalUs()) {
-                event = isAlone ? new WatchEvent.NoQuorum(history.rev()) : new WatchEvent.Heartbeat();
+                event = lacksQuorum ? new WatchEvent.NoQuorum(history.rev()) : new WatchEvent.Heartbeat();
                 bytes = framedLength(event);
             } else {
                 return Math.min(readyAtUs, lastSentAtUs + parameters.heartbeatIntervalUs());
             }
             tokenBucket.consume(nowUs, bytes);
             lastSentAtUs = nowUs;
-            out.add(new Effect.SendEvent(watchId, event));
+            effects.add(new Effect.SendEvent(watchId, event));
         }
     }
 
--- a/src/test/java/kitemux/rollout/InvariantChecker.java
+++ b/src/test/java/kitemux/rollout/InvariantChecker.java
@@ -32,13 +32,21 @@
 
     /** The invariants. */
     enum Invariant {
+        /** At most one change is chosen per version, and only chosen versions are put in force. */
         ONE_HISTORY,
+        /** No keeper and no node goes back to an earlier version. */
         MONOTONIC,
+        /** The values in force are exactly those of the version. */
         WHOLE,
+        /** Each reachable node has a version in force within the time limit. */
         TIMELY,
+        /** Operators are told only of nodes that have the version in force. */
         TRUTHFUL,
+        /** A confirmed change is on the disks of a majority and is never lost. */
         DURABLE,
+        /** No node is sent more than the allowed bytes in a time window. */
         PACED,
+        /** Only valid values are chosen, and rejections name a path of the version. */
         SOUND
     }
 
@@ -101,6 +109,7 @@
 
     /**
      * The reachability of a node has changed, because of a change of links or processes.
+     *
      * @param reachesMajority whether the node can reach a keeper that reaches a majority
      * @param extraTimeUs time that the node needs beyond the usual limit, to try unreachable keepers or to
      *     receive a snapshot at the limited rate
@@ -143,6 +152,7 @@
 
     /**
      * Creates a checker without observations.
+     *
      * @param initialVersions the versions known at the start with their values, including those in the
      *     files of nodes
      * @param isValid whether values may be chosen at all
--- a/src/test/java/kitemux/rollout/MessageInterleavings.java
+++ b/src/test/java/kitemux/rollout/MessageInterleavings.java
@@ -43,6 +43,7 @@
 
     /**
      * Creates an exploration with limits.
+     *
      * @param timeouts total number of phases that may time out
      * @param restarts total number of times that a voter may restart
      * @param steps number of steps of each order; nine is the least for two versions
@@ -243,16 +244,16 @@
                         message.from,
                         world.keepers[message.from].handleResponse(
                                 world.nowUs[message.from], k, defect.response(message.request, reply.answer())));
-            } else if (effect instanceof Effect.Persist write) {
-                if (defect.syncs(write.entry())) {
-                    world.diskRecords.get(k).add(write.entry());
+            } else if (effect instanceof Effect.Persist persist) {
+                if (defect.syncs(persist.entry())) {
+                    world.diskRecords.get(k).add(persist.entry());
                 }
-                if (write.entry() instanceof LogRecord.Voted voted
+                if (persist.entry() instanceof LogRecord.Voted voted
                         && voted.vote().accepted() != null) {
                     checker.observe(new InvariantChecker.Persisted(
                             0, k, voted.vote().rev(), voted.vote().accepted().id()));
                 }
-                execute(world, checker, k, write.then(), message);
+                execute(world, checker, k, persist.then(), message);
             }
         }
         History history = world.keepers[k].history();
--- a/src/test/java/kitemux/rollout/RandomScenario.java
+++ b/src/test/java/kitemux/rollout/RandomScenario.java
@@ -36,11 +36,11 @@
             }
         }
         isContended = seed % 3 == 1;
-        Set<Integer> old = new HashSet<>();
+        Set<Integer> oldNodes = new HashSet<>();
         if (random.nextInt(2) == 0) {
-            old.add(random.nextInt(nodes));
+            oldNodes.add(random.nextInt(nodes));
         }
-        fleet = new SimulatedFleet(nodes, rev, values, random.nextLong(), defect, old);
+        fleet = new SimulatedFleet(nodes, rev, values, random.nextLong(), defect, oldNodes);
         fleet.nodes.forEach(node -> node.fileRev = random.nextBoolean() ? rev : 0);
     }
 
@@ -102,8 +102,8 @@
         }
         fleet.runForUs(5_000_000);
         scheduleOperators();
-        int troubles = 3 + random.nextInt(6);
-        for (int i = 0; i < troubles; i++) {
+        int failureCount = 3 + random.nextInt(6);
+        for (int i = 0; i < failureCount; i++) {
             injectFailure();
             fleet.runForUs(random.nextLong(3_000_000, 25_000_000));
         }
@@ -133,19 +133,19 @@
     }
 
     private void requestChanges() {
-        int how = random.nextInt(10);
-        if (how == 0 && !repeatableChanges.isEmpty()) {
+        int variant = random.nextInt(10);
+        if (variant == 0 && !repeatableChanges.isEmpty()) {
             submit(repeatableChanges.get(random.nextInt(repeatableChanges.size())));
             return;
         }
         Change one = drawChange(random.nextInt(8));
         submit(one);
-        if (how <= 3) {
+        if (variant <= 3) {
             // Two operators submit changes at two keepers at the same time; some of them change the same
             // path.
             fleet.scheduler.afterUs(random.nextLong(1, 200_000), () -> submit(drawChange(random.nextInt(8))));
         }
-        if (how == 4) {
+        if (variant == 4) {
             // The same change is submitted twice.
             fleet.scheduler.afterUs(random.nextLong(1, 500_000), () -> submit(one));
         }
--- a/src/test/java/kitemux/rollout/RolloutLimitsTest.java
+++ b/src/test/java/kitemux/rollout/RolloutLimitsTest.java
@@ -33,9 +33,9 @@
             ArrayDeque<Effect> pending = new ArrayDeque<>(effects);
             while (!pending.isEmpty()) {
                 Effect effect = pending.poll();
-                if (effect instanceof Effect.Persist write) {
-                    diskRecords.add(write.entry());
-                    write.then().forEach(pending::add);
+                if (effect instanceof Effect.Persist persist) {
+                    diskRecords.add(persist.entry());
+                    persist.then().forEach(pending::add);
                 } else if (effect instanceof Effect.Send send && deliversToSelf) {
                     machine.handleRequest(nowUs, 1, send.request()).forEach(pending::add);
                 } else if (effect instanceof Effect.Reply reply) {
--- a/src/test/java/kitemux/rollout/SimulatedFleet.java
+++ b/src/test/java/kitemux/rollout/SimulatedFleet.java
@@ -65,10 +65,10 @@
         this.initialRev = initialRev;
         this.initialValues = initialValues;
         parameters = defect.parameters(ProtocolParameters.defaults());
-        Map<Long, Map<String, String>> first = new TreeMap<>(Map.of(initialRev, initialValues));
-        first.put(0L, Map.of());
+        Map<Long, Map<String, String>> initialVersions = new TreeMap<>(Map.of(initialRev, initialValues));
+        initialVersions.put(0L, Map.of());
         checker = new InvariantChecker(
-                first,
+                initialVersions,
                 SimulatedFleet::isValid,
                 (node, values) -> !oldNodes.contains(node) || isSupportedByOldProgram(values));
         regionOfNode = new int[nodeCount];
