--- a/src/test/java/kitemux/rollout/InvariantChecker.java
+++ b/src/test/java/kitemux/rollout/InvariantChecker.java
@@ -37,7 +37,7 @@
         /** No keeper and no node goes back to an earlier version. */
         MONOTONIC,
         /** The values in force are exactly those of the version. */
-        WHOLE,
+        COMPLETE,
         /** Each reachable node has a version in force within the time limit. */
         TIMELY,
         /** Operators are told only of nodes that have the version in force. */
@@ -45,9 +45,9 @@
         /** A confirmed change is on the disks of a majority and is never lost. */
         DURABLE,
         /** No node is sent more than the allowed bytes in a time window. */
-        PACED,
+        RATE_LIMITED,
         /** Only valid values are chosen, and rejections name a path of the version. */
-        SOUND
+        VALID
     }
 
     /** A violated invariant. */
@@ -220,7 +220,7 @@
         } else if (observation instanceof RejectionReported seen) {
             Chosen version = chosen.get(seen.rev);
             if (seen.path.isEmpty() || version == null || !version.values.containsKey(seen.path)) {
-                addViolation(Invariant.SOUND, seen, "a rejection without a known path");
+                addViolation(Invariant.VALID, seen, "a rejection without a known path");
             }
         } else if (observation instanceof Reachability seen) {
             checkReachability(seen);
@@ -232,7 +232,7 @@
         Chosen before = chosen.putIfAbsent(seen.rev, new Chosen(seen.id, seen.values, seen.atUs));
         if (before == null) {
             if (!isValid.test(seen.values)) {
-                addViolation(Invariant.SOUND, seen, "an invalid configuration was chosen");
+                addViolation(Invariant.VALID, seen, "an invalid configuration was chosen");
             }
         } else if (!before.values.equals(seen.values)
                 || !seen.id.isEmpty() && !before.id.isEmpty() && !before.id.equals(seen.id)) {
@@ -254,7 +254,7 @@
         if (version == null) {
             addViolation(Invariant.ONE_HISTORY, seen, "the version is not known to be chosen");
         } else if (!version.values.equals(seen.values)) {
-            addViolation(Invariant.WHOLE, seen, "the values differ from those of the version");
+            addViolation(Invariant.COMPLETE, seen, "the values differ from those of the version");
         }
         if (seen.rev < process.rev) {
             addViolation(Invariant.MONOTONIC, seen, "a node goes back from version " + process.rev);
@@ -299,7 +299,7 @@
         }
         bytesInWindowByProcess.put(seen.process, sum);
         if (sum > MAX_WINDOW_BYTES) {
-            addViolation(Invariant.PACED, seen, sum + " bytes in two seconds");
+            addViolation(Invariant.RATE_LIMITED, seen, sum + " bytes in two seconds");
         }
     }
 
--- a/src/test/java/kitemux/rollout/InvariantCheckerTest.java
+++ b/src/test/java/kitemux/rollout/InvariantCheckerTest.java
@@ -121,7 +121,7 @@
                         InvariantChecker.Invariant.MONOTONIC,
                         withObservations(new InvariantChecker.KeeperServed(atUs, "n0", 0))),
                 Arguments.of(
-                        InvariantChecker.Invariant.WHOLE,
+                        InvariantChecker.Invariant.COMPLETE,
                         withObservations(new InvariantChecker.InForce(atUs, 0, "n0", 1, TWO))),
                 Arguments.of(
                         InvariantChecker.Invariant.TIMELY,
@@ -160,24 +160,24 @@
                                 .findFirst()
                                 .orElseThrow()),
                 Arguments.of(
-                        InvariantChecker.Invariant.PACED,
+                        InvariantChecker.Invariant.RATE_LIMITED,
                         withObservations(
                                 new InvariantChecker.BytesSent(atUs, "n0", 8_000),
                                 new InvariantChecker.BytesSent(atUs + 1_000_000, "n0", 8_000),
                                 new InvariantChecker.BytesSent(atUs + 1_900_000, "n0", 400))),
                 Arguments.of(
-                        InvariantChecker.Invariant.SOUND,
+                        InvariantChecker.Invariant.VALID,
                         withObservations(new InvariantChecker.Known(atUs, "k0", 2, "z", Map.of("realms/a", "-1")))),
                 Arguments.of(
-                        InvariantChecker.Invariant.SOUND,
+                        InvariantChecker.Invariant.VALID,
                         withObservations(new InvariantChecker.RejectionReported(atUs, 0, 1, ""))),
                 Arguments.of(
-                        InvariantChecker.Invariant.SOUND,
+                        InvariantChecker.Invariant.VALID,
                         withObservations(new InvariantChecker.RejectionReported(atUs, 0, 1, "realms/b"))));
     }
 
     @ParameterizedTest
-    @MethodSource("broken")
+    @MethodSource("invalidHistories")
     void violatedInvariantIsReported(InvariantChecker.Invariant invariant, List<InvariantChecker.Observation> history) {
         List<InvariantChecker.Violation> found = violationsOf(history);
         assertEquals(invariant, found.get(0).invariant(), () -> found.toString());
--- a/src/test/java/kitemux/rollout/MessageInterleavings.java
+++ b/src/test/java/kitemux/rollout/MessageInterleavings.java
@@ -18,7 +18,7 @@
  * nothing else, so delaying it adds no further cases.
  */
 final class MessageInterleavings {
-    private static final int KEEPERS = 3;
+    private static final int KEEPER_COUNT = 3;
     private static final Rules NO_RULES = new Rules() {
         @Override
         public List<ValidationError> validate(Map<String, String> values) {
@@ -44,9 +44,9 @@
     /**
      * Creates an exploration with limits.
      *
-     * @param timeouts total number of phases that may time out
-     * @param restarts total number of times that a voter may restart
-     * @param steps number of steps of each order; nine is the least for two versions
+     * @param maxTimeouts total number of phases that may time out
+     * @param maxRestarts total number of times that a voter may restart
+     * @param maxSteps number of steps of each order; nine is the least for two versions
      */
     MessageInterleavings(int maxTimeouts, int maxRestarts, int maxSteps, Defect defect) {
         this.maxTimeouts = maxTimeouts;
@@ -60,10 +60,10 @@
      * negative number denotes a timeout or a restart of a keeper.
      */
     private static final class SimulatedWorld {
-        final KeeperStateMachine[] keepers = new KeeperStateMachine[KEEPERS];
+        final KeeperStateMachine[] keepers = new KeeperStateMachine[KEEPER_COUNT];
         final List<List<LogRecord>> diskRecords = new ArrayList<>();
-        final int[] incarnations = new int[KEEPERS];
-        final long[] nowUs = new long[KEEPERS];
+        final int[] incarnations = new int[KEEPER_COUNT];
+        final long[] nowUs = new long[KEEPER_COUNT];
         final List<Message> messagesInFlight = new ArrayList<>();
         int timeouts;
         int restarts;
@@ -105,51 +105,51 @@
         return violation;
     }
 
-    private Stream<ExploredState> successors(ExploredState node) {
-        List<ExploredState> found = new ArrayList<>();
-        for (byte choice : node.possibleSteps) {
-            byte[] path = Arrays.copyOf(node.path, node.path.length + 1);
-            path[node.path.length] = choice;
+    private Stream<ExploredState> successors(ExploredState state) {
+        List<ExploredState> successors = new ArrayList<>();
+        for (byte step : state.possibleSteps) {
+            byte[] path = Arrays.copyOf(state.path, state.path.length + 1);
+            path[state.path.length] = step;
             SimulatedWorld world = replay(path);
             if (violation == null && seenStateHashes.add(stateHash(world))) {
                 if (Arrays.stream(world.keepers)
                         .anyMatch(keeper -> keeper.history().rev() >= 2)) {
                     completedStates.incrementAndGet();
                 }
-                found.add(new ExploredState(path, possibleSteps(world)));
+                successors.add(new ExploredState(path, possibleSteps(world)));
             }
         }
-        return found.stream();
+        return successors.stream();
     }
 
     /** A sequence of steps that leads to a new state, and the steps possible after it. */
     private record ExploredState(byte[] path, byte[] possibleSteps) {}
 
     private byte[] possibleSteps(SimulatedWorld world) {
-        byte[] found = new byte[world.messagesInFlight.size() + 2 * KEEPERS];
-        int n = 0;
+        byte[] steps = new byte[world.messagesInFlight.size() + 2 * KEEPER_COUNT];
+        int stepCount = 0;
         for (int i = 0; i < world.messagesInFlight.size(); i++) {
-            found[n++] = (byte) i;
+            steps[stepCount++] = (byte) i;
         }
-        for (int k = 0; k < KEEPERS; k++) {
+        for (int k = 0; k < KEEPER_COUNT; k++) {
             if (world.timeouts < maxTimeouts && world.keepers[k].toString().contains("ING ")) {
-                found[n++] = (byte) (-1 - k);
+                steps[stepCount++] = (byte) (-1 - k);
             }
             if (world.restarts < maxRestarts) {
-                found[n++] = (byte) (-1 - KEEPERS - k);
+                steps[stepCount++] = (byte) (-1 - KEEPER_COUNT - k);
             }
         }
-        return Arrays.copyOf(found, n);
+        return Arrays.copyOf(steps, stepCount);
     }
 
     private static long stateHash(SimulatedWorld world) {
         StringBuilder text = new StringBuilder();
-        for (int k = 0; k < KEEPERS; k++) {
+        for (int k = 0; k < KEEPER_COUNT; k++) {
             text.append(world.keepers[k]).append(world.incarnations[k]).append('|');
         }
-        List<String> flying =
+        List<String> sortedMessages =
                 world.messagesInFlight.stream().map(Message::toString).sorted().toList();
-        text.append(flying).append(world.timeouts).append(world.restarts);
+        text.append(sortedMessages).append(world.timeouts).append(world.restarts);
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
             hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
@@ -160,13 +160,13 @@
     private SimulatedWorld replay(byte[] path) {
         SimulatedWorld world = new SimulatedWorld();
         InvariantChecker checker = new InvariantChecker(Map.of(0L, Map.of()), values -> true, (node, values) -> true);
-        for (int k = 0; k < KEEPERS; k++) {
+        for (int k = 0; k < KEEPER_COUNT; k++) {
             world.diskRecords.add(new ArrayList<>());
             startKeeper(world, k);
         }
         for (int k = 0; k < 2; k++) {
             // Both proposers have heard from all voters, so that they accept changes.
-            for (int other = 0; other < KEEPERS; other++) {
+            for (int other = 0; other < KEEPER_COUNT; other++) {
                 world.keepers[k].handleResponse(0, other, new Response.Versions(0, 0, List.of()));
             }
             execute(
@@ -190,7 +190,7 @@
         world.keepers[k] = new KeeperStateMachine(
                 ProtocolParameters.defaults(),
                 voters.get(k),
-                KEEPERS,
+                KEEPER_COUNT,
                 voters,
                 NO_RULES,
                 world.diskRecords.get(k),
@@ -198,9 +198,9 @@
                 world.nowUs[k]);
     }
 
-    private void takeStep(SimulatedWorld world, InvariantChecker checker, int choice) {
-        if (choice < -KEEPERS) {
-            int k = -choice - 1 - KEEPERS;
+    private void takeStep(SimulatedWorld world, InvariantChecker checker, int step) {
+        if (step < -KEEPER_COUNT) {
+            int k = -step - 1 - KEEPER_COUNT;
             world.restarts++;
             world.incarnations[k]++;
             if (defect.keepsIdentityOfEmptyFolder()) {
@@ -209,14 +209,14 @@
             startKeeper(world, k);
             return;
         }
-        if (choice < 0) {
-            int k = -choice - 1;
+        if (step < 0) {
+            int k = -step - 1;
             world.timeouts++;
             world.nowUs[k] += 600_000;
             execute(world, checker, k, world.keepers[k].tick(world.nowUs[k]));
             return;
         }
-        Message message = world.messagesInFlight.remove(choice);
+        Message message = world.messagesInFlight.remove(step);
         int k = message.to;
         execute(
                 world,
--- a/src/test/java/kitemux/rollout/MessageInterleavingsTest.java
+++ b/src/test/java/kitemux/rollout/MessageInterleavingsTest.java
@@ -31,7 +31,7 @@
     }
 
     @ParameterizedTest
-    @EnumSource(names = {"BALLOTS_IGNORED", "PROMISE_NOT_SYNCED", "ACCEPTED_VALUE_NOT_TAKEN_UP", "EMPTY_FOLDER_VOTES"})
+    @EnumSource(names = {"BALLOTS_IGNORED", "PROMISE_NOT_SYNCED", "ACCEPTED_VALUE_IGNORED", "EMPTY_FOLDER_VOTES"})
     void voterDefectIsFound(Mutant mutant) {
         InvariantChecker.Violation violation = new MessageInterleavings(0, 1, 9, mutant).firstViolation();
         assertNotNull(violation, mutant + " was not detected");
--- a/src/test/java/kitemux/rollout/Mutant.java
+++ b/src/test/java/kitemux/rollout/Mutant.java
@@ -40,7 +40,7 @@
             return !(entry instanceof LogRecord.Voted voted) || voted.vote().accepted() != null;
         }
     },
-    ACCEPTED_VALUE_NOT_TAKEN_UP(InvariantChecker.Invariant.ONE_HISTORY) {
+    ACCEPTED_VALUE_IGNORED(InvariantChecker.Invariant.ONE_HISTORY) {
         @Override
         public Response response(Request request, Response response) {
             return response instanceof Response.Promised promised
@@ -54,13 +54,13 @@
             return true;
         }
     },
-    LOWER_VERSION_TAKEN(InvariantChecker.Invariant.MONOTONIC) {
+    LOWER_VERSION_APPLIED(InvariantChecker.Invariant.MONOTONIC) {
         @Override
         public boolean forgetsVersionOnReconnect() {
             return true;
         }
     },
-    SERVES_BEFORE_IT_HAS_CAUGHT_UP(InvariantChecker.Invariant.MONOTONIC) {
+    SERVES_BEFORE_CAUGHT_UP(InvariantChecker.Invariant.MONOTONIC) {
         @Override
         public boolean servesBeforeCaughtUp() {
             return true;
@@ -71,7 +71,7 @@
             return event instanceof WatchEvent.NoQuorum ? new WatchEvent.Heartbeat() : event;
         }
     },
-    PART_OF_A_WHOLE_IN_FORCE(InvariantChecker.Invariant.WHOLE) {
+    PARTIAL_SNAPSHOT_APPLIED(InvariantChecker.Invariant.COMPLETE) {
         @Override
         public WatchEvent event(WatchEvent event, Rules rules, Subscriber subscriber) {
             return event instanceof WatchEvent.SnapshotPart part && part.part() == 1
@@ -79,7 +79,7 @@
                     : event;
         }
     },
-    HALF_OF_A_CHANGE_AFTER_A_FAULT(InvariantChecker.Invariant.WHOLE) {
+    PARTIAL_CHANGE_APPLIED(InvariantChecker.Invariant.COMPLETE) {
         @Override
         public WatchEvent event(WatchEvent event, Rules rules, Subscriber subscriber) {
             if (!(event instanceof WatchEvent.Update next)) {
@@ -91,7 +91,7 @@
             return new WatchEvent.Update(next.rev(), validChanges, next.drop());
         }
     },
-    NO_PATIENCE(InvariantChecker.Invariant.TIMELY) {
+    WATCH_TIMEOUT_TOO_LONG(InvariantChecker.Invariant.TIMELY) {
         @Override
         public ProtocolParameters parameters(ProtocolParameters original) {
             return withParameters(
@@ -102,13 +102,13 @@
                     original.snapshotPartBytes());
         }
     },
-    SAME_KEEPER_REDIALED(InvariantChecker.Invariant.TIMELY) {
+    SAME_KEEPER_RETRIED(InvariantChecker.Invariant.TIMELY) {
         @Override
         public int watchedKeeper(int node, int drawn) {
             return node % SimulatedFleet.KEEPER_COUNT;
         }
     },
-    BEATS_BEHIND_A_LONG_WHOLE(InvariantChecker.Invariant.TIMELY) {
+    HEARTBEATS_BLOCKED_BY_SNAPSHOT(InvariantChecker.Invariant.TIMELY) {
         @Override
         public ProtocolParameters parameters(ProtocolParameters original) {
             return withParameters(original, 1, original.rateBytesPerSecond(), original.initialBurstBytes(), 7_600);
@@ -119,44 +119,44 @@
             return !snapshotInProgress || event instanceof WatchEvent.SnapshotPart;
         }
     },
-    REPORT_BEFORE_IT_IS_IN_FORCE(InvariantChecker.Invariant.TRUTHFUL) {
+    REPORT_BEFORE_APPLIED(InvariantChecker.Invariant.TRUTHFUL) {
         @Override
         public boolean reportsBeforeApplied() {
             return true;
         }
     },
-    EARLIER_LIFE_COUNTED(InvariantChecker.Invariant.TRUTHFUL) {
+    EARLIER_INCARNATION_COUNTED(InvariantChecker.Invariant.TRUTHFUL) {
         @Override
         public Report report(Report original) {
             return new Report(original.node(), 0, original.rev(), original.pendingRestart(), original.rejections());
         }
     },
-    ANSWER_AFTER_TWO_ACCEPTANCES(InvariantChecker.Invariant.DURABLE) {
+    CONFIRMED_AFTER_TWO_ACCEPTANCES(InvariantChecker.Invariant.DURABLE) {
         @Override
         public int duplicateSender(int from, Response response) {
             return !(response instanceof Response.Accepted) ? -1 : from == 0 ? 1 : 0;
         }
     },
-    ANSWER_BEFORE_THE_SYNC(InvariantChecker.Invariant.DURABLE) {
+    RESPONSE_BEFORE_SYNC(InvariantChecker.Invariant.DURABLE) {
         @Override
         public boolean waitsForSync() {
             return false;
         }
     },
-    NO_PACE(InvariantChecker.Invariant.PACED) {
+    NO_RATE_LIMIT(InvariantChecker.Invariant.RATE_LIMITED) {
         @Override
         public ProtocolParameters parameters(ProtocolParameters original) {
             return withParameters(original, 1, 1_000_000, original.initialBurstBytes(), original.snapshotPartBytes());
         }
     },
-    PACE_FORGOTTEN_AFTER_A_REDIAL(InvariantChecker.Invariant.PACED) {
+    RATE_LIMIT_RESET_ON_RECONNECT(InvariantChecker.Invariant.RATE_LIMITED) {
         @Override
         public ProtocolParameters parameters(ProtocolParameters original) {
             return withParameters(
                     original, 1, original.rateBytesPerSecond(), original.burstBytes(), original.snapshotPartBytes());
         }
     },
-    CHECK_SKIPPED_AT_THE_KEEPER(InvariantChecker.Invariant.SOUND) {
+    VALIDATION_SKIPPED_AT_KEEPER(InvariantChecker.Invariant.VALID) {
         @Override
         public Rules keeperRules(Rules rules) {
             return new Rules() {
@@ -172,7 +172,7 @@
             };
         }
     },
-    FAULT_TOLD_WITHOUT_PATH(InvariantChecker.Invariant.SOUND) {
+    REJECTION_WITHOUT_PATH(InvariantChecker.Invariant.VALID) {
         @Override
         public Report report(Report original) {
             return new Report(
--- a/src/test/java/kitemux/rollout/RandomScenario.java
+++ b/src/test/java/kitemux/rollout/RandomScenario.java
@@ -138,8 +138,8 @@
             submit(repeatableChanges.get(random.nextInt(repeatableChanges.size())));
             return;
         }
-        Change one = drawChange(random.nextInt(8));
-        submit(one);
+        Change change = drawChange(random.nextInt(8));
+        submit(change);
         if (variant <= 3) {
             // Two operators submit changes at two keepers at the same time; some of them change the same
             // path.
@@ -147,16 +147,19 @@
         }
         if (variant == 4) {
             // The same change is submitted twice.
-            fleet.scheduler.afterUs(random.nextLong(1, 500_000), () -> submit(one));
+            fleet.scheduler.afterUs(random.nextLong(1, 500_000), () -> submit(change));
         }
     }
 
     private Change drawChange(int kind) {
         String id = String.format("%016x", random.nextLong());
-        SimulatedFleet.KeeperHost by = fleet.keepers.get(random.nextInt(SimulatedFleet.KEEPER_COUNT));
-        long base = by.machine == null ? fleet.initialRev : by.machine.history().rev();
-        Map<String, String> values =
-                by.machine == null ? fleet.initialValues : by.machine.history().values();
+        SimulatedFleet.KeeperHost keeper = fleet.keepers.get(random.nextInt(SimulatedFleet.KEEPER_COUNT));
+        long base = keeper.machine == null
+                ? fleet.initialRev
+                : keeper.machine.history().rev();
+        Map<String, String> values = keeper.machine == null
+                ? fleet.initialValues
+                : keeper.machine.history().values();
         String realm = "realms/tenant-" + random.nextInt(20);
         int a = random.nextInt(101);
         return switch (kind) {
@@ -186,31 +189,31 @@
     }
 
     private void submit(Change change) {
-        SimulatedFleet.KeeperHost at = fleet.keepers.get(random.nextInt(SimulatedFleet.KEEPER_COUNT));
-        if (!at.isUp()) {
+        SimulatedFleet.KeeperHost keeper = fleet.keepers.get(random.nextInt(SimulatedFleet.KEEPER_COUNT));
+        if (!keeper.isUp()) {
             return;
         }
         repeatableChanges.add(change);
-        at.requestChange(change, outcome -> {
+        keeper.requestChange(change, outcome -> {
             fleet.count(outcome.getClass().getSimpleName());
-            if (outcome instanceof Outcome.Committed taken) {
-                fleet.observe(new InvariantChecker.ChangeConfirmed(fleet.nowUs(), change.id(), taken.rev()));
+            if (outcome instanceof Outcome.Committed committed) {
+                fleet.observe(new InvariantChecker.ChangeConfirmed(fleet.nowUs(), change.id(), committed.rev()));
             }
         });
     }
 
-    private void schedule(long least, long most, Runnable what) {
-        fleet.scheduler.afterUs(random.nextLong(least, most), what);
+    private void schedule(long minDelayUs, long maxDelayUs, Runnable action) {
+        fleet.scheduler.afterUs(random.nextLong(minDelayUs, maxDelayUs), action);
     }
 
-    private void partitionRegion(int region, long us) {
+    private void partitionRegion(int region, long durationUs) {
         for (int other = 0; other < 3; other++) {
             if (other != region) {
                 fleet.setPartitioned(region, other, true);
             }
         }
         fleet.updateReachability();
-        fleet.scheduler.afterUs(us, () -> {
+        fleet.scheduler.afterUs(durationUs, () -> {
             for (int other = 0; other < 3; other++) {
                 if (other != region) {
                     fleet.setPartitioned(region, other, false);
--- a/src/test/java/kitemux/rollout/RolloutTextTest.java
+++ b/src/test/java/kitemux/rollout/RolloutTextTest.java
@@ -112,7 +112,7 @@
     }
 
     @Provide
-    Arbitrary<WatchEvent> anyLine() {
+    Arbitrary<WatchEvent> anyWatchEvent() {
         return Arbitraries.oneOf(
                 Combinators.combine(revs(), changes()).as((rev, c) -> new WatchEvent.Update(rev, c.set(), c.drop())),
                 Combinators.combine(revs(), Arbitraries.integers().between(1, 300), changes())
@@ -122,7 +122,7 @@
     }
 
     @Property(tries = 300)
-    void watchEventRoundTrips(@ForAll("anyLine") WatchEvent event) {
+    void watchEventRoundTrips(@ForAll("anyWatchEvent") WatchEvent event) {
         assertRoundTrip(event, RolloutText.write(event), RolloutText::readWatchEvent);
     }
 
@@ -163,7 +163,7 @@
     }
 
     @Provide
-    Arbitrary<Response> anyAnswer() {
+    Arbitrary<Response> anyResponse() {
         return Arbitraries.oneOf(
                 Combinators.combine(revs(), ballots(), ballots(), changes()).as(Response.Promised::new),
                 Combinators.combine(revs(), ballots()).as((rev, b) -> new Response.Promised(rev, b, Ballot.NONE, null)),
@@ -176,12 +176,12 @@
     }
 
     @Property(tries = 200)
-    void responseRoundTrips(@ForAll("anyAnswer") Response response) {
+    void responseRoundTrips(@ForAll("anyResponse") Response response) {
         assertRoundTrip(response, RolloutText.write(response), RolloutText::readResponse);
     }
 
     @Provide
-    Arbitrary<LogRecord> anyKept() {
+    Arbitrary<LogRecord> anyLogRecord() {
         return Arbitraries.oneOf(
                 versions().map(LogRecord.Chosen::new),
                 Combinators.combine(revs(), changes()).as((rev, c) -> new LogRecord.Snapshot(rev, c.set())),
@@ -192,7 +192,7 @@
     }
 
     @Property(tries = 200)
-    void logRecordRoundTrips(@ForAll("anyKept") LogRecord entry) {
+    void logRecordRoundTrips(@ForAll("anyLogRecord") LogRecord entry) {
         assertRoundTrip(entry, RolloutText.write(entry), RolloutText::readLogRecord);
     }
 
@@ -209,11 +209,11 @@
     Arbitrary<byte[]> corruptedText() {
         Arbitrary<byte[]> texts = Arbitraries.oneOf(
                 changes().map(RolloutText::write),
-                anyLine().map(RolloutText::write),
+                anyWatchEvent().map(RolloutText::write),
                 anyReport().map(RolloutText::write),
                 anyRequest().map(RolloutText::write),
-                anyAnswer().map(RolloutText::write),
-                anyKept().map(RolloutText::write),
+                anyResponse().map(RolloutText::write),
+                anyLogRecord().map(RolloutText::write),
                 Arbitraries.of("", "null", "[]", "7", "{", "{\"rev\":null}")
                         .map(s -> s.getBytes(StandardCharsets.UTF_8)));
         return Combinators.combine(
@@ -237,7 +237,7 @@
     }
 
     @Property(tries = 1_000)
-    void anyInputYieldsValueOrErrors(@ForAll("spoilt") byte[] text) {
+    void anyInputYieldsValueOrErrors(@ForAll("corruptedText") byte[] text) {
         assertValueOrErrors(RolloutText.readChange(text));
         assertValueOrErrors(RolloutText.readWatchEvent(text));
         assertValueOrErrors(RolloutText.readReport(text));
--- a/src/test/java/kitemux/rollout/SimulatedFleet.java
+++ b/src/test/java/kitemux/rollout/SimulatedFleet.java
@@ -114,8 +114,8 @@
         checker.observe(observation);
     }
 
-    void count(String what) {
-        counts.merge(what, 1L, Long::sum);
+    void count(String event) {
+        counts.merge(event, 1L, Long::sum);
     }
 
     long nowUs() {
@@ -129,9 +129,9 @@
         });
     }
 
-    void runForUs(long us) {
-        long until = scheduler.now() + us * 1_000;
-        while (scheduler.step(until) && checker.violations().isEmpty()) {
+    void runForUs(long durationUs) {
+        long untilNanos = scheduler.now() + durationUs * 1_000;
+        while (scheduler.step(untilNanos) && checker.violations().isEmpty()) {
             // Each step handles one event.
         }
     }
@@ -147,9 +147,9 @@
         return isPartitioned[a][b];
     }
 
-    void setPartitioned(int a, int b, boolean is) {
-        isPartitioned[a][b] = is;
-        isPartitioned[b][a] = is;
+    void setPartitioned(int a, int b, boolean partitioned) {
+        isPartitioned[a][b] = partitioned;
+        isPartitioned[b][a] = partitioned;
     }
 
     /**
@@ -482,7 +482,7 @@
                     () -> inCurrentProcess(() -> {
                                 Request read = RolloutText.readRequest(bytes).value();
                                 long call = ++lastCallId;
-                                replyCallbacks.put(call, answer -> sendResponse(from, fromProcessId, read, answer));
+                                replyCallbacks.put(call, response -> sendResponse(from, fromProcessId, read, response));
                                 execute(machine.handleRequest(nowUs(), call, defect.request(read, ++requestCount)));
                             })
                             .run());
@@ -496,19 +496,20 @@
                             || random.nextDouble() < lossRatio);
         }
 
-        private void sendResponse(KeeperHost asker, long askerProcessId, Request request, Response answer) {
-            if (isLost(asker)) {
+        private void sendResponse(KeeperHost requester, long requesterProcessId, Request request, Response response) {
+            if (isLost(requester)) {
                 return;
             }
-            byte[] bytes = RolloutText.write(defect.response(request, answer));
-            scheduler.afterUs(asker == this ? 0 : drawDelayUs(region, asker.region), () -> {
-                if (asker.processId == askerProcessId && asker.isUp()) {
-                    asker.inCurrentProcess(() -> {
+            byte[] bytes = RolloutText.write(defect.response(request, response));
+            scheduler.afterUs(requester == this ? 0 : drawDelayUs(region, requester.region), () -> {
+                if (requester.processId == requesterProcessId && requester.isUp()) {
+                    requester
+                            .inCurrentProcess(() -> {
                                 Response read = RolloutText.readResponse(bytes).value();
-                                asker.execute(asker.machine.handleResponse(nowUs(), number, read));
+                                requester.execute(requester.machine.handleResponse(nowUs(), number, read));
                                 int duplicateSender = defect.duplicateSender(number, read);
-                                if (duplicateSender >= 0 && asker.isUp()) {
-                                    asker.execute(asker.machine.handleResponse(nowUs(), duplicateSender, read));
+                                if (duplicateSender >= 0 && requester.isUp()) {
+                                    requester.execute(requester.machine.handleResponse(nowUs(), duplicateSender, read));
                                 }
                             })
                             .run();
@@ -528,12 +529,12 @@
                     .run();
         }
 
-        private void openWatch(Connection connection, long after) {
+        private void openWatch(Connection connection, long afterRev) {
             connections.put(connection.id, connection);
-            long at = defect.servesBeforeCaughtUp()
-                    ? Math.min(after, machine.history().rev())
-                    : after;
-            List<Effect> effects = machine.openWatch(nowUs(), connection.id, at);
+            long startRev = defect.servesBeforeCaughtUp()
+                    ? Math.min(afterRev, machine.history().rev())
+                    : afterRev;
+            List<Effect> effects = machine.openWatch(nowUs(), connection.id, startRev);
             if (effects.stream().noneMatch(e -> e instanceof Effect.RejectWatch)) {
                 deliverInOrder(connection, () -> connection.node.onWatchOpened(connection));
             }
@@ -542,13 +543,13 @@
 
         /** Delivers a message of a watch to the node, after all earlier ones. */
         private void deliverInOrder(Connection connection, Runnable action) {
-            int there = regionOfNode[connection.node.number];
-            if (isPartitionedBetween(region, there)) {
+            int nodeRegion = regionOfNode[connection.node.number];
+            if (isPartitionedBetween(region, nodeRegion)) {
                 connection.isBroken = true;
             }
-            connection.lastArrivalUs = Math.max(connection.lastArrivalUs, nowUs() + drawDelayUs(region, there));
+            connection.lastArrivalUs = Math.max(connection.lastArrivalUs, nowUs() + drawDelayUs(region, nodeRegion));
             scheduler.at(connection.lastArrivalUs * 1_000, () -> {
-                connection.isBroken |= isPartitionedBetween(region, there);
+                connection.isBroken |= isPartitionedBetween(region, nodeRegion);
                 if (!connection.isBroken && connection.node.processId == connection.nodeProcessId) {
                     connection.node.inCurrentProcess(action).run();
                 }
@@ -604,7 +605,7 @@
 
         private final Map<Long, Connection> connections = new HashMap<>();
         private long incarnation;
-        private long slowUntilUs;
+        private long busyUntilUs;
 
         NodeHost(int number, SampleRules rules) {
             this.number = number;
@@ -666,23 +667,28 @@
          * Starts a second process with the same node number, while the old one goes on for a while and its
          * reports still arrive.
          */
-        void startSecondProcess(long us) {
+        void startSecondProcess(long durationUs) {
             long oldIncarnation = incarnation;
             String oldName = name();
             crash();
             start();
             updateReachability();
-            for (long at = 0; at < us; at += 2_000_000) {
+            for (long at = 0; at < durationUs; at += 2_000_000) {
                 KeeperHost to = keepers.get(random.nextInt(KEEPER_COUNT));
                 scheduler.afterUs(at, () -> {
                     if (to.isHealthy() && !isPartitionedBetween(to.region, regionOfNode[number])) {
-                        History now = to.machine.history();
-                        if (now.rev() >= initialRev && checker.revOf(oldName) <= now.rev()) {
-                            observe(new InvariantChecker.InForce(nowUs(), number, oldName, now.rev(), now.values()));
+                        History history = to.machine.history();
+                        if (history.rev() >= initialRev && checker.revOf(oldName) <= history.rev()) {
+                            observe(new InvariantChecker.InForce(
+                                    nowUs(), number, oldName, history.rev(), history.values()));
                             observe(new InvariantChecker.ReportSent(nowUs(), number));
                             to.receiveReport(
                                     RolloutText.write(new Report(
-                                            number, oldIncarnation, now.rev(), new java.util.TreeSet<>(), List.of())),
+                                            number,
+                                            oldIncarnation,
+                                            history.rev(),
+                                            new java.util.TreeSet<>(),
+                                            List.of())),
                                     oldName);
                         }
                     }
@@ -744,37 +750,37 @@
             }
         }
 
-        private void sendReport(int to, Report report) {
-            KeeperHost keeper = keepers.get(to);
+        private void sendReport(int keeperNumber, Report report) {
+            KeeperHost keeper = keepers.get(keeperNumber);
             byte[] bytes = RolloutText.write(report);
-            String by = name();
+            String sender = name();
             report.rejections()
-                    .forEach(refusal -> observe(new InvariantChecker.RejectionReported(
+                    .forEach(rejection -> observe(new InvariantChecker.RejectionReported(
                             nowUs(),
                             number,
-                            refusal.rev(),
+                            rejection.rev(),
                             defect.report(report)
                                     .rejections()
-                                    .get(report.rejections().indexOf(refusal))
+                                    .get(report.rejections().indexOf(rejection))
                                     .path())));
             if (!isPartitionedBetween(keeper.region, regionOfNode[number])) {
                 observe(new InvariantChecker.ReportSent(nowUs(), number));
                 scheduler.afterUs(
-                        drawDelayUs(keeper.region, regionOfNode[number]), () -> keeper.receiveReport(bytes, by));
+                        drawDelayUs(keeper.region, regionOfNode[number]), () -> keeper.receiveReport(bytes, sender));
             }
         }
 
         private void applyVersion(Effect.Apply apply) {
-            long lateUs = random.nextInt(20) == 0 ? random.nextLong(200_000, 800_000) : random.nextLong(100, 5_000);
-            slowUntilUs = Math.max(slowUntilUs, nowUs() + lateUs);
+            long delayUs = random.nextInt(20) == 0 ? random.nextLong(200_000, 800_000) : random.nextLong(100, 5_000);
+            busyUntilUs = Math.max(busyUntilUs, nowUs() + delayUs);
             if (defect.reportsBeforeApplied()) {
                 sendReport(
                         random.nextInt(KEEPER_COUNT),
                         new Report(number, incarnation, apply.rev(), new java.util.TreeSet<>(), List.of()));
             }
-            Subscriber to = subscriber;
-            scheduler.at(slowUntilUs * 1_000, inCurrentProcess(() -> {
-                if (subscriber == to) {
+            Subscriber current = subscriber;
+            scheduler.at(busyUntilUs * 1_000, inCurrentProcess(() -> {
+                if (subscriber == current) {
                     observe(new InvariantChecker.InForce(nowUs(), number, name(), apply.rev(), apply.values()));
                     execute(subscriber.applied(nowUs(), apply.rev(), apply.values()));
                 }
@@ -791,7 +797,7 @@
             KeeperHost keeper = keepers.get(defect.watchedKeeper(number, open.keeper()));
             Connection connection = new Connection(++lastCallId, keeper, this, open.watch());
             connections.put(open.watch(), connection);
-            count("dial");
+            count("connection attempt");
             int here = regionOfNode[number];
             if (isPartitionedBetween(keeper.region, here)) {
                 return;
