--- a/src/main/java/kitemux/rollout/RolloutText.java
+++ b/src/main/java/kitemux/rollout/RolloutText.java
@@ -340,9 +340,9 @@
                     .objects(
                             "faults",
                             o.errors().stream()
-                                    .map(fault -> new JsonWriter()
-                                            .string("path", fault.path())
-                                            .string("reason", fault.reason()))
+                                    .map(error -> new JsonWriter()
+                                            .string("path", error.path())
+                                            .string("reason", error.reason()))
                                     .toList())
                     .bytes();
         } else if (outcome instanceof Outcome.Conflict o) {
--- a/src/test/java/kitemux/rollout/InvariantCheckerTest.java
+++ b/src/test/java/kitemux/rollout/InvariantCheckerTest.java
@@ -22,12 +22,12 @@
     private static final Map<String, String> TWO = Map.of("realms/a", "2");
 
     private static List<InvariantChecker.Violation> violationsOf(List<InvariantChecker.Observation> history) {
-        InvariantChecker judge = new InvariantChecker(
+        InvariantChecker classes = new InvariantChecker(
                 Map.of(0L, Map.of()),
                 values -> !values.getOrDefault("realms/a", "0").startsWith("-"),
                 (node, values) -> true);
-        history.forEach(judge::observe);
-        return judge.violations();
+        history.forEach(classes::observe);
+        return classes.violations();
     }
 
     /**
@@ -179,20 +179,20 @@
     @ParameterizedTest
     @MethodSource("invalidHistories")
     void violatedInvariantIsReported(InvariantChecker.Invariant invariant, List<InvariantChecker.Observation> history) {
-        List<InvariantChecker.Violation> found = violationsOf(history);
-        assertEquals(invariant, found.get(0).invariant(), () -> found.toString());
+        List<InvariantChecker.Violation> violations = violationsOf(history);
+        assertEquals(invariant, violations.get(0).invariant(), () -> violations.toString());
     }
 
     /** The checker uses no record and no state machine of the code that it checks. */
     @Test
     void checkerDoesNotDependOnCheckedCode() {
-        JavaClasses judge = new ClassFileImporter().importPackages("kitemux.rollout");
-        List<String> known = judge.stream()
+        JavaClasses classes = new ClassFileImporter().importPackages("kitemux.rollout");
+        List<String> dependencies = classes.stream()
                 .filter(c -> c.getName().startsWith(InvariantChecker.class.getName()))
                 .flatMap(c -> c.getDirectDependenciesFromSelf().stream())
                 .map(d -> d.getTargetClass().getBaseComponentType().getName())
                 .filter(name -> name.startsWith("kitemux.") && !name.startsWith(InvariantChecker.class.getName()))
                 .toList();
-        assertEquals(List.of(), known);
+        assertEquals(List.of(), dependencies);
     }
 }
--- a/src/test/java/kitemux/rollout/Mutant.java
+++ b/src/test/java/kitemux/rollout/Mutant.java
@@ -28,8 +28,8 @@
                         loweredBallot(promised.ballot()),
                         loweredBallot(promised.acceptedBallot()),
                         promised.accepted());
-            } else if (response instanceof Response.Accepted promised) {
-                return new Response.Accepted(promised.rev(), loweredBallot(promised.ballot()));
+            } else if (response instanceof Response.Accepted accepted) {
+                return new Response.Accepted(accepted.rev(), loweredBallot(accepted.ballot()));
             }
             return response;
         }
@@ -87,7 +87,7 @@
             }
             Map<String, String> after = new Change("", 0, next.set(), next.drop()).applyTo(subscriber.values());
             SortedMap<String, String> validChanges = new TreeMap<>(next.set());
-            rules.validate(after).forEach(fault -> validChanges.remove(fault.path()));
+            rules.validate(after).forEach(error -> validChanges.remove(error.path()));
             return new WatchEvent.Update(next.rev(), validChanges, next.drop());
         }
     },
--- a/src/test/java/kitemux/rollout/RolloutLimitsTest.java
+++ b/src/test/java/kitemux/rollout/RolloutLimitsTest.java
@@ -141,8 +141,8 @@
         keeper.execute(0, keeper.machine.openWatch(0, 5, 1));
         keeper.execute(0, keeper.machine.openWatch(0, 6, 0));
         keeper.execute(1_000_000, keeper.machine.tick(1_000_000));
-        WatchEvent one = firstEvent(keeper, 5);
-        assertEquals(2, assertInstanceOf(WatchEvent.Update.class, one).rev());
+        WatchEvent event = firstEvent(keeper, 5);
+        assertEquals(2, assertInstanceOf(WatchEvent.Update.class, event).rev());
         assertEquals(
                 new WatchEvent.SnapshotPart(
                         ProtocolParameters.MAX_HISTORY_VERSION_COUNT + 1,
@@ -153,14 +153,14 @@
         assertInstanceOf(
                 Outcome.Conflict.class,
                 keeper.change(9, Change.of("ffffffffffffffff", 0, Map.of("limits/y", "1"), List.of())));
-        List<LogRecord> kept = keeper.machine.toRecords();
+        List<LogRecord> records = keeper.machine.toRecords();
         KeeperStateMachine restored =
-                new KeeperStateMachine(PARAMETERS, SELF, 1, List.of(SELF), new SampleRules(false), kept, 2, 0);
+                new KeeperStateMachine(PARAMETERS, SELF, 1, List.of(SELF), new SampleRules(false), records, 2, 0);
         assertEquals(keeper.machine.history().values(), restored.history().values());
-        assertEquals(kept, restored.toRecords());
+        assertEquals(records, restored.toRecords());
         KeeperStateMachine restoredFromDisk = new KeeperStateMachine(
                 PARAMETERS, SELF, 1, List.of(SELF), new SampleRules(false), keeper.diskRecords, 2, 0);
-        assertEquals(kept, restoredFromDisk.toRecords());
+        assertEquals(records, restoredFromDisk.toRecords());
     }
 
     private static WatchEvent firstEvent(SingleKeeper keeper, long watch) {
@@ -231,10 +231,11 @@
         }
         Effect.Reply reply = (Effect.Reply)
                 keeper.machine.handleRequest(0, 3, new Request.Fetch(0)).get(0);
-        Response.Versions known = (Response.Versions) reply.answer();
+        Response.Versions versions = (Response.Versions) reply.answer();
         assertEquals(
-                ProtocolParameters.MAX_RESPONSE_VERSION_COUNT, known.versions().size());
-        assertEquals(ProtocolParameters.MAX_RESPONSE_VERSION_COUNT + 1, known.newestRev());
+                ProtocolParameters.MAX_RESPONSE_VERSION_COUNT,
+                versions.versions().size());
+        assertEquals(ProtocolParameters.MAX_RESPONSE_VERSION_COUNT + 1, versions.newestRev());
     }
 
     @Test
--- a/src/test/java/kitemux/rollout/RolloutTextTest.java
+++ b/src/test/java/kitemux/rollout/RolloutTextTest.java
@@ -94,8 +94,8 @@
         return Combinators.combine(revs(), changes()).as(Version::new);
     }
 
-    private static <T> void assertRoundTrip(T value, byte[] text, Function<byte[], RolloutText.ParseResult<T>> read) {
-        RolloutText.ParseResult<T> parsed = read.apply(text);
+    private static <T> void assertRoundTrip(T value, byte[] text, Function<byte[], RolloutText.ParseResult<T>> result) {
+        RolloutText.ParseResult<T> parsed = result.apply(text);
         assertEquals(List.of(), parsed.errors());
         assertEquals(value, parsed.value());
         assertTrue(new String(text, StandardCharsets.UTF_8).chars().noneMatch(c -> c < ' '), "expected a single line");
@@ -196,9 +196,9 @@
         assertRoundTrip(entry, RolloutText.write(entry), RolloutText::readLogRecord);
     }
 
-    private static void assertValueOrErrors(RolloutText.ParseResult<?> read) {
-        assertEquals(read.value() == null, !read.errors().isEmpty(), "expected either a value or errors");
-        read.errors().forEach(error -> {
+    private static void assertValueOrErrors(RolloutText.ParseResult<?> result) {
+        assertEquals(result.value() == null, !result.errors().isEmpty(), "expected either a value or errors");
+        result.errors().forEach(error -> {
             assertTrue(
                     !error.path().isEmpty() || error.reason().startsWith("is not a path"), () -> "no path: " + error);
             assertTrue(!error.reason().isEmpty(), () -> "no reason: " + error);
@@ -249,10 +249,10 @@
 
     @Test
     void allErrorsOfAChangeAreReportedWithPaths() {
-        RolloutText.ParseResult<Change> read = RolloutText.readChange(("{\"id\":\"xyz\",\"base\":-1,\"more\":1,"
+        RolloutText.ParseResult<Change> result = RolloutText.readChange(("{\"id\":\"xyz\",\"base\":-1,\"more\":1,"
                         + "\"set\":{\"realms/a\":null,\"/b\":1},\"drop\":[\"realms/c\",\"realms/c\",7,\"a/b/c\"]}")
                 .getBytes(StandardCharsets.UTF_8));
-        assertNull(read.value());
+        assertNull(result.value());
         assertEquals(
                 List.of(
                         "more is unknown; known fields are id, base, set, drop",
@@ -263,7 +263,7 @@
                         "drop contains a duplicate: realms/c",
                         "drop contains a value that is not a string: 7",
                         "a/b/c is not a path of a section, a slash and a name with at most 128 characters"),
-                read.errors().stream().map(ValidationError::toString).toList());
+                result.errors().stream().map(ValidationError::toString).toList());
     }
 
     @Test
