--- a/src/main/java/kitemux/keeper/ConfigRules.java
+++ b/src/main/java/kitemux/keeper/ConfigRules.java
@@ -156,7 +156,7 @@
 
     private static void discovery(String path, Json json, List<ValidationError> faults) {
         try {
-            Addresses.read(path, json.text());
+            Addresses.parse(path, json.text());
         } catch (ConfigException e) {
             faults.add(new ValidationError(path, "is not address:port: " + json.text()));
         }
--- a/src/main/java/kitemux/keeper/Keeper.java
+++ b/src/main/java/kitemux/keeper/Keeper.java
@@ -16,7 +16,7 @@
 import java.util.function.Supplier;
 import kitemux.disk.Disk;
 import kitemux.engine.Log;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.net.Network;
 import kitemux.rollout.Change;
 import kitemux.rollout.Effect;
@@ -45,7 +45,7 @@
     private final KeeperSettings settings;
     private final ProtocolParameters terms;
     private final EventLoop loop;
-    private final Time time;
+    private final Clock time;
     private final Log log;
     private final Consumer<Exception> failed;
     private final Voter me;
@@ -64,13 +64,13 @@
     private long lastCall;
     private long faultyCalls;
     private long diskBehind;
-    private Time.Timer timer;
-    private Time.Timer sweeper;
+    private Clock.Timer timer;
+    private Clock.Timer sweeper;
     private boolean stopped;
     private String stood = "";
 
     /** What a keeper stands on: one event loop, its channels, its time, and lines for operators. */
-    public record Parts(EventLoop loop, Network network, Time time, Log log) {}
+    public record Parts(EventLoop loop, Network network, Clock time, Log log) {}
 
     private Keeper(
             KeeperSettings settings,
@@ -116,7 +116,7 @@
             LongSupplier random,
             Consumer<Exception> failed)
             throws IOException {
-        KeeperFolder folder = KeeperFolder.open(disk, settings.number(), random, on.log()::line);
+        KeeperFolder folder = KeeperFolder.open(disk, settings.number(), random, on.log()::info);
         return new Keeper(settings, terms, rules, on, folder, random.getAsLong(), failed);
     }
 
@@ -127,7 +127,7 @@
      * @throws IOException if it cannot be read or written, or is another keeper's
      */
     public static String make(Disk disk, int number, LongSupplier random, Log log) throws IOException {
-        KeeperFolder folder = KeeperFolder.open(disk, number, random, log::line);
+        KeeperFolder folder = KeeperFolder.open(disk, number, random, log::info);
         folder.close();
         return new Voter(number, folder.identity()).toString();
     }
@@ -249,12 +249,12 @@
             RolloutText.ParseResult<Response> answer = RolloutText.readResponse(body);
             if (answer.value() instanceof Response.Versions known
                     && known.versions().size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
-                log.line("keeper " + to + ": its answer has " + known.versions().size() + " versions; "
+                log.info("keeper " + to + ": its answer has " + known.versions().size() + " versions; "
                         + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT + " are allowed");
             } else if (answer.errors().isEmpty()) {
                 answered(to, answer.value());
             } else {
-                log.line("keeper " + to + ": its answer cannot be read: "
+                log.info("keeper " + to + ": its answer cannot be read: "
                         + answer.errors().get(0));
             }
         });
@@ -296,7 +296,7 @@
     private void sweep() {
         if (!stopped) {
             watches.endSilent(time.nowUs() - terms.reportTimeoutUs());
-            sweeper = time.after(terms.reportTimeoutUs() / SWEEPS, this::sweep);
+            sweeper = time.schedule(terms.reportTimeoutUs() / SWEEPS, this::sweep);
         }
     }
 
@@ -305,7 +305,7 @@
             timer.cancel();
         }
         if (!stopped) {
-            timer = time.after(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
+            timer = time.schedule(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
         }
     }
 
@@ -316,7 +316,7 @@
                 : machine.lacksQuorum() ? "hears no majority of the voters: no change can be made here" : "serves";
         if (!stands.equals(stood)) {
             stood = stands;
-            log.line("keeper " + me + " " + stands + "; version "
+            log.info("keeper " + me + " " + stands + "; version "
                     + machine.history().rev());
         }
     }
--- a/src/main/java/kitemux/keeper/KeeperFile.java
+++ b/src/main/java/kitemux/keeper/KeeperFile.java
@@ -78,7 +78,7 @@
 
     private static InetSocketAddress address(String field, String text, List<String> faults) {
         try {
-            return Addresses.read(field + ":", text);
+            return Addresses.parse(field + ":", text);
         } catch (ConfigException e) {
             faults.add(e.getMessage());
             return null;
--- a/src/main/java/kitemux/keeper/KeeperFolder.java
+++ b/src/main/java/kitemux/keeper/KeeperFolder.java
@@ -38,7 +38,7 @@
     private final int keeper;
     private final String identity;
     private final List<LogRecord> found;
-    private Disk.Out out;
+    private Disk.OutputFile out;
     private long length;
 
     private KeeperFolder(Disk disk, int keeper, String identity, List<LogRecord> found) {
@@ -139,7 +139,7 @@
         if (disk.list().contains(NEW)) {
             disk.delete(NEW);
         }
-        Disk.Out before = out;
+        Disk.OutputFile before = out;
         out = disk.create(NEW);
         byte[] head = line(("{\"form\":\"" + FORM + "\",\"version\":" + VERSION + ",\"keeper\":" + keeper
                         + ",\"identity\":\"" + identity + "\"}")
@@ -149,7 +149,7 @@
         write(records);
         sync();
         disk.rename(NEW, FILE);
-        disk.syncFolder();
+        disk.syncDirectory();
         if (before != null) {
             before.close();
         }
--- a/src/main/java/kitemux/keeper/RolloutWatch.java
+++ b/src/main/java/kitemux/keeper/RolloutWatch.java
@@ -31,10 +31,10 @@
 import java.util.SortedMap;
 import java.util.concurrent.TimeUnit;
 import kitemux.engine.Log;
-import kitemux.engine.Time;
-import kitemux.net.ListLines;
+import kitemux.engine.Clock;
+import kitemux.net.JsonFrameReader;
 import kitemux.net.Network;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.rollout.Effect;
 import kitemux.rollout.Report;
 import kitemux.rollout.RolloutText;
@@ -52,20 +52,20 @@
     private static final long REPORT_MS = 2_000;
 
     private final EventLoop loop;
-    private final Time time;
+    private final Clock time;
     private final List<InetSocketAddress> keepers;
     private final Subscriber machine;
     private final String who;
     private final InForce inForce;
     private final Log log;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final Bootstrap dialer;
     /** Dials and watches that the machine knows, by its numbers. */
     private final Map<Long, Watch> watches = new HashMap<>();
 
     private final Set<Channel> reports = new HashSet<>();
     private long reportsNotSent;
-    private Time.Timer timer;
+    private Clock.Timer timer;
     private boolean closed;
     private Subscriber.State stood;
 
@@ -86,12 +86,12 @@
     public RolloutWatch(
             EventLoop loop,
             Network network,
-            Time time,
+            Clock time,
             List<InetSocketAddress> keepers,
             Subscriber machine,
             int node,
             long life,
-            Sockets sockets,
+            SocketBudget sockets,
             InForce inForce,
             Log log) {
         this.loop = loop;
@@ -104,7 +104,7 @@
         this.log = log;
         dialer = new Bootstrap()
                 .group(loop)
-                .channelFactory(network::dialer)
+                .channelFactory(network::newOutboundChannel)
                 .disableResolver()
                 .option(ChannelOption.ALLOCATOR, network.allocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) REPORT_MS)
@@ -169,7 +169,7 @@
         }
         if (machine.state() != stood) {
             stood = machine.state();
-            log.line("rollout: "
+            log.info("rollout: "
                     + switch (stood) {
                         case CONNECTING -> "no keeper is watched; version " + machine.rev() + " stays in force";
                         case CATCHING_UP -> "catching up from version " + machine.rev();
@@ -181,7 +181,7 @@
         if (timer != null) {
             timer.cancel();
         }
-        timer = time.after(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
+        timer = time.schedule(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
     }
 
     private void put(Effect.Apply put) {
@@ -209,8 +209,8 @@
     }
 
     private Channel counted(Channel channel) {
-        sockets.opened();
-        channel.closeFuture().addListener(done -> sockets.closed());
+        sockets.serverConnectionOpened();
+        channel.closeFuture().addListener(done -> sockets.serverConnectionClosed());
         return channel;
     }
 
@@ -264,7 +264,7 @@
 
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final long number;
-        private final ListLines lines = new ListLines();
+        private final JsonFrameReader lines = new JsonFrameReader();
         private Channel channel;
 
         Watch(long number) {
@@ -305,13 +305,13 @@
 
         private void read(ByteBuf bytes) {
             while (isWanted()) {
-                switch (lines.next(bytes)) {
-                    case NOTHING -> {
+                switch (lines.nextFrame(bytes)) {
+                    case INCOMPLETE -> {
                         return;
                     }
-                    case BEAT -> carry(machine.handleEvent(time.nowUs(), number, new WatchEvent.Heartbeat()));
-                    case LIST -> line(lines.list());
-                    case SPOILT -> bad(lines.spoilt());
+                    case HEARTBEAT -> carry(machine.handleEvent(time.nowUs(), number, new WatchEvent.Heartbeat()));
+                    case OBJECT -> line(lines.takeObject());
+                    case MALFORMED -> bad(lines.malformedText());
                 }
             }
         }
@@ -326,7 +326,7 @@
         }
 
         private void bad(String what) {
-            log.line("rollout: bad line: " + what);
+            log.info("rollout: bad line: " + what);
             carry(machine.handleMalformedEvent(time.nowUs(), number));
         }
 
--- a/src/main/java/kitemux/node/LiveSettings.java
+++ b/src/main/java/kitemux/node/LiveSettings.java
@@ -83,15 +83,15 @@
                 .filter(one -> one.name().equals(name))
                 .findFirst()
                 .orElseThrow();
-        return of.aimStretch() == value.path("aimStretch").decimal(0)
-                && of.repeat().name().equalsIgnoreCase(value.path("repeat").text())
-                && of.group()
+        return of.targetLatencyPerWork() == value.path("aimStretch").decimal(0)
+                && of.retrySafety().name().equalsIgnoreCase(value.path("repeat").text())
+                && of.dedupScope()
                         .name()
                         .equalsIgnoreCase(
                                 value.path("group").isMissing()
                                         ? "all"
                                         : value.path("group").text())
-                && of.windowUs() == value.path("windowUs").whole(0)
+                && of.dedupWindowUs() == value.path("windowUs").whole(0)
                 && of.stream() == value.path("stream").flag();
     }
 
@@ -117,13 +117,13 @@
                             : new RequestClass(
                                     of.name(),
                                     value.path("onTimeUs").whole(0),
-                                    of.aimStretch(),
+                                    of.targetLatencyPerWork(),
                                     value.path("giveUpUs").whole(0),
                                     value.path("importance").decimal(1),
                                     value.path("lateWorth").decimal(0),
-                                    of.repeat(),
-                                    of.group(),
-                                    of.windowUs(),
+                                    of.retrySafety(),
+                                    of.dedupScope(),
+                                    of.dedupWindowUs(),
                                     of.stream()));
         }
         List<Tenant> nextTenants = new ArrayList<>();
--- a/src/main/java/kitemux/node/RolloutLink.java
+++ b/src/main/java/kitemux/node/RolloutLink.java
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 import kitemux.config.ConfigException;
 import kitemux.engine.Log;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.keeper.RolloutWatch;
 import kitemux.net.Addresses;
 import kitemux.net.NioNetwork;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Subscriber;
 
@@ -30,18 +30,18 @@
             List<InetSocketAddress> keepers,
             NodeConfig config,
             EventLoop loop,
-            Time time,
-            Sockets sockets,
+            Clock time,
+            SocketBudget sockets,
             Consumer<InetSocketAddress> discovery,
             Log log) {
         LiveSettings live = new LiveSettings(config.settings(), at -> {
             try {
-                discovery.accept(Addresses.read("discovery", at));
+                discovery.accept(Addresses.parse("discovery", at));
             } catch (ConfigException e) {
                 throw new IllegalStateException(e);
             }
         });
-        int node = config.settings().me;
+        int node = config.settings().nodeIndex;
         long life = time.nowUs() / 1_000;
         Subscriber subscriber = new Subscriber(
                 ProtocolParameters.defaults(),
@@ -64,7 +64,7 @@
                         sockets,
                         (rev, values) -> {
                             live.put(values);
-                            log.line("rollout: version " + rev + " is taken in");
+                            log.info("rollout: version " + rev + " is taken in");
                         },
                         log)
                 .begin();
--- a/src/test/java/kitemux/keeper/KeeperFolderTest.java
+++ b/src/test/java/kitemux/keeper/KeeperFolderTest.java
@@ -161,7 +161,7 @@
         int operations = 0;
         for (int failAfter = 0; ; failAfter++) {
             MemoryDisk disk = new MemoryDisk();
-            disk.failAfter = failAfter;
+            disk.operationsUntilFailure = failAfter;
             int synced = 0;
             String identity = null;
             boolean done = false;
--- a/src/test/java/kitemux/keeper/KeeperTest.java
+++ b/src/test/java/kitemux/keeper/KeeperTest.java
@@ -348,7 +348,7 @@
     void aLongFileOfRecordsIsWrittenAnew() throws Exception {
         try (Keepers keepers = new Keepers(root, 1, 1, 1, ProtocolParameters.defaults())) {
             Change large = Change.of(id(9), 0, Map.of("realms/a", "\"" + "x".repeat(4_000) + "\""), List.of());
-            try (FolderDisk disk = FolderDisk.toWrite(keepers.folder(0))) {
+            try (FolderDisk disk = FolderDisk.openForWriting(keepers.folder(0))) {
                 KeeperFolder folder = KeeperFolder.open(disk, 0, () -> 1, line -> {});
                 while (!folder.isLong()) {
                     folder.write(List.of(new LogRecord.Voted(new Vote(1, new Ballot(1, 0), new Ballot(1, 0), large))));
@@ -393,7 +393,7 @@
             values.put(String.format("realms/tenant-%04d", i), "{\"quotaPerS\":" + i + "}");
         }
         try (Keepers keepers = new Keepers(root, 1, 1, 1, ProtocolParameters.defaults())) {
-            try (FolderDisk disk = FolderDisk.toWrite(keepers.folder(0))) {
+            try (FolderDisk disk = FolderDisk.openForWriting(keepers.folder(0))) {
                 KeeperFolder folder = KeeperFolder.open(disk, 0, () -> 1, line -> {});
                 folder.write(List.of(new LogRecord.Snapshot(2_000, values)));
                 folder.sync();
--- a/src/test/java/kitemux/keeper/RecordWriterTest.java
+++ b/src/test/java/kitemux/keeper/RecordWriterTest.java
@@ -62,7 +62,7 @@
     @Test
     void aWriteThatFailsIsTheEndAndNothingFollows() throws Exception {
         KeeperFolder folder = folder(disk);
-        disk.failAfter = 1;
+        disk.operationsUntilFailure = 1;
         RecordWriter writer = new RecordWriter(folder, loop::add, failed::add);
         writer.write(kept(1), () -> {});
         assertEquals("the power is off", failed.poll(30, TimeUnit.SECONDS).getMessage());
--- a/src/test/java/kitemux/keeper/RolloutWatchTest.java
+++ b/src/test/java/kitemux/keeper/RolloutWatchTest.java
@@ -17,11 +17,11 @@
 import java.util.TreeMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import kitemux.net.LoopTime;
+import kitemux.net.EventLoopClock;
 import kitemux.net.NioNetwork;
 import kitemux.net.PollingLoop;
 import kitemux.net.SelectorLoop;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Subscriber;
 import org.junit.jupiter.api.AfterEach;
@@ -42,7 +42,7 @@
     private final LinkedBlockingQueue<Asked> asked = new LinkedBlockingQueue<>();
 
     private volatile SortedMap<String, String> values = new TreeMap<>();
-    private final Sockets sockets = new Sockets(1_024);
+    private final SocketBudget sockets = new SocketBudget(1_024);
     private ServerSocket listening;
     private RolloutWatch watch;
 
@@ -70,7 +70,7 @@
         Thread accepts = new Thread(this::accept, "keeper");
         accepts.setDaemon(true);
         accepts.start();
-        LoopTime time = LoopTime.of(loop);
+        EventLoopClock time = EventLoopClock.of(loop);
         watch = new RolloutWatch(
                 loop,
                 NioNetwork.SYSTEM,
--- a/src/test/java/kitemux/lab/LatePlayerTest.java
+++ b/src/test/java/kitemux/lab/LatePlayerTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
+import kitemux.fleet.RunResult;
 import kitemux.plan.FleetFile;
 import org.junit.jupiter.api.Test;
 
@@ -46,9 +46,9 @@
             }
             return true;
         });
-        Result result = played.result();
+        RunResult result = played.result();
         assertEquals(2, stalls[0]);
-        assertEquals(List.of(), result.told());
+        assertEquals(List.of(), result.violations());
         assertTrue(played.mostLateUs() > STALL_NANOS / 2_000, "late by " + played.mostLateUs() + " us");
     }
 
@@ -67,8 +67,8 @@
                                 by -> told.add(new long[] {time[0].scheduler().nowUs(), by}));
                         time[0].begin();
                         time[0].happens(() -> {
-                            time[0].scheduler().afterUs(0, LatePlayerTest::stall);
-                            time[0].scheduler().afterUs(1_000, () -> {});
+                            time[0].scheduler().scheduleAfterUs(0, LatePlayerTest::stall);
+                            time[0].scheduler().scheduleAfterUs(1_000, () -> {});
                             dueUs[0] = time[0].scheduler().nowUs() + 1_000;
                         });
                         time[0].happens(() -> {});
--- a/src/test/java/kitemux/node/LiveSettingsTest.java
+++ b/src/test/java/kitemux/node/LiveSettingsTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
@@ -16,9 +16,9 @@
 
 class LiveSettingsTest {
     private static final RequestClass PAGE =
-            new RequestClass("page", 100, 0, 500, 1, 0, Repeat.SAFE, Group.ALL, 0, false);
+            new RequestClass("page", 100, 0, 500, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 0, false);
     private static final RequestClass ORDER =
-            new RequestClass("order", 100, 0, 500, 4, 0.5, Repeat.UNSAFE, Group.CELL, 7, true);
+            new RequestClass("order", 100, 0, 500, 4, 0.5, RetrySafety.UNSAFE, DedupScope.CELL, 7, true);
     private static final String FAST =
             "{\"onTimeUs\":50,\"giveUpUs\":300,\"importance\":2," + "\"lateWorth\":0.25,\"repeat\":\"safe\"}";
 
@@ -50,7 +50,7 @@
                 FAST));
         assertEquals(List.of(new Tenant("a", 1), new Tenant("b", 9.5)), settings.tenants);
         assertEquals(
-                List.of(new RequestClass("page", 50, 0, 300, 2, 0.25, Repeat.SAFE, Group.ALL, 0, false), ORDER),
+                List.of(new RequestClass("page", 50, 0, 300, 2, 0.25, RetrySafety.SAFE, DedupScope.ALL, 0, false), ORDER),
                 settings.classes);
         assertSame(ORDER, settings.classes.get(1));
         assertEquals(0.75, settings.overShareWorth);
--- a/src/test/java/kitemux/rollout/RandomScenario.java
+++ b/src/test/java/kitemux/rollout/RandomScenario.java
@@ -62,7 +62,7 @@
     }
 
     private void scheduleContendingChanges() {
-        fleet.scheduler.afterUs(random.nextLong(20_000, 400_000), () -> {
+        fleet.scheduler.scheduleAfterUs(random.nextLong(20_000, 400_000), () -> {
             if (isContended) {
                 submit(drawChange(3));
                 submit(drawChange(6));
@@ -72,7 +72,7 @@
     }
 
     private void scheduleKeeperFailure() {
-        fleet.scheduler.afterUs(random.nextLong(200_000, 3_000_000), () -> {
+        fleet.scheduler.scheduleAfterUs(random.nextLong(200_000, 3_000_000), () -> {
             if (isContended) {
                 SimulatedFleet.KeeperHost keeper = fleet.keepers.get(random.nextInt(SimulatedFleet.KEEPER_COUNT));
                 long learners = fleet.keepers.stream()
@@ -123,11 +123,11 @@
     }
 
     private void scheduleOperators() {
-        fleet.scheduler.afterUs(random.nextLong(200_000, 6_000_000), () -> {
+        fleet.scheduler.scheduleAfterUs(random.nextLong(200_000, 6_000_000), () -> {
             requestChanges();
             scheduleOperators();
         });
-        fleet.scheduler.afterUs(
+        fleet.scheduler.scheduleAfterUs(
                 random.nextLong(500_000, 3_000_000),
                 () -> fleet.queryStatus(fleet.keepers.get(random.nextInt(SimulatedFleet.KEEPER_COUNT))));
     }
@@ -143,11 +143,11 @@
         if (variant <= 3) {
             // Two operators submit changes at two keepers at the same time; some of them change the same
             // path.
-            fleet.scheduler.afterUs(random.nextLong(1, 200_000), () -> submit(drawChange(random.nextInt(8))));
+            fleet.scheduler.scheduleAfterUs(random.nextLong(1, 200_000), () -> submit(drawChange(random.nextInt(8))));
         }
         if (variant == 4) {
             // The same change is submitted twice.
-            fleet.scheduler.afterUs(random.nextLong(1, 500_000), () -> submit(change));
+            fleet.scheduler.scheduleAfterUs(random.nextLong(1, 500_000), () -> submit(change));
         }
     }
 
@@ -203,7 +203,7 @@
     }
 
     private void schedule(long minDelayUs, long maxDelayUs, Runnable action) {
-        fleet.scheduler.afterUs(random.nextLong(minDelayUs, maxDelayUs), action);
+        fleet.scheduler.scheduleAfterUs(random.nextLong(minDelayUs, maxDelayUs), action);
     }
 
     private void partitionRegion(int region, long durationUs) {
@@ -213,7 +213,7 @@
             }
         }
         fleet.updateReachability();
-        fleet.scheduler.afterUs(durationUs, () -> {
+        fleet.scheduler.scheduleAfterUs(durationUs, () -> {
             for (int other = 0; other < 3; other++) {
                 if (other != region) {
                     fleet.setPartitioned(region, other, false);
--- a/src/test/java/kitemux/rollout/SimulatedFleet.java
+++ b/src/test/java/kitemux/rollout/SimulatedFleet.java
@@ -123,15 +123,15 @@
     }
 
     private void scheduleTimePassed() {
-        scheduler.afterUs(100_000, () -> {
+        scheduler.scheduleAfterUs(100_000, () -> {
             observe(new InvariantChecker.TimePassed(nowUs()));
             scheduleTimePassed();
         });
     }
 
     void runForUs(long durationUs) {
-        long untilNanos = scheduler.now() + durationUs * 1_000;
-        while (scheduler.step(untilNanos) && checker.violations().isEmpty()) {
+        long untilNanos = scheduler.nowNanos() + durationUs * 1_000;
+        while (scheduler.runNext(untilNanos) && checker.violations().isEmpty()) {
             // Each step handles one event.
         }
     }
@@ -226,7 +226,7 @@
             long at = isUp() ? nextAtUs() : Long.MAX_VALUE;
             timer = at == Long.MAX_VALUE
                     ? null
-                    : scheduler.at(Math.max(at, nowUs()) * 1_000, inCurrentProcess(this::tick));
+                    : scheduler.scheduleAt(Math.max(at, nowUs()) * 1_000, inCurrentProcess(this::tick));
         }
 
         void pause() {
@@ -363,7 +363,7 @@
             replyCallbacks.clear();
             List.copyOf(connections.values()).forEach(connection -> {
                 if (!isPartitionedBetween(region, regionOfNode[connection.node.number])) {
-                    scheduler.afterUs(
+                    scheduler.scheduleAfterUs(
                             drawDelayUs(region, regionOfNode[connection.node.number]),
                             () -> connection.node.scheduleWatchEnded(connection));
                 }
@@ -409,7 +409,7 @@
                     + (random.nextInt(20) == 0 ? random.nextLong(100_000, 500_000) : random.nextLong(500, 20_000));
             long writerProcessId = processId;
             boolean waits = defect.waitsForSync();
-            scheduler.at(diskIdleAtUs * 1_000, () -> {
+            scheduler.scheduleAt(diskIdleAtUs * 1_000, () -> {
                 if (processId == writerProcessId && isUp()) {
                     // The disk continues while the process is paused.
                     onSynced(unsyncedRecords.poll());
@@ -477,7 +477,7 @@
             if (isLost(from)) {
                 return;
             }
-            scheduler.afterUs(
+            scheduler.scheduleAfterUs(
                     from == this ? 0 : drawDelayUs(region, from.region),
                     () -> inCurrentProcess(() -> {
                                 Request read = RolloutText.readRequest(bytes).value();
@@ -501,7 +501,7 @@
                 return;
             }
             byte[] bytes = RolloutText.write(defect.response(request, response));
-            scheduler.afterUs(requester == this ? 0 : drawDelayUs(region, requester.region), () -> {
+            scheduler.scheduleAfterUs(requester == this ? 0 : drawDelayUs(region, requester.region), () -> {
                 if (requester.processId == requesterProcessId && requester.isUp()) {
                     requester
                             .inCurrentProcess(() -> {
@@ -548,7 +548,7 @@
                 connection.isBroken = true;
             }
             connection.lastArrivalUs = Math.max(connection.lastArrivalUs, nowUs() + drawDelayUs(region, nodeRegion));
-            scheduler.at(connection.lastArrivalUs * 1_000, () -> {
+            scheduler.scheduleAt(connection.lastArrivalUs * 1_000, () -> {
                 connection.isBroken |= isPartitionedBetween(region, nodeRegion);
                 if (!connection.isBroken && connection.node.processId == connection.nodeProcessId) {
                     connection.node.inCurrentProcess(action).run();
@@ -577,7 +577,7 @@
         }
 
         private void onNodeClosed(Connection connection) {
-            scheduler.afterUs(drawDelayUs(region, regionOfNode[connection.node.number]), () -> {
+            scheduler.scheduleAfterUs(drawDelayUs(region, regionOfNode[connection.node.number]), () -> {
                 if (connections.remove(connection.id) != null && isUp()) {
                     machine.watchEnded(connection.id);
                 }
@@ -675,7 +675,7 @@
             updateReachability();
             for (long at = 0; at < durationUs; at += 2_000_000) {
                 KeeperHost to = keepers.get(random.nextInt(KEEPER_COUNT));
-                scheduler.afterUs(at, () -> {
+                scheduler.scheduleAfterUs(at, () -> {
                     if (to.isHealthy() && !isPartitionedBetween(to.region, regionOfNode[number])) {
                         History history = to.machine.history();
                         if (history.rev() >= initialRev && checker.revOf(oldName) <= history.rev()) {
@@ -765,7 +765,7 @@
                                     .path())));
             if (!isPartitionedBetween(keeper.region, regionOfNode[number])) {
                 observe(new InvariantChecker.ReportSent(nowUs(), number));
-                scheduler.afterUs(
+                scheduler.scheduleAfterUs(
                         drawDelayUs(keeper.region, regionOfNode[number]), () -> keeper.receiveReport(bytes, sender));
             }
         }
@@ -779,7 +779,7 @@
                         new Report(number, incarnation, apply.rev(), new java.util.TreeSet<>(), List.of()));
             }
             Subscriber current = subscriber;
-            scheduler.at(busyUntilUs * 1_000, inCurrentProcess(() -> {
+            scheduler.scheduleAt(busyUntilUs * 1_000, inCurrentProcess(() -> {
                 if (subscriber == current) {
                     observe(new InvariantChecker.InForce(nowUs(), number, name(), apply.rev(), apply.values()));
                     execute(subscriber.applied(nowUs(), apply.rev(), apply.values()));
@@ -802,12 +802,12 @@
             if (isPartitionedBetween(keeper.region, here)) {
                 return;
             }
-            scheduler.afterUs(drawDelayUs(keeper.region, here), () -> {
+            scheduler.scheduleAfterUs(drawDelayUs(keeper.region, here), () -> {
                 if (isPartitionedBetween(keeper.region, here)) {
                     return;
                 }
                 if (!keeper.isUp()) {
-                    scheduler.afterUs(drawDelayUs(keeper.region, here), () -> scheduleWatchEnded(connection));
+                    scheduler.scheduleAfterUs(drawDelayUs(keeper.region, here), () -> scheduleWatchEnded(connection));
                     return;
                 }
                 keeper.inCurrentProcess(() -> {
