--- a/src/main/java/kitemux/bench/EmulatorBench.java
+++ b/src/main/java/kitemux/bench/EmulatorBench.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
+import kitemux.fleet.RunResult;
 import kitemux.sim.Scheduler;
 
 /** How many requests are emulated in a second at several sizes, and the event queue against a plain one. */
@@ -43,35 +43,35 @@
     }
 
     private void size(int boxes, int nodes) {
-        Fleet.Kind kind = like.kinds().get(0);
-        Fleet sized = like.withKinds(List.of(new Fleet.Kind(
+        Fleet.ServerKind kind = like.kinds().get(0);
+        Fleet sized = like.withKinds(List.of(new Fleet.ServerKind(
                         kind.name(),
                         boxes,
                         kind.cores(),
                         kind.speed(),
                         kind.speedCv(),
-                        kind.room(),
-                        kind.coldFrom(),
-                        kind.coldUs(),
+                        kind.queueCapacity(),
+                        kind.initialCapacityRatio(),
+                        kind.warmUpUs(),
                         kind.warmsByWork(),
                         kind.cost())))
                 .with(new Fleet.Nodes(
                         nodes,
-                        like.nodes().eventUs(),
+                        like.nodes().eventCostUs(),
                         like.nodes().cores(),
-                        like.nodes().startUs(),
-                        like.nodes().noticeUs()))
-                .withoutShares();
+                        like.nodes().startupUs(),
+                        like.nodes().failureDetectionUs()))
+                .withoutTenants();
         double ratePerS = 0.6 * sized.capacity() * 1e6 / sized.meanWorkUs();
         long lengthUs = Math.max(2_000_000, (long) (WISHES / ratePerS * 1e6));
         Fleet played = sized.with(new Fleet.Load(ratePerS, lengthUs, List.of(), 0, 1));
         // The first run is mostly the JVM's compiling; a plan plays the same fleet hundreds of times.
         double[] perS = new double[ROUNDS + 1];
-        Result result = null;
+        RunResult result = null;
         for (int round = 0; round <= ROUNDS; round++) {
             long began = System.nanoTime();
-            result = Emulation.play(played, 1);
-            perS[round] = result.wishes() / ((System.nanoTime() - began) / 1e9);
+            result = Emulation.run(played, 1);
+            perS[round] = result.requests() / ((System.nanoTime() - began) / 1e9);
         }
         double first = perS[0];
         double[] warm = Arrays.copyOfRange(perS, 1, perS.length);
@@ -86,7 +86,7 @@
                 warm[ROUNDS / 2],
                 warm[0],
                 warm[ROUNDS - 1],
-                warm[ROUNDS / 2] * result.events() / result.wishes(),
+                warm[ROUNDS / 2] * result.events() / result.requests(),
                 runtime.totalMemory() - runtime.freeMemory() >> 20);
     }
 
--- a/src/main/java/kitemux/cli/DrillCommand.java
+++ b/src/main/java/kitemux/cli/DrillCommand.java
@@ -149,9 +149,9 @@
                 return unusable(faults);
             }
             out().println(file + ": " + scenario.fleet().nodes().count() + " nodes, "
-                    + scenario.fleet().boxes()
+                    + scenario.fleet().serverCount()
                     + " servers, " + scenario.faults().size() + " faults, "
-                    + scenario.fleet().load().lengthUs() / 1_000_000 + " s");
+                    + scenario.fleet().load().durationUs() / 1_000_000 + " s");
             return Main.DONE;
         });
     }
--- a/src/main/java/kitemux/cli/PlanAnswers.java
+++ b/src/main/java/kitemux/cli/PlanAnswers.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.Set;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
+import kitemux.fleet.RunResult;
 import kitemux.lab.Template;
 import kitemux.plan.Estimate;
 import kitemux.plan.Planner;
-import kitemux.plan.Queues;
+import kitemux.plan.QueueingFormulas;
 
 /**
  * What a planner has answered, as text or as JSON.
@@ -25,29 +25,31 @@
 record PlanAnswers(
         Fleet fleet,
         double goal,
-        Queues.Storm storm,
+        QueueingFormulas.RetryStorm storm,
         Planner.Verdict today,
-        Planner.Break broken,
-        List<Planner.Fewest> fewest,
-        List<Planner.Loss> losses) {
+        Planner.BreakingPoint broken,
+        List<Planner.MinimumServers> fewest,
+        List<Planner.FailureImpact> losses) {
 
     /** On paper so much of what clients gave up is worked off all the same: a cancel halts no work. */
     private static final double WASTED = 0.5;
 
     static PlanAnswers of(Fleet fleet, double goal, Planner planner, Set<String> questions) {
-        List<Planner.Loss> losses = new ArrayList<>();
+        List<Planner.FailureImpact> losses = new ArrayList<>();
         if (questions.contains("losses")) {
-            losses.addAll(planner.losses(fleet));
-            losses.add(planner.pulse(fleet));
+            losses.addAll(planner.failureImpacts(fleet));
+            losses.add(planner.overloadPulseImpact(fleet));
         }
         return new PlanAnswers(
                 fleet,
                 goal,
-                Queues.storm(
-                        fleet.offered() * fleet.load().most(), fleet.clients().retries(), WASTED),
-                planner.holds(fleet),
-                questions.contains("breaks") ? planner.breaksAt(fleet) : null,
-                questions.contains("boxes") ? planner.fewest(fleet) : List.of(),
+                QueueingFormulas.retryStorm(
+                        fleet.offeredLoad() * fleet.load().maxFactor(),
+                        fleet.clients().maxRetries(),
+                        WASTED),
+                planner.evaluate(fleet),
+                questions.contains("breaks") ? planner.findBreakingPoint(fleet) : null,
+                questions.contains("boxes") ? planner.findMinimumServers(fleet) : List.of(),
                 losses);
     }
 
@@ -57,50 +59,59 @@
         line(
                 out,
                 "%d servers on %d racks, %d nodes; %.0f first tries a second are %.2f of what all can do",
-                fleet.boxes(),
+                fleet.serverCount(),
                 fleet.racks(),
                 fleet.nodes().count(),
                 fleet.load().ratePerS(),
-                fleet.offered());
-        if (storm.feedsItself()) {
-            line(out, "on paper a storm of repeats feeds itself: %.2f tries for each first one", storm.stormy());
+                fleet.offeredLoad());
+        if (storm.isSelfSustaining()) {
+            line(
+                    out,
+                    "on paper a storm of repeats feeds itself: %.2f tries for each first one",
+                    storm.stormTriesRatio());
         }
         line(
                 out,
                 "goal %.3f: %s%s; in time %s, in the worst 10 s %s",
                 goal,
-                today.holds() ? "holds" : "does not hold",
-                today.surely() ? "" : " (a close call)",
-                today.inTime(),
-                today.worstWindow());
-        if (today.breaks() > 0) {
-            line(out, "RULES BROKEN %d times, first: %s", today.breaks(), firstBreak());
+                today.meetsGoal() ? "holds" : "does not hold",
+                today.isConclusive() ? "" : " (a close call)",
+                today.inTimeRatio(),
+                today.worstWindowRatio());
+        if (today.violationCount() > 0) {
+            line(out, "RULES BROKEN %d times, first: %s", today.violationCount(), firstBreak());
         }
-        Result one = today.runs().get(0);
+        RunResult one = today.runs().get(0);
         one.kinds()
                 .forEach(kind -> line(
                         out,
                         "  %s: busy %.2f, the busiest %.2f, at most %d connections, %d slow",
                         kind.name(),
-                        kind.busy(),
-                        kind.busiest(),
-                        kind.mostConnections(),
-                        kind.choked()));
+                        kind.utilisation(),
+                        kind.maxUtilisation(),
+                        kind.maxConnections(),
+                        kind.overloadedServers()));
         line(
                 out,
                 "  nodes: busy %.2f, at most %.1f ms behind; %.2f tries a request; p50 %.1f, p99 %.1f ms",
-                one.nodeBusy(),
-                one.nodeMostLateUs() / 1e3,
-                one.triesPerWish(),
+                one.nodeUtilisation(),
+                one.nodeMaxLagUs() / 1e3,
+                one.triesPerRequest(),
                 one.p50Us() / 1e3,
                 one.p99Us() / 1e3);
         if (broken != null) {
-            line(out, "breaks between %.2f and %.2f of this load, by:", broken.holdsAt(), broken.breaksAt());
-            broken.by().forEach(cause -> line(out, "  %s: %.1f of what is missing", cause.what(), cause.gains()));
+            line(
+                    out,
+                    "breaks between %.2f and %.2f of this load, by:",
+                    broken.highestPassingLoad(),
+                    broken.lowestFailingLoad());
+            broken.causes()
+                    .forEach(cause ->
+                            line(out, "  %s: %.1f of what is missing", cause.description(), cause.recoveredRatio()));
         }
         fewest.forEach(few -> {
             if (few.count() < 0) {
-                line(out, "%s: no number of them holds the goal, %s", few.kind(), few.why());
+                line(out, "%s: no number of them holds the goal, %s", few.kind(), few.reason());
             } else {
                 line(out, "%s: %d hold the goal, cost %.1f", few.kind(), few.count(), few.cost());
             }
@@ -108,28 +119,30 @@
         losses.forEach(loss -> line(
                 out,
                 "%s: in time %s, in the worst 10 s %.3f, the worst tenant %.3f, %s%s",
-                loss.what(),
-                loss.inTime(),
-                loss.worstWindow().mean(),
-                loss.worstTenant().mean(),
+                loss.description(),
+                loss.inTimeRatio(),
+                loss.worstWindowRatio().mean(),
+                loss.worstTenantRatio().mean(),
                 back(loss),
-                loss.breaks() == 0 ? "" : ", RULES BROKEN " + loss.breaks() + " times"));
+                loss.violationCount() == 0 ? "" : ", RULES BROKEN " + loss.violationCount() + " times"));
     }
 
     private String firstBreak() {
         return today.runs().stream()
-                .filter(run -> !run.told().isEmpty())
+                .filter(run -> !run.violations().isEmpty())
                 .findFirst()
-                .map(run -> run.told().get(0))
+                .map(run -> run.violations().get(0))
                 .orElse("");
     }
 
-    private static String back(Planner.Loss loss) {
-        if (loss.never() == 1) {
+    private static String back(Planner.FailureImpact loss) {
+        if (loss.unrecoveredRatio() == 1) {
             return "does not come back";
         }
-        return String.format(Locale.ROOT, "back after %.1f s", loss.backAfterS())
-                + (loss.never() == 0 ? "" : String.format(Locale.ROOT, ", %.0f%% of runs never", 100 * loss.never()));
+        return String.format(Locale.ROOT, "back after %.1f s", loss.recoveryTimeS())
+                + (loss.unrecoveredRatio() == 0
+                        ? ""
+                        : String.format(Locale.ROOT, ", %.0f%% of runs never", 100 * loss.unrecoveredRatio()));
     }
 
     private static void line(PrintWriter out, String format, Object... of) {
@@ -147,9 +160,9 @@
             to.writeStartObject();
             to.writeNumberField("goal", goal);
             to.writeArrayFieldStart("lines");
-            seconds(to, "nothing wrong", Planner.bySecond(today.runs()));
-            for (Planner.Loss loss : losses) {
-                seconds(to, loss.what(), loss.bySecond());
+            seconds(to, "nothing wrong", Planner.meanInTimeBySecond(today.runs()));
+            for (Planner.FailureImpact loss : losses) {
+                seconds(to, loss.description(), loss.inTimeBySecond());
             }
             to.writeEndArray();
             to.writeEndObject();
@@ -184,52 +197,52 @@
         to.useDefaultPrettyPrinter();
         to.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
         to.writeStartObject();
-        to.writeNumberField("servers", fleet.boxes());
+        to.writeNumberField("servers", fleet.serverCount());
         to.writeNumberField("nodes", fleet.nodes().count());
-        number(to, "offered", fleet.offered());
+        number(to, "offered", fleet.offeredLoad());
         number(to, "goal", goal);
-        to.writeBooleanField("stormFeedsItself", storm.feedsItself());
+        to.writeBooleanField("stormFeedsItself", storm.isSelfSustaining());
         to.writeObjectFieldStart("today");
-        to.writeBooleanField("holds", today.holds());
-        to.writeBooleanField("surely", today.surely());
-        estimate(to, "inTime", today.inTime());
-        estimate(to, "worstWindow", today.worstWindow());
-        to.writeNumberField("rulesBroken", today.breaks());
+        to.writeBooleanField("holds", today.meetsGoal());
+        to.writeBooleanField("surely", today.isConclusive());
+        estimate(to, "inTime", today.inTimeRatio());
+        estimate(to, "worstWindow", today.worstWindowRatio());
+        to.writeNumberField("rulesBroken", today.violationCount());
         to.writeEndObject();
         if (broken != null) {
             to.writeObjectFieldStart("breaks");
-            number(to, "holdsAt", broken.holdsAt());
-            number(to, "breaksAt", broken.breaksAt());
+            number(to, "holdsAt", broken.highestPassingLoad());
+            number(to, "breaksAt", broken.lowestFailingLoad());
             to.writeArrayFieldStart("by");
-            for (Planner.Cause cause : broken.by()) {
+            for (Planner.Cause cause : broken.causes()) {
                 to.writeStartObject();
-                to.writeStringField("what", cause.what());
-                number(to, "gains", cause.gains());
+                to.writeStringField("what", cause.description());
+                number(to, "gains", cause.recoveredRatio());
                 to.writeEndObject();
             }
             to.writeEndArray();
             to.writeEndObject();
         }
         to.writeArrayFieldStart("fewest");
-        for (Planner.Fewest few : fewest) {
+        for (Planner.MinimumServers few : fewest) {
             to.writeStartObject();
             to.writeStringField("kind", few.kind());
             number(to, "count", few.count() < 0 ? Double.NaN : few.count());
             number(to, "cost", few.cost());
-            to.writeStringField("why", few.why());
+            to.writeStringField("why", few.reason());
             to.writeEndObject();
         }
         to.writeEndArray();
         to.writeArrayFieldStart("losses");
-        for (Planner.Loss loss : losses) {
+        for (Planner.FailureImpact loss : losses) {
             to.writeStartObject();
-            to.writeStringField("what", loss.what());
-            estimate(to, "inTime", loss.inTime());
-            estimate(to, "worstWindow", loss.worstWindow());
-            estimate(to, "worstTenant", loss.worstTenant());
-            number(to, "backAfterS", loss.backAfterS());
-            number(to, "never", loss.never());
-            to.writeNumberField("rulesBroken", loss.breaks());
+            to.writeStringField("what", loss.description());
+            estimate(to, "inTime", loss.inTimeRatio());
+            estimate(to, "worstWindow", loss.worstWindowRatio());
+            estimate(to, "worstTenant", loss.worstTenantRatio());
+            number(to, "backAfterS", loss.recoveryTimeS());
+            number(to, "never", loss.unrecoveredRatio());
+            to.writeNumberField("rulesBroken", loss.violationCount());
             to.writeEndObject();
         }
         to.writeEndArray();
@@ -243,7 +256,7 @@
         number(to, "mean", of.mean());
         number(to, "low", of.low());
         number(to, "high", of.high());
-        to.writeNumberField("seeds", of.seeds());
+        to.writeNumberField("seeds", of.sampleCount());
         to.writeEndObject();
     }
 
--- a/src/main/java/kitemux/cli/PlanCommand.java
+++ b/src/main/java/kitemux/cli/PlanCommand.java
@@ -16,10 +16,10 @@
 import kitemux.bench.EmulatorBench;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
+import kitemux.fleet.RunResult;
 import kitemux.hcl.Places;
+import kitemux.plan.CapturedWorkload;
 import kitemux.plan.FleetFile;
-import kitemux.plan.FromCapture;
 import kitemux.plan.Planner;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -111,12 +111,12 @@
             faults.add("--fleet: " + file + " cannot be read: " + e.getMessage());
         }
         if (faults.isEmpty() && !captured.isEmpty()) {
-            fleet = FromCapture.load(fleet, LoadCommand.summary(captured, 1, Map.of(), faults), faults);
+            fleet = CapturedWorkload.applyLoad(fleet, LoadCommand.summary(captured, 1, Map.of(), faults), faults);
             if (work) {
-                fleet = FromCapture.work(
+                fleet = CapturedWorkload.applyWork(
                         fleet, LoadCommand.speeds(captured, Map.of(), faults).work());
             }
-            faults.addAll(fleet.faultsFound());
+            faults.addAll(fleet.validate());
         }
         if (!faults.isEmpty()) {
             faults.forEach(fault -> err.println("kitemux: " + fault));
@@ -139,7 +139,7 @@
             } else {
                 answers.text(out);
             }
-            return answers.today().holds() ? Main.DONE : Main.FOUND;
+            return answers.today().meetsGoal() ? Main.DONE : Main.FOUND;
         } catch (IOException e) {
             err.println("kitemux: the answers cannot be written: " + e.getMessage());
             return Main.UNUSABLE;
@@ -149,12 +149,12 @@
         }
     }
 
-    private static List<Result> play(ExecutorService pool, Fleet fleet, List<Long> seeds) {
-        List<Future<Result>> runs = seeds.stream()
-                .map(seed -> pool.submit(() -> Emulation.play(fleet, seed)))
+    private static List<RunResult> play(ExecutorService pool, Fleet fleet, List<Long> seeds) {
+        List<Future<RunResult>> runs = seeds.stream()
+                .map(seed -> pool.submit(() -> Emulation.run(fleet, seed)))
                 .toList();
-        List<Result> results = new ArrayList<>();
-        for (Future<Result> run : runs) {
+        List<RunResult> results = new ArrayList<>();
+        for (Future<RunResult> run : runs) {
             try {
                 results.add(run.get());
             } catch (InterruptedException e) {
--- a/src/main/java/kitemux/cli/TryCommand.java
+++ b/src/main/java/kitemux/cli/TryCommand.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
+import kitemux.fleet.RunResult;
 import kitemux.lab.Deeds;
 import kitemux.lab.Loopback;
 import kitemux.plan.FleetFile;
@@ -129,7 +129,7 @@
             spec.commandLine().getErr().flush();
             return Main.UNUSABLE;
         }
-        Result result;
+        RunResult result;
         if (script == null && System.console() != null) {
             result = inTerminal();
         } else {
@@ -143,7 +143,7 @@
         }
         summary(result, out);
         out.flush();
-        return result.breaks() == 0 ? Main.DONE : Main.FOUND;
+        return result.violationCount() == 0 ? Main.DONE : Main.FOUND;
     }
 
     private static Fleet fleet(double seconds) throws IOException {
@@ -155,14 +155,14 @@
         }
         Fleet.Load load = read.load();
         return read.with(new Fleet.Load(
-                load.ratePerS(), (long) (seconds * 1e6), load.shape(), load.quotaPerS(), load.overShareWorth()));
+                load.ratePerS(), (long) (seconds * 1e6), load.profile(), load.quotaPerS(), load.overShareWorth()));
     }
 
     private interface Shown {
         void show(Emulation live, long nowUs);
     }
 
-    private Result play(Shown shown) throws IOException, InterruptedException {
+    private RunResult play(Shown shown) throws IOException, InterruptedException {
         return Loopback.play(fleet, 1, launcher, (live, nowUs) -> {
                     while (!deeds.isEmpty() && deeds.peek().atUs() <= nowUs) {
                         Deeds.Timed next = deeds.poll();
@@ -190,7 +190,7 @@
             if (key == 'q' || key == 3) {
                 return false;
             }
-            List<Emulation.BoxNow> boxes = live.boxesNow();
+            List<Emulation.BoxStatus> boxes = live.boxStatuses();
             if (key >= '1' && key < '1' + boxes.size()) {
                 chosen = key - '1';
             }
@@ -213,7 +213,7 @@
         return true;
     }
 
-    private Result inTerminal() throws IOException, InterruptedException {
+    private RunResult inTerminal() throws IOException, InterruptedException {
         try (Terminal terminal = TerminalBuilder.builder().system(true).build()) {
             Attributes before = terminal.enterRawMode();
             NonBlockingReader reader = terminal.reader();
@@ -256,9 +256,9 @@
         List<String> lines = new ArrayList<>();
         lines.add(line(live, nowUs));
         lines.add("");
-        List<Emulation.BoxNow> boxes = live.boxesNow();
+        List<Emulation.BoxStatus> boxes = live.boxStatuses();
         for (int i = 0; i < boxes.size(); i++) {
-            Emulation.BoxNow box = boxes.get(i);
+            Emulation.BoxStatus box = boxes.get(i);
             lines.add(String.format(
                     Locale.ROOT,
                     "%s%d %-8s %-9s %3d%% warm  %-" + BAR + "s %3d held, %3d connections," + " %d done",
@@ -266,11 +266,11 @@
                     i + 1,
                     box.id(),
                     box.state(),
-                    Math.round(100 * box.warmth()),
-                    "#".repeat(Math.min(BAR, box.held())),
-                    box.held(),
+                    Math.round(100 * box.warmUpRatio()),
+                    "#".repeat(Math.min(BAR, box.inFlight())),
+                    box.inFlight(),
                     box.connections(),
-                    box.done()));
+                    box.completed()));
         }
         lines.add("");
         lines.add("number: server; k kill s silence l slow f fail d drain b back; r restart node; t " + "flood; q end");
@@ -279,36 +279,39 @@
     }
 
     private String line(Emulation live, long nowUs) {
-        Result now = live.result();
-        long refused = now.classes().stream().mapToLong(Result.OfClass::refused).sum();
-        long failed = now.classes().stream().mapToLong(Result.OfClass::failed).sum();
-        List<Double> seconds = now.bySecond();
+        RunResult now = live.result();
+        long refused = now.classes().stream()
+                .mapToLong(RunResult.ClassOutcome::refused)
+                .sum();
+        long failed =
+                now.classes().stream().mapToLong(RunResult.ClassOutcome::failed).sum();
+        List<Double> seconds = now.inTimeBySecond();
         int second = (int) Math.min(seconds.size(), nowUs / 1_000_000) - 1;
         return String.format(
                 Locale.ROOT,
                 "%5.1f s  %d asked, %.3f in time, %.3f in the last second, %d refused, %d"
                         + " failed; node %s; servers %s; rules broken %d",
                 nowUs / 1e6,
-                now.wishes(),
-                now.inTime(),
+                now.requests(),
+                now.inTimeRatio(),
                 second < 0 ? 1 : seconds.get(second),
                 refused,
                 failed,
                 live.nodesUp().get(0) ? "up" : "down",
                 states(live),
-                now.breaks());
+                now.violationCount());
     }
 
     /** How many are in each state, the usual one last. */
     private static String states(Emulation live) {
         Map<String, Integer> counted = new TreeMap<>();
-        live.boxesNow().forEach(box -> counted.merge(box.state(), 1, Integer::sum));
+        live.boxStatuses().forEach(box -> counted.merge(box.state(), 1, Integer::sum));
         List<String> shown = new ArrayList<>();
         counted.forEach((state, count) -> shown.add(count + " " + state));
         return String.join(", ", shown);
     }
 
-    private void summary(Result result, PrintWriter out) {
+    private void summary(RunResult result, PrintWriter out) {
         out.println();
         done.forEach(deed -> out.println("  " + deed));
         result.classes()
@@ -321,18 +324,19 @@
                         of.late(),
                         of.refused(),
                         of.failed()));
-        for (int t = 0; t < result.byTenant().size(); t++) {
+        for (int t = 0; t < result.inTimeByTenant().size(); t++) {
             out.printf(
                     Locale.ROOT,
                     "%s: %.3f in time, of what is within its share%n",
                     fleet.tenants().get(t).name(),
-                    result.byTenant().get(t));
+                    result.inTimeByTenant().get(t));
         }
         for (String rule : RULES) {
-            long told =
-                    result.told().stream().filter(line -> line.contains(rule)).count();
+            long told = result.violations().stream()
+                    .filter(line -> line.contains(rule))
+                    .count();
             out.println(rule + ": " + (told == 0 ? "kept" : "BROKEN, " + told + " told of"));
         }
-        result.told().forEach(line -> out.println("  " + line));
+        result.violations().forEach(line -> out.println("  " + line));
     }
 }
--- a/src/main/java/kitemux/drill/Drill.java
+++ b/src/main/java/kitemux/drill/Drill.java
@@ -26,8 +26,8 @@
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerEntry;
 import kitemux.drill.Fault.Way;
+import kitemux.fleet.ClientTry;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Try;
 import kitemux.lab.Between;
 import kitemux.lab.Guard;
 import kitemux.lab.LongAnswer;
@@ -261,7 +261,7 @@
             live.dealt(node, true);
             return;
         }
-        live.time().afterUs(scenario.fleet().nodes().noticeUs(), () -> {
+        live.time().afterUs(scenario.fleet().nodes().failureDetectionUs(), () -> {
             if (!nodeUp.get(node)) {
                 live.dealt(node, false);
             }
@@ -296,28 +296,28 @@
         Fleet fleet = scenario.fleet();
         json.writeNumberField("seed", scenario.seed());
         json.writeNumberField("nodes", fleet.nodes().count());
-        json.writeNumberField("length", fleet.load().lengthUs());
-        json.writeNumberField("grace", fleet.list().graceUs());
+        json.writeNumberField("length", fleet.load().durationUs());
+        json.writeNumberField("grace", fleet.discoveryDelays().drainGraceUs());
         json.writeNumberField("repeatGrace", scenario.repeatUs());
         json.writeNumberField("meanWork", Math.round(fleet.meanWorkUs()));
-        json.writeNumberField("handshake", fleet.links().handshakeUs());
+        json.writeNumberField("handshake", fleet.links().handshakeWorkUs());
         json.writeArrayFieldStart("boxes");
-        for (Fleet.Kind kind : fleet.kinds()) {
+        for (Fleet.ServerKind kind : fleet.kinds()) {
             for (int i = 0; i < kind.count(); i++) {
                 json.writeStartObject();
                 json.writeStringField("id", kind.name() + "-" + i);
                 json.writeNumberField("rack", parties.rack(kind.name() + "-" + i));
                 json.writeNumberField("cores", kind.cores());
                 json.writeNumberField("speed", kind.speed());
-                json.writeNumberField("coldFrom", kind.coldFrom());
-                json.writeNumberField("cold", kind.coldUs());
+                json.writeNumberField("coldFrom", kind.initialCapacityRatio());
+                json.writeNumberField("cold", kind.warmUpUs());
                 json.writeEndObject();
             }
         }
         json.writeEndArray();
         json.writeArrayFieldStart("classes");
-        for (Fleet.Work work : fleet.classes()) {
-            RequestClass of = work.of();
+        for (Fleet.ClassWorkload work : fleet.classes()) {
+            RequestClass of = work.requestClass();
             json.writeStartObject();
             json.writeStringField("name", of.name());
             json.writeStringField("repeat", of.repeat().name());
@@ -422,10 +422,10 @@
         }
 
         @Override
-        public void asked(int node, Try one) {
+        public void asked(int node, ClientTry one) {
             timeline.event("ask", json -> {
                 json.writeStringField("txn", one.txn());
-                json.writeNumberField("wish", one.wish());
+                json.writeNumberField("wish", one.requestNumber());
                 json.writeNumberField("class", one.classIndex());
                 json.writeNumberField("node", node);
                 json.writeNumberField("left", one.leftUs());
@@ -433,7 +433,7 @@
         }
 
         @Override
-        public LongAnswer longAnswer(String box, Try one) {
+        public LongAnswer longAnswer(String box, ClientTry one) {
             Scenario.LongAnswers of = scenario.longAnswers();
             // By the try and the server, so that it does not hang on what came before.
             SplittableRandom draws =
@@ -446,7 +446,7 @@
         }
 
         @Override
-        public void gives(String box, Try one) {
+        public void gives(String box, ClientTry one) {
             timeline.event("gives", json -> {
                 json.writeStringField("box", box);
                 json.writeStringField("txn", one.txn());
@@ -454,7 +454,7 @@
         }
 
         @Override
-        public void gave(String box, Try one, LongAnswer.End how) {
+        public void gave(String box, ClientTry one, LongAnswer.End how) {
             timeline.event("gave", json -> {
                 json.writeStringField("box", box);
                 json.writeStringField("txn", one.txn());
@@ -463,26 +463,26 @@
         }
 
         @Override
-        public void begun(Try one) {
+        public void begun(ClientTry one) {
             of("begun", one);
         }
 
         @Override
-        public void cutOff(Try one) {
+        public void cutOff(ClientTry one) {
             of("cut-off", one);
         }
 
-        private void of(String kind, Try one) {
+        private void of(String kind, ClientTry one) {
             timeline.event(kind, json -> json.writeStringField("txn", one.txn()));
         }
 
         @Override
-        public void written(Try one, boolean usedBefore) {
+        public void written(ClientTry one, boolean usedBefore) {
             of("written", one);
         }
 
         @Override
-        public void broken(Try one, boolean usedBefore) {
+        public void broken(ClientTry one, boolean usedBefore) {
             timeline.event("broken", json -> {
                 json.writeStringField("txn", one.txn());
                 json.writeBooleanField("again", usedBefore);
@@ -490,7 +490,7 @@
         }
 
         @Override
-        public void answered(Try one, int status, long retryAfterUs) {
+        public void answered(ClientTry one, int status, long retryAfterUs) {
             timeline.event("answer", json -> {
                 json.writeStringField("txn", one.txn());
                 json.writeNumberField("status", status);
@@ -499,7 +499,7 @@
         }
 
         @Override
-        public void left(Try one) {
+        public void left(ClientTry one) {
             of("left", one);
         }
 
@@ -512,18 +512,18 @@
         }
 
         @Override
-        public void came(String box, InetSocketAddress from, Try one, boolean runs) {
+        public void came(String box, InetSocketAddress from, ClientTry one, boolean runs) {
             timeline.event("try", json -> {
                 json.writeStringField("box", box);
                 json.writeNumberField("node", nodeOf(from));
                 json.writeStringField("txn", one.txn());
                 json.writeBooleanField("runs", runs);
-                json.writeNumberField("work", Math.round(one.trueWorkUs()));
+                json.writeNumberField("work", Math.round(one.actualWorkUs()));
             });
         }
 
         @Override
-        public void told(String box, Try one, Result result) {
+        public void told(String box, ClientTry one, Result result) {
             timeline.event("told", json -> {
                 json.writeStringField("box", box);
                 json.writeStringField("txn", one.txn());
--- a/src/main/java/kitemux/drill/Parties.java
+++ b/src/main/java/kitemux/drill/Parties.java
@@ -28,7 +28,7 @@
         for (int r = 0; r < fleet.racks(); r++) {
             racks.add(new ArrayList<>());
         }
-        for (Fleet.Kind kind : fleet.kinds()) {
+        for (Fleet.ServerKind kind : fleet.kinds()) {
             for (int i = 0; i < kind.count(); i++) {
                 racks.get(boxes.size() % fleet.racks()).add(kind.name() + "-" + i);
                 boxes.add(kind.name() + "-" + i);
@@ -67,7 +67,7 @@
         if (name.matches("rack-\\d{1,4}") && Integer.parseInt(name.substring(5)) < racks.size()) {
             return List.copyOf(racks.get(Integer.parseInt(name.substring(5))));
         }
-        for (Fleet.Kind kind : fleet.kinds()) {
+        for (Fleet.ServerKind kind : fleet.kinds()) {
             if (kind.name().equals(name)) {
                 return boxes.stream()
                         .filter(box -> box.startsWith(name + "-")
--- a/src/main/java/kitemux/drill/ScenarioFile.java
+++ b/src/main/java/kitemux/drill/ScenarioFile.java
@@ -41,7 +41,7 @@
      * @param faults gets all that is wrong, of the fleet too, one line each with place, field and reason
      * @return the drill; not to be played if there are faults
      */
-    public static Scenario read(String file, String text, Long seed, FleetFile.Texts texts, List<String> faults) {
+    public static Scenario read(String file, String text, Long seed, FleetFile.FileSource texts, List<String> faults) {
         Map<String, Object> parsed;
         try {
             parsed = new HCLParser().parse(text);
@@ -59,8 +59,8 @@
     }
 
     private static Scenario scenario(
-            Section all, Long given, FleetFile.Texts texts, List<String> own, List<String> ofFleet) {
-        Fleet fleet = FleetFile.named(all.text("fleet"), texts, own, ofFleet);
+            Section all, Long given, FleetFile.FileSource texts, List<String> own, List<String> ofFleet) {
+        Fleet fleet = FleetFile.readNamed(all.text("fleet"), texts, own, ofFleet);
         long seed = given == null ? all.whole("seed", 1) : given;
         if (given != null) {
             all.whole("seed", 1);
@@ -95,14 +95,18 @@
         Fleet.Nodes of = fleet.nodes();
         fleet = fleet.with(new Fleet.Load(
                         load.ratePerS(),
-                        length == 0 ? load.lengthUs() : length,
-                        load.shape(),
+                        length == 0 ? load.durationUs() : length,
+                        load.profile(),
                         load.quotaPerS(),
                         load.overShareWorth()))
                 .with(new Fleet.Nodes(
-                        nodes == 0 ? of.count() : nodes, of.eventUs(), of.cores(), of.startUs(), of.noticeUs()));
+                        nodes == 0 ? of.count() : nodes,
+                        of.eventCostUs(),
+                        of.cores(),
+                        of.startupUs(),
+                        of.failureDetectionUs()));
         check(fleet, own);
-        long lengthUs = fleet.load().lengthUs();
+        long lengthUs = fleet.load().durationUs();
         List<Fault> faults = new ArrayList<>();
         if (own.isEmpty()) {
             Parties parties = new Parties(fleet);
@@ -134,21 +138,21 @@
                 own,
                 fleet.nodes().count() >= 1 && fleet.nodes().count() <= MOST_NODES,
                 "nodes: is not from 1 to " + MOST_NODES);
-        require(own, fleet.boxes() <= MOST_BOXES, "fleet: has more than " + MOST_BOXES + " servers");
+        require(own, fleet.serverCount() <= MOST_BOXES, "fleet: has more than " + MOST_BOXES + " servers");
         require(
                 own,
-                fleet.load().lengthUs() >= 1_000_000 && fleet.load().lengthUs() <= MOST_LENGTH_US,
+                fleet.load().durationUs() >= 1_000_000 && fleet.load().durationUs() <= MOST_LENGTH_US,
                 "length: is not from 1s to 15m");
         require(
                 own,
-                fleet.zones().acrossUs() == 0,
+                fleet.zones().crossZoneDelayUs() == 0,
                 "fleet: its zones are apart; take faults of the drill that slow the ways between parties");
         require(
                 own,
                 fleet.faults().stream()
-                        .noneMatch(f -> f.trouble() == Fleet.Trouble.CUT || f.trouble() == Fleet.Trouble.NODES_RESTART),
+                        .noneMatch(f -> f.kind() == Fleet.FaultKind.CUT || f.kind() == Fleet.FaultKind.NODES_RESTART),
                 "fleet: cuts and nodes that restart are faults of the drill, not of its fleet");
-        fleet.faultsFound().forEach(fault -> own.add("fleet: " + fault));
+        fleet.validate().forEach(fault -> own.add("fleet: " + fault));
     }
 
     private static Fault fault(
--- a/src/main/java/kitemux/fleet/Box.java
+++ b/src/main/java/kitemux/fleet/Box.java
@@ -14,34 +14,34 @@
     private static final long FAILS_AFTER_US = 500;
 
     final String id;
-    final int kind;
+    final int kindIndex;
     final int rack;
-    final Fleet.Kind of;
+    final Fleet.ServerKind serverKind;
     final double speed;
     private final Scheduler time;
     private final Fleet fleet;
-    private final Rules rules;
-    private final Draws draws;
-    private final int mostConnections;
+    private final RuleChecker rules;
+    private final RandomStream draws;
+    private final int maxConnections;
     private final double crowded;
 
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private int running;
-    private int process;
+    private int incarnation;
     private boolean up = true;
     private boolean silent;
-    private boolean fallen;
+    private boolean collapsed;
     private boolean draining;
     private long drainingSinceUs;
-    private long startedUs;
+    private long startedAtUs;
     private boolean wasStarted;
     private double workDoneUs;
     private long done;
-    double failing;
-    double slowed = 1;
+    double failureRatio;
+    double slowdownFactor = 1;
 
     private boolean slow;
-    private boolean choked;
+    private boolean overloaded;
     private long slowSinceUs;
     private long restingSinceUs = -1;
     private double crowd;
@@ -52,50 +52,58 @@
     private Runnable changed = () -> {};
 
     private int connections;
-    int mostConnectionsSeen;
-    long turnedAway;
-    long refusedConnections;
+    int peakConnections;
+    long rejectedRequests;
+    long rejectedConnections;
     double busyUs;
     double wastedUs;
 
     /**
      * A request at a server.
      *
-     * @param told the end of it, if the server tells one
+     * @param replyHandler the end of it, if the server tells one
      * @param workUs on a core of speed 1, the handshake's included
      * @param sentUs when its node wrote it
      */
-    record Job(Rules.Asked asked, double workUs, long sentUs, Reply told) {}
+    record Job(RuleChecker.TrackedTry clientTry, double workUs, long sentUs, ReplyHandler replyHandler) {}
 
     /** Where a server's answer goes. */
-    public interface Reply {
+    public interface ReplyHandler {
         /** How the request ended there; told once, or never by a server that is silent. */
-        void came(Result result);
+        void completed(Result result);
 
         /** Whether anybody waits for it. */
-        boolean isWanted();
+        boolean isAwaited();
 
         /** Whether the node that sent it had been told of the server's start. */
-        default boolean isFromTold() {
+        default boolean isSenderAwareOfStart() {
             return true;
         }
     }
 
-    Box(String id, int kind, int rack, Fleet fleet, double speed, Scheduler time, Rules rules, Draws draws) {
+    Box(
+            String id,
+            int kind,
+            int rack,
+            Fleet fleet,
+            double speed,
+            Scheduler time,
+            RuleChecker rules,
+            RandomStream draws) {
         this.id = id;
-        this.kind = kind;
+        this.kindIndex = kind;
         this.rack = rack;
-        this.of = fleet.kinds().get(kind);
+        this.serverKind = fleet.kinds().get(kind);
         this.fleet = fleet;
         this.speed = speed;
         this.time = time;
         this.rules = rules;
         this.draws = draws;
-        coldWork = new ColdWork(fleet.meanWorkUs(), rules.limits().fallUs());
-        mostConnections = fleet.links().most() * of.cores();
-        crowded = fleet.choke() == null
+        coldWork = new ColdWork(fleet.meanWorkUs(), rules.limits().windowUs());
+        maxConnections = fleet.links().maxConnectionsPerCore() * serverKind.cores();
+        crowded = fleet.overloadSlowdown() == null
                 ? Double.MAX_VALUE
-                : of.cores() + fleet.choke().at() * Math.sqrt(of.cores());
+                : serverKind.cores() + fleet.overloadSlowdown().thresholdFactor() * Math.sqrt(serverKind.cores());
     }
 
     // ---------------------------------------------------------------- its life
@@ -127,7 +135,7 @@
 
     /** Its zone's number. */
     int zone() {
-        return fleet.zones().of(rack);
+        return fleet.zones().zoneOf(rack);
     }
 
     boolean isDraining() {
@@ -135,17 +143,17 @@
     }
 
     /** Whether it fell over or choked. */
-    boolean hasFallen() {
-        return fallen;
+    boolean hasCollapsed() {
+        return collapsed;
     }
 
-    boolean hasChoked() {
-        return choked;
+    boolean wasOverloaded() {
+        return overloaded;
     }
 
     /** When its process started, in microseconds; 0 for long ago. */
-    public long startedUs() {
-        return wasStarted ? startedUs : 0;
+    public long startedAtUs() {
+        return wasStarted ? startedAtUs : 0;
     }
 
     void drain() {
@@ -154,24 +162,24 @@
     }
 
     /** Its process ends; what it held is gone. */
-    void die(boolean silently) {
+    void terminate(boolean silently) {
         note();
         up = false;
         silent = silently;
-        process++;
+        incarnation++;
         running = 0;
         connections = 0;
         ArrayDeque<Job> lost = new ArrayDeque<>(waiting);
         waiting.clear();
         if (!silently) {
-            lost.forEach(job -> job.told.came(Result.RESET));
+            lost.forEach(job -> job.replyHandler.completed(Result.RESET));
         }
         changed.run();
     }
 
     /** A new process, cold; one that fell over stays down. */
     void start() {
-        if (fallen) {
+        if (collapsed) {
             return;
         }
         note();
@@ -181,29 +189,35 @@
         slow = false;
         crowd = 0;
         wasStarted = true;
-        startedUs = time.nowUs();
+        startedAtUs = time.nowUs();
         workDoneUs = 0;
         coldWork.begins();
         changed.run();
     }
 
     /** The part of its capacity that it has by now, in (0, 1]. */
-    double warmth() {
-        if (!wasStarted || of.coldUs() == 0) {
+    double warmUpRatio() {
+        if (!wasStarted || serverKind.warmUpUs() == 0) {
             return 1;
         }
-        double byTime = (double) (time.nowUs() - startedUs) / of.coldUs();
-        double byWork = of.warmsByWork() ? workDoneUs / (0.5 * of.coldUs() * of.cores() * speed) : 0;
-        return Math.min(1, of.coldFrom() + (1 - of.coldFrom()) * Math.max(byTime, byWork));
+        double byTime = (double) (time.nowUs() - startedAtUs) / serverKind.warmUpUs();
+        double byWork =
+                serverKind.warmsByWork() ? workDoneUs / (0.5 * serverKind.warmUpUs() * serverKind.cores() * speed) : 0;
+        return Math.min(
+                1,
+                serverKind.initialCapacityRatio() + (1 - serverKind.initialCapacityRatio()) * Math.max(byTime, byWork));
     }
 
     private double pace() {
-        return speed * warmth() / slowed / (slow ? fleet.choke().slower() : 1);
+        return speed
+                * warmUpRatio()
+                / slowdownFactor
+                / (slow ? fleet.overloadSlowdown().slowdownFactor() : 1);
     }
 
     /** As it is now, for whoever looks on. */
-    Emulation.BoxNow now() {
-        String state = fallen
+    Emulation.BoxStatus status() {
+        String state = collapsed
                 ? "fallen"
                 : silent
                         ? "silent"
@@ -211,32 +225,34 @@
                                 ? "dead"
                                 : draining
                                         ? "draining"
-                                        : failing > 0
+                                        : failureRatio > 0
                                                 ? "failing"
-                                                : slow || slowed > 1 ? "slow" : warmth() < 1 ? "cold" : "up";
-        return new Emulation.BoxNow(id, state, running + waiting.size(), connections, done, warmth());
+                                                : slow || slowdownFactor > 1
+                                                        ? "slow"
+                                                        : warmUpRatio() < 1 ? "cold" : "up";
+        return new Emulation.BoxStatus(id, state, running + waiting.size(), connections, done, warmUpRatio());
     }
 
     // ---------------------------------------------------------------- connections
 
     /** A node connects; false if it is refused. */
     public boolean connect() {
-        if (connections >= mostConnections) {
-            refusedConnections++;
+        if (connections >= maxConnections) {
+            rejectedConnections++;
             return false;
         }
-        mostConnectionsSeen = Math.max(mostConnectionsSeen, ++connections);
+        peakConnections = Math.max(peakConnections, ++connections);
         return true;
     }
 
     /** A connection that was made to this process ends. */
-    public void disconnected(int ofProcess) {
-        connections -= ofProcess == process ? 1 : 0;
+    public void connectionClosed(int ofProcess) {
+        connections -= ofProcess == incarnation ? 1 : 0;
     }
 
     /** Counts its processes. */
-    public int process() {
-        return process;
+    public int incarnation() {
+        return incarnation;
     }
 
     // ---------------------------------------------------------------- requests
@@ -247,21 +263,21 @@
      * @param extraUs work besides the request's own, such as a handshake's, on a core of speed 1
      * @param sentUs when its node wrote it
      */
-    public void take(Try asked, double extraUs, long sentUs, Reply told) {
-        take(new Job(asked.asked(), asked.trueWorkUs() + extraUs, sentUs, told));
+    public void submit(ClientTry asked, double extraUs, long sentUs, ReplyHandler told) {
+        submit(new Job(asked.tracked(), asked.actualWorkUs() + extraUs, sentUs, told));
     }
 
     /** Something new has come to it; breaks a rule where it has drained for longer than that may happen. */
-    public void cameNew(long slackUs) {
-        if (draining && time.nowUs() > drainingSinceUs + fleet.list().graceUs() + slackUs) {
+    public void checkDraining(long slackUs) {
+        if (draining && time.nowUs() > drainingSinceUs + fleet.discoveryDelays().drainGraceUs() + slackUs) {
             rules.sentWhileDraining(this);
         }
     }
 
-    void take(Job job) {
+    void submit(Job job) {
         if (!up) {
             if (!silent) {
-                job.told.came(Result.RESET);
+                job.replyHandler.completed(Result.RESET);
             }
             return;
         }
@@ -269,32 +285,34 @@
         if (!up) {
             return;
         }
-        if (failing > 0 && draws.share() < failing) {
-            int mine = process;
-            time.afterUs(FAILS_AFTER_US, () -> job.told.came(mine == process ? Result.ERROR : Result.RESET));
+        if (failureRatio > 0 && draws.nextDouble() < failureRatio) {
+            int mine = incarnation;
+            time.afterUs(
+                    FAILS_AFTER_US,
+                    () -> job.replyHandler.completed(mine == incarnation ? Result.ERROR : Result.RESET));
             return;
         }
         note();
-        if (running < of.cores()) {
+        if (running < serverKind.cores()) {
             begin(job);
-        } else if (waiting.size() < of.room()) {
+        } else if (waiting.size() < serverKind.queueCapacity()) {
             waiting.add(job);
         } else {
-            turnedAway++;
-            job.told.came(Result.FULL);
+            rejectedRequests++;
+            job.replyHandler.completed(Result.FULL);
         }
     }
 
     private void begin(Job job) {
         running++;
-        rules.runs(job.asked, this, job.sentUs);
-        int mine = process;
+        rules.executionStarted(job.clientTry, this, job.sentUs);
+        int mine = incarnation;
         double takesUs = job.workUs / pace();
         time.afterUs(Math.max(1, Math.round(takesUs)), () -> {
-            if (mine == process) {
+            if (mine == incarnation) {
                 done(job, takesUs);
             } else if (!silent) {
-                job.told.came(Result.RESET);
+                job.replyHandler.completed(Result.RESET);
             }
         });
     }
@@ -305,19 +323,19 @@
         busyUs += tookUs;
         workDoneUs += job.workUs;
         done++;
-        wastedUs += job.told.isWanted() ? 0 : tookUs;
+        wastedUs += job.replyHandler.isAwaited() ? 0 : tookUs;
         Job next = waiting.poll();
         if (next != null) {
             begin(next);
         }
-        job.told.came(Result.OK);
+        job.replyHandler.completed(Result.OK);
     }
 
     // ---------------------------------------------------------------- how it is
 
     /** Brings the means up to now; to be called before anything changes. */
     private void note() {
-        Fleet.Choke choke = fleet.choke();
+        Fleet.OverloadSlowdown choke = fleet.overloadSlowdown();
         if (choke == null) {
             return;
         }
@@ -325,13 +343,13 @@
         double past = now - meanAtUs;
         meanAtUs = now;
         int held = running + waiting.size();
-        double keep = Math.exp(-past / choke.overUs());
+        double keep = Math.exp(-past / choke.averagingUs());
         crowd = keep * crowd + (1 - keep) * held;
         if (!slow) {
-            if (crowd > crowded && !choked) {
+            if (crowd > crowded && !overloaded) {
                 // Once a day, as the operators have seen it.
                 slow = true;
-                choked = true;
+                overloaded = true;
                 slowSinceUs = now;
                 busy = 1;
                 restingSinceUs = -1;
@@ -342,46 +360,47 @@
         // told by
         // its curve, as nothing may have happened since then.
         double meanOverUs = choke.restUs() / 2.0;
-        double inUse = (double) running / of.cores();
+        double inUse = (double) running / serverKind.cores();
         double before = busy;
         busy = inUse + (before - inUse) * Math.exp(-past / meanOverUs);
-        if (busy >= choke.below()) {
+        if (busy >= choke.restUtilisation()) {
             restingSinceUs = -1;
         } else if (restingSinceUs < 0) {
             restingSinceUs = now
                     - (long) past
-                    + (before <= choke.below()
+                    + (before <= choke.restUtilisation()
                             ? 0
-                            : (long) (meanOverUs * Math.log((before - inUse) / (choke.below() - inUse))));
+                            : (long) (meanOverUs * Math.log((before - inUse) / (choke.restUtilisation() - inUse))));
         }
-        if (now - slowSinceUs >= choke.mostUs() || restingSinceUs >= 0 && now - restingSinceUs >= choke.restUs() / 2) {
+        if (now - slowSinceUs >= choke.maxDurationUs()
+                || restingSinceUs >= 0 && now - restingSinceUs >= choke.restUs() / 2) {
             slow = false;
         }
     }
 
     /** Rule 4: what comes to it while cold, in any stretch of time, against what it can do then. */
     private void watchCold(Job job) {
-        double warmth = warmth();
+        double warmth = warmUpRatio();
         if (warmth >= 1) {
             return;
         }
-        Rules.Limits limits = rules.limits();
+        RuleChecker.ColdLoadLimit limits = rules.limits();
         ColdWork.Verdict verdict = coldWork.came(
                 time.nowUs(),
                 job.workUs,
-                job.told.isFromTold(),
-                limits.fallMultiple() * of.cores() * speed * warmth * limits.fallUs());
+                job.replyHandler.isSenderAwareOfStart(),
+                limits.capacityMultiple() * serverKind.cores() * speed * warmth * limits.windowUs());
         if (verdict != ColdWork.Verdict.STANDS) {
-            fallen = true;
+            collapsed = true;
             if (verdict == ColdWork.Verdict.PUSHED_OVER) {
-                rules.pushedOver(this);
+                rules.coldServerOverloaded(this);
             }
-            die(false);
+            terminate(false);
         }
     }
 
     /** The most that came from all nodes together while it was cold, as a part of what it stands. */
-    double coldPeak() {
+    double coldPeakRatio() {
         return coldWork.highest();
     }
 }
--- a/src/main/java/kitemux/fleet/Population.java
+++ b/src/main/java/kitemux/fleet/ClientPopulation.java
@@ -9,7 +9,7 @@
  * Clients and the front that deals them out: they ask at times drawn ahead of any answer, give a try up after
  * their time, and ask again as far as that does no harm.
  */
-final class Population {
+final class ClientPopulation {
     /** How much later than its time an answer may come before it counts as none: what is measured on sockets
      * allows as much. */
     private static final long GRACE_US = 50_000;
@@ -20,12 +20,12 @@
     private final Fleet fleet;
     private final Scheduler time;
     private final List<FleetNode> nodes;
-    private final Rules rules;
-    private final Tally tally;
-    private final Draws arrivals;
-    private final Draws work;
-    private final Draws patience;
-    private final Draws front;
+    private final RuleChecker rules;
+    private final OutcomeCounter tally;
+    private final RandomStream arrivals;
+    private final RandomStream work;
+    private final RandomStream patience;
+    private final RandomStream front;
     private final double[] classesUpTo;
     private final double[] tenantsUpTo;
     private final double most;
@@ -37,30 +37,32 @@
     private long tries;
     private long wishes;
 
-    Population(Fleet fleet, Scheduler time, List<FleetNode> nodes, Rules rules, Tally tally, long seed) {
+    ClientPopulation(
+            Fleet fleet, Scheduler time, List<FleetNode> nodes, RuleChecker rules, OutcomeCounter tally, long seed) {
         this.fleet = fleet;
         this.time = time;
         this.nodes = nodes;
         this.rules = rules;
         this.tally = tally;
-        arrivals = new Draws(seed, Draws.Cause.ARRIVALS);
-        work = new Draws(seed, Draws.Cause.WORK);
-        patience = new Draws(seed, Draws.Cause.CLIENTS);
-        front = new Draws(seed, Draws.Cause.FRONT);
-        classesUpTo =
-                sums(fleet.classes().stream().mapToDouble(Fleet.Work::share).toArray());
-        tenantsUpTo = sums(
-                fleet.tenants().stream().mapToDouble(t -> t.share() * t.usage()).toArray());
-        most = fleet.load().most();
+        arrivals = new RandomStream(seed, RandomStream.Purpose.ARRIVALS);
+        work = new RandomStream(seed, RandomStream.Purpose.WORK);
+        patience = new RandomStream(seed, RandomStream.Purpose.CLIENTS);
+        front = new RandomStream(seed, RandomStream.Purpose.FRONT);
+        classesUpTo = sums(
+                fleet.classes().stream().mapToDouble(Fleet.ClassWorkload::share).toArray());
+        tenantsUpTo = sums(fleet.tenants().stream()
+                .mapToDouble(t -> t.share() * t.usageRatio())
+                .toArray());
+        most = fleet.load().maxFactor();
         noticedAtUs = new long[nodes.size()];
-        nodesUpTo = fleet.clients().skew() == 0 ? null : weights(seed);
+        nodesUpTo = fleet.clients().nodeSkew() == 0 ? null : weights(seed);
     }
 
     private double[] weights(long seed) {
-        Draws skew = new Draws(seed, Draws.Cause.SKEW);
+        RandomStream skew = new RandomStream(seed, RandomStream.Purpose.SKEW);
         double[] weights = new double[nodes.size()];
         for (int i = 0; i < weights.length; i++) {
-            weights[i] = skew.lognormal(1, fleet.clients().skew());
+            weights[i] = skew.lognormal(1, fleet.clients().nodeSkew());
         }
         return sums(weights);
     }
@@ -74,7 +76,7 @@
 
     /** The front deals out to a node until it notices that it has died. */
     void died(int node) {
-        noticedAtUs[node] = time.nowUs() + fleet.nodes().noticeUs();
+        noticedAtUs[node] = time.nowUs() + fleet.nodes().failureDetectionUs();
     }
 
     void begin() {
@@ -86,10 +88,10 @@
     private void next() {
         time.afterUs((long) arrivals.exponential(1e6 / (fleet.load().ratePerS() * most)), () -> {
             long now = time.nowUs();
-            if (now >= fleet.load().lengthUs()) {
+            if (now >= fleet.load().durationUs()) {
                 return;
             }
-            boolean comes = arrivals.share() * most < fleet.load().at(now);
+            boolean comes = arrivals.nextDouble() * most < fleet.load().factorAt(now);
             draw(comes, NOBODY);
             next();
         });
@@ -100,24 +102,24 @@
      *
      */
     private void draw(boolean comes, int by) {
-        int of = work.by(classesUpTo);
-        Fleet.Work drawn = fleet.classes().get(of);
+        int of = work.nextWeightedIndex(classesUpTo);
+        Fleet.ClassWorkload drawn = fleet.classes().get(of);
         double workUs =
-                switch (drawn.spread()) {
-                    case FIXED -> drawn.meanUs();
-                    case EXPONENTIAL -> work.exponential(drawn.meanUs());
-                    case LOGNORMAL -> work.lognormal(drawn.meanUs(), drawn.cv());
+                switch (drawn.distribution()) {
+                    case FIXED -> drawn.meanWorkUs();
+                    case EXPONENTIAL -> work.exponential(drawn.meanWorkUs());
+                    case LOGNORMAL -> work.lognormal(drawn.meanWorkUs(), drawn.cv());
                 };
-        int tenant = by != NOBODY ? by : tenantsUpTo.length == 0 ? NOBODY : work.by(tenantsUpTo);
+        int tenant = by != NOBODY ? by : tenantsUpTo.length == 0 ? NOBODY : work.nextWeightedIndex(tenantsUpTo);
         if (comes) {
-            new Wish(of, drawn.of(), tenant, Math.max(1, workUs)).ask();
+            new Wish(of, drawn.requestClass(), tenant, Math.max(1, workUs)).ask();
         }
     }
 
     /** A tenant asks so often besides, until then. */
     void flood(int tenant, double ratePerS, long untilUs) {
         time.afterUs((long) arrivals.exponential(1e6 / ratePerS), () -> {
-            if (time.nowUs() < Math.min(untilUs, fleet.load().lengthUs())) {
+            if (time.nowUs() < Math.min(untilUs, fleet.load().durationUs())) {
                 draw(true, tenant);
                 flood(tenant, ratePerS, untilUs);
             }
@@ -125,7 +127,7 @@
     }
 
     /** What a client wants. */
-    private final class Wish implements Try.Intention {
+    private final class Wish implements ClientTry.ClientRequest {
         private final int classIndex;
         private final RequestClass of;
         private final int tenant;
@@ -153,14 +155,15 @@
             tries++;
             tally.tries++;
             Fleet.Clients how = fleet.clients();
-            double share = how.tryFrom() + (how.tryTo() - how.tryFrom()) * patience.share();
+            double share = how.minTryTimeoutRatio()
+                    + (how.maxTryTimeoutRatio() - how.minTryTimeoutRatio()) * patience.nextDouble();
             long forUs = Math.min(leftUs(), (long) (share * of.deadlineUs()));
             FleetNode at = choose();
-            Rules.Asked mine = new Rules.Asked(of, tries);
-            Try one = new Try(this, mine, forUs, at, asked > 1);
+            RuleChecker.TrackedTry mine = new RuleChecker.TrackedTry(of, tries);
+            ClientTry one = new ClientTry(this, mine, forUs, at, asked > 1);
             time.afterUs(how.oneWayUs(), () -> {
                 if (at.isUp()) {
-                    at.take(one);
+                    at.submit(one);
                 } else {
                     one.broken();
                 }
@@ -168,19 +171,19 @@
             long patientUs = forUs + GRACE_US;
             patienceEnds = time.afterUs(
                     patientUs,
-                    () -> at.timeOver(one, patientUs, () -> {
+                    () -> at.deadlineReached(one, patientUs, () -> {
                         if (!one.isOver()) {
-                            one.giveUp();
+                            one.abandon();
                             rules.unanswered(mine);
-                            at.left(one);
-                            over(Try.End.FAILED, 0);
+                            at.abandoned(one);
+                            over(ClientTry.Outcome.FAILED, 0);
                         }
                     }));
         }
 
         private FleetNode choose() {
             long now = time.nowUs();
-            int first = nodesUpTo == null ? front.below(nodes.size()) : front.by(nodesUpTo);
+            int first = nodesUpTo == null ? front.nextInt(nodes.size()) : front.nextWeightedIndex(nodesUpTo);
             for (int i = 0; i < nodes.size(); i++) {
                 int node = (first + i) % nodes.size();
                 if (nodes.get(node).isUp() || now < noticedAtUs[node]) {
@@ -211,9 +214,9 @@
         }
 
         @Override
-        public void ended(Try which, Try.End how, long retryAfterUs) {
-            if (how != Try.End.BROKEN) {
-                rules.answered(which.asked(), how == Try.End.REFUSED);
+        public void ended(ClientTry which, ClientTry.Outcome how, long retryAfterUs) {
+            if (how != ClientTry.Outcome.BROKEN) {
+                rules.answered(which.tracked(), how == ClientTry.Outcome.REFUSED);
             }
             time.afterUs(fleet.clients().oneWayUs(), () -> {
                 patienceEnds.cancel();
@@ -221,22 +224,22 @@
             });
         }
 
-        private void over(Try.End how, long retryAfterUs) {
-            if (how == Try.End.SERVED) {
+        private void over(ClientTry.Outcome how, long retryAfterUs) {
+            if (how == ClientTry.Outcome.SERVED) {
                 tally.served(cameUs, classIndex, tenant, worth, time.nowUs() - cameUs, of.aimUs());
                 return;
             }
             Fleet.Clients clients = fleet.clients();
-            boolean harmless = how == Try.End.REFUSED || of.repeat() != Repeat.UNSAFE;
-            long waitUs = (long) (clients.backoffUs() * (1L << (asked - 1)) * (0.5 + patience.share()));
-            if (how == Try.End.REFUSED && patience.share() < clients.honour()) {
+            boolean harmless = how == ClientTry.Outcome.REFUSED || of.repeat() != Repeat.UNSAFE;
+            long waitUs = (long) (clients.backoffUs() * (1L << (asked - 1)) * (0.5 + patience.nextDouble()));
+            if (how == ClientTry.Outcome.REFUSED && patience.nextDouble() < clients.retryAfterComplianceRatio()) {
                 waitUs = Math.max(waitUs, retryAfterUs);
             }
-            if (harmless && asked <= clients.retries() && waitUs < leftUs()) {
+            if (harmless && asked <= clients.maxRetries() && waitUs < leftUs()) {
                 time.afterUs(waitUs, this::ask);
                 return;
             }
-            tally.unserved(classIndex, how == Try.End.REFUSED);
+            tally.unserved(classIndex, how == ClientTry.Outcome.REFUSED);
         }
     }
 }
--- a/src/main/java/kitemux/fleet/Try.java
+++ b/src/main/java/kitemux/fleet/ClientTry.java
@@ -4,16 +4,16 @@
 import kitemux.engine.Client;
 
 /** One try of a client's request at one node: what the engine is asked, and who is told the answer. */
-public final class Try implements Asked, Client<Boolean> {
-    private final Intention of;
-    private final Rules.Asked asked;
+public final class ClientTry implements Asked, Client<Boolean> {
+    private final ClientRequest of;
+    private final RuleChecker.TrackedTry tracked;
     private final long leftUs;
-    private final FleetNode at;
+    private final FleetNode node;
     private final boolean again;
     private boolean over;
 
     /** What a client wants, over all its tries. */
-    interface Intention {
+    interface ClientRequest {
         /** Counts what clients want, over all tries, from 1. */
         long number();
 
@@ -25,40 +25,40 @@
         double workUs();
 
         /** How a try has ended: told once, as its node says so or its connection breaks. */
-        void ended(Try which, End how, long retryAfterUs);
+        void ended(ClientTry which, Outcome how, long retryAfterUs);
     }
 
     /** How a try ends. */
-    enum End {
+    enum Outcome {
         SERVED,
         REFUSED,
         FAILED,
         BROKEN
     }
 
-    Try(Intention of, Rules.Asked asked, long leftUs, FleetNode at, boolean again) {
+    ClientTry(ClientRequest of, RuleChecker.TrackedTry asked, long leftUs, FleetNode at, boolean again) {
         this.of = of;
-        this.asked = asked;
+        this.tracked = asked;
         this.leftUs = leftUs;
-        this.at = at;
+        this.node = at;
         this.again = again;
     }
 
-    Rules.Asked asked() {
-        return asked;
+    RuleChecker.TrackedTry tracked() {
+        return tracked;
     }
 
-    FleetNode at() {
-        return at;
+    FleetNode node() {
+        return node;
     }
 
     /** Its work on a core of speed 1, in microseconds; no node knows it. */
-    public double trueWorkUs() {
+    public double actualWorkUs() {
         return of.workUs();
     }
 
     /** Counts what clients want: all tries for one thing have its number. */
-    public long wish() {
+    public long requestNumber() {
         return of.number();
     }
 
@@ -68,41 +68,41 @@
     }
 
     /** Its client waits no more. */
-    void giveUp() {
+    void abandon() {
         over = true;
     }
 
-    private void end(End how, long retryAfterUs) {
+    private void end(Outcome how, long retryAfterUs) {
         if (!over) {
             over = true;
-            at.answered(this);
+            node.completed(this);
             of.ended(this, how, retryAfterUs);
         }
     }
 
     @Override
     public void served(Boolean answer) {
-        end(End.SERVED, 0);
+        end(Outcome.SERVED, 0);
     }
 
     @Override
     public void refused(long retryAfterUs) {
-        end(End.REFUSED, retryAfterUs);
+        end(Outcome.REFUSED, retryAfterUs);
     }
 
     @Override
     public void failed() {
-        end(End.FAILED, 0);
+        end(Outcome.FAILED, 0);
     }
 
     @Override
     public void broken() {
-        end(End.BROKEN, 0);
+        end(Outcome.BROKEN, 0);
     }
 
     @Override
     public String txn() {
-        return Long.toString(asked.number);
+        return Long.toString(tracked.number);
     }
 
     @Override
--- a/src/main/java/kitemux/fleet/Proxy.java
+++ b/src/main/java/kitemux/fleet/EmulatedNode.java
@@ -24,36 +24,36 @@
  * A node: the engine and the decision module that serve in earnest, over connections to emulated servers. Its
  * processor is a queue of its own: what comes while it is busy is handled later.
  */
-final class Proxy implements Transport<Try, Boolean>, FleetNode {
+final class EmulatedNode implements Transport<ClientTry, Boolean>, FleetNode {
     private final int number;
     private final Fleet fleet;
     private final Scheduler time;
     private final Map<String, Box> boxes;
-    private final Rules rules;
-    private final Cuts cuts;
-    private final Draws network;
+    private final RuleChecker rules;
+    private final NetworkPartitions cuts;
+    private final RandomStream network;
     private final Settings settings;
-    private final Draws seeds;
+    private final RandomStream seeds;
     private final long unixUs;
-    private final ModuleMaker modules;
+    private final BalancerFactory modules;
 
     /** Makes the decision module of a process. */
-    interface ModuleMaker {
+    interface BalancerFactory {
         /** The one that serves in earnest, but where a test puts an unsound one in its place. */
-        ModuleMaker SOUND = ServiceQBalancer::new;
+        BalancerFactory DEFAULT = ServiceQBalancer::new;
 
         /** A module that knows no servers yet. */
-        Balancer make(Settings settings, long seed, Balancer.Actions actions);
+        Balancer create(Settings settings, long seed, Balancer.Actions actions);
     }
 
-    private Engine<Try, Boolean> engine;
+    private Engine<ClientTry, Boolean> engine;
     private Balancer module;
     private final Map<String, Link> links = new HashMap<>();
     /** The list as it was told, for who starts anew, and when it was told of drains. */
     private final Map<String, ServerEntry> told = new HashMap<>();
 
     private final Map<String, Long> drainToldUs = new HashMap<>();
-    private final Map<Try, Engine.Held<Try, Boolean>> open = new HashMap<>();
+    private final Map<ClientTry, Engine.Held<ClientTry, Boolean>> open = new HashMap<>();
     private int life;
     private boolean up;
     private double freeAtUs;
@@ -65,39 +65,39 @@
     /** Connections to one server that are not in use: to which of its processes, and since when. */
     private static final class Link {
         final ArrayDeque<long[]> idle = new ArrayDeque<>();
-        final Map<Exchange<Try, Boolean>, Sent> out = new HashMap<>();
+        final Map<Exchange<ClientTry, Boolean>, Sent> out = new HashMap<>();
     }
 
     /** An exchange that is out, over a connection to a process of its server; not yet written where -1. */
-    private final class Sent implements Box.Reply {
+    private final class Sent implements Box.ReplyHandler {
         final Box box;
-        final Exchange<Try, Boolean> exchange;
+        final Exchange<ClientTry, Boolean> exchange;
         final int ofLife = life;
         int process = -1;
         boolean written;
         boolean over;
 
-        Sent(Box box, Exchange<Try, Boolean> exchange) {
+        Sent(Box box, Exchange<ClientTry, Boolean> exchange) {
             this.box = box;
             this.exchange = exchange;
         }
 
         @Override
-        public void came(Result result) {
+        public void completed(Result result) {
             if (!isCutOff(box)) {
                 time.afterUs(oneWayUs(box), () -> handle(ofLife, () -> end(result)));
             }
         }
 
         @Override
-        public boolean isWanted() {
+        public boolean isAwaited() {
             return !over;
         }
 
         @Override
-        public boolean isFromTold() {
+        public boolean isSenderAwareOfStart() {
             ServerEntry entry = told.get(box.id);
-            return entry != null && entry.startedAtUs() >= unixUs + box.startedUs();
+            return entry != null && entry.startedAtUs() >= unixUs + box.startedAtUs();
         }
 
         void end(Result result) {
@@ -107,27 +107,27 @@
             over = true;
             Link link = links.get(box.id);
             link.out.remove(exchange);
-            if (process == box.process() && result != Result.RESET && result != Result.CONNECT_FAILED) {
+            if (process == box.incarnation() && result != Result.RESET && result != Result.CONNECT_FAILED) {
                 link.idle.push(new long[] {process, time.nowUs()});
             } else if (process >= 0) {
-                box.disconnected(process);
+                box.connectionClosed(process);
             }
             exchange.ended(result, result == Result.OK ? Boolean.TRUE : null);
         }
     }
 
-    Proxy(
+    EmulatedNode(
             int number,
             Fleet fleet,
             Scheduler time,
             Map<String, Box> boxes,
-            Rules rules,
-            Cuts cuts,
+            RuleChecker rules,
+            NetworkPartitions cuts,
             Settings settings,
-            Draws network,
-            Draws seeds,
+            RandomStream network,
+            RandomStream seeds,
             long unixUs,
-            ModuleMaker modules) {
+            BalancerFactory modules) {
         this.number = number;
         this.fleet = fleet;
         this.time = time;
@@ -187,36 +187,36 @@
                     }
                 },
                 actions -> {
-                    module = modules.make(settings, seeds.any(), actions);
+                    module = modules.create(settings, seeds.nextLong(), actions);
                     return module;
                 });
         engine.listed(ListKind.CACHED, new ArrayList<>(told.values()), () -> {});
     }
 
     @Override
-    public void die() {
+    public void kill() {
         up = false;
         life++;
         engine.close();
         for (Map.Entry<String, Link> link : links.entrySet()) {
             Box box = boxes.get(link.getKey());
-            link.getValue().idle.forEach(idle -> box.disconnected((int) idle[0]));
+            link.getValue().idle.forEach(idle -> box.connectionClosed((int) idle[0]));
             link.getValue().out.values().forEach(sent -> {
                 sent.over = true;
                 if (sent.process >= 0) {
-                    box.disconnected(sent.process);
+                    box.connectionClosed(sent.process);
                 }
             });
         }
         links.clear();
-        List<Try> lost = new ArrayList<>(open.keySet());
-        lost.sort((a, b) -> Long.compare(a.asked().number, b.asked().number));
+        List<ClientTry> lost = new ArrayList<>(open.keySet());
+        lost.sort((a, b) -> Long.compare(a.tracked().number, b.tracked().number));
         open.clear();
-        lost.forEach(Try::broken);
+        lost.forEach(ClientTry::broken);
     }
 
     @Override
-    public void listed(List<ServerEntry> entries) {
+    public void serversChanged(List<ServerEntry> entries) {
         for (ServerEntry entry : entries) {
             if (entry.state() == ServerState.GONE) {
                 told.remove(entry.id());
@@ -241,7 +241,7 @@
         if (ofLife != life) {
             return;
         }
-        double cost = fleet.nodes().eventUs() / fleet.nodes().cores();
+        double cost = fleet.nodes().eventCostUs() / fleet.nodes().cores();
         double now = time.nowUs();
         double lateUs = Math.max(0, freeAtUs - now);
         freeAtUs = now + lateUs + cost;
@@ -261,7 +261,7 @@
     // ---------------------------------------------------------------- clients
 
     @Override
-    public void take(Try asked) {
+    public void submit(ClientTry asked) {
         int mine = life;
         open.put(asked, null);
         handle(mine, () -> {
@@ -269,21 +269,21 @@
                 open.remove(asked);
                 return;
             }
-            Engine.Held<Try, Boolean> held = engine.take(asked, asked);
+            Engine.Held<ClientTry, Boolean> held = engine.take(asked, asked);
             open.put(asked, held);
             engine.ask(held);
         });
     }
 
     @Override
-    public void answered(Try asked) {
+    public void completed(ClientTry asked) {
         open.remove(asked);
     }
 
     @Override
-    public void left(Try asked) {
+    public void abandoned(ClientTry asked) {
         handle(life, () -> {
-            Engine.Held<Try, Boolean> held = open.remove(asked);
+            Engine.Held<ClientTry, Boolean> held = open.remove(asked);
             if (held != null) {
                 engine.left(held);
             }
@@ -291,14 +291,14 @@
     }
 
     @Override
-    public Figures figures() {
-        return new Figures(usedUs, mostLateUs, attempts, dials);
+    public Stats stats() {
+        return new Stats(usedUs, mostLateUs, attempts, dials);
     }
 
     // ---------------------------------------------------------------- servers
 
     private long oneWayUs(Box box) {
-        long acrossUs = box.zone() == settings.myZone ? 0 : fleet.zones().acrossUs();
+        long acrossUs = box.zone() == settings.myZone ? 0 : fleet.zones().crossZoneDelayUs();
         return Math.max(
                 1,
                 (long) network.lognormal(fleet.links().oneWayUs(), fleet.links().jitter()) + acrossUs);
@@ -306,23 +306,23 @@
 
     /** What is sent now does not arrive, either way. */
     private boolean isCutOff(Box box) {
-        return cuts.isCut(box.zone(), settings.myZone);
+        return cuts.isPartitioned(box.zone(), settings.myZone);
     }
 
     @Override
-    public void start(String serverId, Exchange<Try, Boolean> exchange) {
+    public void start(String serverId, Exchange<ClientTry, Boolean> exchange) {
         Box box = boxes.get(serverId);
         Link link = links.computeIfAbsent(serverId, id -> new Link());
         Sent sent = new Sent(box, exchange);
         link.out.put(exchange, sent);
         Long drain = drainToldUs.get(serverId);
-        if (drain != null && time.nowUs() > drain + fleet.list().graceUs()) {
+        if (drain != null && time.nowUs() > drain + fleet.discoveryDelays().drainGraceUs()) {
             rules.sentWhileDraining(box);
         }
-        long oldest = time.nowUs() - fleet.links().idleUs();
+        long oldest = time.nowUs() - fleet.links().idleTimeoutUs();
         while (!link.idle.isEmpty()
-                && (link.idle.peekLast()[1] <= oldest || link.idle.peekLast()[0] != box.process())) {
-            box.disconnected((int) link.idle.pollLast()[0]);
+                && (link.idle.peekLast()[1] <= oldest || link.idle.peekLast()[0] != box.incarnation())) {
+            box.connectionClosed((int) link.idle.pollLast()[0]);
         }
         if (!link.idle.isEmpty() && box.isUp()) {
             sent.process = (int) link.idle.pop()[0];
@@ -337,15 +337,15 @@
         long rttUs = 2 * oneWayUs(sent.box);
         boolean unheard = sent.box.isSilent() || isCutOff(sent.box);
         if (unheard || !sent.box.isUp() || !sent.box.connect()) {
-            long knownUs = unheard ? fleet.links().connectUs() : rttUs;
+            long knownUs = unheard ? fleet.links().connectTimeoutUs() : rttUs;
             time.afterUs(knownUs, () -> handle(sent.ofLife, () -> sent.end(Result.CONNECT_FAILED)));
             return;
         }
-        sent.process = sent.box.process();
+        sent.process = sent.box.incarnation();
         time.afterUs(rttUs * fleet.links().handshakeRtts(), () -> {
             if (!sent.over && sent.ofLife == life) {
-                if (sent.process == sent.box.process()) {
-                    write(sent, fleet.links().handshakeUs());
+                if (sent.process == sent.box.incarnation()) {
+                    write(sent, fleet.links().handshakeWorkUs());
                 } else {
                     handle(sent.ofLife, () -> sent.end(Result.CONNECT_FAILED));
                 }
@@ -356,22 +356,22 @@
     private void write(Sent sent, long extraUs) {
         attempts++;
         sent.written = true;
-        Try asked = sent.exchange.request();
+        ClientTry asked = sent.exchange.request();
         long now = time.nowUs();
         if (!isCutOff(sent.box)) {
-            time.afterUs(oneWayUs(sent.box), () -> sent.box.take(asked, extraUs, now, sent));
+            time.afterUs(oneWayUs(sent.box), () -> sent.box.submit(asked, extraUs, now, sent));
         }
     }
 
     @Override
-    public boolean withdraw(String serverId, Exchange<Try, Boolean> exchange) {
+    public boolean withdraw(String serverId, Exchange<ClientTry, Boolean> exchange) {
         Link link = links.get(serverId);
         Sent sent = link == null ? null : link.out.get(exchange);
         return sent != null && !sent.written && !giveUp(serverId, exchange);
     }
 
     @Override
-    public boolean giveUp(String serverId, Exchange<Try, Boolean> exchange) {
+    public boolean giveUp(String serverId, Exchange<ClientTry, Boolean> exchange) {
         Link link = links.get(serverId);
         Sent sent = link == null ? null : link.out.remove(exchange);
         if (sent == null) {
@@ -380,13 +380,13 @@
         sent.over = true;
         if (sent.process >= 0) {
             // Only the end of its connection calls an exchange off.
-            sent.box.disconnected(sent.process);
+            sent.box.connectionClosed(sent.process);
         }
         return sent.written;
     }
 
     @Override
-    public Try probe() {
+    public ClientTry probe() {
         throw new IllegalStateException("the module asks for no probes");
     }
 
@@ -399,7 +399,7 @@
     public void closeIdle(String serverId) {
         Link link = links.get(serverId);
         if (link != null) {
-            link.idle.forEach(idle -> boxes.get(serverId).disconnected((int) idle[0]));
+            link.idle.forEach(idle -> boxes.get(serverId).connectionClosed((int) idle[0]));
             link.idle.clear();
         }
     }
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -26,40 +26,40 @@
 
     private final Fleet fleet;
     private final Scheduler time;
-    private final Rules rules;
+    private final RuleChecker rules;
     private final Map<String, Box> byId = new LinkedHashMap<>();
     private final List<Box> boxes = new ArrayList<>();
     private final List<FleetNode> nodes = new ArrayList<>();
-    private final Tally tally;
-    private final Population clients;
-    private final Draws lists;
-    private final Draws faults;
-    private final Cuts cuts;
+    private final OutcomeCounter tally;
+    private final ClientPopulation clients;
+    private final RandomStream lists;
+    private final RandomStream faults;
+    private final NetworkPartitions cuts;
     private final long seed;
     private long unixUs;
 
     /** Makes the nodes of a run. */
-    public interface NodeMaker {
+    public interface NodeFactory {
         /** A node that is not started, by its number. */
-        FleetNode make(int number, Emulation of);
+        FleetNode create(int number, Emulation of);
     }
 
-    private Emulation(Fleet fleet, long seed, Scheduler time, NodeMaker maker) {
-        List<String> found = fleet.faultsFound();
+    private Emulation(Fleet fleet, long seed, Scheduler time, NodeFactory maker) {
+        List<String> found = fleet.validate();
         if (!found.isEmpty()) {
             throw new IllegalArgumentException(String.join("; ", found));
         }
         this.fleet = fleet;
         this.seed = seed;
         this.time = time;
-        rules = new Rules(time, new Rules.Limits(FALL_MULTIPLE, FALL_US));
-        tally = new Tally(fleet);
-        cuts = new Cuts(fleet.zones().count());
-        lists = new Draws(seed, Draws.Cause.LISTS);
-        faults = new Draws(seed, Draws.Cause.FAULTS);
-        Draws speeds = new Draws(seed, Draws.Cause.BOXES);
+        rules = new RuleChecker(time, new RuleChecker.ColdLoadLimit(FALL_MULTIPLE, FALL_US));
+        tally = new OutcomeCounter(fleet);
+        cuts = new NetworkPartitions(fleet.zones().count());
+        lists = new RandomStream(seed, RandomStream.Purpose.LISTS);
+        faults = new RandomStream(seed, RandomStream.Purpose.FAULTS);
+        RandomStream speeds = new RandomStream(seed, RandomStream.Purpose.BOXES);
         for (int k = 0; k < fleet.kinds().size(); k++) {
-            Fleet.Kind kind = fleet.kinds().get(k);
+            Fleet.ServerKind kind = fleet.kinds().get(k);
             for (int i = 0; i < kind.count(); i++) {
                 String id = kind.name() + "-" + i;
                 Box box = new Box(
@@ -70,34 +70,34 @@
                         kind.speedCv() == 0 ? kind.speed() : speeds.lognormal(kind.speed(), kind.speedCv()),
                         time,
                         rules,
-                        new Draws(seed, Draws.Cause.BOXES, 1 + boxes.size()));
+                        new RandomStream(seed, RandomStream.Purpose.BOXES, 1 + boxes.size()));
                 boxes.add(box);
                 byId.put(id, box);
             }
         }
         for (int n = 0; n < fleet.nodes().count(); n++) {
-            nodes.add(maker.make(n, this));
+            nodes.add(maker.create(n, this));
         }
-        clients = new Population(fleet, time, nodes, rules, tally, seed);
+        clients = new ClientPopulation(fleet, time, nodes, rules, tally, seed);
     }
 
     /**
      * Plays a fleet until all clients have their answers.
      *
-     * @throws IllegalArgumentException if it cannot be played; {@link Fleet#faultsFound} says why
+     * @throws IllegalArgumentException if it cannot be played; {@link Fleet#validate} says why
      */
-    public static Result play(Fleet fleet, long seed) {
-        return played(fleet, seed, Proxy.ModuleMaker.SOUND).result();
+    public static RunResult run(Fleet fleet, long seed) {
+        return runWith(fleet, seed, EmulatedNode.BalancerFactory.DEFAULT).result();
     }
 
     /** The same with other decision modules; its servers tell what they met. */
-    static Emulation played(Fleet fleet, long seed, Proxy.ModuleMaker modules) {
-        Draws seeds = new Draws(seed, Draws.Cause.MODULES);
+    static Emulation runWith(Fleet fleet, long seed, EmulatedNode.BalancerFactory modules) {
+        RandomStream seeds = new RandomStream(seed, RandomStream.Purpose.MODULES);
         Emulation run = new Emulation(
                 fleet,
                 seed,
                 new Scheduler(),
-                (n, of) -> new Proxy(
+                (n, of) -> new EmulatedNode(
                         n,
                         fleet,
                         of.time,
@@ -105,12 +105,12 @@
                         of.rules,
                         of.cuts,
                         of.settings(n),
-                        new Draws(seed, Draws.Cause.NETWORK, n),
+                        new RandomStream(seed, RandomStream.Purpose.NETWORK, n),
                         seeds,
                         UNIX_US,
                         modules));
         run.begin(UNIX_US);
-        while (run.time.step(run.endsUs() * 1_000)) {
+        while (run.time.step(run.endTimeUs() * 1_000)) {
             // Each step is one event.
         }
         return run;
@@ -120,9 +120,9 @@
      * The same clients, servers and troubles among nodes that somebody else brings, on a time that somebody
      * else lets pass. Nothing happens before {@link #begin}.
      *
-     * @throws IllegalArgumentException as {@link #play}
+     * @throws IllegalArgumentException as {@link #run}
      */
-    public static Emulation among(Fleet fleet, long seed, Scheduler time, NodeMaker nodes) {
+    public static Emulation create(Fleet fleet, long seed, Scheduler time, NodeFactory nodes) {
         return new Emulation(fleet, seed, time, nodes);
     }
 
@@ -132,8 +132,8 @@
     }
 
     /** When all clients have their answers at the latest, in microseconds of the run's time. */
-    public long endsUs() {
-        return fleet.load().lengthUs() + RUN_OUT_US;
+    public long endTimeUs() {
+        return fleet.load().durationUs() + RUN_OUT_US;
     }
 
     /** What a node of this fleet is told. */
@@ -144,22 +144,28 @@
         for (int z = 0; z < fleet.zones().count(); z++) {
             set.zones.add("zone-" + z);
         }
-        set.myZone = fleet.zones().of(me);
-        set.crossZonePrice = fleet.zones().price();
-        fleet.classes().forEach(work -> set.classes.add(work.of()));
-        double shares = fleet.tenants().stream().mapToDouble(Fleet.Share::share).sum();
+        set.myZone = fleet.zones().zoneOf(me);
+        set.crossZonePrice = fleet.zones().crossZonePrice();
+        fleet.classes().forEach(work -> set.classes.add(work.requestClass()));
+        double shares =
+                fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
         fleet.tenants()
                 .forEach(t -> set.tenants.add(new Tenant(t.name(), fleet.load().quotaPerS() * t.share() / shares)));
         set.overShareWorth = fleet.load().overShareWorth();
         set.maxAttempts = 4;
         set.secondCopies = true;
         set.cancel = true;
-        set.maxRetryAfterUs = fleet.clients().mostRetryAfterUs();
-        set.connectTimeoutUs = fleet.links().connectUs();
-        set.drainGraceUs = fleet.list().graceUs();
-        set.coldFrom =
-                fleet.kinds().stream().mapToDouble(Fleet.Kind::coldFrom).min().orElse(1);
-        set.coldUs = fleet.kinds().stream().mapToLong(Fleet.Kind::coldUs).max().orElse(0);
+        set.maxRetryAfterUs = fleet.clients().maxRetryAfterUs();
+        set.connectTimeoutUs = fleet.links().connectTimeoutUs();
+        set.drainGraceUs = fleet.discoveryDelays().drainGraceUs();
+        set.coldFrom = fleet.kinds().stream()
+                .mapToDouble(Fleet.ServerKind::initialCapacityRatio)
+                .min()
+                .orElse(1);
+        set.coldUs = fleet.kinds().stream()
+                .mapToLong(Fleet.ServerKind::warmUpUs)
+                .max()
+                .orElse(0);
         set.fallMultiple = FALL_MULTIPLE;
         set.fallUs = FALL_US;
         return set;
@@ -175,7 +181,7 @@
         List<ServerEntry> all =
                 boxes.stream().map(box -> entry(box, ServerState.READY)).toList();
         for (FleetNode node : nodes) {
-            node.listed(all);
+            node.serversChanged(all);
             node.start();
         }
         fleet.faults().forEach(fault -> time.afterUs(fault.atUs(), () -> begin(fault)));
@@ -183,25 +189,26 @@
     }
 
     /** What it came to so far. */
-    public Result result() {
-        double seconds = fleet.load().lengthUs() / 1e6;
-        List<Result.OfKind> kinds = new ArrayList<>();
+    public RunResult result() {
+        double seconds = fleet.load().durationUs() / 1e6;
+        List<RunResult.KindUsage> kinds = new ArrayList<>();
         for (int k = 0; k < fleet.kinds().size(); k++) {
             int kind = k;
-            List<Box> of = boxes.stream().filter(box -> box.kind == kind).toList();
+            List<Box> of = boxes.stream().filter(box -> box.kindIndex == kind).toList();
             double all = seconds * 1e6 * fleet.kinds().get(k).cores();
-            kinds.add(new Result.OfKind(
+            kinds.add(new RunResult.KindUsage(
                     fleet.kinds().get(k).name(),
                     of.stream().mapToDouble(box -> box.busyUs / all).average().orElse(0),
                     of.stream().mapToDouble(box -> box.busyUs / all).max().orElse(0),
-                    of.stream().mapToInt(box -> box.mostConnectionsSeen).max().orElse(0),
-                    (int) of.stream().filter(Box::hasChoked).count()));
+                    of.stream().mapToInt(box -> box.peakConnections).max().orElse(0),
+                    (int) of.stream().filter(Box::wasOverloaded).count()));
         }
-        List<FleetNode.Figures> did = nodes.stream().map(FleetNode::figures).toList();
+        List<FleetNode.Stats> did = nodes.stream().map(FleetNode::stats).toList();
         double busyUs = boxes.stream().mapToDouble(box -> box.busyUs).sum();
-        List<Result.OfClass> classes = tally.classes();
-        long wishes = classes.stream().mapToLong(Result.OfClass::offered).sum();
-        return new Result(
+        List<RunResult.ClassOutcome> classes = tally.classes();
+        long wishes =
+                classes.stream().mapToLong(RunResult.ClassOutcome::offered).sum();
+        return new RunResult(
                 seed,
                 tally.share(0, Integer.MAX_VALUE),
                 tally.worstWindow(),
@@ -213,20 +220,20 @@
                 wishes == 0 ? 0 : (double) tally.tries / wishes,
                 kinds,
                 did.stream()
-                        .mapToDouble(d -> d.usedUs() / (seconds * 1e6))
+                        .mapToDouble(d -> d.cpuUs() / (seconds * 1e6))
                         .average()
                         .orElse(0),
-                did.stream().mapToDouble(FleetNode.Figures::mostLateUs).max().orElse(0),
-                (int) boxes.stream().filter(Box::hasChoked).count(),
-                boxes.stream().mapToLong(box -> box.turnedAway).sum(),
-                boxes.stream().mapToLong(box -> box.refusedConnections).sum(),
-                did.stream().mapToLong(FleetNode.Figures::attempts).sum(),
-                did.stream().mapToLong(FleetNode.Figures::dials).sum(),
+                did.stream().mapToDouble(FleetNode.Stats::maxLagUs).max().orElse(0),
+                (int) boxes.stream().filter(Box::wasOverloaded).count(),
+                boxes.stream().mapToLong(box -> box.rejectedRequests).sum(),
+                boxes.stream().mapToLong(box -> box.rejectedConnections).sum(),
+                did.stream().mapToLong(FleetNode.Stats::attempts).sum(),
+                did.stream().mapToLong(FleetNode.Stats::connectionsOpened).sum(),
                 busyUs == 0
                         ? 0
                         : boxes.stream().mapToDouble(box -> box.wastedUs).sum() / busyUs,
-                rules.breaks(),
-                rules.told(),
+                rules.violationCount(),
+                rules.violations(),
                 time.steps());
     }
 
@@ -236,14 +243,15 @@
      * A server as it is now.
      *
      * @param state up, draining, cold, slow, failing, silent, dead or fallen
-     * @param held requests that run or wait
-     * @param done since the beginning
+     * @param inFlight requests that run or wait
+     * @param completed since the beginning
      */
-    public record BoxNow(String id, String state, int held, int connections, long done, double warmth) {}
+    public record BoxStatus(
+            String id, String state, int inFlight, int connections, long completed, double warmUpRatio) {}
 
     /** All servers, in order. */
-    public List<BoxNow> boxesNow() {
-        return boxes.stream().map(Box::now).toList();
+    public List<BoxStatus> boxStatuses() {
+        return boxes.stream().map(Box::status).toList();
     }
 
     /** Whether a node takes clients, in order. */
@@ -252,15 +260,15 @@
     }
 
     /** This trouble befalls one server now; one that ends by itself does after {@code forUs}. */
-    public void befalls(Fleet.Trouble trouble, String id, long forUs, double size) {
-        begin(new Fleet.Fault(trouble, Fleet.Among.ANY, 0, 1, 0, forUs, size), List.of(byId.get(id)));
+    public void injectFault(Fleet.FaultKind trouble, String id, long forUs, double size) {
+        begin(new Fleet.Fault(trouble, Fleet.FaultScope.ANY, 0, 1, 0, forUs, size), List.of(byId.get(id)));
     }
 
     /** One server is itself again: a new process where it had none, and no trouble of its own. */
-    public void wellAgain(String id) {
+    public void recover(String id) {
         Box box = byId.get(id);
-        box.failing = 0;
-        box.slowed = 1;
+        box.failureRatio = 0;
+        box.slowdownFactor = 1;
         if (!box.isUp()) {
             comeBack(List.of(box));
         }
@@ -268,13 +276,13 @@
 
     /** A node is killed and starts anew. */
     public void restartNode() {
-        restartNodes(new Fleet.Fault(Fleet.Trouble.NODES_RESTART, Fleet.Among.ANY, 0, 1, 0, 0, 1));
+        restartNodes(new Fleet.Fault(Fleet.FaultKind.NODES_RESTART, Fleet.FaultScope.ANY, 0, 1, 0, 0, 1));
     }
 
     /** A node is killed; the front deals out to it until it notices. */
     public void killNode(int node) {
         clients.died(node);
-        nodes.get(node).die();
+        nodes.get(node).kill();
     }
 
     /** A node that was killed starts anew. */
@@ -283,14 +291,14 @@
     }
 
     /** One tenant asks so much more for so long. */
-    public void flood(int tenant, double ratePerS, long forUs) {
+    public void addTenantLoad(int tenant, double ratePerS, long forUs) {
         clients.flood(tenant, ratePerS, time.nowUs() + forUs);
     }
 
     // ---------------------------------------------------------------- what goes wrong
 
     private void begin(Fleet.Fault fault) {
-        if (fault.trouble() == Fleet.Trouble.NODES_RESTART) {
+        if (fault.kind() == Fleet.FaultKind.NODES_RESTART) {
             restartNodes(fault);
             return;
         }
@@ -298,28 +306,30 @@
     }
 
     private void begin(Fleet.Fault fault, List<Box> hit) {
-        switch (fault.trouble()) {
+        switch (fault.kind()) {
             case DIE, VANISH -> {
-                boolean silently = fault.trouble() == Fleet.Trouble.VANISH;
-                hit.forEach(box -> box.die(silently));
+                boolean silently = fault.kind() == Fleet.FaultKind.VANISH;
+                hit.forEach(box -> box.terminate(silently));
                 tell(
                         hit,
                         ServerState.GONE,
-                        silently ? fleet.list().silentUs() : fleet.list().goneUs());
-                time.afterUs(fault.forUs(), () -> comeBack(hit));
+                        silently
+                                ? fleet.discoveryDelays().silenceDelayUs()
+                                : fleet.discoveryDelays().crashDelayUs());
+                time.afterUs(fault.durationUs(), () -> comeBack(hit));
             }
             case FAIL -> {
-                hit.forEach(box -> box.failing = fault.size());
-                time.afterUs(fault.forUs(), () -> hit.forEach(box -> box.failing = 0));
+                hit.forEach(box -> box.failureRatio = fault.magnitude());
+                time.afterUs(fault.durationUs(), () -> hit.forEach(box -> box.failureRatio = 0));
             }
             case SLOW -> {
-                hit.forEach(box -> box.slowed = fault.size());
-                time.afterUs(fault.forUs(), () -> hit.forEach(box -> box.slowed = 1));
+                hit.forEach(box -> box.slowdownFactor = fault.magnitude());
+                time.afterUs(fault.durationUs(), () -> hit.forEach(box -> box.slowdownFactor = 1));
             }
             case RELEASE -> release(hit, fault, 0);
             case CUT -> {
-                cuts.cut(fault.which());
-                time.afterUs(fault.forUs(), () -> cuts.mend(fault.which()));
+                cuts.isolate(fault.index());
+                time.afterUs(fault.durationUs(), () -> cuts.heal(fault.index()));
             }
             case NODES_RESTART -> throw new IllegalStateException("handled above");
         }
@@ -327,11 +337,11 @@
 
     private List<Box> chosen(Fleet.Fault fault) {
         List<Box> from = new ArrayList<>(boxes.stream()
-                .filter(box -> switch (fault.among()) {
+                .filter(box -> switch (fault.scope()) {
                     case ANY -> true;
-                    case RACK -> box.rack == fault.which();
-                    case ZONE -> box.zone() == fault.which();
-                    case KIND -> box.kind == fault.which();
+                    case RACK -> box.rack == fault.index();
+                    case ZONE -> box.zone() == fault.index();
+                    case KIND -> box.kindIndex == fault.index();
                 })
                 .toList());
         if (fault.count() == 0 || fault.count() >= from.size()) {
@@ -339,7 +349,7 @@
         }
         List<Box> hit = new ArrayList<>();
         for (int i = 0; i < fault.count(); i++) {
-            hit.add(from.remove(faults.below(from.size())));
+            hit.add(from.remove(faults.nextInt(from.size())));
         }
         return hit;
     }
@@ -349,46 +359,47 @@
         tell(
                 hit.stream().filter(Box::isUp).toList(),
                 ServerState.READY,
-                fleet.list().backUs());
+                fleet.discoveryDelays().returnDelayUs());
     }
 
     /** A batch drains, is gone, and comes back cold; the next one follows once it is listed. */
     private void release(List<Box> of, Fleet.Fault fault, int from) {
-        int batch = Math.max(1, (int) fault.size());
+        int batch = Math.max(1, (int) fault.magnitude());
         if (from >= of.size()) {
             return;
         }
         List<Box> now = of.subList(from, Math.min(of.size(), from + batch));
         now.forEach(Box::drain);
         tell(now, ServerState.DRAINING, new Fleet.Range(0, 1));
-        time.afterUs(fleet.list().graceUs() + 1_000_000, () -> {
-            now.forEach(box -> box.die(false));
-            time.afterUs(fault.forUs(), () -> {
+        time.afterUs(fleet.discoveryDelays().drainGraceUs() + 1_000_000, () -> {
+            now.forEach(box -> box.terminate(false));
+            time.afterUs(fault.durationUs(), () -> {
                 comeBack(now);
-                time.afterUs(fleet.list().backUs().to(), () -> release(of, fault, from + batch));
+                time.afterUs(fleet.discoveryDelays().returnDelayUs().to(), () -> release(of, fault, from + batch));
             });
         });
     }
 
     private void restartNodes(Fleet.Fault fault) {
-        int atOnce = Math.max(1, (int) fault.size());
+        int atOnce = Math.max(1, (int) fault.magnitude());
         List<Integer> of = IntStream.range(0, nodes.size())
                 .boxed()
-                .filter(n -> fault.among() != Fleet.Among.ZONE || fleet.zones().of(n) == fault.which())
+                .filter(n ->
+                        fault.scope() != Fleet.FaultScope.ZONE || fleet.zones().zoneOf(n) == fault.index())
                 .toList();
         int all = fault.count() == 0 ? of.size() : Math.min(fault.count(), of.size());
         for (int n = 0; n < all; n++) {
             int node = of.get(n);
-            time.afterUs(n / atOnce * (fault.forUs() + fleet.nodes().startUs()), () -> {
+            time.afterUs(n / atOnce * (fault.durationUs() + fleet.nodes().startupUs()), () -> {
                 killNode(node);
-                time.afterUs(fault.forUs() + fleet.nodes().startUs(), () -> startNode(node));
+                time.afterUs(fault.durationUs() + fleet.nodes().startupUs(), () -> startNode(node));
             });
         }
     }
 
     private ServerEntry entry(Box box, ServerState state) {
         return new ServerEntry(
-                box.id, box.zone(), box.rack, state, 1, box.startedUs() == 0 ? 0 : unixUs + box.startedUs());
+                box.id, box.zone(), box.rack, state, 1, box.startedAtUs() == 0 ? 0 : unixUs + box.startedAtUs());
     }
 
     /** Discovery tells all nodes at once, late; of several changes the last one holds. It has its place in
@@ -399,13 +410,13 @@
             return;
         }
         List<ServerEntry> entries = of.stream().map(box -> entry(box, state)).toList();
-        time.afterUs(lists.between(late), () -> {
+        time.afterUs(lists.nextBetween(late), () -> {
             List<ServerEntry> stands = entries.stream()
                     .filter(e -> state != ServerState.GONE || !byId.get(e.id()).isUp())
                     .toList();
             for (int n = 0; n < nodes.size(); n++) {
                 FleetNode node = nodes.get(n);
-                cuts.whenWhole(0, fleet.zones().of(n), () -> node.listed(stands));
+                cuts.whenConnected(0, fleet.zones().zoneOf(n), () -> node.serversChanged(stands));
             }
         });
     }
--- a/src/main/java/kitemux/fleet/FleetNode.java
+++ b/src/main/java/kitemux/fleet/FleetNode.java
@@ -15,19 +15,19 @@
     void start();
 
     /** It is killed: what it held is gone, and its clients' connections break. */
-    void die();
+    void kill();
 
     /** Discovery tells of servers. */
-    void listed(List<ServerEntry> entries);
+    void serversChanged(List<ServerEntry> entries);
 
     /** A client's try has come. */
-    void take(Try asked);
+    void submit(ClientTry asked);
 
     /** A try has its answer. */
-    void answered(Try asked);
+    void completed(ClientTry asked);
 
     /** A try's client waits no more. */
-    void left(Try asked);
+    void abandoned(ClientTry asked);
 
     /**
      * The time of a try's client is over. Where sockets lie between them, it first looks at what has come.
@@ -35,20 +35,20 @@
      * @param afterUs so long after it was asked, by the run's time
      * @param leaves does what is done by a client that has no answer; without effect for one that has
      */
-    default void timeOver(Try asked, long afterUs, Runnable leaves) {
+    default void deadlineReached(ClientTry asked, long afterUs, Runnable leaves) {
         leaves.run();
     }
 
     /** What it did so far. */
-    Figures figures();
+    Stats stats();
 
     /**
      * What a node did.
      *
-     * @param usedUs processor time
-     * @param mostLateUs the longest that it was behind
+     * @param cpuUs processor time
+     * @param maxLagUs the longest that it was behind
      * @param attempts requests sent to servers
-     * @param dials connections opened to servers
+     * @param connectionsOpened connections opened to servers
      */
-    record Figures(double usedUs, double mostLateUs, long attempts, long dials) {}
+    record Stats(double cpuUs, double maxLagUs, long attempts, long connectionsOpened) {}
 }
--- a/src/main/java/kitemux/fleet/Tally.java
+++ b/src/main/java/kitemux/fleet/OutcomeCounter.java
@@ -6,7 +6,7 @@
 import org.HdrHistogram.Histogram;
 
 /** Counts what became of clients' wishes, by second, class and tenant. A client's tries are one wish. */
-final class Tally {
+final class OutcomeCounter {
     private static final int WINDOW_S = 10;
     /** Latencies are told to two digits, up to a minute. */
     private static final long MOST_LATENCY_US = 60_000_000;
@@ -32,9 +32,9 @@
         FAILED
     }
 
-    Tally(Fleet fleet) {
+    OutcomeCounter(Fleet fleet) {
         this.fleet = fleet;
-        int seconds = (int) (fleet.load().lengthUs() / 1_000_000) + 1;
+        int seconds = (int) (fleet.load().durationUs() / 1_000_000) + 1;
         offered = new double[seconds];
         inTime = new double[seconds];
         byClass = new long[fleet.classes().size()][Of.values().length];
@@ -43,12 +43,13 @@
         tenantInTime = new double[tenants];
         quotaLeft = new double[tenants];
         quotaSeenUs = new long[tenants];
-        allShares = fleet.tenants().stream().mapToDouble(Fleet.Share::share).sum();
+        allShares =
+                fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
     }
 
     /** A client wants something; what that is worth. */
     double offered(long atUs, int classIndex, int tenant) {
-        RequestClass of = fleet.classes().get(classIndex).of();
+        RequestClass of = fleet.classes().get(classIndex).requestClass();
         boolean over = tenant >= 0 && fleet.load().quotaPerS() > 0 && isOver(atUs, tenant);
         double worth = of.worth() * (over ? fleet.load().overShareWorth() : 1);
         offered[(int) (atUs / 1_000_000)] += worth;
@@ -80,7 +81,8 @@
         }
         byClass[classIndex][Of.IN_TIME.ordinal()]++;
         inTime[(int) (cameUs / 1_000_000)] += worth;
-        if (tenant >= 0 && worth == fleet.classes().get(classIndex).of().worth()) {
+        if (tenant >= 0
+                && worth == fleet.classes().get(classIndex).requestClass().worth()) {
             tenantInTime[tenant] += worth;
         }
     }
@@ -121,10 +123,10 @@
                 .toList();
     }
 
-    List<Result.OfClass> classes() {
+    List<RunResult.ClassOutcome> classes() {
         return IntStream.range(0, byClass.length)
-                .mapToObj(c -> new Result.OfClass(
-                        fleet.classes().get(c).of().name(),
+                .mapToObj(c -> new RunResult.ClassOutcome(
+                        fleet.classes().get(c).requestClass().name(),
                         byClass[c][0],
                         byClass[c][1],
                         byClass[c][2],
--- a/src/main/java/kitemux/fleet/Draws.java
+++ b/src/main/java/kitemux/fleet/RandomStream.java
@@ -8,13 +8,13 @@
  * Random numbers of one cause. Each cause has a stream of its own, so that two variants of a fleet meet the
  * same clients with the same work, whatever else is drawn meanwhile.
  */
-final class Draws {
+final class RandomStream {
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential exponential;
     private final ZigguratSampler.NormalizedGaussian gaussian;
 
     /** What is drawn for. */
-    enum Cause {
+    enum Purpose {
         ARRIVALS,
         WORK,
         CLIENTS,
@@ -27,12 +27,12 @@
         SKEW
     }
 
-    Draws(long seed, Cause cause) {
+    RandomStream(long seed, Purpose cause) {
         this(seed, cause, 0);
     }
 
     /** The stream of the so many-th one of a cause. */
-    Draws(long seed, Cause cause, int number) {
+    RandomStream(long seed, Purpose cause, int number) {
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {
             mix(seed + 0x9E3779B97F4A7C15L), mix(seed ^ mix(cause.ordinal() + 31L * number + 1))
         });
@@ -47,21 +47,21 @@
     }
 
     /** In [0, 1). */
-    double share() {
+    double nextDouble() {
         return random.nextDouble();
     }
 
     /** In [0, below). */
-    int below(int below) {
+    int nextInt(int below) {
         return random.nextInt(below);
     }
 
-    long any() {
+    long nextLong() {
         return random.nextLong();
     }
 
     /** Evenly between the two. */
-    long between(Fleet.Range range) {
+    long nextBetween(Fleet.Range range) {
         return range.from() + (long) (random.nextDouble() * (range.to() - range.from()));
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** The place of one of these, drawn by weights that are summed up to each. */
-    int by(double[] upTo) {
+    int nextWeightedIndex(double[] upTo) {
         double at = random.nextDouble() * upTo[upTo.length - 1];
         int place = 0;
         while (place < upTo.length - 1 && at >= upTo[place]) {
--- a/src/main/java/kitemux/lab/Between.java
+++ b/src/main/java/kitemux/lab/Between.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerEntry;
-import kitemux.fleet.Try;
+import kitemux.fleet.ClientTry;
 
 /**
  * Who stands between the parties of a run over sockets, and looks on: where each party is told that another
@@ -59,45 +59,45 @@
     default void said(int node, String line) {}
 
     /** A client's try is on its way to a node. */
-    default void asked(int node, Try one) {}
+    default void asked(int node, ClientTry one) {}
 
     /** A client has written a try to a connection, one that was used before or a new one. */
-    default void written(Try one, boolean usedBefore) {}
+    default void written(ClientTry one, boolean usedBefore) {}
 
     /** A connection ended under a try, with no byte of an answer. */
-    default void broken(Try one, boolean usedBefore) {}
+    default void broken(ClientTry one, boolean usedBefore) {}
 
     /** An answer has come whole. */
-    default void answered(Try one, int status, long retryAfterUs) {}
+    default void answered(ClientTry one, int status, long retryAfterUs) {}
 
     /** A client waits no more for a try, and closes its connection. */
-    default void left(Try one) {}
+    default void left(ClientTry one) {}
 
     /** A connection to a server has come up. */
     default void connected(String box, InetSocketAddress from) {}
 
     /** A request has come whole to a server that runs, or to one that says nothing. */
-    default void came(String box, InetSocketAddress from, Try one, boolean runs) {}
+    default void came(String box, InetSocketAddress from, ClientTry one, boolean runs) {}
 
     /** A server says how a request ended there. */
-    default void told(String box, Try one, Result result) {}
+    default void told(String box, ClientTry one, Result result) {}
 
     /** The answer that a server gives to a try that it serves, where it is a long one; else null. */
-    default LongAnswer longAnswer(String box, Try one) {
+    default LongAnswer longAnswer(String box, ClientTry one) {
         return null;
     }
 
     /** A server begins to give a long answer. */
-    default void gives(String box, Try one) {}
+    default void gives(String box, ClientTry one) {}
 
     /** It gives no more of it. */
-    default void gave(String box, Try one, LongAnswer.End how) {}
+    default void gave(String box, ClientTry one, LongAnswer.End how) {}
 
     /** A long answer begins to come to a client, which waits for the rest from now on, whatever its time. */
-    default void begun(Try one) {}
+    default void begun(ClientTry one) {}
 
     /** A connection ended amid a long answer that had begun to come. */
-    default void cutOff(Try one) {}
+    default void cutOff(ClientTry one) {}
 
     /** A server's process has begun, or ended, or gone on without a word. */
     default void box(String box, boolean up, boolean silent) {}
--- a/src/main/java/kitemux/lab/BoxSocket.java
+++ b/src/main/java/kitemux/lab/BoxSocket.java
@@ -31,7 +31,7 @@
 import java.util.concurrent.TimeUnit;
 import kitemux.Balancer.Result;
 import kitemux.fleet.Box;
-import kitemux.fleet.Try;
+import kitemux.fleet.ClientTry;
 
 /**
  * A server of HTTP/1.1 on a loopback address that takes as long as a described one would: its queue, cores,
@@ -48,7 +48,7 @@
     private final Box box;
     private final InetSocketAddress address;
     private final RealTime time;
-    private final Map<String, Try> asked;
+    private final Map<String, ClientTry> asked;
     private final double handshakeUs;
     private final Between between;
     private final ServerBootstrap listener;
@@ -66,7 +66,7 @@
             InetSocketAddress address,
             EventLoop loop,
             RealTime time,
-            Map<String, Try> asked,
+            Map<String, ClientTry> asked,
             double handshakeUs,
             Between between) {
         this.box = box;
@@ -134,7 +134,7 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private int process;
         /** Whose long answer it gives, or null. */
-        private Try givenTo;
+        private ClientTry givenTo;
 
         private boolean counted;
         private boolean fresh = true;
@@ -150,13 +150,13 @@
                     return;
                 }
                 counted = box.isUp();
-                process = box.process();
+                process = box.incarnation();
             });
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            Try of = asked.get(String.valueOf(request.headers().get("X-Txn")));
+            ClientTry of = asked.get(String.valueOf(request.headers().get("X-Txn")));
             if (of == null) {
                 answer(context.channel(), HttpResponseStatus.NOT_FOUND, false);
                 return;
@@ -169,23 +169,23 @@
                 if (!box.isUp()) {
                     return;
                 }
-                box.cameNew(DRAIN_SLACK_US);
-                box.take(of, extraUs, time.scheduler().nowUs(), new Box.Reply() {
+                box.checkDraining(DRAIN_SLACK_US);
+                box.submit(of, extraUs, time.scheduler().nowUs(), new Box.ReplyHandler() {
                     @Override
-                    public void came(Result result) {
+                    public void completed(Result result) {
                         between.told(box.id(), of, result);
                         tell(context.channel(), of, result);
                     }
 
                     @Override
-                    public boolean isWanted() {
+                    public boolean isAwaited() {
                         return context.channel().isActive();
                     }
                 });
             });
         }
 
-        private void served(Channel channel, Try of) {
+        private void served(Channel channel, ClientTry of) {
             LongAnswer answer = between.longAnswer(box.id(), of);
             if (answer == null) {
                 answer(channel, HttpResponseStatus.OK, false);
@@ -232,7 +232,7 @@
             }
         }
 
-        private void tell(Channel channel, Try of, Result result) {
+        private void tell(Channel channel, ClientTry of, Result result) {
             switch (result) {
                 case OK -> served(channel, of);
                 case ERROR -> answer(channel, HttpResponseStatus.INTERNAL_SERVER_ERROR, false);
@@ -254,11 +254,11 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             open.remove(context.channel());
-            time.happens(
-                    () -> gave(box.isUp() && process == box.process() ? LongAnswer.End.CLOSED : LongAnswer.End.DIED));
+            time.happens(() ->
+                    gave(box.isUp() && process == box.incarnation() ? LongAnswer.End.CLOSED : LongAnswer.End.DIED));
             if (counted) {
                 counted = false;
-                time.happens(() -> box.disconnected(process));
+                time.happens(() -> box.connectionClosed(process));
             }
         }
 
--- a/src/main/java/kitemux/lab/Deeds.java
+++ b/src/main/java/kitemux/lab/Deeds.java
@@ -83,7 +83,8 @@
                 boxes.add(kind.name() + "-" + i);
             }
         });
-        List<String> tenants = fleet.tenants().stream().map(Fleet.Share::name).toList();
+        List<String> tenants =
+                fleet.tenants().stream().map(Fleet.TenantShare::name).toList();
         int number = 0;
         for (String line : text.lines().toList()) {
             number++;
@@ -119,21 +120,24 @@
     /** Does it to a fleet that is played. */
     public static void act(Deed deed, String to, Fleet fleet, Emulation live) {
         switch (deed) {
-            case KILL -> live.befalls(Fleet.Trouble.DIE, to, FOR_US, 0);
-            case SILENCE -> live.befalls(Fleet.Trouble.VANISH, to, FOR_US, 0);
-            case SLOW -> live.befalls(Fleet.Trouble.SLOW, to, FOR_US, SLOWER);
-            case FAIL -> live.befalls(Fleet.Trouble.FAIL, to, FOR_US, FAILING);
-            case DRAIN -> live.befalls(Fleet.Trouble.RELEASE, to, 1_000_000, 1);
-            case BACK -> live.wellAgain(to);
+            case KILL -> live.injectFault(Fleet.FaultKind.DIE, to, FOR_US, 0);
+            case SILENCE -> live.injectFault(Fleet.FaultKind.VANISH, to, FOR_US, 0);
+            case SLOW -> live.injectFault(Fleet.FaultKind.SLOW, to, FOR_US, SLOWER);
+            case FAIL -> live.injectFault(Fleet.FaultKind.FAIL, to, FOR_US, FAILING);
+            case DRAIN -> live.injectFault(Fleet.FaultKind.RELEASE, to, 1_000_000, 1);
+            case BACK -> live.recover(to);
             case RESTART -> live.restartNode();
             case FLOOD -> {
-                int tenant =
-                        fleet.tenants().stream().map(Fleet.Share::name).toList().indexOf(to);
-                Fleet.Share of = fleet.tenants().get(tenant);
+                int tenant = fleet.tenants().stream()
+                        .map(Fleet.TenantShare::name)
+                        .toList()
+                        .indexOf(to);
+                Fleet.TenantShare of = fleet.tenants().get(tenant);
                 double all = fleet.tenants().stream()
-                        .mapToDouble(t -> t.share() * t.usage())
+                        .mapToDouble(t -> t.share() * t.usageRatio())
                         .sum();
-                live.flood(tenant, (FLOOD - 1) * fleet.load().ratePerS() * of.share() * of.usage() / all, FLOOD_US);
+                live.addTenantLoad(
+                        tenant, (FLOOD - 1) * fleet.load().ratePerS() * of.share() * of.usageRatio() / all, FLOOD_US);
             }
         }
     }
--- a/src/main/java/kitemux/lab/ExperimentFile.java
+++ b/src/main/java/kitemux/lab/ExperimentFile.java
@@ -32,7 +32,7 @@
      * @param faults gets all that is wrong, of the fleet too, one line each with place, field and reason
      * @return the experiment; not to be played if there are faults
      */
-    public static Experiment read(String file, String text, FleetFile.Texts texts, List<String> faults) {
+    public static Experiment read(String file, String text, FleetFile.FileSource texts, List<String> faults) {
         Map<String, Object> parsed;
         try {
             parsed = new HCLParser().parse(text);
@@ -50,7 +50,7 @@
     }
 
     private static Experiment experiment(
-            Map<String, Object> parsed, FleetFile.Texts texts, List<String> faults, List<String> ofFleet) {
+            Map<String, Object> parsed, FleetFile.FileSource texts, List<String> faults, List<String> ofFleet) {
         Section all = new Section("", parsed, faults);
         String path = all.text("fleet");
         double goal = all.number("goal", 0.95);
@@ -64,7 +64,7 @@
                 faults.add("where: must hold emulator, loopback or both, not \"" + word + "\"");
             }
         }
-        Fleet base = FleetFile.named(path, texts, faults, ofFleet);
+        Fleet base = FleetFile.readNamed(path, texts, faults, ofFleet);
         require(faults, goal > 0 && goal < 1, "goal: is not above 0 and under 1");
         require(faults, seeds >= 1 && seeds <= MOST_SEEDS, "seeds: is not from 1 to " + MOST_SEEDS);
         require(faults, length >= 2_000_000 && length <= MOST_LENGTH_US, "length: is not from 2s to 10m");
@@ -73,7 +73,7 @@
         if (base != null) {
             Fleet.Load load = base.load();
             Fleet lasting = base.with(
-                    new Fleet.Load(load.ratePerS(), length, load.shape(), load.quotaPerS(), load.overShareWorth()));
+                    new Fleet.Load(load.ratePerS(), length, load.profile(), load.quotaPerS(), load.overShareWorth()));
             scenarios.forEach((name, of) -> scenario(name, of, lasting, variants, faults));
             all.end();
             check(variants, where, faults);
@@ -84,32 +84,36 @@
     private static void scenario(
             String name, Section of, Fleet base, List<Experiment.Variant> variants, List<String> faults) {
         double load = of.number("load", 1);
-        Fleet fleet = base.with(shaped(base.load().times(load), of));
+        Fleet fleet = base.with(shaped(base.load().scaledBy(load), of));
         Section counts = of.block("counts", false);
         if (counts != null) {
-            List<Fleet.Kind> kinds = new ArrayList<>();
+            List<Fleet.ServerKind> kinds = new ArrayList<>();
             fleet.kinds().forEach(kind -> kinds.add(counted(kind, counts.whole(kind.name(), kind.count()))));
             counts.end();
             fleet = fleet.withKinds(kinds);
         }
         if (!of.yes("choke", true)) {
-            fleet = fleet.with((Fleet.Choke) null);
+            fleet = fleet.with((Fleet.OverloadSlowdown) null);
         }
         Fleet.Clients clients = fleet.clients();
         fleet = fleet.with(new Fleet.Clients(
                 clients.oneWayUs(),
-                of.whole("retries", clients.retries()),
-                clients.tryFrom(),
-                clients.tryTo(),
+                of.whole("retries", clients.maxRetries()),
+                clients.minTryTimeoutRatio(),
+                clients.maxTryTimeoutRatio(),
                 clients.backoffUs(),
-                of.number("honour", clients.honour()),
-                clients.mostRetryAfterUs(),
-                clients.skew()));
+                of.number("honour", clients.retryAfterComplianceRatio()),
+                clients.maxRetryAfterUs(),
+                clients.nodeSkew()));
         Fleet.Nodes nodes = fleet.nodes();
         fleet = fleet.with(new Fleet.Nodes(
-                of.whole("nodes", nodes.count()), nodes.eventUs(), nodes.cores(), nodes.startUs(), nodes.noticeUs()));
+                of.whole("nodes", nodes.count()),
+                nodes.eventCostUs(),
+                nodes.cores(),
+                nodes.startupUs(),
+                nodes.failureDetectionUs()));
         List<Fleet.Fault> wrong = new ArrayList<>(fleet.faults());
-        of.repeated("fault").forEach(fault -> wrong.add(FleetFile.fault(fault)));
+        of.repeated("fault").forEach(fault -> wrong.add(FleetFile.readFault(fault)));
         fleet = fleet.withFaults(wrong);
         List<Double> loads = of.numbers("loads");
         List<Double> boxes = of.numbers("boxes");
@@ -124,7 +128,7 @@
                     name,
                     times,
                     false,
-                    fleet.with(fleet.load().times(times))));
+                    fleet.with(fleet.load().scaledBy(times))));
         }
         if (!kind.isEmpty() && fleet.kinds().stream().noneMatch(k -> k.name().equals(kind))) {
             faults.add("scenario \"" + name + "\".of: there is no kind \"" + kind + "\" in the fleet");
@@ -143,26 +147,26 @@
     }
 
     private static Fleet.Load shaped(Fleet.Load load, Section of) {
-        List<Fleet.Point> shape = new ArrayList<>();
+        List<Fleet.LoadPoint> shape = new ArrayList<>();
         for (Section point : of.repeated("point")) {
-            shape.add(new Fleet.Point(point.time("at", 0), point.number("times", Double.NaN)));
+            shape.add(new Fleet.LoadPoint(point.time("at", 0), point.number("times", Double.NaN)));
             point.end();
         }
         return shape.isEmpty()
                 ? load
-                : new Fleet.Load(load.ratePerS(), load.lengthUs(), shape, load.quotaPerS(), load.overShareWorth());
+                : new Fleet.Load(load.ratePerS(), load.durationUs(), shape, load.quotaPerS(), load.overShareWorth());
     }
 
-    private static Fleet.Kind counted(Fleet.Kind k, int count) {
-        return new Fleet.Kind(
+    private static Fleet.ServerKind counted(Fleet.ServerKind k, int count) {
+        return new Fleet.ServerKind(
                 k.name(),
                 count,
                 k.cores(),
                 k.speed(),
                 k.speedCv(),
-                k.room(),
-                k.coldFrom(),
-                k.coldUs(),
+                k.queueCapacity(),
+                k.initialCapacityRatio(),
+                k.warmUpUs(),
                 k.warmsByWork(),
                 k.cost());
     }
@@ -180,7 +184,7 @@
                     faults,
                     variant.name().indexOf('\t') < 0 && variant.name().indexOf('\n') < 0,
                     at + "its name holds a tab or a line's end");
-            variant.fleet().faultsFound().forEach(fault -> faults.add(at + fault));
+            variant.fleet().validate().forEach(fault -> faults.add(at + fault));
             if (where.contains(Experiment.Where.LOOPBACK)) {
                 require(
                         faults,
@@ -188,18 +192,18 @@
                         at + "over sockets at most " + MOST_NODES + " nodes are started");
                 require(
                         faults,
-                        variant.fleet().boxes() <= MOST_BOXES,
+                        variant.fleet().serverCount() <= MOST_BOXES,
                         at + "over sockets at most " + MOST_BOXES + " servers are started");
                 require(
                         faults,
                         variant.fleet().faults().stream()
-                                .noneMatch(fault -> fault.trouble() == Fleet.Trouble.VANISH
-                                        || fault.trouble() == Fleet.Trouble.CUT),
+                                .noneMatch(fault ->
+                                        fault.kind() == Fleet.FaultKind.VANISH || fault.kind() == Fleet.FaultKind.CUT),
                         at + "what vanishes without a word cannot be played over loopback;"
                                 + " take where = [\"emulator\"]");
                 require(
                         faults,
-                        variant.fleet().zones().acrossUs() == 0,
+                        variant.fleet().zones().crossZoneDelayUs() == 0,
                         at + "all zones are as near as others over loopback: across must be 0");
             }
         }
--- a/src/main/java/kitemux/lab/Findings.java
+++ b/src/main/java/kitemux/lab/Findings.java
@@ -157,9 +157,9 @@
     static String text(Estimate of) {
         return of == null
                 ? "-"
-                : of.seeds() < 2
+                : of.sampleCount() < 2
                         ? String.format(Locale.ROOT, "%.3f", of.mean())
-                        : String.format(Locale.ROOT, "%.3f ± %.3f", of.mean(), of.half());
+                        : String.format(Locale.ROOT, "%.3f ± %.3f", of.mean(), of.halfWidth());
     }
 
     /** As it stands in tables. */
--- a/src/main/java/kitemux/lab/Lab.java
+++ b/src/main/java/kitemux/lab/Lab.java
@@ -44,7 +44,7 @@
                 jobs,
                 folder,
                 played,
-                run -> Row.of(run, Emulation.play(run.variant().fleet(), run.seed()), 0));
+                run -> Row.of(run, Emulation.run(run.variant().fleet(), run.seed()), 0));
         playAll(of(missing, Experiment.Where.LOOPBACK), atOnce, folder, played, run -> {
             Loopback.Played over = Loopback.play(run.variant().fleet(), run.seed(), launcher);
             return Row.of(run, over.result(), over.mostLateUs());
--- a/src/main/java/kitemux/lab/Loopback.java
+++ b/src/main/java/kitemux/lab/Loopback.java
@@ -29,10 +29,10 @@
 import kitemux.Balancer.Settings;
 import kitemux.config.ConfigText;
 import kitemux.fleet.Box;
+import kitemux.fleet.ClientTry;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
-import kitemux.fleet.Try;
+import kitemux.fleet.RunResult;
 import kitemux.sim.Scheduler;
 
 /**
@@ -64,7 +64,7 @@
     private final List<NodeProcess> nodes = new ArrayList<>();
     private final List<BoxSocket> sockets = new ArrayList<>();
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    private final Map<String, Try> asked = new HashMap<>();
+    private final Map<String, ClientTry> asked = new HashMap<>();
     /** One a node, as each may be told other ways to the same servers. */
     private final List<ListDesk> desks = new ArrayList<>();
 
@@ -76,7 +76,7 @@
      * @param mostLateUs the longest that this process was behind its own clock; a run with much of it says
      *     little of the nodes
      */
-    public record Played(Result result, long mostLateUs) {}
+    public record Played(RunResult result, long mostLateUs) {}
 
     /** How a node's process is started. */
     public interface Launcher {
@@ -112,7 +112,7 @@
         this.between = between;
         // A node's process takes as long to start as it takes.
         Fleet.Nodes n = fleet.nodes();
-        this.fleet = fleet.with(new Fleet.Nodes(n.count(), n.eventUs(), n.cores(), 0, n.noticeUs()));
+        this.fleet = fleet.with(new Fleet.Nodes(n.count(), n.eventCostUs(), n.cores(), 0, n.failureDetectionUs()));
         this.seed = seed;
         this.launcher = launcher;
         this.place = place;
@@ -182,7 +182,7 @@
         Emulation[] emulation = new Emulation[1];
         try {
             on(loop, () -> {
-                emulation[0] = Emulation.among(fleet, seed, time.scheduler(), (n, of) -> {
+                emulation[0] = Emulation.create(fleet, seed, time.scheduler(), (n, of) -> {
                     NodeProcess node = node(n, of, time, loop, folder);
                     nodes.add(node);
                     return node;
@@ -216,10 +216,10 @@
                 return null;
             });
             long longestUs = fleet.classes().stream()
-                    .mapToLong(work -> work.of().deadlineUs())
+                    .mapToLong(work -> work.requestClass().deadlineUs())
                     .max()
                     .orElse(0);
-            long endsUs = fleet.load().lengthUs() + longestUs + RUN_OUT_US;
+            long endsUs = fleet.load().durationUs() + longestUs + RUN_OUT_US;
             if (watcher == null) {
                 TimeUnit.MICROSECONDS.sleep(endsUs);
             } else {
@@ -230,7 +230,7 @@
                         endsUs);
             }
             return on(loop, () -> {
-                Result result = emulation[0].result();
+                RunResult result = emulation[0].result();
                 time.stop();
                 if (time.failure() != null) {
                     throw new IOException("the lab failed: " + time.failure(), time.failure());
@@ -268,7 +268,7 @@
                 InetSocketAddress at = place.address(boxes++, BOX_PORT);
                 addresses.put(box.id(), at);
                 sockets.add(
-                        new BoxSocket(box, at, loop, time, asked, fleet.links().handshakeUs(), between));
+                        new BoxSocket(box, at, loop, time, asked, fleet.links().handshakeWorkUs(), between));
             }
         }
         Map<String, InetSocketAddress> seen = new LinkedHashMap<>();
@@ -292,7 +292,7 @@
                 Long.toHexString(seed * 31 + number),
                 SOCKETS,
                 0,
-                fleet.links().idleUs());
+                fleet.links().idleTimeoutUs());
         try {
             Files.writeString(config, ConfigText.node(node, set, ListDesk.placed(all, seen)));
             return new NodeProcess(
--- a/src/main/java/kitemux/lab/NodeProcess.java
+++ b/src/main/java/kitemux/lab/NodeProcess.java
@@ -41,9 +41,9 @@
 import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.ServerEntry;
+import kitemux.fleet.ClientTry;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.FleetNode;
-import kitemux.fleet.Try;
 
 /**
  * A real node's process on a loopback address, and its clients' connections: each try is a request of its
@@ -62,13 +62,13 @@
     private final Fleet fleet;
     private final RealTime time;
     private final EventLoop loop;
-    private final Map<String, Try> asked;
+    private final Map<String, ClientTry> asked;
     private final Consumer<List<ServerEntry>> listed;
     private final ProcessBuilder command;
     private final Bootstrap dialer;
     private final ArrayDeque<Client> idle = new ArrayDeque<>();
-    private final Map<Try, Client> busy = new HashMap<>();
-    private final Map<Try, Since> since = new HashMap<>();
+    private final Map<ClientTry, Client> busy = new HashMap<>();
+    private final Map<ClientTry, Since> since = new HashMap<>();
     private Process process;
     private boolean up;
     private int lives;
@@ -98,7 +98,7 @@
             Fleet fleet,
             RealTime time,
             EventLoop loop,
-            Map<String, Try> asked,
+            Map<String, ClientTry> asked,
             Consumer<List<ServerEntry>> listed,
             ProcessBuilder command,
             Path config)
@@ -217,7 +217,7 @@
     }
 
     @Override
-    public void die() {
+    public void kill() {
         up = false;
         lives++;
         if (process != null) {
@@ -230,7 +230,7 @@
 
     /** Its process is killed, and clients go on dialling it: its machine has gone, and says nothing. */
     void vanish() {
-        die();
+        kill();
         up = true;
     }
 
@@ -261,19 +261,19 @@
     }
 
     @Override
-    public void listed(List<ServerEntry> entries) {
+    public void serversChanged(List<ServerEntry> entries) {
         listed.accept(entries);
     }
 
     @Override
-    public Figures figures() {
-        return new Figures(usedUs + (process == null ? 0 : cpuUs()), 0, 0, 0);
+    public Stats stats() {
+        return new Stats(usedUs + (process == null ? 0 : cpuUs()), 0, 0, 0);
     }
 
     // ---------------------------------------------------------------- clients
 
     @Override
-    public void take(Try one) {
+    public void submit(ClientTry one) {
         between.asked(number, one);
         asked.put(one.txn(), one);
         waitsFromNow(one);
@@ -289,7 +289,7 @@
         dial(one);
     }
 
-    private void dial(Try one) {
+    private void dial(ClientTry one) {
         dialer.connect(address).addListener(done -> {
             Channel channel = ((ChannelFuture) done).channel();
             if (!done.isSuccess()) {
@@ -302,12 +302,12 @@
         });
     }
 
-    private void waitsFromNow(Try one) {
+    private void waitsFromNow(ClientTry one) {
         since.put(one, new Since(System.nanoTime(), between.heldUpNanos()));
     }
 
     @Override
-    public void answered(Try one) {
+    public void completed(ClientTry one) {
         busy.remove(one);
         since.remove(one);
     }
@@ -317,7 +317,7 @@
      * while the ways are held up, and whatever has come when it is over is read first.
      */
     @Override
-    public void timeOver(Try one, long afterUs, Runnable leaves) {
+    public void deadlineReached(ClientTry one, long afterUs, Runnable leaves) {
         Since from = since.get(one);
         if (one.isOver() || from == null) {
             leaves.run();
@@ -325,7 +325,7 @@
         }
         long waits = from.nanos + afterUs * 1_000 + between.heldUpNanos() - from.heldUpNanos - System.nanoTime();
         if (waits > 0) {
-            loop.schedule(() -> time.happens(() -> timeOver(one, afterUs, leaves)), waits, TimeUnit.NANOSECONDS);
+            loop.schedule(() -> time.happens(() -> deadlineReached(one, afterUs, leaves)), waits, TimeUnit.NANOSECONDS);
         } else {
             between.passedOn(() -> LoopBeat.afterALook(loop, () -> time.happens(leaves)));
         }
@@ -336,7 +336,7 @@
      * until a request without one is lost, and is closed then, as nothing else calls a request off.
      */
     @Override
-    public void left(Try one) {
+    public void abandoned(ClientTry one) {
         since.remove(one);
         Client client = busy.get(one);
         if (client == null) {
@@ -357,15 +357,15 @@
         }
     }
 
-    private void brokenUnder(Try one, boolean usedBefore) {
+    private void brokenUnder(ClientTry one, boolean usedBefore) {
         if (!one.isOver()) {
             between.broken(one, usedBefore);
         }
         one.broken();
     }
 
-    private FullHttpRequest message(Try one) {
-        RequestClass of = fleet.classes().get(one.classIndex()).of();
+    private FullHttpRequest message(ClientTry one) {
+        RequestClass of = fleet.classes().get(one.classIndex()).requestClass();
         boolean reads = of.repeat() == Repeat.SAFE;
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -395,7 +395,7 @@
     /** A client's connection: one request at a time. */
     private final class Client extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
-        private Try asks;
+        private ClientTry asks;
         private boolean reused;
         /** A long answer has begun to come. */
         private boolean amid;
@@ -415,7 +415,7 @@
                     if (part instanceof HttpResponse head
                             && asks != null
                             && HttpUtil.getContentLength(head, 0L) >= LongAnswer.FIRST) {
-                        Try one = asks;
+                        ClientTry one = asks;
                         amid = true;
                         time.happens(() -> between.begun(one));
                     }
@@ -428,7 +428,7 @@
             return channel.isActive() && System.nanoTime() - idleSinceNanos < FRESH_NANOS;
         }
 
-        void ask(Try one) {
+        void ask(ClientTry one) {
             asks = one;
             busy.put(one, this);
             waitsFromNow(one);
@@ -438,7 +438,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-            Try one = asks;
+            ClientTry one = asks;
             asks = null;
             if (one == null) {
                 channel.close();
@@ -471,7 +471,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             idle.remove(this);
-            Try one = asks;
+            ClientTry one = asks;
             asks = null;
             if (one == null) {
                 return;
--- a/src/main/java/kitemux/lab/Row.java
+++ b/src/main/java/kitemux/lab/Row.java
@@ -1,7 +1,7 @@
 package kitemux.lab;
 
 import java.util.Locale;
-import kitemux.fleet.Result;
+import kitemux.fleet.RunResult;
 
 /**
  * What is kept of a run, as a line of a table.
@@ -44,21 +44,21 @@
 
     private static final int FIELDS = 12;
 
-    static Row of(Experiment.Run run, Result result, long behindUs) {
+    static Row of(Experiment.Run run, RunResult result, long behindUs) {
         long served =
                 result.classes().stream().mapToLong(c -> c.inTime() + c.late()).sum();
         return new Row(
                 run.variant().name(),
                 run.where(),
                 run.seed(),
-                result.inTime(),
-                result.worstWindow(),
-                result.wishes() == 0 ? 0 : (double) served / result.wishes(),
+                result.inTimeRatio(),
+                result.worstWindowRatio(),
+                result.requests() == 0 ? 0 : (double) served / result.requests(),
                 result.p50Us(),
                 result.p99Us(),
-                result.triesPerWish(),
-                result.wishes(),
-                result.breaks(),
+                result.triesPerRequest(),
+                result.requests(),
+                result.violationCount(),
                 behindUs);
     }
 
--- a/src/main/java/kitemux/plan/FromCapture.java
+++ b/src/main/java/kitemux/plan/CapturedWorkload.java
@@ -8,7 +8,7 @@
 import kitemux.load.Summary;
 
 /** Puts what was captured in the place of what a description says of the load. */
-public final class FromCapture {
+public final class CapturedWorkload {
     /** Of what was wanted: a class that hardly came is left as it is described. */
     private static final double NOTHING = 1e-4;
     /** Rates rest on fewer first tries than this by chance alone. */
@@ -18,7 +18,7 @@
 
     private static final double LIKE_EXPONENTIAL = 0.1;
 
-    private FromCapture() {}
+    private CapturedWorkload() {}
 
     /**
      * The same fleet under captured load: rate and shape over time, shares of classes, and what tenants ask
@@ -27,14 +27,15 @@
      * @param faults one line is added for each reason why it cannot be done, with what it is about
      * @return the fleet; not to be played if there are faults
      */
-    public static Fleet load(Fleet fleet, Summary summary, List<String> faults) {
+    public static Fleet applyLoad(Fleet fleet, Summary summary, List<String> faults) {
         if (summary.wanted() < LEAST_WANTED || summary.seconds() < 1) {
             faults.add("--load: holds " + summary.wanted() + " first tries in " + summary.seconds() + " s; at least "
                     + LEAST_WANTED + " in 1 s are needed");
             return fleet;
         }
         for (String name : summary.classes().keySet()) {
-            if (fleet.classes().stream().noneMatch(work -> work.of().name().equals(name))) {
+            if (fleet.classes().stream()
+                    .noneMatch(work -> work.requestClass().name().equals(name))) {
                 faults.add("--load: has class \"" + name + "\", which the description does not have");
             }
         }
@@ -47,11 +48,12 @@
         if (!faults.isEmpty()) {
             return fleet;
         }
-        List<Fleet.Work> classes = new ArrayList<>();
-        for (Fleet.Work work : fleet.classes()) {
-            Summary.OfClass of = summary.classes().get(work.of().name());
+        List<Fleet.ClassWorkload> classes = new ArrayList<>();
+        for (Fleet.ClassWorkload work : fleet.classes()) {
+            Summary.OfClass of = summary.classes().get(work.requestClass().name());
             double share = of == null ? 0 : (double) of.wanted() / summary.wanted();
-            classes.add(new Fleet.Work(work.of(), Math.max(NOTHING, share), work.meanUs(), work.spread(), work.cv()));
+            classes.add(new Fleet.ClassWorkload(
+                    work.requestClass(), Math.max(NOTHING, share), work.meanWorkUs(), work.distribution(), work.cv()));
         }
         return fleet.withClasses(classes).withTenants(tenants(fleet, summary)).with(shape(fleet.load(), summary));
     }
@@ -63,36 +65,42 @@
      *
      * @param works what captures tell; a class that they do not tell of stays as it is described
      */
-    public static Fleet work(Fleet fleet, List<Speeds.Work> works) {
+    public static Fleet applyWork(Fleet fleet, List<Speeds.Work> works) {
         double logs = fleet.kinds().stream()
                 .mapToDouble(k -> k.count() * Math.log(k.speed()))
                 .sum();
-        double meanSpeed = Math.exp(logs / fleet.boxes());
-        List<Fleet.Work> classes = new ArrayList<>();
-        for (Fleet.Work described : fleet.classes()) {
+        double meanSpeed = Math.exp(logs / fleet.serverCount());
+        List<Fleet.ClassWorkload> classes = new ArrayList<>();
+        for (Fleet.ClassWorkload described : fleet.classes()) {
             classes.add(works.stream()
-                    .filter(w -> w.name().equals(described.of().name()))
+                    .filter(w -> w.name().equals(described.requestClass().name()))
                     .findFirst()
-                    .map(w -> new Fleet.Work(
-                            described.of(), described.share(), w.meanUs() * meanSpeed, spread(w.cv()), w.cv()))
+                    .map(w -> new Fleet.ClassWorkload(
+                            described.requestClass(),
+                            described.share(),
+                            w.meanUs() * meanSpeed,
+                            spread(w.cv()),
+                            w.cv()))
                     .orElse(described));
         }
         return fleet.withClasses(classes);
     }
 
-    private static Fleet.Spread spread(double cv) {
+    private static Fleet.WorkDistribution spread(double cv) {
         if (cv < FIXED) {
-            return Fleet.Spread.FIXED;
+            return Fleet.WorkDistribution.FIXED;
         }
-        return Math.abs(cv - 1) < LIKE_EXPONENTIAL ? Fleet.Spread.EXPONENTIAL : Fleet.Spread.LOGNORMAL;
+        return Math.abs(cv - 1) < LIKE_EXPONENTIAL
+                ? Fleet.WorkDistribution.EXPONENTIAL
+                : Fleet.WorkDistribution.LOGNORMAL;
     }
 
-    private static List<Fleet.Share> tenants(Fleet fleet, Summary summary) {
+    private static List<Fleet.TenantShare> tenants(Fleet fleet, Summary summary) {
         double entitled =
-                fleet.tenants().stream().mapToDouble(Fleet.Share::share).sum();
+                fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
         Map<String, Long> wanted = summary.wantedByTenant();
         return fleet.tenants().stream()
-                .map(t -> new Fleet.Share(
+                .map(t -> new Fleet.TenantShare(
                         t.name(),
                         t.share(),
                         Math.max(
@@ -105,14 +113,14 @@
 
     private static Fleet.Load shape(Fleet.Load load, Summary summary) {
         double rate = summary.wanted() / summary.seconds();
-        List<Fleet.Point> shape = new ArrayList<>();
+        List<Fleet.LoadPoint> shape = new ArrayList<>();
         List<Summary.Step> steps = summary.steps();
         // A step's rate is that of its middle; the last one is not whole.
         for (int i = 0; i < Math.max(1, steps.size() - 1); i++) {
             double middleS = i + 1 < steps.size()
                     ? (steps.get(i).atS() + steps.get(i + 1).atS()) / 2
                     : 0;
-            shape.add(new Fleet.Point((long) (middleS * 1e6), steps.get(i).wantedPerS() / rate));
+            shape.add(new Fleet.LoadPoint((long) (middleS * 1e6), steps.get(i).wantedPerS() / rate));
         }
         return new Fleet.Load(
                 rate,
--- a/src/main/java/kitemux/plan/Estimate.java
+++ b/src/main/java/kitemux/plan/Estimate.java
@@ -7,9 +7,9 @@
 /**
  * A mean over seeds with the interval in which it lies with 95% confidence.
  *
- * @param seeds how many it rests on
+ * @param sampleCount how many it rests on
  */
-public record Estimate(double mean, double low, double high, int seeds) {
+public record Estimate(double mean, double low, double high, int sampleCount) {
     private static final double CONFIDENCE = 0.95;
 
     /** By Student's t; of one value alone the interval is all that there is. */
@@ -27,12 +27,12 @@
     }
 
     /** Half of the interval's length. */
-    public double half() {
+    public double halfWidth() {
         return (high - low) / 2;
     }
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "%.3f (%.3f to %.3f, %d seeds)", mean, low, high, seeds);
+        return String.format(Locale.ROOT, "%.3f (%.3f to %.3f, %d seeds)", mean, low, high, sampleCount);
     }
 }
--- a/src/main/java/kitemux/plan/FleetFile.java
+++ b/src/main/java/kitemux/plan/FleetFile.java
@@ -21,18 +21,18 @@
     private FleetFile() {}
 
     /** Where descriptions are that others name. */
-    public interface Texts {
+    public interface FileSource {
         /** The text of a file, by its path from the folder of whoever names it. */
         String read(String path) throws IOException;
     }
 
-    private enum MayRepeat {
+    private enum RepeatPolicy {
         SAFE,
         KEYED,
         NEVER_TWICE
     }
 
-    private enum Drops {
+    private enum DeduplicationScope {
         ALL,
         RACK
     }
@@ -45,7 +45,7 @@
      * @param own gets what is wrong in the fleet's description, with its places
      * @return the fleet; null if there are faults
      */
-    public static Fleet named(String path, Texts texts, List<String> namers, List<String> own) {
+    public static Fleet readNamed(String path, FileSource texts, List<String> namers, List<String> own) {
         if (path.isEmpty()) {
             return null;
         }
@@ -75,24 +75,24 @@
             return null;
         }
         Section all = new Section("", parsed, faults);
-        List<Fleet.Kind> kinds = new ArrayList<>();
+        List<Fleet.ServerKind> kinds = new ArrayList<>();
         all.labelled("boxes", true).forEach((name, box) -> kinds.add(kind(name, box)));
-        List<Fleet.Work> classes = new ArrayList<>();
+        List<Fleet.ClassWorkload> classes = new ArrayList<>();
         all.labelled("class", true).forEach((name, of) -> classes.add(work(name, of)));
-        List<Fleet.Share> tenants = new ArrayList<>();
+        List<Fleet.TenantShare> tenants = new ArrayList<>();
         all.labelled("tenant", false).forEach((name, of) -> {
-            tenants.add(new Fleet.Share(name, of.number("share", Double.NaN), of.number("usage", 1)));
+            tenants.add(new Fleet.TenantShare(name, of.number("share", Double.NaN), of.number("usage", 1)));
             of.end();
         });
         Fleet.Nodes nodes = nodes(all.block("nodes", true));
-        Fleet.Choke choke = choke(all.block("choke", false));
+        Fleet.OverloadSlowdown choke = choke(all.block("choke", false));
         Fleet.Links links = links(all.block("links", true));
-        Fleet.Listing list = list(all.block("list", false), faults);
+        Fleet.DiscoveryDelays list = list(all.block("list", false), faults);
         Fleet.Clients clients = clients(all.block("clients", true));
         Fleet.Load load = load(all.block("load", true));
         List<Fleet.Fault> wrong = new ArrayList<>();
         for (Section fault : all.repeated("fault")) {
-            wrong.add(fault(fault));
+            wrong.add(readFault(fault));
         }
         Fleet fleet = new Fleet(
                 kinds,
@@ -109,16 +109,16 @@
                 wrong);
         all.end();
         if (faults.isEmpty()) {
-            faults.addAll(fleet.faultsFound());
+            faults.addAll(fleet.validate());
         }
         return fleet;
     }
 
     /** Something that goes wrong. */
-    public static Fleet.Fault fault(Section of) {
+    public static Fleet.Fault readFault(Section of) {
         Fleet.Fault fault = new Fleet.Fault(
-                of.word("trouble", Fleet.Trouble.class, null),
-                of.word("among", Fleet.Among.class, Fleet.Among.ANY),
+                of.word("trouble", Fleet.FaultKind.class, null),
+                of.word("among", Fleet.FaultScope.class, Fleet.FaultScope.ANY),
                 of.whole("which", 0),
                 of.whole("count", 0),
                 of.time("at", -1),
@@ -128,8 +128,8 @@
         return fault;
     }
 
-    private static Fleet.Kind kind(String name, Section box) {
-        Fleet.Kind kind = new Fleet.Kind(
+    private static Fleet.ServerKind kind(String name, Section box) {
+        Fleet.ServerKind kind = new Fleet.ServerKind(
                 name,
                 box.whole("count", Double.NaN),
                 box.whole("cores", 1),
@@ -144,9 +144,9 @@
         return kind;
     }
 
-    private static Fleet.Work work(String name, Section of) {
-        MayRepeat repeat = of.word("repeat", MayRepeat.class, null);
-        Drops group = of.word("group", Drops.class, Drops.ALL);
+    private static Fleet.ClassWorkload work(String name, Section of) {
+        RepeatPolicy repeat = of.word("repeat", RepeatPolicy.class, null);
+        DeduplicationScope group = of.word("group", DeduplicationScope.class, DeduplicationScope.ALL);
         RequestClass cls = new RequestClass(
                 name,
                 of.time("aim", -1),
@@ -159,14 +159,14 @@
                     case KEYED -> Repeat.KEYED;
                     case NEVER_TWICE -> Repeat.UNSAFE;
                 },
-                group == Drops.ALL ? Group.ALL : Group.CELL,
+                group == DeduplicationScope.ALL ? Group.ALL : Group.CELL,
                 of.time("window", 0),
                 false);
-        Fleet.Work work = new Fleet.Work(
+        Fleet.ClassWorkload work = new Fleet.ClassWorkload(
                 cls,
                 of.number("share", Double.NaN),
                 of.time("work", -1),
-                of.word("spread", Fleet.Spread.class, Fleet.Spread.EXPONENTIAL),
+                of.word("spread", Fleet.WorkDistribution.class, Fleet.WorkDistribution.EXPONENTIAL),
                 of.number("cv", 1));
         of.end();
         return work;
@@ -189,11 +189,11 @@
         return zones;
     }
 
-    private static Fleet.Choke choke(Section of) {
+    private static Fleet.OverloadSlowdown choke(Section of) {
         if (of == null) {
             return null;
         }
-        Fleet.Choke choke = new Fleet.Choke(
+        Fleet.OverloadSlowdown choke = new Fleet.OverloadSlowdown(
                 of.number("at", Double.NaN),
                 of.time("over", -1),
                 of.number("slower", Double.NaN),
@@ -217,9 +217,9 @@
         return links;
     }
 
-    private static Fleet.Listing list(Section given, List<String> faults) {
+    private static Fleet.DiscoveryDelays list(Section given, List<String> faults) {
         Section of = given == null ? new Section("list", Map.of(), faults) : given;
-        Fleet.Listing list = new Fleet.Listing(
+        Fleet.DiscoveryDelays list = new Fleet.DiscoveryDelays(
                 new Fleet.Range(of.time("gone_from", 560_000), of.time("gone_to", 5_000_000)),
                 new Fleet.Range(of.time("silent_from", 5_000_000), of.time("silent_to", 13_000_000)),
                 new Fleet.Range(of.time("back_from", 230_000), of.time("back_to", 2_100_000)),
@@ -243,9 +243,9 @@
     }
 
     private static Fleet.Load load(Section of) {
-        List<Fleet.Point> shape = new ArrayList<>();
+        List<Fleet.LoadPoint> shape = new ArrayList<>();
         for (Section point : of.repeated("point")) {
-            shape.add(new Fleet.Point(point.time("at", 0), point.number("times", Double.NaN)));
+            shape.add(new Fleet.LoadPoint(point.time("at", 0), point.number("times", Double.NaN)));
             point.end();
         }
         Fleet.Load load = new Fleet.Load(
--- a/src/main/java/kitemux/plan/Planner.java
+++ b/src/main/java/kitemux/plan/Planner.java
@@ -9,7 +9,7 @@
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
+import kitemux.fleet.RunResult;
 
 /**
  * Answers operators' questions by playing fleets: does this one hold, at what load does it break and by
@@ -39,18 +39,18 @@
     /** A tenant that heeds no share asks so many times as much. */
     private static final double GREEDY = 10;
 
-    private final Player player;
+    private final FleetRunner player;
     private final double goal;
 
     /** Plays a fleet once for each seed; results are in the order of the seeds. */
-    public interface Player {
-        List<Result> play(Fleet fleet, List<Long> seeds);
+    public interface FleetRunner {
+        List<RunResult> run(Fleet fleet, List<Long> seeds);
     }
 
     /**
      * @param goal share of the worth asked for that must be answered within its aim, in (0, 1)
      */
-    public Planner(Player player, double goal) {
+    public Planner(FleetRunner player, double goal) {
         if (!(goal > 0 && goal < 1)) {
             throw new IllegalArgumentException("a goal is above 0 and under 1, not " + goal);
         }
@@ -63,31 +63,39 @@
     /**
      * Whether a fleet holds the goal.
      *
-     * @param inTime share that was answered in time
-     * @param surely whether the interval lies on one side of the goal
-     * @param breaks rules broken in all runs together
+     * @param inTimeRatio share that was answered in time
+     * @param isConclusive whether the interval lies on one side of the goal
+     * @param violationCount rules broken in all runs together
      */
     public record Verdict(
-            boolean holds, boolean surely, Estimate inTime, Estimate worstWindow, long breaks, List<Result> runs) {}
+            boolean meetsGoal,
+            boolean isConclusive,
+            Estimate inTimeRatio,
+            Estimate worstWindowRatio,
+            long violationCount,
+            List<RunResult> runs) {}
 
     /** Plays seeds until the interval is on one side of the goal, or narrow, or all are played. */
-    public Verdict holds(Fleet fleet) {
-        List<Result> runs = new ArrayList<>();
+    public Verdict evaluate(Fleet fleet) {
+        List<RunResult> runs = new ArrayList<>();
         Estimate inTime;
         do {
-            runs.addAll(player.play(
+            runs.addAll(player.run(
                     fleet,
                     LongStream.range(runs.size() + 1, runs.size() + 1 + BATCH)
                             .boxed()
                             .toList()));
-            inTime = Estimate.of(runs.stream().map(Result::inTime).toList());
-        } while (inTime.low() <= goal && inTime.high() >= goal && inTime.half() > NARROW && runs.size() < MOST_SEEDS);
+            inTime = Estimate.of(runs.stream().map(RunResult::inTimeRatio).toList());
+        } while (inTime.low() <= goal
+                && inTime.high() >= goal
+                && inTime.halfWidth() > NARROW
+                && runs.size() < MOST_SEEDS);
         return new Verdict(
                 inTime.mean() >= goal,
                 inTime.low() > goal || inTime.high() < goal,
                 inTime,
-                Estimate.of(runs.stream().map(Result::worstWindow).toList()),
-                runs.stream().mapToLong(Result::breaks).sum(),
+                Estimate.of(runs.stream().map(RunResult::worstWindowRatio).toList()),
+                runs.stream().mapToLong(RunResult::violationCount).sum(),
                 List.copyOf(runs));
     }
 
@@ -96,40 +104,41 @@
     /**
      * Where the goal breaks as the load grows.
      *
-     * @param holdsAt the highest multiple of today's load at which it held
-     * @param breaksAt the lowest at which it did not; infinite if it held at all that were tried
-     * @param by what gains most of what is missing there when it is taken out of the way, most first
+     * @param highestPassingLoad the highest multiple of today's load at which it held
+     * @param lowestFailingLoad the lowest at which it did not; infinite if it held at all that were tried
+     * @param causes what gains most of what is missing there when it is taken out of the way, most first
      */
-    public record Break(double holdsAt, double breaksAt, List<Cause> by) {}
+    public record BreakingPoint(double highestPassingLoad, double lowestFailingLoad, List<Cause> causes) {}
 
     /**
      * Something that holds a fleet back.
      *
-     * @param what in words
-     * @param gains part of what is missing to the goal that comes back without it; above 1 where it is more
+     * @param description in words
+     * @param recoveredRatio part of what is missing to the goal that comes back without it; above 1 where it is more
      */
-    public record Cause(String what, double gains) {}
+    public record Cause(String description, double recoveredRatio) {}
 
     /** Finds the load at which the goal breaks, to {@link #LOAD_STEP}, and by what it does. */
-    public Break breaksAt(Fleet fleet) {
+    public BreakingPoint findBreakingPoint(Fleet fleet) {
         double low = 0;
         double high = 1;
-        while (high <= MOST_LOAD && holds(fleet.with(fleet.load().times(high))).holds()) {
+        while (high <= MOST_LOAD
+                && evaluate(fleet.with(fleet.load().scaledBy(high))).meetsGoal()) {
             low = high;
             high *= 1.5;
         }
         if (high > MOST_LOAD) {
-            return new Break(low, Double.POSITIVE_INFINITY, List.of());
+            return new BreakingPoint(low, Double.POSITIVE_INFINITY, List.of());
         }
         while (high - low > LOAD_STEP * high && high > LEAST_LOAD) {
             double middle = (low + high) / 2;
-            if (holds(fleet.with(fleet.load().times(middle))).holds()) {
+            if (evaluate(fleet.with(fleet.load().scaledBy(middle))).meetsGoal()) {
                 low = middle;
             } else {
                 high = middle;
             }
         }
-        return new Break(low, high, causes(fleet.with(fleet.load().times(high))));
+        return new BreakingPoint(low, high, causes(fleet.with(fleet.load().scaledBy(high))));
     }
 
     /**
@@ -139,20 +148,20 @@
     private List<Cause> causes(Fleet fleet) {
         Map<String, Fleet> without = new LinkedHashMap<>();
         for (int k = 0; k < fleet.kinds().size(); k++) {
-            Fleet.Kind kind = fleet.kinds().get(k);
+            Fleet.ServerKind kind = fleet.kinds().get(k);
             if (kind.count() > 0) {
-                List<Fleet.Kind> swifter = new ArrayList<>(fleet.kinds());
+                List<Fleet.ServerKind> swifter = new ArrayList<>(fleet.kinds());
                 swifter.set(
                         k,
-                        new Fleet.Kind(
+                        new Fleet.ServerKind(
                                 kind.name(),
                                 kind.count(),
                                 kind.cores(),
                                 kind.speed() * 1.25,
                                 kind.speedCv(),
-                                kind.room(),
-                                kind.coldFrom(),
-                                kind.coldUs(),
+                                kind.queueCapacity(),
+                                kind.initialCapacityRatio(),
+                                kind.warmUpUs(),
                                 kind.warmsByWork(),
                                 kind.cost()));
                 without.put(
@@ -160,8 +169,8 @@
                         fleet.withKinds(swifter));
             }
         }
-        if (fleet.choke() != null) {
-            without.put("servers that turn slow when crowded", fleet.with((Fleet.Choke) null));
+        if (fleet.overloadSlowdown() != null) {
+            without.put("servers that turn slow when crowded", fleet.with((Fleet.OverloadSlowdown) null));
         }
         Fleet.Links links = fleet.links();
         without.put(
@@ -170,45 +179,52 @@
                         links.oneWayUs(),
                         links.jitter(),
                         links.handshakeRtts(),
-                        links.handshakeUs(),
+                        links.handshakeWorkUs(),
                         1_000_000,
-                        links.idleUs(),
-                        links.connectUs())));
+                        links.idleTimeoutUs(),
+                        links.connectTimeoutUs())));
         without.put(
                 "work of new connections",
                 fleet.with(new Fleet.Links(
-                        links.oneWayUs(), links.jitter(), 0, 0, links.most(), links.idleUs(), links.connectUs())));
+                        links.oneWayUs(),
+                        links.jitter(),
+                        0,
+                        0,
+                        links.maxConnectionsPerCore(),
+                        links.idleTimeoutUs(),
+                        links.connectTimeoutUs())));
         Fleet.Nodes nodes = fleet.nodes();
         without.put(
                 "processors of nodes",
-                fleet.with(new Fleet.Nodes(nodes.count(), 0, nodes.cores(), nodes.startUs(), nodes.noticeUs())));
+                fleet.with(new Fleet.Nodes(
+                        nodes.count(), 0, nodes.cores(), nodes.startupUs(), nodes.failureDetectionUs())));
         Fleet.Clients clients = fleet.clients();
         without.put(
                 "clients that ask again",
                 fleet.with(new Fleet.Clients(
                         clients.oneWayUs(),
                         0,
-                        clients.tryFrom(),
-                        clients.tryTo(),
+                        clients.minTryTimeoutRatio(),
+                        clients.maxTryTimeoutRatio(),
                         clients.backoffUs(),
-                        clients.honour(),
-                        clients.mostRetryAfterUs(),
-                        clients.skew())));
+                        clients.retryAfterComplianceRatio(),
+                        clients.maxRetryAfterUs(),
+                        clients.nodeSkew())));
         if (!fleet.tenants().isEmpty()) {
-            without.put("a tenant's use beside its share", fleet.withoutShares());
+            without.put("a tenant's use beside its share", fleet.withoutTenants());
         }
-        if (fleet.kinds().stream().anyMatch(k -> k.coldUs() > 0)
+        if (fleet.kinds().stream().anyMatch(k -> k.warmUpUs() > 0)
                 && !fleet.faults().isEmpty()) {
             without.put(
                     "servers that come back cold",
                     fleet.withKinds(fleet.kinds().stream()
-                            .map(k -> new Fleet.Kind(
+                            .map(k -> new Fleet.ServerKind(
                                     k.name(),
                                     k.count(),
                                     k.cores(),
                                     k.speed(),
                                     k.speedCv(),
-                                    k.room(),
+                                    k.queueCapacity(),
                                     1,
                                     0,
                                     k.warmsByWork(),
@@ -222,14 +238,14 @@
         double missing = Math.max(1e-6, goal - now);
         List<Cause> causes = new ArrayList<>();
         without.forEach((what, other) -> causes.add(new Cause(what, (mean(other) - now) / missing)));
-        causes.removeIf(cause -> cause.gains < GAINS);
-        causes.sort(Comparator.comparingDouble(Cause::gains).reversed());
+        causes.removeIf(cause -> cause.recoveredRatio < GAINS);
+        causes.sort(Comparator.comparingDouble(Cause::recoveredRatio).reversed());
         return List.copyOf(causes);
     }
 
     private double mean(Fleet fleet) {
-        return player.play(fleet, LongStream.rangeClosed(1, BATCH).boxed().toList()).stream()
-                .mapToDouble(Result::inTime)
+        return player.run(fleet, LongStream.rangeClosed(1, BATCH).boxed().toList()).stream()
+                .mapToDouble(RunResult::inTimeRatio)
                 .average()
                 .orElse(0);
     }
@@ -240,41 +256,41 @@
      * Fewest servers of one kind that hold the goal beside the others as they are.
      *
      * @param count -1 if no number does
-     * @param why where none does
+     * @param reason where none does
      * @param cost of the whole fleet then
      */
-    public record Fewest(String kind, int count, double cost, String why) {}
+    public record MinimumServers(String kind, int count, double cost, String reason) {}
 
     /** For each kind by itself. */
-    public List<Fewest> fewest(Fleet fleet) {
-        List<Fewest> found = new ArrayList<>();
+    public List<MinimumServers> findMinimumServers(Fleet fleet) {
+        List<MinimumServers> found = new ArrayList<>();
         for (int k = 0; k < fleet.kinds().size(); k++) {
-            found.add(fewest(fleet, k));
+            found.add(findMinimumServers(fleet, k));
         }
         return found;
     }
 
-    private Fewest fewest(Fleet fleet, int kind) {
+    private MinimumServers findMinimumServers(Fleet fleet, int kind) {
         String name = fleet.kinds().get(kind).name();
-        int others = fleet.boxes() - fleet.kinds().get(kind).count();
+        int others = fleet.serverCount() - fleet.kinds().get(kind).count();
         int low = others == 0 ? 0 : -1;
         int high = Math.max(1, fleet.kinds().get(kind).count());
-        while (!holds(with(fleet, kind, high)).holds()) {
+        while (!evaluate(with(fleet, kind, high)).meetsGoal()) {
             low = high;
             high *= 2;
-            if (high > MOST_BOXES || high > 16 * Math.max(fleet.boxes(), 4)) {
-                return new Fewest(name, -1, Double.NaN, whyNone(with(fleet, kind, low)));
+            if (high > MOST_BOXES || high > 16 * Math.max(fleet.serverCount(), 4)) {
+                return new MinimumServers(name, -1, Double.NaN, whyNone(with(fleet, kind, low)));
             }
         }
         while (high - low > 1) {
             int middle = (low + high) / 2;
-            if (holds(with(fleet, kind, middle)).holds()) {
+            if (evaluate(with(fleet, kind, middle)).meetsGoal()) {
                 high = middle;
             } else {
                 low = middle;
             }
         }
-        return new Fewest(name, high, cost(with(fleet, kind, high)), "");
+        return new MinimumServers(name, high, cost(with(fleet, kind, high)), "");
     }
 
     /** With so many servers that work cannot be it, what is left is named. */
@@ -282,7 +298,7 @@
         List<Cause> causes = causes(fleet);
         return causes.isEmpty()
                 ? "the goal is beyond what work and ways take where nothing waits"
-                : "held back by " + causes.get(0).what();
+                : "held back by " + causes.get(0).description();
     }
 
     private static double cost(Fleet fleet) {
@@ -290,19 +306,19 @@
     }
 
     private static Fleet with(Fleet fleet, int kind, int count) {
-        List<Fleet.Kind> kinds = new ArrayList<>(fleet.kinds());
-        Fleet.Kind of = kinds.get(kind);
+        List<Fleet.ServerKind> kinds = new ArrayList<>(fleet.kinds());
+        Fleet.ServerKind of = kinds.get(kind);
         kinds.set(
                 kind,
-                new Fleet.Kind(
+                new Fleet.ServerKind(
                         of.name(),
                         count,
                         of.cores(),
                         of.speed(),
                         of.speedCv(),
-                        of.room(),
-                        of.coldFrom(),
-                        of.coldUs(),
+                        of.queueCapacity(),
+                        of.initialCapacityRatio(),
+                        of.warmUpUs(),
                         of.warmsByWork(),
                         of.cost()));
         return fleet.withKinds(kinds);
@@ -313,30 +329,31 @@
     /**
      * What something that goes wrong costs.
      *
-     * @param backAfterS seconds from its beginning until the goal is met for good, in the mean; of runs that
+     * @param recoveryTimeS seconds from its beginning until the goal is met for good, in the mean; of runs that
      *     came back
-     * @param never share of runs that did not come back before clients stopped
-     * @param worstTenant share in time of the tenant that was served worst, of what was within its share;
+     * @param unrecoveredRatio share of runs that did not come back before clients stopped
+     * @param worstTenantRatio share in time of the tenant that was served worst, of what was within its share;
      * where one
      *     asks beyond it, of the others
-     * @param bySecond share in time of each second, in the mean
+     * @param inTimeBySecond share in time of each second, in the mean
      */
-    public record Loss(
-            String what,
-            Estimate inTime,
-            Estimate worstWindow,
-            Estimate worstTenant,
-            double backAfterS,
-            double never,
-            long breaks,
-            List<Double> bySecond) {}
+    public record FailureImpact(
+            String description,
+            Estimate inTimeRatio,
+            Estimate worstWindowRatio,
+            Estimate worstTenantRatio,
+            double recoveryTimeS,
+            double unrecoveredRatio,
+            long violationCount,
+            List<Double> inTimeBySecond) {}
 
     /** Share in time of each second, in the mean over runs. */
-    public static List<Double> bySecond(List<Result> runs) {
-        int seconds = runs.stream().mapToInt(run -> run.bySecond().size()).min().orElse(0);
+    public static List<Double> meanInTimeBySecond(List<RunResult> runs) {
+        int seconds =
+                runs.stream().mapToInt(run -> run.inTimeBySecond().size()).min().orElse(0);
         return IntStream.range(0, seconds)
                 .mapToObj(s -> runs.stream()
-                        .mapToDouble(run -> run.bySecond().get(s))
+                        .mapToDouble(run -> run.inTimeBySecond().get(s))
                         .average()
                         .orElse(Double.NaN))
                 .toList();
@@ -347,64 +364,66 @@
      * and a
      * tenant that asks far beyond its share cost today's fleet.
      */
-    public List<Loss> losses(Fleet fleet) {
-        long atUs = fleet.load().lengthUs() / 4;
-        List<Loss> losses = new ArrayList<>();
+    public List<FailureImpact> failureImpacts(Fleet fleet) {
+        long atUs = fleet.load().durationUs() / 4;
+        List<FailureImpact> losses = new ArrayList<>();
         if (fleet.racks() > 1) {
-            losses.add(loss(
+            losses.add(failureImpact(
                     fleet,
                     "a rack dies for 15 s",
                     atUs,
-                    new Fleet.Fault(Fleet.Trouble.DIE, Fleet.Among.RACK, 0, 0, atUs, 15_000_000, 0)));
-            losses.add(loss(
+                    new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.RACK, 0, 0, atUs, 15_000_000, 0)));
+            losses.add(failureImpact(
                     fleet,
                     "a rack goes silent for 15 s",
                     atUs,
-                    new Fleet.Fault(Fleet.Trouble.VANISH, Fleet.Among.RACK, 0, 0, atUs, 15_000_000, 0)));
+                    new Fleet.Fault(Fleet.FaultKind.VANISH, Fleet.FaultScope.RACK, 0, 0, atUs, 15_000_000, 0)));
         }
         if (fleet.zones().count() > 1) {
             // The last one: discovery has its place in the first.
             int zone = fleet.zones().count() - 1;
-            losses.add(loss(
+            losses.add(failureImpact(
                     fleet,
                     "a zone is lost for 15 s, its nodes too",
                     atUs,
-                    new Fleet.Fault(Fleet.Trouble.VANISH, Fleet.Among.ZONE, zone, 0, atUs, 15_000_000, 0),
+                    new Fleet.Fault(Fleet.FaultKind.VANISH, Fleet.FaultScope.ZONE, zone, 0, atUs, 15_000_000, 0),
                     new Fleet.Fault(
-                            Fleet.Trouble.NODES_RESTART,
-                            Fleet.Among.ZONE,
+                            Fleet.FaultKind.NODES_RESTART,
+                            Fleet.FaultScope.ZONE,
                             zone,
                             0,
                             atUs,
                             15_000_000,
                             fleet.nodes().count())));
-            losses.add(loss(
+            losses.add(failureImpact(
                     fleet,
                     "a zone is cut off for 15 s",
                     atUs,
-                    new Fleet.Fault(Fleet.Trouble.CUT, Fleet.Among.ZONE, zone, 0, atUs, 15_000_000, 0)));
+                    new Fleet.Fault(Fleet.FaultKind.CUT, Fleet.FaultScope.ZONE, zone, 0, atUs, 15_000_000, 0)));
         }
-        int fifth = Math.max(1, fleet.boxes() / 5);
-        losses.add(loss(
+        int fifth = Math.max(1, fleet.serverCount() / 5);
+        losses.add(failureImpact(
                 fleet,
-                fifth + " of " + fleet.boxes() + " servers die for 15 s",
+                fifth + " of " + fleet.serverCount() + " servers die for 15 s",
                 atUs,
-                new Fleet.Fault(Fleet.Trouble.DIE, Fleet.Among.ANY, 0, fifth, atUs, 15_000_000, 0)));
-        Fleet.Fault release = new Fleet.Fault(Fleet.Trouble.RELEASE, Fleet.Among.ANY, 0, 0, atUs, 1_000_000, fifth);
-        losses.add(loss(fleet, "a release, " + fifth + " servers at a time", atUs, release));
+                new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.ANY, 0, fifth, atUs, 15_000_000, 0)));
+        Fleet.Fault release =
+                new Fleet.Fault(Fleet.FaultKind.RELEASE, Fleet.FaultScope.ANY, 0, 0, atUs, 1_000_000, fifth);
+        losses.add(failureImpact(fleet, "a release, " + fifth + " servers at a time", atUs, release));
         if (fleet.racks() > 1) {
-            losses.add(loss(
+            losses.add(failureImpact(
                     fleet,
                     "a rack dies for 15 s in the middle of such a release",
                     atUs,
                     release,
-                    new Fleet.Fault(Fleet.Trouble.DIE, Fleet.Among.RACK, 0, 0, atUs + 4_000_000, 15_000_000, 0)));
+                    new Fleet.Fault(
+                            Fleet.FaultKind.DIE, Fleet.FaultScope.RACK, 0, 0, atUs + 4_000_000, 15_000_000, 0)));
         }
-        losses.add(loss(
+        losses.add(failureImpact(
                 fleet,
                 "all nodes restart, one at a time",
                 atUs,
-                new Fleet.Fault(Fleet.Trouble.NODES_RESTART, Fleet.Among.ANY, 0, 0, atUs, 500_000, 1)));
+                new Fleet.Fault(Fleet.FaultKind.NODES_RESTART, Fleet.FaultScope.ANY, 0, 0, atUs, 500_000, 1)));
         if (fleet.tenants().size() > 1) {
             losses.add(greedy(fleet, atUs));
         }
@@ -415,66 +434,67 @@
      * One tenant, that with the smallest share, asks ten times as much from a time on; the others as
      * before.
      */
-    private Loss greedy(Fleet fleet, long atUs) {
-        Fleet.Share least = fleet.tenants().stream()
-                .min(Comparator.comparingDouble(Fleet.Share::share))
+    private FailureImpact greedy(Fleet fleet, long atUs) {
+        Fleet.TenantShare least = fleet.tenants().stream()
+                .min(Comparator.comparingDouble(Fleet.TenantShare::share))
                 .orElseThrow();
-        double all =
-                fleet.tenants().stream().mapToDouble(t -> t.share() * t.usage()).sum();
-        double more = (GREEDY - 1) * least.share() * least.usage() / all;
+        double all = fleet.tenants().stream()
+                .mapToDouble(t -> t.share() * t.usageRatio())
+                .sum();
+        double more = (GREEDY - 1) * least.share() * least.usageRatio() / all;
         Fleet asking = fleet.withTenants(fleet.tenants().stream()
-                .map(t -> t.equals(least) ? new Fleet.Share(t.name(), t.share(), t.usage() * GREEDY) : t)
+                .map(t -> t.equals(least) ? new Fleet.TenantShare(t.name(), t.share(), t.usageRatio() * GREEDY) : t)
                 .toList());
         int greedy = fleet.tenants().indexOf(least);
-        return loss(
+        return failureImpact(
                 least.name() + " asks " + (int) GREEDY + " times as much",
                 atUs,
-                asking.with(fleet.load().times(1 + more)),
-                run -> IntStream.range(0, run.byTenant().size())
+                asking.with(fleet.load().scaledBy(1 + more)),
+                run -> IntStream.range(0, run.inTimeByTenant().size())
                         .filter(t -> t != greedy)
-                        .mapToDouble(t -> run.byTenant().get(t))
+                        .mapToDouble(t -> run.inTimeByTenant().get(t))
                         .min()
                         .orElse(1));
     }
 
-    private Loss loss(Fleet fleet, String what, long atUs, Fleet.Fault... more) {
+    private FailureImpact failureImpact(Fleet fleet, String what, long atUs, Fleet.Fault... more) {
         List<Fleet.Fault> faults = new ArrayList<>(fleet.faults());
         faults.addAll(List.of(more));
-        return loss(what, atUs, fleet.withFaults(faults), Result::worstTenant);
+        return failureImpact(what, atUs, fleet.withFaults(faults), RunResult::worstTenantRatio);
     }
 
-    private Loss loss(String what, long atUs, Fleet fleet, ToDoubleFunction<Result> worstTenant) {
-        List<Result> runs =
-                player.play(fleet, LongStream.rangeClosed(1, 2 * BATCH).boxed().toList());
+    private FailureImpact failureImpact(String what, long atUs, Fleet fleet, ToDoubleFunction<RunResult> worstTenant) {
+        List<RunResult> runs =
+                player.run(fleet, LongStream.rangeClosed(1, 2 * BATCH).boxed().toList());
         int from = (int) (atUs / 1_000_000);
         List<Integer> back =
-                runs.stream().map(run -> run.backAfterS(from, goal)).toList();
-        return new Loss(
+                runs.stream().map(run -> run.recoveryTimeS(from, goal)).toList();
+        return new FailureImpact(
                 what,
-                Estimate.of(runs.stream().map(Result::inTime).toList()),
-                Estimate.of(runs.stream().map(Result::worstWindow).toList()),
+                Estimate.of(runs.stream().map(RunResult::inTimeRatio).toList()),
+                Estimate.of(runs.stream().map(RunResult::worstWindowRatio).toList()),
                 Estimate.of(runs.stream().map(worstTenant::applyAsDouble).toList()),
                 back.stream().filter(s -> s >= 0).mapToInt(s -> s).average().orElse(Double.NaN),
                 (double) back.stream().filter(s -> s < 0).count() / back.size(),
-                runs.stream().mapToLong(Result::breaks).sum(),
-                bySecond(runs));
+                runs.stream().mapToLong(RunResult::violationCount).sum(),
+                meanInTimeBySecond(runs));
     }
 
     /** Whether an overload ends by itself: a pulse of load, and how long the way back takes from its end. */
-    public Loss pulse(Fleet fleet) {
-        long atUs = fleet.load().lengthUs() / 4;
+    public FailureImpact overloadPulseImpact(Fleet fleet) {
+        long atUs = fleet.load().durationUs() / 4;
         Fleet.Load load = fleet.load();
-        List<Fleet.Point> shape = List.of(
-                new Fleet.Point(0, 1),
-                new Fleet.Point(atUs, 1),
-                new Fleet.Point(atUs + 1, PULSE),
-                new Fleet.Point(atUs + PULSE_US, PULSE),
-                new Fleet.Point(atUs + PULSE_US + 1, 1));
-        return loss(
+        List<Fleet.LoadPoint> shape = List.of(
+                new Fleet.LoadPoint(0, 1),
+                new Fleet.LoadPoint(atUs, 1),
+                new Fleet.LoadPoint(atUs + 1, PULSE),
+                new Fleet.LoadPoint(atUs + PULSE_US, PULSE),
+                new Fleet.LoadPoint(atUs + PULSE_US + 1, 1));
+        return failureImpact(
                 "load of " + PULSE + " times for " + PULSE_US / 1_000_000 + " s",
                 atUs + PULSE_US,
                 fleet.with(new Fleet.Load(
-                        load.ratePerS(), load.lengthUs(), shape, load.quotaPerS(), load.overShareWorth())),
-                Result::worstTenant);
+                        load.ratePerS(), load.durationUs(), shape, load.quotaPerS(), load.overShareWorth())),
+                RunResult::worstTenantRatio);
     }
 }
--- a/src/main/java/kitemux/plan/Queues.java
+++ b/src/main/java/kitemux/plan/QueueingFormulas.java
@@ -4,8 +4,8 @@
  * Bounds on paper: what queueing formulas say where they are exact, to hold an emulator against and to tell
  * what cannot be before anything is played. Loads are in erlangs: arrivals a second times seconds of work.
  */
-public final class Queues {
-    private Queues() {}
+public final class QueueingFormulas {
+    private QueueingFormulas() {}
 
     /**
      * Share of arrivals that find all servers busy where nobody waits (Erlang B).
@@ -13,7 +13,7 @@
      * @param servers at least 1
      * @param load in erlangs, above 0
      */
-    public static double lost(int servers, double load) {
+    public static double erlangB(int servers, double load) {
         double lost = 1;
         for (int i = 1; i <= servers; i++) {
             lost = load * lost / (i + load * lost);
@@ -24,19 +24,19 @@
     /**
      * Share of arrivals that wait in M/M/c (Erlang C); 1 where the load is not under the number of servers.
      */
-    public static double waits(int servers, double load) {
+    public static double erlangC(int servers, double load) {
         if (load >= servers) {
             return 1;
         }
-        double lost = lost(servers, load);
+        double lost = erlangB(servers, load);
         return lost / (1 - load / servers * (1 - lost));
     }
 
     /**
      * Mean time in M/M/c, waiting and served, in units of the mean service time; infinite where it is full.
      */
-    public static double timeInMmc(int servers, double load) {
-        return load >= servers ? Double.POSITIVE_INFINITY : 1 + waits(servers, load) / (servers - load);
+    public static double mmcResponseTime(int servers, double load) {
+        return load >= servers ? Double.POSITIVE_INFINITY : 1 + erlangC(servers, load) / (servers - load);
     }
 
     /**
@@ -44,7 +44,7 @@
      *
      * @param cv of the service times: standard deviation over mean; 0 gives M/D/1, 1 M/M/1
      */
-    public static double timeInMg1(double load, double cv) {
+    public static double mg1ResponseTime(double load, double cv) {
         return load >= 1 ? Double.POSITIVE_INFINITY : 1 + load * (1 + cv * cv) / (2 * (1 - load));
     }
 
@@ -57,20 +57,21 @@
      * @param repeats how often a client asks again at most
      * @param wasted share of the work that clients gave up which is done all the same, in [0, 1)
      */
-    public static Storm storm(double offered, int repeats, double wasted) {
-        return new Storm(fixedPoint(offered, repeats, wasted, 1), fixedPoint(offered, repeats, wasted, 1 + repeats));
+    public static RetryStorm retryStorm(double offered, int repeats, double wasted) {
+        return new RetryStorm(
+                fixedPoint(offered, repeats, wasted, 1), fixedPoint(offered, repeats, wasted, 1 + repeats));
     }
 
     /**
      * How much is asked, against first tries.
      *
-     * @param calm once all was well before
-     * @param stormy once all clients ask again
+     * @param calmTriesRatio once all was well before
+     * @param stormTriesRatio once all clients ask again
      */
-    public record Storm(double calm, double stormy) {
+    public record RetryStorm(double calmTriesRatio, double stormTriesRatio) {
         /** Whether a storm outlives its cause. */
-        public boolean feedsItself() {
-            return stormy > calm * 1.05;
+        public boolean isSelfSustaining() {
+            return stormTriesRatio > calmTriesRatio * 1.05;
         }
     }
 
--- a/src/test/java/kitemux/fleet/ColdFleetTest.java
+++ b/src/test/java/kitemux/fleet/ColdFleetTest.java
@@ -5,10 +5,10 @@
 
 import java.util.List;
 import java.util.Locale;
-import kitemux.fleet.Fleet.Among;
 import kitemux.fleet.Fleet.Fault;
-import kitemux.fleet.Fleet.Point;
-import kitemux.fleet.Fleet.Trouble;
+import kitemux.fleet.Fleet.FaultKind;
+import kitemux.fleet.Fleet.FaultScope;
+import kitemux.fleet.Fleet.LoadPoint;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -23,11 +23,11 @@
      * nodes restarts meanwhile, and then some servers are replaced in steps.
      */
     private static Fleet fleet(int nodes, int servers) {
-        Fleet of = Fleets.yearbook(servers / 2, servers - servers / 2, nodes, 0.5, 20);
+        Fleet of = FleetFixtures.yearbook(servers / 2, servers - servers / 2, nodes, 0.5, 20);
         Fleet.Clients c = of.clients();
         Fleet.Load load = of.load();
         return of.withKinds(of.kinds().stream()
-                        .map(k -> new Fleet.Kind(
+                        .map(k -> new Fleet.ServerKind(
                                 k.name(),
                                 k.count(),
                                 k.cores(),
@@ -41,36 +41,36 @@
                         .toList())
                 .with(new Fleet.Clients(
                         c.oneWayUs(),
-                        c.retries(),
-                        c.tryFrom(),
-                        c.tryTo(),
+                        c.maxRetries(),
+                        c.minTryTimeoutRatio(),
+                        c.maxTryTimeoutRatio(),
                         c.backoffUs(),
-                        c.honour(),
-                        c.mostRetryAfterUs(),
+                        c.retryAfterComplianceRatio(),
+                        c.maxRetryAfterUs(),
                         0.6))
                 .with(new Fleet.Load(
                         load.ratePerS(),
-                        load.lengthUs(),
+                        load.durationUs(),
                         List.of(
-                                new Point(6_000_000, 1),
-                                new Point(8_000_000, 2),
-                                new Point(13_000_000, 2),
-                                new Point(14_000_000, 1)),
+                                new LoadPoint(6_000_000, 1),
+                                new LoadPoint(8_000_000, 2),
+                                new LoadPoint(13_000_000, 2),
+                                new LoadPoint(14_000_000, 1)),
                         load.quotaPerS(),
                         load.overShareWorth()))
                 .withFaults(List.of(
-                        new Fault(Trouble.DIE, Among.ANY, 0, servers * 6 / 10, 4_000_000, 2_000_000, 0),
+                        new Fault(FaultKind.DIE, FaultScope.ANY, 0, servers * 6 / 10, 4_000_000, 2_000_000, 0),
                         new Fault(
-                                Trouble.NODES_RESTART,
-                                Among.ANY,
+                                FaultKind.NODES_RESTART,
+                                FaultScope.ANY,
                                 0,
                                 nodes / 3,
                                 7_000_000,
                                 200_000,
                                 Math.max(1, nodes / 6)),
                         new Fault(
-                                Trouble.RELEASE,
-                                Among.ANY,
+                                FaultKind.RELEASE,
+                                FaultScope.ANY,
                                 0,
                                 servers / 4,
                                 11_000_000,
@@ -79,11 +79,11 @@
     }
 
     private static double coldPeak(Emulation run) {
-        return run.boxes().stream().mapToDouble(Box::coldPeak).max().orElse(0);
+        return run.boxes().stream().mapToDouble(Box::coldPeakRatio).max().orElse(0);
     }
 
     private static long fallen(Emulation run) {
-        return run.boxes().stream().filter(Box::hasFallen).count();
+        return run.boxes().stream().filter(Box::hasCollapsed).count();
     }
 
     @ParameterizedTest
@@ -92,8 +92,8 @@
         double peak = 0;
         double least = Double.MAX_VALUE;
         for (long seed = 1; seed <= 2; seed++) {
-            Emulation run = Emulation.played(fleet(nodes, servers), seed, Proxy.ModuleMaker.SOUND);
-            assertEquals(List.of(), run.result().told(), "seed " + seed);
+            Emulation run = Emulation.runWith(fleet(nodes, servers), seed, EmulatedNode.BalancerFactory.DEFAULT);
+            assertEquals(List.of(), run.result().violations(), "seed " + seed);
             assertEquals(0, fallen(run), "fallen, whoever is to blame, seed " + seed);
             peak = Math.max(peak, coldPeak(run));
             least = Math.min(least, coldPeak(run));
@@ -111,10 +111,10 @@
     @CsvSource({"6, 12", "20, 16", "30, 16", "100, 60", "420, 84"})
     void aModuleThatBudgetsByNodeIsFound(int nodes, int servers) {
         Fleet fleet = fleet(nodes, servers);
-        Emulation run = Emulation.played(
-                fleet, 1, (set, seed, out) -> BudgetsByNode.module(set, seed, out, fleet.meanWorkUs()));
+        Emulation run = Emulation.runWith(
+                fleet, 1, (set, seed, out) -> PerNodeBudgetBalancer.create(set, seed, out, fleet.meanWorkUs()));
         assertTrue(
-                run.result().told().stream().anyMatch(b -> b.contains("no cold server pushed over")),
-                "told: " + run.result().told() + ", peak " + coldPeak(run));
+                run.result().violations().stream().anyMatch(b -> b.contains("no cold server pushed over")),
+                "told: " + run.result().violations() + ", peak " + coldPeak(run));
     }
 }
