--- a/src/test/java/kitemux/fleet/Fleets.java
+++ b/src/test/java/kitemux/fleet/FleetFixtures.java
@@ -6,10 +6,10 @@
 import kitemux.Balancer.RequestClass;
 
 /** Fleets that tests begin with. */
-public final class Fleets {
-    private Fleets() {}
+public final class FleetFixtures {
+    private FleetFixtures() {}
 
-    static RequestClass of(String name, long aimMs, long deadlineMs, double worth, Repeat repeat) {
+    static RequestClass requestClass(String name, long aimMs, long deadlineMs, double worth, Repeat repeat) {
         return new RequestClass(
                 name, aimMs * 1_000, 0, deadlineMs * 1_000, worth, 0, repeat, Group.CELL, 1_200_000, false);
     }
@@ -21,9 +21,9 @@
                 zones,
                 new Fleet.Zones(zones, 300, 0),
                 of.nodes(),
-                of.choke(),
+                of.overloadSlowdown(),
                 of.links(),
-                of.list(),
+                of.discoveryDelays(),
                 of.clients(),
                 of.classes(),
                 of.tenants(),
@@ -33,32 +33,46 @@
 
     /** The classes and clients of the brief. */
     public static Fleet yearbook(int std, int old, int nodes, double load, long lengthS) {
-        List<Fleet.Kind> kinds = List.of(
-                new Fleet.Kind("std", std, 1, 0.97, 0.15, 500, 0.2, 18_000_000, false, 1),
-                new Fleet.Kind("old", old, 1, 0.75, 0.1, 400, 0.2, 18_000_000, false, 1));
-        List<Fleet.Work> classes = List.of(
-                new Fleet.Work(of("view-page", 100, 500, 1, Repeat.SAFE), 0.51, 19_000, Fleet.Spread.EXPONENTIAL, 1),
-                new Fleet.Work(of("add-photo", 200, 600, 5, Repeat.KEYED), 0.30, 22_000, Fleet.Spread.LOGNORMAL, 0.5),
-                new Fleet.Work(
-                        of("place-order", 300, 1_000, 5, Repeat.UNSAFE), 0.19, 33_000, Fleet.Spread.LOGNORMAL, 0.6));
+        List<Fleet.ServerKind> kinds = List.of(
+                new Fleet.ServerKind("std", std, 1, 0.97, 0.15, 500, 0.2, 18_000_000, false, 1),
+                new Fleet.ServerKind("old", old, 1, 0.75, 0.1, 400, 0.2, 18_000_000, false, 1));
+        List<Fleet.ClassWorkload> classes = List.of(
+                new Fleet.ClassWorkload(
+                        requestClass("view-page", 100, 500, 1, Repeat.SAFE),
+                        0.51,
+                        19_000,
+                        Fleet.WorkDistribution.EXPONENTIAL,
+                        1),
+                new Fleet.ClassWorkload(
+                        requestClass("add-photo", 200, 600, 5, Repeat.KEYED),
+                        0.30,
+                        22_000,
+                        Fleet.WorkDistribution.LOGNORMAL,
+                        0.5),
+                new Fleet.ClassWorkload(
+                        requestClass("place-order", 300, 1_000, 5, Repeat.UNSAFE),
+                        0.19,
+                        33_000,
+                        Fleet.WorkDistribution.LOGNORMAL,
+                        0.6));
         double capacity = std * 0.97 + old * 0.75;
         double meanUs = 0.51 * 19_000 + 0.3 * 22_000 + 0.19 * 33_000;
         double rate = load * capacity * 1e6 / meanUs;
         return new Fleet(
                 kinds,
                 2,
-                Fleet.Zones.ONE,
+                Fleet.Zones.SINGLE,
                 new Fleet.Nodes(nodes, 60, 0.5, 1_500_000, 2_000_000),
-                new Fleet.Choke(5.5, 2_000_000, 2.7, 0.3, 3_600_000, 24_000_000),
+                new Fleet.OverloadSlowdown(5.5, 2_000_000, 2.7, 0.3, 3_600_000, 24_000_000),
                 new Fleet.Links(200, 0.2, 2, 5_000, 90, 60_000_000, 50_000),
-                new Fleet.Listing(
+                new Fleet.DiscoveryDelays(
                         new Fleet.Range(560_000, 5_000_000),
                         new Fleet.Range(5_000_000, 13_000_000),
                         new Fleet.Range(230_000, 2_100_000),
                         500_000),
                 new Fleet.Clients(700, 2, 0.4, 0.8, 20_000, 0.85, 1_000_000, 0),
                 classes,
-                List.of(new Fleet.Share("school-a", 0.6, 1), new Fleet.Share("school-b", 0.4, 1)),
+                List.of(new Fleet.TenantShare("school-a", 0.6, 1), new Fleet.TenantShare("school-b", 0.4, 1)),
                 new Fleet.Load(rate, lengthS * 1_000_000, List.of(), 1.3 * rate, 0.1),
                 List.of());
     }
--- a/src/test/java/kitemux/fleet/BudgetsByNode.java
+++ b/src/test/java/kitemux/fleet/PerNodeBudgetBalancer.java
@@ -19,7 +19,7 @@
  * A deliberate defect: a module that warms cold servers up with all that the settings let come to them, as if
  * its node were the only one.
  */
-public final class BudgetsByNode {
+public final class PerNodeBudgetBalancer {
     private final Settings set;
     private final double meanWorkUs;
     private final Map<String, Long> starts = new HashMap<>();
@@ -27,7 +27,7 @@
     private final Set<Long> begun = new HashSet<>();
     private long nowUs;
 
-    private BudgetsByNode(Settings set, double meanWorkUs) {
+    private PerNodeBudgetBalancer(Settings set, double meanWorkUs) {
         this.set = set;
         this.meanWorkUs = meanWorkUs;
     }
@@ -37,8 +37,8 @@
      *
      * @param meanWorkUs mean work of a request, on a core of speed 1
      */
-    public static Balancer module(Settings set, long seed, Balancer.Actions out, double meanWorkUs) {
-        BudgetsByNode defect = new BudgetsByNode(set, meanWorkUs);
+    public static Balancer create(Settings set, long seed, Balancer.Actions out, double meanWorkUs) {
+        PerNodeBudgetBalancer defect = new PerNodeBudgetBalancer(set, meanWorkUs);
         Balancer.Actions asked = around(Balancer.Actions.class, out, (method, args) -> {
             if (method.getName().equals("send")) {
                 args[1] = defect.instead((Long) args[0], (String) args[1]);
--- a/src/test/java/kitemux/lab/DeedsTest.java
+++ b/src/test/java/kitemux/lab/DeedsTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
+import kitemux.fleet.RunResult;
 import org.junit.jupiter.api.Test;
 
 /** What is done to a fleet that is tried out: read from a script, and done to real nodes over loopback. */
@@ -64,8 +64,8 @@
                 Deeds.Deed.BACK,
                 Deeds.Deed.SILENCE));
         List<String> seen = new ArrayList<>();
-        Result result = Loopback.play(longer, 1, Fleets::node, (live, nowUs) -> {
-                    Emulation.BoxNow box = live.boxesNow().get(0);
+        RunResult result = Loopback.play(longer, 1, Fleets::node, (live, nowUs) -> {
+                    Emulation.BoxStatus box = live.boxStatuses().get(0);
                     seen.add(box.state());
                     if (deeds.isEmpty()) {
                         return false;
@@ -79,7 +79,8 @@
                 seen.stream()
                         .filter(state -> !state.equals("up") && !state.equals("cold"))
                         .toList());
-        assertEquals(List.of(), result.told());
-        assertTrue(result.wishes() > 0 && result.wishes() < 30 * longer.load().ratePerS(), "it ended long before");
+        assertEquals(List.of(), result.violations());
+        assertTrue(
+                result.requests() > 0 && result.requests() < 30 * longer.load().ratePerS(), "it ended long before");
     }
 }
--- a/src/test/java/kitemux/lab/ExperimentFileTest.java
+++ b/src/test/java/kitemux/lab/ExperimentFileTest.java
@@ -65,14 +65,14 @@
                         "servers, std 3"),
                 experiment.variants().stream().map(Experiment.Variant::name).toList());
         Fleet asItIs = experiment.variants().get(0).fleet();
-        assertEquals(5_000_000, asItIs.load().lengthUs());
+        assertEquals(5_000_000, asItIs.load().durationUs());
         assertEquals(150, asItIs.load().ratePerS());
         Fleet lost = experiment.variants().get(1).fleet();
         assertEquals(75, lost.load().ratePerS());
         assertEquals(1, lost.nodes().count());
-        assertEquals(Fleet.Trouble.DIE, lost.faults().get(0).trouble());
+        assertEquals(Fleet.FaultKind.DIE, lost.faults().get(0).kind());
         assertEquals(225, experiment.variants().get(3).fleet().load().ratePerS());
-        assertEquals(3, experiment.variants().get(5).fleet().boxes());
+        assertEquals(3, experiment.variants().get(5).fleet().serverCount());
         assertTrue(experiment.variants().get(5).more());
         assertEquals(12, experiment.runs().size());
     }
--- a/src/test/java/kitemux/lab/LatePlayerTest.java
+++ b/src/test/java/kitemux/lab/LatePlayerTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
+import kitemux.fleet.RunResult;
 import kitemux.plan.FleetFile;
 import org.junit.jupiter.api.Test;
 
@@ -46,9 +46,9 @@
             }
             return true;
         });
-        Result result = played.result();
+        RunResult result = played.result();
         assertEquals(2, stalls[0]);
-        assertEquals(List.of(), result.told());
+        assertEquals(List.of(), result.violations());
         assertTrue(played.mostLateUs() > STALL_NANOS / 2_000, "late by " + played.mostLateUs() + " us");
     }
 
--- a/src/test/java/kitemux/lab/LoopbackTest.java
+++ b/src/test/java/kitemux/lab/LoopbackTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
+import kitemux.fleet.RunResult;
 import kitemux.load.Captured;
 import kitemux.load.Speeds;
 import kitemux.load.Summary;
@@ -26,11 +26,11 @@
 /** Described fleets over sockets, with processes of real nodes. */
 class LoopbackTest {
 
-    private static List<Long> offered(Result result) {
-        return result.classes().stream().map(Result.OfClass::offered).toList();
+    private static List<Long> offered(RunResult result) {
+        return result.classes().stream().map(RunResult.ClassOutcome::offered).toList();
     }
 
-    private static long ended(Result result) {
+    private static long ended(RunResult result) {
         return result.classes().stream()
                 .mapToLong(c -> c.inTime() + c.late() + c.refused() + c.failed())
                 .sum();
@@ -39,25 +39,26 @@
     @Test
     void theSameClientsAreServedAsTheEmulatorSays() throws Exception {
         Fleet fleet = Fleets.small();
-        Result predicted = Emulation.play(fleet, 3);
-        Result happened = Loopback.play(fleet, 3, Fleets::node).result();
+        RunResult predicted = Emulation.run(fleet, 3);
+        RunResult happened = Loopback.play(fleet, 3, Fleets::node).result();
         assertEquals(offered(predicted), offered(happened), "the same clients come");
-        assertEquals(happened.wishes(), ended(happened), "each wish ends once");
-        assertEquals(List.of(), happened.told());
-        assertEquals(predicted.inTime(), happened.inTime(), 0.1);
+        assertEquals(happened.requests(), ended(happened), "each wish ends once");
+        assertEquals(List.of(), happened.violations());
+        assertEquals(predicted.inTimeRatio(), happened.inTimeRatio(), 0.1);
     }
 
     @Test
     void whoeverAsksADeadNodeIsToldAndAReleaseBreaksNoRule() throws Exception {
         Fleet fleet = Fleets.small()
                 .withFaults(List.of(
-                        new Fleet.Fault(Fleet.Trouble.RELEASE, Fleet.Among.ANY, 0, 2, 300_000, 200_000, 2),
-                        new Fleet.Fault(Fleet.Trouble.NODES_RESTART, Fleet.Among.ANY, 0, 1, 1_000_000, 100_000, 1)));
-        Result happened = Loopback.play(fleet, 5, Fleets::node).result();
-        assertEquals(happened.wishes(), ended(happened), "each wish ends once");
-        assertEquals(List.of(), happened.told());
+                        new Fleet.Fault(Fleet.FaultKind.RELEASE, Fleet.FaultScope.ANY, 0, 2, 300_000, 200_000, 2),
+                        new Fleet.Fault(
+                                Fleet.FaultKind.NODES_RESTART, Fleet.FaultScope.ANY, 0, 1, 1_000_000, 100_000, 1)));
+        RunResult happened = Loopback.play(fleet, 5, Fleets::node).result();
+        assertEquals(happened.requests(), ended(happened), "each wish ends once");
+        assertEquals(List.of(), happened.violations());
         // One of two nodes is gone for a second or more, which the front notices late; the other serves.
-        assertTrue(happened.inTime() > 0.4, "in time " + happened.inTime());
+        assertTrue(happened.inTimeRatio() > 0.4, "in time " + happened.inTimeRatio());
         assertTrue(happened.classes().stream().mapToLong(c -> c.failed()).sum() > 0, "nobody met the dead node");
     }
 
@@ -75,11 +76,11 @@
     void whatWasWantedIsFoundAgainBehindABadAfternoon(@TempDir Path folder) throws Exception {
         Fleet small = Fleets.small();
         // Clients that heed no advice and are back at once.
-        Fleet fleet = small.with(small.load().times(12)).with(new Fleet.Clients(700, 4, 0.4, 0.8, 10_000, 0, 0, 0));
+        Fleet fleet = small.with(small.load().scaledBy(12)).with(new Fleet.Clients(700, 4, 0.4, 0.8, 10_000, 0, 0, 0));
         Path settings = Files.writeString(
                 folder.resolve("own.json"),
                 "{\"load\":{\"folder\":\"" + folder.resolve("load") + "\",\"ring\":65536}}");
-        Result happened = Loopback.play(fleet, 7, () -> {
+        RunResult happened = Loopback.play(fleet, 7, () -> {
                     ProcessBuilder node = Fleets.node();
                     node.environment().put("KITEMUX_SETTINGS", settings.toString());
                     return node;
@@ -92,8 +93,8 @@
             }
         }
         assertEquals(2, summary.nodes().size(), "both nodes write into one folder");
-        assertTrue(happened.triesPerWish() > 1.2, "tries " + happened.triesPerWish());
-        for (Result.OfClass of : happened.classes()) {
+        assertTrue(happened.triesPerRequest() > 1.2, "tries " + happened.triesPerRequest());
+        for (RunResult.ClassOutcome of : happened.classes()) {
             // What the nodes had in their last batch as they were killed is missing: a fifth of a second
             // of some.
             assertEquals(of.offered(), summary.classes().get(of.name()).wanted(), 0.05 * of.offered(), of.name());
@@ -107,14 +108,14 @@
     @Test
     void serversThatAllDieServeNobodyMeanwhile() throws Exception {
         Fleet fleet = Fleets.small()
-                .with(Fleets.small().load().times(2))
-                .withFaults(
-                        List.of(new Fleet.Fault(Fleet.Trouble.DIE, Fleet.Among.ANY, 0, 0, 1_000_000, 1_000_000, 1)));
-        Result predicted = Emulation.play(fleet, 2);
-        Result happened = Loopback.play(fleet, 2, Fleets::node).result();
-        assertEquals(List.of(), happened.told());
-        assertTrue(happened.bySecond().get(1) < 0.3, "served while all were dead: " + happened.bySecond());
-        assertEquals(predicted.inTime(), happened.inTime(), 0.12);
+                .with(Fleets.small().load().scaledBy(2))
+                .withFaults(List.of(
+                        new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.ANY, 0, 0, 1_000_000, 1_000_000, 1)));
+        RunResult predicted = Emulation.run(fleet, 2);
+        RunResult happened = Loopback.play(fleet, 2, Fleets::node).result();
+        assertEquals(List.of(), happened.violations());
+        assertTrue(happened.inTimeBySecond().get(1) < 0.3, "served while all were dead: " + happened.inTimeBySecond());
+        assertEquals(predicted.inTimeRatio(), happened.inTimeRatio(), 0.12);
     }
 
     @Test
--- a/src/test/java/kitemux/lab/ResultsTest.java
+++ b/src/test/java/kitemux/lab/ResultsTest.java
@@ -37,7 +37,7 @@
                                 "",
                                 0,
                                 false,
-                                Fleets.small().with(Fleets.small().load().times(2)))));
+                                Fleets.small().with(Fleets.small().load().scaledBy(2)))));
     }
 
     private ResultsFolder results() throws IOException {
--- a/src/test/java/kitemux/node/UnsoundNode.java
+++ b/src/test/java/kitemux/node/UnsoundNode.java
@@ -16,7 +16,7 @@
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
 import kitemux.engine.Transport;
-import kitemux.fleet.BudgetsByNode;
+import kitemux.fleet.PerNodeBudgetBalancer;
 import kitemux.http.ClientRequest;
 import kitemux.http.ConnectionObserver;
 import kitemux.net.LoopTime;
@@ -62,7 +62,7 @@
                                 Observer.NONE,
                                 ConnectionObserver.NONE,
                                 SendGate.open(),
-                                actions -> BudgetsByNode.module(
+                                actions -> PerNodeBudgetBalancer.create(
                                         config.settings(), config.seed(), actions, Double.parseDouble(args[1])),
                                 sound.transport());
                 };
--- a/src/test/java/kitemux/plan/FromCaptureTest.java
+++ b/src/test/java/kitemux/plan/CapturedWorkloadTest.java
@@ -17,7 +17,7 @@
 import kitemux.load.Summary;
 import org.junit.jupiter.api.Test;
 
-class FromCaptureTest {
+class CapturedWorkloadTest {
     private static final long NOW = 1_790_000_000_000_000L;
 
     private static Fleet yearbook() throws IOException {
@@ -50,44 +50,44 @@
     @Test
     void whatWasWantedTakesThePlaceOfTheDescribedLoad() throws IOException {
         List<String> faults = new ArrayList<>();
-        Fleet fleet = FromCapture.load(yearbook(), summary("view-page"), faults);
+        Fleet fleet = CapturedWorkload.applyLoad(yearbook(), summary("view-page"), faults);
         assertEquals(List.of(), faults);
-        assertEquals(List.of(), fleet.faultsFound());
+        assertEquals(List.of(), fleet.validate());
         assertEquals(200, fleet.load().ratePerS(), 1);
-        assertEquals(100, fleet.load().ratePerS() * fleet.load().at(2_500_000), 3);
-        assertEquals(300, fleet.load().ratePerS() * fleet.load().at(8_000_000), 3);
+        assertEquals(100, fleet.load().ratePerS() * fleet.load().factorAt(2_500_000), 3);
+        assertEquals(300, fleet.load().ratePerS() * fleet.load().factorAt(8_000_000), 3);
         assertEquals(0.1, fleet.classes().get(2).share(), 0.001);
         assertTrue(fleet.classes().get(1).share() < 0.001, "no photo came");
         // A quarter asked by who has six tenths of the share, the rest by who has four.
-        assertEquals(0.25 / 0.6, fleet.tenants().get(0).usage(), 0.01);
-        assertEquals(0.75 / 0.4, fleet.tenants().get(1).usage(), 0.01);
+        assertEquals(0.25 / 0.6, fleet.tenants().get(0).usageRatio(), 0.01);
+        assertEquals(0.75 / 0.4, fleet.tenants().get(1).usageRatio(), 0.01);
         assertEquals(
-                yearbook().classes().get(0).meanUs(), fleet.classes().get(0).meanUs());
+                yearbook().classes().get(0).meanWorkUs(), fleet.classes().get(0).meanWorkUs());
     }
 
     @Test
     void capturedWorkIsToldForAServerOfMeanSpeedAndTakenForTheDescribedOnes() throws IOException {
         Fleet described = yearbook();
-        Fleet fleet = FromCapture.work(
+        Fleet fleet = CapturedWorkload.applyWork(
                 described,
                 List.of(
                         new Speeds.Work("view-page", 30_000, 29_000, 31_000, 0.97, 500),
                         new Speeds.Work("place-order", 40_000, 39_000, 41_000, 0.6, 500)));
-        assertEquals(List.of(), fleet.faultsFound());
-        assertEquals(30_000 * Math.sqrt(0.97 * 0.75), fleet.classes().get(0).meanUs(), 1);
-        assertEquals(Fleet.Spread.EXPONENTIAL, fleet.classes().get(0).spread());
+        assertEquals(List.of(), fleet.validate());
+        assertEquals(30_000 * Math.sqrt(0.97 * 0.75), fleet.classes().get(0).meanWorkUs(), 1);
+        assertEquals(Fleet.WorkDistribution.EXPONENTIAL, fleet.classes().get(0).distribution());
         assertEquals(described.classes().get(1), fleet.classes().get(1), "nothing is known of photos");
-        assertEquals(Fleet.Spread.LOGNORMAL, fleet.classes().get(2).spread());
+        assertEquals(Fleet.WorkDistribution.LOGNORMAL, fleet.classes().get(2).distribution());
         assertEquals(0.6, fleet.classes().get(2).cv());
     }
 
     @Test
     void whatDoesNotGoTogetherIsTold() throws IOException {
         List<String> faults = new ArrayList<>();
-        FromCapture.load(yearbook(), summary("video"), faults);
+        CapturedWorkload.applyLoad(yearbook(), summary("video"), faults);
         assertEquals(List.of("--load: has class \"video\", which the description does not have"), faults);
         faults.clear();
-        FromCapture.load(yearbook(), new Summary(1_000_000, Map.of()), faults);
+        CapturedWorkload.applyLoad(yearbook(), new Summary(1_000_000, Map.of()), faults);
         assertTrue(faults.get(0).startsWith("--load: holds 0 first tries"), faults::toString);
     }
 }
--- a/src/test/java/kitemux/world/AgainstEmulatorTest.java
+++ b/src/test/java/kitemux/world/AgainstEmulatorTest.java
@@ -11,7 +11,7 @@
 import kitemux.Balancer.RequestClass;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
-import kitemux.fleet.Result;
+import kitemux.fleet.RunResult;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -49,28 +49,28 @@
     }
 
     /** Half of the work is certain, the rest exponential: so is the deviation half of the mean. */
-    private static Fleet.Work work(
+    private static Fleet.ClassWorkload work(
             String name, double share, double meanUs, long aimMs, long deadlineMs, double worth, Repeat repeat) {
-        return new Fleet.Work(
+        return new Fleet.ClassWorkload(
                 new RequestClass(
                         name, aimMs * 1_000, 0, deadlineMs * 1_000, worth, 0, repeat, Group.CELL, 1_200_000, false),
                 share,
                 meanUs,
-                Fleet.Spread.LOGNORMAL,
+                Fleet.WorkDistribution.LOGNORMAL,
                 0.5);
     }
 
     private static Fleet fleet(double triesPerS, int nodes) {
-        Fleet.Kind quick = new Fleet.Kind("quick", 3, 1, 0.975, 0.07, 28, 0.12, 23_000_000, false, 1);
-        Fleet.Kind old = new Fleet.Kind("old", 3, 1, 0.75, 0.08, 28, 0.12, 23_000_000, false, 1);
+        Fleet.ServerKind quick = new Fleet.ServerKind("quick", 3, 1, 0.975, 0.07, 28, 0.12, 23_000_000, false, 1);
+        Fleet.ServerKind old = new Fleet.ServerKind("old", 3, 1, 0.75, 0.08, 28, 0.12, 23_000_000, false, 1);
         return new Fleet(
                 List.of(quick, old),
                 2,
-                Fleet.Zones.ONE,
+                Fleet.Zones.SINGLE,
                 new Fleet.Nodes(nodes, 0, 1, 1_000_000, 500_000),
                 null,
                 new Fleet.Links(200, 0.2, 1, 3_000, 90, 60_000_000, 50_000),
-                new Fleet.Listing(
+                new Fleet.DiscoveryDelays(
                         new Fleet.Range(560_000, 5_000_000),
                         new Fleet.Range(5_000_000, 13_000_000),
                         new Fleet.Range(230_000, 2_100_000),
@@ -82,9 +82,9 @@
                         work("place-order", 0.19, 33_000, 300, 1_000, 5, Repeat.UNSAFE)),
                 // Which tenant asks is told there by the product of two even draws.
                 List.of(
-                        new Fleet.Share("school-a", 1, 3 * 0.6995),
-                        new Fleet.Share("school-b", 1, 3 * 0.2375),
-                        new Fleet.Share("school-c", 1, 3 * 0.063)),
+                        new Fleet.TenantShare("school-a", 1, 3 * 0.6995),
+                        new Fleet.TenantShare("school-b", 1, 3 * 0.2375),
+                        new Fleet.TenantShare("school-c", 1, 3 * 0.063)),
                 new Fleet.Load(triesPerS, LENGTH_S * 1_000_000, List.of(), BOXES * World.SERVED_PER_S, 0.1),
                 List.of());
     }
@@ -100,19 +100,19 @@
         double asked = worlds.stream().mapToInt(World.Verdict::asked).sum();
         // There clients ask again beyond the time of what they wanted: here all that come are first tries.
         Fleet fleet = fleet(asked / SEEDS / LENGTH_S, nodes);
-        List<Result> emulated = LongStream.rangeClosed(1, SEEDS)
+        List<RunResult> emulated = LongStream.rangeClosed(1, SEEDS)
                 .parallel()
-                .mapToObj(seed -> Emulation.play(fleet, seed))
+                .mapToObj(seed -> Emulation.run(fleet, seed))
                 .toList();
         List<Object> broken = new ArrayList<>();
         worlds.forEach(world -> broken.addAll(world.breaches()));
-        emulated.forEach(run -> broken.addAll(run.told()));
+        emulated.forEach(run -> broken.addAll(run.violations()));
         assertEquals(List.of(), broken);
 
         double world = worlds.stream().mapToInt(World.Verdict::served).sum() / asked;
-        double wishes = emulated.stream().mapToLong(Result::wishes).sum();
+        double wishes = emulated.stream().mapToLong(RunResult::requests).sum();
         double tries = emulated.stream()
-                .mapToDouble(run -> run.triesPerWish() * run.wishes())
+                .mapToDouble(run -> run.triesPerRequest() * run.requests())
                 .sum();
         double served = emulated.stream()
                         .flatMap(run -> run.classes().stream())
