--- a/src/main/java/kitemux/fleet/Box.java
+++ b/src/main/java/kitemux/fleet/Box.java
@@ -6,26 +6,27 @@
 import kitemux.sim.Scheduler;
 
 /**
- * A server as a queue: its cores work off in turn what it has taken, whether anybody still waits or not. It
- * is cold after a start, turns slow when crowded, falls over when pushed while cold, and counts what it did.
+ * Models a server as a queue: its cores process accepted requests in turn, whether or not anybody still waits
+ * for the answer. A server is cold after a start, slows down when overloaded, collapses when it receives too
+ * much load while cold, and counts its work.
  */
 public final class Box {
-    /** A failure that is no work takes so long. */
-    private static final long FAILS_AFTER_US = 500;
+    /** Time after which an injected failure is answered; such a failure uses no core. */
+    private static final long FAILURE_RESPONSE_US = 500;
 
     final String id;
     final int kindIndex;
     final int rack;
     final Fleet.ServerKind serverKind;
     final double speed;
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final Fleet fleet;
     private final RuleChecker rules;
-    private final RandomStream draws;
+    private final RandomStream random;
     private final int maxConnections;
-    private final double crowded;
+    private final double overloadThreshold;
 
-    private final ArrayDeque<Job> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private int running;
     private int incarnation;
     private boolean up = true;
@@ -34,22 +35,22 @@
     private boolean draining;
     private long drainingSinceUs;
     private long startedAtUs;
-    private boolean wasStarted;
+    private boolean wasRestarted;
     private double workDoneUs;
-    private long done;
+    private long completed;
     double failureRatio;
     double slowdownFactor = 1;
 
-    private boolean slow;
+    private boolean slowedDown;
     private boolean overloaded;
-    private long slowSinceUs;
-    private long restingSinceUs = -1;
-    private double crowd;
-    private double busy;
-    private long meanAtUs;
+    private long slowedDownSinceUs;
+    private long belowRestSinceUs = -1;
+    private double meanInFlight;
+    private double meanUtilisation;
+    private long meansUpdatedAtUs;
 
     private final ColdWork coldWork;
-    private Runnable changed = () -> {};
+    private Runnable changeListener = () -> {};
 
     private int connections;
     int peakConnections;
@@ -61,21 +62,22 @@
     /**
      * A request at a server.
      *
-     * @param replyHandler the end of it, if the server tells one
-     * @param workUs on a core of speed 1, the handshake's included
-     * @param sentUs when its node wrote it
+     * @param clientTry the client's try that the request belongs to
+     * @param workUs work on a core of speed 1, in microseconds, including that of a handshake
+     * @param sentUs time at which the node wrote the request, in microseconds of the run
+     * @param replyHandler receives the outcome, if the server reports one
      */
     record Job(RuleChecker.TrackedTry clientTry, double workUs, long sentUs, ReplyHandler replyHandler) {}
 
-    /** Where a server's answer goes. */
+    /** Receives the outcome of a request at a server. */
     public interface ReplyHandler {
-        /** How the request ended there; told once, or never by a server that is silent. */
+        /** Reports how the request ended; called at most once, and never by a silent server. */
         void completed(Result result);
 
-        /** Whether anybody waits for it. */
+        /** Returns whether anybody still waits for the answer. */
         boolean isAwaited();
 
-        /** Whether the node that sent it had been told of the server's start. */
+        /** Returns whether the sending node had been notified of the server's latest start. */
         default boolean isSenderAwareOfStart() {
             return true;
         }
@@ -87,120 +89,130 @@
             int rack,
             Fleet fleet,
             double speed,
-            Scheduler time,
+            Scheduler scheduler,
             RuleChecker rules,
-            RandomStream draws) {
+            RandomStream random) {
         this.id = id;
         this.kindIndex = kind;
         this.rack = rack;
         this.serverKind = fleet.kinds().get(kind);
         this.fleet = fleet;
         this.speed = speed;
-        this.time = time;
+        this.scheduler = scheduler;
         this.rules = rules;
-        this.draws = draws;
+        this.random = random;
         coldWork = new ColdWork(fleet.meanWorkUs(), rules.limits().windowUs());
         maxConnections = fleet.links().maxConnectionsPerCore() * serverKind.cores();
-        crowded = fleet.overloadSlowdown() == null
+        overloadThreshold = fleet.overloadSlowdown() == null
                 ? Double.MAX_VALUE
                 : serverKind.cores() + fleet.overloadSlowdown().thresholdFactor() * Math.sqrt(serverKind.cores());
     }
 
-    // ---------------------------------------------------------------- its life
+    // ---------------------------------------------------------------- life cycle
 
-    /** Tells whoever stands for its machine when its process has ended or begun. */
-    public void onChange(Runnable told) {
-        changed = told;
+    /** Registers the listener that is called whenever the server's process has started or ended. */
+    public void onChange(Runnable listener) {
+        changeListener = listener;
     }
 
-    /** Its name, which is also its id in the list. */
+    /** Returns the server's name, which is also its id in the list of servers. */
     public String id() {
         return id;
     }
 
-    /** Its rack's number. */
+    /** Returns the number of the server's rack. */
     public int rack() {
         return rack;
     }
 
-    /** Whether its process runs and says something. */
+    /** Returns whether the server's process runs and answers. */
     public boolean isUp() {
         return up && !silent;
     }
 
-    /** Whether it has gone without a word. */
+    /** Returns whether the server has stopped answering without closing its connections. */
     public boolean isSilent() {
         return silent;
     }
 
-    /** Its zone's number. */
+    /** Returns the number of the server's zone. */
     int zone() {
         return fleet.zones().zoneOf(rack);
     }
 
+    /** Returns whether the server drains. */
     boolean isDraining() {
         return draining;
     }
 
-    /** Whether it fell over or choked. */
+    /** Returns whether the server has collapsed under load while it was cold. */
     boolean hasCollapsed() {
         return collapsed;
     }
 
+    /** Returns whether the server has slowed down through overload during the run. */
     boolean wasOverloaded() {
         return overloaded;
     }
 
-    /** When its process started, in microseconds; 0 for long ago. */
+    /**
+     * Returns the start time of the process in microseconds of the run; 0 if it has run since before the run
+     * began.
+     */
     public long startedAtUs() {
-        return wasStarted ? startedAtUs : 0;
+        return wasRestarted ? startedAtUs : 0;
     }
 
+    /** Starts to drain: new requests are rule violations once the grace period has passed. */
     void drain() {
         draining = true;
-        drainingSinceUs = time.nowUs();
+        drainingSinceUs = scheduler.nowUs();
     }
 
-    /** Its process ends; what it held is gone. */
+    /**
+     * Ends the process and drops all requests it holds.
+     *
+     * @param silently whether clients are left without any answer instead of seeing their connections reset
+     */
     void terminate(boolean silently) {
-        note();
+        updateMeans();
         up = false;
         silent = silently;
         incarnation++;
         running = 0;
         connections = 0;
-        ArrayDeque<Job> lost = new ArrayDeque<>(waiting);
-        waiting.clear();
+        ArrayDeque<Job> dropped = new ArrayDeque<>(queue);
+        queue.clear();
         if (!silently) {
-            lost.forEach(job -> job.replyHandler.completed(Result.RESET));
+            dropped.forEach(job -> job.replyHandler.completed(Result.RESET));
         }
-        changed.run();
+        changeListener.run();
     }
 
-    /** A new process, cold; one that fell over stays down. */
+    /** Starts a new, cold process. A collapsed server stays down. */
     void start() {
         if (collapsed) {
             return;
         }
-        note();
+        updateMeans();
         up = true;
         silent = false;
         draining = false;
-        slow = false;
-        crowd = 0;
-        wasStarted = true;
-        startedAtUs = time.nowUs();
+        slowedDown = false;
+        meanInFlight = 0;
+        wasRestarted = true;
+        startedAtUs = scheduler.nowUs();
         workDoneUs = 0;
         coldWork.begins();
-        changed.run();
+        changeListener.run();
     }
 
-    /** The part of its capacity that it has by now, in (0, 1]. */
+    /** Returns the fraction of the server's full capacity that is available now, in (0, 1]. */
     double warmUpRatio() {
-        if (!wasStarted || serverKind.warmUpUs() == 0) {
+        if (!wasRestarted || serverKind.warmUpUs() == 0) {
             return 1;
         }
-        double byTime = (double) (time.nowUs() - startedAtUs) / serverKind.warmUpUs();
+        double byTime = (double) (scheduler.nowUs() - startedAtUs) / serverKind.warmUpUs();
         double byWork =
                 serverKind.warmsByWork() ? workDoneUs / (0.5 * serverKind.warmUpUs() * serverKind.cores() * speed) : 0;
         return Math.min(
@@ -208,14 +220,15 @@
                 serverKind.initialCapacityRatio() + (1 - serverKind.initialCapacityRatio()) * Math.max(byTime, byWork));
     }
 
-    private double pace() {
+    /** Returns the present speed of a core, after warm-up, faults and overload. */
+    private double effectiveSpeed() {
         return speed
                 * warmUpRatio()
                 / slowdownFactor
-                / (slow ? fleet.overloadSlowdown().slowdownFactor() : 1);
+                / (slowedDown ? fleet.overloadSlowdown().slowdownFactor() : 1);
     }
 
-    /** As it is now, for whoever looks on. */
+    /** Returns the current status for display. */
     Emulation.BoxStatus status() {
         String state = collapsed
                 ? "fallen"
@@ -227,15 +240,15 @@
                                         ? "draining"
                                         : failureRatio > 0
                                                 ? "failing"
-                                                : slow || slowdownFactor > 1
+                                                : slowedDown || slowdownFactor > 1
                                                         ? "slow"
                                                         : warmUpRatio() < 1 ? "cold" : "up";
-        return new Emulation.BoxStatus(id, state, running + waiting.size(), connections, done, warmUpRatio());
+        return new Emulation.BoxStatus(id, state, running + queue.size(), connections, completed, warmUpRatio());
     }
 
     // ---------------------------------------------------------------- connections
 
-    /** A node connects; false if it is refused. */
+    /** Accepts a connection from a node; returns false if the server refuses it because it has too many. */
     public boolean connect() {
         if (connections >= maxConnections) {
             rejectedConnections++;
@@ -245,12 +258,15 @@
         return true;
     }
 
-    /** A connection that was made to this process ends. */
-    public void connectionClosed(int ofProcess) {
-        connections -= ofProcess == incarnation ? 1 : 0;
+    /**
+     * Records that a connection to the given incarnation of the server has closed; older incarnations are
+     * ignored.
+     */
+    public void connectionClosed(int ofIncarnation) {
+        connections -= ofIncarnation == incarnation ? 1 : 0;
     }
 
-    /** Counts its processes. */
+    /** Returns the number of the current process; it rises whenever a process ends. */
     public int incarnation() {
         return incarnation;
     }
@@ -258,18 +274,25 @@
     // ---------------------------------------------------------------- requests
 
     /**
-     * A request has come whole.
+     * Accepts a request that has been received completely.
      *
-     * @param extraUs work besides the request's own, such as a handshake's, on a core of speed 1
-     * @param sentUs when its node wrote it
+     * @param clientTry the client's try
+     * @param extraUs work besides that of the request, such as a handshake, on a core of speed 1
+     * @param sentUs time at which the node wrote the request
+     * @param replyHandler receives the outcome
      */
-    public void submit(ClientTry asked, double extraUs, long sentUs, ReplyHandler told) {
-        submit(new Job(asked.tracked(), asked.actualWorkUs() + extraUs, sentUs, told));
+    public void submit(ClientTry clientTry, double extraUs, long sentUs, ReplyHandler replyHandler) {
+        submit(new Job(clientTry.tracked(), clientTry.actualWorkUs() + extraUs, sentUs, replyHandler));
     }
 
-    /** Something new has come to it; breaks a rule where it has drained for longer than that may happen. */
+    /**
+     * Reports a violation if a new request arrives after the drain grace period has passed.
+     *
+     * @param slackUs additional tolerance in microseconds
+     */
     public void checkDraining(long slackUs) {
-        if (draining && time.nowUs() > drainingSinceUs + fleet.discoveryDelays().drainGraceUs() + slackUs) {
+        if (draining
+                && scheduler.nowUs() > drainingSinceUs + fleet.discoveryDelays().drainGraceUs() + slackUs) {
             rules.sentWhileDraining(this);
         }
     }
@@ -281,112 +304,113 @@
             }
             return;
         }
-        watchCold(job);
+        trackColdLoad(job);
         if (!up) {
             return;
         }
-        if (failureRatio > 0 && draws.nextDouble() < failureRatio) {
-            int mine = incarnation;
-            time.afterUs(
-                    FAILS_AFTER_US,
-                    () -> job.replyHandler.completed(mine == incarnation ? Result.ERROR : Result.RESET));
+        if (failureRatio > 0 && random.nextDouble() < failureRatio) {
+            int startIncarnation = incarnation;
+            scheduler.afterUs(
+                    FAILURE_RESPONSE_US,
+                    () -> job.replyHandler.completed(startIncarnation == incarnation ? Result.ERROR : Result.RESET));
             return;
         }
-        note();
+        updateMeans();
         if (running < serverKind.cores()) {
-            begin(job);
-        } else if (waiting.size() < serverKind.queueCapacity()) {
-            waiting.add(job);
+            execute(job);
+        } else if (queue.size() < serverKind.queueCapacity()) {
+            queue.add(job);
         } else {
             rejectedRequests++;
             job.replyHandler.completed(Result.FULL);
         }
     }
 
-    private void begin(Job job) {
+    private void execute(Job job) {
         running++;
         rules.executionStarted(job.clientTry, this, job.sentUs);
-        int mine = incarnation;
-        double takesUs = job.workUs / pace();
-        time.afterUs(Math.max(1, Math.round(takesUs)), () -> {
-            if (mine == incarnation) {
-                done(job, takesUs);
+        int startIncarnation = incarnation;
+        double durationUs = job.workUs / effectiveSpeed();
+        scheduler.afterUs(Math.max(1, Math.round(durationUs)), () -> {
+            if (startIncarnation == incarnation) {
+                completed(job, durationUs);
             } else if (!silent) {
                 job.replyHandler.completed(Result.RESET);
             }
         });
     }
 
-    private void done(Job job, double tookUs) {
-        note();
+    private void completed(Job job, double durationUs) {
+        updateMeans();
         running--;
-        busyUs += tookUs;
+        busyUs += durationUs;
         workDoneUs += job.workUs;
-        done++;
-        wastedUs += job.replyHandler.isAwaited() ? 0 : tookUs;
-        Job next = waiting.poll();
+        completed++;
+        wastedUs += job.replyHandler.isAwaited() ? 0 : durationUs;
+        Job next = queue.poll();
         if (next != null) {
-            begin(next);
+            execute(next);
         }
         job.replyHandler.completed(Result.OK);
     }
 
-    // ---------------------------------------------------------------- how it is
+    // ---------------------------------------------------------------- load state
 
-    /** Brings the means up to now; to be called before anything changes. */
-    private void note() {
-        Fleet.OverloadSlowdown choke = fleet.overloadSlowdown();
-        if (choke == null) {
+    /** Advances the moving averages to the current time. Must be called before the state changes. */
+    private void updateMeans() {
+        Fleet.OverloadSlowdown slowdown = fleet.overloadSlowdown();
+        if (slowdown == null) {
             return;
         }
-        long now = time.nowUs();
-        double past = now - meanAtUs;
-        meanAtUs = now;
-        int held = running + waiting.size();
-        double keep = Math.exp(-past / choke.averagingUs());
-        crowd = keep * crowd + (1 - keep) * held;
-        if (!slow) {
-            if (crowd > crowded && !overloaded) {
-                // Once a day, as the operators have seen it.
-                slow = true;
+        long now = scheduler.nowUs();
+        double elapsedUs = now - meansUpdatedAtUs;
+        meansUpdatedAtUs = now;
+        int inFlight = running + queue.size();
+        double decay = Math.exp(-elapsedUs / slowdown.averagingUs());
+        meanInFlight = decay * meanInFlight + (1 - decay) * inFlight;
+        if (!slowedDown) {
+            if (meanInFlight > overloadThreshold && !overloaded) {
+                // At most once a day, as the operators have observed; hence at most once per run.
+                slowedDown = true;
                 overloaded = true;
-                slowSinceUs = now;
-                busy = 1;
-                restingSinceUs = -1;
+                slowedDownSinceUs = now;
+                meanUtilisation = 1;
+                belowRestSinceUs = -1;
             }
             return;
         }
-        // The mean runs towards what is in use since it was last looked at; when it got under the bound is
-        // told by
-        // its curve, as nothing may have happened since then.
-        double meanOverUs = choke.restUs() / 2.0;
-        double inUse = (double) running / serverKind.cores();
-        double before = busy;
-        busy = inUse + (before - inUse) * Math.exp(-past / meanOverUs);
-        if (busy >= choke.restUtilisation()) {
-            restingSinceUs = -1;
-        } else if (restingSinceUs < 0) {
-            restingSinceUs = now
-                    - (long) past
-                    + (before <= choke.restUtilisation()
+        // The mean moves towards the utilisation since the last update. The time at which it fell below the limit
+        // is computed from the exponential curve, as no event need have occurred at that moment.
+        double timeConstantUs = slowdown.restUs() / 2.0;
+        double utilisation = (double) running / serverKind.cores();
+        double previousMean = meanUtilisation;
+        meanUtilisation = utilisation + (previousMean - utilisation) * Math.exp(-elapsedUs / timeConstantUs);
+        if (meanUtilisation >= slowdown.restUtilisation()) {
+            belowRestSinceUs = -1;
+        } else if (belowRestSinceUs < 0) {
+            belowRestSinceUs = now
+                    - (long) elapsedUs
+                    + (previousMean <= slowdown.restUtilisation()
                             ? 0
-                            : (long) (meanOverUs * Math.log((before - inUse) / (choke.restUtilisation() - inUse))));
+                            : (long) (timeConstantUs
+                                    * Math.log((previousMean - utilisation)
+                                            / (slowdown.restUtilisation() - utilisation))));
         }
-        if (now - slowSinceUs >= choke.maxDurationUs()
-                || restingSinceUs >= 0 && now - restingSinceUs >= choke.restUs() / 2) {
-            slow = false;
+        if (now - slowedDownSinceUs >= slowdown.maxDurationUs()
+                || belowRestSinceUs >= 0 && now - belowRestSinceUs >= slowdown.restUs() / 2) {
+            slowedDown = false;
         }
     }
 
-    /** Rule 4: what comes to it while cold, in any stretch of time, against what it can do then. */
-    private void watchCold(Job job) {
+    /** Checks rule 4: the load that a cold server receives within any window must stay below its limit. */
+    private void trackColdLoad(Job job) {
         double warmth = warmUpRatio();
         if (warmth >= 1) {
             return;
         }
         RuleChecker.ColdLoadLimit limits = rules.limits();
         ColdWork.Verdict verdict = coldWork.came(
-                time.nowUs(),
+                scheduler.nowUs(),
                 job.workUs,
                 job.replyHandler.isSenderAwareOfStart(),
                 limits.capacityMultiple() * serverKind.cores() * speed * warmth * limits.windowUs());
@@ -399,7 +423,7 @@
         }
     }
 
-    /** The most that came from all nodes together while it was cold, as a part of what it stands. */
+    /** Returns the highest load received while cold from all nodes together, as a fraction of the limit. */
     double coldPeakRatio() {
         return coldWork.highest();
     }
--- a/src/main/java/kitemux/fleet/ClientPopulation.java
+++ b/src/main/java/kitemux/fleet/ClientPopulation.java
@@ -6,187 +6,202 @@
 import kitemux.sim.Scheduler;
 
 /**
- * Clients and the front that deals them out: they ask at times drawn ahead of any answer, give a try up after
- * their time, and ask again as far as that does no harm.
+ * Emulates the clients and the front end that distributes them over nodes. Arrival times are drawn
+ * independently of any answer. A client abandons a try after its timeout and retries where a retry is safe.
  */
 final class ClientPopulation {
-    /** How much later than its time an answer may come before it counts as none: what is measured on sockets
-     * allows as much. */
-    private static final long GRACE_US = 50_000;
+    /**
+     * Tolerance in microseconds after a try's timeout within which an answer still counts. Measurements over
+     * sockets allow the same.
+     */
+    private static final long ANSWER_GRACE_US = 50_000;
 
-    /** Of no tenant, or of one that is drawn. */
-    private static final int NOBODY = -1;
+    /** Marks a request without a tenant, or one whose tenant is still to be drawn. */
+    private static final int NO_TENANT = -1;
 
     private final Fleet fleet;
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final List<FleetNode> nodes;
     private final RuleChecker rules;
-    private final OutcomeCounter tally;
-    private final RandomStream arrivals;
-    private final RandomStream work;
-    private final RandomStream patience;
-    private final RandomStream front;
-    private final double[] classesUpTo;
-    private final double[] tenantsUpTo;
-    private final double most;
-    /** What each node gets, summed up to it; null where all get alike. */
-    private final double[] nodesUpTo;
-    /** Until when the front still deals clients out to a node that has died, and from when not yet again. */
-    private final long[] noticedAtUs;
-
-    private long tries;
-    private long wishes;
+    private final OutcomeCounter outcomes;
+    private final RandomStream arrivalRandom;
+    private final RandomStream workRandom;
+    private final RandomStream clientRandom;
+    private final RandomStream frontRandom;
+    private final double[] cumulativeClassShares;
+    private final double[] cumulativeTenantLoads;
+    private final double maxLoadFactor;
+    /** Cumulative weights with which the front end chooses a node; null if all nodes are equally likely. */
+    private final double[] cumulativeNodeWeights;
+    /** Time until which the front end still sends clients to each node that has died, in microseconds. */
+    private final long[] failureNoticedAtUs;
+
+    private long tryCount;
+    private long requestCount;
 
     ClientPopulation(
-            Fleet fleet, Scheduler time, List<FleetNode> nodes, RuleChecker rules, OutcomeCounter tally, long seed) {
+            Fleet fleet,
+            Scheduler scheduler,
+            List<FleetNode> nodes,
+            RuleChecker rules,
+            OutcomeCounter outcomes,
+            long seed) {
         this.fleet = fleet;
-        this.time = time;
+        this.scheduler = scheduler;
         this.nodes = nodes;
         this.rules = rules;
-        this.tally = tally;
-        arrivals = new RandomStream(seed, RandomStream.Purpose.ARRIVALS);
-        work = new RandomStream(seed, RandomStream.Purpose.WORK);
-        patience = new RandomStream(seed, RandomStream.Purpose.CLIENTS);
-        front = new RandomStream(seed, RandomStream.Purpose.FRONT);
-        classesUpTo = sums(
+        this.outcomes = outcomes;
+        arrivalRandom = new RandomStream(seed, RandomStream.Purpose.ARRIVALS);
+        workRandom = new RandomStream(seed, RandomStream.Purpose.WORK);
+        clientRandom = new RandomStream(seed, RandomStream.Purpose.CLIENTS);
+        frontRandom = new RandomStream(seed, RandomStream.Purpose.FRONT);
+        cumulativeClassShares = cumulativeSums(
                 fleet.classes().stream().mapToDouble(Fleet.ClassWorkload::share).toArray());
-        tenantsUpTo = sums(fleet.tenants().stream()
+        cumulativeTenantLoads = cumulativeSums(fleet.tenants().stream()
                 .mapToDouble(t -> t.share() * t.usageRatio())
                 .toArray());
-        most = fleet.load().maxFactor();
-        noticedAtUs = new long[nodes.size()];
-        nodesUpTo = fleet.clients().nodeSkew() == 0 ? null : weights(seed);
+        maxLoadFactor = fleet.load().maxFactor();
+        failureNoticedAtUs = new long[nodes.size()];
+        cumulativeNodeWeights = fleet.clients().nodeSkew() == 0 ? null : nodeWeights(seed);
     }
 
-    private double[] weights(long seed) {
+    private double[] nodeWeights(long seed) {
         RandomStream skew = new RandomStream(seed, RandomStream.Purpose.SKEW);
         double[] weights = new double[nodes.size()];
         for (int i = 0; i < weights.length; i++) {
             weights[i] = skew.lognormal(1, fleet.clients().nodeSkew());
         }
-        return sums(weights);
+        return cumulativeSums(weights);
     }
 
-    private static double[] sums(double[] of) {
-        for (int i = 1; i < of.length; i++) {
-            of[i] += of[i - 1];
+    private static double[] cumulativeSums(double[] values) {
+        for (int i = 1; i < values.length; i++) {
+            values[i] += values[i - 1];
         }
-        return of;
+        return values;
     }
 
-    /** The front deals out to a node until it notices that it has died. */
-    void died(int node) {
-        noticedAtUs[node] = time.nowUs() + fleet.nodes().failureDetectionUs();
+    /** Records a node's death; the front end keeps sending clients to it until the failure is detected. */
+    void nodeDied(int node) {
+        failureNoticedAtUs[node] = scheduler.nowUs() + fleet.nodes().failureDetectionUs();
     }
 
-    void begin() {
-        next();
+    /** Starts the arrival of clients. */
+    void start() {
+        scheduleNextArrival();
     }
 
-    /** Times are those of the highest rate, of which as many are passed over as the rate is lower: the same
-     * clients come whatever the fleet is. */
-    private void next() {
-        time.afterUs((long) arrivals.exponential(1e6 / (fleet.load().ratePerS() * most)), () -> {
-            long now = time.nowUs();
+    /**
+     * Schedules the next arrival by thinning: arrivals are drawn at the highest rate and skipped in
+     * proportion to the current one, so that every variant of the fleet meets the same clients.
+     */
+    private void scheduleNextArrival() {
+        scheduler.afterUs((long) arrivalRandom.exponential(1e6 / (fleet.load().ratePerS() * maxLoadFactor)), () -> {
+            long now = scheduler.nowUs();
             if (now >= fleet.load().durationUs()) {
                 return;
             }
-            boolean comes = arrivals.nextDouble() * most < fleet.load().factorAt(now);
-            draw(comes, NOBODY);
-            next();
+            boolean arrives =
+                    arrivalRandom.nextDouble() * maxLoadFactor < fleet.load().factorAt(now);
+            drawRequest(arrives, NO_TENANT);
+            scheduleNextArrival();
         });
     }
 
     /**
-     * Something is wanted, or not: the same is drawn for either, so that other rates meet the same clients.
-     *
+     * Draws a request. Skipped arrivals draw the same random numbers, so that other rates meet the same
+     * clients.
      */
-    private void draw(boolean comes, int by) {
-        int of = work.nextWeightedIndex(classesUpTo);
-        Fleet.ClassWorkload drawn = fleet.classes().get(of);
+    private void drawRequest(boolean arrives, int fixedTenant) {
+        int classIndex = workRandom.nextWeightedIndex(cumulativeClassShares);
+        Fleet.ClassWorkload workload = fleet.classes().get(classIndex);
         double workUs =
-                switch (drawn.distribution()) {
-                    case FIXED -> drawn.meanWorkUs();
-                    case EXPONENTIAL -> work.exponential(drawn.meanWorkUs());
-                    case LOGNORMAL -> work.lognormal(drawn.meanWorkUs(), drawn.cv());
+                switch (workload.distribution()) {
+                    case FIXED -> workload.meanWorkUs();
+                    case EXPONENTIAL -> workRandom.exponential(workload.meanWorkUs());
+                    case LOGNORMAL -> workRandom.lognormal(workload.meanWorkUs(), workload.cv());
                 };
-        int tenant = by != NOBODY ? by : tenantsUpTo.length == 0 ? NOBODY : work.nextWeightedIndex(tenantsUpTo);
-        if (comes) {
-            new Wish(of, drawn.requestClass(), tenant, Math.max(1, workUs)).ask();
+        int tenant = fixedTenant != NO_TENANT
+                ? fixedTenant
+                : cumulativeTenantLoads.length == 0 ? NO_TENANT : workRandom.nextWeightedIndex(cumulativeTenantLoads);
+        if (arrives) {
+            new PendingRequest(classIndex, workload.requestClass(), tenant, Math.max(1, workUs)).sendTry();
         }
     }
 
-    /** A tenant asks so often besides, until then. */
-    void flood(int tenant, double ratePerS, long untilUs) {
-        time.afterUs((long) arrivals.exponential(1e6 / ratePerS), () -> {
-            if (time.nowUs() < Math.min(untilUs, fleet.load().durationUs())) {
-                draw(true, tenant);
-                flood(tenant, ratePerS, untilUs);
+    /** Adds requests of one tenant at the given rate until the given time. */
+    void addTenantLoad(int tenant, double ratePerS, long untilUs) {
+        scheduler.afterUs((long) arrivalRandom.exponential(1e6 / ratePerS), () -> {
+            if (scheduler.nowUs() < Math.min(untilUs, fleet.load().durationUs())) {
+                drawRequest(true, tenant);
+                addTenantLoad(tenant, ratePerS, untilUs);
             }
         });
     }
 
-    /** What a client wants. */
-    private final class Wish implements ClientTry.ClientRequest {
+    /** A client's request with all its tries. */
+    private final class PendingRequest implements ClientTry.ClientRequest {
         private final int classIndex;
-        private final RequestClass of;
+        private final RequestClass requestClass;
         private final int tenant;
         private final double workUs;
-        private final long cameUs = time.nowUs();
+        private final long arrivedAtUs = scheduler.nowUs();
         private final double worth;
-        private final long number = ++wishes;
-        private int asked;
-        private Scheduler.Event patienceEnds;
+        private final long number = ++requestCount;
+        private int triesSent;
+        private Scheduler.Event tryTimeout;
 
-        Wish(int classIndex, RequestClass of, int tenant, double workUs) {
+        PendingRequest(int classIndex, RequestClass requestClass, int tenant, double workUs) {
             this.classIndex = classIndex;
-            this.of = of;
+            this.requestClass = requestClass;
             this.tenant = tenant;
             this.workUs = workUs;
-            worth = tally.offered(cameUs, classIndex, tenant);
+            worth = outcomes.offered(arrivedAtUs, classIndex, tenant);
         }
 
-        private long leftUs() {
-            return cameUs + of.deadlineUs() - time.nowUs();
+        private long remainingUs() {
+            return arrivedAtUs + requestClass.deadlineUs() - scheduler.nowUs();
         }
 
-        void ask() {
-            asked++;
-            tries++;
-            tally.tries++;
-            Fleet.Clients how = fleet.clients();
-            double share = how.minTryTimeoutRatio()
-                    + (how.maxTryTimeoutRatio() - how.minTryTimeoutRatio()) * patience.nextDouble();
-            long forUs = Math.min(leftUs(), (long) (share * of.deadlineUs()));
-            FleetNode at = choose();
-            RuleChecker.TrackedTry mine = new RuleChecker.TrackedTry(of, tries);
-            ClientTry one = new ClientTry(this, mine, forUs, at, asked > 1);
-            time.afterUs(how.oneWayUs(), () -> {
-                if (at.isUp()) {
-                    at.submit(one);
+        void sendTry() {
+            triesSent++;
+            tryCount++;
+            outcomes.tries++;
+            Fleet.Clients clients = fleet.clients();
+            double timeoutRatio = clients.minTryTimeoutRatio()
+                    + (clients.maxTryTimeoutRatio() - clients.minTryTimeoutRatio()) * clientRandom.nextDouble();
+            long timeoutUs = Math.min(remainingUs(), (long) (timeoutRatio * requestClass.deadlineUs()));
+            FleetNode node = chooseNode();
+            RuleChecker.TrackedTry tracked = new RuleChecker.TrackedTry(requestClass, tryCount);
+            ClientTry clientTry = new ClientTry(this, tracked, timeoutUs, node, triesSent > 1);
+            scheduler.afterUs(clients.oneWayUs(), () -> {
+                if (node.isUp()) {
+                    node.submit(clientTry);
                 } else {
-                    one.broken();
+                    clientTry.broken();
                 }
             });
-            long patientUs = forUs + GRACE_US;
-            patienceEnds = time.afterUs(
-                    patientUs,
-                    () -> at.deadlineReached(one, patientUs, () -> {
-                        if (!one.isOver()) {
-                            one.abandon();
-                            rules.unanswered(mine);
-                            at.abandoned(one);
-                            over(ClientTry.Outcome.FAILED, 0);
+            long graceTimeoutUs = timeoutUs + ANSWER_GRACE_US;
+            tryTimeout = scheduler.afterUs(
+                    graceTimeoutUs,
+                    () -> node.deadlineReached(clientTry, graceTimeoutUs, () -> {
+                        if (!clientTry.isOver()) {
+                            clientTry.abandon();
+                            rules.unanswered(tracked);
+                            node.abandoned(clientTry);
+                            tryEnded(ClientTry.Outcome.FAILED, 0);
                         }
                     }));
         }
 
-        private FleetNode choose() {
-            long now = time.nowUs();
-            int first = nodesUpTo == null ? front.nextInt(nodes.size()) : front.nextWeightedIndex(nodesUpTo);
+        private FleetNode chooseNode() {
+            long now = scheduler.nowUs();
+            int first = cumulativeNodeWeights == null
+                    ? frontRandom.nextInt(nodes.size())
+                    : frontRandom.nextWeightedIndex(cumulativeNodeWeights);
             for (int i = 0; i < nodes.size(); i++) {
                 int node = (first + i) % nodes.size();
-                if (nodes.get(node).isUp() || now < noticedAtUs[node]) {
+                if (nodes.get(node).isUp() || now < failureNoticedAtUs[node]) {
                     return nodes.get(node);
                 }
             }
@@ -214,32 +229,34 @@
         }
 
         @Override
-        public void ended(ClientTry which, ClientTry.Outcome how, long retryAfterUs) {
-            if (how != ClientTry.Outcome.BROKEN) {
-                rules.answered(which.tracked(), how == ClientTry.Outcome.REFUSED);
+        public void tryCompleted(ClientTry clientTry, ClientTry.Outcome outcome, long retryAfterUs) {
+            if (outcome != ClientTry.Outcome.BROKEN) {
+                rules.answered(clientTry.tracked(), outcome == ClientTry.Outcome.REFUSED);
             }
-            time.afterUs(fleet.clients().oneWayUs(), () -> {
-                patienceEnds.cancel();
-                over(how, retryAfterUs);
+            scheduler.afterUs(fleet.clients().oneWayUs(), () -> {
+                tryTimeout.cancel();
+                tryEnded(outcome, retryAfterUs);
             });
         }
 
-        private void over(ClientTry.Outcome how, long retryAfterUs) {
-            if (how == ClientTry.Outcome.SERVED) {
-                tally.served(cameUs, classIndex, tenant, worth, time.nowUs() - cameUs, of.aimUs());
+        private void tryEnded(ClientTry.Outcome outcome, long retryAfterUs) {
+            if (outcome == ClientTry.Outcome.SERVED) {
+                outcomes.served(
+                        arrivedAtUs, classIndex, tenant, worth, scheduler.nowUs() - arrivedAtUs, requestClass.aimUs());
                 return;
             }
             Fleet.Clients clients = fleet.clients();
-            boolean harmless = how == ClientTry.Outcome.REFUSED || of.repeat() != Repeat.UNSAFE;
-            long waitUs = (long) (clients.backoffUs() * (1L << (asked - 1)) * (0.5 + patience.nextDouble()));
-            if (how == ClientTry.Outcome.REFUSED && patience.nextDouble() < clients.retryAfterComplianceRatio()) {
+            boolean isRetrySafe = outcome == ClientTry.Outcome.REFUSED || requestClass.repeat() != Repeat.UNSAFE;
+            long waitUs = (long) (clients.backoffUs() * (1L << (triesSent - 1)) * (0.5 + clientRandom.nextDouble()));
+            if (outcome == ClientTry.Outcome.REFUSED
+                    && clientRandom.nextDouble() < clients.retryAfterComplianceRatio()) {
                 waitUs = Math.max(waitUs, retryAfterUs);
             }
-            if (harmless && asked <= clients.maxRetries() && waitUs < leftUs()) {
-                time.afterUs(waitUs, this::ask);
+            if (isRetrySafe && triesSent <= clients.maxRetries() && waitUs < remainingUs()) {
+                scheduler.afterUs(waitUs, this::sendTry);
                 return;
             }
-            tally.unserved(classIndex, how == ClientTry.Outcome.REFUSED);
+            outcomes.unserved(classIndex, outcome == ClientTry.Outcome.REFUSED);
         }
     }
 }
--- a/src/main/java/kitemux/fleet/ClientTry.java
+++ b/src/main/java/kitemux/fleet/ClientTry.java
@@ -3,32 +3,36 @@
 import kitemux.engine.Asked;
 import kitemux.engine.Client;
 
-/** One try of a client's request at one node: what the engine is asked, and who is told the answer. */
+/** One try of a client's request at one node: the engine's view of the request and the receiver of its answer. */
 public final class ClientTry implements Asked, Client<Boolean> {
-    private final ClientRequest of;
+    private final ClientRequest request;
     private final RuleChecker.TrackedTry tracked;
     private final long leftUs;
     private final FleetNode node;
-    private final boolean again;
-    private boolean over;
+    private final boolean isRetry;
+    private boolean isOver;
 
-    /** What a client wants, over all its tries. */
+    /** A client's request, which may take several tries. */
     interface ClientRequest {
-        /** Counts what clients want, over all tries, from 1. */
+        /** Returns the sequential number of the request, from 1; all its tries share it. */
         long number();
 
         int classIndex();
 
         int tenant();
 
-        /** Its work on a core of speed 1, in microseconds. */
+        /** Returns the request's work on a core of speed 1, in microseconds. */
         double workUs();
 
-        /** How a try has ended: told once, as its node says so or its connection breaks. */
-        void ended(ClientTry which, Outcome how, long retryAfterUs);
+        /**
+         * Reports how a try ended; called once, when its node answers or its connection breaks.
+         *
+         * @param retryAfterUs delay advised by a refusal, in microseconds; 0 for other outcomes
+         */
+        void tryCompleted(ClientTry clientTry, Outcome outcome, long retryAfterUs);
     }
 
-    /** How a try ends. */
+    /** The outcome of a try. */
     enum Outcome {
         SERVED,
         REFUSED,
@@ -36,12 +40,12 @@
         BROKEN
     }
 
-    ClientTry(ClientRequest of, RuleChecker.TrackedTry asked, long leftUs, FleetNode at, boolean again) {
-        this.of = of;
-        this.tracked = asked;
+    ClientTry(ClientRequest request, RuleChecker.TrackedTry tracked, long leftUs, FleetNode node, boolean isRetry) {
+        this.request = request;
+        this.tracked = tracked;
         this.leftUs = leftUs;
-        this.node = at;
-        this.again = again;
+        this.node = node;
+        this.isRetry = isRetry;
     }
 
     RuleChecker.TrackedTry tracked() {
@@ -52,52 +56,52 @@
         return node;
     }
 
-    /** Its work on a core of speed 1, in microseconds; no node knows it. */
+    /** Returns the request's actual work on a core of speed 1, in microseconds. Nodes do not know it. */
     public double actualWorkUs() {
-        return of.workUs();
+        return request.workUs();
     }
 
-    /** Counts what clients want: all tries for one thing have its number. */
+    /** Returns the number of the client's request; all tries of one request share it. */
     public long requestNumber() {
-        return of.number();
+        return request.number();
     }
 
-    /** Whether it has ended for its client. */
+    /** Returns whether the try has ended for its client. */
     public boolean isOver() {
-        return over;
+        return isOver;
     }
 
-    /** Its client waits no more. */
+    /** Ends the try because its client no longer waits. */
     void abandon() {
-        over = true;
+        isOver = true;
     }
 
-    private void end(Outcome how, long retryAfterUs) {
-        if (!over) {
-            over = true;
+    private void complete(Outcome outcome, long retryAfterUs) {
+        if (!isOver) {
+            isOver = true;
             node.completed(this);
-            of.ended(this, how, retryAfterUs);
+            request.tryCompleted(this, outcome, retryAfterUs);
         }
     }
 
     @Override
     public void served(Boolean answer) {
-        end(Outcome.SERVED, 0);
+        complete(Outcome.SERVED, 0);
     }
 
     @Override
     public void refused(long retryAfterUs) {
-        end(Outcome.REFUSED, retryAfterUs);
+        complete(Outcome.REFUSED, retryAfterUs);
     }
 
     @Override
     public void failed() {
-        end(Outcome.FAILED, 0);
+        complete(Outcome.FAILED, 0);
     }
 
     @Override
     public void broken() {
-        end(Outcome.BROKEN, 0);
+        complete(Outcome.BROKEN, 0);
     }
 
     @Override
@@ -107,12 +111,12 @@
 
     @Override
     public int classIndex() {
-        return of.classIndex();
+        return request.classIndex();
     }
 
     @Override
     public int tenant() {
-        return of.tenant();
+        return request.tenant();
     }
 
     @Override
@@ -122,6 +126,6 @@
 
     @Override
     public boolean retry() {
-        return again;
+        return isRetry;
     }
 }
--- a/src/main/java/kitemux/fleet/EmulatedNode.java
+++ b/src/main/java/kitemux/fleet/EmulatedNode.java
@@ -21,96 +21,102 @@
 import kitemux.sim.Scheduler;
 
 /**
- * A node: the engine and the decision module that serve in earnest, over connections to emulated servers. Its
- * processor is a queue of its own: what comes while it is busy is handled later.
+ * An emulated node: the production engine and decision module, over connections to emulated servers. Its
+ * processor is modelled as a queue, so events that arrive while it is busy are handled later.
  */
 final class EmulatedNode implements Transport<ClientTry, Boolean>, FleetNode {
     private final int number;
     private final Fleet fleet;
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final Map<String, Box> boxes;
     private final RuleChecker rules;
-    private final NetworkPartitions cuts;
-    private final RandomStream network;
+    private final NetworkPartitions partitions;
+    private final RandomStream networkRandom;
     private final Settings settings;
-    private final RandomStream seeds;
-    private final long unixUs;
-    private final BalancerFactory modules;
+    private final RandomStream moduleSeeds;
+    private final long epochUnixUs;
+    private final BalancerFactory balancerFactory;
 
-    /** Makes the decision module of a process. */
+    /** Creates the decision module of a node's process. */
     interface BalancerFactory {
-        /** The one that serves in earnest, but where a test puts an unsound one in its place. */
+        /** Creates the production module. Tests use other factories to inject defective modules. */
         BalancerFactory DEFAULT = ServiceQBalancer::new;
 
-        /** A module that knows no servers yet. */
+        /** Creates a module that does not know any servers yet. */
         Balancer create(Settings settings, long seed, Balancer.Actions actions);
     }
 
     private Engine<ClientTry, Boolean> engine;
     private Balancer module;
-    private final Map<String, Link> links = new HashMap<>();
-    /** The list as it was told, for who starts anew, and when it was told of drains. */
-    private final Map<String, ServerEntry> told = new HashMap<>();
+    private final Map<String, ConnectionPool> connectionPools = new HashMap<>();
+    /** The servers as last announced by discovery, kept for restarts of the node. */
+    private final Map<String, ServerEntry> knownServers = new HashMap<>();
 
-    private final Map<String, Long> drainToldUs = new HashMap<>();
-    private final Map<ClientTry, Engine.Held<ClientTry, Boolean>> open = new HashMap<>();
-    private int life;
+    private final Map<String, Long> drainNotifiedAtUs = new HashMap<>();
+    private final Map<ClientTry, Engine.Held<ClientTry, Boolean>> openTries = new HashMap<>();
+    private int incarnation;
     private boolean up;
-    private double freeAtUs;
-    private double usedUs;
-    private double mostLateUs;
+    private double cpuFreeAtUs;
+    private double cpuUs;
+    private double maxLagUs;
     private long attempts;
-    private long dials;
+    private long connectionsOpened;
 
-    /** Connections to one server that are not in use: to which of its processes, and since when. */
-    private static final class Link {
+    /**
+     * The connections to one server: idle ones, each with the server's incarnation and the time of its last
+     * use, and exchanges in flight.
+     */
+    private static final class ConnectionPool {
         final ArrayDeque<long[]> idle = new ArrayDeque<>();
-        final Map<Exchange<ClientTry, Boolean>, Sent> out = new HashMap<>();
+        final Map<Exchange<ClientTry, Boolean>, OutboundRequest> inFlight = new HashMap<>();
     }
 
-    /** An exchange that is out, over a connection to a process of its server; not yet written where -1. */
-    private final class Sent implements Box.ReplyHandler {
+    /**
+     * An exchange in flight over a connection to one incarnation of its server; the incarnation is -1 until
+     * the connection exists.
+     */
+    private final class OutboundRequest implements Box.ReplyHandler {
         final Box box;
         final Exchange<ClientTry, Boolean> exchange;
-        final int ofLife = life;
-        int process = -1;
-        boolean written;
-        boolean over;
+        final int nodeIncarnation = incarnation;
+        int boxIncarnation = -1;
+        boolean isWritten;
+        boolean finished;
 
-        Sent(Box box, Exchange<ClientTry, Boolean> exchange) {
+        OutboundRequest(Box box, Exchange<ClientTry, Boolean> exchange) {
             this.box = box;
             this.exchange = exchange;
         }
 
         @Override
         public void completed(Result result) {
-            if (!isCutOff(box)) {
-                time.afterUs(oneWayUs(box), () -> handle(ofLife, () -> end(result)));
+            if (!isPartitionedFrom(box)) {
+                scheduler.afterUs(oneWayUs(box), () -> runOnCpu(nodeIncarnation, () -> finish(result)));
             }
         }
 
         @Override
         public boolean isAwaited() {
-            return !over;
+            return !finished;
         }
 
         @Override
         public boolean isSenderAwareOfStart() {
-            ServerEntry entry = told.get(box.id);
-            return entry != null && entry.startedAtUs() >= unixUs + box.startedAtUs();
+            ServerEntry entry = knownServers.get(box.id);
+            return entry != null && entry.startedAtUs() >= epochUnixUs + box.startedAtUs();
         }
 
-        void end(Result result) {
-            if (over) {
+        void finish(Result result) {
+            if (finished) {
                 return;
             }
-            over = true;
-            Link link = links.get(box.id);
-            link.out.remove(exchange);
-            if (process == box.incarnation() && result != Result.RESET && result != Result.CONNECT_FAILED) {
-                link.idle.push(new long[] {process, time.nowUs()});
-            } else if (process >= 0) {
-                box.connectionClosed(process);
+            finished = true;
+            ConnectionPool pool = connectionPools.get(box.id);
+            pool.inFlight.remove(exchange);
+            if (boxIncarnation == box.incarnation() && result != Result.RESET && result != Result.CONNECT_FAILED) {
+                pool.idle.push(new long[] {boxIncarnation, scheduler.nowUs()});
+            } else if (boxIncarnation >= 0) {
+                box.connectionClosed(boxIncarnation);
             }
             exchange.ended(result, result == Result.OK ? Boolean.TRUE : null);
         }
@@ -119,29 +125,29 @@
     EmulatedNode(
             int number,
             Fleet fleet,
-            Scheduler time,
+            Scheduler scheduler,
             Map<String, Box> boxes,
             RuleChecker rules,
-            NetworkPartitions cuts,
+            NetworkPartitions partitions,
             Settings settings,
-            RandomStream network,
-            RandomStream seeds,
-            long unixUs,
-            BalancerFactory modules) {
+            RandomStream networkRandom,
+            RandomStream moduleSeeds,
+            long epochUnixUs,
+            BalancerFactory balancerFactory) {
         this.number = number;
         this.fleet = fleet;
-        this.time = time;
+        this.scheduler = scheduler;
         this.boxes = boxes;
         this.rules = rules;
-        this.cuts = cuts;
+        this.partitions = partitions;
         this.settings = settings;
-        this.network = network;
-        this.seeds = seeds;
-        this.unixUs = unixUs;
-        this.modules = modules;
+        this.networkRandom = networkRandom;
+        this.moduleSeeds = moduleSeeds;
+        this.epochUnixUs = epochUnixUs;
+        this.balancerFactory = balancerFactory;
     }
 
-    // ---------------------------------------------------------------- its life
+    // ---------------------------------------------------------------- life cycle
 
     @Override
     public boolean isUp() {
@@ -151,19 +157,19 @@
     @Override
     public void start() {
         up = true;
-        life++;
-        freeAtUs = time.nowUs();
-        int mine = life;
+        incarnation++;
+        cpuFreeAtUs = scheduler.nowUs();
+        int startIncarnation = incarnation;
         Time clock = new Time() {
             @Override
             public long nowUs() {
-                return unixUs + time.nowUs();
+                return epochUnixUs + scheduler.nowUs();
             }
 
             @Override
             public Timer after(long us, Runnable task) {
-                Scheduler.Event event = time.afterUs(us, () -> {
-                    if (mine == life) {
+                Scheduler.Event event = scheduler.afterUs(us, () -> {
+                    if (startIncarnation == incarnation) {
                         task.run();
                     }
                 });
@@ -182,36 +188,36 @@
                     public void line(String text) {}
 
                     @Override
-                    public void error(String what, Throwable cause) {
-                        throw new IllegalStateException("node " + number + ": " + what, cause);
+                    public void error(String message, Throwable cause) {
+                        throw new IllegalStateException("node " + number + ": " + message, cause);
                     }
                 },
                 actions -> {
-                    module = modules.create(settings, seeds.nextLong(), actions);
+                    module = balancerFactory.create(settings, moduleSeeds.nextLong(), actions);
                     return module;
                 });
-        engine.listed(ListKind.CACHED, new ArrayList<>(told.values()), () -> {});
+        engine.listed(ListKind.CACHED, new ArrayList<>(knownServers.values()), () -> {});
     }
 
     @Override
     public void kill() {
         up = false;
-        life++;
+        incarnation++;
         engine.close();
-        for (Map.Entry<String, Link> link : links.entrySet()) {
-            Box box = boxes.get(link.getKey());
-            link.getValue().idle.forEach(idle -> box.connectionClosed((int) idle[0]));
-            link.getValue().out.values().forEach(sent -> {
-                sent.over = true;
-                if (sent.process >= 0) {
-                    box.connectionClosed(sent.process);
+        for (Map.Entry<String, ConnectionPool> pool : connectionPools.entrySet()) {
+            Box box = boxes.get(pool.getKey());
+            pool.getValue().idle.forEach(idle -> box.connectionClosed((int) idle[0]));
+            pool.getValue().inFlight.values().forEach(outbound -> {
+                outbound.finished = true;
+                if (outbound.boxIncarnation >= 0) {
+                    box.connectionClosed(outbound.boxIncarnation);
                 }
             });
         }
-        links.clear();
-        List<ClientTry> lost = new ArrayList<>(open.keySet());
+        connectionPools.clear();
+        List<ClientTry> lost = new ArrayList<>(openTries.keySet());
         lost.sort((a, b) -> Long.compare(a.tracked().number, b.tracked().number));
-        open.clear();
+        openTries.clear();
         lost.forEach(ClientTry::broken);
     }
 
@@ -219,40 +225,40 @@
     public void serversChanged(List<ServerEntry> entries) {
         for (ServerEntry entry : entries) {
             if (entry.state() == ServerState.GONE) {
-                told.remove(entry.id());
+                knownServers.remove(entry.id());
             } else {
-                told.put(entry.id(), entry);
+                knownServers.put(entry.id(), entry);
             }
             if (entry.state() == ServerState.READY) {
-                drainToldUs.remove(entry.id());
+                drainNotifiedAtUs.remove(entry.id());
             } else {
-                drainToldUs.putIfAbsent(entry.id(), time.nowUs());
+                drainNotifiedAtUs.putIfAbsent(entry.id(), scheduler.nowUs());
             }
         }
         if (up) {
-            handle(life, () -> engine.listed(ListKind.CHANGES, entries, () -> {}));
+            runOnCpu(incarnation, () -> engine.listed(ListKind.CHANGES, entries, () -> {}));
         }
     }
 
-    // ---------------------------------------------------------------- its processor
+    // ---------------------------------------------------------------- processor
 
-    /** Runs what an event asks for, once the processor is free, unless the process has ended by then. */
-    private void handle(int ofLife, Runnable what) {
-        if (ofLife != life) {
+    /** Runs a task once the processor is free, unless the node's process has ended by then. */
+    private void runOnCpu(int ofIncarnation, Runnable task) {
+        if (ofIncarnation != incarnation) {
             return;
         }
         double cost = fleet.nodes().eventCostUs() / fleet.nodes().cores();
-        double now = time.nowUs();
-        double lateUs = Math.max(0, freeAtUs - now);
-        freeAtUs = now + lateUs + cost;
-        usedUs += cost;
-        mostLateUs = Math.max(mostLateUs, lateUs);
-        if (lateUs < 1) {
-            what.run();
+        double now = scheduler.nowUs();
+        double lagUs = Math.max(0, cpuFreeAtUs - now);
+        cpuFreeAtUs = now + lagUs + cost;
+        cpuUs += cost;
+        maxLagUs = Math.max(maxLagUs, lagUs);
+        if (lagUs < 1) {
+            task.run();
         } else {
-            time.afterUs((long) lateUs, () -> {
-                if (ofLife == life) {
-                    what.run();
+            scheduler.afterUs((long) lagUs, () -> {
+                if (ofIncarnation == incarnation) {
+                    task.run();
                 }
             });
         }
@@ -261,29 +267,29 @@
     // ---------------------------------------------------------------- clients
 
     @Override
-    public void submit(ClientTry asked) {
-        int mine = life;
-        open.put(asked, null);
-        handle(mine, () -> {
-            if (asked.isOver()) {
-                open.remove(asked);
+    public void submit(ClientTry clientTry) {
+        int startIncarnation = incarnation;
+        openTries.put(clientTry, null);
+        runOnCpu(startIncarnation, () -> {
+            if (clientTry.isOver()) {
+                openTries.remove(clientTry);
                 return;
             }
-            Engine.Held<ClientTry, Boolean> held = engine.take(asked, asked);
-            open.put(asked, held);
+            Engine.Held<ClientTry, Boolean> held = engine.take(clientTry, clientTry);
+            openTries.put(clientTry, held);
             engine.ask(held);
         });
     }
 
     @Override
-    public void completed(ClientTry asked) {
-        open.remove(asked);
+    public void completed(ClientTry clientTry) {
+        openTries.remove(clientTry);
     }
 
     @Override
-    public void abandoned(ClientTry asked) {
-        handle(life, () -> {
-            Engine.Held<ClientTry, Boolean> held = open.remove(asked);
+    public void abandoned(ClientTry clientTry) {
+        runOnCpu(incarnation, () -> {
+            Engine.Held<ClientTry, Boolean> held = openTries.remove(clientTry);
             if (held != null) {
                 engine.left(held);
             }
@@ -292,7 +298,7 @@
 
     @Override
     public Stats stats() {
-        return new Stats(usedUs, mostLateUs, attempts, dials);
+        return new Stats(cpuUs, maxLagUs, attempts, connectionsOpened);
     }
 
     // ---------------------------------------------------------------- servers
@@ -301,93 +307,98 @@
         long acrossUs = box.zone() == settings.myZone ? 0 : fleet.zones().crossZoneDelayUs();
         return Math.max(
                 1,
-                (long) network.lognormal(fleet.links().oneWayUs(), fleet.links().jitter()) + acrossUs);
+                (long) networkRandom.lognormal(
+                                fleet.links().oneWayUs(), fleet.links().jitter())
+                        + acrossUs);
     }
 
-    /** What is sent now does not arrive, either way. */
-    private boolean isCutOff(Box box) {
-        return cuts.isPartitioned(box.zone(), settings.myZone);
+    /** Returns whether messages between this node and the server are lost at present. */
+    private boolean isPartitionedFrom(Box box) {
+        return partitions.isPartitioned(box.zone(), settings.myZone);
     }
 
     @Override
     public void start(String serverId, Exchange<ClientTry, Boolean> exchange) {
         Box box = boxes.get(serverId);
-        Link link = links.computeIfAbsent(serverId, id -> new Link());
-        Sent sent = new Sent(box, exchange);
-        link.out.put(exchange, sent);
-        Long drain = drainToldUs.get(serverId);
-        if (drain != null && time.nowUs() > drain + fleet.discoveryDelays().drainGraceUs()) {
+        ConnectionPool pool = connectionPools.computeIfAbsent(serverId, id -> new ConnectionPool());
+        OutboundRequest outbound = new OutboundRequest(box, exchange);
+        pool.inFlight.put(exchange, outbound);
+        Long drainNotifiedUs = drainNotifiedAtUs.get(serverId);
+        if (drainNotifiedUs != null
+                && scheduler.nowUs() > drainNotifiedUs + fleet.discoveryDelays().drainGraceUs()) {
             rules.sentWhileDraining(box);
         }
-        long oldest = time.nowUs() - fleet.links().idleTimeoutUs();
-        while (!link.idle.isEmpty()
-                && (link.idle.peekLast()[1] <= oldest || link.idle.peekLast()[0] != box.incarnation())) {
-            box.connectionClosed((int) link.idle.pollLast()[0]);
+        long oldest = scheduler.nowUs() - fleet.links().idleTimeoutUs();
+        while (!pool.idle.isEmpty()
+                && (pool.idle.peekLast()[1] <= oldest || pool.idle.peekLast()[0] != box.incarnation())) {
+            box.connectionClosed((int) pool.idle.pollLast()[0]);
         }
-        if (!link.idle.isEmpty() && box.isUp()) {
-            sent.process = (int) link.idle.pop()[0];
-            write(sent, 0);
+        if (!pool.idle.isEmpty() && box.isUp()) {
+            outbound.boxIncarnation = (int) pool.idle.pop()[0];
+            write(outbound, 0);
         } else {
-            dial(sent);
+            connect(outbound);
         }
     }
 
-    private void dial(Sent sent) {
-        dials++;
-        long rttUs = 2 * oneWayUs(sent.box);
-        boolean unheard = sent.box.isSilent() || isCutOff(sent.box);
-        if (unheard || !sent.box.isUp() || !sent.box.connect()) {
-            long knownUs = unheard ? fleet.links().connectTimeoutUs() : rttUs;
-            time.afterUs(knownUs, () -> handle(sent.ofLife, () -> sent.end(Result.CONNECT_FAILED)));
+    private void connect(OutboundRequest outbound) {
+        connectionsOpened++;
+        long rttUs = 2 * oneWayUs(outbound.box);
+        boolean isUnreachable = outbound.box.isSilent() || isPartitionedFrom(outbound.box);
+        if (isUnreachable || !outbound.box.isUp() || !outbound.box.connect()) {
+            long failureKnownAfterUs = isUnreachable ? fleet.links().connectTimeoutUs() : rttUs;
+            scheduler.afterUs(
+                    failureKnownAfterUs,
+                    () -> runOnCpu(outbound.nodeIncarnation, () -> outbound.finish(Result.CONNECT_FAILED)));
             return;
         }
-        sent.process = sent.box.incarnation();
-        time.afterUs(rttUs * fleet.links().handshakeRtts(), () -> {
-            if (!sent.over && sent.ofLife == life) {
-                if (sent.process == sent.box.incarnation()) {
-                    write(sent, fleet.links().handshakeWorkUs());
+        outbound.boxIncarnation = outbound.box.incarnation();
+        scheduler.afterUs(rttUs * fleet.links().handshakeRtts(), () -> {
+            if (!outbound.finished && outbound.nodeIncarnation == incarnation) {
+                if (outbound.boxIncarnation == outbound.box.incarnation()) {
+                    write(outbound, fleet.links().handshakeWorkUs());
                 } else {
-                    handle(sent.ofLife, () -> sent.end(Result.CONNECT_FAILED));
+                    runOnCpu(outbound.nodeIncarnation, () -> outbound.finish(Result.CONNECT_FAILED));
                 }
             }
         });
     }
 
-    private void write(Sent sent, long extraUs) {
+    private void write(OutboundRequest outbound, long extraUs) {
         attempts++;
-        sent.written = true;
-        ClientTry asked = sent.exchange.request();
-        long now = time.nowUs();
-        if (!isCutOff(sent.box)) {
-            time.afterUs(oneWayUs(sent.box), () -> sent.box.submit(asked, extraUs, now, sent));
+        outbound.isWritten = true;
+        ClientTry clientTry = outbound.exchange.request();
+        long now = scheduler.nowUs();
+        if (!isPartitionedFrom(outbound.box)) {
+            scheduler.afterUs(oneWayUs(outbound.box), () -> outbound.box.submit(clientTry, extraUs, now, outbound));
         }
     }
 
     @Override
     public boolean withdraw(String serverId, Exchange<ClientTry, Boolean> exchange) {
-        Link link = links.get(serverId);
-        Sent sent = link == null ? null : link.out.get(exchange);
-        return sent != null && !sent.written && !giveUp(serverId, exchange);
+        ConnectionPool pool = connectionPools.get(serverId);
+        OutboundRequest outbound = pool == null ? null : pool.inFlight.get(exchange);
+        return outbound != null && !outbound.isWritten && !giveUp(serverId, exchange);
     }
 
     @Override
     public boolean giveUp(String serverId, Exchange<ClientTry, Boolean> exchange) {
-        Link link = links.get(serverId);
-        Sent sent = link == null ? null : link.out.remove(exchange);
-        if (sent == null) {
+        ConnectionPool pool = connectionPools.get(serverId);
+        OutboundRequest outbound = pool == null ? null : pool.inFlight.remove(exchange);
+        if (outbound == null) {
             return false;
         }
-        sent.over = true;
-        if (sent.process >= 0) {
-            // Only the end of its connection calls an exchange off.
-            sent.box.connectionClosed(sent.process);
+        outbound.finished = true;
+        if (outbound.boxIncarnation >= 0) {
+            // An exchange can only be cancelled by closing its connection.
+            outbound.box.connectionClosed(outbound.boxIncarnation);
         }
-        return sent.written;
+        return outbound.isWritten;
     }
 
     @Override
     public ClientTry probe() {
-        throw new IllegalStateException("the module asks for no probes");
+        throw new IllegalStateException("the emulated node does not support probes");
     }
 
     @Override
@@ -397,10 +408,10 @@
 
     @Override
     public void closeIdle(String serverId) {
-        Link link = links.get(serverId);
-        if (link != null) {
-            link.idle.forEach(idle -> boxes.get(serverId).connectionClosed((int) idle[0]));
-            link.idle.clear();
+        ConnectionPool pool = connectionPools.get(serverId);
+        if (pool != null) {
+            pool.idle.forEach(idle -> boxes.get(serverId).connectionClosed((int) idle[0]));
+            pool.idle.clear();
         }
     }
 }
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -12,51 +12,55 @@
 import kitemux.sim.Scheduler;
 
 /**
- * Plays a fleet on virtual time: the decision module and the engine that serve in earnest, among servers that
- * are queues and clients that are counted. The same fleet and seed give the same result, on any machine.
+ * Emulates a fleet in virtual time: the production engine and decision module, servers modelled as queues,
+ * and a population of clients. The same fleet and seed give the same result on any machine.
  */
 public final class Emulation {
-    /** Virtual time begins here, so that "long ago" and 0 are the same to the module: 2026 by Unix time. */
-    private static final long UNIX_US = 1_767_225_600_000_000L;
-    /** After the last client has come all is answered within this. */
-    private static final long RUN_OUT_US = 15_000_000;
+    /**
+     * Unix time of the start of virtual time (1 January 2026). It is far from 0, which stands for servers
+     * that started long ago.
+     */
+    private static final long EPOCH_UNIX_US = 1_767_225_600_000_000L;
+    /** Time after the last arrival within which all requests are answered. */
+    private static final long COMPLETION_MARGIN_US = 15_000_000;
 
-    private static final double FALL_MULTIPLE = 4;
-    private static final long FALL_US = 2_000_000;
+    private static final double COLD_LOAD_CAPACITY_RATIO = 4;
+    private static final long COLD_LOAD_WINDOW_US = 2_000_000;
 
     private final Fleet fleet;
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final RuleChecker rules;
-    private final Map<String, Box> byId = new LinkedHashMap<>();
+    private final Map<String, Box> boxesById = new LinkedHashMap<>();
     private final List<Box> boxes = new ArrayList<>();
     private final List<FleetNode> nodes = new ArrayList<>();
-    private final OutcomeCounter tally;
-    private final ClientPopulation clients;
-    private final RandomStream lists;
-    private final RandomStream faults;
-    private final NetworkPartitions cuts;
+    private final OutcomeCounter outcomes;
+    private final ClientPopulation population;
+    private final RandomStream discoveryRandom;
+    private final RandomStream faultRandom;
+    private final NetworkPartitions partitions;
     private final long seed;
     private long unixUs;
 
-    /** Makes the nodes of a run. */
+    /** Creates the nodes of a run. */
     public interface NodeFactory {
-        /** A node that is not started, by its number. */
+        /** Creates the node with the given number, not yet started. */
         FleetNode create(int number, Emulation of);
     }
 
-    private Emulation(Fleet fleet, long seed, Scheduler time, NodeFactory maker) {
-        List<String> found = fleet.validate();
-        if (!found.isEmpty()) {
-            throw new IllegalArgumentException(String.join("; ", found));
+    private Emulation(Fleet fleet, long seed, Scheduler scheduler, NodeFactory nodeFactory) {
+        List<String> problems = fleet.validate();
+        if (!problems.isEmpty()) {
+            throw new IllegalArgumentException(String.join("; ", problems));
         }
         this.fleet = fleet;
         this.seed = seed;
-        this.time = time;
-        rules = new RuleChecker(time, new RuleChecker.ColdLoadLimit(FALL_MULTIPLE, FALL_US));
-        tally = new OutcomeCounter(fleet);
-        cuts = new NetworkPartitions(fleet.zones().count());
-        lists = new RandomStream(seed, RandomStream.Purpose.LISTS);
-        faults = new RandomStream(seed, RandomStream.Purpose.FAULTS);
+        this.scheduler = scheduler;
+        rules = new RuleChecker(
+                scheduler, new RuleChecker.ColdLoadLimit(COLD_LOAD_CAPACITY_RATIO, COLD_LOAD_WINDOW_US));
+        outcomes = new OutcomeCounter(fleet);
+        partitions = new NetworkPartitions(fleet.zones().count());
+        discoveryRandom = new RandomStream(seed, RandomStream.Purpose.LISTS);
+        faultRandom = new RandomStream(seed, RandomStream.Purpose.FAULTS);
         RandomStream speeds = new RandomStream(seed, RandomStream.Purpose.BOXES);
         for (int k = 0; k < fleet.kinds().size(); k++) {
             Fleet.ServerKind kind = fleet.kinds().get(k);
@@ -68,275 +72,287 @@
                         boxes.size() % fleet.racks(),
                         fleet,
                         kind.speedCv() == 0 ? kind.speed() : speeds.lognormal(kind.speed(), kind.speedCv()),
-                        time,
+                        scheduler,
                         rules,
                         new RandomStream(seed, RandomStream.Purpose.BOXES, 1 + boxes.size()));
                 boxes.add(box);
-                byId.put(id, box);
+                boxesById.put(id, box);
             }
         }
         for (int n = 0; n < fleet.nodes().count(); n++) {
-            nodes.add(maker.create(n, this));
+            nodes.add(nodeFactory.create(n, this));
         }
-        clients = new ClientPopulation(fleet, time, nodes, rules, tally, seed);
+        population = new ClientPopulation(fleet, scheduler, nodes, rules, outcomes, seed);
     }
 
     /**
-     * Plays a fleet until all clients have their answers.
+     * Runs a fleet until all clients have their answers.
      *
-     * @throws IllegalArgumentException if it cannot be played; {@link Fleet#validate} says why
+     * @throws IllegalArgumentException if the fleet is invalid; {@link Fleet#validate} gives the reasons
      */
     public static RunResult run(Fleet fleet, long seed) {
         return runWith(fleet, seed, EmulatedNode.BalancerFactory.DEFAULT).result();
     }
 
-    /** The same with other decision modules; its servers tell what they met. */
-    static Emulation runWith(Fleet fleet, long seed, EmulatedNode.BalancerFactory modules) {
-        RandomStream seeds = new RandomStream(seed, RandomStream.Purpose.MODULES);
+    /** Runs a fleet with other decision modules and returns the emulation, whose servers can be inspected. */
+    static Emulation runWith(Fleet fleet, long seed, EmulatedNode.BalancerFactory balancerFactory) {
+        RandomStream moduleSeeds = new RandomStream(seed, RandomStream.Purpose.MODULES);
         Emulation run = new Emulation(
                 fleet,
                 seed,
                 new Scheduler(),
-                (n, of) -> new EmulatedNode(
+                (n, emulation) -> new EmulatedNode(
                         n,
                         fleet,
-                        of.time,
-                        of.byId,
-                        of.rules,
-                        of.cuts,
-                        of.settings(n),
+                        emulation.scheduler,
+                        emulation.boxesById,
+                        emulation.rules,
+                        emulation.partitions,
+                        emulation.settings(n),
                         new RandomStream(seed, RandomStream.Purpose.NETWORK, n),
-                        seeds,
-                        UNIX_US,
-                        modules));
-        run.begin(UNIX_US);
-        while (run.time.step(run.endTimeUs() * 1_000)) {
-            // Each step is one event.
+                        moduleSeeds,
+                        EPOCH_UNIX_US,
+                        balancerFactory));
+        run.begin(EPOCH_UNIX_US);
+        while (run.scheduler.step(run.endTimeUs() * 1_000)) {
+            // Each step processes one event.
         }
         return run;
     }
 
     /**
-     * The same clients, servers and troubles among nodes that somebody else brings, on a time that somebody
-     * else lets pass. Nothing happens before {@link #begin}.
+     * Creates an emulation with nodes and a scheduler supplied by the caller. Clients, servers and faults are
+     * those of {@link #run}. Nothing happens before {@link #begin}.
      *
-     * @throws IllegalArgumentException as {@link #run}
+     * @throws IllegalArgumentException if the fleet is invalid
      */
-    public static Emulation create(Fleet fleet, long seed, Scheduler time, NodeFactory nodes) {
-        return new Emulation(fleet, seed, time, nodes);
+    public static Emulation create(Fleet fleet, long seed, Scheduler scheduler, NodeFactory nodeFactory) {
+        return new Emulation(fleet, seed, scheduler, nodeFactory);
     }
 
-    /** The servers, in order. */
+    /** Returns the servers in their configured order. */
     public List<Box> boxes() {
         return List.copyOf(boxes);
     }
 
-    /** When all clients have their answers at the latest, in microseconds of the run's time. */
+    /** Returns the time by which all clients have their answers, in microseconds of the run. */
     public long endTimeUs() {
-        return fleet.load().durationUs() + RUN_OUT_US;
+        return fleet.load().durationUs() + COMPLETION_MARGIN_US;
     }
 
-    /** What a node of this fleet is told. */
-    public Settings settings(int me) {
-        Settings set = new Settings();
-        set.nodes = fleet.nodes().count();
-        set.me = me;
+    /** Returns the settings of the node with the given number. */
+    public Settings settings(int nodeNumber) {
+        Settings settings = new Settings();
+        settings.nodes = fleet.nodes().count();
+        settings.me = nodeNumber;
         for (int z = 0; z < fleet.zones().count(); z++) {
-            set.zones.add("zone-" + z);
+            settings.zones.add("zone-" + z);
         }
-        set.myZone = fleet.zones().zoneOf(me);
-        set.crossZonePrice = fleet.zones().crossZonePrice();
-        fleet.classes().forEach(work -> set.classes.add(work.requestClass()));
+        settings.myZone = fleet.zones().zoneOf(nodeNumber);
+        settings.crossZonePrice = fleet.zones().crossZonePrice();
+        fleet.classes().forEach(work -> settings.classes.add(work.requestClass()));
         double shares =
                 fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
         fleet.tenants()
-                .forEach(t -> set.tenants.add(new Tenant(t.name(), fleet.load().quotaPerS() * t.share() / shares)));
-        set.overShareWorth = fleet.load().overShareWorth();
-        set.maxAttempts = 4;
-        set.secondCopies = true;
-        set.cancel = true;
-        set.maxRetryAfterUs = fleet.clients().maxRetryAfterUs();
-        set.connectTimeoutUs = fleet.links().connectTimeoutUs();
-        set.drainGraceUs = fleet.discoveryDelays().drainGraceUs();
-        set.coldFrom = fleet.kinds().stream()
+                .forEach(t ->
+                        settings.tenants.add(new Tenant(t.name(), fleet.load().quotaPerS() * t.share() / shares)));
+        settings.overShareWorth = fleet.load().overShareWorth();
+        settings.maxAttempts = 4;
+        settings.secondCopies = true;
+        settings.cancel = true;
+        settings.maxRetryAfterUs = fleet.clients().maxRetryAfterUs();
+        settings.connectTimeoutUs = fleet.links().connectTimeoutUs();
+        settings.drainGraceUs = fleet.discoveryDelays().drainGraceUs();
+        settings.coldFrom = fleet.kinds().stream()
                 .mapToDouble(Fleet.ServerKind::initialCapacityRatio)
                 .min()
                 .orElse(1);
-        set.coldUs = fleet.kinds().stream()
+        settings.coldUs = fleet.kinds().stream()
                 .mapToLong(Fleet.ServerKind::warmUpUs)
                 .max()
                 .orElse(0);
-        set.fallMultiple = FALL_MULTIPLE;
-        set.fallUs = FALL_US;
-        return set;
+        settings.fallMultiple = COLD_LOAD_CAPACITY_RATIO;
+        settings.fallUs = COLD_LOAD_WINDOW_US;
+        return settings;
     }
 
     /**
-     * Starts the nodes with the whole list, and clients and troubles with them.
+     * Starts the nodes with the complete list of servers, and starts the clients and the faults.
      *
-     * @param nowUnixUs Unix time in microseconds as the run's time is 0
+     * @param nowUnixUs Unix time in microseconds that corresponds to time 0 of the run
      */
     public void begin(long nowUnixUs) {
         unixUs = nowUnixUs;
-        List<ServerEntry> all =
+        List<ServerEntry> servers =
                 boxes.stream().map(box -> entry(box, ServerState.READY)).toList();
         for (FleetNode node : nodes) {
-            node.serversChanged(all);
+            node.serversChanged(servers);
             node.start();
         }
-        fleet.faults().forEach(fault -> time.afterUs(fault.atUs(), () -> begin(fault)));
-        clients.begin();
+        fleet.faults().forEach(fault -> scheduler.afterUs(fault.atUs(), () -> begin(fault)));
+        population.start();
     }
 
-    /** What it came to so far. */
+    /** Returns the results up to now. */
     public RunResult result() {
         double seconds = fleet.load().durationUs() / 1e6;
         List<RunResult.KindUsage> kinds = new ArrayList<>();
         for (int k = 0; k < fleet.kinds().size(); k++) {
             int kind = k;
-            List<Box> of = boxes.stream().filter(box -> box.kindIndex == kind).toList();
-            double all = seconds * 1e6 * fleet.kinds().get(k).cores();
+            List<Box> kindBoxes =
+                    boxes.stream().filter(box -> box.kindIndex == kind).toList();
+            double capacityUs = seconds * 1e6 * fleet.kinds().get(k).cores();
             kinds.add(new RunResult.KindUsage(
                     fleet.kinds().get(k).name(),
-                    of.stream().mapToDouble(box -> box.busyUs / all).average().orElse(0),
-                    of.stream().mapToDouble(box -> box.busyUs / all).max().orElse(0),
-                    of.stream().mapToInt(box -> box.peakConnections).max().orElse(0),
-                    (int) of.stream().filter(Box::wasOverloaded).count()));
+                    kindBoxes.stream()
+                            .mapToDouble(box -> box.busyUs / capacityUs)
+                            .average()
+                            .orElse(0),
+                    kindBoxes.stream()
+                            .mapToDouble(box -> box.busyUs / capacityUs)
+                            .max()
+                            .orElse(0),
+                    kindBoxes.stream()
+                            .mapToInt(box -> box.peakConnections)
+                            .max()
+                            .orElse(0),
+                    (int) kindBoxes.stream().filter(Box::wasOverloaded).count()));
         }
-        List<FleetNode.Stats> did = nodes.stream().map(FleetNode::stats).toList();
+        List<FleetNode.Stats> nodeStats = nodes.stream().map(FleetNode::stats).toList();
         double busyUs = boxes.stream().mapToDouble(box -> box.busyUs).sum();
-        List<RunResult.ClassOutcome> classes = tally.classes();
-        long wishes =
+        List<RunResult.ClassOutcome> classes = outcomes.classes();
+        long requests =
                 classes.stream().mapToLong(RunResult.ClassOutcome::offered).sum();
         return new RunResult(
                 seed,
-                tally.share(0, Integer.MAX_VALUE),
-                tally.worstWindow(),
-                tally.byTenant(),
-                tally.sharesBySecond(),
+                outcomes.inTimeRatio(0, Integer.MAX_VALUE),
+                outcomes.worstWindowRatio(),
+                outcomes.inTimeByTenant(),
+                outcomes.inTimeBySecond(),
                 classes,
-                tally.latencyUs(50),
-                tally.latencyUs(99),
-                wishes == 0 ? 0 : (double) tally.tries / wishes,
+                outcomes.latencyUs(50),
+                outcomes.latencyUs(99),
+                requests == 0 ? 0 : (double) outcomes.tries / requests,
                 kinds,
-                did.stream()
+                nodeStats.stream()
                         .mapToDouble(d -> d.cpuUs() / (seconds * 1e6))
                         .average()
                         .orElse(0),
-                did.stream().mapToDouble(FleetNode.Stats::maxLagUs).max().orElse(0),
+                nodeStats.stream().mapToDouble(FleetNode.Stats::maxLagUs).max().orElse(0),
                 (int) boxes.stream().filter(Box::wasOverloaded).count(),
                 boxes.stream().mapToLong(box -> box.rejectedRequests).sum(),
                 boxes.stream().mapToLong(box -> box.rejectedConnections).sum(),
-                did.stream().mapToLong(FleetNode.Stats::attempts).sum(),
-                did.stream().mapToLong(FleetNode.Stats::connectionsOpened).sum(),
+                nodeStats.stream().mapToLong(FleetNode.Stats::attempts).sum(),
+                nodeStats.stream().mapToLong(FleetNode.Stats::connectionsOpened).sum(),
                 busyUs == 0
                         ? 0
                         : boxes.stream().mapToDouble(box -> box.wastedUs).sum() / busyUs,
                 rules.violationCount(),
                 rules.violations(),
-                time.steps());
+                scheduler.steps());
     }
 
-    // ---------------------------------------------------------------- for whoever plays it by hand
+    // ---------------------------------------------------------------- interactive control
 
     /**
-     * A server as it is now.
+     * The present status of a server.
      *
      * @param state up, draining, cold, slow, failing, silent, dead or fallen
-     * @param inFlight requests that run or wait
-     * @param completed since the beginning
+     * @param inFlight requests that are executing or queued
+     * @param completed requests completed since the start of the run
+     * @param warmUpRatio fraction of the full capacity that is available, in (0, 1]
      */
     public record BoxStatus(
             String id, String state, int inFlight, int connections, long completed, double warmUpRatio) {}
 
-    /** All servers, in order. */
+    /** Returns the status of all servers in their configured order. */
     public List<BoxStatus> boxStatuses() {
         return boxes.stream().map(Box::status).toList();
     }
 
-    /** Whether a node takes clients, in order. */
+    /** Returns for each node whether it accepts clients. */
     public List<Boolean> nodesUp() {
         return nodes.stream().map(FleetNode::isUp).toList();
     }
 
-    /** This trouble befalls one server now; one that ends by itself does after {@code forUs}. */
+    /** Injects a fault into one server now. A fault that has a duration ends after {@code forUs}. */
     public void injectFault(Fleet.FaultKind trouble, String id, long forUs, double size) {
-        begin(new Fleet.Fault(trouble, Fleet.FaultScope.ANY, 0, 1, 0, forUs, size), List.of(byId.get(id)));
+        begin(new Fleet.Fault(trouble, Fleet.FaultScope.ANY, 0, 1, 0, forUs, size), List.of(boxesById.get(id)));
     }
 
-    /** One server is itself again: a new process where it had none, and no trouble of its own. */
+    /** Recovers one server: it gets a new process if it has none, and its own faults end. */
     public void recover(String id) {
-        Box box = byId.get(id);
+        Box box = boxesById.get(id);
         box.failureRatio = 0;
         box.slowdownFactor = 1;
         if (!box.isUp()) {
-            comeBack(List.of(box));
+            restart(List.of(box));
         }
     }
 
-    /** A node is killed and starts anew. */
+    /** Kills a node and restarts it. */
     public void restartNode() {
         restartNodes(new Fleet.Fault(Fleet.FaultKind.NODES_RESTART, Fleet.FaultScope.ANY, 0, 1, 0, 0, 1));
     }
 
-    /** A node is killed; the front deals out to it until it notices. */
+    /** Kills a node. The front end keeps sending clients to it until the failure is detected. */
     public void killNode(int node) {
-        clients.died(node);
+        population.nodeDied(node);
         nodes.get(node).kill();
     }
 
-    /** A node that was killed starts anew. */
+    /** Restarts a node that was killed. */
     public void startNode(int node) {
         nodes.get(node).start();
     }
 
-    /** One tenant asks so much more for so long. */
+    /** Adds requests of one tenant at the given rate for the given time. */
     public void addTenantLoad(int tenant, double ratePerS, long forUs) {
-        clients.flood(tenant, ratePerS, time.nowUs() + forUs);
+        population.addTenantLoad(tenant, ratePerS, scheduler.nowUs() + forUs);
     }
 
-    // ---------------------------------------------------------------- what goes wrong
+    // ---------------------------------------------------------------- faults
 
     private void begin(Fleet.Fault fault) {
         if (fault.kind() == Fleet.FaultKind.NODES_RESTART) {
             restartNodes(fault);
             return;
         }
-        begin(fault, chosen(fault));
+        begin(fault, selectTargets(fault));
     }
 
-    private void begin(Fleet.Fault fault, List<Box> hit) {
+    private void begin(Fleet.Fault fault, List<Box> targets) {
         switch (fault.kind()) {
             case DIE, VANISH -> {
                 boolean silently = fault.kind() == Fleet.FaultKind.VANISH;
-                hit.forEach(box -> box.terminate(silently));
-                tell(
-                        hit,
+                targets.forEach(box -> box.terminate(silently));
+                announce(
+                        targets,
                         ServerState.GONE,
                         silently
                                 ? fleet.discoveryDelays().silenceDelayUs()
                                 : fleet.discoveryDelays().crashDelayUs());
-                time.afterUs(fault.durationUs(), () -> comeBack(hit));
+                scheduler.afterUs(fault.durationUs(), () -> restart(targets));
             }
             case FAIL -> {
-                hit.forEach(box -> box.failureRatio = fault.magnitude());
-                time.afterUs(fault.durationUs(), () -> hit.forEach(box -> box.failureRatio = 0));
+                targets.forEach(box -> box.failureRatio = fault.magnitude());
+                scheduler.afterUs(fault.durationUs(), () -> targets.forEach(box -> box.failureRatio = 0));
             }
             case SLOW -> {
-                hit.forEach(box -> box.slowdownFactor = fault.magnitude());
-                time.afterUs(fault.durationUs(), () -> hit.forEach(box -> box.slowdownFactor = 1));
+                targets.forEach(box -> box.slowdownFactor = fault.magnitude());
+                scheduler.afterUs(fault.durationUs(), () -> targets.forEach(box -> box.slowdownFactor = 1));
             }
-            case RELEASE -> release(hit, fault, 0);
+            case RELEASE -> release(targets, fault, 0);
             case CUT -> {
-                cuts.isolate(fault.index());
-                time.afterUs(fault.durationUs(), () -> cuts.heal(fault.index()));
+                partitions.isolate(fault.index());
+                scheduler.afterUs(fault.durationUs(), () -> partitions.heal(fault.index()));
             }
             case NODES_RESTART -> throw new IllegalStateException("handled above");
         }
     }
 
-    private List<Box> chosen(Fleet.Fault fault) {
-        List<Box> from = new ArrayList<>(boxes.stream()
+    private List<Box> selectTargets(Fleet.Fault fault) {
+        List<Box> candidates = new ArrayList<>(boxes.stream()
                 .filter(box -> switch (fault.scope()) {
                     case ANY -> true;
                     case RACK -> box.rack == fault.index();
@@ -344,55 +360,59 @@
                     case KIND -> box.kindIndex == fault.index();
                 })
                 .toList());
-        if (fault.count() == 0 || fault.count() >= from.size()) {
-            return from;
+        if (fault.count() == 0 || fault.count() >= candidates.size()) {
+            return candidates;
         }
-        List<Box> hit = new ArrayList<>();
+        List<Box> targets = new ArrayList<>();
         for (int i = 0; i < fault.count(); i++) {
-            hit.add(from.remove(faults.nextInt(from.size())));
+            targets.add(candidates.remove(faultRandom.nextInt(candidates.size())));
         }
-        return hit;
+        return targets;
     }
 
-    private void comeBack(List<Box> hit) {
-        hit.forEach(Box::start);
-        tell(
-                hit.stream().filter(Box::isUp).toList(),
+    private void restart(List<Box> targets) {
+        targets.forEach(Box::start);
+        announce(
+                targets.stream().filter(Box::isUp).toList(),
                 ServerState.READY,
                 fleet.discoveryDelays().returnDelayUs());
     }
 
-    /** A batch drains, is gone, and comes back cold; the next one follows once it is listed. */
-    private void release(List<Box> of, Fleet.Fault fault, int from) {
+    /**
+     * Drains and restarts one batch of servers, and continues with the next batch once this one is listed
+     * again.
+     */
+    private void release(List<Box> targets, Fleet.Fault fault, int from) {
         int batch = Math.max(1, (int) fault.magnitude());
-        if (from >= of.size()) {
+        if (from >= targets.size()) {
             return;
         }
-        List<Box> now = of.subList(from, Math.min(of.size(), from + batch));
-        now.forEach(Box::drain);
-        tell(now, ServerState.DRAINING, new Fleet.Range(0, 1));
-        time.afterUs(fleet.discoveryDelays().drainGraceUs() + 1_000_000, () -> {
-            now.forEach(box -> box.terminate(false));
-            time.afterUs(fault.durationUs(), () -> {
-                comeBack(now);
-                time.afterUs(fleet.discoveryDelays().returnDelayUs().to(), () -> release(of, fault, from + batch));
+        List<Box> current = targets.subList(from, Math.min(targets.size(), from + batch));
+        current.forEach(Box::drain);
+        announce(current, ServerState.DRAINING, new Fleet.Range(0, 1));
+        scheduler.afterUs(fleet.discoveryDelays().drainGraceUs() + 1_000_000, () -> {
+            current.forEach(box -> box.terminate(false));
+            scheduler.afterUs(fault.durationUs(), () -> {
+                restart(current);
+                scheduler.afterUs(
+                        fleet.discoveryDelays().returnDelayUs().to(), () -> release(targets, fault, from + batch));
             });
         });
     }
 
     private void restartNodes(Fleet.Fault fault) {
         int atOnce = Math.max(1, (int) fault.magnitude());
-        List<Integer> of = IntStream.range(0, nodes.size())
+        List<Integer> eligibleNodes = IntStream.range(0, nodes.size())
                 .boxed()
                 .filter(n ->
                         fault.scope() != Fleet.FaultScope.ZONE || fleet.zones().zoneOf(n) == fault.index())
                 .toList();
-        int all = fault.count() == 0 ? of.size() : Math.min(fault.count(), of.size());
-        for (int n = 0; n < all; n++) {
-            int node = of.get(n);
-            time.afterUs(n / atOnce * (fault.durationUs() + fleet.nodes().startupUs()), () -> {
+        int restartCount = fault.count() == 0 ? eligibleNodes.size() : Math.min(fault.count(), eligibleNodes.size());
+        for (int n = 0; n < restartCount; n++) {
+            int node = eligibleNodes.get(n);
+            scheduler.afterUs(n / atOnce * (fault.durationUs() + fleet.nodes().startupUs()), () -> {
                 killNode(node);
-                time.afterUs(fault.durationUs() + fleet.nodes().startupUs(), () -> startNode(node));
+                scheduler.afterUs(fault.durationUs() + fleet.nodes().startupUs(), () -> startNode(node));
             });
         }
     }
@@ -402,21 +422,25 @@
                 box.id, box.zone(), box.rack, state, 1, box.startedAtUs() == 0 ? 0 : unixUs + box.startedAtUs());
     }
 
-    /** Discovery tells all nodes at once, late; of several changes the last one holds. It has its place in
-     * zone 0:
-     * nodes that are cut off from there hear of it once they are not. */
-    private void tell(List<Box> of, ServerState state, Fleet.Range late) {
-        if (of.isEmpty()) {
+    /**
+     * Announces a change to all nodes at once, after a random delay. Of several changes the latest state
+     * counts. Discovery runs in zone 0; nodes that are partitioned from it are notified once they are
+     * reachable again.
+     */
+    private void announce(List<Box> changed, ServerState state, Fleet.Range delay) {
+        if (changed.isEmpty()) {
             return;
         }
-        List<ServerEntry> entries = of.stream().map(box -> entry(box, state)).toList();
-        time.afterUs(lists.nextBetween(late), () -> {
-            List<ServerEntry> stands = entries.stream()
-                    .filter(e -> state != ServerState.GONE || !byId.get(e.id()).isUp())
+        List<ServerEntry> entries =
+                changed.stream().map(box -> entry(box, state)).toList();
+        scheduler.afterUs(discoveryRandom.nextBetween(delay), () -> {
+            List<ServerEntry> current = entries.stream()
+                    .filter(e ->
+                            state != ServerState.GONE || !boxesById.get(e.id()).isUp())
                     .toList();
             for (int n = 0; n < nodes.size(); n++) {
                 FleetNode node = nodes.get(n);
-                cuts.whenConnected(0, fleet.zones().zoneOf(n), () -> node.serversChanged(stands));
+                partitions.whenConnected(0, fleet.zones().zoneOf(n), () -> node.serversChanged(current));
             }
         });
     }
--- a/src/main/java/kitemux/fleet/Fleet.java
+++ b/src/main/java/kitemux/fleet/Fleet.java
@@ -6,21 +6,22 @@
 import kitemux.Balancer.RequestClass;
 
 /**
- * A fleet, its load and what goes wrong, as the emulator plays it. Times are microseconds; a rate is a
- * second's.
+ * A fleet, its load and the faults that occur, as the emulator runs it. Times are in microseconds, rates per
+ * second.
  *
  * @param kinds kinds of servers, at least one
- * @param racks servers are spread over so many racks in turn; a rack is the group that drops a keyed repeat
- * @param zones racks and nodes are spread over these in turn
- * @param nodes the proxies
- * @param overloadSlowdown how crowded servers turn slow, or null where they do not
- * @param links what connections to servers cost
- * @param discoveryDelays how late nodes hear of servers
- * @param clients how clients wait and ask again
- * @param classes what is asked, at least one
- * @param tenants who asks, with their shares; may be empty
- * @param load how much is asked
- * @param faults what goes wrong
+ * @param racks number of racks, over which servers are spread in turn; a rack is the group that recognises
+ *     and drops a repeated keyed request
+ * @param zones zones, over which racks and nodes are spread in turn
+ * @param nodes the proxy nodes
+ * @param overloadSlowdown how overloaded servers slow down, or null if they do not
+ * @param links cost and limits of connections to servers
+ * @param discoveryDelays delays with which nodes are notified of changes to servers
+ * @param clients timeouts and retries of clients
+ * @param classes classes of requests, at least one
+ * @param tenants tenants with their shares; may be empty
+ * @param load offered load
+ * @param faults faults that occur during the run
  */
 public record Fleet(
         List<ServerKind> kinds,
@@ -36,19 +37,23 @@
         Load load,
         List<Fault> faults) {
 
-    private static final int MOST_BOXES = 20_000;
-    private static final int MOST_NODES = 2_000;
+    private static final int MAX_SERVER_COUNT = 20_000;
+    private static final int MAX_NODE_COUNT = 2_000;
 
     /**
      * Servers of one kind.
      *
-     * @param speed of one core, against the core that work is told for
-     * @param speedCv how much single servers differ: standard deviation over mean
-     * @param queueCapacity requests that wait at most; more are turned away
-     * @param initialCapacityRatio share of its capacity with which one starts
-     * @param warmUpUs after which it is warm at the latest
-     * @param warmsByWork whether work done warms it as well: half the time's full work suffices
-     * @param cost what one costs, in any unit
+     * @param name name of the kind, from which the ids of its servers are derived
+     * @param count number of servers
+     * @param cores number of cores of each server
+     * @param speed speed of one core relative to the core for which work is given
+     * @param speedCv variation of speed between servers: standard deviation over mean
+     * @param queueCapacity maximum number of queued requests; further ones are rejected
+     * @param initialCapacityRatio fraction of its capacity that a server has right after its start
+     * @param warmUpUs time after which a server is warm at the latest
+     * @param warmsByWork whether completed work warms a server as well; half of the work that fits in {@code
+     *     warmUpUs} suffices
+     * @param cost cost of one server, in any unit
      */
     public record ServerKind(
             String name,
@@ -63,24 +68,27 @@
             double cost) {}
 
     /**
-     * @param count how many
+     * The proxy nodes.
+     *
+     * @param count number of nodes
      * @param eventCostUs processor time that a node needs for each event of a request
      * @param cores processors that a node may use
-     * @param startupUs from a node's start until it takes clients
-     * @param failureDetectionUs how long the front goes on sending to one that has died
+     * @param startupUs time from a node's start until it accepts clients
+     * @param failureDetectionUs time for which the front end keeps sending clients to a node that has died
      */
     public record Nodes(int count, double eventCostUs, double cores, long startupUs, long failureDetectionUs) {}
 
     /**
-     * A server turns slow when, in the mean over some time, more requests run or wait than its cores and so
-     * many times their root, and stays so until it has been mostly idle for a while.
+     * The slowdown of overloaded servers. A server slows down when the moving average of its executing and
+     * queued requests exceeds its number of cores plus a multiple of the square root of that number. It
+     * recovers after it has been mostly idle for a while.
      *
-     * @param thresholdFactor times the root of its cores
-     * @param averagingUs time over which the mean is taken
-     * @param slowdownFactor how many times slower it then is
-     * @param restUtilisation share of its cores in use under which it rests
-     * @param restUs how long it must rest
-     * @param maxDurationUs after which it is itself again all the same
+     * @param thresholdFactor multiple of the square root of the number of cores
+     * @param averagingUs time constant of the moving average
+     * @param slowdownFactor factor by which the server becomes slower
+     * @param restUtilisation utilisation of its cores below which the server counts as resting
+     * @param restUs time for which the server must rest to recover
+     * @param maxDurationUs time after which the server recovers in any case
      */
     public record OverloadSlowdown(
             double thresholdFactor,
@@ -91,13 +99,15 @@
             long maxDurationUs) {}
 
     /**
-     * @param oneWayUs between two machines
-     * @param jitter spread of that: standard deviation over mean
+     * Connections between nodes and servers.
+     *
+     * @param oneWayUs mean one-way network delay between two machines
+     * @param jitter variation of that delay: standard deviation over mean
      * @param handshakeRtts round trips before the first request on a new connection
      * @param handshakeWorkUs work that a new connection costs its server
-     * @param maxConnectionsPerCore connections that a server accepts for each core
-     * @param idleTimeoutUs after which an unused one is closed
-     * @param connectTimeoutUs how long a node waits for one
+     * @param maxConnectionsPerCore number of connections that a server accepts for each of its cores
+     * @param idleTimeoutUs time after which an unused connection is closed
+     * @param connectTimeoutUs time that a node waits for a connection to open
      */
     public record Links(
             long oneWayUs,
@@ -109,41 +119,48 @@
             long connectTimeoutUs) {}
 
     /**
-     * @param crashDelayUs how late nodes hear that a server has died, from and to
-     * @param silenceDelayUs the same of one that has vanished
-     * @param returnDelayUs the same of one that has come
-     * @param drainGraceUs after which nothing new may go to one that drains
+     * Delays with which nodes are notified of changes to servers.
+     *
+     * @param crashDelayUs delay after a server has died
+     * @param silenceDelayUs delay after a server has become silent
+     * @param returnDelayUs delay after a server has started
+     * @param drainGraceUs time after which a draining server must not receive new requests
      */
     public record DiscoveryDelays(Range crashDelayUs, Range silenceDelayUs, Range returnDelayUs, long drainGraceUs) {}
 
     /**
-     * Parts of the site that are lost or cut off as a whole.
+     * Parts of the site that fail or are partitioned as a whole.
      *
-     * @param count how many
-     * @param crossZoneDelayUs more than the usual way that a message takes from one to another
-     * @param crossZonePrice of an attempt that crosses, as the module is told it: 0 where crossing is free
+     * @param count number of zones
+     * @param crossZoneDelayUs additional one-way delay of a message between two zones
+     * @param crossZonePrice price of an attempt in another zone, as given to the decision module; 0 means
+     *     none
      */
     public record Zones(int count, long crossZoneDelayUs, double crossZonePrice) {
-        /** All in one. */
+        /** All racks and nodes in a single zone. */
         public static final Zones SINGLE = new Zones(1, 0, 0);
 
-        /** The zone of a rack or of a node, by its number. */
+        /** Returns the zone of the rack or node with the given number. */
         public int zoneOf(int number) {
             return number % count;
         }
     }
 
-    /** Drawn evenly between the two, the lower one included. */
+    /** A range from which values are drawn uniformly; the lower bound is inclusive. */
     public record Range(long from, long to) {}
 
     /**
-     * @param oneWayUs between clients and nodes
-     * @param maxRetries how often a client asks again at most
-     * @param minTryTimeoutRatio share of the deadline after which a try is given up, at least and at most
-     * @param backoffUs first wait before a repeat; doubled with each
-     * @param retryAfterComplianceRatio share of clients that heed when they are told to come back
-     * @param maxRetryAfterUs longest such advice
-     * @param nodeSkew how unevenly the front deals them out to nodes: deviation over mean of what a node gets
+     * The behaviour of clients.
+     *
+     * @param oneWayUs one-way network delay between clients and nodes
+     * @param maxRetries maximum number of retries of a request
+     * @param minTryTimeoutRatio lowest timeout of a try, as a fraction of the deadline
+     * @param maxTryTimeoutRatio highest timeout of a try, as a fraction of the deadline
+     * @param backoffUs backoff before the first retry; it doubles with each further one
+     * @param retryAfterComplianceRatio fraction of clients that honour a Retry-After
+     * @param maxRetryAfterUs highest Retry-After given to a client
+     * @param nodeSkew imbalance with which the front end distributes clients over nodes: standard deviation
+     *     over mean of the load of a node
      */
     public record Clients(
             long oneWayUs,
@@ -155,7 +172,7 @@
             long maxRetryAfterUs,
             double nodeSkew) {}
 
-    /** How the work of a class is spread about its mean. */
+    /** The distribution of the work of a class around its mean. */
     public enum WorkDistribution {
         FIXED,
         EXPONENTIAL,
@@ -163,11 +180,13 @@
     }
 
     /**
-     * A class of requests and the work of one.
+     * A class of requests and the work that one request takes.
      *
-     * @param share of all requests; shares are scaled to sum 1
-     * @param meanWorkUs of its work, on a core of speed 1
-     * @param cv spread of a lognormal one: standard deviation over mean
+     * @param requestClass the class
+     * @param share share of all requests; shares are normalised to a sum of 1
+     * @param meanWorkUs mean work on a core of speed 1
+     * @param distribution distribution of the work
+     * @param cv coefficient of variation of a lognormal distribution: standard deviation over mean
      */
     public record ClassWorkload(
             RequestClass requestClass, double share, double meanWorkUs, WorkDistribution distribution, double cv) {}
@@ -175,22 +194,26 @@
     /**
      * A tenant.
      *
-     * @param share what it is entitled to, of what all are
-     * @param usageRatio what it asks, against its share
+     * @param name name of the tenant
+     * @param share the tenant's entitlement, relative to the shares of all tenants
+     * @param usageRatio requests of the tenant relative to its share
      */
     public record TenantShare(String name, double share, double usageRatio) {}
 
     /**
-     * @param ratePerS first tries a second, where {@code shape} is 1
-     * @param durationUs how long clients ask
-     * @param profile times and multiples of the rate, in order, straight lines between them; empty means 1
-     * @param quotaPerS what all tenants together are entitled to; 0 means without limit
-     * @param overShareWorth worth of what goes beyond, as a part
+     * The offered load.
+     *
+     * @param ratePerS first tries per second where the profile's factor is 1
+     * @param durationUs time during which clients arrive
+     * @param profile factors of the rate over time, in order and interpolated linearly; empty means 1
+     *     throughout
+     * @param quotaPerS requests per second to which all tenants together are entitled; 0 means without limit
+     * @param overShareWorth factor of the worth of requests beyond a tenant's share
      */
     public record Load(
             double ratePerS, long durationUs, List<LoadPoint> profile, double quotaPerS, double overShareWorth) {
 
-        /** How much is asked at a time, against {@link #ratePerS}. */
+        /** Returns the load at the given time as a multiple of {@link #ratePerS}. */
         public double factorAt(long us) {
             if (profile.isEmpty()) {
                 return 1;
@@ -208,39 +231,42 @@
             return before.factor;
         }
 
-        /** The same for {@code times} as much. */
+        /** Returns this load with its rate multiplied by {@code times}. */
         public Load scaledBy(double times) {
             return new Load(ratePerS * times, durationUs, profile, quotaPerS, overShareWorth);
         }
 
-        /** The most that is asked at any time, against {@link #ratePerS}. */
+        /** Returns the highest load at any time as a multiple of {@link #ratePerS}. */
         public double maxFactor() {
             return profile.stream().mapToDouble(LoadPoint::factor).max().orElse(1);
         }
     }
 
-    /** A time and how much is asked then. */
+    /** A point of the load profile: the factor of the rate at a time. */
     public record LoadPoint(long atUs, double factor) {}
 
-    /** What goes wrong. */
+    /** The kinds of faults. */
     public enum FaultKind {
-        /** Servers die and come back cold. */
+        /** Servers die and return cold. */
         DIE,
-        /** They say nothing more, and come back cold. */
+        /** Servers stop answering without closing their connections, and return cold. */
         VANISH,
-        /** They fail most requests, quickly. */
+        /** Servers fail most requests quickly. */
         FAIL,
-        /** They are slower. */
+        /** Servers are slower. */
         SLOW,
-        /** They drain and start anew, one batch after another: a release. */
+        /** Servers drain and restart, one batch after another, as in a release. */
         RELEASE,
-        /** Nodes are killed and start anew, one after another. */
+        /** Nodes are killed and restart, one after another. */
         NODES_RESTART,
-        /** Nothing passes between a zone and the others, nor is said why. */
+        /** A zone is partitioned from the others, and nobody is notified of it. */
         CUT
     }
 
-    /** Whom it befalls: a rack, a zone, a kind, or any; drawn where not all of these are meant. */
+    /**
+     * The set from which a fault selects its targets. If the fault hits only some members of the set, they
+     * are drawn at random.
+     */
     public enum FaultScope {
         ANY,
         RACK,
@@ -249,37 +275,45 @@
     }
 
     /**
-     * @param scope of which
-     * @param index the rack's or zone's number or the kind's place
-     * @param count how many of these; 0 means all
-     * @param magnitude for FAIL the share that fails, for SLOW how many times slower, for RELEASE and
-     *     NODES_RESTART how many at once
+     * A fault that occurs during a run.
+     *
+     * @param kind what happens
+     * @param scope the set from which targets are selected
+     * @param index number of the rack or zone, or position of the kind, for those scopes
+     * @param count number of targets; 0 means all members of the scope
+     * @param atUs start time
+     * @param durationUs duration
+     * @param magnitude for FAIL the fraction of requests that fail, for SLOW the factor by which servers are
+     *     slower, for RELEASE and NODES_RESTART the number of targets at once
      */
     public record Fault(
             FaultKind kind, FaultScope scope, int index, int count, long atUs, long durationUs, double magnitude) {}
 
-    /** How many servers there are. */
+    /** Returns the number of servers. */
     public int serverCount() {
         return kinds.stream().mapToInt(ServerKind::count).sum();
     }
 
-    /** What all servers can do when they are warm, in cores of speed 1. */
+    /** Returns the capacity of all servers when warm, in cores of speed 1. */
     public double capacity() {
         return kinds.stream().mapToDouble(k -> k.count * k.cores * k.speed).sum();
     }
 
-    /** Mean work of a first try, in microseconds on a core of speed 1. */
+    /** Returns the mean work of a first try, in microseconds on a core of speed 1. */
     public double meanWorkUs() {
         double shares = classes.stream().mapToDouble(ClassWorkload::share).sum();
         return classes.stream().mapToDouble(w -> w.share * w.meanWorkUs).sum() / shares;
     }
 
-    /** What first tries ask for where the shape is 1, as a share of what all servers can do. */
+    /**
+     * Returns the load of first tries where the profile's factor is 1, as a fraction of the capacity of all
+     * servers.
+     */
     public double offeredLoad() {
         return load.ratePerS * meanWorkUs() / 1e6 / capacity();
     }
 
-    /** The same with another load. */
+    /** Returns this fleet with another load. */
     public Fleet with(Load other) {
         return new Fleet(
                 kinds,
@@ -296,7 +330,7 @@
                 faults);
     }
 
-    /** The same with other servers. */
+    /** Returns this fleet with other kinds of servers. */
     public Fleet withKinds(List<ServerKind> others) {
         return new Fleet(
                 List.copyOf(others),
@@ -313,7 +347,7 @@
                 faults);
     }
 
-    /** The same with other things that go wrong. */
+    /** Returns this fleet with other faults. */
     public Fleet withFaults(List<Fault> others) {
         return new Fleet(
                 kinds,
@@ -330,7 +364,7 @@
                 List.copyOf(others));
     }
 
-    /** The same with other nodes. */
+    /** Returns this fleet with other nodes. */
     public Fleet with(Nodes others) {
         return new Fleet(
                 kinds,
@@ -347,13 +381,13 @@
                 faults);
     }
 
-    /** The same, whose servers turn slow otherwise, or not where null. */
+    /** Returns this fleet with another overload slowdown, or with none if the argument is null. */
     public Fleet with(OverloadSlowdown other) {
         return new Fleet(
                 kinds, racks, zones, nodes, other, links, discoveryDelays, clients, classes, tenants, load, faults);
     }
 
-    /** The same with other connections. */
+    /** Returns this fleet with other connections. */
     public Fleet with(Links others) {
         return new Fleet(
                 kinds,
@@ -370,7 +404,7 @@
                 faults);
     }
 
-    /** The same with other clients. */
+    /** Returns this fleet with other clients. */
     public Fleet with(Clients others) {
         return new Fleet(
                 kinds,
@@ -387,7 +421,7 @@
                 faults);
     }
 
-    /** The same whose classes are others, or other work. */
+    /** Returns this fleet with other classes. */
     public Fleet withClasses(List<ClassWorkload> others) {
         return new Fleet(
                 kinds,
@@ -404,7 +438,7 @@
                 faults);
     }
 
-    /** The same whose tenants are others, or ask otherwise. */
+    /** Returns this fleet with other tenants. */
     public Fleet withTenants(List<TenantShare> others) {
         return new Fleet(
                 kinds,
@@ -421,102 +455,114 @@
                 faults);
     }
 
-    /** The same without tenants' shares. */
+    /** Returns this fleet without tenants. */
     public Fleet withoutTenants() {
         return withTenants(List.of());
     }
 
-    /** All that cannot be played, one line each with field and reason; empty where there is nothing. */
+    /**
+     * Returns the reasons why this fleet cannot be run, one line each with field and reason; empty if it is
+     * valid.
+     */
     public List<String> validate() {
-        List<String> found = new ArrayList<>();
-        require(found, !kinds.isEmpty(), "boxes: at least one kind must be given");
+        List<String> problems = new ArrayList<>();
+        require(problems, !kinds.isEmpty(), "boxes: at least one kind must be given");
         require(
-                found,
-                serverCount() >= 1 && serverCount() <= MOST_BOXES,
-                "boxes: from 1 to " + MOST_BOXES + " in all, not " + serverCount());
+                problems,
+                serverCount() >= 1 && serverCount() <= MAX_SERVER_COUNT,
+                "boxes: the total count must be from 1 to " + MAX_SERVER_COUNT + ", not " + serverCount());
         for (ServerKind kind : kinds) {
-            String at = "boxes \"" + kind.name + "\": ";
-            require(found, kind.count >= 0, at + "count is under 0");
-            require(found, kind.cores >= 1 && kind.cores <= 1_024, at + "cores is not from 1 to 1024");
-            require(found, kind.speed > 0, at + "speed is not above 0");
-            require(found, kind.speedCv >= 0 && kind.speedCv < 1, at + "speed_cv is not in [0, 1)");
-            require(found, kind.queueCapacity >= 1, at + "queue is under 1");
+            String prefix = "boxes \"" + kind.name + "\": ";
+            require(problems, kind.count >= 0, prefix + "count must not be negative");
+            require(problems, kind.cores >= 1 && kind.cores <= 1_024, prefix + "cores must be from 1 to 1024");
+            require(problems, kind.speed > 0, prefix + "speed must be above 0");
+            require(problems, kind.speedCv >= 0 && kind.speedCv < 1, prefix + "speed_cv must be in [0, 1)");
+            require(problems, kind.queueCapacity >= 1, prefix + "queue must be at least 1");
             require(
-                    found,
+                    problems,
                     kind.initialCapacityRatio > 0 && kind.initialCapacityRatio <= 1,
-                    at + "cold_from is not in (0, 1]");
-            require(found, kind.warmUpUs >= 0, at + "cold is under 0");
+                    prefix + "cold_from must be in (0, 1]");
+            require(problems, kind.warmUpUs >= 0, prefix + "cold must not be negative");
         }
-        require(found, racks >= 1, "racks is under 1");
+        require(problems, racks >= 1, "racks must be at least 1");
         require(
-                found,
+                problems,
                 zones.count >= 1 && zones.count <= racks && zones.count <= nodes.count,
-                "zones: count is not from 1 to the number of racks and of nodes");
-        require(found, zones.crossZoneDelayUs >= 0 && zones.crossZonePrice >= 0, "zones: across or price is under 0");
-        require(found, nodes.count >= 1 && nodes.count <= MOST_NODES, "nodes: count is not from 1 to " + MOST_NODES);
-        require(found, nodes.eventCostUs >= 0 && nodes.cores > 0, "nodes: event is under 0, or cores not above 0");
-        require(found, !classes.isEmpty(), "class: at least one must be given");
+                "zones: count must be from 1 to the number of racks and to that of nodes");
+        require(
+                problems,
+                zones.crossZoneDelayUs >= 0 && zones.crossZonePrice >= 0,
+                "zones: across and price must not be negative");
+        require(
+                problems,
+                nodes.count >= 1 && nodes.count <= MAX_NODE_COUNT,
+                "nodes: count must be from 1 to " + MAX_NODE_COUNT);
+        require(
+                problems,
+                nodes.eventCostUs >= 0 && nodes.cores > 0,
+                "nodes: event must not be negative, and cores must be above 0");
+        require(problems, !classes.isEmpty(), "class: at least one must be given");
         for (ClassWorkload work : classes) {
-            String at = "class \"" + work.requestClass.name() + "\": ";
-            require(found, work.share > 0, at + "share is not above 0");
-            require(found, work.meanWorkUs > 0, at + "work is not above 0");
-            require(found, work.cv >= 0, at + "cv is under 0");
+            String prefix = "class \"" + work.requestClass.name() + "\": ";
+            require(problems, work.share > 0, prefix + "share must be above 0");
+            require(problems, work.meanWorkUs > 0, prefix + "work must be above 0");
+            require(problems, work.cv >= 0, prefix + "cv must not be negative");
             require(
-                    found,
+                    problems,
                     work.requestClass.aimUs() > 0 && work.requestClass.deadlineUs() >= work.requestClass.aimUs(),
-                    at + "aim is not above 0, or beyond the deadline");
+                    prefix + "aim must be above 0 and at most the deadline");
             require(
-                    found,
+                    problems,
                     work.requestClass.repeat() != Repeat.KEYED || work.requestClass.windowUs() > 0,
-                    at + "a keyed class needs a window above 0");
+                    prefix + "a keyed class needs a window above 0");
         }
-        require(found, load.ratePerS > 0, "load: rate is not above 0");
-        require(found, load.durationUs >= 1_000_000, "load: length is under 1s");
+        require(problems, load.ratePerS > 0, "load: rate must be above 0");
+        require(problems, load.durationUs >= 1_000_000, "load: length must be at least 1s");
         for (int i = 1; i < load.profile.size(); i++) {
             require(
-                    found,
+                    problems,
                     load.profile.get(i).atUs > load.profile.get(i - 1).atUs,
-                    "load: shape is not in order of time");
+                    "load: shape must be in order of time");
         }
         require(
-                found,
+                problems,
                 clients.minTryTimeoutRatio > 0
                         && clients.minTryTimeoutRatio <= clients.maxTryTimeoutRatio
                         && clients.maxTryTimeoutRatio <= 1,
-                "clients: try_from and try_to are not in order within (0, 1]");
-        require(found, clients.nodeSkew >= 0 && clients.nodeSkew <= 3, "clients: skew is not from 0 to 3");
-        require(found, clients.maxRetries >= 0 && clients.maxRetries <= 10, "clients: retries is not from 0 to 10");
+                "clients: try_from and try_to must be in (0, 1] and in this order");
+        require(problems, clients.nodeSkew >= 0 && clients.nodeSkew <= 3, "clients: skew must be from 0 to 3");
+        require(problems, clients.maxRetries >= 0 && clients.maxRetries <= 10, "clients: retries must be from 0 to 10");
         for (Fault fault : faults) {
-            String at = "fault " + fault.kind + ": ";
-            require(found, fault.atUs >= 0 && fault.durationUs >= 0, at + "at or for is under 0");
+            String prefix = "fault " + fault.kind + ": ";
+            require(problems, fault.atUs >= 0 && fault.durationUs >= 0, prefix + "at and for must not be negative");
             require(
-                    found,
+                    problems,
                     fault.scope != FaultScope.RACK || fault.index >= 0 && fault.index < racks,
-                    at + "there is no rack " + fault.index);
+                    prefix + "there is no rack " + fault.index);
             require(
-                    found,
+                    problems,
                     fault.scope != FaultScope.ZONE || fault.index >= 0 && fault.index < zones.count,
-                    at + "there is no zone " + fault.index);
+                    prefix + "there is no zone " + fault.index);
             require(
-                    found,
+                    problems,
                     fault.kind != FaultKind.CUT || fault.scope == FaultScope.ZONE && zones.count > 1,
-                    at + "must be among zones, of which there must be two");
+                    prefix + "must be among zones, and at least two zones are needed");
             require(
-                    found,
+                    problems,
                     fault.scope != FaultScope.KIND || fault.index >= 0 && fault.index < kinds.size(),
-                    at + "there is no such kind");
+                    prefix + "there is no such kind");
             require(
-                    found,
+                    problems,
                     fault.kind != FaultKind.FAIL || fault.magnitude > 0 && fault.magnitude <= 1,
-                    at + "size is not in (0, 1]");
-            require(found, fault.kind != FaultKind.SLOW || fault.magnitude >= 1, at + "size is under 1");
+                    prefix + "size must be in (0, 1]");
+            require(problems, fault.kind != FaultKind.SLOW || fault.magnitude >= 1, prefix + "size must be at least 1");
         }
-        return found;
+        return problems;
     }
 
-    private static void require(List<String> found, boolean holds, String otherwise) {
-        if (!holds) {
-            found.add(otherwise);
+    private static void require(List<String> problems, boolean isValid, String problem) {
+        if (!isValid) {
+            problems.add(problem);
         }
     }
 }
--- a/src/main/java/kitemux/fleet/FleetNode.java
+++ b/src/main/java/kitemux/fleet/FleetNode.java
@@ -4,49 +4,49 @@
 import kitemux.Balancer.ServerEntry;
 
 /**
- * A node as the front, clients and discovery see it: emulated, or a process behind sockets. All is called on
- * the thread that the run's time has.
+ * A node as seen by the front end, clients and discovery: either emulated or a process behind sockets. All
+ * methods are called on the thread of the run's scheduler.
  */
 public interface FleetNode {
-    /** Whether its process takes clients. */
+    /** Returns whether the node's process accepts clients. */
     boolean isUp();
 
-    /** Begins to serve, with the list as it was last told. */
+    /** Starts the process with the last announced list of servers. */
     void start();
 
-    /** It is killed: what it held is gone, and its clients' connections break. */
+    /** Kills the process: its requests are lost and its clients' connections break. */
     void kill();
 
-    /** Discovery tells of servers. */
+    /** Notifies the node of changes to the list of servers. */
     void serversChanged(List<ServerEntry> entries);
 
-    /** A client's try has come. */
-    void submit(ClientTry asked);
+    /** Accepts a client's try. */
+    void submit(ClientTry clientTry);
 
-    /** A try has its answer. */
-    void completed(ClientTry asked);
+    /** Notifies the node that a try has its answer. */
+    void completed(ClientTry clientTry);
 
-    /** A try's client waits no more. */
-    void abandoned(ClientTry asked);
+    /** Notifies the node that a try's client no longer waits. */
+    void abandoned(ClientTry clientTry);
 
     /**
-     * The time of a try's client is over. Where sockets lie between them, it first looks at what has come.
+     * Handles the timeout of a try. An implementation over sockets first reads what has already arrived.
      *
-     * @param afterUs so long after it was asked, by the run's time
-     * @param leaves does what is done by a client that has no answer; without effect for one that has
+     * @param afterUs the timeout since the try was sent, in microseconds of the run
+     * @param abandon abandons the try; has no effect if it already has an answer
      */
-    default void deadlineReached(ClientTry asked, long afterUs, Runnable leaves) {
-        leaves.run();
+    default void deadlineReached(ClientTry clientTry, long afterUs, Runnable abandon) {
+        abandon.run();
     }
 
-    /** What it did so far. */
+    /** Returns the node's statistics up to now. */
     Stats stats();
 
     /**
-     * What a node did.
+     * Statistics of a node.
      *
-     * @param cpuUs processor time
-     * @param maxLagUs the longest that it was behind
+     * @param cpuUs processor time used, in microseconds
+     * @param maxLagUs longest delay of an event by the busy processor, in microseconds
      * @param attempts requests sent to servers
      * @param connectionsOpened connections opened to servers
      */
--- a/src/main/java/kitemux/fleet/NetworkPartitions.java
+++ b/src/main/java/kitemux/fleet/NetworkPartitions.java
@@ -3,46 +3,46 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Which zones hear nothing from the others, and what waits until they do. */
+/** Tracks which zones are partitioned from the others, and defers actions until zones are connected again. */
 final class NetworkPartitions {
-    /** How many cuts of each zone last: two of one zone may overlap. */
-    private final int[] isolate;
+    /** Number of partitions in effect for each zone; several may overlap. */
+    private final int[] isolationCounts;
 
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<PendingAction> pendingActions = new ArrayList<>();
 
-    private record Waiting(int a, int b, Runnable what) {}
+    private record PendingAction(int firstZone, int secondZone, Runnable action) {}
 
     NetworkPartitions(int zones) {
-        isolate = new int[zones];
+        isolationCounts = new int[zones];
     }
 
-    /** Nothing passes between this zone and the others from now on. */
+    /** Isolates a zone from all others. */
     void isolate(int zone) {
-        isolate[zone]++;
+        isolationCounts[zone]++;
     }
 
     /**
-     * One cut of this zone is over; what waited for that happens now, in the order in which it was asked
-     * for.
+     * Ends one partition of a zone and runs the actions that waited for it, in the order in which they were
+     * requested.
      */
     void heal(int zone) {
-        isolate[zone]--;
-        List<Waiting> all = new ArrayList<>(waiting);
-        waiting.clear();
-        all.forEach(one -> whenConnected(one.a, one.b, one.what));
+        isolationCounts[zone]--;
+        List<PendingAction> pending = new ArrayList<>(pendingActions);
+        pendingActions.clear();
+        pending.forEach(one -> whenConnected(one.firstZone, one.secondZone, one.action));
     }
 
-    /** Whether what is sent between two zones is lost. */
-    boolean isPartitioned(int a, int b) {
-        return a != b && (isolate[a] > 0 || isolate[b] > 0);
+    /** Returns whether messages between two zones are lost. */
+    boolean isPartitioned(int firstZone, int secondZone) {
+        return firstZone != secondZone && (isolationCounts[firstZone] > 0 || isolationCounts[secondZone] > 0);
     }
 
-    /** Does it now, or once something passes between the two. */
-    void whenConnected(int a, int b, Runnable what) {
-        if (isPartitioned(a, b)) {
-            waiting.add(new Waiting(a, b, what));
+    /** Runs an action now, or as soon as the two zones are connected. */
+    void whenConnected(int firstZone, int secondZone, Runnable action) {
+        if (isPartitioned(firstZone, secondZone)) {
+            pendingActions.add(new PendingAction(firstZone, secondZone, action));
         } else {
-            what.run();
+            action.run();
         }
     }
 }
--- a/src/main/java/kitemux/fleet/OutcomeCounter.java
+++ b/src/main/java/kitemux/fleet/OutcomeCounter.java
@@ -5,26 +5,29 @@
 import kitemux.Balancer.RequestClass;
 import org.HdrHistogram.Histogram;
 
-/** Counts what became of clients' wishes, by second, class and tenant. A client's tries are one wish. */
+/**
+ * Counts the outcomes of clients' requests by second, class and tenant. All tries of a client's request count
+ * as one.
+ */
 final class OutcomeCounter {
     private static final int WINDOW_S = 10;
-    /** Latencies are told to two digits, up to a minute. */
-    private static final long MOST_LATENCY_US = 60_000_000;
+    /** Upper limit of recorded latencies, in microseconds; they are recorded to two significant digits. */
+    private static final long MAX_LATENCY_US = 60_000_000;
 
     private final Fleet fleet;
     private final double[] offered;
     private final double[] inTime;
-    private final long[][] byClass;
+    private final long[][] countsByClass;
     private final double[] tenantOffered;
     private final double[] tenantInTime;
-    private final double[] quotaLeft;
-    private final long[] quotaSeenUs;
-    private final double allShares;
-    private final Histogram latency = new Histogram(MOST_LATENCY_US, 2);
+    private final double[] quotaRemaining;
+    private final long[] quotaUpdatedAtUs;
+    private final double totalShare;
+    private final Histogram latency = new Histogram(MAX_LATENCY_US, 2);
     long tries;
 
-    /** Places in what is counted for a class. */
-    private enum Of {
+    /** Indexes of the counters of a class. */
+    private enum Category {
         OFFERED,
         IN_TIME,
         LATE,
@@ -37,104 +40,118 @@
         int seconds = (int) (fleet.load().durationUs() / 1_000_000) + 1;
         offered = new double[seconds];
         inTime = new double[seconds];
-        byClass = new long[fleet.classes().size()][Of.values().length];
+        countsByClass = new long[fleet.classes().size()][Category.values().length];
         int tenants = fleet.tenants().size();
         tenantOffered = new double[tenants];
         tenantInTime = new double[tenants];
-        quotaLeft = new double[tenants];
-        quotaSeenUs = new long[tenants];
-        allShares =
+        quotaRemaining = new double[tenants];
+        quotaUpdatedAtUs = new long[tenants];
+        totalShare =
                 fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
     }
 
-    /** A client wants something; what that is worth. */
+    /** Counts a new client request and returns its worth. */
     double offered(long atUs, int classIndex, int tenant) {
-        RequestClass of = fleet.classes().get(classIndex).requestClass();
-        boolean over = tenant >= 0 && fleet.load().quotaPerS() > 0 && isOver(atUs, tenant);
-        double worth = of.worth() * (over ? fleet.load().overShareWorth() : 1);
+        RequestClass requestClass = fleet.classes().get(classIndex).requestClass();
+        boolean isOverQuota = tenant >= 0 && fleet.load().quotaPerS() > 0 && isOverQuota(atUs, tenant);
+        double worth = requestClass.worth() * (isOverQuota ? fleet.load().overShareWorth() : 1);
         offered[(int) (atUs / 1_000_000)] += worth;
-        byClass[classIndex][Of.OFFERED.ordinal()]++;
-        if (tenant >= 0 && !over) {
+        countsByClass[classIndex][Category.OFFERED.ordinal()]++;
+        if (tenant >= 0 && !isOverQuota) {
             tenantOffered[tenant] += worth;
         }
         return worth;
     }
 
-    /** A second's worth of its share may be used at once. */
-    private boolean isOver(long atUs, int tenant) {
-        double quota = fleet.load().quotaPerS() * fleet.tenants().get(tenant).share() / allShares;
-        double sinceS = quotaSeenUs[tenant] == 0 ? 1 : (atUs - quotaSeenUs[tenant]) / 1e6;
-        quotaSeenUs[tenant] = atUs;
-        quotaLeft[tenant] = Math.min(quota, quotaLeft[tenant] + quota * sinceS);
-        if (quotaLeft[tenant] < 1) {
+    /**
+     * Returns whether a request exceeds its tenant's quota. Up to one second's worth of quota may be used at
+     * once.
+     */
+    private boolean isOverQuota(long atUs, int tenant) {
+        double quota = fleet.load().quotaPerS() * fleet.tenants().get(tenant).share() / totalShare;
+        double sinceS = quotaUpdatedAtUs[tenant] == 0 ? 1 : (atUs - quotaUpdatedAtUs[tenant]) / 1e6;
+        quotaUpdatedAtUs[tenant] = atUs;
+        quotaRemaining[tenant] = Math.min(quota, quotaRemaining[tenant] + quota * sinceS);
+        if (quotaRemaining[tenant] < 1) {
             return true;
         }
-        quotaLeft[tenant]--;
+        quotaRemaining[tenant]--;
         return false;
     }
 
-    void served(long cameUs, int classIndex, int tenant, double worth, long tookUs, long aimUs) {
-        latency.recordValue(Math.min(MOST_LATENCY_US, tookUs));
-        if (tookUs > aimUs) {
-            byClass[classIndex][Of.LATE.ordinal()]++;
+    /** Counts a request that was answered, in time or late. */
+    void served(long arrivedAtUs, int classIndex, int tenant, double worth, long durationUs, long aimUs) {
+        latency.recordValue(Math.min(MAX_LATENCY_US, durationUs));
+        if (durationUs > aimUs) {
+            countsByClass[classIndex][Category.LATE.ordinal()]++;
             return;
         }
-        byClass[classIndex][Of.IN_TIME.ordinal()]++;
-        inTime[(int) (cameUs / 1_000_000)] += worth;
+        countsByClass[classIndex][Category.IN_TIME.ordinal()]++;
+        inTime[(int) (arrivedAtUs / 1_000_000)] += worth;
         if (tenant >= 0
                 && worth == fleet.classes().get(classIndex).requestClass().worth()) {
             tenantInTime[tenant] += worth;
         }
     }
 
+    /** Counts a request that was refused or failed for good. */
     void unserved(int classIndex, boolean refused) {
-        byClass[classIndex][(refused ? Of.REFUSED : Of.FAILED).ordinal()]++;
+        countsByClass[classIndex][(refused ? Category.REFUSED : Category.FAILED).ordinal()]++;
     }
 
-    // ---------------------------------------------------------------- what it came to
+    // ---------------------------------------------------------------- results
 
-    double share(int fromS, int toS) {
-        double of = 0;
-        double good = 0;
+    /**
+     * Returns the worth answered in time over the worth offered, between two seconds of the run; 1 if none
+     * was.
+     */
+    double inTimeRatio(int fromS, int toS) {
+        double offeredWorth = 0;
+        double inTimeWorth = 0;
         for (int s = Math.max(0, fromS); s < Math.min(toS, offered.length); s++) {
-            of += offered[s];
-            good += inTime[s];
+            offeredWorth += offered[s];
+            inTimeWorth += inTime[s];
         }
-        return of == 0 ? 1 : good / of;
+        return offeredWorth == 0 ? 1 : inTimeWorth / offeredWorth;
     }
 
-    double worstWindow() {
+    /** Returns the lowest ratio of in-time worth within any window of {@link #WINDOW_S} seconds. */
+    double worstWindowRatio() {
         double worst = 1;
         for (int s = 0; s + WINDOW_S < offered.length; s++) {
-            worst = Math.min(worst, share(s, s + WINDOW_S));
+            worst = Math.min(worst, inTimeRatio(s, s + WINDOW_S));
         }
-        return offered.length <= WINDOW_S ? share(0, offered.length) : worst;
+        return offered.length <= WINDOW_S ? inTimeRatio(0, offered.length) : worst;
     }
 
-    List<Double> byTenant() {
+    /** Returns the ratio of in-time worth of each tenant, counting requests within its quota. */
+    List<Double> inTimeByTenant() {
         return IntStream.range(0, tenantOffered.length)
                 .mapToObj(t -> tenantOffered[t] == 0 ? 1 : tenantInTime[t] / tenantOffered[t])
                 .toList();
     }
 
-    List<Double> sharesBySecond() {
+    /** Returns the ratio of in-time worth of each second. */
+    List<Double> inTimeBySecond() {
         return IntStream.range(0, offered.length - 1)
-                .mapToObj(s -> share(s, s + 1))
+                .mapToObj(s -> inTimeRatio(s, s + 1))
                 .toList();
     }
 
+    /** Returns the outcomes by class. */
     List<RunResult.ClassOutcome> classes() {
-        return IntStream.range(0, byClass.length)
+        return IntStream.range(0, countsByClass.length)
                 .mapToObj(c -> new RunResult.ClassOutcome(
                         fleet.classes().get(c).requestClass().name(),
-                        byClass[c][0],
-                        byClass[c][1],
-                        byClass[c][2],
-                        byClass[c][3],
-                        byClass[c][4]))
+                        countsByClass[c][0],
+                        countsByClass[c][1],
+                        countsByClass[c][2],
+                        countsByClass[c][3],
+                        countsByClass[c][4]))
                 .toList();
     }
 
+    /** Returns a percentile of the latency of answered requests, in microseconds. */
     long latencyUs(double percentile) {
         return latency.getValueAtPercentile(percentile);
     }
--- a/src/main/java/kitemux/fleet/RuleChecker.java
+++ b/src/main/java/kitemux/fleet/RuleChecker.java
@@ -9,42 +9,44 @@
 import kitemux.sim.Scheduler;
 
 /**
- * Holds what servers and clients see against the four rules, and counts breaks. It knows nothing of nodes or
- * modules but what they sent.
+ * Checks the four service rules against what servers and clients observe, and counts violations. The checker
+ * does not know the nodes or their modules, only the requests they sent.
  */
 final class RuleChecker {
-    /** Breaks that are told of by a line each; the rest is counted. */
-    private static final int MOST_TOLD = 20;
+    /** Number of violations that are reported in full; further ones are only counted. */
+    private static final int MAX_REPORTED_VIOLATION_COUNT = 20;
 
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final ColdLoadLimit limits;
     private final List<String> violations = new ArrayList<>();
     private long violationCount;
 
     /**
-     * @param capacityMultiple a cold server falls over beyond so many times what it can do
-     * @param windowUs within any stretch so long
+     * The load under which a cold server collapses.
+     *
+     * @param capacityMultiple multiple of the server's present capacity
+     * @param windowUs window within which the load is summed, in microseconds
      */
     record ColdLoadLimit(double capacityMultiple, long windowUs) {}
 
-    /** One try of a client, as servers see it. */
+    /** One client try as seen by servers. */
     static final class TrackedTry {
         final RequestClass requestClass;
         final long number;
-        private int runs;
+        private int executionCount;
         private long firstSentUs;
         private int rack;
         private boolean answered;
         private boolean refused;
 
-        TrackedTry(RequestClass of, long number) {
-            this.requestClass = of;
+        TrackedTry(RequestClass requestClass, long number) {
+            this.requestClass = requestClass;
             this.number = number;
         }
     }
 
-    RuleChecker(Scheduler time, ColdLoadLimit limits) {
-        this.time = time;
+    RuleChecker(Scheduler scheduler, ColdLoadLimit limits) {
+        this.scheduler = scheduler;
         this.limits = limits;
     }
 
@@ -52,70 +54,78 @@
         return limits;
     }
 
-    /** A server begins work on it, which was sent at this time. */
-    void executionStarted(TrackedTry asked, Box box, long sentUs) {
-        if (asked.refused && asked.requestClass.repeat() == Repeat.UNSAFE) {
-            recordViolation("no effect twice: request " + asked.number + " of " + asked.requestClass.name()
-                    + " runs though it was refused as harmless");
+    /**
+     * Records that a server starts to execute a try.
+     *
+     * @param sentUs time at which the request was sent, in microseconds of the run
+     */
+    void executionStarted(TrackedTry clientTry, Box box, long sentUs) {
+        if (clientTry.refused && clientTry.requestClass.repeat() == Repeat.UNSAFE) {
+            recordViolation("no effect twice: request " + clientTry.number + " of " + clientTry.requestClass.name()
+                    + " is executed although it was refused as not executed");
         }
-        if (asked.runs++ == 0) {
-            asked.firstSentUs = sentUs;
-            asked.rack = box.rack;
+        if (clientTry.executionCount++ == 0) {
+            clientTry.firstSentUs = sentUs;
+            clientTry.rack = box.rack;
             return;
         }
-        boolean lawful =
-                switch (asked.requestClass.repeat()) {
+        boolean isAllowed =
+                switch (clientTry.requestClass.repeat()) {
                     case SAFE -> true;
-                    // Of two copies the one that was sent last may begin first: the rack remembers either.
+                    // The copy that was sent last may start first; the rack recognises a duplicate in either order.
                     case KEYED ->
-                        sentUs <= asked.firstSentUs + asked.requestClass.windowUs()
-                                && (asked.requestClass.group() != Group.CELL || asked.rack == box.rack);
+                        sentUs <= clientTry.firstSentUs + clientTry.requestClass.windowUs()
+                                && (clientTry.requestClass.group() != Group.CELL || clientTry.rack == box.rack);
                     case UNSAFE -> false;
                 };
-        if (!lawful) {
-            recordViolation("no effect twice: request " + asked.number + " of " + asked.requestClass.name()
+        if (!isAllowed) {
+            recordViolation("no effect twice: request " + clientTry.number + " of " + clientTry.requestClass.name()
                     + " runs again at " + box.id);
         }
     }
 
-    /** Its client has a final answer. */
-    void answered(TrackedTry asked, boolean refused) {
-        if (asked.answered) {
-            recordViolation("no request lost: request " + asked.number + " has a second answer");
+    /** Records that a try's client has received a final answer. */
+    void answered(TrackedTry clientTry, boolean refused) {
+        if (clientTry.answered) {
+            recordViolation("no request lost: request " + clientTry.number + " has a second answer");
         }
-        asked.answered = true;
-        asked.refused |= refused;
-        if (refused && asked.runs > 0 && asked.requestClass.repeat() == Repeat.UNSAFE) {
-            recordViolation("no effect twice: request " + asked.number + " of " + asked.requestClass.name()
-                    + " has run and is refused as harmless");
+        clientTry.answered = true;
+        clientTry.refused |= refused;
+        if (refused && clientTry.executionCount > 0 && clientTry.requestClass.repeat() == Repeat.UNSAFE) {
+            recordViolation("no effect twice: request " + clientTry.number + " of " + clientTry.requestClass.name()
+                    + " was executed and is refused as not executed");
         }
     }
 
-    /** Its client's time is over, with no answer though its node runs. */
-    void unanswered(TrackedTry asked) {
-        if (!asked.answered) {
-            recordViolation("no request lost: request " + asked.number + " has no answer in its time");
+    /** Records that a try's client timed out without an answer although its node is running. */
+    void unanswered(TrackedTry clientTry) {
+        if (!clientTry.answered) {
+            recordViolation("no request lost: request " + clientTry.number + " has no answer before its timeout");
         }
     }
 
+    /** Records that a request was sent to a server after its drain grace period. */
     void sentWhileDraining(Box box) {
         recordViolation("drains kept: sent to " + box.id);
     }
 
+    /** Records that nodes have overloaded a cold server so that it collapsed. */
     void coldServerOverloaded(Box box) {
         recordViolation("no cold server pushed over: " + box.id);
     }
 
-    private void recordViolation(String what) {
-        if (violationCount++ < MOST_TOLD) {
-            violations.add(String.format(Locale.ROOT, "%.3f s  %s", time.nowUs() / 1e6, what));
+    private void recordViolation(String description) {
+        if (violationCount++ < MAX_REPORTED_VIOLATION_COUNT) {
+            violations.add(String.format(Locale.ROOT, "%.3f s  %s", scheduler.nowUs() / 1e6, description));
         }
     }
 
+    /** Returns the number of violations. */
     long violationCount() {
         return violationCount;
     }
 
+    /** Returns the first violations, one line each. */
     List<String> violations() {
         return List.copyOf(violations);
     }
--- a/src/main/java/kitemux/fleet/RunResult.java
+++ b/src/main/java/kitemux/fleet/RunResult.java
@@ -3,24 +3,29 @@
 import java.util.List;
 
 /**
- * What came of a run.
+ * The results of a run.
  *
- * @param seed it was drawn from
- * @param inTimeRatio worth answered within its aim, over the worth asked for
- * @param worstWindowRatio the same of the worst 10 s
- * @param inTimeByTenant the same of each tenant, within its share
- * @param inTimeBySecond the same for each second in which clients came
- * @param p50Us median time to an answer, over all tries, of what was answered
- * @param p99Us its 99th percentile
- * @param triesPerRequest how often clients asked for one thing, in the mean
- * @param kinds what servers did, by kind
- * @param nodeUtilisation share of their processors that nodes used, in the mean, and the longest that one was behind
- * @param overloadedServers servers that turned slow
- * @param rejectedRequests requests that found a server's waiting room full
- * @param rejectedConnections by servers that had as many as they accept
- * @param violationCount how often a rule was broken
- * @param violations the first of these, a line each
- * @param events that were played
+ * @param seed the seed of the run
+ * @param inTimeRatio worth answered within its latency objective over the worth offered
+ * @param worstWindowRatio the same ratio in the worst 10 s
+ * @param inTimeByTenant the same ratio of each tenant, for requests within its share
+ * @param inTimeBySecond the same ratio of each second in which clients arrived
+ * @param classes outcomes by class
+ * @param p50Us median latency of answered requests including all their tries, in microseconds
+ * @param p99Us 99th percentile of that latency
+ * @param triesPerRequest mean number of tries per client request
+ * @param kinds statistics of the servers by kind
+ * @param nodeUtilisation mean utilisation of the nodes' processors
+ * @param nodeMaxLagUs longest time by which any node's processor was behind, in microseconds
+ * @param overloadedServers number of servers that slowed down through overload
+ * @param rejectedRequests requests that servers rejected because their queues were full
+ * @param rejectedConnections connections that servers refused because they had too many
+ * @param attempts requests sent to servers
+ * @param connectionsOpened connections opened to servers
+ * @param wastedRatio fraction of the servers' busy time spent on answers that nobody waited for
+ * @param violationCount number of rule violations
+ * @param violations the first violations, one line each
+ * @param events number of events processed
  */
 public record RunResult(
         long seed,
@@ -45,20 +50,21 @@
         List<String> violations,
         long events) {
 
-    /** What became of a class's wishes. */
+    /** Outcomes of the requests of a class. */
     public record ClassOutcome(String name, long offered, long inTime, long late, long refused, long failed) {}
 
     /**
-     * What became of a kind's servers.
+     * Statistics of the servers of a kind.
      *
-     * @param utilisation share of their cores in use, in the mean
-     * @param maxUtilisation the same of the busiest one
-     * @param maxConnections that one had at a time
+     * @param utilisation mean utilisation of their cores
+     * @param maxUtilisation utilisation of the busiest server
+     * @param maxConnections highest number of simultaneous connections of any server
+     * @param overloadedServers number of servers that slowed down through overload
      */
     public record KindUsage(
             String name, double utilisation, double maxUtilisation, int maxConnections, int overloadedServers) {}
 
-    /** Share of the wishes of the class that was served worst which were answered in time. */
+    /** Returns the fraction of requests answered in time in the class with the lowest one. */
     public double worstClassRatio() {
         return classes.stream()
                 .filter(c -> c.offered > 0)
@@ -67,34 +73,38 @@
                 .orElse(1);
     }
 
-    /** Share in time of the tenant that was served worst, of what was within its share; 1 without tenants. */
+    /**
+     * Returns the in-time ratio of the tenant with the lowest one, for requests within its share; 1 without
+     * tenants.
+     */
     public double worstTenantRatio() {
         return inTimeByTenant.stream().mapToDouble(share -> share).min().orElse(1);
     }
 
-    /** First tries. */
+    /** Returns the number of client requests, counting each once whatever the number of its tries. */
     public long requests() {
         return classes.stream().mapToLong(ClassOutcome::offered).sum();
     }
 
     /**
-     * Seconds from a time until the service is back: until every stretch of three seconds from then on has
-     * this share in time. -1 if it is not back before clients stop.
+     * Returns the seconds from the given time until the service has recovered: until each window of three
+     * seconds from then on reaches the given in-time ratio. Returns -1 if it does not recover before clients
+     * stop.
      */
-    public int recoveryTimeS(int fromS, double share) {
-        int back = inTimeBySecond.size();
+    public int recoveryTimeS(int fromS, double minRatio) {
+        int recoveredAt = inTimeBySecond.size();
         for (int s = inTimeBySecond.size() - 1; s >= fromS; s--) {
             double sum = 0;
-            int of = 0;
+            int seconds = 0;
             for (int i = s; i < Math.min(s + 3, inTimeBySecond.size()); i++) {
                 sum += inTimeBySecond.get(i);
-                of++;
+                seconds++;
             }
-            if (sum / of < share) {
+            if (sum / seconds < minRatio) {
                 break;
             }
-            back = s;
+            recoveredAt = s;
         }
-        return back == inTimeBySecond.size() ? -1 : back - fromS;
+        return recoveredAt == inTimeBySecond.size() ? -1 : recoveredAt - fromS;
     }
 }
--- a/src/main/java/kitemux/plan/CapturedWorkload.java
+++ b/src/main/java/kitemux/plan/CapturedWorkload.java
@@ -7,30 +7,35 @@
 import kitemux.load.Speeds;
 import kitemux.load.Summary;
 
-/** Puts what was captured in the place of what a description says of the load. */
+/** Replaces the load and work of a fleet description by those of captured traffic. */
 public final class CapturedWorkload {
-    /** Of what was wanted: a class that hardly came is left as it is described. */
-    private static final double NOTHING = 1e-4;
-    /** Rates rest on fewer first tries than this by chance alone. */
-    private static final long LEAST_WANTED = 100;
-    /** Deviations over means under which work counts as fixed, and so near 1 as exponential. */
-    private static final double FIXED = 0.05;
+    /**
+     * Lowest share of a class or usage of a tenant, which keeps it valid even if the capture hardly contains
+     * it.
+     */
+    private static final double MIN_SHARE_RATIO = 1e-4;
+    /** Lowest number of captured first tries; rates of fewer would be dominated by chance. */
+    private static final long MIN_FIRST_TRY_COUNT = 100;
+    /** Coefficient of variation below which work counts as fixed. */
+    private static final double FIXED_MAX_CV = 0.05;
 
-    private static final double LIKE_EXPONENTIAL = 0.1;
+    /** Distance of the coefficient of variation from 1 within which work counts as exponential. */
+    private static final double EXPONENTIAL_CV_TOLERANCE = 0.1;
 
     private CapturedWorkload() {}
 
     /**
-     * The same fleet under captured load: rate and shape over time, shares of classes, and what tenants ask
-     * against their share. Work, aims and all else stay as they are described, as a capture cannot tell them.
+     * Returns the fleet with the captured load: its rate and profile, the shares of classes, and the usage of
+     * tenants relative to their shares. Work, latency objectives and all else stay as described, because a
+     * capture does not contain them.
      *
-     * @param faults one line is added for each reason why it cannot be done, with what it is about
-     * @return the fleet; not to be played if there are faults
+     * @param faults receives one line for each reason why the capture does not fit the description
+     * @return the fleet; invalid if faults were added
      */
     public static Fleet applyLoad(Fleet fleet, Summary summary, List<String> faults) {
-        if (summary.wanted() < LEAST_WANTED || summary.seconds() < 1) {
+        if (summary.wanted() < MIN_FIRST_TRY_COUNT || summary.seconds() < 1) {
             faults.add("--load: holds " + summary.wanted() + " first tries in " + summary.seconds() + " s; at least "
-                    + LEAST_WANTED + " in 1 s are needed");
+                    + MIN_FIRST_TRY_COUNT + " in 1 s are needed");
             return fleet;
         }
         for (String name : summary.classes().keySet()) {
@@ -50,47 +55,50 @@
         }
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
         for (Fleet.ClassWorkload work : fleet.classes()) {
-            Summary.OfClass of = summary.classes().get(work.requestClass().name());
-            double share = of == null ? 0 : (double) of.wanted() / summary.wanted();
+            Summary.OfClass captured = summary.classes().get(work.requestClass().name());
+            double share = captured == null ? 0 : (double) captured.wanted() / summary.wanted();
             classes.add(new Fleet.ClassWorkload(
-                    work.requestClass(), Math.max(NOTHING, share), work.meanWorkUs(), work.distribution(), work.cv()));
+                    work.requestClass(),
+                    Math.max(MIN_SHARE_RATIO, share),
+                    work.meanWorkUs(),
+                    work.distribution(),
+                    work.cv()));
         }
-        return fleet.withClasses(classes).withTenants(tenants(fleet, summary)).with(shape(fleet.load(), summary));
+        return fleet.withClasses(classes).withTenants(tenants(fleet, summary)).with(profile(fleet.load(), summary));
     }
 
     /**
-     * The same fleet whose classes are as much work as captured answers say. What is captured is told for a
-     * server
-     * of mean speed; the description's servers say how quick that is.
+     * Returns the fleet with the captured work of its classes. Captured work refers to a server of mean speed
+     * and is converted by the mean speed of the described servers.
      *
-     * @param works what captures tell; a class that they do not tell of stays as it is described
+     * @param capturedWork captured work by class; classes without an entry stay as described
      */
-    public static Fleet applyWork(Fleet fleet, List<Speeds.Work> works) {
+    public static Fleet applyWork(Fleet fleet, List<Speeds.Work> capturedWork) {
         double logs = fleet.kinds().stream()
                 .mapToDouble(k -> k.count() * Math.log(k.speed()))
                 .sum();
         double meanSpeed = Math.exp(logs / fleet.serverCount());
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
         for (Fleet.ClassWorkload described : fleet.classes()) {
-            classes.add(works.stream()
+            classes.add(capturedWork.stream()
                     .filter(w -> w.name().equals(described.requestClass().name()))
                     .findFirst()
                     .map(w -> new Fleet.ClassWorkload(
                             described.requestClass(),
                             described.share(),
                             w.meanUs() * meanSpeed,
-                            spread(w.cv()),
+                            distribution(w.cv()),
                             w.cv()))
                     .orElse(described));
         }
         return fleet.withClasses(classes);
     }
 
-    private static Fleet.WorkDistribution spread(double cv) {
-        if (cv < FIXED) {
+    private static Fleet.WorkDistribution distribution(double cv) {
+        if (cv < FIXED_MAX_CV) {
             return Fleet.WorkDistribution.FIXED;
         }
-        return Math.abs(cv - 1) < LIKE_EXPONENTIAL
+        return Math.abs(cv - 1) < EXPONENTIAL_CV_TOLERANCE
                 ? Fleet.WorkDistribution.EXPONENTIAL
                 : Fleet.WorkDistribution.LOGNORMAL;
     }
@@ -104,18 +112,18 @@
                         t.name(),
                         t.share(),
                         Math.max(
-                                NOTHING,
+                                MIN_SHARE_RATIO,
                                 wanted.getOrDefault(t.name(), 0L)
                                         / (double) summary.wanted()
                                         / (t.share() / entitled))))
                 .toList();
     }
 
-    private static Fleet.Load shape(Fleet.Load load, Summary summary) {
+    private static Fleet.Load profile(Fleet.Load load, Summary summary) {
         double rate = summary.wanted() / summary.seconds();
         List<Fleet.LoadPoint> shape = new ArrayList<>();
         List<Summary.Step> steps = summary.steps();
-        // A step's rate is that of its middle; the last one is not whole.
+        // The rate of a step applies to its middle. The last step is incomplete and is left out.
         for (int i = 0; i < Math.max(1, steps.size() - 1); i++) {
             double middleS = i + 1 < steps.size()
                     ? (steps.get(i).atS() + steps.get(i + 1).atS()) / 2
--- a/src/main/java/kitemux/plan/Estimate.java
+++ b/src/main/java/kitemux/plan/Estimate.java
@@ -5,14 +5,17 @@
 import org.apache.commons.statistics.distribution.TDistribution;
 
 /**
- * A mean over seeds with the interval in which it lies with 95% confidence.
+ * A mean over runs with different seeds, with its 95% confidence interval.
  *
- * @param sampleCount how many it rests on
+ * @param mean mean of the values
+ * @param low lower bound of the interval
+ * @param high upper bound of the interval
+ * @param sampleCount number of values
  */
 public record Estimate(double mean, double low, double high, int sampleCount) {
     private static final double CONFIDENCE = 0.95;
 
-    /** By Student's t; of one value alone the interval is all that there is. */
+    /** Computes the estimate with Student's t distribution. The interval of fewer than two values is infinite. */
     public static Estimate of(List<Double> values) {
         int n = values.size();
         double mean = values.stream().mapToDouble(v -> v).average().orElse(Double.NaN);
@@ -21,12 +24,12 @@
         }
         double variance =
                 values.stream().mapToDouble(v -> (v - mean) * (v - mean)).sum() / (n - 1);
-        double half = TDistribution.of(n - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2)
+        double halfWidth = TDistribution.of(n - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2)
                 * Math.sqrt(variance / n);
-        return new Estimate(mean, mean - half, mean + half, n);
+        return new Estimate(mean, mean - halfWidth, mean + halfWidth, n);
     }
 
-    /** Half of the interval's length. */
+    /** Returns half of the width of the interval. */
     public double halfWidth() {
         return (high - low) / 2;
     }
--- a/src/main/java/kitemux/plan/FleetFile.java
+++ b/src/main/java/kitemux/plan/FleetFile.java
@@ -14,15 +14,20 @@
 import kitemux.hcl.Section;
 
 /**
- * Reads a fleet, its load and what goes wrong from a description in HCL; {@code docs/operate/plan.md} has all
- * fields.
+ * Reads a fleet, its load and its faults from a description in HCL. The fields are documented in {@code
+ * docs/operate/plan.md}.
  */
 public final class FleetFile {
     private FleetFile() {}
 
-    /** Where descriptions are that others name. */
+    /** Provides the text of descriptions that other descriptions refer to. */
     public interface FileSource {
-        /** The text of a file, by its path from the folder of whoever names it. */
+        /**
+         * Returns the text of a file.
+         *
+         * @param path path relative to the folder of the referring file
+         * @throws IOException if the file cannot be read
+         */
         String read(String path) throws IOException;
     }
 
@@ -38,33 +43,37 @@
     }
 
     /**
-     * Reads a fleet that another description names.
+     * Reads a fleet that another description refers to.
      *
-     * @param path as it is named; empty where it is not
-     * @param namers gets what is wrong with the name, as faults of its field {@code fleet}
-     * @param own gets what is wrong in the fleet's description, with its places
+     * @param path path of the fleet's description; empty if none is given
+     * @param source provides the text
+     * @param referrerFaults receives faults of the reference itself, in the field {@code fleet}
+     * @param fleetFaults receives faults of the fleet's description, with their positions
      * @return the fleet; null if there are faults
      */
-    public static Fleet readNamed(String path, FileSource texts, List<String> namers, List<String> own) {
+    public static Fleet readNamed(
+            String path, FileSource source, List<String> referrerFaults, List<String> fleetFaults) {
         if (path.isEmpty()) {
             return null;
         }
         try {
-            String text = texts.read(path);
-            List<String> found = new ArrayList<>();
-            Fleet fleet = read(text, found);
-            own.addAll(Places.placed(path, text, found));
-            return own.isEmpty() ? fleet : null;
+            String text = source.read(path);
+            List<String> foundFaults = new ArrayList<>();
+            Fleet fleet = read(text, foundFaults);
+            fleetFaults.addAll(Places.placed(path, text, foundFaults));
+            return fleetFaults.isEmpty() ? fleet : null;
         } catch (IOException e) {
-            namers.add("fleet: " + path + " cannot be read: " + e.getMessage());
+            referrerFaults.add("fleet: " + path + " cannot be read: " + e.getMessage());
             return null;
         }
     }
 
     /**
+     * Reads a fleet from its description.
+     *
      * @param text the description
-     * @param faults gets all that is wrong, one line each with field and reason
-     * @return the fleet; not to be played if there are faults
+     * @param faults receives the faults, one line each with field and reason
+     * @return the fleet; must not be run if there are faults
      */
     public static Fleet read(String text, List<String> faults) {
         Map<String, Object> parsed;
@@ -74,57 +83,57 @@
             faults.add("this is not HCL: " + String.valueOf(e.getMessage()).replace('\n', ' '));
             return null;
         }
-        Section all = new Section("", parsed, faults);
+        Section root = new Section("", parsed, faults);
         List<Fleet.ServerKind> kinds = new ArrayList<>();
-        all.labelled("boxes", true).forEach((name, box) -> kinds.add(kind(name, box)));
+        root.labelled("boxes", true).forEach((name, box) -> kinds.add(kind(name, box)));
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
-        all.labelled("class", true).forEach((name, of) -> classes.add(work(name, of)));
+        root.labelled("class", true).forEach((name, section) -> classes.add(work(name, section)));
         List<Fleet.TenantShare> tenants = new ArrayList<>();
-        all.labelled("tenant", false).forEach((name, of) -> {
-            tenants.add(new Fleet.TenantShare(name, of.number("share", Double.NaN), of.number("usage", 1)));
-            of.end();
+        root.labelled("tenant", false).forEach((name, section) -> {
+            tenants.add(new Fleet.TenantShare(name, section.number("share", Double.NaN), section.number("usage", 1)));
+            section.end();
         });
-        Fleet.Nodes nodes = nodes(all.block("nodes", true));
-        Fleet.OverloadSlowdown choke = choke(all.block("choke", false));
-        Fleet.Links links = links(all.block("links", true));
-        Fleet.DiscoveryDelays list = list(all.block("list", false), faults);
-        Fleet.Clients clients = clients(all.block("clients", true));
-        Fleet.Load load = load(all.block("load", true));
-        List<Fleet.Fault> wrong = new ArrayList<>();
-        for (Section fault : all.repeated("fault")) {
-            wrong.add(readFault(fault));
+        Fleet.Nodes nodes = nodes(root.block("nodes", true));
+        Fleet.OverloadSlowdown slowdown = choke(root.block("choke", false));
+        Fleet.Links links = links(root.block("links", true));
+        Fleet.DiscoveryDelays list = list(root.block("list", false), faults);
+        Fleet.Clients clients = clients(root.block("clients", true));
+        Fleet.Load load = load(root.block("load", true));
+        List<Fleet.Fault> fleetFaults = new ArrayList<>();
+        for (Section fault : root.repeated("fault")) {
+            fleetFaults.add(readFault(fault));
         }
         Fleet fleet = new Fleet(
                 kinds,
-                all.whole("racks", 1),
-                zones(all.part("zones")),
+                root.whole("racks", 1),
+                zones(root.part("zones")),
                 nodes,
-                choke,
+                slowdown,
                 links,
                 list,
                 clients,
                 classes,
                 tenants,
                 load,
-                wrong);
-        all.end();
+                fleetFaults);
+        root.end();
         if (faults.isEmpty()) {
             faults.addAll(fleet.validate());
         }
         return fleet;
     }
 
-    /** Something that goes wrong. */
-    public static Fleet.Fault readFault(Section of) {
+    /** Reads a fault from its section of a description. */
+    public static Fleet.Fault readFault(Section section) {
         Fleet.Fault fault = new Fleet.Fault(
-                of.word("trouble", Fleet.FaultKind.class, null),
-                of.word("among", Fleet.FaultScope.class, Fleet.FaultScope.ANY),
-                of.whole("which", 0),
-                of.whole("count", 0),
-                of.time("at", -1),
-                of.time("for", -1),
-                of.number("size", 1));
-        of.end();
+                section.word("trouble", Fleet.FaultKind.class, null),
+                section.word("among", Fleet.FaultScope.class, Fleet.FaultScope.ANY),
+                section.whole("which", 0),
+                section.whole("count", 0),
+                section.time("at", -1),
+                section.time("for", -1),
+                section.number("size", 1));
+        section.end();
         return fault;
     }
 
@@ -144,117 +153,118 @@
         return kind;
     }
 
-    private static Fleet.ClassWorkload work(String name, Section of) {
-        RepeatPolicy repeat = of.word("repeat", RepeatPolicy.class, null);
-        DeduplicationScope group = of.word("group", DeduplicationScope.class, DeduplicationScope.ALL);
+    private static Fleet.ClassWorkload work(String name, Section section) {
+        RepeatPolicy repeat = section.word("repeat", RepeatPolicy.class, null);
+        DeduplicationScope group = section.word("group", DeduplicationScope.class, DeduplicationScope.ALL);
         RequestClass cls = new RequestClass(
                 name,
-                of.time("aim", -1),
+                section.time("aim", -1),
                 0,
-                of.time("deadline", -1),
-                of.number("worth", 1),
-                of.number("late_worth", 0),
+                section.time("deadline", -1),
+                section.number("worth", 1),
+                section.number("late_worth", 0),
                 switch (repeat) {
                     case SAFE -> Repeat.SAFE;
                     case KEYED -> Repeat.KEYED;
                     case NEVER_TWICE -> Repeat.UNSAFE;
                 },
                 group == DeduplicationScope.ALL ? Group.ALL : Group.CELL,
-                of.time("window", 0),
+                section.time("window", 0),
                 false);
         Fleet.ClassWorkload work = new Fleet.ClassWorkload(
                 cls,
-                of.number("share", Double.NaN),
-                of.time("work", -1),
-                of.word("spread", Fleet.WorkDistribution.class, Fleet.WorkDistribution.EXPONENTIAL),
-                of.number("cv", 1));
-        of.end();
+                section.number("share", Double.NaN),
+                section.time("work", -1),
+                section.word("spread", Fleet.WorkDistribution.class, Fleet.WorkDistribution.EXPONENTIAL),
+                section.number("cv", 1));
+        section.end();
         return work;
     }
 
-    private static Fleet.Nodes nodes(Section of) {
+    private static Fleet.Nodes nodes(Section section) {
         Fleet.Nodes nodes = new Fleet.Nodes(
-                of.whole("count", Double.NaN),
-                of.time("event", 60),
-                of.number("cores", 1),
-                of.time("start", 1_500_000),
-                of.time("notice", 2_000_000));
-        of.end();
+                section.whole("count", Double.NaN),
+                section.time("event", 60),
+                section.number("cores", 1),
+                section.time("start", 1_500_000),
+                section.time("notice", 2_000_000));
+        section.end();
         return nodes;
     }
 
-    private static Fleet.Zones zones(Section of) {
-        Fleet.Zones zones = new Fleet.Zones(of.whole("count", 1), of.time("across", 0), of.number("price", 0));
-        of.end();
+    private static Fleet.Zones zones(Section section) {
+        Fleet.Zones zones =
+                new Fleet.Zones(section.whole("count", 1), section.time("across", 0), section.number("price", 0));
+        section.end();
         return zones;
     }
 
-    private static Fleet.OverloadSlowdown choke(Section of) {
-        if (of == null) {
+    private static Fleet.OverloadSlowdown choke(Section section) {
+        if (section == null) {
             return null;
         }
-        Fleet.OverloadSlowdown choke = new Fleet.OverloadSlowdown(
-                of.number("at", Double.NaN),
-                of.time("over", -1),
-                of.number("slower", Double.NaN),
-                of.number("below", 0.3),
-                of.time("rest", -1),
-                of.time("most", -1));
-        of.end();
-        return choke;
+        Fleet.OverloadSlowdown slowdown = new Fleet.OverloadSlowdown(
+                section.number("at", Double.NaN),
+                section.time("over", -1),
+                section.number("slower", Double.NaN),
+                section.number("below", 0.3),
+                section.time("rest", -1),
+                section.time("most", -1));
+        section.end();
+        return slowdown;
     }
 
-    private static Fleet.Links links(Section of) {
+    private static Fleet.Links links(Section section) {
         Fleet.Links links = new Fleet.Links(
-                of.time("way", 200),
-                of.number("jitter", 0.2),
-                of.whole("handshakes", 2),
-                of.time("handshake", 0),
-                of.whole("most_per_core", 1_000),
-                of.time("idle", 60_000_000),
-                of.time("connect", 250_000));
-        of.end();
+                section.time("way", 200),
+                section.number("jitter", 0.2),
+                section.whole("handshakes", 2),
+                section.time("handshake", 0),
+                section.whole("most_per_core", 1_000),
+                section.time("idle", 60_000_000),
+                section.time("connect", 250_000));
+        section.end();
         return links;
     }
 
     private static Fleet.DiscoveryDelays list(Section given, List<String> faults) {
-        Section of = given == null ? new Section("list", Map.of(), faults) : given;
+        Section section = given == null ? new Section("list", Map.of(), faults) : given;
         Fleet.DiscoveryDelays list = new Fleet.DiscoveryDelays(
-                new Fleet.Range(of.time("gone_from", 560_000), of.time("gone_to", 5_000_000)),
-                new Fleet.Range(of.time("silent_from", 5_000_000), of.time("silent_to", 13_000_000)),
-                new Fleet.Range(of.time("back_from", 230_000), of.time("back_to", 2_100_000)),
-                of.time("grace", 500_000));
-        of.end();
+                new Fleet.Range(section.time("gone_from", 560_000), section.time("gone_to", 5_000_000)),
+                new Fleet.Range(section.time("silent_from", 5_000_000), section.time("silent_to", 13_000_000)),
+                new Fleet.Range(section.time("back_from", 230_000), section.time("back_to", 2_100_000)),
+                section.time("grace", 500_000));
+        section.end();
         return list;
     }
 
-    private static Fleet.Clients clients(Section of) {
+    private static Fleet.Clients clients(Section section) {
         Fleet.Clients clients = new Fleet.Clients(
-                of.time("way", 700),
-                of.whole("retries", 2),
-                of.number("try_from", 0.4),
-                of.number("try_to", 0.8),
-                of.time("backoff", 20_000),
-                of.number("honour", 0.85),
-                of.time("most_retry_after", 1_000_000),
-                of.number("skew", 0));
-        of.end();
+                section.time("way", 700),
+                section.whole("retries", 2),
+                section.number("try_from", 0.4),
+                section.number("try_to", 0.8),
+                section.time("backoff", 20_000),
+                section.number("honour", 0.85),
+                section.time("most_retry_after", 1_000_000),
+                section.number("skew", 0));
+        section.end();
         return clients;
     }
 
-    private static Fleet.Load load(Section of) {
+    private static Fleet.Load load(Section section) {
         List<Fleet.LoadPoint> shape = new ArrayList<>();
-        for (Section point : of.repeated("point")) {
+        for (Section point : section.repeated("point")) {
             shape.add(new Fleet.LoadPoint(point.time("at", 0), point.number("times", Double.NaN)));
             point.end();
         }
         Fleet.Load load = new Fleet.Load(
-                of.number("rate", Double.NaN),
-                of.time("length", 40_000_000),
+                section.number("rate", Double.NaN),
+                section.time("length", 40_000_000),
                 shape,
-                of.number("quota", 0),
-                of.number("over_share_worth", 0.1));
-        of.end();
+                section.number("quota", 0),
+                section.number("over_share_worth", 0.1));
+        section.end();
         return load;
     }
 }
