--- a/src/main/java/kitemux/plan/Planner.java
+++ b/src/main/java/kitemux/plan/Planner.java
@@ -12,60 +12,70 @@
 import kitemux.fleet.RunResult;
 
 /**
- * Answers operators' questions by playing fleets: does this one hold, at what load does it break and by
- * what, how
- * many servers it needs, what a loss costs. Two variants meet the same clients with the same work, so that
- * what differs is the variant. Pure: who plays, and on how many processors, is handed in.
+ * Answers capacity questions by running fleets: whether a fleet meets its goal, at which load it fails and
+ * why, how many servers it needs, and what failures cost. Variants of a fleet meet the same clients with the
+ * same work, so that results differ only through the variant. The runner is supplied by the caller, which
+ * decides on the number of processors to use.
  */
 public final class Planner {
-    /** Seeds that are played at once, and at most for one question. */
-    private static final int BATCH = 8;
-
-    private static final int MOST_SEEDS = 32;
-    /** An interval this narrow decides, on whichever side its middle lies. */
-    private static final double NARROW = 0.004;
-    /** Loads are told to this part. */
-    private static final double LOAD_STEP = 0.02;
-
-    private static final double LEAST_LOAD = 0.05;
-    private static final double MOST_LOAD = 8;
-    private static final int MOST_BOXES = 2_000;
-    /** A remedy that gains less of what is missing is no cause. */
-    private static final double GAINS = 0.1;
-    /** A pulse that asks whether an overload ends by itself: so many times the load, for so long. */
-    private static final double PULSE = 2.5;
-
+    /** Number of seeds that are run at once. */
+    private static final int SEED_BATCH_COUNT = 8;
+
+    /** Maximum number of seeds that are run for one question. */
+    private static final int MAX_SEED_COUNT = 32;
+    /** Half-width of the confidence interval at which the mean decides, even if the interval contains the goal. */
+    private static final double NARROW_HALF_WIDTH_RATIO = 0.004;
+    /** Relative precision with which the breaking load is determined. */
+    private static final double LOAD_STEP_RATIO = 0.02;
+
+    private static final double MIN_LOAD_RATIO = 0.05;
+    private static final double MAX_LOAD_RATIO = 8;
+    private static final int MAX_SERVER_COUNT = 2_000;
+    /** Lowest fraction of the shortfall that a change must recover to count as a cause. */
+    private static final double MIN_RECOVERED_RATIO = 0.1;
+    /** Load during the overload pulse, as a multiple of the normal load. */
+    private static final double PULSE_LOAD_RATIO = 2.5;
+
+    /** Duration of the overload pulse. */
     private static final long PULSE_US = 5_000_000;
-    /** A tenant that heeds no share asks so many times as much. */
-    private static final double GREEDY = 10;
+    /** Load of the greedy tenant, as a multiple of its normal load. */
+    private static final double GREEDY_TENANT_LOAD_RATIO = 10;
 
-    private final FleetRunner player;
+    private final FleetRunner runner;
     private final double goal;
 
-    /** Plays a fleet once for each seed; results are in the order of the seeds. */
+    /** Runs a fleet. */
     public interface FleetRunner {
+        /** Runs the fleet once for each seed and returns the results in the order of the seeds. */
         List<RunResult> run(Fleet fleet, List<Long> seeds);
     }
 
     /**
-     * @param goal share of the worth asked for that must be answered within its aim, in (0, 1)
+     * Creates a planner.
+     *
+     * @param runner runs the fleets
+     * @param goal fraction of the offered worth that must be answered within its latency objective, in (0, 1)
+     * @throws IllegalArgumentException if the goal is out of range
      */
-    public Planner(FleetRunner player, double goal) {
+    public Planner(FleetRunner runner, double goal) {
         if (!(goal > 0 && goal < 1)) {
-            throw new IllegalArgumentException("a goal is above 0 and under 1, not " + goal);
+            throw new IllegalArgumentException("the goal must be above 0 and below 1, not " + goal);
         }
-        this.player = player;
+        this.runner = runner;
         this.goal = goal;
     }
 
-    // ---------------------------------------------------------------- does it hold
+    // ---------------------------------------------------------------- evaluation
 
     /**
-     * Whether a fleet holds the goal.
+     * The evaluation of a fleet against the goal.
      *
-     * @param inTimeRatio share that was answered in time
-     * @param isConclusive whether the interval lies on one side of the goal
-     * @param violationCount rules broken in all runs together
+     * @param meetsGoal whether the mean in-time ratio reaches the goal
+     * @param isConclusive whether the whole confidence interval lies on one side of the goal
+     * @param inTimeRatio ratio of worth answered in time
+     * @param worstWindowRatio in-time ratio of the worst 10 s
+     * @param violationCount rule violations in all runs together
+     * @param runs the runs
      */
     public record Verdict(
             boolean meetsGoal,
@@ -75,21 +85,24 @@
             long violationCount,
             List<RunResult> runs) {}
 
-    /** Plays seeds until the interval is on one side of the goal, or narrow, or all are played. */
+    /**
+     * Runs seeds in batches until the confidence interval lies on one side of the goal or is narrow, or until
+     * all seeds have been run.
+     */
     public Verdict evaluate(Fleet fleet) {
         List<RunResult> runs = new ArrayList<>();
         Estimate inTime;
         do {
-            runs.addAll(player.run(
+            runs.addAll(runner.run(
                     fleet,
-                    LongStream.range(runs.size() + 1, runs.size() + 1 + BATCH)
+                    LongStream.range(runs.size() + 1, runs.size() + 1 + SEED_BATCH_COUNT)
                             .boxed()
                             .toList()));
             inTime = Estimate.of(runs.stream().map(RunResult::inTimeRatio).toList());
         } while (inTime.low() <= goal
                 && inTime.high() >= goal
-                && inTime.halfWidth() > NARROW
-                && runs.size() < MOST_SEEDS);
+                && inTime.halfWidth() > NARROW_HALF_WIDTH_RATIO
+                && runs.size() < MAX_SEED_COUNT);
         return new Verdict(
                 inTime.mean() >= goal,
                 inTime.low() > goal || inTime.high() < goal,
@@ -99,38 +112,43 @@
                 List.copyOf(runs));
     }
 
-    // ---------------------------------------------------------------- what breaks first
+    // ---------------------------------------------------------------- breaking point
 
     /**
-     * Where the goal breaks as the load grows.
+     * The load at which the goal is missed.
      *
-     * @param highestPassingLoad the highest multiple of today's load at which it held
-     * @param lowestFailingLoad the lowest at which it did not; infinite if it held at all that were tried
-     * @param causes what gains most of what is missing there when it is taken out of the way, most first
+     * @param highestPassingLoad highest multiple of the present load that met the goal
+     * @param lowestFailingLoad lowest multiple that missed it; infinite if no tested load did
+     * @param causes the constraints whose removal recovers most of the shortfall at the failing load, most
+     *     first
      */
     public record BreakingPoint(double highestPassingLoad, double lowestFailingLoad, List<Cause> causes) {}
 
     /**
-     * Something that holds a fleet back.
+     * A constraint that limits a fleet.
      *
-     * @param description in words
-     * @param recoveredRatio part of what is missing to the goal that comes back without it; above 1 where it is more
+     * @param description description of the constraint
+     * @param recoveredRatio fraction of the shortfall to the goal that is recovered without the constraint;
+     *     above 1 if the goal is then exceeded
      */
     public record Cause(String description, double recoveredRatio) {}
 
-    /** Finds the load at which the goal breaks, to {@link #LOAD_STEP}, and by what it does. */
+    /**
+     * Finds the load at which the goal is missed, to a relative precision of {@link #LOAD_STEP_RATIO}, and
+     * its causes.
+     */
     public BreakingPoint findBreakingPoint(Fleet fleet) {
         double low = 0;
         double high = 1;
-        while (high <= MOST_LOAD
+        while (high <= MAX_LOAD_RATIO
                 && evaluate(fleet.with(fleet.load().scaledBy(high))).meetsGoal()) {
             low = high;
             high *= 1.5;
         }
-        if (high > MOST_LOAD) {
+        if (high > MAX_LOAD_RATIO) {
             return new BreakingPoint(low, Double.POSITIVE_INFINITY, List.of());
         }
-        while (high - low > LOAD_STEP * high && high > LEAST_LOAD) {
+        while (high - low > LOAD_STEP_RATIO * high && high > MIN_LOAD_RATIO) {
             double middle = (low + high) / 2;
             if (evaluate(fleet.with(fleet.load().scaledBy(middle))).meetsGoal()) {
                 low = middle;
@@ -142,16 +160,16 @@
     }
 
     /**
-     * Each bound is taken out of the way by itself, under the same clients: what that brings back is its
-     * part.
+     * Removes each constraint by itself, under the same clients, and attributes to it what its removal
+     * recovers.
      */
     private List<Cause> causes(Fleet fleet) {
-        Map<String, Fleet> without = new LinkedHashMap<>();
+        Map<String, Fleet> relaxedFleets = new LinkedHashMap<>();
         for (int k = 0; k < fleet.kinds().size(); k++) {
             Fleet.ServerKind kind = fleet.kinds().get(k);
             if (kind.count() > 0) {
-                List<Fleet.ServerKind> swifter = new ArrayList<>(fleet.kinds());
-                swifter.set(
+                List<Fleet.ServerKind> fasterKinds = new ArrayList<>(fleet.kinds());
+                fasterKinds.set(
                         k,
                         new Fleet.ServerKind(
                                 kind.name(),
@@ -164,16 +182,16 @@
                                 kind.warmUpUs(),
                                 kind.warmsByWork(),
                                 kind.cost()));
-                without.put(
+                relaxedFleets.put(
                         "processors of " + kind.name() + " servers (a quarter more would help)",
-                        fleet.withKinds(swifter));
+                        fleet.withKinds(fasterKinds));
             }
         }
         if (fleet.overloadSlowdown() != null) {
-            without.put("servers that turn slow when crowded", fleet.with((Fleet.OverloadSlowdown) null));
+            relaxedFleets.put("servers that slow down when overloaded", fleet.with((Fleet.OverloadSlowdown) null));
         }
         Fleet.Links links = fleet.links();
-        without.put(
+        relaxedFleets.put(
                 "connections that a server accepts",
                 fleet.with(new Fleet.Links(
                         links.oneWayUs(),
@@ -183,8 +201,8 @@
                         1_000_000,
                         links.idleTimeoutUs(),
                         links.connectTimeoutUs())));
-        without.put(
-                "work of new connections",
+        relaxedFleets.put(
+                "cost of new connections",
                 fleet.with(new Fleet.Links(
                         links.oneWayUs(),
                         links.jitter(),
@@ -194,13 +212,13 @@
                         links.idleTimeoutUs(),
                         links.connectTimeoutUs())));
         Fleet.Nodes nodes = fleet.nodes();
-        without.put(
+        relaxedFleets.put(
                 "processors of nodes",
                 fleet.with(new Fleet.Nodes(
                         nodes.count(), 0, nodes.cores(), nodes.startupUs(), nodes.failureDetectionUs())));
         Fleet.Clients clients = fleet.clients();
-        without.put(
-                "clients that ask again",
+        relaxedFleets.put(
+                "client retries",
                 fleet.with(new Fleet.Clients(
                         clients.oneWayUs(),
                         0,
@@ -211,12 +229,12 @@
                         clients.maxRetryAfterUs(),
                         clients.nodeSkew())));
         if (!fleet.tenants().isEmpty()) {
-            without.put("a tenant's use beside its share", fleet.withoutTenants());
+            relaxedFleets.put("tenant usage beyond its share", fleet.withoutTenants());
         }
         if (fleet.kinds().stream().anyMatch(k -> k.warmUpUs() > 0)
                 && !fleet.faults().isEmpty()) {
-            without.put(
-                    "servers that come back cold",
+            relaxedFleets.put(
+                    "servers that return cold",
                     fleet.withKinds(fleet.kinds().stream()
                             .map(k -> new Fleet.ServerKind(
                                     k.name(),
@@ -232,36 +250,40 @@
                             .toList()));
         }
         if (!fleet.faults().isEmpty()) {
-            without.put("what goes wrong", fleet.withFaults(List.of()));
+            relaxedFleets.put("the described faults", fleet.withFaults(List.of()));
         }
-        double now = mean(fleet);
+        double now = meanInTimeRatio(fleet);
         double missing = Math.max(1e-6, goal - now);
         List<Cause> causes = new ArrayList<>();
-        without.forEach((what, other) -> causes.add(new Cause(what, (mean(other) - now) / missing)));
-        causes.removeIf(cause -> cause.recoveredRatio < GAINS);
+        relaxedFleets.forEach((what, other) -> causes.add(new Cause(what, (meanInTimeRatio(other) - now) / missing)));
+        causes.removeIf(cause -> cause.recoveredRatio < MIN_RECOVERED_RATIO);
         causes.sort(Comparator.comparingDouble(Cause::recoveredRatio).reversed());
         return List.copyOf(causes);
     }
 
-    private double mean(Fleet fleet) {
-        return player.run(fleet, LongStream.rangeClosed(1, BATCH).boxed().toList()).stream()
+    private double meanInTimeRatio(Fleet fleet) {
+        return runner
+                .run(fleet, LongStream.rangeClosed(1, SEED_BATCH_COUNT).boxed().toList())
+                .stream()
                 .mapToDouble(RunResult::inTimeRatio)
                 .average()
                 .orElse(0);
     }
 
-    // ---------------------------------------------------------------- how many servers
+    // ---------------------------------------------------------------- number of servers
 
     /**
-     * Fewest servers of one kind that hold the goal beside the others as they are.
+     * The minimum number of servers of one kind with which the fleet meets the goal; the other kinds stay as
+     * they are.
      *
-     * @param count -1 if no number does
-     * @param reason where none does
-     * @param cost of the whole fleet then
+     * @param kind name of the kind
+     * @param count number of servers, or -1 if no number suffices
+     * @param cost cost of the whole fleet with that number
+     * @param reason reason why no number suffices; otherwise empty
      */
     public record MinimumServers(String kind, int count, double cost, String reason) {}
 
-    /** For each kind by itself. */
+    /** Finds the minimum number of servers of each kind by itself. */
     public List<MinimumServers> findMinimumServers(Fleet fleet) {
         List<MinimumServers> found = new ArrayList<>();
         for (int k = 0; k < fleet.kinds().size(); k++) {
@@ -278,8 +300,8 @@
         while (!evaluate(with(fleet, kind, high)).meetsGoal()) {
             low = high;
             high *= 2;
-            if (high > MOST_BOXES || high > 16 * Math.max(fleet.serverCount(), 4)) {
-                return new MinimumServers(name, -1, Double.NaN, whyNone(with(fleet, kind, low)));
+            if (high > MAX_SERVER_COUNT || high > 16 * Math.max(fleet.serverCount(), 4)) {
+                return new MinimumServers(name, -1, Double.NaN, explainFailure(with(fleet, kind, low)));
             }
         }
         while (high - low > 1) {
@@ -293,12 +315,12 @@
         return new MinimumServers(name, high, cost(with(fleet, kind, high)), "");
     }
 
-    /** With so many servers that work cannot be it, what is left is named. */
-    private String whyNone(Fleet fleet) {
+    /** Names the cause that limits a fleet which has so many servers that their capacity cannot be it. */
+    private String explainFailure(Fleet fleet) {
         List<Cause> causes = causes(fleet);
         return causes.isEmpty()
-                ? "the goal is beyond what work and ways take where nothing waits"
-                : "held back by " + causes.get(0).description();
+                ? "work and network delays alone exceed the goal, even without queueing"
+                : "limited by " + causes.get(0).description();
     }
 
     private static double cost(Fleet fleet) {
@@ -324,18 +346,21 @@
         return fleet.withKinds(kinds);
     }
 
-    // ---------------------------------------------------------------- what a loss costs
+    // ---------------------------------------------------------------- failures
 
     /**
-     * What something that goes wrong costs.
+     * The impact of a failure.
      *
-     * @param recoveryTimeS seconds from its beginning until the goal is met for good, in the mean; of runs that
-     *     came back
-     * @param unrecoveredRatio share of runs that did not come back before clients stopped
-     * @param worstTenantRatio share in time of the tenant that was served worst, of what was within its share;
-     * where one
-     *     asks beyond it, of the others
-     * @param inTimeBySecond share in time of each second, in the mean
+     * @param description description of the failure
+     * @param inTimeRatio ratio of worth answered in time
+     * @param worstWindowRatio in-time ratio of the worst 10 s
+     * @param worstTenantRatio in-time ratio of the tenant with the lowest one, for requests within its share;
+     *     if one tenant exceeds its share, of the other tenants
+     * @param recoveryTimeS mean seconds from the start of the failure until the goal is met again and stays
+     *     met, over the runs that recovered
+     * @param unrecoveredRatio fraction of runs that did not recover before clients stopped
+     * @param violationCount rule violations in all runs together
+     * @param inTimeBySecond mean in-time ratio of each second
      */
     public record FailureImpact(
             String description,
@@ -347,7 +372,7 @@
             long violationCount,
             List<Double> inTimeBySecond) {}
 
-    /** Share in time of each second, in the mean over runs. */
+    /** Returns the in-time ratio of each second, averaged over runs. */
     public static List<Double> meanInTimeBySecond(List<RunResult> runs) {
         int seconds =
                 runs.stream().mapToInt(run -> run.inTimeBySecond().size()).min().orElse(0);
@@ -360,29 +385,29 @@
     }
 
     /**
-     * What a rack, a zone, some servers, a release, a rack that is lost meanwhile, a restart of all nodes
-     * and a
-     * tenant that asks far beyond its share cost today's fleet.
+     * Determines the impact of several failures on the fleet: the loss of a rack, of a zone and of a fifth of
+     * the servers, a release, a release during which a rack is lost, a restart of all nodes, and a tenant
+     * that far exceeds its share.
      */
     public List<FailureImpact> failureImpacts(Fleet fleet) {
         long atUs = fleet.load().durationUs() / 4;
-        List<FailureImpact> losses = new ArrayList<>();
+        List<FailureImpact> impacts = new ArrayList<>();
         if (fleet.racks() > 1) {
-            losses.add(failureImpact(
+            impacts.add(failureImpact(
                     fleet,
                     "a rack dies for 15 s",
                     atUs,
                     new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.RACK, 0, 0, atUs, 15_000_000, 0)));
-            losses.add(failureImpact(
+            impacts.add(failureImpact(
                     fleet,
                     "a rack goes silent for 15 s",
                     atUs,
                     new Fleet.Fault(Fleet.FaultKind.VANISH, Fleet.FaultScope.RACK, 0, 0, atUs, 15_000_000, 0)));
         }
         if (fleet.zones().count() > 1) {
-            // The last one: discovery has its place in the first.
+            // The last zone is used because discovery runs in the first.
             int zone = fleet.zones().count() - 1;
-            losses.add(failureImpact(
+            impacts.add(failureImpact(
                     fleet,
                     "a zone is lost for 15 s, its nodes too",
                     atUs,
@@ -395,23 +420,23 @@
                             atUs,
                             15_000_000,
                             fleet.nodes().count())));
-            losses.add(failureImpact(
+            impacts.add(failureImpact(
                     fleet,
                     "a zone is cut off for 15 s",
                     atUs,
                     new Fleet.Fault(Fleet.FaultKind.CUT, Fleet.FaultScope.ZONE, zone, 0, atUs, 15_000_000, 0)));
         }
         int fifth = Math.max(1, fleet.serverCount() / 5);
-        losses.add(failureImpact(
+        impacts.add(failureImpact(
                 fleet,
                 fifth + " of " + fleet.serverCount() + " servers die for 15 s",
                 atUs,
                 new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.ANY, 0, fifth, atUs, 15_000_000, 0)));
         Fleet.Fault release =
                 new Fleet.Fault(Fleet.FaultKind.RELEASE, Fleet.FaultScope.ANY, 0, 0, atUs, 1_000_000, fifth);
-        losses.add(failureImpact(fleet, "a release, " + fifth + " servers at a time", atUs, release));
+        impacts.add(failureImpact(fleet, "a release, " + fifth + " servers at a time", atUs, release));
         if (fleet.racks() > 1) {
-            losses.add(failureImpact(
+            impacts.add(failureImpact(
                     fleet,
                     "a rack dies for 15 s in the middle of such a release",
                     atUs,
@@ -419,79 +444,86 @@
                     new Fleet.Fault(
                             Fleet.FaultKind.DIE, Fleet.FaultScope.RACK, 0, 0, atUs + 4_000_000, 15_000_000, 0)));
         }
-        losses.add(failureImpact(
+        impacts.add(failureImpact(
                 fleet,
                 "all nodes restart, one at a time",
                 atUs,
                 new Fleet.Fault(Fleet.FaultKind.NODES_RESTART, Fleet.FaultScope.ANY, 0, 0, atUs, 500_000, 1)));
         if (fleet.tenants().size() > 1) {
-            losses.add(greedy(fleet, atUs));
+            impacts.add(greedyTenantImpact(fleet, atUs));
         }
-        return losses;
+        return impacts;
     }
 
     /**
-     * One tenant, that with the smallest share, asks ten times as much from a time on; the others as
-     * before.
+     * Determines the impact on the other tenants when the tenant with the smallest share multiplies its load
+     * by {@link #GREEDY_TENANT_LOAD_RATIO}.
      */
-    private FailureImpact greedy(Fleet fleet, long atUs) {
-        Fleet.TenantShare least = fleet.tenants().stream()
+    private FailureImpact greedyTenantImpact(Fleet fleet, long atUs) {
+        Fleet.TenantShare greedyTenant = fleet.tenants().stream()
                 .min(Comparator.comparingDouble(Fleet.TenantShare::share))
                 .orElseThrow();
         double all = fleet.tenants().stream()
                 .mapToDouble(t -> t.share() * t.usageRatio())
                 .sum();
-        double more = (GREEDY - 1) * least.share() * least.usageRatio() / all;
-        Fleet asking = fleet.withTenants(fleet.tenants().stream()
-                .map(t -> t.equals(least) ? new Fleet.TenantShare(t.name(), t.share(), t.usageRatio() * GREEDY) : t)
+        double additionalLoad = (GREEDY_TENANT_LOAD_RATIO - 1) * greedyTenant.share() * greedyTenant.usageRatio() / all;
+        Fleet increasedFleet = fleet.withTenants(fleet.tenants().stream()
+                .map(t -> t.equals(greedyTenant)
+                        ? new Fleet.TenantShare(t.name(), t.share(), t.usageRatio() * GREEDY_TENANT_LOAD_RATIO)
+                        : t)
                 .toList());
-        int greedy = fleet.tenants().indexOf(least);
+        int greedyIndex = fleet.tenants().indexOf(greedyTenant);
         return failureImpact(
-                least.name() + " asks " + (int) GREEDY + " times as much",
+                greedyTenant.name() + " asks " + (int) GREEDY_TENANT_LOAD_RATIO + " times as much",
                 atUs,
-                asking.with(fleet.load().scaledBy(1 + more)),
+                increasedFleet.with(fleet.load().scaledBy(1 + additionalLoad)),
                 run -> IntStream.range(0, run.inTimeByTenant().size())
-                        .filter(t -> t != greedy)
+                        .filter(t -> t != greedyIndex)
                         .mapToDouble(t -> run.inTimeByTenant().get(t))
                         .min()
                         .orElse(1));
     }
 
-    private FailureImpact failureImpact(Fleet fleet, String what, long atUs, Fleet.Fault... more) {
+    private FailureImpact failureImpact(Fleet fleet, String description, long atUs, Fleet.Fault... additionalFaults) {
         List<Fleet.Fault> faults = new ArrayList<>(fleet.faults());
-        faults.addAll(List.of(more));
-        return failureImpact(what, atUs, fleet.withFaults(faults), RunResult::worstTenantRatio);
+        faults.addAll(List.of(additionalFaults));
+        return failureImpact(description, atUs, fleet.withFaults(faults), RunResult::worstTenantRatio);
     }
 
-    private FailureImpact failureImpact(String what, long atUs, Fleet fleet, ToDoubleFunction<RunResult> worstTenant) {
-        List<RunResult> runs =
-                player.run(fleet, LongStream.rangeClosed(1, 2 * BATCH).boxed().toList());
+    private FailureImpact failureImpact(
+            String description, long atUs, Fleet fleet, ToDoubleFunction<RunResult> worstTenant) {
+        List<RunResult> runs = runner.run(
+                fleet, LongStream.rangeClosed(1, 2 * SEED_BATCH_COUNT).boxed().toList());
         int from = (int) (atUs / 1_000_000);
-        List<Integer> back =
+        List<Integer> recoveryTimes =
                 runs.stream().map(run -> run.recoveryTimeS(from, goal)).toList();
         return new FailureImpact(
-                what,
+                description,
                 Estimate.of(runs.stream().map(RunResult::inTimeRatio).toList()),
                 Estimate.of(runs.stream().map(RunResult::worstWindowRatio).toList()),
                 Estimate.of(runs.stream().map(worstTenant::applyAsDouble).toList()),
-                back.stream().filter(s -> s >= 0).mapToInt(s -> s).average().orElse(Double.NaN),
-                (double) back.stream().filter(s -> s < 0).count() / back.size(),
+                recoveryTimes.stream()
+                        .filter(s -> s >= 0)
+                        .mapToInt(s -> s)
+                        .average()
+                        .orElse(Double.NaN),
+                (double) recoveryTimes.stream().filter(s -> s < 0).count() / recoveryTimes.size(),
                 runs.stream().mapToLong(RunResult::violationCount).sum(),
                 meanInTimeBySecond(runs));
     }
 
-    /** Whether an overload ends by itself: a pulse of load, and how long the way back takes from its end. */
+    /** Determines whether the fleet recovers from a pulse of overload, and how long that takes after the pulse. */
     public FailureImpact overloadPulseImpact(Fleet fleet) {
         long atUs = fleet.load().durationUs() / 4;
         Fleet.Load load = fleet.load();
         List<Fleet.LoadPoint> shape = List.of(
                 new Fleet.LoadPoint(0, 1),
                 new Fleet.LoadPoint(atUs, 1),
-                new Fleet.LoadPoint(atUs + 1, PULSE),
-                new Fleet.LoadPoint(atUs + PULSE_US, PULSE),
+                new Fleet.LoadPoint(atUs + 1, PULSE_LOAD_RATIO),
+                new Fleet.LoadPoint(atUs + PULSE_US, PULSE_LOAD_RATIO),
                 new Fleet.LoadPoint(atUs + PULSE_US + 1, 1));
         return failureImpact(
-                "load of " + PULSE + " times for " + PULSE_US / 1_000_000 + " s",
+                "load of " + PULSE_LOAD_RATIO + " times for " + PULSE_US / 1_000_000 + " s",
                 atUs + PULSE_US,
                 fleet.with(new Fleet.Load(
                         load.ratePerS(), load.durationUs(), shape, load.quotaPerS(), load.overShareWorth())),
--- a/src/main/java/kitemux/plan/QueueingFormulas.java
+++ b/src/main/java/kitemux/plan/QueueingFormulas.java
@@ -1,61 +1,64 @@
 package kitemux.plan;
 
 /**
- * Bounds on paper: what queueing formulas say where they are exact, to hold an emulator against and to tell
- * what cannot be before anything is played. Loads are in erlangs: arrivals a second times seconds of work.
+ * Exact results of queueing theory, used to verify the emulator and to rule out impossible goals without a
+ * run. Loads are in erlangs: arrivals per second times seconds of work.
  */
 public final class QueueingFormulas {
     private QueueingFormulas() {}
 
     /**
-     * Share of arrivals that find all servers busy where nobody waits (Erlang B).
+     * Returns the fraction of arrivals that find all servers busy in a system without a queue (Erlang B).
      *
-     * @param servers at least 1
-     * @param load in erlangs, above 0
+     * @param servers number of servers, at least 1
+     * @param load load in erlangs, above 0
      */
     public static double erlangB(int servers, double load) {
-        double lost = 1;
+        double blockedRatio = 1;
         for (int i = 1; i <= servers; i++) {
-            lost = load * lost / (i + load * lost);
+            blockedRatio = load * blockedRatio / (i + load * blockedRatio);
         }
-        return lost;
+        return blockedRatio;
     }
 
     /**
-     * Share of arrivals that wait in M/M/c (Erlang C); 1 where the load is not under the number of servers.
+     * Returns the fraction of arrivals that wait in an M/M/c queue (Erlang C); 1 if the load is not below the
+     * number of servers.
      */
     public static double erlangC(int servers, double load) {
         if (load >= servers) {
             return 1;
         }
-        double lost = erlangB(servers, load);
-        return lost / (1 - load / servers * (1 - lost));
+        double blockedRatio = erlangB(servers, load);
+        return blockedRatio / (1 - load / servers * (1 - blockedRatio));
     }
 
     /**
-     * Mean time in M/M/c, waiting and served, in units of the mean service time; infinite where it is full.
+     * Returns the mean response time in an M/M/c queue, in units of the mean service time; infinite if the
+     * load is not below the number of servers.
      */
     public static double mmcResponseTime(int servers, double load) {
         return load >= servers ? Double.POSITIVE_INFINITY : 1 + erlangC(servers, load) / (servers - load);
     }
 
     /**
-     * The same of a single server with any service times, first come first served (Pollaczek and Khinchine).
+     * Returns the mean response time in an M/G/1 queue in units of the mean service time, by the
+     * Pollaczek-Khinchine formula; infinite if the load is not below 1.
      *
-     * @param cv of the service times: standard deviation over mean; 0 gives M/D/1, 1 M/M/1
+     * @param cv coefficient of variation of the service times; 0 gives M/D/1, 1 gives M/M/1
      */
     public static double mg1ResponseTime(double load, double cv) {
         return load >= 1 ? Double.POSITIVE_INFINITY : 1 + load * (1 + cv * cv) / (2 * (1 - load));
     }
 
     /**
-     * Where clients ask again, how much is asked in the end, against first tries: the least fixed point, and
-     * the greatest. They are one where the fleet recovers by itself; where they are two, a storm that has
-     * begun goes on.
+     * Computes the number of tries per request in a fleet whose clients retry: the least and the greatest
+     * fixed point. They are equal if the fleet recovers by itself; if they differ, a retry storm sustains
+     * itself.
      *
-     * @param offered first tries' work against what the fleet can do
-     * @param repeats how often a client asks again at most
-     * @param wasted share of the work that clients gave up which is done all the same, in [0, 1)
+     * @param offered work of first tries relative to the capacity of the fleet
+     * @param repeats maximum number of retries of a client
+     * @param wasted fraction of the work of abandoned tries that is executed nevertheless, in [0, 1)
      */
     public static RetryStorm retryStorm(double offered, int repeats, double wasted) {
         return new RetryStorm(
@@ -63,28 +66,31 @@
     }
 
     /**
-     * How much is asked, against first tries.
+     * The number of tries per request in equilibrium.
      *
-     * @param calmTriesRatio once all was well before
-     * @param stormTriesRatio once all clients ask again
+     * @param calmTriesRatio number of tries when the fleet comes from normal operation
+     * @param stormTriesRatio number of tries when all clients already retry
      */
     public record RetryStorm(double calmTriesRatio, double stormTriesRatio) {
-        /** Whether a storm outlives its cause. */
+        /** Returns whether a retry storm outlasts its cause. */
         public boolean isSelfSustaining() {
             return stormTriesRatio > calmTriesRatio * 1.05;
         }
     }
 
-    /** A try fails as far as work is beyond what is left beside what is done for nobody. */
-    private static double fixedPoint(double offered, int repeats, double wasted, double from) {
-        double tries = from;
+    /**
+     * Iterates the number of tries: a try fails to the extent that demand exceeds the capacity left beside
+     * wasted work.
+     */
+    private static double fixedPoint(double offered, int repeats, double wasted, double initialTries) {
+        double tries = initialTries;
         for (int i = 0; i < 1_000; i++) {
-            double asked = offered * tries;
-            double served = asked <= 1 ? asked : Math.max(0, (1 - wasted * asked) / (1 - wasted));
-            double fails = 1 - served / asked;
+            double demand = offered * tries;
+            double served = demand <= 1 ? demand : Math.max(0, (1 - wasted * demand) / (1 - wasted));
+            double failureRatio = 1 - served / demand;
             double sum = 0;
             for (int k = 0; k <= repeats; k++) {
-                sum += Math.pow(fails, k);
+                sum += Math.pow(failureRatio, k);
             }
             tries += 0.5 * (sum - tries);
         }
--- a/src/test/java/kitemux/fleet/EmulationTest.java
+++ b/src/test/java/kitemux/fleet/EmulationTest.java
@@ -211,8 +211,8 @@
                         new Fault(FaultKind.DIE, FaultScope.ZONE, 3, 0, 0, 1, 0)));
         assertEquals(
                 List.of(
-                        "zones: count is not from 1 to the number of racks and of nodes",
-                        "fault CUT: must be among zones, of which there must be two",
+                        "zones: count must be from 1 to the number of racks and to that of nodes",
+                        "fault CUT: must be among zones, and at least two zones are needed",
                         "fault DIE: there is no zone 3"),
                 zones.validate());
         assertThrows(IllegalArgumentException.class, () -> Emulation.run(fleet, 1));
--- a/src/test/java/kitemux/plan/PlannerTest.java
+++ b/src/test/java/kitemux/plan/PlannerTest.java
@@ -107,7 +107,7 @@
         Planner.MinimumServers found =
                 new Planner(choked, GOAL).findMinimumServers(fleet).get(0);
         assertEquals(-1, found.count());
-        assertEquals("held back by servers that turn slow when crowded", found.reason());
+        assertEquals("limited by servers that slow down when overloaded", found.reason());
     }
 
     @Test
