--- a/src/main/java/kitemux/fleet/Box.java
+++ b/src/main/java/kitemux/fleet/Box.java
@@ -85,7 +85,7 @@
 
     Box(
             String id,
-            int kind,
+            int kindIndex,
             int rack,
             Fleet fleet,
             double speed,
@@ -93,9 +93,9 @@
             RuleChecker rules,
             RandomStream random) {
         this.id = id;
-        this.kindIndex = kind;
+        this.kindIndex = kindIndex;
         this.rack = rack;
-        this.serverKind = fleet.kinds().get(kind);
+        this.serverKind = fleet.kinds().get(kindIndex);
         this.fleet = fleet;
         this.speed = speed;
         this.scheduler = scheduler;
@@ -404,8 +404,8 @@
 
     /** Checks rule 4: the load that a cold server receives within any window must stay below its limit. */
     private void trackColdLoad(Job job) {
-        double warmth = warmUpRatio();
-        if (warmth >= 1) {
+        double warmUpRatio = warmUpRatio();
+        if (warmUpRatio >= 1) {
             return;
         }
         RuleChecker.ColdLoadLimit limits = rules.limits();
@@ -413,7 +413,7 @@
                 scheduler.nowUs(),
                 job.workUs,
                 job.replyHandler.isSenderAwareOfStart(),
-                limits.capacityMultiple() * serverKind.cores() * speed * warmth * limits.windowUs());
+                limits.capacityMultiple() * serverKind.cores() * speed * warmUpRatio * limits.windowUs());
         if (verdict != ColdWork.Verdict.STANDS) {
             collapsed = true;
             if (verdict == ColdWork.Verdict.PUSHED_OVER) {
--- a/src/main/java/kitemux/fleet/EmulatedNode.java
+++ b/src/main/java/kitemux/fleet/EmulatedNode.java
@@ -304,12 +304,13 @@
     // ---------------------------------------------------------------- servers
 
     private long oneWayUs(Box box) {
-        long acrossUs = box.zone() == settings.myZone ? 0 : fleet.zones().crossZoneDelayUs();
+        long crossZoneDelayUs =
+                box.zone() == settings.myZone ? 0 : fleet.zones().crossZoneDelayUs();
         return Math.max(
                 1,
                 (long) networkRandom.lognormal(
                                 fleet.links().oneWayUs(), fleet.links().jitter())
-                        + acrossUs);
+                        + crossZoneDelayUs);
     }
 
     /** Returns whether messages between this node and the server are lost at present. */
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -44,7 +44,7 @@
     /** Creates the nodes of a run. */
     public interface NodeFactory {
         /** Creates the node with the given number, not yet started. */
-        FleetNode create(int number, Emulation of);
+        FleetNode create(int number, Emulation emulation);
     }
 
     private Emulation(Fleet fleet, long seed, Scheduler scheduler, NodeFactory nodeFactory) {
@@ -276,8 +276,8 @@
     }
 
     /** Injects a fault into one server now. A fault that has a duration ends after {@code forUs}. */
-    public void injectFault(Fleet.FaultKind trouble, String id, long forUs, double size) {
-        begin(new Fleet.Fault(trouble, Fleet.FaultScope.ANY, 0, 1, 0, forUs, size), List.of(boxesById.get(id)));
+    public void injectFault(Fleet.FaultKind kind, String id, long durationUs, double size) {
+        begin(new Fleet.Fault(kind, Fleet.FaultScope.ANY, 0, 1, 0, durationUs, size), List.of(boxesById.get(id)));
     }
 
     /** Recovers one server: it gets a new process if it has none, and its own faults end. */
@@ -307,8 +307,8 @@
     }
 
     /** Adds requests of one tenant at the given rate for the given time. */
-    public void addTenantLoad(int tenant, double ratePerS, long forUs) {
-        population.addTenantLoad(tenant, ratePerS, scheduler.nowUs() + forUs);
+    public void addTenantLoad(int tenant, double ratePerS, long durationUs) {
+        population.addTenantLoad(tenant, ratePerS, scheduler.nowUs() + durationUs);
     }
 
     // ---------------------------------------------------------------- faults
--- a/src/main/java/kitemux/fleet/Fleet.java
+++ b/src/main/java/kitemux/fleet/Fleet.java
@@ -214,26 +214,28 @@
             double ratePerS, long durationUs, List<LoadPoint> profile, double quotaPerS, double overShareWorth) {
 
         /** Returns the load at the given time as a multiple of {@link #ratePerS}. */
-        public double factorAt(long us) {
+        public double factorAt(long timeUs) {
             if (profile.isEmpty()) {
                 return 1;
             }
-            LoadPoint before = profile.get(0);
+            LoadPoint previous = profile.get(0);
             for (LoadPoint point : profile) {
-                if (point.atUs > us) {
-                    return point == before
+                if (point.atUs > timeUs) {
+                    return point == previous
                             ? point.factor
-                            : before.factor
-                                    + (point.factor - before.factor) * (us - before.atUs) / (point.atUs - before.atUs);
+                            : previous.factor
+                                    + (point.factor - previous.factor)
+                                            * (timeUs - previous.atUs)
+                                            / (point.atUs - previous.atUs);
                 }
-                before = point;
+                previous = point;
             }
-            return before.factor;
+            return previous.factor;
         }
 
         /** Returns this load with its rate multiplied by {@code times}. */
-        public Load scaledBy(double times) {
-            return new Load(ratePerS * times, durationUs, profile, quotaPerS, overShareWorth);
+        public Load scaledBy(double factor) {
+            return new Load(ratePerS * factor, durationUs, profile, quotaPerS, overShareWorth);
         }
 
         /** Returns the highest load at any time as a multiple of {@link #ratePerS}. */
--- a/src/main/java/kitemux/plan/Planner.java
+++ b/src/main/java/kitemux/plan/Planner.java
@@ -252,10 +252,11 @@
         if (!fleet.faults().isEmpty()) {
             relaxedFleets.put("the described faults", fleet.withFaults(List.of()));
         }
-        double now = meanInTimeRatio(fleet);
-        double missing = Math.max(1e-6, goal - now);
+        double currentRatio = meanInTimeRatio(fleet);
+        double shortfall = Math.max(1e-6, goal - currentRatio);
         List<Cause> causes = new ArrayList<>();
-        relaxedFleets.forEach((what, other) -> causes.add(new Cause(what, (meanInTimeRatio(other) - now) / missing)));
+        relaxedFleets.forEach((description, relaxedFleet) ->
+                causes.add(new Cause(description, (meanInTimeRatio(relaxedFleet) - currentRatio) / shortfall)));
         causes.removeIf(cause -> cause.recoveredRatio < MIN_RECOVERED_RATIO);
         causes.sort(Comparator.comparingDouble(Cause::recoveredRatio).reversed());
         return List.copyOf(causes);
@@ -294,8 +295,8 @@
 
     private MinimumServers findMinimumServers(Fleet fleet, int kind) {
         String name = fleet.kinds().get(kind).name();
-        int others = fleet.serverCount() - fleet.kinds().get(kind).count();
-        int low = others == 0 ? 0 : -1;
+        int otherServers = fleet.serverCount() - fleet.kinds().get(kind).count();
+        int low = otherServers == 0 ? 0 : -1;
         int high = Math.max(1, fleet.kinds().get(kind).count());
         while (!evaluate(with(fleet, kind, high)).meetsGoal()) {
             low = high;
@@ -329,20 +330,20 @@
 
     private static Fleet with(Fleet fleet, int kind, int count) {
         List<Fleet.ServerKind> kinds = new ArrayList<>(fleet.kinds());
-        Fleet.ServerKind of = kinds.get(kind);
+        Fleet.ServerKind changedKind = kinds.get(kind);
         kinds.set(
                 kind,
                 new Fleet.ServerKind(
-                        of.name(),
+                        changedKind.name(),
                         count,
-                        of.cores(),
-                        of.speed(),
-                        of.speedCv(),
-                        of.queueCapacity(),
-                        of.initialCapacityRatio(),
-                        of.warmUpUs(),
-                        of.warmsByWork(),
-                        of.cost()));
+                        changedKind.cores(),
+                        changedKind.speed(),
+                        changedKind.speedCv(),
+                        changedKind.queueCapacity(),
+                        changedKind.initialCapacityRatio(),
+                        changedKind.warmUpUs(),
+                        changedKind.warmsByWork(),
+                        changedKind.cost()));
         return fleet.withKinds(kinds);
     }
 
@@ -463,10 +464,11 @@
         Fleet.TenantShare greedyTenant = fleet.tenants().stream()
                 .min(Comparator.comparingDouble(Fleet.TenantShare::share))
                 .orElseThrow();
-        double all = fleet.tenants().stream()
+        double totalLoad = fleet.tenants().stream()
                 .mapToDouble(t -> t.share() * t.usageRatio())
                 .sum();
-        double additionalLoad = (GREEDY_TENANT_LOAD_RATIO - 1) * greedyTenant.share() * greedyTenant.usageRatio() / all;
+        double additionalLoad =
+                (GREEDY_TENANT_LOAD_RATIO - 1) * greedyTenant.share() * greedyTenant.usageRatio() / totalLoad;
         Fleet increasedFleet = fleet.withTenants(fleet.tenants().stream()
                 .map(t -> t.equals(greedyTenant)
                         ? new Fleet.TenantShare(t.name(), t.share(), t.usageRatio() * GREEDY_TENANT_LOAD_RATIO)
@@ -491,7 +493,7 @@
     }
 
     private FailureImpact failureImpact(
-            String description, long atUs, Fleet fleet, ToDoubleFunction<RunResult> worstTenant) {
+            String description, long atUs, Fleet fleet, ToDoubleFunction<RunResult> worstTenantRatio) {
         List<RunResult> runs = runner.run(
                 fleet, LongStream.rangeClosed(1, 2 * SEED_BATCH_COUNT).boxed().toList());
         int from = (int) (atUs / 1_000_000);
@@ -501,7 +503,7 @@
                 description,
                 Estimate.of(runs.stream().map(RunResult::inTimeRatio).toList()),
                 Estimate.of(runs.stream().map(RunResult::worstWindowRatio).toList()),
-                Estimate.of(runs.stream().map(worstTenant::applyAsDouble).toList()),
+                Estimate.of(runs.stream().map(worstTenantRatio::applyAsDouble).toList()),
                 recoveryTimes.stream()
                         .filter(s -> s >= 0)
                         .mapToInt(s -> s)
@@ -516,7 +518,7 @@
     public FailureImpact overloadPulseImpact(Fleet fleet) {
         long atUs = fleet.load().durationUs() / 4;
         Fleet.Load load = fleet.load();
-        List<Fleet.LoadPoint> shape = List.of(
+        List<Fleet.LoadPoint> profile = List.of(
                 new Fleet.LoadPoint(0, 1),
                 new Fleet.LoadPoint(atUs, 1),
                 new Fleet.LoadPoint(atUs + 1, PULSE_LOAD_RATIO),
@@ -526,7 +528,7 @@
                 "load of " + PULSE_LOAD_RATIO + " times for " + PULSE_US / 1_000_000 + " s",
                 atUs + PULSE_US,
                 fleet.with(new Fleet.Load(
-                        load.ratePerS(), load.durationUs(), shape, load.quotaPerS(), load.overShareWorth())),
+                        load.ratePerS(), load.durationUs(), profile, load.quotaPerS(), load.overShareWorth())),
                 RunResult::worstTenantRatio);
     }
 }
--- a/src/test/java/kitemux/fleet/BoxTest.java
+++ b/src/test/java/kitemux/fleet/BoxTest.java
@@ -14,57 +14,61 @@
 import kitemux.sim.Scheduler;
 import org.junit.jupiter.api.Test;
 
-/** A server by itself, held against what queueing theory says exactly. */
+/** Tests a single emulated server against exact results of queueing theory and the service rules. */
 class BoxTest {
     private static final double WORK_US = 10_000;
     private static final int SEEDS = 30;
 
-    private final Scheduler time = new Scheduler();
-    private final RuleChecker rules = new RuleChecker(time, new RuleChecker.ColdLoadLimit(4, 2_000_000));
+    private final Scheduler scheduler = new Scheduler();
+    private final RuleChecker rules = new RuleChecker(scheduler, new RuleChecker.ColdLoadLimit(4, 2_000_000));
 
-    private static Fleet fleet(Fleet.ServerKind kind, Fleet.OverloadSlowdown choke) {
-        return FleetFixtures.yearbook(1, 0, 1, 0.5, 10).withKinds(List.of(kind)).with(choke);
+    private static Fleet fleet(Fleet.ServerKind kind, Fleet.OverloadSlowdown slowdown) {
+        return FleetFixtures.yearbook(1, 0, 1, 0.5, 10).withKinds(List.of(kind)).with(slowdown);
     }
 
-    private Box box(int cores, int room, Fleet.OverloadSlowdown choke) {
+    private Box box(int cores, int queueCapacity, Fleet.OverloadSlowdown slowdown) {
         return new Box(
                 "b",
                 0,
                 0,
-                fleet(new Fleet.ServerKind("b", 1, cores, 1, 0, room, 0.2, 10_000_000, false, 1), choke),
+                fleet(new Fleet.ServerKind("b", 1, cores, 1, 0, queueCapacity, 0.2, 10_000_000, false, 1), slowdown),
                 1,
-                time,
+                scheduler,
                 rules,
                 new RandomStream(1, RandomStream.Purpose.BOXES));
     }
 
-    /** Mean time in the queue and served in units of work, or the share that was turned away. */
-    private static double measured(int cores, double load, int room, long seed, boolean fixed, boolean lost) {
-        BoxTest world = new BoxTest();
-        Box box = world.box(cores, room, null);
+    /**
+     * Simulates a queue; returns the mean response time in units of the mean work, or the fraction of
+     * rejected requests.
+     */
+    private static double measure(
+            int cores, double load, int queueCapacity, long seed, boolean hasFixedWork, boolean measuresLoss) {
+        BoxTest test = new BoxTest();
+        Box box = test.box(cores, queueCapacity, null);
         RandomStream arrivals = new RandomStream(seed, RandomStream.Purpose.ARRIVALS);
         RandomStream work = new RandomStream(seed, RandomStream.Purpose.WORK);
-        DoubleSupplier workUs = () -> fixed ? WORK_US : work.exponential(WORK_US);
+        DoubleSupplier workUs = () -> hasFixedWork ? WORK_US : work.exponential(WORK_US);
         double[] sum = new double[2];
         long[] counts = new long[2];
-        long warmUs = 20_000_000;
+        long warmUpEndUs = 20_000_000;
         long endUs = 400_000_000;
         Runnable[] next = new Runnable[1];
         next[0] = () -> {
-            long came = world.time.nowUs();
-            if (came > endUs) {
+            long arrivedAtUs = test.scheduler.nowUs();
+            if (arrivedAtUs > endUs) {
                 return;
             }
             box.submit(new Box.Job(
                     new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, Repeat.SAFE), 1),
                     workUs.getAsDouble(),
-                    came,
+                    arrivedAtUs,
                     new Box.ReplyHandler() {
                         @Override
                         public void completed(Result result) {
-                            if (came > warmUs) {
+                            if (arrivedAtUs > warmUpEndUs) {
                                 counts[result == Result.OK ? 0 : 1]++;
-                                sum[0] += world.time.nowUs() - came;
+                                sum[0] += test.scheduler.nowUs() - arrivedAtUs;
                             }
                         }
 
@@ -73,32 +77,40 @@
                             return true;
                         }
                     }));
-            world.time.afterUs(Math.round(arrivals.exponential(WORK_US / load)), next[0]);
+            test.scheduler.afterUs(Math.round(arrivals.exponential(WORK_US / load)), next[0]);
         };
         next[0].run();
-        while (world.time.step(endUs * 1_100)) {
+        while (test.scheduler.step(endUs * 1_100)) {
             assertTrue(counts[0] >= 0);
         }
-        return lost ? (double) counts[1] / (counts[0] + counts[1]) : sum[0] / counts[0] / WORK_US;
+        return measuresLoss ? (double) counts[1] / (counts[0] + counts[1]) : sum[0] / counts[0] / WORK_US;
     }
 
-    private static void agrees(
-            String what, double theory, int cores, double load, int room, boolean fixed, boolean lost) {
+    private static void assertMatchesTheory(
+            String model,
+            double theory,
+            int cores,
+            double load,
+            int queueCapacity,
+            boolean hasFixedWork,
+            boolean measuresLoss) {
         List<Double> values = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            values.add(measured(cores, load, room, seed, fixed, lost));
+            values.add(measure(cores, load, queueCapacity, seed, hasFixedWork, measuresLoss));
         }
-        Estimate seen = Estimate.of(values);
-        assertTrue(seen.low() <= theory && theory <= seen.high(), what + ": " + theory + " on paper, seen " + seen);
-        assertTrue(seen.halfWidth() < 0.1 * theory, what + ": the interval says little: " + seen);
+        Estimate estimate = Estimate.of(values);
+        assertTrue(
+                estimate.low() <= theory && theory <= estimate.high(),
+                model + ": expected " + theory + ", measured " + estimate);
+        assertTrue(estimate.halfWidth() < 0.1 * theory, model + ": the confidence interval is too wide: " + estimate);
     }
 
     @Test
-    void timesAndLossesAreThoseOfTheory() {
-        agrees("M/M/1", QueueingFormulas.mmcResponseTime(1, 0.7), 1, 0.7, 1 << 20, false, false);
-        agrees("M/M/4", QueueingFormulas.mmcResponseTime(4, 3.2), 4, 3.2, 1 << 20, false, false);
-        agrees("M/D/1", QueueingFormulas.mg1ResponseTime(0.7, 0), 1, 0.7, 1 << 20, true, false);
-        agrees("Erlang's loss", QueueingFormulas.erlangB(4, 3), 4, 3, 0, false, true);
+    void responseTimesAndLossesMatchQueueingTheory() {
+        assertMatchesTheory("M/M/1", QueueingFormulas.mmcResponseTime(1, 0.7), 1, 0.7, 1 << 20, false, false);
+        assertMatchesTheory("M/M/4", QueueingFormulas.mmcResponseTime(4, 3.2), 4, 3.2, 1 << 20, false, false);
+        assertMatchesTheory("M/D/1", QueueingFormulas.mg1ResponseTime(0.7, 0), 1, 0.7, 1 << 20, true, false);
+        assertMatchesTheory("Erlang's loss", QueueingFormulas.erlangB(4, 3), 4, 3, 0, false, true);
     }
 
     private void send(Box box, int count, double workUs) {
@@ -120,13 +132,13 @@
     }
 
     @Test
-    void aColdServerThatIsPushedFallsAndStaysDownAndTheRuleIsBroken() {
+    void overloadedColdServerCollapsesStaysDownAndViolatesRule() {
         Box box = box(1, 1_000, null);
         box.terminate(false);
         box.start();
         assertEquals(0.2, box.warmUpRatio(), 1e-9);
-        // 4 times a fifth of two seconds' work are 70.9 requests of the fleet's mean work of 22.6 ms, and
-        // 89.8 with what is chance: 2.03 s of work.
+        // 4 times a fifth of two seconds of work is 70.9 requests with the fleet's mean work of 22.6 ms, or 89.8 with
+        // the allowance for random variation: 2.03 s of work.
         send(box, 202, 10_000);
         assertTrue(box.isUp());
         assertEquals(0, rules.violationCount());
@@ -137,14 +149,17 @@
         assertFalse(box.isUp());
     }
 
-    /** It falls whoever sends; nodes that could not know of its start are not to blame. */
+    /**
+     * A cold server collapses whoever overloads it, but nodes that could not know of its start are not at
+     * fault.
+     */
     @Test
-    void aColdServerThatFallsByWhoDidNotKnowBreaksNoRule() {
+    void collapseCausedByNodesUnawareOfStartViolatesNoRule() {
         Box box = box(1, 1_000, null);
         box.terminate(false);
         box.start();
         for (int i = 0; i < 203; i++) {
-            boolean told = i % 2 == 0;
+            boolean isAware = i % 2 == 0;
             box.submit(new Box.Job(
                     new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, Repeat.SAFE), i),
                     10_000,
@@ -160,7 +175,7 @@
 
                         @Override
                         public boolean isSenderAwareOfStart() {
-                            return told;
+                            return isAware;
                         }
                     }));
         }
@@ -169,32 +184,32 @@
     }
 
     @Test
-    void aCrowdedServerTurnsSlowAndIsItselfAgainOnceItHasRested() {
+    void overloadedServerSlowsDownAndRecoversAfterRest() {
         Box box = box(1, 1_000, new Fleet.OverloadSlowdown(5, 1_000_000, 3, 0.3, 2_000_000, 60_000_000));
-        // A second and a half with more than six waiting.
+        // More than six requests are queued for a second and a half.
         send(box, 200, 10_000);
-        time.step(0);
-        while (time.nowUs() < 1_500_000 && time.step(1_500_000_000L)) {
+        scheduler.step(0);
+        while (scheduler.nowUs() < 1_500_000 && scheduler.step(1_500_000_000L)) {
             assertFalse(box.hasCollapsed());
         }
         assertTrue(box.wasOverloaded());
-        // All is worked off, three times slower; then it rests, and single requests are quick again.
+        // The queue is processed three times slower. After the server has rested, single requests are fast again.
         long restedUs = 10_000_000;
-        while (time.step(restedUs * 1_000)) {
+        while (scheduler.step(restedUs * 1_000)) {
             assertTrue(box.isUp());
         }
         send(box, 1, 10_000);
         send(box, 1, 10_000);
-        long before = time.nowUs();
+        long before = scheduler.nowUs();
         double busyBefore = box.busyUs;
-        while (time.step((before + 100_000) * 1_000)) {
+        while (scheduler.step((before + 100_000) * 1_000)) {
             assertTrue(box.isUp());
         }
-        assertEquals(20_000, box.busyUs - busyBefore, 10_100, "the second one at least is quick");
+        assertEquals(20_000, box.busyUs - busyBefore, 10_100, "at least the second request is fast");
     }
 
     @Test
-    void whatMayRunOnceAndRunsTwiceIsTold() {
+    void repeatedExecutionAndWrongAnswersAreReported() {
         RuleChecker.TrackedTry unsafe =
                 new RuleChecker.TrackedTry(FleetFixtures.requestClass("order", 1, 2, 1, Repeat.UNSAFE), 7);
         Box box = box(1, 10, null);
@@ -203,9 +218,9 @@
         rules.executionStarted(unsafe, box, 0);
         assertEquals(1, rules.violationCount());
         rules.answered(unsafe, true);
-        assertEquals(2, rules.violationCount(), "a refusal of what has run");
+        assertEquals(2, rules.violationCount(), "refusal of an executed request");
         rules.answered(unsafe, false);
-        assertEquals(3, rules.violationCount(), "a second answer");
+        assertEquals(3, rules.violationCount(), "second answer");
         rules.unanswered(new RuleChecker.TrackedTry(FleetFixtures.requestClass("page", 1, 2, 1, Repeat.SAFE), 8));
         assertEquals(4, rules.violationCount());
         RuleChecker.TrackedTry refused =
@@ -213,32 +228,32 @@
         rules.answered(refused, true);
         assertEquals(4, rules.violationCount());
         rules.executionStarted(refused, box, 0);
-        assertEquals(5, rules.violationCount(), "it runs after it was refused");
+        assertEquals(5, rules.violationCount(), "execution after a refusal");
         assertTrue(
                 rules.violations().get(0).contains("request 7 of order runs again"),
                 rules.violations().toString());
     }
 
     @Test
-    void aKeyedRequestRunsAgainOnlyInItsRackAndWhileThatRemembersIt() {
-        Box here = box(1, 10, null);
-        Box elsewhere = new Box(
+    void keyedRequestMayRepeatOnlyInItsRackWithinItsWindow() {
+        Box box = box(1, 10, null);
+        Box otherRackBox = new Box(
                 "e",
                 0,
                 1,
-                fleet(here.serverKind, null),
+                fleet(box.serverKind, null),
                 1,
-                time,
+                scheduler,
                 rules,
                 new RandomStream(1, RandomStream.Purpose.BOXES));
         RuleChecker.TrackedTry keyed =
                 new RuleChecker.TrackedTry(FleetFixtures.requestClass("photo", 1, 2, 1, Repeat.KEYED), 7);
-        rules.executionStarted(keyed, here, 1_000);
-        rules.executionStarted(keyed, here, 1_000 + keyed.requestClass.windowUs());
+        rules.executionStarted(keyed, box, 1_000);
+        rules.executionStarted(keyed, box, 1_000 + keyed.requestClass.windowUs());
         assertEquals(0, rules.violationCount());
-        rules.executionStarted(keyed, elsewhere, 2_000);
-        assertEquals(1, rules.violationCount(), "another rack");
-        rules.executionStarted(keyed, here, 1_001 + keyed.requestClass.windowUs());
-        assertEquals(2, rules.violationCount(), "forgotten by then");
+        rules.executionStarted(keyed, otherRackBox, 2_000);
+        assertEquals(1, rules.violationCount(), "execution in another rack");
+        rules.executionStarted(keyed, box, 1_001 + keyed.requestClass.windowUs());
+        assertEquals(2, rules.violationCount(), "execution after the deduplication window");
     }
 }
--- a/src/test/java/kitemux/fleet/ColdFleetTest.java
+++ b/src/test/java/kitemux/fleet/ColdFleetTest.java
@@ -13,20 +13,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a cold server meets from all nodes of a fleet together, while servers and nodes come and go. */
+/** Tests the load that a cold server receives from all nodes together while servers and nodes come and go. */
 @Timeout(120)
 class ColdFleetTest {
     private static final long COLD_US = 23_000_000;
 
     /**
-     * Uneven traffic with a burst; six servers in ten die at once and come back cold into it, a third of the
-     * nodes restarts meanwhile, and then some servers are replaced in steps.
+     * Returns a fleet with uneven traffic and a burst. Six in ten servers die at once and return cold during
+     * the burst, a third of the nodes restart meanwhile, and some servers are then replaced in steps.
      */
     private static Fleet fleet(int nodes, int servers) {
-        Fleet of = FleetFixtures.yearbook(servers / 2, servers - servers / 2, nodes, 0.5, 20);
-        Fleet.Clients c = of.clients();
-        Fleet.Load load = of.load();
-        return of.withKinds(of.kinds().stream()
+        Fleet base = FleetFixtures.yearbook(servers / 2, servers - servers / 2, nodes, 0.5, 20);
+        Fleet.Clients clients = base.clients();
+        Fleet.Load load = base.load();
+        return base.withKinds(base.kinds().stream()
                         .map(k -> new Fleet.ServerKind(
                                 k.name(),
                                 k.count(),
@@ -40,13 +40,13 @@
                                 k.cost()))
                         .toList())
                 .with(new Fleet.Clients(
-                        c.oneWayUs(),
-                        c.maxRetries(),
-                        c.minTryTimeoutRatio(),
-                        c.maxTryTimeoutRatio(),
-                        c.backoffUs(),
-                        c.retryAfterComplianceRatio(),
-                        c.maxRetryAfterUs(),
+                        clients.oneWayUs(),
+                        clients.maxRetries(),
+                        clients.minTryTimeoutRatio(),
+                        clients.maxTryTimeoutRatio(),
+                        clients.backoffUs(),
+                        clients.retryAfterComplianceRatio(),
+                        clients.maxRetryAfterUs(),
                         0.6))
                 .with(new Fleet.Load(
                         load.ratePerS(),
@@ -78,43 +78,43 @@
                                 Math.max(1, servers / 8))));
     }
 
-    private static double coldPeak(Emulation run) {
+    private static double coldPeakRatio(Emulation run) {
         return run.boxes().stream().mapToDouble(Box::coldPeakRatio).max().orElse(0);
     }
 
-    private static long fallen(Emulation run) {
+    private static long collapsedCount(Emulation run) {
         return run.boxes().stream().filter(Box::hasCollapsed).count();
     }
 
     @ParameterizedTest
     @CsvSource({"6, 12", "20, 16", "30, 16", "100, 60", "420, 84"})
-    void noColdServerIsPushedOverByAllNodesTogether(int nodes, int servers) {
-        double peak = 0;
-        double least = Double.MAX_VALUE;
+    void allNodesTogetherDoNotOverloadColdServer(int nodes, int servers) {
+        double highestPeak = 0;
+        double lowestPeak = Double.MAX_VALUE;
         for (long seed = 1; seed <= 2; seed++) {
             Emulation run = Emulation.runWith(fleet(nodes, servers), seed, EmulatedNode.BalancerFactory.DEFAULT);
             assertEquals(List.of(), run.result().violations(), "seed " + seed);
-            assertEquals(0, fallen(run), "fallen, whoever is to blame, seed " + seed);
-            peak = Math.max(peak, coldPeak(run));
-            least = Math.min(least, coldPeak(run));
+            assertEquals(0, collapsedCount(run), "collapsed servers, whatever the cause, seed " + seed);
+            highestPeak = Math.max(highestPeak, coldPeakRatio(run));
+            lowestPeak = Math.min(lowestPeak, coldPeakRatio(run));
         }
         System.out.printf(
                 Locale.ROOT,
-                "%d nodes, %d servers: a cold server met at most %.2f of what it " + "stands%n",
+                "%d nodes, %d servers: peak load of a cold server is %.2f of its " + "limit%n",
                 nodes,
                 servers,
-                peak);
-        assertTrue(least > 0.1, "cold servers were used: " + least);
+                highestPeak);
+        assertTrue(lowestPeak > 0.1, "cold servers must receive load: " + lowestPeak);
     }
 
     @ParameterizedTest
     @CsvSource({"6, 12", "20, 16", "30, 16", "100, 60", "420, 84"})
-    void aModuleThatBudgetsByNodeIsFound(int nodes, int servers) {
+    void perNodeBudgetIsDetected(int nodes, int servers) {
         Fleet fleet = fleet(nodes, servers);
         Emulation run = Emulation.runWith(
                 fleet, 1, (set, seed, out) -> PerNodeBudgetBalancer.create(set, seed, out, fleet.meanWorkUs()));
         assertTrue(
                 run.result().violations().stream().anyMatch(b -> b.contains("no cold server pushed over")),
-                "told: " + run.result().violations() + ", peak " + coldPeak(run));
+                "violations: " + run.result().violations() + ", peak " + coldPeakRatio(run));
     }
 }
--- a/src/test/java/kitemux/fleet/FleetFixtures.java
+++ b/src/test/java/kitemux/fleet/FleetFixtures.java
@@ -5,37 +5,43 @@
 import kitemux.Balancer.Repeat;
 import kitemux.Balancer.RequestClass;
 
-/** Fleets that tests begin with. */
+/** Fleets used as a starting point by tests. */
 public final class FleetFixtures {
     private FleetFixtures() {}
 
+    /** Returns a request class that is deduplicated per rack. */
     static RequestClass requestClass(String name, long aimMs, long deadlineMs, double worth, Repeat repeat) {
         return new RequestClass(
                 name, aimMs * 1_000, 0, deadlineMs * 1_000, worth, 0, repeat, Group.CELL, 1_200_000, false);
     }
 
-    /** The same, its racks and nodes spread over so many zones. */
-    public static Fleet zoned(Fleet of, int zones) {
+    /** Returns the fleet with its racks and nodes spread over the given number of zones. */
+    public static Fleet zoned(Fleet fleet, int zones) {
         return new Fleet(
-                of.kinds(),
+                fleet.kinds(),
                 zones,
                 new Fleet.Zones(zones, 300, 0),
-                of.nodes(),
-                of.overloadSlowdown(),
-                of.links(),
-                of.discoveryDelays(),
-                of.clients(),
-                of.classes(),
-                of.tenants(),
-                of.load(),
-                of.faults());
+                fleet.nodes(),
+                fleet.overloadSlowdown(),
+                fleet.links(),
+                fleet.discoveryDelays(),
+                fleet.clients(),
+                fleet.classes(),
+                fleet.tenants(),
+                fleet.load(),
+                fleet.faults());
     }
 
-    /** The classes and clients of the brief. */
-    public static Fleet yearbook(int std, int old, int nodes, double load, long lengthS) {
+    /**
+     * Returns a fleet with the reference classes and clients.
+     *
+     * @param load offered load as a fraction of the capacity
+     * @param lengthS time during which clients arrive, in seconds
+     */
+    public static Fleet yearbook(int standardServers, int oldServers, int nodes, double load, long lengthS) {
         List<Fleet.ServerKind> kinds = List.of(
-                new Fleet.ServerKind("std", std, 1, 0.97, 0.15, 500, 0.2, 18_000_000, false, 1),
-                new Fleet.ServerKind("old", old, 1, 0.75, 0.1, 400, 0.2, 18_000_000, false, 1));
+                new Fleet.ServerKind("std", standardServers, 1, 0.97, 0.15, 500, 0.2, 18_000_000, false, 1),
+                new Fleet.ServerKind("old", oldServers, 1, 0.75, 0.1, 400, 0.2, 18_000_000, false, 1));
         List<Fleet.ClassWorkload> classes = List.of(
                 new Fleet.ClassWorkload(
                         requestClass("view-page", 100, 500, 1, Repeat.SAFE),
@@ -55,7 +61,7 @@
                         33_000,
                         Fleet.WorkDistribution.LOGNORMAL,
                         0.6));
-        double capacity = std * 0.97 + old * 0.75;
+        double capacity = standardServers * 0.97 + oldServers * 0.75;
         double meanUs = 0.51 * 19_000 + 0.3 * 22_000 + 0.19 * 33_000;
         double rate = load * capacity * 1e6 / meanUs;
         return new Fleet(
--- a/src/test/java/kitemux/fleet/PerNodeBudgetBalancer.java
+++ b/src/test/java/kitemux/fleet/PerNodeBudgetBalancer.java
@@ -16,46 +16,46 @@
 import kitemux.ServiceQBalancer;
 
 /**
- * A deliberate defect: a module that warms cold servers up with all that the settings let come to them, as if
- * its node were the only one.
+ * A deliberately defective module: it sends each cold server the whole warm-up load that the settings allow,
+ * as if its node were the only one.
  */
 public final class PerNodeBudgetBalancer {
-    private final Settings set;
+    private final Settings settings;
     private final double meanWorkUs;
-    private final Map<String, Long> starts = new HashMap<>();
-    private final Map<String, ArrayDeque<Long>> sent = new HashMap<>();
-    private final Set<Long> begun = new HashSet<>();
+    private final Map<String, Long> coldStartsUs = new HashMap<>();
+    private final Map<String, ArrayDeque<Long>> sentTimesUs = new HashMap<>();
+    private final Set<Long> redirectedRequests = new HashSet<>();
     private long nowUs;
 
-    private PerNodeBudgetBalancer(Settings set, double meanWorkUs) {
-        this.set = set;
+    private PerNodeBudgetBalancer(Settings settings, double meanWorkUs) {
+        this.settings = settings;
         this.meanWorkUs = meanWorkUs;
     }
 
     /**
-     * The module that serves in earnest, with this defect.
+     * Creates the production module with this defect.
      *
-     * @param meanWorkUs mean work of a request, on a core of speed 1
+     * @param meanWorkUs mean work of a request on a core of speed 1, in microseconds
      */
-    public static Balancer create(Settings set, long seed, Balancer.Actions out, double meanWorkUs) {
-        PerNodeBudgetBalancer defect = new PerNodeBudgetBalancer(set, meanWorkUs);
-        Balancer.Actions asked = around(Balancer.Actions.class, out, (method, args) -> {
+    public static Balancer create(Settings settings, long seed, Balancer.Actions actions, double meanWorkUs) {
+        PerNodeBudgetBalancer defect = new PerNodeBudgetBalancer(settings, meanWorkUs);
+        Balancer.Actions interceptedActions = intercept(Balancer.Actions.class, actions, (method, args) -> {
             if (method.getName().equals("send")) {
-                args[1] = defect.instead((Long) args[0], (String) args[1]);
+                args[1] = defect.chooseServer((Long) args[0], (String) args[1]);
             }
         });
-        return around(Balancer.class, new ServiceQBalancer(set, seed, asked), defect::told);
+        return intercept(Balancer.class, new ServiceQBalancer(settings, seed, interceptedActions), defect::observe);
     }
 
-    private interface Before {
-        void call(Method method, Object[] args);
+    private interface Interceptor {
+        void beforeCall(Method method, Object[] args);
     }
 
-    private static <T> T around(Class<T> type, T sound, Before before) {
+    private static <T> T intercept(Class<T> type, T delegate, Interceptor interceptor) {
         return type.cast(Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, (proxy, method, args) -> {
-            before.call(method, args);
+            interceptor.beforeCall(method, args);
             try {
-                return method.invoke(sound, args);
+                return method.invoke(delegate, args);
             } catch (InvocationTargetException e) {
                 throw e.getCause();
             }
@@ -63,33 +63,35 @@
     }
 
     @SuppressWarnings("unchecked")
-    private void told(Method method, Object[] args) {
+    private void observe(Method method, Object[] args) {
         if (args != null && args[0] instanceof Long now) {
             nowUs = now;
         }
         if (method.getName().equals("onServers")) {
             for (ServerEntry entry : (List<ServerEntry>) args[2]) {
                 if (entry.state() == ServerState.READY && entry.startedAtUs() > 0) {
-                    starts.put(entry.id(), entry.startedAtUs());
+                    coldStartsUs.put(entry.id(), entry.startedAtUs());
                 } else {
-                    starts.remove(entry.id());
+                    coldStartsUs.remove(entry.id());
                 }
             }
         }
     }
 
-    /** Where a request goes: to the first cold server that this node alone has not sent all that may come. */
-    private String instead(long request, String server) {
-        if (begun.add(request)) {
-            for (Map.Entry<String, Long> start : starts.entrySet()) {
-                double age = (double) (nowUs - start.getValue()) / set.coldUs;
-                double share = set.coldFrom + (1 - set.coldFrom) * age;
-                ArrayDeque<Long> mine = sent.computeIfAbsent(start.getKey(), id -> new ArrayDeque<>());
-                while (!mine.isEmpty() && mine.peek() <= nowUs - set.fallUs) {
-                    mine.poll();
+    /** Returns the first cold server whose full budget this node has not used up, or else the given server. */
+    private String chooseServer(long request, String server) {
+        if (redirectedRequests.add(request)) {
+            for (Map.Entry<String, Long> start : coldStartsUs.entrySet()) {
+                double warmUpProgress = (double) (nowUs - start.getValue()) / settings.coldUs;
+                double capacityRatio = settings.coldFrom + (1 - settings.coldFrom) * warmUpProgress;
+                ArrayDeque<Long> recentUs = sentTimesUs.computeIfAbsent(start.getKey(), id -> new ArrayDeque<>());
+                while (!recentUs.isEmpty() && recentUs.peek() <= nowUs - settings.fallUs) {
+                    recentUs.poll();
                 }
-                if (age < 1 && mine.size() + 1 <= set.fallMultiple * share * set.fallUs / meanWorkUs) {
-                    mine.add(nowUs);
+                if (warmUpProgress < 1
+                        && recentUs.size() + 1
+                                <= settings.fallMultiple * capacityRatio * settings.fallUs / meanWorkUs) {
+                    recentUs.add(nowUs);
                     return start.getKey();
                 }
             }
--- a/src/test/java/kitemux/plan/CapturedWorkloadTest.java
+++ b/src/test/java/kitemux/plan/CapturedWorkloadTest.java
@@ -17,8 +17,9 @@
 import kitemux.load.Summary;
 import org.junit.jupiter.api.Test;
 
+/** Tests that captured load and work replace those of a fleet description. */
 class CapturedWorkloadTest {
-    private static final long NOW = 1_790_000_000_000_000L;
+    private static final long START_UNIX_US = 1_790_000_000_000_000L;
 
     private static Fleet yearbook() throws IOException {
         List<String> faults = new ArrayList<>();
@@ -27,28 +28,45 @@
         return fleet;
     }
 
-    /** Ten seconds: 100 a second, and 300 from the sixth on, a tenth of them orders; each is asked twice. */
-    private static Summary summary(String aClass) {
-        List<Seen> seen = new ArrayList<>();
+    /**
+     * Captures ten seconds: 100 requests per second, and 300 from the sixth second on. A tenth are orders,
+     * and each request takes two tries.
+     */
+    private static Summary summary(String firstClass) {
+        List<Seen> requests = new ArrayList<>();
         int number = 0;
         for (int s = 0; s < 10; s++) {
             int perS = s < 5 ? 100 : 300;
             for (int i = 0; i < perS; i++) {
-                long at = NOW + s * 1_000_000L + i * 1_000_000L / perS;
-                int of = number % 10 == 0 ? 1 : 0;
-                seen.add(new Seen(
-                        at, of, number++ % 4 == 0 ? 0 : 1, false, 500_000, List.of(), Observer.Answer.REFUSED, 10));
-                seen.add(new Seen(at + 500, of, 1, true, 400_000, List.of(), Observer.Answer.SERVED, 10));
+                long atUs = START_UNIX_US + s * 1_000_000L + i * 1_000_000L / perS;
+                int classIndex = number % 10 == 0 ? 1 : 0;
+                requests.add(new Seen(
+                        atUs,
+                        classIndex,
+                        number++ % 4 == 0 ? 0 : 1,
+                        false,
+                        500_000,
+                        List.of(),
+                        Observer.Answer.REFUSED,
+                        10));
+                requests.add(new Seen(atUs + 500, classIndex, 1, true, 400_000, List.of(), Observer.Answer.SERVED, 10));
             }
         }
         Summary summary = new Summary(1_000_000, Map.of());
         summary.add(new Captured(
-                1, "n", NOW, List.of(aClass, "place-order"), List.of("school-a", "school-b"), seen, 0, ""));
+                1,
+                "n",
+                START_UNIX_US,
+                List.of(firstClass, "place-order"),
+                List.of("school-a", "school-b"),
+                requests,
+                0,
+                ""));
         return summary;
     }
 
     @Test
-    void whatWasWantedTakesThePlaceOfTheDescribedLoad() throws IOException {
+    void capturedLoadReplacesDescribedLoad() throws IOException {
         List<String> faults = new ArrayList<>();
         Fleet fleet = CapturedWorkload.applyLoad(yearbook(), summary("view-page"), faults);
         assertEquals(List.of(), faults);
@@ -57,8 +75,8 @@
         assertEquals(100, fleet.load().ratePerS() * fleet.load().factorAt(2_500_000), 3);
         assertEquals(300, fleet.load().ratePerS() * fleet.load().factorAt(8_000_000), 3);
         assertEquals(0.1, fleet.classes().get(2).share(), 0.001);
-        assertTrue(fleet.classes().get(1).share() < 0.001, "no photo came");
-        // A quarter asked by who has six tenths of the share, the rest by who has four.
+        assertTrue(fleet.classes().get(1).share() < 0.001, "no photo was captured");
+        // The tenant with six tenths of the share sent a quarter of the requests, the one with four tenths the rest.
         assertEquals(0.25 / 0.6, fleet.tenants().get(0).usageRatio(), 0.01);
         assertEquals(0.75 / 0.4, fleet.tenants().get(1).usageRatio(), 0.01);
         assertEquals(
@@ -66,7 +84,7 @@
     }
 
     @Test
-    void capturedWorkIsToldForAServerOfMeanSpeedAndTakenForTheDescribedOnes() throws IOException {
+    void capturedWorkIsConvertedFromMeanSpeedToDescribedServers() throws IOException {
         Fleet described = yearbook();
         Fleet fleet = CapturedWorkload.applyWork(
                 described,
@@ -76,13 +94,13 @@
         assertEquals(List.of(), fleet.validate());
         assertEquals(30_000 * Math.sqrt(0.97 * 0.75), fleet.classes().get(0).meanWorkUs(), 1);
         assertEquals(Fleet.WorkDistribution.EXPONENTIAL, fleet.classes().get(0).distribution());
-        assertEquals(described.classes().get(1), fleet.classes().get(1), "nothing is known of photos");
+        assertEquals(described.classes().get(1), fleet.classes().get(1), "photos were not captured");
         assertEquals(Fleet.WorkDistribution.LOGNORMAL, fleet.classes().get(2).distribution());
         assertEquals(0.6, fleet.classes().get(2).cv());
     }
 
     @Test
-    void whatDoesNotGoTogetherIsTold() throws IOException {
+    void mismatchOfCaptureAndDescriptionIsReported() throws IOException {
         List<String> faults = new ArrayList<>();
         CapturedWorkload.applyLoad(yearbook(), summary("video"), faults);
         assertEquals(List.of("--load: has class \"video\", which the description does not have"), faults);
