--- a/src/main/java/kitemux/fleet/Box.java
+++ b/src/main/java/kitemux/fleet/Box.java
@@ -277,12 +277,12 @@
      * Accepts a request that has been received completely.
      *
      * @param clientTry the client's try
-     * @param extraUs work besides that of the request, such as a handshake, on a core of speed 1
+     * @param extraWorkUs work besides that of the request, such as a handshake, on a core of speed 1
      * @param sentUs time at which the node wrote the request
      * @param replyHandler receives the outcome
      */
-    public void submit(ClientTry clientTry, double extraUs, long sentUs, ReplyHandler replyHandler) {
-        submit(new Job(clientTry.tracked(), clientTry.actualWorkUs() + extraUs, sentUs, replyHandler));
+    public void submit(ClientTry clientTry, double extraWorkUs, long sentUs, ReplyHandler replyHandler) {
+        submit(new Job(clientTry.tracked(), clientTry.actualWorkUs() + extraWorkUs, sentUs, replyHandler));
     }
 
     /**
--- a/src/main/java/kitemux/fleet/ClientPopulation.java
+++ b/src/main/java/kitemux/fleet/ClientPopulation.java
@@ -27,7 +27,7 @@
     private final RandomStream arrivalRandom;
     private final RandomStream workRandom;
     private final RandomStream clientRandom;
-    private final RandomStream frontRandom;
+    private final RandomStream frontEndRandom;
     private final double[] cumulativeClassShares;
     private final double[] cumulativeTenantLoads;
     private final double maxLoadFactor;
@@ -54,7 +54,7 @@
         arrivalRandom = new RandomStream(seed, RandomStream.Purpose.ARRIVALS);
         workRandom = new RandomStream(seed, RandomStream.Purpose.WORK);
         clientRandom = new RandomStream(seed, RandomStream.Purpose.CLIENTS);
-        frontRandom = new RandomStream(seed, RandomStream.Purpose.FRONT);
+        frontEndRandom = new RandomStream(seed, RandomStream.Purpose.FRONT_END);
         cumulativeClassShares = cumulativeSums(
                 fleet.classes().stream().mapToDouble(Fleet.ClassWorkload::share).toArray());
         cumulativeTenantLoads = cumulativeSums(fleet.tenants().stream()
@@ -159,6 +159,7 @@
             worth = outcomes.offered(arrivedAtUs, classIndex, tenant);
         }
 
+        /** Returns the time until the request's deadline, in microseconds. */
         private long remainingUs() {
             return arrivedAtUs + requestClass.deadlineUs() - scheduler.nowUs();
         }
@@ -194,11 +195,15 @@
                     }));
         }
 
+        /**
+         * Returns the node to which the front end sends the next try: a drawn one, or the next that it does
+         * not know to be dead.
+         */
         private FleetNode chooseNode() {
             long now = scheduler.nowUs();
             int first = cumulativeNodeWeights == null
-                    ? frontRandom.nextInt(nodes.size())
-                    : frontRandom.nextWeightedIndex(cumulativeNodeWeights);
+                    ? frontEndRandom.nextInt(nodes.size())
+                    : frontEndRandom.nextWeightedIndex(cumulativeNodeWeights);
             for (int i = 0; i < nodes.size(); i++) {
                 int node = (first + i) % nodes.size();
                 if (nodes.get(node).isUp() || now < failureNoticedAtUs[node]) {
@@ -239,6 +244,7 @@
             });
         }
 
+        /** Counts the outcome of a request, or schedules a retry if that is safe and the deadline allows it. */
         private void tryEnded(ClientTry.Outcome outcome, long retryAfterUs) {
             if (outcome == ClientTry.Outcome.SERVED) {
                 outcomes.served(
--- a/src/main/java/kitemux/fleet/ClientTry.java
+++ b/src/main/java/kitemux/fleet/ClientTry.java
@@ -48,10 +48,12 @@
         this.isRetry = isRetry;
     }
 
+    /** Returns the rule checker's record of this try. */
     RuleChecker.TrackedTry tracked() {
         return tracked;
     }
 
+    /** Returns the node that the try was sent to. */
     FleetNode node() {
         return node;
     }
@@ -76,6 +78,7 @@
         isOver = true;
     }
 
+    /** Ends the try, unless it has ended already. */
     private void complete(Outcome outcome, long retryAfterUs) {
         if (!isOver) {
             isOver = true;
--- a/src/main/java/kitemux/fleet/EmulatedNode.java
+++ b/src/main/java/kitemux/fleet/EmulatedNode.java
@@ -52,7 +52,9 @@
     /** The servers as last announced by discovery, kept for restarts of the node. */
     private final Map<String, ServerEntry> knownServers = new HashMap<>();
 
+    /** Times at which this node was notified that servers drain or are gone, by server id. */
     private final Map<String, Long> drainNotifiedAtUs = new HashMap<>();
+
     private final Map<ClientTry, Engine.Held<ClientTry, Boolean>> openTries = new HashMap<>();
     private int incarnation;
     private boolean up;
@@ -303,6 +305,7 @@
 
     // ---------------------------------------------------------------- servers
 
+    /** Draws the network delay to a server, in microseconds. */
     private long oneWayUs(Box box) {
         long crossZoneDelayUs =
                 box.zone() == settings.myZone ? 0 : fleet.zones().crossZoneDelayUs();
@@ -329,9 +332,9 @@
                 && scheduler.nowUs() > drainNotifiedUs + fleet.discoveryDelays().drainGraceUs()) {
             rules.sentWhileDraining(box);
         }
-        long oldest = scheduler.nowUs() - fleet.links().idleTimeoutUs();
+        long idleSinceLimitUs = scheduler.nowUs() - fleet.links().idleTimeoutUs();
         while (!pool.idle.isEmpty()
-                && (pool.idle.peekLast()[1] <= oldest || pool.idle.peekLast()[0] != box.incarnation())) {
+                && (pool.idle.peekLast()[1] <= idleSinceLimitUs || pool.idle.peekLast()[0] != box.incarnation())) {
             box.connectionClosed((int) pool.idle.pollLast()[0]);
         }
         if (!pool.idle.isEmpty() && box.isUp()) {
@@ -342,6 +345,10 @@
         }
     }
 
+    /**
+     * Opens a connection and sends the request over it. A failure to connect is known after a round trip, or
+     * after the connect timeout if the server cannot answer.
+     */
     private void connect(OutboundRequest outbound) {
         connectionsOpened++;
         long rttUs = 2 * oneWayUs(outbound.box);
@@ -365,13 +372,14 @@
         });
     }
 
-    private void write(OutboundRequest outbound, long extraUs) {
+    /** Sends a request over its connection, unless the network loses it. */
+    private void write(OutboundRequest outbound, long extraWorkUs) {
         attempts++;
         outbound.isWritten = true;
         ClientTry clientTry = outbound.exchange.request();
         long now = scheduler.nowUs();
         if (!isPartitionedFrom(outbound.box)) {
-            scheduler.afterUs(oneWayUs(outbound.box), () -> outbound.box.submit(clientTry, extraUs, now, outbound));
+            scheduler.afterUs(oneWayUs(outbound.box), () -> outbound.box.submit(clientTry, extraWorkUs, now, outbound));
         }
     }
 
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -24,7 +24,9 @@
     /** Time after the last arrival within which all requests are answered. */
     private static final long COMPLETION_MARGIN_US = 15_000_000;
 
+    /** Load beyond which a cold server collapses, as a multiple of its present capacity. */
     private static final double COLD_LOAD_CAPACITY_RATIO = 4;
+    /** Window within which the load of a cold server is summed. */
     private static final long COLD_LOAD_WINDOW_US = 2_000_000;
 
     private final Fleet fleet;
@@ -59,9 +61,9 @@
                 scheduler, new RuleChecker.ColdLoadLimit(COLD_LOAD_CAPACITY_RATIO, COLD_LOAD_WINDOW_US));
         outcomes = new OutcomeCounter(fleet);
         partitions = new NetworkPartitions(fleet.zones().count());
-        discoveryRandom = new RandomStream(seed, RandomStream.Purpose.LISTS);
+        discoveryRandom = new RandomStream(seed, RandomStream.Purpose.DISCOVERY);
         faultRandom = new RandomStream(seed, RandomStream.Purpose.FAULTS);
-        RandomStream speeds = new RandomStream(seed, RandomStream.Purpose.BOXES);
+        RandomStream speeds = new RandomStream(seed, RandomStream.Purpose.SERVERS);
         for (int k = 0; k < fleet.kinds().size(); k++) {
             Fleet.ServerKind kind = fleet.kinds().get(k);
             for (int i = 0; i < kind.count(); i++) {
@@ -74,7 +76,7 @@
                         kind.speedCv() == 0 ? kind.speed() : speeds.lognormal(kind.speed(), kind.speedCv()),
                         scheduler,
                         rules,
-                        new RandomStream(seed, RandomStream.Purpose.BOXES, 1 + boxes.size()));
+                        new RandomStream(seed, RandomStream.Purpose.SERVERS, 1 + boxes.size()));
                 boxes.add(box);
                 boxesById.put(id, box);
             }
@@ -351,6 +353,7 @@
         }
     }
 
+    /** Returns the servers that a fault hits, drawn at random if it does not hit its whole scope. */
     private List<Box> selectTargets(Fleet.Fault fault) {
         List<Box> candidates = new ArrayList<>(boxes.stream()
                 .filter(box -> switch (fault.scope()) {
@@ -370,6 +373,7 @@
         return targets;
     }
 
+    /** Starts new processes on the servers and announces those that are up. */
     private void restart(List<Box> targets) {
         targets.forEach(Box::start);
         announce(
@@ -400,6 +404,10 @@
         });
     }
 
+    /**
+     * Kills the selected nodes and restarts them after the fault's duration and their start-up time, in
+     * groups.
+     */
     private void restartNodes(Fleet.Fault fault) {
         int atOnce = Math.max(1, (int) fault.magnitude());
         List<Integer> eligibleNodes = IntStream.range(0, nodes.size())
--- a/src/main/java/kitemux/fleet/Fleet.java
+++ b/src/main/java/kitemux/fleet/Fleet.java
@@ -37,7 +37,9 @@
         Load load,
         List<Fault> faults) {
 
+    /** Largest number of servers that a run accepts. */
     private static final int MAX_SERVER_COUNT = 20_000;
+    /** Largest number of nodes that a run accepts. */
     private static final int MAX_NODE_COUNT = 2_000;
 
     /**
@@ -233,7 +235,7 @@
             return previous.factor;
         }
 
-        /** Returns this load with its rate multiplied by {@code times}. */
+        /** Returns this load with its rate multiplied by {@code factor}. */
         public Load scaledBy(double factor) {
             return new Load(ratePerS * factor, durationUs, profile, quotaPerS, overShareWorth);
         }
--- a/src/main/java/kitemux/fleet/OutcomeCounter.java
+++ b/src/main/java/kitemux/fleet/OutcomeCounter.java
@@ -10,6 +10,7 @@
  * as one.
  */
 final class OutcomeCounter {
+    /** Length of the window for the worst in-time ratio, in seconds. */
     private static final int WINDOW_S = 10;
     /** Upper limit of recorded latencies, in microseconds; they are recorded to two significant digits. */
     private static final long MAX_LATENCY_US = 60_000_000;
@@ -69,9 +70,9 @@
      */
     private boolean isOverQuota(long atUs, int tenant) {
         double quota = fleet.load().quotaPerS() * fleet.tenants().get(tenant).share() / totalShare;
-        double sinceS = quotaUpdatedAtUs[tenant] == 0 ? 1 : (atUs - quotaUpdatedAtUs[tenant]) / 1e6;
+        double elapsedS = quotaUpdatedAtUs[tenant] == 0 ? 1 : (atUs - quotaUpdatedAtUs[tenant]) / 1e6;
         quotaUpdatedAtUs[tenant] = atUs;
-        quotaRemaining[tenant] = Math.min(quota, quotaRemaining[tenant] + quota * sinceS);
+        quotaRemaining[tenant] = Math.min(quota, quotaRemaining[tenant] + quota * elapsedS);
         if (quotaRemaining[tenant] < 1) {
             return true;
         }
--- a/src/main/java/kitemux/fleet/RandomStream.java
+++ b/src/main/java/kitemux/fleet/RandomStream.java
@@ -19,9 +19,9 @@
         WORK,
         CLIENTS,
         NETWORK,
-        BOXES,
-        FRONT,
-        LISTS,
+        SERVERS,
+        FRONT_END,
+        DISCOVERY,
         FAULTS,
         MODULES,
         SKEW
--- a/src/main/java/kitemux/fleet/RuleChecker.java
+++ b/src/main/java/kitemux/fleet/RuleChecker.java
@@ -50,6 +50,7 @@
         this.limits = limits;
     }
 
+    /** Returns the load under which a cold server collapses. */
     ColdLoadLimit limits() {
         return limits;
     }
--- a/src/main/java/kitemux/fleet/RunResult.java
+++ b/src/main/java/kitemux/fleet/RunResult.java
@@ -93,17 +93,17 @@
      */
     public int recoveryTimeS(int fromS, double minRatio) {
         int recoveredAt = inTimeBySecond.size();
-        for (int s = inTimeBySecond.size() - 1; s >= fromS; s--) {
+        for (int second = inTimeBySecond.size() - 1; second >= fromS; second--) {
             double sum = 0;
             int seconds = 0;
-            for (int i = s; i < Math.min(s + 3, inTimeBySecond.size()); i++) {
+            for (int i = second; i < Math.min(second + 3, inTimeBySecond.size()); i++) {
                 sum += inTimeBySecond.get(i);
                 seconds++;
             }
             if (sum / seconds < minRatio) {
                 break;
             }
-            recoveredAt = s;
+            recoveredAt = second;
         }
         return recoveredAt == inTimeBySecond.size() ? -1 : recoveredAt - fromS;
     }
--- a/src/main/java/kitemux/plan/CapturedWorkload.java
+++ b/src/main/java/kitemux/plan/CapturedWorkload.java
@@ -40,7 +40,7 @@
         }
         for (String name : summary.classes().keySet()) {
             if (fleet.classes().stream()
-                    .noneMatch(work -> work.requestClass().name().equals(name))) {
+                    .noneMatch(workload -> workload.requestClass().name().equals(name))) {
                 faults.add("--load: has class \"" + name + "\", which the description does not have");
             }
         }
@@ -54,15 +54,16 @@
             return fleet;
         }
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
-        for (Fleet.ClassWorkload work : fleet.classes()) {
-            Summary.OfClass captured = summary.classes().get(work.requestClass().name());
+        for (Fleet.ClassWorkload workload : fleet.classes()) {
+            Summary.OfClass captured =
+                    summary.classes().get(workload.requestClass().name());
             double share = captured == null ? 0 : (double) captured.wanted() / summary.wanted();
             classes.add(new Fleet.ClassWorkload(
-                    work.requestClass(),
+                    workload.requestClass(),
                     Math.max(MIN_SHARE_RATIO, share),
-                    work.meanWorkUs(),
-                    work.distribution(),
-                    work.cv()));
+                    workload.meanWorkUs(),
+                    workload.distribution(),
+                    workload.cv()));
         }
         return fleet.withClasses(classes).withTenants(tenants(fleet, summary)).with(profile(fleet.load(), summary));
     }
@@ -74,10 +75,10 @@
      * @param capturedWork captured work by class; classes without an entry stay as described
      */
     public static Fleet applyWork(Fleet fleet, List<Speeds.Work> capturedWork) {
-        double logs = fleet.kinds().stream()
+        double logSpeedSum = fleet.kinds().stream()
                 .mapToDouble(k -> k.count() * Math.log(k.speed()))
                 .sum();
-        double meanSpeed = Math.exp(logs / fleet.serverCount());
+        double meanSpeed = Math.exp(logSpeedSum / fleet.serverCount());
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
         for (Fleet.ClassWorkload described : fleet.classes()) {
             classes.add(capturedWork.stream()
@@ -104,23 +105,23 @@
     }
 
     private static List<Fleet.TenantShare> tenants(Fleet fleet, Summary summary) {
-        double entitled =
+        double totalShare =
                 fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
-        Map<String, Long> wanted = summary.wantedByTenant();
+        Map<String, Long> firstTriesByTenant = summary.wantedByTenant();
         return fleet.tenants().stream()
                 .map(t -> new Fleet.TenantShare(
                         t.name(),
                         t.share(),
                         Math.max(
                                 MIN_SHARE_RATIO,
-                                wanted.getOrDefault(t.name(), 0L)
+                                firstTriesByTenant.getOrDefault(t.name(), 0L)
                                         / (double) summary.wanted()
-                                        / (t.share() / entitled))))
+                                        / (t.share() / totalShare))))
                 .toList();
     }
 
     private static Fleet.Load profile(Fleet.Load load, Summary summary) {
-        double rate = summary.wanted() / summary.seconds();
+        double ratePerS = summary.wanted() / summary.seconds();
         List<Fleet.LoadPoint> shape = new ArrayList<>();
         List<Summary.Step> steps = summary.steps();
         // The rate of a step applies to its middle. The last step is incomplete and is left out.
@@ -128,10 +129,10 @@
             double middleS = i + 1 < steps.size()
                     ? (steps.get(i).atS() + steps.get(i + 1).atS()) / 2
                     : 0;
-            shape.add(new Fleet.LoadPoint((long) (middleS * 1e6), steps.get(i).wantedPerS() / rate));
+            shape.add(new Fleet.LoadPoint((long) (middleS * 1e6), steps.get(i).wantedPerS() / ratePerS));
         }
         return new Fleet.Load(
-                rate,
+                ratePerS,
                 Math.max(1_000_000, (long) (summary.seconds() * 1e6)),
                 shape,
                 load.quotaPerS(),
--- a/src/main/java/kitemux/plan/Estimate.java
+++ b/src/main/java/kitemux/plan/Estimate.java
@@ -17,16 +17,16 @@
 
     /** Computes the estimate with Student's t distribution. The interval of fewer than two values is infinite. */
     public static Estimate of(List<Double> values) {
-        int n = values.size();
+        int count = values.size();
         double mean = values.stream().mapToDouble(v -> v).average().orElse(Double.NaN);
-        if (n < 2) {
-            return new Estimate(mean, Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, n);
+        if (count < 2) {
+            return new Estimate(mean, Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, count);
         }
         double variance =
-                values.stream().mapToDouble(v -> (v - mean) * (v - mean)).sum() / (n - 1);
-        double halfWidth = TDistribution.of(n - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2)
-                * Math.sqrt(variance / n);
-        return new Estimate(mean, mean - halfWidth, mean + halfWidth, n);
+                values.stream().mapToDouble(v -> (v - mean) * (v - mean)).sum() / (count - 1);
+        double halfWidth = TDistribution.of(count - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2)
+                * Math.sqrt(variance / count);
+        return new Estimate(mean, mean - halfWidth, mean + halfWidth, count);
     }
 
     /** Returns half of the width of the interval. */
--- a/src/main/java/kitemux/plan/FleetFile.java
+++ b/src/main/java/kitemux/plan/FleetFile.java
@@ -14,8 +14,8 @@
 import kitemux.hcl.Section;
 
 /**
- * Reads a fleet, its load and its faults from a description in HCL. The fields are documented in {@code
- * docs/operate/plan.md}.
+ * Reads a fleet, its load and its faults from a description in HCL.
+ * {@code docs/operate/plan.md} documents the fields.
  */
 public final class FleetFile {
     private FleetFile() {}
@@ -31,12 +31,14 @@
         String read(String path) throws IOException;
     }
 
+    /** The values of the field {@code repeat}: whether a request of a class may be repeated. */
     private enum RepeatPolicy {
         SAFE,
         KEYED,
         NEVER_TWICE
     }
 
+    /** The values of the field {@code group}: the servers among which a repeated keyed request is recognised. */
     private enum DeduplicationScope {
         ALL,
         RACK
@@ -85,7 +87,7 @@
         }
         Section root = new Section("", parsed, faults);
         List<Fleet.ServerKind> kinds = new ArrayList<>();
-        root.labelled("boxes", true).forEach((name, box) -> kinds.add(kind(name, box)));
+        root.labelled("boxes", true).forEach((name, section) -> kinds.add(kind(name, section)));
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
         root.labelled("class", true).forEach((name, section) -> classes.add(work(name, section)));
         List<Fleet.TenantShare> tenants = new ArrayList<>();
@@ -94,14 +96,14 @@
             section.end();
         });
         Fleet.Nodes nodes = nodes(root.block("nodes", true));
-        Fleet.OverloadSlowdown slowdown = choke(root.block("choke", false));
+        Fleet.OverloadSlowdown slowdown = overloadSlowdown(root.block("choke", false));
         Fleet.Links links = links(root.block("links", true));
-        Fleet.DiscoveryDelays list = list(root.block("list", false), faults);
+        Fleet.DiscoveryDelays delays = discoveryDelays(root.block("list", false), faults);
         Fleet.Clients clients = clients(root.block("clients", true));
         Fleet.Load load = load(root.block("load", true));
-        List<Fleet.Fault> fleetFaults = new ArrayList<>();
+        List<Fleet.Fault> injectedFaults = new ArrayList<>();
         for (Section fault : root.repeated("fault")) {
-            fleetFaults.add(readFault(fault));
+            injectedFaults.add(readFault(fault));
         }
         Fleet fleet = new Fleet(
                 kinds,
@@ -110,12 +112,12 @@
                 nodes,
                 slowdown,
                 links,
-                list,
+                delays,
                 clients,
                 classes,
                 tenants,
                 load,
-                fleetFaults);
+                injectedFaults);
         root.end();
         if (faults.isEmpty()) {
             faults.addAll(fleet.validate());
@@ -137,26 +139,26 @@
         return fault;
     }
 
-    private static Fleet.ServerKind kind(String name, Section box) {
+    private static Fleet.ServerKind kind(String name, Section section) {
         Fleet.ServerKind kind = new Fleet.ServerKind(
                 name,
-                box.whole("count", Double.NaN),
-                box.whole("cores", 1),
-                box.number("speed", 1),
-                box.number("speed_cv", 0),
-                box.whole("queue", 1_000),
-                box.number("cold_from", 1),
-                box.time("cold", 0),
-                box.yes("warms_by_work", false),
-                box.number("cost", 1));
-        box.end();
+                section.whole("count", Double.NaN),
+                section.whole("cores", 1),
+                section.number("speed", 1),
+                section.number("speed_cv", 0),
+                section.whole("queue", 1_000),
+                section.number("cold_from", 1),
+                section.time("cold", 0),
+                section.yes("warms_by_work", false),
+                section.number("cost", 1));
+        section.end();
         return kind;
     }
 
     private static Fleet.ClassWorkload work(String name, Section section) {
         RepeatPolicy repeat = section.word("repeat", RepeatPolicy.class, null);
-        DeduplicationScope group = section.word("group", DeduplicationScope.class, DeduplicationScope.ALL);
-        RequestClass cls = new RequestClass(
+        DeduplicationScope scope = section.word("group", DeduplicationScope.class, DeduplicationScope.ALL);
+        RequestClass requestClass = new RequestClass(
                 name,
                 section.time("aim", -1),
                 0,
@@ -168,17 +170,17 @@
                     case KEYED -> Repeat.KEYED;
                     case NEVER_TWICE -> Repeat.UNSAFE;
                 },
-                group == DeduplicationScope.ALL ? Group.ALL : Group.CELL,
+                scope == DeduplicationScope.ALL ? Group.ALL : Group.CELL,
                 section.time("window", 0),
                 false);
-        Fleet.ClassWorkload work = new Fleet.ClassWorkload(
-                cls,
+        Fleet.ClassWorkload workload = new Fleet.ClassWorkload(
+                requestClass,
                 section.number("share", Double.NaN),
                 section.time("work", -1),
                 section.word("spread", Fleet.WorkDistribution.class, Fleet.WorkDistribution.EXPONENTIAL),
                 section.number("cv", 1));
         section.end();
-        return work;
+        return workload;
     }
 
     private static Fleet.Nodes nodes(Section section) {
@@ -199,7 +201,7 @@
         return zones;
     }
 
-    private static Fleet.OverloadSlowdown choke(Section section) {
+    private static Fleet.OverloadSlowdown overloadSlowdown(Section section) {
         if (section == null) {
             return null;
         }
@@ -227,15 +229,15 @@
         return links;
     }
 
-    private static Fleet.DiscoveryDelays list(Section given, List<String> faults) {
-        Section section = given == null ? new Section("list", Map.of(), faults) : given;
-        Fleet.DiscoveryDelays list = new Fleet.DiscoveryDelays(
+    private static Fleet.DiscoveryDelays discoveryDelays(Section configured, List<String> faults) {
+        Section section = configured == null ? new Section("list", Map.of(), faults) : configured;
+        Fleet.DiscoveryDelays delays = new Fleet.DiscoveryDelays(
                 new Fleet.Range(section.time("gone_from", 560_000), section.time("gone_to", 5_000_000)),
                 new Fleet.Range(section.time("silent_from", 5_000_000), section.time("silent_to", 13_000_000)),
                 new Fleet.Range(section.time("back_from", 230_000), section.time("back_to", 2_100_000)),
                 section.time("grace", 500_000));
         section.end();
-        return list;
+        return delays;
     }
 
     private static Fleet.Clients clients(Section section) {
--- a/src/main/java/kitemux/plan/Planner.java
+++ b/src/main/java/kitemux/plan/Planner.java
@@ -28,8 +28,11 @@
     /** Relative precision with which the breaking load is determined. */
     private static final double LOAD_STEP_RATIO = 0.02;
 
+    /** Lowest load at which the search for the breaking load stops, as a multiple of the present load. */
     private static final double MIN_LOAD_RATIO = 0.05;
+    /** Highest load that the search tries, as a multiple of the present load. */
     private static final double MAX_LOAD_RATIO = 8;
+    /** Largest number of servers of one kind that the search tries. */
     private static final int MAX_SERVER_COUNT = 2_000;
     /** Lowest fraction of the shortfall that a change must recover to count as a cause. */
     private static final double MIN_RECOVERED_RATIO = 0.1;
--- a/src/main/java/kitemux/plan/QueueingFormulas.java
+++ b/src/main/java/kitemux/plan/QueueingFormulas.java
@@ -56,13 +56,14 @@
      * fixed point. They are equal if the fleet recovers by itself; if they differ, a retry storm sustains
      * itself.
      *
-     * @param offered work of first tries relative to the capacity of the fleet
-     * @param repeats maximum number of retries of a client
-     * @param wasted fraction of the work of abandoned tries that is executed nevertheless, in [0, 1)
+     * @param offeredLoad work of first tries relative to the capacity of the fleet
+     * @param maxRetries maximum number of retries of a client
+     * @param wastedRatio fraction of the work of abandoned tries that is executed nevertheless, in [0, 1)
      */
-    public static RetryStorm retryStorm(double offered, int repeats, double wasted) {
+    public static RetryStorm retryStorm(double offeredLoad, int maxRetries, double wastedRatio) {
         return new RetryStorm(
-                fixedPoint(offered, repeats, wasted, 1), fixedPoint(offered, repeats, wasted, 1 + repeats));
+                fixedPoint(offeredLoad, maxRetries, wastedRatio, 1),
+                fixedPoint(offeredLoad, maxRetries, wastedRatio, 1 + maxRetries));
     }
 
     /**
@@ -82,14 +83,14 @@
      * Iterates the number of tries: a try fails to the extent that demand exceeds the capacity left beside
      * wasted work.
      */
-    private static double fixedPoint(double offered, int repeats, double wasted, double initialTries) {
+    private static double fixedPoint(double offeredLoad, int maxRetries, double wastedRatio, double initialTries) {
         double tries = initialTries;
         for (int i = 0; i < 1_000; i++) {
-            double demand = offered * tries;
-            double served = demand <= 1 ? demand : Math.max(0, (1 - wasted * demand) / (1 - wasted));
+            double demand = offeredLoad * tries;
+            double served = demand <= 1 ? demand : Math.max(0, (1 - wastedRatio * demand) / (1 - wastedRatio));
             double failureRatio = 1 - served / demand;
             double sum = 0;
-            for (int k = 0; k <= repeats; k++) {
+            for (int k = 0; k <= maxRetries; k++) {
                 sum += Math.pow(failureRatio, k);
             }
             tries += 0.5 * (sum - tries);
--- a/src/test/java/kitemux/fleet/BoxTest.java
+++ b/src/test/java/kitemux/fleet/BoxTest.java
@@ -17,7 +17,7 @@
 /** Tests a single emulated server against exact results of queueing theory and the service rules. */
 class BoxTest {
     private static final double WORK_US = 10_000;
-    private static final int SEEDS = 30;
+    private static final int SEED_COUNT = 30;
 
     private final Scheduler scheduler = new Scheduler();
     private final RuleChecker rules = new RuleChecker(scheduler, new RuleChecker.ColdLoadLimit(4, 2_000_000));
@@ -35,7 +35,7 @@
                 1,
                 scheduler,
                 rules,
-                new RandomStream(1, RandomStream.Purpose.BOXES));
+                new RandomStream(1, RandomStream.Purpose.SERVERS));
     }
 
     /**
@@ -95,7 +95,7 @@
             boolean hasFixedWork,
             boolean measuresLoss) {
         List<Double> values = new ArrayList<>();
-        for (long seed = 1; seed <= SEEDS; seed++) {
+        for (long seed = 1; seed <= SEED_COUNT; seed++) {
             values.add(measure(cores, load, queueCapacity, seed, hasFixedWork, measuresLoss));
         }
         Estimate estimate = Estimate.of(values);
@@ -245,7 +245,7 @@
                 1,
                 scheduler,
                 rules,
-                new RandomStream(1, RandomStream.Purpose.BOXES));
+                new RandomStream(1, RandomStream.Purpose.SERVERS));
         RuleChecker.TrackedTry keyed =
                 new RuleChecker.TrackedTry(FleetFixtures.requestClass("photo", 1, 2, 1, Repeat.KEYED), 7);
         rules.executionStarted(keyed, box, 1_000);
--- a/src/test/java/kitemux/fleet/FleetFixtures.java
+++ b/src/test/java/kitemux/fleet/FleetFixtures.java
@@ -35,10 +35,10 @@
     /**
      * Returns a fleet with the reference classes and clients.
      *
-     * @param load offered load as a fraction of the capacity
+     * @param loadRatio offered load as a fraction of the capacity
      * @param lengthS time during which clients arrive, in seconds
      */
-    public static Fleet yearbook(int standardServers, int oldServers, int nodes, double load, long lengthS) {
+    public static Fleet yearbook(int standardServers, int oldServers, int nodes, double loadRatio, long lengthS) {
         List<Fleet.ServerKind> kinds = List.of(
                 new Fleet.ServerKind("std", standardServers, 1, 0.97, 0.15, 500, 0.2, 18_000_000, false, 1),
                 new Fleet.ServerKind("old", oldServers, 1, 0.75, 0.1, 400, 0.2, 18_000_000, false, 1));
@@ -63,7 +63,7 @@
                         0.6));
         double capacity = standardServers * 0.97 + oldServers * 0.75;
         double meanUs = 0.51 * 19_000 + 0.3 * 22_000 + 0.19 * 33_000;
-        double rate = load * capacity * 1e6 / meanUs;
+        double rate = loadRatio * capacity * 1e6 / meanUs;
         return new Fleet(
                 kinds,
                 2,
--- a/src/test/java/kitemux/fleet/PerNodeBudgetBalancer.java
+++ b/src/test/java/kitemux/fleet/PerNodeBudgetBalancer.java
@@ -24,7 +24,7 @@
     private final double meanWorkUs;
     private final Map<String, Long> coldStartsUs = new HashMap<>();
     private final Map<String, ArrayDeque<Long>> sentTimesUs = new HashMap<>();
-    private final Set<Long> redirectedRequests = new HashSet<>();
+    private final Set<Long> dispatchedRequests = new HashSet<>();
     private long nowUs;
 
     private PerNodeBudgetBalancer(Settings settings, double meanWorkUs) {
@@ -80,11 +80,11 @@
 
     /** Returns the first cold server whose full budget this node has not used up, or else the given server. */
     private String chooseServer(long request, String server) {
-        if (redirectedRequests.add(request)) {
-            for (Map.Entry<String, Long> start : coldStartsUs.entrySet()) {
-                double warmUpProgress = (double) (nowUs - start.getValue()) / settings.coldUs;
+        if (dispatchedRequests.add(request)) {
+            for (Map.Entry<String, Long> coldStart : coldStartsUs.entrySet()) {
+                double warmUpProgress = (double) (nowUs - coldStart.getValue()) / settings.coldUs;
                 double capacityRatio = settings.coldFrom + (1 - settings.coldFrom) * warmUpProgress;
-                ArrayDeque<Long> recentUs = sentTimesUs.computeIfAbsent(start.getKey(), id -> new ArrayDeque<>());
+                ArrayDeque<Long> recentUs = sentTimesUs.computeIfAbsent(coldStart.getKey(), id -> new ArrayDeque<>());
                 while (!recentUs.isEmpty() && recentUs.peek() <= nowUs - settings.fallUs) {
                     recentUs.poll();
                 }
@@ -92,7 +92,7 @@
                         && recentUs.size() + 1
                                 <= settings.fallMultiple * capacityRatio * settings.fallUs / meanWorkUs) {
                     recentUs.add(nowUs);
-                    return start.getKey();
+                    return coldStart.getKey();
                 }
             }
         }
--- a/src/test/java/kitemux/plan/PlannerTest.java
+++ b/src/test/java/kitemux/plan/PlannerTest.java
@@ -106,9 +106,9 @@
 
     @Test
     void unreachableGoalIsReportedWithItsReason() {
-        Planner.FleetRunner choked = runnerOf(of -> of.overloadSlowdown() == null ? 1 : 0.9);
+        Planner.FleetRunner overloadBound = runnerOf(of -> of.overloadSlowdown() == null ? 1 : 0.9);
         Planner.MinimumServers found =
-                new Planner(choked, GOAL).findMinimumServers(fleet).get(0);
+                new Planner(overloadBound, GOAL).findMinimumServers(fleet).get(0);
         assertEquals(-1, found.count());
         assertEquals("limited by servers that slow down when overloaded", found.reason());
     }
@@ -134,7 +134,7 @@
 
     @Test
     void failureImpactsIncludeRecoveryTime() {
-        Planner.FleetRunner player = (of, seeds) -> runnerOf(x -> 1).run(of, seeds).stream()
+        Planner.FleetRunner runner = (of, seeds) -> runnerOf(x -> 1).run(of, seeds).stream()
                 .map(r -> new RunResult(
                         r.seed(),
                         r.inTimeRatio(),
@@ -160,7 +160,7 @@
                         List.of(),
                         0))
                 .toList();
-        Planner planner = new Planner(player, GOAL);
+        Planner planner = new Planner(runner, GOAL);
         // A greedy tenant is not a fault in the emulated fleet, so it causes no loss here.
         planner.failureImpacts(fleet)
                 .forEach(impact -> assertEquals(
