--- a/src/main/java/kitemux/Balancer.java
+++ b/src/main/java/kitemux/Balancer.java
@@ -42,7 +42,7 @@
     void onWake(long nowUs);
 
     /** How many servers of the list it sends nothing to of its own choice, but for trials. */
-    default int avoided() {
+    default int ejectedServerCount() {
         return 0;
     }
 
@@ -111,15 +111,15 @@
      * @param id unique among the requests held
      * @param classIndex index into {@link Settings#classes}
      * @param tenant index into {@link Settings#tenants}, or -1
-     * @param leftUs time until the client gives up on this try
+     * @param remainingUs time until the client gives up on this try
      * @param workUs rough expected work on a standard core; 0 if not known
      * @param retry true if the client is known to repeat itself
      * @param key what the request is about, or null
-     * @param agoUs how long ago it came, as far as the node can tell: its aim runs from then. 0 where the
+     * @param ageUs how long ago it came, as far as the node can tell: its aim runs from then. 0 where the
      *     node keeps up
      */
     record Request(
-            long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry, String key, long agoUs) {
+            long id, int classIndex, int tenant, long remainingUs, long workUs, boolean retry, String key, long ageUs) {
 
         /** One that has come just now. */
         public Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry, String key) {
@@ -168,7 +168,7 @@
     record Outcome(long requestId, int attempt, Result result, long latencyUs, boolean requestEnded, double[] report) {}
 
     /** Whether a request may run again. */
-    enum Repeat {
+    enum RetrySafety {
         /** As often as wanted. */
         SAFE,
         /** Within a group of servers that drops repeats, for a while. */
@@ -178,7 +178,7 @@
     }
 
     /** The servers among which the repeats of a keyed request are dropped. */
-    enum Group {
+    enum DedupScope {
         ALL,
         ZONE,
         CELL
@@ -198,26 +198,26 @@
     /**
      * A class of requests.
      *
-     * @param aimUs answers within this time earn the full worth
-     * @param aimStretch the aim grows by this many times the request's own work, up to the deadline
+     * @param targetLatencyUs answers within this time earn the full worth
+     * @param targetLatencyPerWork the aim grows by this many times the request's own work, up to the deadline
      * @param deadlineUs how long a client waits over all its tries
      * @param worth worth of a request
      * @param lateWorth share of it for an answer after the aim
-     * @param repeat whether it may run again
-     * @param group keyed classes: who drops repeats
-     * @param windowUs keyed classes: for how long, from the first attempt that may have run
+     * @param retrySafety whether it may run again
+     * @param dedupScope keyed classes: who drops repeats
+     * @param dedupWindowUs keyed classes: for how long, from the first attempt that may have run
      * @param stream whether answers are streamed
      */
     record RequestClass(
             String name,
-            long aimUs,
-            double aimStretch,
+            long targetLatencyUs,
+            double targetLatencyPerWork,
             long deadlineUs,
             double worth,
             double lateWorth,
-            Repeat repeat,
-            Group group,
-            long windowUs,
+            RetrySafety retrySafety,
+            DedupScope dedupScope,
+            long dedupWindowUs,
             boolean stream) {}
 
     /**
@@ -232,7 +232,7 @@
         /** Number of nodes, this one included. */
         public int nodes = 1;
         /** This node's number among them, from 0. */
-        public int me;
+        public int nodeIndex;
         /** This node's zone, an index into {@link #zones}. */
         public int myZone;
         /** Zones by name. */
@@ -248,9 +248,9 @@
         /** Most attempts for a request. */
         public int maxAttempts = 3;
         /** Whether a request may have two attempts out at once. */
-        public boolean secondCopies;
+        public boolean hedgingAllowed;
         /** Whether attempts may be cancelled. */
-        public boolean cancel;
+        public boolean cancellationAllowed;
         /** Whether servers may be probed. */
         public boolean probes;
         /** Longest advice to a client on when to come back; 0 means none may be given. */
@@ -266,16 +266,16 @@
         /** Sends to a server must end this long after word that it drains or has gone. */
         public long drainGraceUs = 1_000_000;
         /** A server starts with this share of its capacity or more. */
-        public double coldFrom = 0.2;
+        public double coldCapacityRatio = 0.2;
         /** And is warm after this long at most. */
-        public long coldUs = 20_000_000;
+        public long warmUpUs = 20_000_000;
         /**
          * A cold server falls over when all nodes together send it more than this many times what it
          * can do.
          */
-        public double fallMultiple = 3;
+        public double overloadRatio = 3;
         /** For this long. */
-        public long fallUs = 2_000_000;
+        public long overloadOutageUs = 2_000_000;
         /** Price of an attempt that crosses zones; 0 if crossing is free. */
         public double crossZonePrice;
         /** Whether a server that served a key lately needs less work to serve it again. */
@@ -287,26 +287,26 @@
         public void validate() {
             require(!classes.isEmpty(), "classes is empty");
             require(nodes >= 1, "nodes is under 1");
-            require(me >= 0 && me < nodes, "me is not among nodes");
+            require(nodeIndex >= 0 && nodeIndex < nodes, "me is not among nodes");
             require(maxAttempts >= 1, "maxAttempts is under 1");
             require(myZone >= 0 && myZone < Math.max(1, zones.size()), "myZone is not among zones");
             require(
                     tickUs >= 0
-                            && coldUs >= 0
-                            && fallUs >= 0
+                            && warmUpUs >= 0
+                            && overloadOutageUs >= 0
                             && drainGraceUs >= 0
                             && connectTimeoutUs >= 0
                             && askWithinUs >= 0
                             && maxRetryAfterUs >= 0,
                     "a length of time is negative");
-            require(coldFrom > 0 && coldFrom <= 1, "coldFrom is not in (0, 1]");
-            require(fallMultiple > 0, "fallMultiple is not above 0");
+            require(coldCapacityRatio > 0 && coldCapacityRatio <= 1, "coldFrom is not in (0, 1]");
+            require(overloadRatio > 0, "fallMultiple is not above 0");
             for (RequestClass c : classes) {
                 require(
-                        c.aimUs() >= 0 && c.deadlineUs() > 0 && c.windowUs() >= 0 && c.aimStretch() >= 0,
+                        c.targetLatencyUs() >= 0 && c.deadlineUs() > 0 && c.dedupWindowUs() >= 0 && c.targetLatencyPerWork() >= 0,
                         "class " + c.name() + " has a length of time out of range");
                 require(c.worth() >= 0 && c.lateWorth() >= 0, "class " + c.name() + " has a negative worth");
-                require(c.repeat() != Repeat.KEYED || c.group() != null, "class " + c.name() + " has no group");
+                require(c.retrySafety() != RetrySafety.KEYED || c.dedupScope() != null, "class " + c.name() + " has no group");
             }
         }
 
--- a/src/main/java/kitemux/ServiceQBalancer.java
+++ b/src/main/java/kitemux/ServiceQBalancer.java
@@ -318,9 +318,9 @@
         Call(Request request, Settings set, long now) {
             this.request = request;
             cls = set.classes.get(request.classIndex());
-            long aim = Math.min(cls.deadlineUs(), cls.aimUs() + (long) (cls.aimStretch() * request.workUs()));
-            arrivedAt = now - Math.max(0, request.agoUs());
-            deadlineAt = now + Math.max(0, request.leftUs());
+            long aim = Math.min(cls.deadlineUs(), cls.targetLatencyUs() + (long) (cls.targetLatencyPerWork() * request.workUs()));
+            arrivedAt = now - Math.max(0, request.ageUs());
+            deadlineAt = now + Math.max(0, request.remainingUs());
             aimAt = Math.min(deadlineAt, arrivedAt + aim);
             servers = new Server[set.maxAttempts];
             sentAt = new long[set.maxAttempts];
@@ -503,7 +503,7 @@
             rows *= 2;
         }
         Server[] table = table(from, nextPrime(rows * size), size);
-        int first = set.me % rows * size;
+        int first = set.nodeIndex % rows * size;
         return Arrays.stream(table, first, first + size)
                 .filter(Objects::nonNull)
                 .toList();
@@ -790,7 +790,7 @@
         for (Server server : ejected) {
             Health ofClass = server.byClass[call.request.classIndex()];
             // Unsafe requests are risked only where no other could tell: for a class of their own.
-            boolean due = call.cls.repeat() == Repeat.UNSAFE
+            boolean due = call.cls.retrySafety() == RetrySafety.UNSAFE
                     ? !server.overall.ejected
                             && ofClass.ejected
                             && now >= ofClass.trialAt + UNSAFE_TRIALS * ofClass.ejectedForUs
@@ -821,7 +821,7 @@
     }
 
     @Override
-    public int avoided() {
+    public int ejectedServerCount() {
         return (int) ejected.stream().filter(s -> s.overall.ejected).count();
     }
 
@@ -1015,7 +1015,7 @@
             inFlight -= isCounted(server) ? 1 : 0;
             failed(server, ofClass, true);
         }
-        if (set.secondCopies && !call.waiting && hedgesLeft >= 1 && mayTryAgain(call) && call.outstanding == 1) {
+        if (set.hedgingAllowed && !call.waiting && hedgesLeft >= 1 && mayTryAgain(call) && call.outstanding == 1) {
             Server next = nextInTurn(call, server);
             if (next != null) {
                 hedgesLeft--;
@@ -1062,7 +1062,7 @@
                 waiting.set(kept++, call);
                 continue;
             }
-            boolean unsafe = call.cls.repeat() == Repeat.UNSAFE;
+            boolean unsafe = call.cls.retrySafety() == RetrySafety.UNSAFE;
             boolean barred = full || unsafe && fullForUnsafe || call.overShare && fullForOver;
             Server server = barred ? null : drawForFirstTry(call);
             if (server != null) {
@@ -1256,8 +1256,8 @@
     /** Rule 1: the one final answer, a refusal wherever that is known to be harmless. */
     private void giveUp(Call call) {
         boolean harmless = call.binding() < 0
-                || call.cls.repeat() == Repeat.SAFE
-                || call.cls.repeat() == Repeat.KEYED && call.cls.group() == Group.ALL;
+                || call.cls.retrySafety() == RetrySafety.SAFE
+                || call.cls.retrySafety() == RetrySafety.KEYED && call.cls.dedupScope() == DedupScope.ALL;
         if (harmless) {
             out.refuse(call.request.id(), set.maxRetryAfterUs);
         } else {
@@ -1271,7 +1271,7 @@
         inVain[c] += TIMELY_GAIN * ((call.attempts == 0 ? 1 : 0) - inVain[c]);
         call.ended = true;
         call.waiting = false;
-        for (int i = 0; i < call.attempts && call.outstanding > 0 && set.cancel; i++) {
+        for (int i = 0; i < call.attempts && call.outstanding > 0 && set.cancellationAllowed; i++) {
             if (call.results[i] == null) {
                 out.cancel(call.request.id(), i);
             }
@@ -1292,9 +1292,9 @@
         }
         int binding = call.binding();
         return binding < 0
-                || switch (call.cls.repeat()) {
+                || switch (call.cls.retrySafety()) {
                     case SAFE -> true;
-                    case KEYED -> now <= call.sentAt[binding] + call.cls.windowUs();
+                    case KEYED -> now <= call.sentAt[binding] + call.cls.dedupWindowUs();
                     case UNSAFE -> false;
                 };
     }
@@ -1308,9 +1308,9 @@
         if (server.state != ServerState.READY || isCold(server) && now < server.nextColdSendAt) {
             return false;
         }
-        int binding = call.cls.repeat() == Repeat.KEYED ? call.binding() : -1;
+        int binding = call.cls.retrySafety() == RetrySafety.KEYED ? call.binding() : -1;
         return binding < 0
-                || switch (call.cls.group()) {
+                || switch (call.cls.dedupScope()) {
                     case ALL -> true;
                     case ZONE -> server.zone == call.servers[binding].zone;
                     case CELL -> server.cell == call.servers[binding].cell;
@@ -1318,7 +1318,7 @@
     }
 
     private boolean isCold(Server server) {
-        return server.startedAt > 0 && now < server.startedAt + set.coldUs;
+        return server.startedAt > 0 && now < server.startedAt + set.warmUpUs;
     }
 
     /**
@@ -1331,9 +1331,9 @@
      * node of many it is no less than one core does of such work: half of a fleet may be replaced at once.
      */
     private long coldGap(Server server, int classIndex) {
-        double age = Math.max(0, now - server.startedAt) / (double) set.coldUs;
-        double share = set.coldFrom + (1 - set.coldFrom) * Math.min(1, age);
-        double units = Math.max(1, set.fallMultiple / 2) / (set.warmKeys ? UNKNOWN_KEY_COST : 1);
+        double age = Math.max(0, now - server.startedAt) / (double) set.warmUpUs;
+        double share = set.coldCapacityRatio + (1 - set.coldCapacityRatio) * Math.min(1, age);
+        double units = Math.max(1, set.overloadRatio / 2) / (set.warmKeys ? UNKNOWN_KEY_COST : 1);
         double unitUs = Math.sqrt(Math.min(leastGapUs, evenGapUs) * evenGapUs);
         if (many && !set.warmKeys && classIndex >= 0 && isUsualKnown(classIndex)) {
             unitUs = Math.min(unitUs, leastLatencyUs[classIndex] * senders);
--- a/src/main/java/kitemux/app/App.java
+++ b/src/main/java/kitemux/app/App.java
@@ -1,8 +1,8 @@
 package kitemux.app;
 
 import java.util.List;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 
 /**
  * An application and the servers behind it, as its owner describes them. Times are microseconds.
@@ -60,8 +60,8 @@
      */
     public record Work(
             String name,
-            Repeat again,
-            Group group,
+            RetrySafety again,
+            DedupScope group,
             long windowUs,
             long aimUs,
             long deadlineUs,
@@ -80,7 +80,7 @@
      * @param keptUs how long they remember one
      * @param shared by which servers it is known
      */
-    public record Keys(long keptUs, Group shared) {}
+    public record Keys(long keptUs, DedupScope shared) {}
 
     /**
      * Where servers come from, besides those that are described.
--- a/src/main/java/kitemux/app/AppFile.java
+++ b/src/main/java/kitemux/app/AppFile.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.function.BiFunction;
 import java.util.function.Function;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.hcl.Places;
 import kitemux.hcl.Section;
 import kitemux.hcl.Text;
@@ -153,9 +153,9 @@
         return new App.Work(
                 name,
                 switch (of.word("again", Again.class)) {
-                    case SAFE -> Repeat.SAFE;
-                    case KEYED -> Repeat.KEYED;
-                    case NEVER_TWICE -> Repeat.UNSAFE;
+                    case SAFE -> RetrySafety.SAFE;
+                    case KEYED -> RetrySafety.KEYED;
+                    case NEVER_TWICE -> RetrySafety.UNSAFE;
                 },
                 group(of.word("group", Shared.class)),
                 of.time("window"),
@@ -168,8 +168,8 @@
                 of.yes("second_copies"));
     }
 
-    private static Group group(Shared shared) {
-        return shared == Shared.ALL ? Group.ALL : Group.CELL;
+    private static DedupScope group(Shared shared) {
+        return shared == Shared.ALL ? DedupScope.ALL : DedupScope.CELL;
     }
 
     private static App.Members members(Block of) {
--- a/src/main/java/kitemux/app/Checks.java
+++ b/src/main/java/kitemux/app/Checks.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 
 /** What a description that can be read means, held against all rules at once. Pure. */
 final class Checks {
@@ -62,18 +62,18 @@
         boolean orders = false;
         for (App.Work work : app.classes()) {
             String at = at("class", work.name());
-            orders |= work.again() == Repeat.UNSAFE;
-            if (app.neverTwice().contains(work.name()) && work.again() != Repeat.UNSAFE) {
+            orders |= work.again() == RetrySafety.UNSAFE;
+            if (app.neverTwice().contains(work.name()) && work.again() != RetrySafety.UNSAFE) {
                 tell(
                         Rule.NEVER_TWICE,
                         at + ".again",
                         "never_twice names it, and here it may be sent again after a"
                                 + " failure: its effect could happen twice");
             }
-            if (work.again() == Repeat.UNSAFE) {
+            if (work.again() == RetrySafety.UNSAFE) {
                 unsafe(work, at);
             }
-            if (work.again() == Repeat.KEYED) {
+            if (work.again() == RetrySafety.KEYED) {
                 keyed(work, at);
             }
             times(work, at);
@@ -114,7 +114,7 @@
                                     + " ms, and servers forget its key after "
                                     + app.keys().keptUs() / 1_000 + " ms: what comes later runs a second time");
         }
-        if (work.group() == Group.ALL && app.keys().shared() == Group.CELL) {
+        if (work.group() == DedupScope.ALL && app.keys().shared() == DedupScope.CELL) {
             tell(
                     Rule.GROUP,
                     at + ".group",
@@ -132,10 +132,10 @@
                     at + ".deadline",
                     "opening one connection may take as long: a server that is gone" + " would use up all of it");
         }
-        if (work.attempts() > 0 && work.attempts() < app.limits().attempts() && work.again() != Repeat.UNSAFE) {
+        if (work.attempts() > 0 && work.attempts() < app.limits().attempts() && work.again() != RetrySafety.UNSAFE) {
             tell(Rule.NOT_YET, at + ".attempts", "attempts are bounded for all classes together, by limits.attempts");
         }
-        if (work.secondCopies() && !app.limits().secondCopies() && work.again() != Repeat.UNSAFE) {
+        if (work.secondCopies() && !app.limits().secondCopies() && work.again() != RetrySafety.UNSAFE) {
             tell(
                     Rule.NOT_YET,
                     at + ".second_copies",
--- a/src/main/java/kitemux/app/ConfigWriter.java
+++ b/src/main/java/kitemux/app/ConfigWriter.java
@@ -88,15 +88,15 @@
         set.zones.add(ZONE);
         set.listOnRequest = !app.discovery().isEmpty();
         set.maxAttempts = app.limits().attempts();
-        set.cancel = true;
-        set.secondCopies = app.limits().secondCopies();
+        set.cancellationAllowed = true;
+        set.hedgingAllowed = app.limits().secondCopies();
         set.maxRetryAfterUs = app.limits().retryAfterUs();
         set.connectTimeoutUs = app.limits().connectUs();
         set.drainGraceUs = app.rules().drainUs();
-        set.coldFrom = app.rules().coldFrom();
-        set.coldUs = app.rules().coldFrom() < 1 ? app.rules().coldUs() : 0;
-        set.fallMultiple = app.rules().overload();
-        set.fallUs = app.rules().fallUs();
+        set.coldCapacityRatio = app.rules().coldFrom();
+        set.warmUpUs = app.rules().coldFrom() < 1 ? app.rules().coldUs() : 0;
+        set.overloadRatio = app.rules().overload();
+        set.overloadOutageUs = app.rules().fallUs();
         app.tenants().forEach(tenant -> set.tenants.add(new Tenant(tenant.name(), app.quotaPerS() * tenant.share())));
         app.classes()
                 .forEach(work -> set.classes.add(new RequestClass(
--- a/src/main/java/kitemux/app/Differences.java
+++ b/src/main/java/kitemux/app/Differences.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Function;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 
 /** What one description says otherwise than another, in words: whose traffic, and how. */
 public final class Differences {
@@ -99,9 +99,9 @@
         String of = "class " + next.name();
         if (before.again() != next.again()) {
             lines.add(of + " is " + word(next.again()) + ", before " + word(before.again())
-                    + (before.again() == Repeat.UNSAFE
+                    + (before.again() == RetrySafety.UNSAFE
                             ? ": it MAY BE SENT AGAIN after a failure from now on"
-                            : next.again() == Repeat.UNSAFE ? ": it fails where it was sent again before" : ""));
+                            : next.again() == RetrySafety.UNSAFE ? ": it fails where it was sent again before" : ""));
         }
         plain(of + ": a repeat may reach", before.group(), next.group());
         micros(of + ": it may be sent again for", before.windowUs(), next.windowUs());
@@ -121,7 +121,7 @@
     }
 
     private static String word(Enum<?> of) {
-        return of == Repeat.UNSAFE
+        return of == RetrySafety.UNSAFE
                 ? "never-twice"
                 : of.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/kitemux/bench/CaptureBench.java
+++ b/src/main/java/kitemux/bench/CaptureBench.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.stream.Stream;
 import kitemux.Balancer.Result;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
-import kitemux.load.Capture;
+import kitemux.engine.Clock;
+import kitemux.load.CaptureWriter;
 import kitemux.load.LoadSettings;
 
 /**
@@ -37,12 +37,12 @@
         double[] off = new double[ROUNDS];
         double[] on = new double[ROUNDS];
         try {
-            Time clock = new WallTime();
+            Clock clock = new WallTime();
             LoadSettings settings = new LoadSettings(folder, 65_536, 4 << 20, 512 << 20);
             for (int round = 0; round < ROUNDS; round++) {
                 off[round] = nanosEach(Observer.NONE, clock, 0);
-                try (Capture capture =
-                        new Capture(settings, "n", List.of("page"), List.of(), clock::nowUs, out::println)) {
+                try (CaptureWriter capture =
+                        new CaptureWriter(settings, "n", List.of("page"), List.of(), clock::nowUs, out::println)) {
                     on[round] = nanosEach(capture.recorder(clock), clock, 0);
                 }
             }
@@ -54,12 +54,12 @@
                     ROUNDS, REQUESTS, off[ROUNDS / 2], off[0], off[ROUNDS - 1], on[ROUNDS / 2], on[0], on[ROUNDS - 1]);
             LoadSettings standing = new LoadSettings(folder, 8_192, 4 << 20, 512 << 20);
             for (int rate : RATES) {
-                try (Capture capture =
-                        new Capture(standing, "n", List.of("page"), List.of(), clock::nowUs, out::println)) {
+                try (CaptureWriter capture =
+                        new CaptureWriter(standing, "n", List.of("page"), List.of(), clock::nowUs, out::println)) {
                     nanosEach(capture.recorder(clock), clock, 1_000_000_000 / rate);
                     out.printf(
                             "at %d a second, ring of %d: %d of %d were left out%n",
-                            rate, standing.ring(), capture.ringFull(), REQUESTS / 10);
+                            rate, standing.ring(), capture.unreportedDropCount(), REQUESTS / 10);
                 }
             }
         } finally {
@@ -72,24 +72,24 @@
         }
     }
 
-    private static double nanosEach(Observer observer, Time clock, long eachNanos) {
-        Asked asked = new Page();
+    private static double nanosEach(Observer observer, Clock clock, long eachNanos) {
+        RequestInfo asked = new Page();
         int requests = eachNanos == 0 ? REQUESTS : REQUESTS / 10;
         long began = System.nanoTime();
         for (long id = 1; id <= requests; id++) {
             while (eachNanos > 0 && System.nanoTime() - began < id * eachNanos) {
                 Thread.onSpinWait();
             }
-            observer.taken(id, asked);
-            observer.sent(id, 0, "b7", clock.nowUs() + 500_000);
-            observer.ended(id, 0, Result.OK);
-            observer.answered(id, Observer.Answer.SERVED);
-            observer.forgotten(id);
+            observer.onRequestAccepted(id, asked);
+            observer.onAttemptStarted(id, 0, "b7", clock.nowUs() + 500_000);
+            observer.onAttemptEnded(id, 0, Result.OK);
+            observer.onRequestAnswered(id, Observer.RequestOutcome.SERVED);
+            observer.onRequestReleased(id);
         }
         return (System.nanoTime() - began) / (double) requests;
     }
 
-    private static final class Page implements Asked {
+    private static final class Page implements RequestInfo {
         @Override
         public String txn() {
             return "t";
@@ -106,7 +106,7 @@
         }
 
         @Override
-        public long leftUs() {
+        public long remainingUs() {
             return 500_000;
         }
     }
--- a/src/main/java/kitemux/bench/EmulatorBench.java
+++ b/src/main/java/kitemux/bench/EmulatorBench.java
@@ -119,7 +119,7 @@
         Scheduler time = new Scheduler();
         Scheduler.Event[] set = new Scheduler.Event[pending];
         for (int i = 0; i < pending; i++) {
-            set[i] = time.at(random.nextInt(1_000_000), () -> {});
+            set[i] = time.scheduleAt(random.nextInt(1_000_000), () -> {});
         }
         long began = System.nanoTime();
         for (int i = 0; i < EVENTS; i++) {
@@ -127,9 +127,9 @@
             if (i % 4 != 0) {
                 set[which].cancel();
             } else {
-                time.step(Long.MAX_VALUE);
+                time.runNext(Long.MAX_VALUE);
             }
-            set[which] = time.at(time.now() + random.nextInt(1_000_000), () -> {});
+            set[which] = time.scheduleAt(time.nowNanos() + random.nextInt(1_000_000), () -> {});
         }
         return (System.nanoTime() - began) / (double) EVENTS;
     }
--- a/src/main/java/kitemux/bench/JournalBench.java
+++ b/src/main/java/kitemux/bench/JournalBench.java
@@ -10,17 +10,17 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.stream.Stream;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.Settings;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
 import kitemux.orders.JournalReader;
-import kitemux.orders.OrderKeeper;
-import kitemux.orders.OrderLog;
+import kitemux.orders.OrderRecorder;
+import kitemux.orders.JournalWriter;
 import kitemux.orders.OrderSettings;
-import kitemux.orders.Orders;
+import kitemux.orders.OrderJournal;
 
 /** What a journal of many orders costs: to write, to take up after a crash, to ask and to check. */
 public final class JournalBench {
@@ -43,7 +43,7 @@
     }
 
     /** An order of a few bytes. */
-    private record Order(String txn, List<byte[]> body) implements Asked {
+    private record Order(String txn, List<byte[]> body) implements RequestInfo {
         @Override
         public int classIndex() {
             return 0;
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public long leftUs() {
+        public long remainingUs() {
             return 1_000_000;
         }
 
@@ -65,7 +65,7 @@
         }
 
         @Override
-        public boolean retry() {
+        public boolean isRetry() {
             return false;
         }
 
@@ -86,7 +86,7 @@
         try {
             Path journal = folder.resolve("orders");
             OrderSettings how =
-                    new OrderSettings(journal, OrderLog.Sync.NEVER, 1, PATIENCE_MS, 4 << 20, 24, 0, 0, Set.of());
+                    new OrderSettings(journal, JournalWriter.SyncPolicy.NEVER, 1, PATIENCE_MS, 4 << 20, 24, 0, 0, Set.of());
             out.printf(
                     Locale.ROOT,
                     "%d orders, Java %s, heap of at most %d MB%n",
@@ -103,20 +103,20 @@
             out.printf(Locale.ROOT, "%-44s %9.1f MB%n", "on disk", bytes / 1e6);
             timed(
                     "taken up after a crash",
-                    () -> Orders.open(how, new WallTime(), Runnable::run, line -> out.println("  " + line))
+                    () -> OrderJournal.open(how, new WallTime(), Runnable::run, line -> out.println("  " + line))
                             .close());
-            JournalReader reader = Orders.reader(journal);
+            JournalReader reader = OrderJournal.reader(journal);
             String one = "order-" + orders / 2;
             timed("asked for one by its id", () -> {
                 int[] found = new int[1];
-                reader.storiesOf(Set.of(one), Set.of(), Set.of(), taken -> true, story -> found[0]++);
+                reader.findHistories(Set.of(one), Set.of(), Set.of(), taken -> true, story -> found[0]++);
                 if (found[0] != 1) {
                     throw new IOException(one + " is found " + found[0] + " times");
                 }
             });
             timed("all read", () -> {
                 int[] found = new int[1];
-                reader.stories(taken -> true, story -> found[0]++);
+                reader.forEachHistory(taken -> true, story -> found[0]++);
                 if (found[0] != orders) {
                     throw new IOException(found[0] + " of " + orders + " are found");
                 }
@@ -134,28 +134,28 @@
 
     private void fill(OrderSettings how) throws IOException, InterruptedException {
         Settings settings = new Settings();
-        settings.classes.add(new RequestClass("order", 1, 0, 2, 1, 0, Repeat.UNSAFE, null, 0, false));
+        settings.classes.add(new RequestClass("order", 1, 0, 2, 1, 0, RetrySafety.UNSAFE, null, 0, false));
         WallTime time = new WallTime();
         // What is told is told on the writer's thread: it only counts, and nothing here has a loop.
-        Orders open = Orders.open(how, time, Runnable::run, line -> {});
-        OrderKeeper<Order> keeper = open.keeper(how, settings, time);
+        OrderJournal open = OrderJournal.open(how, time, Runnable::run, line -> {});
+        OrderRecorder<Order> keeper = open.recorder(how, settings, time);
         for (int at = 0; at < orders; at += AT_A_TIME) {
             int until = Math.min(orders, at + AT_A_TIME);
             CountDownLatch written = new CountDownLatch(until - at);
             for (int i = at; i < until; i++) {
                 byte[] body = ("body " + i).getBytes(StandardCharsets.US_ASCII);
                 Order order = new Order("order-" + i, List.of(body));
-                keeper.taken(i, order);
-                keeper.before(
+                keeper.onRequestAccepted(i, order);
+                keeper.admit(
                         i, order, 0, "box-1", () -> "127.0.0.1:8080", time.nowUs(), durable -> written.countDown());
             }
             written.await();
             for (int i = at; i < until; i++) {
                 if (until < orders) {
-                    keeper.ended(i, 0, Result.OK);
-                    keeper.answered(i, Observer.Answer.SERVED);
+                    keeper.onAttemptEnded(i, 0, Result.OK);
+                    keeper.onRequestAnswered(i, Observer.RequestOutcome.SERVED);
                 }
-                keeper.forgotten(i);
+                keeper.onRequestReleased(i);
             }
         }
         open.close();
--- a/src/main/java/kitemux/bench/KillRuns.java
+++ b/src/main/java/kitemux/bench/KillRuns.java
@@ -16,10 +16,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
-import kitemux.orders.JournalReader.Verdict;
-import kitemux.orders.Orders;
-import kitemux.orders.Story;
-import kitemux.orders.Story.State;
+import kitemux.orders.JournalReader.VerificationResult;
+import kitemux.orders.OrderJournal;
+import kitemux.orders.OrderHistory;
+import kitemux.orders.OrderHistory.State;
 import kitemux.standin.OrderBox;
 import kitemux.standin.OrderBox.Did;
 
@@ -72,7 +72,7 @@
             }
             for (int i = 0; i <= kills; i++) {
                 round(i, i == kills);
-                Verdict verdict = Orders.reader(journal()).verify();
+                VerificationResult verdict = OrderJournal.reader(journal()).verify();
                 int round = i;
                 verdict.faults().forEach(fault -> wrong.add("after kill " + round + ": " + fault));
             }
@@ -201,10 +201,10 @@
     // ---------------------------------------------------------------- what the journal says of it
 
     private void hold(List<String> wrong, PrintStream out) throws IOException {
-        Map<String, Story> stories = new TreeMap<>();
-        Orders.reader(journal()).stories(taken -> true, story -> {
-            if (stories.put(story.taken().order(), story) != null) {
-                wrong.add(story.taken().order() + " is recorded twice");
+        Map<String, OrderHistory> stories = new TreeMap<>();
+        OrderJournal.reader(journal()).forEachHistory(taken -> true, story -> {
+            if (stories.put(story.accepted().orderId(), story) != null) {
+                wrong.add(story.accepted().orderId() + " is recorded twice");
             }
         });
         Map<State, Integer> states = new TreeMap<>();
@@ -220,7 +220,7 @@
             String uid = "b" + i;
             for (String id : boxes.get(i).did().keySet()) {
                 received++;
-                Story story = stories.get(id);
+                OrderHistory story = stories.get(id);
                 if (story == null
                         || story.attempts().stream()
                                 .noneMatch(a -> a.intent().server().equals(uid))) {
@@ -240,7 +240,7 @@
                 + states + ", " + wrong.size() + " wrong");
     }
 
-    private void hold(String id, Story story, List<String> wrong) {
+    private void hold(String id, OrderHistory story, List<String> wrong) {
         Did did = null;
         int reached = 0;
         for (OrderBox box : boxes) {
@@ -250,8 +250,8 @@
         }
         State state = story.state(false);
         boolean served = state == State.ANSWERED
-                && story.telling().ended().mayHaveRun()
-                && story.telling().ended().result().name().equals("OK");
+                && story.decisiveAttempt().ended().mayHaveRun()
+                && story.decisiveAttempt().ended().result().name().equals("OK");
         if (reached > 1) {
             wrong.add(id + " came to boxes " + reached + " times");
         }
--- a/src/main/java/kitemux/bench/WallTime.java
+++ b/src/main/java/kitemux/bench/WallTime.java
@@ -2,10 +2,10 @@
 
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 
 /** The system's time, read as cheaply as a node's loop reads it, and no timers: nothing here is ever late. */
-final class WallTime implements Time {
+final class WallTime implements Clock {
     private final long beganUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
     private final long beganNanos = System.nanoTime();
 
@@ -15,7 +15,7 @@
     }
 
     @Override
-    public Timer after(long us, Runnable task) {
+    public Timer schedule(long us, Runnable task) {
         return () -> {};
     }
 }
--- a/src/main/java/kitemux/cli/LoadCommand.java
+++ b/src/main/java/kitemux/cli/LoadCommand.java
@@ -9,9 +9,9 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import kitemux.load.Captured;
-import kitemux.load.Speeds;
-import kitemux.load.Summary;
+import kitemux.load.CaptureFile;
+import kitemux.load.ServerSpeedEstimator;
+import kitemux.load.LoadSummary;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -53,7 +53,7 @@
         if (!(step > 0 && step <= MOST_BIN_S)) {
             faults.add("--step is not above 0 and up to " + (long) MOST_BIN_S);
         }
-        Summary all = summary(files, step, shift, faults);
+        LoadSummary all = summary(files, step, shift, faults);
         if (!faults.isEmpty()) {
             return unusable(faults);
         }
@@ -64,7 +64,7 @@
         }
         out.flush();
         PrintWriter err = spec.commandLine().getErr();
-        all.remarks().forEach(remark -> err.println("kitemux: " + remark));
+        all.warnings().forEach(remark -> err.println("kitemux: " + remark));
         err.flush();
         return Main.DONE;
     }
@@ -83,7 +83,7 @@
         return tell(
                 files,
                 shift,
-                (speeds, out) -> speeds.estimate()
+                (speeds, out) -> speeds.estimateSpeeds()
                         .forEach(of -> line(
                                 out,
                                 "%s: speed %.2f (%.2f to %.2f), %d answers",
@@ -91,7 +91,7 @@
                                 of.speed(),
                                 of.low(),
                                 of.high(),
-                                of.answers())));
+                                of.sampleCount())));
     }
 
     @Command(
@@ -108,21 +108,21 @@
         return tell(
                 files,
                 shift,
-                (speeds, out) -> speeds.work()
+                (speeds, out) -> speeds.estimateWork()
                         .forEach(of -> line(
                                 out,
                                 "%s: work %.2f ms (%.2f to %.2f), cv %.2f, %d answers",
-                                of.name(),
+                                of.className(),
                                 of.meanUs() / 1e3,
-                                of.low() / 1e3,
-                                of.high() / 1e3,
+                                of.lowUs() / 1e3,
+                                of.highUs() / 1e3,
                                 of.cv(),
-                                of.answers())));
+                                of.sampleCount())));
     }
 
-    private int tell(List<Path> files, Map<String, Double> shift, BiConsumer<Speeds, PrintWriter> what) {
+    private int tell(List<Path> files, Map<String, Double> shift, BiConsumer<ServerSpeedEstimator, PrintWriter> what) {
         List<String> faults = new ArrayList<>();
-        Speeds speeds = speeds(files, shift, faults);
+        ServerSpeedEstimator speeds = speeds(files, shift, faults);
         if (!faults.isEmpty()) {
             return unusable(faults);
         }
@@ -144,11 +144,11 @@
      *
      * @param faults one line is added for each file that cannot be read
      */
-    static Speeds speeds(List<Path> files, Map<String, Double> shiftS, List<String> faults) {
-        Speeds speeds = new Speeds(us(shiftS));
+    static ServerSpeedEstimator speeds(List<Path> files, Map<String, Double> shiftS, List<String> faults) {
+        ServerSpeedEstimator speeds = new ServerSpeedEstimator(us(shiftS));
         for (Path file : files) {
             try {
-                speeds.add(Captured.read(file));
+                speeds.add(CaptureFile.read(file));
             } catch (IOException e) {
                 faults.add(String.valueOf(e.getMessage()));
             }
@@ -161,11 +161,11 @@
      *
      * @param faults one line is added for each file that cannot be read
      */
-    static Summary summary(List<Path> files, double stepS, Map<String, Double> shiftS, List<String> faults) {
-        Summary all = new Summary(Math.max(1, (long) (stepS * 1e6)), us(shiftS));
+    static LoadSummary summary(List<Path> files, double stepS, Map<String, Double> shiftS, List<String> faults) {
+        LoadSummary all = new LoadSummary(Math.max(1, (long) (stepS * 1e6)), us(shiftS));
         for (Path file : files) {
             try {
-                all.add(Captured.read(file));
+                all.add(CaptureFile.read(file));
             } catch (IOException e) {
                 faults.add(String.valueOf(e.getMessage()));
             }
@@ -185,13 +185,13 @@
         out.println(String.format(Locale.ROOT, format, of));
     }
 
-    private static void text(Summary all, PrintWriter out) {
+    private static void text(LoadSummary all, PrintWriter out) {
         line(
                 out,
                 "%d wanted in %.1f s, %.1f a second, by %d nodes; burstiness %.2f",
-                all.wanted(),
-                all.seconds(),
-                all.seconds() == 0 ? 0 : all.wanted() / all.seconds(),
+                all.firstTries(),
+                all.durationS(),
+                all.durationS() == 0 ? 0 : all.firstTries() / all.durationS(),
                 all.nodes().size(),
                 all.burstiness());
         all.classes()
@@ -201,48 +201,48 @@
                                 + " %d left; %d sent; a server's answer p50 %.1f ms, p99 %.1f ms; a client's p50 %.1f ms,"
                                 + " p99 %.1f ms",
                         name,
-                        of.wanted(),
-                        of.repeats(),
+                        of.firstTries(),
+                        of.retries(),
                         of.served(),
                         of.refused(),
                         of.failed(),
-                        of.left(),
+                        of.abandoned(),
                         of.attempts(),
-                        of.serviceUs(50) / 1e3,
-                        of.serviceUs(99) / 1e3,
-                        of.tookUs(50) / 1e3,
-                        of.tookUs(99) / 1e3));
-        all.wantedByTenant()
+                        of.serverResponseTimeUs(50) / 1e3,
+                        of.serverResponseTimeUs(99) / 1e3,
+                        of.clientResponseTimeUs(50) / 1e3,
+                        of.clientResponseTimeUs(99) / 1e3));
+        all.firstTriesByTenant()
                 .forEach((name, wanted) ->
-                        line(out, "%s: %.3f of what was wanted", name, (double) wanted / Math.max(1, all.wanted())));
+                        line(out, "%s: %.3f of what was wanted", name, (double) wanted / Math.max(1, all.firstTries())));
         all.steps()
                 .forEach(step -> line(
                         out,
                         "%8.1f s  %8.1f wanted  %8.1f repeats a second",
-                        step.atS(),
-                        step.wantedPerS(),
-                        step.repeatsPerS()));
+                        step.startS(),
+                        step.firstTriesPerS(),
+                        step.retriesPerS()));
     }
 
     /** What of a description a capture tells; the rest, above all the work of a request, it does not. */
-    private static void description(Summary all, PrintWriter out) {
-        double rate = all.seconds() == 0 ? 0 : all.wanted() / all.seconds();
+    private static void description(LoadSummary all, PrintWriter out) {
+        double rate = all.durationS() == 0 ? 0 : all.firstTries() / all.durationS();
         all.classes()
                 .forEach((name, of) -> line(
-                        out, "# class \"%s\": share = %.4f", name, (double) of.wanted() / Math.max(1, all.wanted())));
-        all.wantedByTenant()
+                        out, "# class \"%s\": share = %.4f", name, (double) of.firstTries() / Math.max(1, all.firstTries())));
+        all.firstTriesByTenant()
                 .forEach((name, wanted) -> line(
                         out,
                         "# tenant \"%s\": usage = %.4f of what was wanted",
                         name,
-                        (double) wanted / Math.max(1, all.wanted())));
-        line(out, "load {%n  rate   = %.2f%n  length = \"%ds\"", rate, (long) Math.ceil(all.seconds()));
-        for (Summary.Step step : all.steps()) {
+                        (double) wanted / Math.max(1, all.firstTries())));
+        line(out, "load {%n  rate   = %.2f%n  length = \"%ds\"", rate, (long) Math.ceil(all.durationS()));
+        for (LoadSummary.Step step : all.steps()) {
             line(
                     out,
                     "  point {%n    at    = \"%dms\"%n    times = %.4f%n  }",
-                    Math.round(step.atS() * 1e3),
-                    rate == 0 ? 0 : step.wantedPerS() / rate);
+                    Math.round(step.startS() * 1e3),
+                    rate == 0 ? 0 : step.firstTriesPerS() / rate);
         }
         line(out, "}");
     }
--- a/src/main/java/kitemux/cli/OrdersCommand.java
+++ b/src/main/java/kitemux/cli/OrdersCommand.java
@@ -16,14 +16,14 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 import kitemux.bench.KillRuns;
-import kitemux.orders.Entry.Taken;
+import kitemux.orders.Entry.Accepted;
 import kitemux.orders.JournalReader;
-import kitemux.orders.JournalReader.Verdict;
-import kitemux.orders.Kin;
-import kitemux.orders.Orders;
-import kitemux.orders.Story;
-import kitemux.orders.Story.State;
-import kitemux.orders.StoryText;
+import kitemux.orders.JournalReader.VerificationResult;
+import kitemux.orders.DuplicateMatch;
+import kitemux.orders.OrderJournal;
+import kitemux.orders.OrderHistory;
+import kitemux.orders.OrderHistory.State;
+import kitemux.orders.OrderHistoryText;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -102,13 +102,13 @@
             }
             try {
                 long sinceUs = time(since);
-                Predicate<Taken> about = taken -> (order == null || order.equals(taken.order()))
+                Predicate<Accepted> about = taken -> (order == null || order.equals(taken.orderId()))
                         && (key == null || key.equals(taken.key()))
                         && taken.atUs() >= sinceUs;
-                boolean live = Orders.isLive(journal);
+                boolean live = OrderJournal.isLive(journal);
                 int[] found = new int[2];
-                List<Taken> asked = new ArrayList<>();
-                Consumer<Story> print = story -> {
+                List<Accepted> asked = new ArrayList<>();
+                Consumer<OrderHistory> print = story -> {
                     State is = story.state(live);
                     if (state != null && is != state) {
                         return;
@@ -116,16 +116,16 @@
                     found[0]++;
                     found[1] += is == State.UNKNOWN || is == State.UNDER_WAY ? 1 : 0;
                     if (asked.size() < MOST_ASKED) {
-                        asked.add(story.taken());
+                        asked.add(story.accepted());
                     }
-                    System.out.println(json ? StoryText.json(story, live) : StoryText.sentence(story, live));
+                    System.out.println(json ? OrderHistoryText.toJson(story, live) : OrderHistoryText.toSentence(story, live));
                 };
                 if (order == null && key == null) {
-                    Orders.reader(journal).stories(about, print);
+                    OrderJournal.reader(journal).forEachHistory(about, print);
                 } else {
                     // By one of the two is enough to find it by; the other is looked at in what is found.
-                    Orders.reader(journal)
-                            .storiesOf(
+                    OrderJournal.reader(journal)
+                            .findHistories(
                                     order == null ? Set.of() : Set.of(order),
                                     order != null ? Set.of() : Set.of(key),
                                     Set.of(),
@@ -148,32 +148,32 @@
         }
 
         /** A client that tried again under a new id made another order here: the desk should know of both. */
-        private void tellOfKin(List<Taken> asked, Predicate<Taken> about, boolean live) throws IOException {
-            Orders.reader(journal)
-                    .storiesOf(
+        private void tellOfKin(List<Accepted> asked, Predicate<Accepted> about, boolean live) throws IOException {
+            OrderJournal.reader(journal)
+                    .findHistories(
                             Set.of(),
-                            texts(asked, Taken::key),
-                            texts(asked, Taken::idempotencyKey),
-                            taken -> !about.test(taken) && kin(asked, taken) != Kin.NONE,
+                            texts(asked, Accepted::key),
+                            texts(asked, Accepted::idempotencyKey),
+                            taken -> !about.test(taken) && kin(asked, taken) != DuplicateMatch.NONE,
                             story -> {
-                                Kin kin = kin(asked, story.taken());
+                                DuplicateMatch kin = kin(asked, story.accepted());
                                 System.out.println(
                                         json
-                                                ? StoryText.json(story, live, kin)
-                                                : kin.words() + ": " + StoryText.sentence(story, live));
+                                                ? OrderHistoryText.toJson(story, live, kin)
+                                                : kin.description() + ": " + OrderHistoryText.toSentence(story, live));
                             });
         }
 
-        private static Set<String> texts(List<Taken> asked, Function<Taken, String> of) {
+        private static Set<String> texts(List<Accepted> asked, Function<Accepted, String> of) {
             return asked.stream().map(of).filter(text -> !text.isEmpty()).collect(Collectors.toSet());
         }
 
-        private static Kin kin(List<Taken> asked, Taken other) {
+        private static DuplicateMatch kin(List<Accepted> asked, Accepted other) {
             return asked.stream()
-                    .map(one -> Kin.of(one, other))
-                    .filter(kin -> kin != Kin.NONE)
+                    .map(one -> DuplicateMatch.of(one, other))
+                    .filter(kin -> kin != DuplicateMatch.NONE)
                     .findFirst()
-                    .orElse(Kin.NONE);
+                    .orElse(DuplicateMatch.NONE);
         }
     }
 
@@ -192,7 +192,7 @@
         @Override
         public Integer call() {
             try {
-                Verdict verdict = Orders.reader(journal).verify();
+                VerificationResult verdict = OrderJournal.reader(journal).verify();
                 verdict.faults().forEach(System.out::println);
                 System.out.println(verdict.entries() + " entries in " + verdict.segments() + " segments, "
                         + verdict.faults().size() + " faults"
@@ -226,14 +226,14 @@
         public Integer call() {
             try {
                 long sinceUs = time(since);
-                boolean live = Orders.isLive(journal);
-                JournalReader reader = Orders.reader(journal);
+                boolean live = OrderJournal.isLive(journal);
+                JournalReader reader = OrderJournal.reader(journal);
                 if (!json) {
-                    System.out.println(StoryText.CSV_HEAD);
+                    System.out.println(OrderHistoryText.CSV_HEADER);
                 }
-                reader.stories(
+                reader.forEachHistory(
                         taken -> taken.atUs() >= sinceUs,
-                        story -> System.out.println(json ? StoryText.json(story, live) : StoryText.csv(story, live)));
+                        story -> System.out.println(json ? OrderHistoryText.toJson(story, live) : OrderHistoryText.toCsv(story, live)));
                 return Main.DONE;
             } catch (DateTimeParseException e) {
                 return unusable("--since is no time: " + since);
@@ -258,7 +258,7 @@
         @Override
         public Integer call() {
             try {
-                System.out.println(Orders.reader(journal).index() + " indexes were made");
+                System.out.println(OrderJournal.reader(journal).rebuildIndexes() + " indexes were made");
                 return Main.DONE;
             } catch (IOException e) {
                 return unusable("the journal cannot be indexed: " + e);
--- a/src/main/java/kitemux/cli/PlanCommand.java
+++ b/src/main/java/kitemux/cli/PlanCommand.java
@@ -114,7 +114,7 @@
             fleet = CapturedWorkload.applyLoad(fleet, LoadCommand.summary(captured, 1, Map.of(), faults), faults);
             if (work) {
                 fleet = CapturedWorkload.applyWork(
-                        fleet, LoadCommand.speeds(captured, Map.of(), faults).work());
+                        fleet, LoadCommand.speeds(captured, Map.of(), faults).estimateWork());
             }
             faults.addAll(fleet.validate());
         }
--- a/src/main/java/kitemux/config/ConfigText.java
+++ b/src/main/java/kitemux/config/ConfigText.java
@@ -9,7 +9,7 @@
 import java.io.UncheckedIOException;
 import java.util.List;
 import java.util.Locale;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.Settings;
@@ -111,7 +111,7 @@
 
     private static void settings(JsonGenerator json, Settings set, long connIdleUs) throws IOException {
         json.writeNumberField("balancers", set.nodes);
-        json.writeNumberField("me", set.me);
+        json.writeNumberField("me", set.nodeIndex);
         json.writeArrayFieldStart("zones");
         for (String zone : set.zones) {
             json.writeString(zone);
@@ -122,8 +122,8 @@
         json.writeNumberField("overShareWorth", set.overShareWorth);
         json.writeObjectFieldStart("limits");
         json.writeNumberField("attemptsCap", set.maxAttempts);
-        json.writeBooleanField("cancelling", set.cancel);
-        json.writeBooleanField("parallelTries", set.secondCopies);
+        json.writeBooleanField("cancelling", set.cancellationAllowed);
+        json.writeBooleanField("parallelTries", set.hedgingAllowed);
         json.writeBooleanField("retryAfter", set.maxRetryAfterUs > 0);
         json.writeNumberField("maxRetryAfterUs", set.maxRetryAfterUs);
         json.writeNumberField("dialTimeoutUs", set.connectTimeoutUs);
@@ -131,10 +131,10 @@
         json.writeEndObject();
         json.writeObjectFieldStart("rules");
         json.writeNumberField("drainGraceUs", set.drainGraceUs);
-        json.writeNumberField("coldFrom", set.coldFrom);
-        json.writeNumberField("coldUs", set.coldUs);
-        json.writeNumberField("overloadFactor", set.fallMultiple);
-        json.writeNumberField("fallUs", set.fallUs);
+        json.writeNumberField("coldFrom", set.coldCapacityRatio);
+        json.writeNumberField("coldUs", set.warmUpUs);
+        json.writeNumberField("overloadFactor", set.overloadRatio);
+        json.writeNumberField("fallUs", set.overloadOutageUs);
         json.writeEndObject();
         json.writeArrayFieldStart("realms");
         for (Tenant tenant : set.tenants) {
@@ -148,14 +148,14 @@
         for (RequestClass of : set.classes) {
             json.writeStartObject();
             json.writeStringField("name", of.name());
-            json.writeNumberField("onTimeUs", of.aimUs());
+            json.writeNumberField("onTimeUs", of.targetLatencyUs());
             json.writeNumberField("giveUpUs", of.deadlineUs());
             json.writeNumberField("importance", of.worth());
             json.writeNumberField("lateWorth", of.lateWorth());
-            json.writeStringField("repeat", of.repeat().name().toLowerCase(Locale.ROOT));
-            if (of.repeat() == Repeat.KEYED) {
-                json.writeStringField("group", of.group().name().toLowerCase(Locale.ROOT));
-                json.writeNumberField("windowUs", of.windowUs());
+            json.writeStringField("repeat", of.retrySafety().name().toLowerCase(Locale.ROOT));
+            if (of.retrySafety() == RetrySafety.KEYED) {
+                json.writeStringField("group", of.dedupScope().name().toLowerCase(Locale.ROOT));
+                json.writeNumberField("windowUs", of.dedupWindowUs());
             }
             json.writeEndObject();
         }
--- a/src/main/java/kitemux/config/SettingsReader.java
+++ b/src/main/java/kitemux/config/SettingsReader.java
@@ -1,8 +1,8 @@
 package kitemux.config;
 
 import java.util.Map;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ReportField;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
@@ -43,7 +43,7 @@
     private Settings settings() throws BadSettingException {
         Settings set = new Settings();
         set.nodes = (int) whole("balancers", set.nodes);
-        set.me = (int) whole("me", set.me);
+        set.nodeIndex = (int) whole("me", set.nodeIndex);
         for (String zone : list("zones")) {
             set.zones.add(zone);
         }
@@ -60,8 +60,8 @@
         set.overShareWorth = decimal("overShareWorth", set.overShareWorth);
         set.worthByWork = "work".equals(values.get("countedBy"));
         set.maxAttempts = (int) whole("limits.attemptsCap", set.maxAttempts);
-        set.secondCopies = flag("limits.parallelTries");
-        set.cancel = flag("limits.cancelling");
+        set.hedgingAllowed = flag("limits.parallelTries");
+        set.cancellationAllowed = flag("limits.cancelling");
         set.probes = flag("limits.probes");
         set.maxRetryAfterUs = flag("limits.retryAfter") ? whole("limits.maxRetryAfterUs", 0) : 0;
         set.tickUs = whole("quantumUs", set.tickUs);
@@ -69,10 +69,10 @@
         set.listOnRequest = "on_request".equals(values.get("membershipMode"));
         set.askWithinUs = whole("rules.askWithinUs", set.askWithinUs);
         set.drainGraceUs = whole("rules.drainGraceUs", set.drainGraceUs);
-        set.coldFrom = decimal("rules.coldFrom", set.coldFrom);
-        set.coldUs = whole("rules.coldUs", set.coldUs);
-        set.fallMultiple = decimal("rules.overloadFactor", set.fallMultiple);
-        set.fallUs = whole("rules.fallUs", set.fallUs);
+        set.coldCapacityRatio = decimal("rules.coldFrom", set.coldCapacityRatio);
+        set.warmUpUs = whole("rules.coldUs", set.warmUpUs);
+        set.overloadRatio = decimal("rules.overloadFactor", set.overloadRatio);
+        set.overloadOutageUs = whole("rules.fallUs", set.overloadOutageUs);
         set.crossZonePrice = decimal("costs.crossZone", set.crossZonePrice);
         set.warmKeys = flag("extra.warmKeys");
         for (String field : list("report.fields")) {
@@ -101,15 +101,15 @@
                 decimal(prefix + "importance", 1),
                 decimal(prefix + "lateWorth", 0),
                 switch (repeat) {
-                    case "safe" -> Repeat.SAFE;
-                    case "keyed" -> Repeat.KEYED;
-                    case "unsafe" -> Repeat.UNSAFE;
+                    case "safe" -> RetrySafety.SAFE;
+                    case "keyed" -> RetrySafety.KEYED;
+                    case "unsafe" -> RetrySafety.UNSAFE;
                     default -> throw new BadSettingException(prefix + "repeat", "is unknown: " + repeat);
                 },
                 switch (group) {
-                    case "all" -> Group.ALL;
-                    case "zone" -> Group.ZONE;
-                    case "cell" -> Group.CELL;
+                    case "all" -> DedupScope.ALL;
+                    case "zone" -> DedupScope.ZONE;
+                    case "cell" -> DedupScope.CELL;
                     default -> throw new BadSettingException(prefix + "group", "is unknown: " + group);
                 },
                 whole(prefix + "windowUs", 0),
--- a/src/main/java/kitemux/discovery/Discovery.java
+++ b/src/main/java/kitemux/discovery/Discovery.java
@@ -30,10 +30,10 @@
 import kitemux.Balancer.ServerState;
 import kitemux.config.ConfigException;
 import kitemux.config.Json;
-import kitemux.engine.Lists;
+import kitemux.engine.ServerListSource;
 import kitemux.engine.Log;
 import kitemux.net.HostList;
-import kitemux.net.ListLines;
+import kitemux.net.JsonFrameReader;
 import kitemux.net.Network;
 
 /**
@@ -49,7 +49,7 @@
  * before leaves 5 s. Open: where calls stand in turn for longer, as those of many nodes after a return may,
  * that is too late.
  */
-public final class Discovery implements Lists {
+public final class Discovery implements ServerListSource {
     /** What the watch tells. */
     public interface Listener {
         /** A list has come; its version is the one to go on from. */
@@ -126,7 +126,7 @@
         place = new Place(at, knownRev, true);
         dialer = new Bootstrap()
                 .group(loop)
-                .channelFactory(network::dialer)
+                .channelFactory(network::newOutboundChannel)
                 // Addresses only: no name is ever looked up, and no resolver kept for the loop.
                 .disableResolver()
                 .option(ChannelOption.ALLOCATOR, network.allocator())
@@ -195,7 +195,7 @@
      */
     public void moveTo(InetSocketAddress to) {
         if (!to.equals(place.address)) {
-            log.line("discovery is at " + to + " now");
+            log.info("discovery is at " + to + " now");
             place = new Place(to, 0, false);
             if (wanted) {
                 listener.moved();
@@ -206,7 +206,7 @@
 
     /** All of it is asked for once more, as after a watch that broke. */
     @Override
-    public void unusable() {
+    public void requestFullList() {
         place.revIsOfHere = false;
         if (former != null) {
             former.end();
@@ -235,7 +235,7 @@
 
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final long patienceUs = patienceUs(mostSilenceUs, random);
-        private final ListLines lines = new ListLines();
+        private final JsonFrameReader lines = new JsonFrameReader();
         private final Place place;
         private Channel channel;
         private Future<?> silence;
@@ -314,14 +314,14 @@
 
         /** Only what is whole is a sign of life: bytes that never make a list tell nothing. */
         private void read(ByteBuf bytes) {
-            ListLines.What what;
-            while (!over && (what = lines.next(bytes)) != ListLines.What.NOTHING) {
+            JsonFrameReader.Frame what;
+            while (!over && (what = lines.nextFrame(bytes)) != JsonFrameReader.Frame.INCOMPLETE) {
                 expectMore();
                 switch (what) {
-                    case LIST -> readList(lines.list());
+                    case OBJECT -> readList(lines.takeObject());
                     // A beat. As the first word it says that nothing has changed: the call has its answer.
-                    case BEAT -> heard(told || !place.revIsOfHere ? null : new HostList(place.rev, false, List.of()));
-                    default -> broken("bad line: " + lines.spoilt());
+                    case HEARTBEAT -> heard(told || !place.revIsOfHere ? null : new HostList(place.rev, false, List.of()));
+                    default -> broken("bad line: " + lines.malformedText());
                 }
             }
         }
@@ -336,7 +336,7 @@
 
         private void heard(HostList list) {
             HostList news = list;
-            if (list != null && list.rev() < place.heardRev) {
+            if (list != null && list.revision() < place.heardRev) {
                 news = older(list);
             } else if (list != null) {
                 note(list);
@@ -347,7 +347,7 @@
             }
             if (news != null) {
                 told = true;
-                place.rev = news.rev();
+                place.rev = news.revision();
                 place.revIsOfHere = true;
                 place.heardRev = place.rev;
                 if (this == current && former != null) {
@@ -371,7 +371,7 @@
          */
         private HostList older(HostList list) {
             if (lasting == null) {
-                log.line("discovery: its list is older than the one that it told; waiting for it to catch " + "up");
+                log.info("discovery: its list is older than the one that it told; waiting for it to catch " + "up");
                 lasting = loop.schedule(
                         () -> {
                             if (this == current) {
@@ -395,7 +395,7 @@
         }
 
         private void note(HostList list) {
-            if (list.all()) {
+            if (list.isFull()) {
                 startedAtUs.clear();
             }
             for (HostList.Host host : list.hosts()) {
--- a/src/main/java/kitemux/discovery/HostListReader.java
+++ b/src/main/java/kitemux/discovery/HostListReader.java
@@ -50,7 +50,7 @@
         // A server that has gone needs no address; word of it must not be lost for want of one.
         InetSocketAddress endpoint = state == ServerState.GONE
                 ? null
-                : Addresses.read(at + "endpoint", target.path("endpoint").text());
+                : Addresses.parse(at + "endpoint", target.path("endpoint").text());
         // Boot times may lie some milliseconds off ours; the module's clock is Unix time too.
         ServerEntry entry = new ServerEntry(
                 id,
--- a/src/main/java/kitemux/discovery/PushedList.java
+++ b/src/main/java/kitemux/discovery/PushedList.java
@@ -1,7 +1,7 @@
 package kitemux.discovery;
 
 import java.util.SplittableRandom;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 
 /**
  * Keeps a watch open where lists are pushed: the agent on the node's own machine has what it was sent, and
@@ -15,11 +15,11 @@
      * is well within what drains allow. Seven calls a second that are refused cost one machine nothing. */
     private static final long MOST_US = 150_000;
 
-    private final Time time;
+    private final Clock time;
     private final Runnable watch;
     private final SplittableRandom random;
     private long waitUs = FIRST_US;
-    private Time.Timer next;
+    private Clock.Timer next;
     private boolean ended;
 
     /**
@@ -27,7 +27,7 @@
      *
      * @param watch opens a watch in the place of an earlier one; how it ends is told here
      */
-    public PushedList(Time time, Runnable watch, long seed) {
+    public PushedList(Clock time, Runnable watch, long seed) {
         this.time = time;
         this.watch = watch;
         random = new SplittableRandom(seed);
@@ -54,7 +54,7 @@
         }
         long us = waitUs / 2 + random.nextLong(waitUs);
         waitUs = Math.min(MOST_US, 2 * waitUs);
-        next = time.after(us, () -> {
+        next = time.schedule(us, () -> {
             next = null;
             watch.run();
         });
--- a/src/main/java/kitemux/disk/Disk.java
+++ b/src/main/java/kitemux/disk/Disk.java
@@ -5,11 +5,11 @@
 
 /**
  * A folder that lasting records are kept in, and the few things that they need of one. What is written is
- * safe once {@link Out#sync} has returned, a file's being there once {@link #syncFolder} has.
+ * safe once {@link OutputFile#sync} has returned, a file's being there once {@link #syncDirectory} has.
  */
 public interface Disk {
     /** A file that is written to at its end. */
-    interface Out extends AutoCloseable {
+    interface OutputFile extends AutoCloseable {
         /** Writes all of it, or fails with any part of it written. */
         void write(byte[] bytes) throws IOException;
 
@@ -30,10 +30,10 @@
     long size(String name) throws IOException;
 
     /** A new file; fails if there is one of this name. */
-    Out create(String name) throws IOException;
+    OutputFile create(String name) throws IOException;
 
     /** A file, cut to so many bytes first. */
-    Out append(String name, long from) throws IOException;
+    OutputFile append(String name, long from) throws IOException;
 
     /** Gives a file another name; one that has it already goes. */
     void rename(String from, String to) throws IOException;
@@ -42,5 +42,5 @@
     void delete(String name) throws IOException;
 
     /** Waits until files that were made, renamed or deleted are safely so. */
-    void syncFolder() throws IOException;
+    void syncDirectory() throws IOException;
 }
--- a/src/main/java/kitemux/disk/FolderDisk.java
+++ b/src/main/java/kitemux/disk/FolderDisk.java
@@ -25,7 +25,7 @@
     }
 
     /** To read only; nothing is made or locked. */
-    public static FolderDisk toRead(Path folder) {
+    public static FolderDisk openForReading(Path folder) {
         return new FolderDisk(folder, null);
     }
 
@@ -34,7 +34,7 @@
      *
      * @throws IOException if another process, or another part of this one, writes to it
      */
-    public static FolderDisk toWrite(Path folder) throws IOException {
+    public static FolderDisk openForWriting(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel file = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
@@ -54,7 +54,7 @@
     }
 
     /** Whether somebody writes to this folder now. */
-    public static boolean isWrittenTo(Path folder) throws IOException {
+    public static boolean isLockedByWriter(Path folder) throws IOException {
         Path file = folder.resolve(LOCK);
         if (!Files.exists(file)) {
             return false;
@@ -85,13 +85,13 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
+    public OutputFile create(String name) throws IOException {
         return new ChannelOut(
                 FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
     }
 
     @Override
-    public Out append(String name, long from) throws IOException {
+    public OutputFile append(String name, long from) throws IOException {
         FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE);
         try {
             file.truncate(from);
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
+    public void syncDirectory() throws IOException {
         try (FileChannel entries = FileChannel.open(folder, StandardOpenOption.READ)) {
             entries.force(true);
         }
@@ -128,7 +128,7 @@
         }
     }
 
-    private record ChannelOut(FileChannel file) implements Out {
+    private record ChannelOut(FileChannel file) implements OutputFile {
         @Override
         public void write(byte[] bytes) throws IOException {
             ByteBuffer left = ByteBuffer.wrap(bytes);
--- a/src/main/java/kitemux/drill/Drill.java
+++ b/src/main/java/kitemux/drill/Drill.java
@@ -208,7 +208,7 @@
                 });
         }
         if (fault.what() != Fault.What.RESET) {
-            live.time().afterUs(fault.forUs(), () -> end(fault));
+            live.time().scheduleAfterUs(fault.forUs(), () -> end(fault));
         }
     }
 
@@ -246,10 +246,10 @@
     private void flap(Fault fault, Link.State cut, long untilUs) {
         befalls(fault.links(), cut, true);
         Scheduler time = live.time();
-        time.afterUs(fault.everyUs() / 2, () -> {
+        time.scheduleAfterUs(fault.everyUs() / 2, () -> {
             befalls(fault.links(), cut, false);
             if (time.nowUs() + fault.everyUs() / 2 < untilUs) {
-                time.afterUs(fault.everyUs() / 2, () -> flap(fault, cut, untilUs));
+                time.scheduleAfterUs(fault.everyUs() / 2, () -> flap(fault, cut, untilUs));
             }
         });
     }
@@ -261,7 +261,7 @@
             live.dealt(node, true);
             return;
         }
-        live.time().afterUs(scenario.fleet().nodes().failureDetectionUs(), () -> {
+        live.time().scheduleAfterUs(scenario.fleet().nodes().failureDetectionUs(), () -> {
             if (!nodeUp.get(node)) {
                 live.dealt(node, false);
             }
@@ -320,10 +320,10 @@
             RequestClass of = work.requestClass();
             json.writeStartObject();
             json.writeStringField("name", of.name());
-            json.writeStringField("repeat", of.repeat().name());
-            json.writeStringField("group", of.group().name());
-            json.writeNumberField("aim", of.aimUs());
-            json.writeNumberField("window", of.windowUs());
+            json.writeStringField("repeat", of.retrySafety().name());
+            json.writeStringField("group", of.dedupScope().name());
+            json.writeNumberField("aim", of.targetLatencyUs());
+            json.writeNumberField("window", of.dedupWindowUs());
             json.writeNumberField("worth", of.worth());
             json.writeEndObject();
         }
@@ -376,7 +376,7 @@
             timeline.event("begin", Drill.this::describe);
             loop.execute(beat::begin);
             for (Fault fault : scenario.faults()) {
-                run.time().afterUs(fault.atUs(), () -> Drill.this.begin(fault));
+                run.time().scheduleAfterUs(fault.atUs(), () -> Drill.this.begin(fault));
             }
         }
 
@@ -428,7 +428,7 @@
                 json.writeNumberField("wish", one.requestNumber());
                 json.writeNumberField("class", one.classIndex());
                 json.writeNumberField("node", node);
-                json.writeNumberField("left", one.leftUs());
+                json.writeNumberField("left", one.remainingUs());
             });
         }
 
--- a/src/main/java/kitemux/drill/Judge.java
+++ b/src/main/java/kitemux/drill/Judge.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import kitemux.sim.ColdWork;
+import kitemux.sim.ColdStartLoad;
 
 /**
  * Reads a time-line and holds it against the four rules over the whole fleet, and against the bounds of the
@@ -130,7 +130,7 @@
     private static final class Target {
         private final Window attempts = new Window(SUM_US);
         private final Window dials = new Window(SUM_US);
-        private final ColdWork cold;
+        private final ColdStartLoad cold;
         /** When its process last began, in the run; -1 for before it. */
         private long startedUs = -1;
 
@@ -143,7 +143,7 @@
         private final Map<String, Attempt> open = new HashMap<>();
 
         Target(double meanWorkUs) {
-            cold = new ColdWork(meanWorkUs, FALL_US);
+            cold = new ColdStartLoad(meanWorkUs, FALL_US);
         }
     }
 
@@ -297,7 +297,7 @@
                     Target target = target(event.text("box"));
                     target.startedUs = event.atUs();
                     target.fell = false;
-                    target.cold.begins();
+                    target.cold.reset();
                     target.toldOfStart.clear();
                     target.open.clear();
                 }
@@ -531,15 +531,15 @@
         double warmth =
                 facts.real("coldFrom") + (1 - facts.real("coldFrom")) * (now - target.startedUs) / facts.number("cold");
         double allowedUs = FALL_MULTIPLE * facts.number("cores") * facts.real("speed") * warmth * FALL_US;
-        ColdWork.Verdict verdict = target.cold.came(
+        ColdStartLoad.Verdict verdict = target.cold.recordArrival(
                 now, workUs, target.toldOfStart.getOrDefault((int) came.number("node"), false), allowedUs);
-        if (verdict != ColdWork.Verdict.STANDS && !target.fell) {
+        if (verdict != ColdStartLoad.Verdict.WITHIN_LIMIT && !target.fell) {
             target.fell = true;
-            if (verdict == ColdWork.Verdict.PUSHED_OVER) {
+            if (verdict == ColdStartLoad.Verdict.OVERLOADED_BY_NODES) {
                 tell(
                         now,
                         "no cold server pushed over: " + box + " is sent "
-                                + Math.round(target.cold.requests()) + " within 2 s and may get "
+                                + Math.round(target.cold.recentRequests()) + " within 2 s and may get "
                                 + Math.round(allowedUs / this.facts.head.real("meanWork")));
             }
         }
@@ -589,7 +589,7 @@
                         crossings,
                         overdue,
                         targets.values().stream()
-                                .mapToDouble(t -> t.cold.highest())
+                                .mapToDouble(t -> t.cold.peakRatio())
                                 .max()
                                 .orElse(0)));
     }
--- a/src/main/java/kitemux/engine/Engine.java
+++ b/src/main/java/kitemux/engine/Engine.java
@@ -23,7 +23,7 @@
  * @param <Q> requests of the protocol
  * @param <A> answers of the protocol
  */
-public final class Engine<Q extends Asked, A> implements Balancer.Actions {
+public final class Engine<Q extends RequestInfo, A> implements Balancer.Actions {
     /** A server that has not answered a probe in this time is not going to. */
     private static final long PROBE_US = 1_000_000;
     /** A timer that is so late tells of a loop that stood still, or of one that has much to read: what it
@@ -33,15 +33,15 @@
     private static final long WAKE_AFTER_DEFECT_US = 100_000;
 
     private final int maxAttempts;
-    private final Time time;
+    private final Clock time;
     private final Transport<Q, A> transport;
-    private final Lists lists;
+    private final ServerListSource lists;
     private final Observer observer;
     private final SendGate<Q> gate;
     private final Log log;
     private final Balancer balancer;
 
-    private final Map<Long, Held<Q, A>> held = new HashMap<>();
+    private final Map<Long, PendingRequest<Q, A>> held = new HashMap<>();
     /** The ids of those that are owed an answer. A second one of the same id could have its effect twice. */
     private final Set<String> openTxns = new HashSet<>();
 
@@ -51,7 +51,7 @@
 
     private boolean telling;
     private int probing;
-    private Time.Timer wake;
+    private Clock.Timer wake;
     private long wakeAtUs;
     private boolean closed;
     /** Every request has its final answer by then: the process ends. Without end while it serves. */
@@ -59,7 +59,7 @@
 
     /** Something to tell the module, the request that it is about, or null, and what is to be done where the
      * module does not get through with it. */
-    private record Event<Q extends Asked, A>(Held<Q, A> about, Runnable call, Runnable onDefect) {}
+    private record Event<Q extends RequestInfo, A>(PendingRequest<Q, A> about, Runnable call, Runnable onDefect) {}
 
     /**
      * A client's request from its coming until its last attempt has ended.
@@ -67,10 +67,10 @@
      * @param <Q> requests of the protocol
      * @param <A> answers of the protocol
      */
-    public static final class Held<Q extends Asked, A> {
+    public static final class PendingRequest<Q extends RequestInfo, A> {
         private final long id;
         private final Q request;
-        private final Client<A> client;
+        private final ResponseSink<A> client;
         private final long deadlineUs;
         private final List<Engine<Q, A>.Attempt> attempts = new ArrayList<>(1);
         private int outstanding;
@@ -78,7 +78,7 @@
         /** The attempt whose answer has begun, or null. */
         private Engine<Q, A>.Attempt answering;
 
-        private Held(long id, Q request, Client<A> client, long deadlineUs) {
+        private PendingRequest(long id, Q request, ResponseSink<A> client, long deadlineUs) {
             this.id = id;
             this.request = request;
             this.client = client;
@@ -95,9 +95,9 @@
      */
     public Engine(
             int maxAttempts,
-            Time time,
+            Clock time,
             Transport<Q, A> transport,
-            Lists lists,
+            ServerListSource lists,
             Observer observer,
             SendGate<Q> gate,
             Log log,
@@ -114,11 +114,11 @@
 
     // ---------------------------------------------------------------- events for the module
 
-    private void tell(Held<Q, A> about, Runnable call) {
+    private void tell(PendingRequest<Q, A> about, Runnable call) {
         tell(about, call, () -> {});
     }
 
-    private void tell(Held<Q, A> about, Runnable call, Runnable onDefect) {
+    private void tell(PendingRequest<Q, A> about, Runnable call, Runnable onDefect) {
         events.add(new Event<>(about, call, onDefect));
         if (telling) {
             return;
@@ -140,10 +140,10 @@
         } catch (RuntimeException e) {
             // A defect met by one request must neither end the node nor leave it without an answer.
             log.error("event", e);
-            Held<Q, A> about = event.about;
+            PendingRequest<Q, A> about = event.about;
             if (about != null && !about.ended) {
-                end(about, Observer.Answer.BROKEN);
-                about.client.broken();
+                end(about, Observer.RequestOutcome.BROKEN);
+                about.client.onInternalError();
                 withdraw(about);
                 forgetIfOver(about);
                 tell(null, () -> balancer.onClientGone(time.nowUs(), about.id));
@@ -163,7 +163,7 @@
      *     the list first, as the module sends to new servers at once. What it frees from a draining server
      *     is told after the list: the module would else send it there again
      */
-    public void listed(ListKind kind, List<ServerEntry> entries, Runnable before) {
+    public void updateServers(ListKind kind, List<ServerEntry> entries, Runnable before) {
         tell(
                 null,
                 () -> {
@@ -171,33 +171,33 @@
                     balancer.onServers(time.nowUs(), kind, entries);
                     // Taken in by half it would be neither the old list nor the new: all of it has to come again.
                 },
-                lists::unusable);
+                lists::requestFullList);
     }
 
     /** The list could not be had; the old one stands. */
-    public void listFailed() {
+    public void reportListFailure() {
         tell(null, () -> balancer.onListFailed(time.nowUs()));
     }
 
     /**
      * Takes a request in, for which the client is owed an answer from now on.
      *
-     * @return what to pass to {@link #ask} and {@link #left}, or null if one of its id is open: nothing is
+     * @return what to pass to {@link #dispatch} and {@link #clientDisconnected}, or null if one of its id is open: nothing is
      *     owed then
      */
-    public Held<Q, A> take(Client<A> client, Q request) {
+    public PendingRequest<Q, A> accept(ResponseSink<A> client, Q request) {
         if (!openTxns.add(request.txn())) {
             return null;
         }
-        long deadlineUs = Math.min(time.nowUs() + request.leftUs(), answerByUs);
-        Held<Q, A> taken = new Held<>(++lastId, request, client, deadlineUs);
+        long deadlineUs = Math.min(time.nowUs() + request.remainingUs(), answerByUs);
+        PendingRequest<Q, A> taken = new PendingRequest<>(++lastId, request, client, deadlineUs);
         held.put(taken.id, taken);
-        observer.taken(taken.id, request);
+        observer.onRequestAccepted(taken.id, request);
         return taken;
     }
 
     /** Puts a request that was taken before the module; its answer may come from inside this call. */
-    public void ask(Held<Q, A> taken) {
+    public void dispatch(PendingRequest<Q, A> taken) {
         Q request = taken.request;
         tell(taken, () -> {
             long now = time.nowUs();
@@ -209,16 +209,16 @@
                             request.tenant(),
                             Math.max(0, taken.deadlineUs - now),
                             request.workUs(),
-                            request.retry(),
+                            request.isRetry(),
                             request.key(),
-                            request.agoUs()));
+                            request.ageUs()));
         });
     }
 
     /** A client has left before it had its answer: nothing is owed any more. */
-    public void left(Held<Q, A> gone) {
+    public void clientDisconnected(PendingRequest<Q, A> gone) {
         tell(gone, () -> {
-            end(gone, Observer.Answer.LEFT);
+            end(gone, Observer.RequestOutcome.LEFT);
             if (gone.answering != null && gone.answering.told) {
                 // The module knows it no more.
                 gone.answering.cancel();
@@ -233,24 +233,24 @@
      * Every request that is held then, and every one that is taken from now on, has its final answer by this
      * time; an answer that has begun to be passed on goes on.
      */
-    public void answerAllBy(long atUs) {
+    public void setAnswerDeadline(long atUs) {
         answerByUs = atUs;
-        time.after(
+        time.schedule(
                 Math.max(0, atUs - time.nowUs()),
                 () -> List.copyOf(held.values()).forEach(this::answerNow));
     }
 
-    private void answerNow(Held<Q, A> request) {
+    private void answerNow(PendingRequest<Q, A> request) {
         tell(request, () -> {
             if (request.ended || request.answering != null) {
                 return;
             }
             if (request.attempts.stream().anyMatch(Attempt::mayHaveRun)) {
-                end(request, Observer.Answer.FAILED);
-                request.client.failed();
+                end(request, Observer.RequestOutcome.FAILED);
+                request.client.onFailed();
             } else {
-                end(request, Observer.Answer.REFUSED);
-                request.client.refused(0);
+                end(request, Observer.RequestOutcome.REFUSED);
+                request.client.onRefused(0);
             }
             balancer.onClientGone(time.nowUs(), request.id);
             withdraw(request);
@@ -263,15 +263,15 @@
      * connection is being opened for. The settings may forbid to call off what a server has; it has none of
      * this.
      */
-    private void withdraw(Held<Q, A> over) {
+    private void withdraw(PendingRequest<Q, A> over) {
         for (Attempt attempt : List.copyOf(over.attempts)) {
             attempt.withdraw();
         }
     }
 
     /** How many servers of the list the module avoids of its own choice. */
-    public int avoided() {
-        return balancer.avoided();
+    public int ejectedServerCount() {
+        return balancer.ejectedServerCount();
     }
 
     /** Tells the module nothing more by itself; the transport is to be closed before. */
@@ -286,12 +286,12 @@
     // ---------------------------------------------------------------- attempts
 
     private final class Attempt implements Transport.Exchange<Q, A> {
-        private final Held<Q, A> of;
+        private final PendingRequest<Q, A> of;
         private final int number;
         private final String serverId;
         private final long sentAtUs = time.nowUs();
         private final long untilUs;
-        private Time.Timer expiry;
+        private Clock.Timer expiry;
         /** When its answer began; 0 before. */
         private long begunAtUs;
         /** Whether the module was told of its end as its answer began. */
@@ -303,7 +303,7 @@
         /** Whether it was given up much later than it should have been. */
         private boolean late;
 
-        Attempt(Held<Q, A> of, int number, String serverId, long untilUs) {
+        Attempt(PendingRequest<Q, A> of, int number, String serverId, long untilUs) {
             this.of = of;
             this.number = number;
             this.serverId = serverId;
@@ -316,7 +316,7 @@
         }
 
         @Override
-        public long untilUs() {
+        public long expiresAtUs() {
             return untilUs;
         }
 
@@ -327,13 +327,13 @@
 
         void begin() {
             of.outstanding++;
-            observer.sent(of.id, number, serverId, untilUs);
+            observer.onAttemptStarted(of.id, number, serverId, untilUs);
             if (untilUs <= sentAtUs || number >= maxAttempts || of.ended) {
-                ended(Result.MOOT, null);
+                onEnded(Result.MOOT, null);
                 return;
             }
-            expiry = time.after(untilUs - sentAtUs, this::expire);
-            gate.before(of.id, of.request, number, serverId, () -> transport.endpoint(serverId), untilUs, this::passed);
+            expiry = time.schedule(untilUs - sentAtUs, this::expire);
+            gate.admit(of.id, of.request, number, serverId, () -> transport.endpoint(serverId), untilUs, this::passed);
         }
 
         /** The gate has opened, or is not going to. */
@@ -341,20 +341,20 @@
             if (over) {
                 return;
             }
-            if (open && time.unreadUs() > 0) {
+            if (open && time.readLagUs() > 0) {
                 // A loop that is behind has not read all that has come: that its client has left may lie
                 // there. It is read in this turn, and told in the next.
-                time.after(0, () -> time.after(0, this::start));
+                time.schedule(0, () -> time.schedule(0, this::start));
             } else if (open) {
                 start();
             } else {
                 if (!of.ended && of.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
                     // Nothing of it has been sent anywhere: trying again is harmless, and at once.
-                    end(of, Observer.Answer.REFUSED);
-                    of.client.refused(gate.retryAfterUs());
+                    end(of, Observer.RequestOutcome.REFUSED);
+                    of.client.onRefused(gate.retryAfterUs());
                     Engine.this.withdraw(of);
                 }
-                ended(Result.MOOT, null);
+                onEnded(Result.MOOT, null);
             }
         }
 
@@ -372,7 +372,7 @@
          * gives up late.
          */
         private Result known(Result how) {
-            if (of.request.agoUs() <= untilUs - sentAtUs && !late) {
+            if (of.request.ageUs() <= untilUs - sentAtUs && !late) {
                 return how;
             }
             return switch (how) {
@@ -390,12 +390,12 @@
         private void expire() {
             late = time.nowUs() - untilUs > LATE_US;
             // What never left for want of a connection is known not to have run.
-            giveUp(transport.giveUp(serverId, this) ? Result.TIMEOUT : Result.CONNECT_FAILED);
+            giveUp(transport.abandon(serverId, this) ? Result.TIMEOUT : Result.CONNECT_FAILED);
         }
 
         void cancel() {
             if (!over) {
-                transport.giveUp(serverId, this);
+                transport.abandon(serverId, this);
                 giveUp(Result.CANCELLED);
             }
         }
@@ -403,23 +403,23 @@
         /** Takes it back if it was not sent; what was sent goes on. */
         void withdraw() {
             if (!over && (!sent || transport.withdraw(serverId, this))) {
-                ended(Result.MOOT, null);
+                onEnded(Result.MOOT, null);
             }
         }
 
         /** What still waits at the gate has not run, and says nothing of its server. */
         private void giveUp(Result ifSent) {
-            ended(sent ? ifSent : Result.MOOT, null);
+            onEnded(sent ? ifSent : Result.MOOT, null);
         }
 
         @Override
-        public boolean begun(A answer) {
+        public boolean onResponseStarted(A answer) {
             if (over) {
                 return false;
             }
             if (of.ended || of.answering != null) {
                 // Called off, whatever came of it.
-                ended(Result.CANCELLED, null);
+                onEnded(Result.CANCELLED, null);
                 return false;
             }
             of.answering = this;
@@ -427,7 +427,7 @@
             // What is timed of a long answer is its first bytes. A server that goes on giving is heard to the
             // last, past the client's time; one that stops or has no end is broken off by the transport.
             expiry.cancel();
-            of.client.begun(answer);
+            of.client.onResponseStarted(answer);
             if (of.request.isStreamed()) {
                 tell(of, () -> balancer.onFirstByte(time.nowUs(), of.id, number));
                 return true;
@@ -443,7 +443,7 @@
         }
 
         @Override
-        public void ended(Result ended, A answer) {
+        public void onEnded(Result ended, A answer) {
             if (over) {
                 return;
             }
@@ -454,13 +454,13 @@
             if (expiry != null) {
                 expiry.cancel();
             }
-            observer.ended(of.id, number, how);
+            observer.onAttemptEnded(of.id, number, how);
             if (how == Result.OK && !of.ended) {
-                end(of, Observer.Answer.SERVED);
-                of.client.served(answer);
+                end(of, Observer.RequestOutcome.SERVED);
+                of.client.onServed(answer);
             } else if (told && !of.ended) {
-                end(of, Observer.Answer.FAILED);
-                of.client.failed();
+                end(of, Observer.RequestOutcome.FAILED);
+                of.client.onFailed();
             }
             tell(of, () -> {
                 of.outstanding--;
@@ -486,28 +486,28 @@
     private long latencyUs(Result result, long sentAtUs) {
         long sinceUs = time.nowUs() - sentAtUs;
         boolean isRead = result == Result.OK || result == Result.ERROR || result == Result.FULL;
-        return isRead ? sinceUs - Math.min(sinceUs, time.unreadUs()) / 2 : sinceUs;
+        return isRead ? sinceUs - Math.min(sinceUs, time.readLagUs()) / 2 : sinceUs;
     }
 
-    private void forgetIfOver(Held<Q, A> request) {
+    private void forgetIfOver(PendingRequest<Q, A> request) {
         if (request.ended && request.outstanding == 0) {
             held.remove(request.id);
-            observer.forgotten(request.id);
+            observer.onRequestReleased(request.id);
         }
     }
 
     /** The request has its one final answer; nothing is sent for it after it. */
-    private void end(Held<Q, A> request, Observer.Answer answer) {
+    private void end(PendingRequest<Q, A> request, Observer.RequestOutcome answer) {
         request.ended = true;
         openTxns.remove(request.request.txn());
-        observer.answered(request.id, answer);
+        observer.onRequestAnswered(request.id, answer);
     }
 
     // ---------------------------------------------------------------- what the module asks for
 
     @Override
     public void send(long requestId, String serverId, long untilUs) {
-        Held<Q, A> request = held.get(requestId);
+        PendingRequest<Q, A> request = held.get(requestId);
         long until = untilUs == 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
         Attempt attempt = new Attempt(request, request.attempts.size(), serverId, until);
         request.attempts.add(attempt);
@@ -516,7 +516,7 @@
 
     @Override
     public void cancel(long requestId, int attempt) {
-        Held<Q, A> request = held.get(requestId);
+        PendingRequest<Q, A> request = held.get(requestId);
         if (request != null) {
             request.attempts.get(attempt).cancel();
         }
@@ -524,10 +524,10 @@
 
     @Override
     public void refuse(long requestId, long retryAfterUs) {
-        Held<Q, A> request = held.get(requestId);
+        PendingRequest<Q, A> request = held.get(requestId);
         if (request != null && !request.ended) {
-            end(request, Observer.Answer.REFUSED);
-            request.client.refused(retryAfterUs);
+            end(request, Observer.RequestOutcome.REFUSED);
+            request.client.onRefused(retryAfterUs);
             withdraw(request);
             forgetIfOver(request);
         }
@@ -535,10 +535,10 @@
 
     @Override
     public void fail(long requestId) {
-        Held<Q, A> request = held.get(requestId);
+        PendingRequest<Q, A> request = held.get(requestId);
         if (request != null && !request.ended) {
-            end(request, Observer.Answer.FAILED);
-            request.client.failed();
+            end(request, Observer.RequestOutcome.FAILED);
+            request.client.onFailed();
             withdraw(request);
             forgetIfOver(request);
         }
@@ -558,7 +558,7 @@
     }
 
     private void scheduleWake() {
-        wake = time.after(Math.max(0, wakeAtUs - time.nowUs()), () -> {
+        wake = time.schedule(Math.max(0, wakeAtUs - time.nowUs()), () -> {
             wake = null;
             if (time.nowUs() < wakeAtUs) {
                 scheduleWake();
@@ -577,7 +577,7 @@
     private final class Probe implements Transport.Exchange<Q, A> {
         private final String serverId;
         private final long sentAtUs = time.nowUs();
-        private Time.Timer expiry;
+        private Clock.Timer expiry;
 
         Probe(String serverId) {
             this.serverId = serverId;
@@ -585,25 +585,25 @@
 
         void begin() {
             probing++;
-            expiry = time.after(PROBE_US, () -> {
-                transport.giveUp(serverId, this);
-                ended(Result.TIMEOUT, null);
+            expiry = time.schedule(PROBE_US, () -> {
+                transport.abandon(serverId, this);
+                onEnded(Result.TIMEOUT, null);
             });
             transport.start(serverId, this);
         }
 
         @Override
         public Q request() {
-            return transport.probe();
+            return transport.probeRequest();
         }
 
         @Override
-        public long untilUs() {
+        public long expiresAtUs() {
             return sentAtUs + PROBE_US;
         }
 
         @Override
-        public void ended(Result result, A answer) {
+        public void onEnded(Result result, A answer) {
             probing--;
             expiry.cancel();
             tell(null, () -> balancer.onProbe(time.nowUs(), serverId, result, time.nowUs() - sentAtUs, null));
@@ -622,20 +622,20 @@
 
     @Override
     public void log(String line) {
-        log.line(line);
+        log.info(line);
     }
 
     // ---------------------------------------------------------------- what stands, for whoever checks
 
     /** Requests that are owed an answer or have attempts out. */
-    public int heldCount() {
+    public int pendingCount() {
         return held.size();
     }
 
     /** Attempts and probes whose end has not been told. */
-    public int outstandingCount() {
+    public int inFlightCount() {
         int out = probing;
-        for (Held<Q, A> request : held.values()) {
+        for (PendingRequest<Q, A> request : held.values()) {
             out += request.outstanding;
         }
         return out;
--- a/src/main/java/kitemux/engine/Observer.java
+++ b/src/main/java/kitemux/engine/Observer.java
@@ -12,43 +12,43 @@
     Observer NONE = new Observer() {};
 
     /** Tells both, this one first. */
-    default Observer and(Observer other) {
+    default Observer andThen(Observer other) {
         Observer first = this;
         return new Observer() {
             @Override
-            public void taken(long id, Asked request) {
-                first.taken(id, request);
-                other.taken(id, request);
+            public void onRequestAccepted(long id, RequestInfo request) {
+                first.onRequestAccepted(id, request);
+                other.onRequestAccepted(id, request);
             }
 
             @Override
-            public void sent(long id, int attempt, String serverId, long untilUs) {
-                first.sent(id, attempt, serverId, untilUs);
-                other.sent(id, attempt, serverId, untilUs);
+            public void onAttemptStarted(long id, int attempt, String serverId, long untilUs) {
+                first.onAttemptStarted(id, attempt, serverId, untilUs);
+                other.onAttemptStarted(id, attempt, serverId, untilUs);
             }
 
             @Override
-            public void ended(long id, int attempt, Result result) {
-                first.ended(id, attempt, result);
-                other.ended(id, attempt, result);
+            public void onAttemptEnded(long id, int attempt, Result result) {
+                first.onAttemptEnded(id, attempt, result);
+                other.onAttemptEnded(id, attempt, result);
             }
 
             @Override
-            public void answered(long id, Answer answer) {
-                first.answered(id, answer);
-                other.answered(id, answer);
+            public void onRequestAnswered(long id, RequestOutcome answer) {
+                first.onRequestAnswered(id, answer);
+                other.onRequestAnswered(id, answer);
             }
 
             @Override
-            public void forgotten(long id) {
-                first.forgotten(id);
-                other.forgotten(id);
+            public void onRequestReleased(long id) {
+                first.onRequestReleased(id);
+                other.onRequestReleased(id);
             }
         };
     }
 
     /** How a request was answered. */
-    enum Answer {
+    enum RequestOutcome {
         SERVED,
         REFUSED,
         FAILED,
@@ -57,17 +57,17 @@
     }
 
     /** A request is held from now on. */
-    default void taken(long id, Asked request) {}
+    default void onRequestAccepted(long id, RequestInfo request) {}
 
     /** An attempt begins, given up at this time; its request may not have been written yet. */
-    default void sent(long id, int attempt, String serverId, long untilUs) {}
+    default void onAttemptStarted(long id, int attempt, String serverId, long untilUs) {}
 
-    /** An attempt has ended; told once for each that was {@link #sent}. */
-    default void ended(long id, int attempt, Result result) {}
+    /** An attempt has ended; told once for each that was {@link #onAttemptStarted}. */
+    default void onAttemptEnded(long id, int attempt, Result result) {}
 
     /** The request has its one answer, or its client has left. */
-    default void answered(long id, Answer answer) {}
+    default void onRequestAnswered(long id, RequestOutcome answer) {}
 
     /** Nothing more will be told of a request: it is answered, and no attempt is out. */
-    default void forgotten(long id) {}
+    default void onRequestReleased(long id) {}
 }
--- a/src/main/java/kitemux/engine/Asked.java
+++ b/src/main/java/kitemux/engine/RequestInfo.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** What the engine must know of a request, whatever the protocol that it came by. */
-public interface Asked {
+public interface RequestInfo {
     /** The client's id for it: of two requests that are open at once none may have the same. */
     String txn();
 
@@ -14,10 +14,10 @@
     int tenant();
 
     /** How long the client waits from now on, in microseconds, 0 or more. */
-    long leftUs();
+    long remainingUs();
 
     /** How long ago it came, as far as that can be told, in microseconds: 0 where the node keeps up. */
-    default long agoUs() {
+    default long ageUs() {
         return 0;
     }
 
@@ -32,7 +32,7 @@
     }
 
     /** Whether the client marks it as a repeat. */
-    default boolean retry() {
+    default boolean isRetry() {
         return false;
     }
 
--- a/src/main/java/kitemux/engine/SendGate.java
+++ b/src/main/java/kitemux/engine/SendGate.java
@@ -20,7 +20,7 @@
      * @param then to be told once, on the loop, from inside this call or later: true to send it; false if it
      *     cannot be sent in time, which turns the request away as harmless to try again
      */
-    void before(
+    void admit(
             long id,
             Q request,
             int attempt,
@@ -33,10 +33,10 @@
     long retryAfterUs();
 
     /** One that is always open. */
-    static <Q> SendGate<Q> open() {
+    static <Q> SendGate<Q> alwaysOpen() {
         return new SendGate<>() {
             @Override
-            public void before(
+            public void admit(
                     long id,
                     Q request,
                     int attempt,
--- a/src/main/java/kitemux/engine/Transport.java
+++ b/src/main/java/kitemux/engine/Transport.java
@@ -21,11 +21,11 @@
         Q request();
 
         /** When it is given up, in microseconds of the engine's clock. */
-        long untilUs();
+        long expiresAtUs();
 
         /** When its client's time is over, on the same clock: then or later than it is given up. */
         default long deadlineUs() {
-            return untilUs();
+            return expiresAtUs();
         }
 
         /**
@@ -37,26 +37,26 @@
          * @return false if nobody wants it: the client has left, or has another attempt's answer. The
          *     transport is to break it off, and tells no end
          */
-        default boolean begun(A answer) {
+        default boolean onResponseStarted(A answer) {
             return false;
         }
 
         /** Its one end; the answer is the server's where the result is OK and none has begun, else null. */
-        void ended(Result result, A answer);
+        void onEnded(Result result, A answer);
     }
 
     /** Starts an exchange, which is told its end unless it is given up. */
     void start(String serverId, Exchange<Q, A> exchange);
 
     /** Gives an exchange up without telling its end. True if its request may have been written whole. */
-    boolean giveUp(String serverId, Exchange<Q, A> exchange);
+    boolean abandon(String serverId, Exchange<Q, A> exchange);
 
     /** Takes back an exchange of which nothing has been written, without telling its end. False if any of it
      * may have been. */
     boolean withdraw(String serverId, Exchange<Q, A> exchange);
 
     /** What checks a server, where the settings allow probes. */
-    Q probe();
+    Q probeRequest();
 
     /** A server's address as text; empty if it is not known, or no more. */
     String endpoint(String serverId);
--- a/src/main/java/kitemux/fleet/Box.java
+++ b/src/main/java/kitemux/fleet/Box.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import kitemux.Balancer.Result;
-import kitemux.sim.ColdWork;
+import kitemux.sim.ColdStartLoad;
 import kitemux.sim.Scheduler;
 
 /**
@@ -49,7 +49,7 @@
     private double meanUtilisation;
     private long meansUpdatedAtUs;
 
-    private final ColdWork coldWork;
+    private final ColdStartLoad coldWork;
     private Runnable changeListener = () -> {};
 
     private int connections;
@@ -101,7 +101,7 @@
         this.scheduler = scheduler;
         this.rules = rules;
         this.random = random;
-        coldWork = new ColdWork(fleet.meanWorkUs(), rules.limits().windowUs());
+        coldWork = new ColdStartLoad(fleet.meanWorkUs(), rules.limits().windowUs());
         maxConnections = fleet.links().maxConnectionsPerCore() * serverKind.cores();
         overloadThreshold = fleet.overloadSlowdown() == null
                 ? Double.MAX_VALUE
@@ -203,7 +203,7 @@
         wasRestarted = true;
         startedAtUs = scheduler.nowUs();
         workDoneUs = 0;
-        coldWork.begins();
+        coldWork.reset();
         changeListener.run();
     }
 
@@ -310,7 +310,7 @@
         }
         if (failureRatio > 0 && random.nextDouble() < failureRatio) {
             int startIncarnation = incarnation;
-            scheduler.afterUs(
+            scheduler.scheduleAfterUs(
                     FAILURE_RESPONSE_US,
                     () -> job.replyHandler.completed(startIncarnation == incarnation ? Result.ERROR : Result.RESET));
             return;
@@ -331,7 +331,7 @@
         rules.executionStarted(job.clientTry, this, job.sentUs);
         int startIncarnation = incarnation;
         double durationUs = job.workUs / effectiveSpeed();
-        scheduler.afterUs(Math.max(1, Math.round(durationUs)), () -> {
+        scheduler.scheduleAfterUs(Math.max(1, Math.round(durationUs)), () -> {
             if (startIncarnation == incarnation) {
                 completed(job, durationUs);
             } else if (!silent) {
@@ -409,14 +409,14 @@
             return;
         }
         RuleChecker.ColdLoadLimit limits = rules.limits();
-        ColdWork.Verdict verdict = coldWork.came(
+        ColdStartLoad.Verdict verdict = coldWork.recordArrival(
                 scheduler.nowUs(),
                 job.workUs,
                 job.replyHandler.isSenderAwareOfStart(),
                 limits.capacityMultiple() * serverKind.cores() * speed * warmUpRatio * limits.windowUs());
-        if (verdict != ColdWork.Verdict.STANDS) {
+        if (verdict != ColdStartLoad.Verdict.WITHIN_LIMIT) {
             collapsed = true;
-            if (verdict == ColdWork.Verdict.PUSHED_OVER) {
+            if (verdict == ColdStartLoad.Verdict.OVERLOADED_BY_NODES) {
                 rules.coldServerOverloaded(this);
             }
             terminate(false);
@@ -425,6 +425,6 @@
 
     /** Returns the highest load received while cold from all nodes together, as a fraction of the limit. */
     double coldPeakRatio() {
-        return coldWork.highest();
+        return coldWork.peakRatio();
     }
 }
--- a/src/main/java/kitemux/fleet/ClientPopulation.java
+++ b/src/main/java/kitemux/fleet/ClientPopulation.java
@@ -1,7 +1,7 @@
 package kitemux.fleet;
 
 import java.util.List;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.sim.Scheduler;
 
@@ -96,7 +96,7 @@
      * proportion to the current one, so that every variant of the fleet meets the same clients.
      */
     private void scheduleNextArrival() {
-        scheduler.afterUs((long) arrivalRandom.exponential(1e6 / (fleet.load().ratePerS() * maxLoadFactor)), () -> {
+        scheduler.scheduleAfterUs((long) arrivalRandom.exponential(1e6 / (fleet.load().ratePerS() * maxLoadFactor)), () -> {
             long now = scheduler.nowUs();
             if (now >= fleet.load().durationUs()) {
                 return;
@@ -131,7 +131,7 @@
 
     /** Adds requests of one tenant at the given rate until the given time. */
     void addTenantLoad(int tenant, double ratePerS, long untilUs) {
-        scheduler.afterUs((long) arrivalRandom.exponential(1e6 / ratePerS), () -> {
+        scheduler.scheduleAfterUs((long) arrivalRandom.exponential(1e6 / ratePerS), () -> {
             if (scheduler.nowUs() < Math.min(untilUs, fleet.load().durationUs())) {
                 drawRequest(true, tenant);
                 addTenantLoad(tenant, ratePerS, untilUs);
@@ -175,15 +175,15 @@
             FleetNode node = chooseNode();
             RuleChecker.TrackedTry tracked = new RuleChecker.TrackedTry(requestClass, tryCount);
             ClientTry clientTry = new ClientTry(this, tracked, timeoutUs, node, triesSent > 1);
-            scheduler.afterUs(clients.oneWayUs(), () -> {
+            scheduler.scheduleAfterUs(clients.oneWayUs(), () -> {
                 if (node.isUp()) {
                     node.submit(clientTry);
                 } else {
-                    clientTry.broken();
+                    clientTry.onInternalError();
                 }
             });
             long graceTimeoutUs = timeoutUs + ANSWER_GRACE_US;
-            tryTimeout = scheduler.afterUs(
+            tryTimeout = scheduler.scheduleAfterUs(
                     graceTimeoutUs,
                     () -> node.deadlineReached(clientTry, graceTimeoutUs, () -> {
                         if (!clientTry.isOver()) {
@@ -238,7 +238,7 @@
             if (outcome != ClientTry.Outcome.BROKEN) {
                 rules.answered(clientTry.tracked(), outcome == ClientTry.Outcome.REFUSED);
             }
-            scheduler.afterUs(fleet.clients().oneWayUs(), () -> {
+            scheduler.scheduleAfterUs(fleet.clients().oneWayUs(), () -> {
                 tryTimeout.cancel();
                 tryEnded(outcome, retryAfterUs);
             });
@@ -248,18 +248,18 @@
         private void tryEnded(ClientTry.Outcome outcome, long retryAfterUs) {
             if (outcome == ClientTry.Outcome.SERVED) {
                 outcomes.served(
-                        arrivedAtUs, classIndex, tenant, worth, scheduler.nowUs() - arrivedAtUs, requestClass.aimUs());
+                        arrivedAtUs, classIndex, tenant, worth, scheduler.nowUs() - arrivedAtUs, requestClass.targetLatencyUs());
                 return;
             }
             Fleet.Clients clients = fleet.clients();
-            boolean isRetrySafe = outcome == ClientTry.Outcome.REFUSED || requestClass.repeat() != Repeat.UNSAFE;
+            boolean isRetrySafe = outcome == ClientTry.Outcome.REFUSED || requestClass.retrySafety() != RetrySafety.UNSAFE;
             long waitUs = (long) (clients.backoffUs() * (1L << (triesSent - 1)) * (0.5 + clientRandom.nextDouble()));
             if (outcome == ClientTry.Outcome.REFUSED
                     && clientRandom.nextDouble() < clients.retryAfterComplianceRatio()) {
                 waitUs = Math.max(waitUs, retryAfterUs);
             }
             if (isRetrySafe && triesSent <= clients.maxRetries() && waitUs < remainingUs()) {
-                scheduler.afterUs(waitUs, this::sendTry);
+                scheduler.scheduleAfterUs(waitUs, this::sendTry);
                 return;
             }
             outcomes.unserved(classIndex, outcome == ClientTry.Outcome.REFUSED);
--- a/src/main/java/kitemux/fleet/ClientTry.java
+++ b/src/main/java/kitemux/fleet/ClientTry.java
@@ -1,10 +1,10 @@
 package kitemux.fleet;
 
-import kitemux.engine.Asked;
-import kitemux.engine.Client;
+import kitemux.engine.RequestInfo;
+import kitemux.engine.ResponseSink;
 
 /** One try of a client's request at one node: the engine's view of the request and the receiver of its answer. */
-public final class ClientTry implements Asked, Client<Boolean> {
+public final class ClientTry implements RequestInfo, ResponseSink<Boolean> {
     private final ClientRequest request;
     private final RuleChecker.TrackedTry tracked;
     private final long leftUs;
@@ -88,22 +88,22 @@
     }
 
     @Override
-    public void served(Boolean answer) {
+    public void onServed(Boolean answer) {
         complete(Outcome.SERVED, 0);
     }
 
     @Override
-    public void refused(long retryAfterUs) {
+    public void onRefused(long retryAfterUs) {
         complete(Outcome.REFUSED, retryAfterUs);
     }
 
     @Override
-    public void failed() {
+    public void onFailed() {
         complete(Outcome.FAILED, 0);
     }
 
     @Override
-    public void broken() {
+    public void onInternalError() {
         complete(Outcome.BROKEN, 0);
     }
 
@@ -123,12 +123,12 @@
     }
 
     @Override
-    public long leftUs() {
+    public long remainingUs() {
         return leftUs;
     }
 
     @Override
-    public boolean retry() {
+    public boolean isRetry() {
         return isRetry;
     }
 }
--- a/src/main/java/kitemux/fleet/EmulatedNode.java
+++ b/src/main/java/kitemux/fleet/EmulatedNode.java
@@ -16,7 +16,7 @@
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.engine.Transport;
 import kitemux.sim.Scheduler;
 
@@ -55,7 +55,7 @@
     /** Times at which this node was notified that servers drain or are gone, by server id. */
     private final Map<String, Long> drainNotifiedAtUs = new HashMap<>();
 
-    private final Map<ClientTry, Engine.Held<ClientTry, Boolean>> openTries = new HashMap<>();
+    private final Map<ClientTry, Engine.PendingRequest<ClientTry, Boolean>> openTries = new HashMap<>();
     private int incarnation;
     private boolean up;
     private double cpuFreeAtUs;
@@ -93,7 +93,7 @@
         @Override
         public void completed(Result result) {
             if (!isPartitionedFrom(box)) {
-                scheduler.afterUs(oneWayUs(box), () -> runOnCpu(nodeIncarnation, () -> finish(result)));
+                scheduler.scheduleAfterUs(oneWayUs(box), () -> runOnCpu(nodeIncarnation, () -> finish(result)));
             }
         }
 
@@ -120,7 +120,7 @@
             } else if (boxIncarnation >= 0) {
                 box.connectionClosed(boxIncarnation);
             }
-            exchange.ended(result, result == Result.OK ? Boolean.TRUE : null);
+            exchange.onEnded(result, result == Result.OK ? Boolean.TRUE : null);
         }
     }
 
@@ -162,15 +162,15 @@
         incarnation++;
         cpuFreeAtUs = scheduler.nowUs();
         int startIncarnation = incarnation;
-        Time clock = new Time() {
+        Clock clock = new Clock() {
             @Override
             public long nowUs() {
                 return epochUnixUs + scheduler.nowUs();
             }
 
             @Override
-            public Timer after(long us, Runnable task) {
-                Scheduler.Event event = scheduler.afterUs(us, () -> {
+            public Timer schedule(long us, Runnable task) {
+                Scheduler.Event event = scheduler.scheduleAfterUs(us, () -> {
                     if (startIncarnation == incarnation) {
                         task.run();
                     }
@@ -184,10 +184,10 @@
                 this,
                 () -> {},
                 Observer.NONE,
-                SendGate.open(),
+                SendGate.alwaysOpen(),
                 new Log() {
                     @Override
-                    public void line(String text) {}
+                    public void info(String text) {}
 
                     @Override
                     public void error(String message, Throwable cause) {
@@ -198,7 +198,7 @@
                     module = balancerFactory.create(settings, moduleSeeds.nextLong(), actions);
                     return module;
                 });
-        engine.listed(ListKind.CACHED, new ArrayList<>(knownServers.values()), () -> {});
+        engine.updateServers(ListKind.CACHED, new ArrayList<>(knownServers.values()), () -> {});
     }
 
     @Override
@@ -220,7 +220,7 @@
         List<ClientTry> lost = new ArrayList<>(openTries.keySet());
         lost.sort((a, b) -> Long.compare(a.tracked().number, b.tracked().number));
         openTries.clear();
-        lost.forEach(ClientTry::broken);
+        lost.forEach(ClientTry::onInternalError);
     }
 
     @Override
@@ -238,7 +238,7 @@
             }
         }
         if (up) {
-            runOnCpu(incarnation, () -> engine.listed(ListKind.CHANGES, entries, () -> {}));
+            runOnCpu(incarnation, () -> engine.updateServers(ListKind.CHANGES, entries, () -> {}));
         }
     }
 
@@ -258,7 +258,7 @@
         if (lagUs < 1) {
             task.run();
         } else {
-            scheduler.afterUs((long) lagUs, () -> {
+            scheduler.scheduleAfterUs((long) lagUs, () -> {
                 if (ofIncarnation == incarnation) {
                     task.run();
                 }
@@ -277,9 +277,9 @@
                 openTries.remove(clientTry);
                 return;
             }
-            Engine.Held<ClientTry, Boolean> held = engine.take(clientTry, clientTry);
+            Engine.PendingRequest<ClientTry, Boolean> held = engine.accept(clientTry, clientTry);
             openTries.put(clientTry, held);
-            engine.ask(held);
+            engine.dispatch(held);
         });
     }
 
@@ -291,9 +291,9 @@
     @Override
     public void abandoned(ClientTry clientTry) {
         runOnCpu(incarnation, () -> {
-            Engine.Held<ClientTry, Boolean> held = openTries.remove(clientTry);
+            Engine.PendingRequest<ClientTry, Boolean> held = openTries.remove(clientTry);
             if (held != null) {
-                engine.left(held);
+                engine.clientDisconnected(held);
             }
         });
     }
@@ -355,13 +355,13 @@
         boolean isUnreachable = outbound.box.isSilent() || isPartitionedFrom(outbound.box);
         if (isUnreachable || !outbound.box.isUp() || !outbound.box.connect()) {
             long failureKnownAfterUs = isUnreachable ? fleet.links().connectTimeoutUs() : rttUs;
-            scheduler.afterUs(
+            scheduler.scheduleAfterUs(
                     failureKnownAfterUs,
                     () -> runOnCpu(outbound.nodeIncarnation, () -> outbound.finish(Result.CONNECT_FAILED)));
             return;
         }
         outbound.boxIncarnation = outbound.box.incarnation();
-        scheduler.afterUs(rttUs * fleet.links().handshakeRtts(), () -> {
+        scheduler.scheduleAfterUs(rttUs * fleet.links().handshakeRtts(), () -> {
             if (!outbound.finished && outbound.nodeIncarnation == incarnation) {
                 if (outbound.boxIncarnation == outbound.box.incarnation()) {
                     write(outbound, fleet.links().handshakeWorkUs());
@@ -379,7 +379,7 @@
         ClientTry clientTry = outbound.exchange.request();
         long now = scheduler.nowUs();
         if (!isPartitionedFrom(outbound.box)) {
-            scheduler.afterUs(oneWayUs(outbound.box), () -> outbound.box.submit(clientTry, extraWorkUs, now, outbound));
+            scheduler.scheduleAfterUs(oneWayUs(outbound.box), () -> outbound.box.submit(clientTry, extraWorkUs, now, outbound));
         }
     }
 
@@ -387,11 +387,11 @@
     public boolean withdraw(String serverId, Exchange<ClientTry, Boolean> exchange) {
         ConnectionPool pool = connectionPools.get(serverId);
         OutboundRequest outbound = pool == null ? null : pool.inFlight.get(exchange);
-        return outbound != null && !outbound.isWritten && !giveUp(serverId, exchange);
+        return outbound != null && !outbound.isWritten && !abandon(serverId, exchange);
     }
 
     @Override
-    public boolean giveUp(String serverId, Exchange<ClientTry, Boolean> exchange) {
+    public boolean abandon(String serverId, Exchange<ClientTry, Boolean> exchange) {
         ConnectionPool pool = connectionPools.get(serverId);
         OutboundRequest outbound = pool == null ? null : pool.inFlight.remove(exchange);
         if (outbound == null) {
@@ -406,7 +406,7 @@
     }
 
     @Override
-    public ClientTry probe() {
+    public ClientTry probeRequest() {
         throw new IllegalStateException("the emulated node does not support probes");
     }
 
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -116,7 +116,7 @@
                         EPOCH_UNIX_US,
                         balancerFactory));
         run.begin(EPOCH_UNIX_US);
-        while (run.scheduler.step(run.endTimeUs() * 1_000)) {
+        while (run.scheduler.runNext(run.endTimeUs() * 1_000)) {
             // Each step processes one event.
         }
         return run;
@@ -146,7 +146,7 @@
     public Settings settings(int nodeNumber) {
         Settings settings = new Settings();
         settings.nodes = fleet.nodes().count();
-        settings.me = nodeNumber;
+        settings.nodeIndex = nodeNumber;
         for (int z = 0; z < fleet.zones().count(); z++) {
             settings.zones.add("zone-" + z);
         }
@@ -160,21 +160,21 @@
                         settings.tenants.add(new Tenant(t.name(), fleet.load().quotaPerS() * t.share() / shares)));
         settings.overShareWorth = fleet.load().overShareWorth();
         settings.maxAttempts = 4;
-        settings.secondCopies = true;
-        settings.cancel = true;
+        settings.hedgingAllowed = true;
+        settings.cancellationAllowed = true;
         settings.maxRetryAfterUs = fleet.clients().maxRetryAfterUs();
         settings.connectTimeoutUs = fleet.links().connectTimeoutUs();
         settings.drainGraceUs = fleet.discoveryDelays().drainGraceUs();
-        settings.coldFrom = fleet.kinds().stream()
+        settings.coldCapacityRatio = fleet.kinds().stream()
                 .mapToDouble(Fleet.ServerKind::initialCapacityRatio)
                 .min()
                 .orElse(1);
-        settings.coldUs = fleet.kinds().stream()
+        settings.warmUpUs = fleet.kinds().stream()
                 .mapToLong(Fleet.ServerKind::warmUpUs)
                 .max()
                 .orElse(0);
-        settings.fallMultiple = COLD_LOAD_CAPACITY_RATIO;
-        settings.fallUs = COLD_LOAD_WINDOW_US;
+        settings.overloadRatio = COLD_LOAD_CAPACITY_RATIO;
+        settings.overloadOutageUs = COLD_LOAD_WINDOW_US;
         return settings;
     }
 
@@ -191,7 +191,7 @@
             node.serversChanged(servers);
             node.start();
         }
-        fleet.faults().forEach(fault -> scheduler.afterUs(fault.atUs(), () -> begin(fault)));
+        fleet.faults().forEach(fault -> scheduler.scheduleAfterUs(fault.atUs(), () -> begin(fault)));
         population.start();
     }
 
@@ -251,7 +251,7 @@
                         : boxes.stream().mapToDouble(box -> box.wastedUs).sum() / busyUs,
                 rules.violationCount(),
                 rules.violations(),
-                scheduler.steps());
+                scheduler.executedEventCount());
     }
 
     // ---------------------------------------------------------------- interactive control
@@ -334,20 +334,20 @@
                         silently
                                 ? fleet.discoveryDelays().silenceDelayUs()
                                 : fleet.discoveryDelays().crashDelayUs());
-                scheduler.afterUs(fault.durationUs(), () -> restart(targets));
+                scheduler.scheduleAfterUs(fault.durationUs(), () -> restart(targets));
             }
             case FAIL -> {
                 targets.forEach(box -> box.failureRatio = fault.magnitude());
-                scheduler.afterUs(fault.durationUs(), () -> targets.forEach(box -> box.failureRatio = 0));
+                scheduler.scheduleAfterUs(fault.durationUs(), () -> targets.forEach(box -> box.failureRatio = 0));
             }
             case SLOW -> {
                 targets.forEach(box -> box.slowdownFactor = fault.magnitude());
-                scheduler.afterUs(fault.durationUs(), () -> targets.forEach(box -> box.slowdownFactor = 1));
+                scheduler.scheduleAfterUs(fault.durationUs(), () -> targets.forEach(box -> box.slowdownFactor = 1));
             }
             case RELEASE -> release(targets, fault, 0);
             case CUT -> {
                 partitions.isolate(fault.index());
-                scheduler.afterUs(fault.durationUs(), () -> partitions.heal(fault.index()));
+                scheduler.scheduleAfterUs(fault.durationUs(), () -> partitions.heal(fault.index()));
             }
             case NODES_RESTART -> throw new IllegalStateException("handled above");
         }
@@ -394,11 +394,11 @@
         List<Box> current = targets.subList(from, Math.min(targets.size(), from + batch));
         current.forEach(Box::drain);
         announce(current, ServerState.DRAINING, new Fleet.Range(0, 1));
-        scheduler.afterUs(fleet.discoveryDelays().drainGraceUs() + 1_000_000, () -> {
+        scheduler.scheduleAfterUs(fleet.discoveryDelays().drainGraceUs() + 1_000_000, () -> {
             current.forEach(box -> box.terminate(false));
-            scheduler.afterUs(fault.durationUs(), () -> {
+            scheduler.scheduleAfterUs(fault.durationUs(), () -> {
                 restart(current);
-                scheduler.afterUs(
+                scheduler.scheduleAfterUs(
                         fleet.discoveryDelays().returnDelayUs().to(), () -> release(targets, fault, from + batch));
             });
         });
@@ -418,9 +418,9 @@
         int restartCount = fault.count() == 0 ? eligibleNodes.size() : Math.min(fault.count(), eligibleNodes.size());
         for (int n = 0; n < restartCount; n++) {
             int node = eligibleNodes.get(n);
-            scheduler.afterUs(n / atOnce * (fault.durationUs() + fleet.nodes().startupUs()), () -> {
+            scheduler.scheduleAfterUs(n / atOnce * (fault.durationUs() + fleet.nodes().startupUs()), () -> {
                 killNode(node);
-                scheduler.afterUs(fault.durationUs() + fleet.nodes().startupUs(), () -> startNode(node));
+                scheduler.scheduleAfterUs(fault.durationUs() + fleet.nodes().startupUs(), () -> startNode(node));
             });
         }
     }
@@ -441,7 +441,7 @@
         }
         List<ServerEntry> entries =
                 changed.stream().map(box -> entry(box, state)).toList();
-        scheduler.afterUs(discoveryRandom.nextBetween(delay), () -> {
+        scheduler.scheduleAfterUs(discoveryRandom.nextBetween(delay), () -> {
             List<ServerEntry> current = entries.stream()
                     .filter(e ->
                             state != ServerState.GONE || !boxesById.get(e.id()).isUp())
--- a/src/main/java/kitemux/fleet/Fleet.java
+++ b/src/main/java/kitemux/fleet/Fleet.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 
 /**
@@ -513,11 +513,11 @@
             require(problems, work.cv >= 0, prefix + "cv must not be negative");
             require(
                     problems,
-                    work.requestClass.aimUs() > 0 && work.requestClass.deadlineUs() >= work.requestClass.aimUs(),
+                    work.requestClass.targetLatencyUs() > 0 && work.requestClass.deadlineUs() >= work.requestClass.targetLatencyUs(),
                     prefix + "aim must be above 0 and at most the deadline");
             require(
                     problems,
-                    work.requestClass.repeat() != Repeat.KEYED || work.requestClass.windowUs() > 0,
+                    work.requestClass.retrySafety() != RetrySafety.KEYED || work.requestClass.dedupWindowUs() > 0,
                     prefix + "a keyed class needs a window above 0");
         }
         require(problems, load.ratePerS > 0, "load: rate must be above 0");
--- a/src/main/java/kitemux/fleet/RuleChecker.java
+++ b/src/main/java/kitemux/fleet/RuleChecker.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.sim.Scheduler;
 
@@ -61,7 +61,7 @@
      * @param sentUs time at which the request was sent, in microseconds of the run
      */
     void executionStarted(TrackedTry clientTry, Box box, long sentUs) {
-        if (clientTry.refused && clientTry.requestClass.repeat() == Repeat.UNSAFE) {
+        if (clientTry.refused && clientTry.requestClass.retrySafety() == RetrySafety.UNSAFE) {
             recordViolation("no effect twice: request " + clientTry.number + " of " + clientTry.requestClass.name()
                     + " is executed although it was refused as not executed");
         }
@@ -71,12 +71,12 @@
             return;
         }
         boolean isAllowed =
-                switch (clientTry.requestClass.repeat()) {
+                switch (clientTry.requestClass.retrySafety()) {
                     case SAFE -> true;
                     // The copy that was sent last may start first; the rack recognises a duplicate in either order.
                     case KEYED ->
-                        sentUs <= clientTry.firstSentUs + clientTry.requestClass.windowUs()
-                                && (clientTry.requestClass.group() != Group.CELL || clientTry.rack == box.rack);
+                        sentUs <= clientTry.firstSentUs + clientTry.requestClass.dedupWindowUs()
+                                && (clientTry.requestClass.dedupScope() != DedupScope.CELL || clientTry.rack == box.rack);
                     case UNSAFE -> false;
                 };
         if (!isAllowed) {
@@ -92,7 +92,7 @@
         }
         clientTry.answered = true;
         clientTry.refused |= refused;
-        if (refused && clientTry.executionCount > 0 && clientTry.requestClass.repeat() == Repeat.UNSAFE) {
+        if (refused && clientTry.executionCount > 0 && clientTry.requestClass.retrySafety() == RetrySafety.UNSAFE) {
             recordViolation("no effect twice: request " + clientTry.number + " of " + clientTry.requestClass.name()
                     + " was executed and is refused as not executed");
         }
--- a/src/main/java/kitemux/http/ClientConnection.java
+++ b/src/main/java/kitemux/http/ClientConnection.java
@@ -28,18 +28,18 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import kitemux.engine.Client;
+import kitemux.engine.ResponseSink;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
-import kitemux.net.Answer;
-import kitemux.net.LoopTime;
-import kitemux.net.QuietChannel;
+import kitemux.net.ServerResponse;
+import kitemux.net.EventLoopClock;
+import kitemux.net.InputAwareChannel;
 
 /**
  * A client's connection: one request at a time, further ones wait their turn. Behind what is turned down as
  * the client's error nothing is read or served, and the connection ends.
  */
-final class ClientConnection extends ChannelInboundHandlerAdapter implements Client<Answer> {
+final class ClientConnection extends ChannelInboundHandlerAdapter implements ResponseSink<ServerResponse> {
     private static final byte[] NO_BODY = {};
     /** Bytes of what was kept that are taken apart at once: fewer requests than may be sent ahead. */
     private static final int KEPT_PART = 512;
@@ -49,11 +49,11 @@
     private final long number;
 
     private final RequestReader reader;
-    private final Engine<ClientRequest, Answer> engine;
+    private final Engine<ClientRequest, ServerResponse> engine;
     private final Log log;
-    private final QuietChannel channel;
+    private final InputAwareChannel channel;
     private final Ticker ticker;
-    private final LoopTime time;
+    private final EventLoopClock time;
     /** The earliest that it may have come up: what is read at first may have come with it. */
     private final long openedUs;
 
@@ -100,9 +100,9 @@
     /** Why this side closed it; null while it has not. */
     private CloseReason closeReason;
     /** The request that is open, as the engine knows it. */
-    private Engine.Held<ClientRequest, Answer> held;
+    private Engine.PendingRequest<ClientRequest, ServerResponse> held;
     /** What is passed on to the client as it comes, or null. */
-    private Answer passing;
+    private ServerResponse passing;
 
     /** A request, or the status that what came instead of one is owed. */
     private record Incoming(HttpRequest head, List<byte[]> body, long cameUs, HttpResponseStatus error) {}
@@ -111,10 +111,10 @@
             ClientServer server,
             long number,
             RequestReader reader,
-            Engine<ClientRequest, Answer> engine,
-            LoopTime time,
+            Engine<ClientRequest, ServerResponse> engine,
+            EventLoopClock time,
             Log log,
-            QuietChannel channel,
+            InputAwareChannel channel,
             long openedUs) {
         this.server = server;
         this.number = number;
@@ -161,7 +161,7 @@
                 context.fireChannelReadComplete();
                 // Not before all of it is taken apart: what has left the socket and is not known here yet
                 // would pass for an idle connection, which an answer to another may have to make room for.
-                time.runOverdue();
+                time.runOverdueTimers();
             }
         };
     }
@@ -287,7 +287,7 @@
 
     /** The earliest that what is read now may have come. */
     private long cameUs() {
-        long sinceLook = Math.min(keptSinceUs, time.nowUs() - time.unreadUs());
+        long sinceLook = Math.min(keptSinceUs, time.nowUs() - time.readLagUs());
         return readBefore ? sinceLook : Math.min(sinceLook, openedUs);
     }
 
@@ -369,7 +369,7 @@
                 if (turnedAway || server.isAnsweringRest()) {
                     // Never sent anywhere, so that trying again does no harm.
                     server.turnedAway(request);
-                    refused(reader.retryAfterUs());
+                    onRefused(reader.retryAfterUs());
                 } else {
                     ask(request);
                 }
@@ -389,17 +389,17 @@
     }
 
     private void ask(ClientRequest request) throws BadRequestException {
-        Engine.Held<ClientRequest, Answer> taken = engine.take(this, request);
+        Engine.PendingRequest<ClientRequest, ServerResponse> taken = engine.accept(this, request);
         if (taken == null) {
             throw new BadRequestException("X-Txn is that of an open request");
         }
         held = taken;
         server.requested(this, request);
-        engine.ask(taken);
+        engine.dispatch(taken);
     }
 
     @Override
-    public void begun(Answer answer) {
+    public void onResponseStarted(ServerResponse answer) {
         passing = answer;
         sinceNanos = ticker.nanoTime();
         HttpResponse begins = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -415,7 +415,7 @@
         }
         sayIfLast(begins);
         channel.write(begins);
-        answer.passTo(bytes -> {
+        answer.streamTo(bytes -> {
             channel.writeAndFlush(new DefaultHttpContent(bytes)).addListener(written -> sinceNanos = ticker.nanoTime());
             // One that has left takes no more: what cannot be called off is read to its end.
             answer.setReading(channel.isWritable() || !channel.isActive());
@@ -430,7 +430,7 @@
     }
 
     @Override
-    public void served(Answer answer) {
+    public void onServed(ServerResponse answer) {
         if (answer != null) {
             answer(HttpResponseStatus.OK, answer.body(), 0);
             return;
@@ -458,7 +458,7 @@
     }
 
     @Override
-    public void refused(long retryAfterUs) {
+    public void onRefused(long retryAfterUs) {
         if (isBrokenOff()) {
             return;
         }
@@ -466,7 +466,7 @@
     }
 
     @Override
-    public void failed() {
+    public void onFailed() {
         if (isBrokenOff()) {
             return;
         }
@@ -474,7 +474,7 @@
     }
 
     @Override
-    public void broken() {
+    public void onInternalError() {
         if (isBrokenOff()) {
             return;
         }
@@ -541,7 +541,7 @@
     }
 
     private void serveNext() {
-        time.runOverdue();
+        time.runOverdueTimers();
         Incoming next = busy || !keepAlive || !channel.isActive() ? null : waiting.poll();
         if (next != null) {
             serve(next);
@@ -598,7 +598,7 @@
 
     /** Whether all that has come is read. */
     boolean isQuiet() {
-        return channel.isQuiet();
+        return channel.hasNoUnreadInput();
     }
 
     /** Closes it for this reason, unless it is being closed for another. */
@@ -625,7 +625,7 @@
         }
         server.ended(this, closeReason == null ? CloseReason.BY_CLIENT : closeReason);
         if (held != null) {
-            engine.left(held);
+            engine.clientDisconnected(held);
         }
     }
 
--- a/src/main/java/kitemux/http/ClientRequest.java
+++ b/src/main/java/kitemux/http/ClientRequest.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.List;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 
 /**
  * A client's request as it came.
@@ -13,11 +13,11 @@
  * @param idempotencyKey or null
  * @param classIndex its class by the settings
  * @param tenant by the settings, or -1
- * @param leftUs how long the client waits from now on
+ * @param remainingUs how long the client waits from now on
  * @param workUs a guess at the work, or 0
- * @param retry whether the client marks it as a repeat
+ * @param isRetry whether the client marks it as a repeat
  * @param key what it is about, or null
- * @param agoUs how long ago it came, as far as that can be told
+ * @param ageUs how long ago it came, as far as that can be told
  * @param isStreamed whether answers of its class are streams
  */
 public record ClientRequest(
@@ -28,13 +28,13 @@
         List<byte[]> body,
         int classIndex,
         int tenant,
-        long leftUs,
+        long remainingUs,
         long workUs,
-        boolean retry,
+        boolean isRetry,
         String key,
-        long agoUs,
+        long ageUs,
         boolean isStreamed)
-        implements Asked {
+        implements RequestInfo {
 
     /** What checks a server, where the settings allow probes. */
     static final ClientRequest PROBE =
--- a/src/main/java/kitemux/http/ClientServer.java
+++ b/src/main/java/kitemux/http/ClientServer.java
@@ -23,11 +23,11 @@
 import java.util.function.IntConsumer;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
-import kitemux.net.Answer;
-import kitemux.net.LoopTime;
+import kitemux.net.ServerResponse;
+import kitemux.net.EventLoopClock;
 import kitemux.net.Network;
-import kitemux.net.QuietChannel;
-import kitemux.net.Sockets;
+import kitemux.net.InputAwareChannel;
+import kitemux.net.SocketBudget;
 
 /** The side that clients see: which connections there are, which make room for others, and their end. */
 public final class ClientServer {
@@ -39,9 +39,9 @@
     private final EventLoopGroup loop;
     private final Network network;
     private final RequestReader reader;
-    private final Sockets sockets;
-    private final Engine<ClientRequest, Answer> engine;
-    private final LoopTime time;
+    private final SocketBudget sockets;
+    private final Engine<ClientRequest, ServerResponse> engine;
+    private final EventLoopClock time;
     private final IntConsumer turnedAway;
     private final ConnectionObserver observer;
     private final Log log;
@@ -78,24 +78,24 @@
 
     private Runnable whenEmpty = () -> {};
 
-    private final Network.Gate gate = new Network.Gate() {
+    private final Network.AcceptGate gate = new Network.AcceptGate() {
         @Override
-        public boolean mayTake() {
-            boolean may = sockets.mayTakeClient();
+        public boolean canAccept() {
+            boolean may = sockets.canAcceptClient();
             leftInTurn |= !may;
             return may;
         }
 
         @Override
-        public void taken() {
-            sockets.clientTaken();
+        public void onAccepted() {
+            sockets.clientAccepted();
         }
 
         @Override
-        public void failed(IOException cause) {
+        public void onAcceptFailed(IOException cause) {
             acceptFailures++;
             if (time.nowUs() - acceptFailureToldUs >= ACCEPT_FAILURE_LINE_US) {
-                log.line("accept failed " + acceptFailures + " times: " + cause.getMessage());
+                log.info("accept failed " + acceptFailures + " times: " + cause.getMessage());
                 acceptFailures = 0;
                 acceptFailureToldUs = time.nowUs();
             }
@@ -112,9 +112,9 @@
             EventLoopGroup loop,
             Network network,
             RequestReader reader,
-            Sockets sockets,
-            Engine<ClientRequest, Answer> engine,
-            LoopTime time,
+            SocketBudget sockets,
+            Engine<ClientRequest, ServerResponse> engine,
+            EventLoopClock time,
             IntConsumer turnedAway,
             ConnectionObserver observer,
             Log log) {
@@ -140,13 +140,13 @@
             listener.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
         ChannelFuture opening = listener.group(loop)
-                .channelFactory(() -> network.listener(gate))
+                .channelFactory(() -> network.newListener(gate))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, Network.BACKLOG)
                 .childOption(ChannelOption.ALLOCATOR, network.allocator())
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(Sockets.MOST_ACCEPTED))
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(SocketBudget.MAX_ACCEPTS_PER_TURN))
                 // Each is read until nothing more has come, its end included: whoever has left is not served.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
@@ -157,7 +157,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted((QuietChannel) channel);
+                        accepted((InputAwareChannel) channel);
                     }
                 })
                 .bind(address);
@@ -166,26 +166,26 @@
         return opening;
     }
 
-    private void accepted(QuietChannel channel) {
+    private void accepted(InputAwareChannel channel) {
         taken++;
-        sockets.clientOpened();
+        sockets.clientRegistered();
         channel.closeFuture().addListener(done -> {
             sockets.clientClosed();
             acceptIfRoom();
         });
         ClientConnection client = new ClientConnection(this, taken, reader, engine, time, log, channel, earliestUs());
         observer.accepted(taken, channel.remoteAddress());
-        if (!sockets.hasRoomForClient() && !makeRoom()) {
+        if (!sockets.canKeepClient() && !makeRoom()) {
             // Every connection has a request open. This one may have brought one too, which is owed an
             // answer: it is served, or where even that takes too many turned away, and let go. Harm:
             // clients beyond the bound open a connection for each request.
-            boolean serve = sockets.mayServeClient();
+            boolean serve = sockets.canServeClient();
             client.endAfterOne(serve);
             if (!serve) {
-                sockets.clientTurnedAway();
-                channel.closeFuture().addListener(done -> sockets.clientLeft());
+                sockets.clientRejected();
+                channel.closeFuture().addListener(done -> sockets.rejectedClientClosed());
             }
-            if (!sockets.mayTakeClient()) {
+            if (!sockets.canAcceptClient()) {
                 // Further ones wait with the system, which has room for many.
                 listening.config().setAutoRead(false);
                 leftInTurn = true;
@@ -197,17 +197,17 @@
                         client.gate(),
                         new HttpServerCodec(new HttpDecoderConfig().setMaxChunkSize(Limits.SMALL_BODY)),
                         client);
-        time.runOverdue();
+        time.runOverdueTimers();
     }
 
     /** The earliest that a connection that is taken in now may have come up. */
     private long earliestUs() {
-        long earliest = Math.max(listeningSinceUs, Math.min(waitingSinceUs, time.nowUs() - time.unreadUs()));
+        long earliest = Math.max(listeningSinceUs, Math.min(waitingSinceUs, time.nowUs() - time.readLagUs()));
         if (takenInTurn++ == 0) {
             // In the same turn, behind all that is taken in in it.
             loop.execute(() -> {
                 boolean left = leftInTurn
-                        || takenInTurn >= Sockets.MOST_ACCEPTED
+                        || takenInTurn >= SocketBudget.MAX_ACCEPTS_PER_TURN
                         || !listening.config().isAutoRead();
                 waitingSinceUs = left ? earliest : Long.MAX_VALUE;
                 takenInTurn = 0;
@@ -230,12 +230,12 @@
                         forgetOnceAllAreTaken(taken);
                     }
                 },
-                LoopTime.BEAT_MS,
+                EventLoopClock.TICK_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
     }
 
     private void acceptIfRoom() {
-        if (!listening.config().isAutoRead() && listening.isOpen() && sockets.mayTakeClient()) {
+        if (!listening.config().isAutoRead() && listening.isOpen() && sockets.canAcceptClient()) {
             listening.config().setAutoRead(true);
         }
     }
@@ -287,7 +287,7 @@
     void rested(ClientConnection client) {
         if (busy.remove(client)) {
             idle.add(client);
-            if (idle.size() > sockets.mostIdleClients() || !listening.config().isAutoRead()) {
+            if (idle.size() > sockets.maxIdleClients() || !listening.config().isAutoRead()) {
                 closeFirst(idle);
             }
         }
@@ -373,7 +373,7 @@
         at(schedule.listenUntilUs(), this::closeListener);
         at(schedule.idleUntilUs(), this::closeIdle);
         at(schedule.answerByUs(), this::answerRest);
-        engine.answerAllBy(schedule.answerByUs());
+        engine.setAnswerDeadline(schedule.answerByUs());
     }
 
     private void at(long us, Runnable task) {
@@ -391,7 +391,7 @@
     /** What waits for room would be reset with the listener: that has to be taken first, while there is time. */
     private void closeListener() {
         if (!listening.config().isAutoRead() && phase.compareTo(ShutdownPhase.ANSWERING_REST) < 0) {
-            loop.schedule(this::closeListener, LoopTime.BEAT_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::closeListener, EventLoopClock.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
             return;
         }
         // Those that it accepted at the last are known behind this.
--- a/src/main/java/kitemux/http/HttpServers.java
+++ b/src/main/java/kitemux/http/HttpServers.java
@@ -23,14 +23,14 @@
 import kitemux.Balancer.Result;
 import kitemux.Balancer.Settings;
 import kitemux.engine.Log;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.engine.Transport.Exchange;
-import kitemux.net.Answer;
+import kitemux.net.ServerResponse;
 import kitemux.net.ServerPool;
 
 /** HTTP/1.1 towards servers: how an exchange is written, and what their answers say. */
-public final class HttpServers implements ServerPool.Protocol<ClientRequest, Answer> {
-    private final Time clock;
+public final class HttpServers implements ServerPool.Protocol<ClientRequest, ServerResponse> {
+    private final Clock clock;
     private final Settings settings;
     private final ByteBufAllocator allocator;
     private final Log log;
@@ -38,7 +38,7 @@
     private int answersBytes;
 
     /** For the classes of these settings. */
-    public HttpServers(Time clock, Settings settings, ByteBufAllocator allocator, Log log) {
+    public HttpServers(Clock clock, Settings settings, ByteBufAllocator allocator, Log log) {
         this.clock = clock;
         this.settings = settings;
         this.allocator = allocator;
@@ -46,22 +46,22 @@
     }
 
     @Override
-    public void prepare(ChannelPipeline pipeline) {
+    public void initPipeline(ChannelPipeline pipeline) {
         pipeline.addLast(new AnswerDecoder(), new HttpRequestEncoder());
     }
 
     @Override
-    public ServerPool.Link<ClientRequest, Answer> link() {
+    public ServerPool.ServerConnection<ClientRequest, ServerResponse> newConnection() {
         return new Connection();
     }
 
     @Override
-    public ClientRequest probe() {
+    public ClientRequest probeRequest() {
         return ClientRequest.PROBE;
     }
 
     /** As late as a connection is there to carry it: it says how long the node will wait. */
-    private FullHttpRequest message(Exchange<ClientRequest, Answer> exchange) {
+    private FullHttpRequest message(Exchange<ClientRequest, ServerResponse> exchange) {
         ClientRequest request = exchange.request();
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -73,7 +73,7 @@
             message.headers()
                     .set("X-Txn", request.txn())
                     .set("X-Lane", settings.classes.get(request.classIndex()).name())
-                    .set("X-Remaining", Math.max(1, exchange.untilUs() - clock.nowUs()) + "u");
+                    .set("X-Remaining", Math.max(1, exchange.expiresAtUs() - clock.nowUs()) + "u");
         }
         if (request.idempotencyKey() != null) {
             message.headers().set("Idempotency-Key", request.idempotencyKey());
@@ -87,12 +87,12 @@
 
     // ---------------------------------------------------------------- a connection
 
-    private final class Connection extends ServerPool.Link<ClientRequest, Answer> {
+    private final class Connection extends ServerPool.ServerConnection<ClientRequest, ServerResponse> {
         private HttpResponse head;
         /** What has come of an answer that is gathered; null before one, and while one is passed on. */
         private ByteBuf body;
         /** An answer that is passed on as it comes, or null. */
-        private Answer passing;
+        private ServerResponse passing;
 
         private boolean reading = true;
         private long readAtUs;
@@ -105,12 +105,12 @@
         private boolean broken;
 
         @Override
-        protected void opened() {
-            free();
+        protected void onConnected() {
+            markAvailable();
         }
 
         @Override
-        protected Object message(Exchange<ClientRequest, Answer> next) {
+        protected Object createMessage(Exchange<ClientRequest, ServerResponse> next) {
             return HttpServers.this.message(next);
         }
 
@@ -144,7 +144,7 @@
                 return;
             }
             if (message instanceof LastHttpContent && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-                if ((broken || isClosedHere()) && isEndedByClose()) {
+                if ((broken || isClosedLocally()) && isEndedByClose()) {
                     // The decoder takes any end of the connection for the answer's.
                     fail();
                     return;
@@ -161,7 +161,7 @@
                     fail();
                     return false;
                 }
-                passing.more(more.retain());
+                passing.deliver(more.retain());
                 return exchange() != null;
             }
             int bytes = more.readableBytes();
@@ -182,9 +182,9 @@
 
         /** Too long to be held: it goes on as it comes, and can be tried nowhere else from here on. */
         private boolean passOn() {
-            Answer begins = Answer.beginning(HttpUtil.getContentLength(head, -1L), this::setReading);
-            if (!begin(begins)) {
-                letGo();
+            ServerResponse begins = ServerResponse.streaming(HttpUtil.getContentLength(head, -1L), this::setReading);
+            if (!startResponse(begins)) {
+                releaseResponse();
                 return false;
             }
             passing = begins;
@@ -193,7 +193,7 @@
             ByteBuf first = body;
             body = null;
             passed = first.readableBytes();
-            passing.more(first);
+            passing.deliver(first);
             return exchange() != null;
         }
 
@@ -211,7 +211,7 @@
                 return false;
             }
             // What has come since the loop last looked may lie unread: a loop that stood still stalls nobody.
-            long lookedUs = clock.nowUs() - clock.unreadUs();
+            long lookedUs = clock.nowUs() - clock.readLagUs();
             long deadlineUs = exchange().deadlineUs();
             boolean silent = lookedUs - readAtUs > Limits.STALLED_US
                     || readAtUs <= deadlineUs && lookedUs - deadlineUs > Limits.LAST_WORD_US;
@@ -232,12 +232,12 @@
                                     && "1".equals(head.headers().get("X-Turned-Away"))
                             ? Result.FULL
                             : Result.ERROR;
-            answered = isWritten() && HttpUtil.isKeepAlive(head) && !isEndedByClose();
+            answered = isRequestWritten() && HttpUtil.isKeepAlive(head) && !isEndedByClose();
             if (!answered) {
                 channel().close();
             }
-            letGo();
-            end(result, result == Result.OK && bytes != null ? Answer.of(bytes) : null);
+            releaseResponse();
+            completeExchange(result, result == Result.OK && bytes != null ? ServerResponse.buffered(bytes) : null);
         }
 
         @Override
@@ -245,7 +245,7 @@
             // Not before all that came is read: what came behind the answer must not answer the next.
             if (answered && exchange() == null) {
                 answered = false;
-                free();
+                markAvailable();
             }
         }
 
@@ -253,8 +253,8 @@
         private void fail() {
             answered = false;
             close();
-            letGo();
-            end(Result.RESET, null);
+            releaseResponse();
+            completeExchange(Result.RESET, null);
         }
 
         private void dropBody() {
@@ -266,7 +266,7 @@
         }
 
         @Override
-        protected void letGo() {
+        protected void releaseResponse() {
             head = null;
             passing = null;
             dropBody();
--- a/src/main/java/kitemux/http/RequestReader.java
+++ b/src/main/java/kitemux/http/RequestReader.java
@@ -8,7 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 
 /** Reads a client's request by the protocol; what does not keep to it is turned down here. */
@@ -74,12 +74,12 @@
             throw new BadRequestException("X-Lane names no class");
         }
         String idempotencyKey = one(message, "Idempotency-Key");
-        Repeat repeat = settings.classes.get(classIndex).repeat();
+        RetrySafety repeat = settings.classes.get(classIndex).retrySafety();
         // A class stands for one way to repeat: were another asked for, an effect could happen twice.
-        if (!message.method().equals(repeat == Repeat.SAFE ? HttpMethod.GET : HttpMethod.POST)) {
+        if (!message.method().equals(repeat == RetrySafety.SAFE ? HttpMethod.GET : HttpMethod.POST)) {
             throw new BadRequestException("the class does not go with the method");
         }
-        if (repeat == Repeat.KEYED == (idempotencyKey == null)) {
+        if (repeat == RetrySafety.KEYED == (idempotencyKey == null)) {
             throw new BadRequestException("Idempotency-Key does not go with the class");
         }
         String tenant = one(message, "X-Org");
--- a/src/main/java/kitemux/keeper/ConfigRules.java
+++ b/src/main/java/kitemux/keeper/ConfigRules.java
@@ -12,10 +12,10 @@
 import kitemux.config.Json;
 import kitemux.config.SettingsReader;
 import kitemux.net.Addresses;
-import kitemux.rollout.Fault;
+import kitemux.rollout.ValidationError;
 import kitemux.rollout.History;
 import kitemux.rollout.Rules;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 
 /**
  * What paths of a configuration mean: fields by the names that a node's file has them under, read by the same
@@ -28,17 +28,17 @@
     private static final List<String> LIMITS = List.of(
             "attemptsCap", "parallelTries", "cancelling", "probes", "retryAfter", "maxRetryAfterUs", "dialTimeoutUs");
     private static final String KNOWN =
-            "known are realms/NAME, classes/NAME, limits/NAME, overShareWorth, " + "discovery, " + History.VOTERS;
+            "known are realms/NAME, classes/NAME, limits/NAME, overShareWorth, " + "discovery, " + History.VOTERS_PATH;
 
     /** Values that were sound, by path. */
     private final Map<String, String> sound = new HashMap<>();
 
     @Override
-    public List<Fault> faults(Map<String, String> whole) {
-        if (sound.size() > 2 * Terms.MOST_PATHS) {
+    public List<ValidationError> validate(Map<String, String> whole) {
+        if (sound.size() > 2 * ProtocolParameters.MAX_PATH_COUNT) {
             sound.clear();
         }
-        List<Fault> faults = new ArrayList<>();
+        List<ValidationError> faults = new ArrayList<>();
         whole.forEach((path, value) -> {
             if (!value.equals(sound.get(path))) {
                 int before = faults.size();
@@ -51,12 +51,12 @@
         return faults;
     }
 
-    private static void check(String path, String value, List<Fault> faults) {
+    private static void check(String path, String value, List<ValidationError> faults) {
         Json json;
         try {
             json = Json.read(value.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            faults.add(new Fault(path, "is not JSON: " + e.getMessage()));
+            faults.add(new ValidationError(path, "is not JSON: " + e.getMessage()));
             return;
         }
         int slash = path.indexOf('/');
@@ -68,45 +68,45 @@
             case "overShareWorth" -> notNegative(path, "", json, faults);
             case "discovery" -> discovery(path, json, faults);
             default -> {
-                if (!path.equals(History.VOTERS)) {
-                    faults.add(new Fault(path, "is not known; " + KNOWN));
+                if (!path.equals(History.VOTERS_PATH)) {
+                    faults.add(new ValidationError(path, "is not known; " + KNOWN));
                 }
             }
         }
     }
 
-    private static boolean hasFields(String path, Json json, List<String> known, List<Fault> faults) {
+    private static boolean hasFields(String path, Json json, List<String> known, List<ValidationError> faults) {
         if (!json.isObject()) {
-            faults.add(new Fault(path, "is no object"));
+            faults.add(new ValidationError(path, "is no object"));
             return false;
         }
         int before = faults.size();
         json.fields().forEach((field, value) -> {
             if (!known.contains(field)) {
-                faults.add(new Fault(path, field + " is not known; known are " + String.join(", ", known)));
+                faults.add(new ValidationError(path, field + " is not known; known are " + String.join(", ", known)));
             } else if (value.isObject() || value.isList()) {
-                faults.add(new Fault(path, field + " is no plain value"));
+                faults.add(new ValidationError(path, field + " is no plain value"));
             }
         });
         return faults.size() == before;
     }
 
-    private static void notNegative(String path, String field, Json json, List<Fault> faults) {
+    private static void notNegative(String path, String field, Json json, List<ValidationError> faults) {
         double value = json.decimal(Double.NaN);
         if (json.isString() || Double.isNaN(value)) {
-            faults.add(new Fault(path, field + "is not a number"));
+            faults.add(new ValidationError(path, field + "is not a number"));
         } else if (value < 0) {
-            faults.add(new Fault(path, field + "is negative"));
+            faults.add(new ValidationError(path, field + "is negative"));
         }
     }
 
-    private static void realm(String path, Json json, List<Fault> faults) {
+    private static void realm(String path, Json json, List<ValidationError> faults) {
         if (hasFields(path, json, List.of("quotaPerS"), faults)) {
             notNegative(path, "quotaPerS ", json.path("quotaPerS"), faults);
         }
     }
 
-    private static void requestClass(String path, String name, Json json, List<Fault> faults) {
+    private static void requestClass(String path, String name, Json json, List<ValidationError> faults) {
         if (!hasFields(path, json, OF_CLASS, faults)) {
             return;
         }
@@ -117,17 +117,17 @@
         try {
             SettingsReader.read(flat).validate();
         } catch (SettingsReader.BadSettingException e) {
-            faults.add(new Fault(path, e.field.substring("classes.0.".length()) + " " + e.reason));
+            faults.add(new ValidationError(path, e.field.substring("classes.0.".length()) + " " + e.reason));
         } catch (IllegalArgumentException e) {
-            faults.add(new Fault(path, e.getMessage()));
+            faults.add(new ValidationError(path, e.getMessage()));
         }
     }
 
-    private static void limit(String path, String name, Json json, List<Fault> faults) {
+    private static void limit(String path, String name, Json json, List<ValidationError> faults) {
         if (!LIMITS.contains(name)) {
-            faults.add(new Fault(path, "is not known; known limits are " + String.join(", ", LIMITS)));
+            faults.add(new ValidationError(path, "is not known; known limits are " + String.join(", ", LIMITS)));
         } else if (json.isObject() || json.isList()) {
-            faults.add(new Fault(path, "is no plain value"));
+            faults.add(new ValidationError(path, "is no plain value"));
         } else {
             try {
                 SettingsReader.read(Map.of(
@@ -147,25 +147,25 @@
                                 "safe"))
                         .validate();
             } catch (SettingsReader.BadSettingException e) {
-                faults.add(new Fault(path, e.reason));
+                faults.add(new ValidationError(path, e.reason));
             } catch (IllegalArgumentException e) {
-                faults.add(new Fault(path, e.getMessage()));
+                faults.add(new ValidationError(path, e.getMessage()));
             }
         }
     }
 
-    private static void discovery(String path, Json json, List<Fault> faults) {
+    private static void discovery(String path, Json json, List<ValidationError> faults) {
         try {
-            Addresses.read(path, json.text());
+            Addresses.parse(path, json.text());
         } catch (ConfigException e) {
-            faults.add(new Fault(path, "is not address:port: " + json.text()));
+            faults.add(new ValidationError(path, "is not address:port: " + json.text()));
         }
     }
 
     // ---------------------------------------------------------------- what waits for a restart
 
     @Override
-    public Set<String> waitRestart(Map<String, String> first, Map<String, String> next) {
+    public Set<String> pathsNeedingRestart(Map<String, String> first, Map<String, String> next) {
         Set<String> waits = new TreeSet<>();
         next.forEach((path, value) -> {
             if (!value.equals(first.get(path)) && !isLive(path, first.get(path), value)) {
--- a/src/main/java/kitemux/keeper/Keeper.java
+++ b/src/main/java/kitemux/keeper/Keeper.java
@@ -16,25 +16,25 @@
 import java.util.function.Supplier;
 import kitemux.disk.Disk;
 import kitemux.engine.Log;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.net.Network;
-import kitemux.rollout.Answer;
+import kitemux.rollout.Response;
 import kitemux.rollout.Change;
 import kitemux.rollout.Effect;
-import kitemux.rollout.Fault;
+import kitemux.rollout.ValidationError;
 import kitemux.rollout.Inventory;
 import kitemux.rollout.Inventory.Row;
-import kitemux.rollout.KeeperMachine;
+import kitemux.rollout.KeeperStateMachine;
 import kitemux.rollout.Outcome;
 import kitemux.rollout.Report;
 import kitemux.rollout.Request;
 import kitemux.rollout.RolloutText;
 import kitemux.rollout.Rules;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Voter;
 
 /**
- * A keeper: carries the effects of its {@link KeeperMachine} to sockets and to its folder. All but the
+ * A keeper: carries the effects of its {@link KeeperStateMachine} to sockets and to its folder. All but the
  * folder's writes is on one event loop.
  */
 public final class Keeper {
@@ -43,19 +43,19 @@
     private static final int SWEEPS = 10;
 
     private final KeeperSettings settings;
-    private final Terms terms;
+    private final ProtocolParameters terms;
     private final EventLoop loop;
-    private final Time time;
+    private final Clock time;
     private final Log log;
     private final Consumer<Exception> failed;
     private final Voter me;
-    private final KeeperMachine machine;
+    private final KeeperStateMachine machine;
     private final RecordWriter writer;
     private final KeeperServer server;
     private final KeeperCalls calls;
     private final Watches watches;
     /** Whoever waits for an answer of this keeper's vote or history, by the number of the call. */
-    private final Map<Long, Consumer<Answer>> asked = new HashMap<>();
+    private final Map<Long, Consumer<Response>> asked = new HashMap<>();
     /** Operators that wait for what becomes of a change. */
     private final Map<Long, KeeperServer.Call> changes = new HashMap<>();
 
@@ -64,17 +64,17 @@
     private long lastCall;
     private long faultyCalls;
     private long diskBehind;
-    private Time.Timer timer;
-    private Time.Timer sweeper;
+    private Clock.Timer timer;
+    private Clock.Timer sweeper;
     private boolean stopped;
     private String stood = "";
 
     /** What a keeper stands on: one event loop, its channels, its time, and lines for operators. */
-    public record Parts(EventLoop loop, Network network, Time time, Log log) {}
+    public record Parts(EventLoop loop, Network network, Clock time, Log log) {}
 
     private Keeper(
             KeeperSettings settings,
-            Terms terms,
+            ProtocolParameters terms,
             Rules rules,
             Parts on,
             KeeperFolder folder,
@@ -86,7 +86,7 @@
         time = on.time();
         log = on.log();
         me = new Voter(settings.number(), folder.identity());
-        machine = new KeeperMachine(
+        machine = new KeeperStateMachine(
                 terms, me, settings.keepers().size(), settings.voters(), rules, folder.found(), seed, time.nowUs());
         this.failed = failed;
         writer = new RecordWriter(folder, loop, failed);
@@ -109,14 +109,14 @@
      */
     public static Keeper open(
             KeeperSettings settings,
-            Terms terms,
+            ProtocolParameters terms,
             Rules rules,
             Parts on,
             Disk disk,
             LongSupplier random,
             Consumer<Exception> failed)
             throws IOException {
-        KeeperFolder folder = KeeperFolder.open(disk, settings.number(), random, on.log()::line);
+        KeeperFolder folder = KeeperFolder.open(disk, settings.number(), random, on.log()::info);
         return new Keeper(settings, terms, rules, on, folder, random.getAsLong(), failed);
     }
 
@@ -127,7 +127,7 @@
      * @throws IOException if it cannot be read or written, or is another keeper's
      */
     public static String make(Disk disk, int number, LongSupplier random, Log log) throws IOException {
-        KeeperFolder folder = KeeperFolder.open(disk, number, random, log::line);
+        KeeperFolder folder = KeeperFolder.open(disk, number, random, log::info);
         folder.close();
         return new Voter(number, folder.identity()).toString();
     }
@@ -200,7 +200,7 @@
             carrying = false;
         }
         if (writer.takeIsLong()) {
-            writer.renew(machine.kept());
+            writer.renew(machine.toRecords());
         }
         tellWhereItStands();
         arm();
@@ -210,27 +210,27 @@
         if (effect instanceof Effect.Send send) {
             send(send.to(), send.request());
         } else if (effect instanceof Effect.Reply reply) {
-            Consumer<Answer> waiting = asked.remove(reply.call());
+            Consumer<Response> waiting = asked.remove(reply.call());
             if (waiting != null) {
                 waiting.accept(reply.answer());
             }
-        } else if (effect instanceof Effect.Write write) {
-            writer.write(write.kept(), () -> happened(write::then));
-        } else if (effect instanceof Effect.Conclude conclude) {
-            faultyCalls += conclude.outcome() instanceof Outcome.Faulty ? 1 : 0;
+        } else if (effect instanceof Effect.Persist write) {
+            writer.write(write.entry(), () -> happened(write::then));
+        } else if (effect instanceof Effect.CompleteChange conclude) {
+            faultyCalls += conclude.outcome() instanceof Outcome.Invalid ? 1 : 0;
             changes.remove(conclude.call()).answer(status(conclude.outcome()), RolloutText.write(conclude.outcome()));
-        } else if (effect instanceof Effect.Tell tell) {
-            watches.tell(tell.watch(), tell.line());
-        } else if (!(effect instanceof Effect.RefuseWatch)) {
+        } else if (effect instanceof Effect.SendEvent tell) {
+            watches.tell(tell.watch(), tell.event());
+        } else if (!(effect instanceof Effect.RejectWatch)) {
             // Those of a node.
             throw new IllegalStateException("no effect of a keeper: " + effect);
         }
     }
 
     private static int status(Outcome outcome) {
-        return outcome instanceof Outcome.Taken
+        return outcome instanceof Outcome.Committed
                 ? 200
-                : outcome instanceof Outcome.Faulty
+                : outcome instanceof Outcome.Invalid
                         ? 400
                         : outcome instanceof Outcome.Conflict
                                 ? 409
@@ -246,15 +246,15 @@
             if (body == null || stopped) {
                 return;
             }
-            RolloutText.Read<Answer> answer = RolloutText.readAnswer(body);
-            if (answer.value() instanceof Answer.Known known && known.versions().size() > Terms.MOST_VERSIONS) {
-                log.line("keeper " + to + ": its answer has " + known.versions().size() + " versions; "
-                        + Terms.MOST_VERSIONS + " are allowed");
-            } else if (answer.faults().isEmpty()) {
+            RolloutText.ParseResult<Response> answer = RolloutText.readResponse(body);
+            if (answer.value() instanceof Response.Versions known && known.versions().size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
+                log.info("keeper " + to + ": its answer has " + known.versions().size() + " versions; "
+                        + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT + " are allowed");
+            } else if (answer.errors().isEmpty()) {
                 answered(to, answer.value());
             } else {
-                log.line("keeper " + to + ": its answer cannot be read: "
-                        + answer.faults().get(0));
+                log.info("keeper " + to + ": its answer cannot be read: "
+                        + answer.errors().get(0));
             }
         });
     }
@@ -274,16 +274,16 @@
         return !stopped;
     }
 
-    private void answered(int from, Answer answer) {
+    private void answered(int from, Response answer) {
         if (hasRoom()) {
-            happened(() -> machine.answered(time.nowUs(), from, answer));
+            happened(() -> machine.handleResponse(time.nowUs(), from, answer));
         }
     }
 
-    private void ask(Request request, Consumer<Answer> answered) {
+    private void ask(Request request, Consumer<Response> answered) {
         if (hasRoom()) {
             asked.put(++lastCall, answered);
-            happened(() -> machine.asked(time.nowUs(), lastCall, request));
+            happened(() -> machine.handleRequest(time.nowUs(), lastCall, request));
         }
     }
 
@@ -294,8 +294,8 @@
 
     private void sweep() {
         if (!stopped) {
-            watches.endSilent(time.nowUs() - terms.silentUs());
-            sweeper = time.after(terms.silentUs() / SWEEPS, this::sweep);
+            watches.endSilent(time.nowUs() - terms.reportTimeoutUs());
+            sweeper = time.schedule(terms.reportTimeoutUs() / SWEEPS, this::sweep);
         }
     }
 
@@ -304,7 +304,7 @@
             timer.cancel();
         }
         if (!stopped) {
-            timer = time.after(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
+            timer = time.schedule(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
         }
     }
 
@@ -312,10 +312,10 @@
     private void tellWhereItStands() {
         String stands = !machine.isCaughtUp()
                 ? "serves nobody until it has heard a majority of the voters"
-                : machine.isAlone() ? "hears no majority of the voters: no change can be made here" : "serves";
+                : machine.lacksQuorum() ? "hears no majority of the voters: no change can be made here" : "serves";
         if (!stands.equals(stood)) {
             stood = stands;
-            log.line("keeper " + me + " " + stands + "; version "
+            log.info("keeper " + me + " " + stands + "; version "
                     + machine.history().rev());
         }
     }
@@ -355,29 +355,29 @@
         }
     }
 
-    private void faulty(KeeperServer.Call call, List<Fault> faults) {
+    private void faulty(KeeperServer.Call call, List<ValidationError> faults) {
         faultyCalls++;
         call.answer(400, StatusText.faults(faults));
     }
 
     private void change(KeeperServer.Call call) {
-        RolloutText.Read<Change> read = RolloutText.readChange(call.body());
-        if (!read.faults().isEmpty()) {
-            faulty(call, read.faults());
+        RolloutText.ParseResult<Change> read = RolloutText.readChange(call.body());
+        if (!read.errors().isEmpty()) {
+            faulty(call, read.errors());
         } else if (!hasRoom()) {
             call.answer(503, StatusText.reason("the disk of this keeper is behind"));
         } else {
             changes.put(++lastCall, call);
-            happened(() -> machine.change(time.nowUs(), lastCall, read.value()));
+            happened(() -> machine.proposeChange(time.nowUs(), lastCall, read.value()));
         }
     }
 
     private void request(KeeperServer.Call call, String kind) {
-        RolloutText.Read<Request> read = RolloutText.readRequest(call.body());
-        if (!read.faults().isEmpty()) {
-            faulty(call, read.faults());
+        RolloutText.ParseResult<Request> read = RolloutText.readRequest(call.body());
+        if (!read.errors().isEmpty()) {
+            faulty(call, read.errors());
         } else if (!kind(read.value()).equals(kind)) {
-            faulty(call, List.of(new Fault("kind", "is not " + kind + ", as the path is")));
+            faulty(call, List.of(new ValidationError("kind", "is not " + kind + ", as the path is")));
         } else if (!hasRoom()) {
             call.answer(503, StatusText.reason("the disk of this keeper is behind"));
         } else {
@@ -386,13 +386,13 @@
     }
 
     private void report(KeeperServer.Call call) {
-        RolloutText.Read<Report> read = RolloutText.readReport(call.body());
-        if (!read.faults().isEmpty()) {
-            faulty(call, read.faults());
+        RolloutText.ParseResult<Report> read = RolloutText.readReport(call.body());
+        if (!read.errors().isEmpty()) {
+            faulty(call, read.errors());
         } else if (read.value().node() >= settings.nodes()) {
-            faulty(call, List.of(new Fault("node", "is not from 0 to " + (settings.nodes() - 1))));
+            faulty(call, List.of(new ValidationError("node", "is not from 0 to " + (settings.nodes() - 1))));
         } else {
-            machine.reported(time.nowUs(), read.value());
+            machine.handleReport(time.nowUs(), read.value());
             watches.reported(read.value().node(), time.nowUs());
             call.answer(204, NOTHING);
         }
@@ -401,7 +401,7 @@
     /** Fields behind a path: whole numbers, each once, and no others. */
     private static final class Query {
         private final Map<String, List<String>> given;
-        final List<Fault> faults = new ArrayList<>();
+        final List<ValidationError> faults = new ArrayList<>();
 
         Query(KeeperServer.Call call, List<String> known) {
             given = call.query();
@@ -409,14 +409,14 @@
                     .filter(name -> !known.contains(name))
                     .sorted()
                     .forEach(
-                            name -> faults.add(new Fault(name, "is not known; known are " + String.join(", ", known))));
+                            name -> faults.add(new ValidationError(name, "is not known; known are " + String.join(", ", known))));
         }
 
         long whole(String name, long otherwise, long most) {
             List<String> values = given.getOrDefault(name, List.of());
             if (values.isEmpty()) {
                 if (otherwise < 0) {
-                    faults.add(new Fault(name, "is missing"));
+                    faults.add(new ValidationError(name, "is missing"));
                 }
                 return otherwise;
             }
@@ -427,7 +427,7 @@
                 // Told below.
             }
             if (value < 0 || value > most) {
-                faults.add(new Fault(name, "is not a whole number from 0 to " + most));
+                faults.add(new ValidationError(name, "is not a whole number from 0 to " + most));
             }
             return value;
         }
@@ -443,11 +443,11 @@
             return;
         }
         long watch = ++lastCall;
-        List<Effect> told = machine.watch(time.nowUs(), watch, after);
-        if (told.stream().anyMatch(effect -> effect instanceof Effect.RefuseWatch r && r.watch() == watch)) {
+        List<Effect> told = machine.openWatch(time.nowUs(), watch, after);
+        if (told.stream().anyMatch(effect -> effect instanceof Effect.RejectWatch r && r.watch() == watch)) {
             told.stream()
-                    .filter(effect -> effect instanceof Effect.RefuseWatch)
-                    .forEach(effect -> call.answer(503, StatusText.reason(((Effect.RefuseWatch) effect).reason())));
+                    .filter(effect -> effect instanceof Effect.RejectWatch)
+                    .forEach(effect -> call.answer(503, StatusText.reason(((Effect.RejectWatch) effect).reason())));
         } else {
             watches.begin(watch, (int) node, call, time.nowUs());
         }
@@ -472,7 +472,7 @@
         int[] left = {settings.keepers().size()};
         Runnable one = () -> {
             if (--left[0] == 0 && !stopped) {
-                tellStatus(call, rev, Inventory.merged(all), notHeard);
+                tellStatus(call, rev, Inventory.merge(all), notHeard);
             }
         };
         for (int keeper = 0; keeper < settings.keepers().size(); keeper++) {
@@ -482,8 +482,8 @@
                 continue;
             }
             calls.get(from, "/rollout/inventory", body -> {
-                RolloutText.Read<List<Row>> read = body == null ? null : RolloutText.readRows(body);
-                if (read != null && read.faults().isEmpty()) {
+                RolloutText.ParseResult<List<Row>> read = body == null ? null : RolloutText.readRows(body);
+                if (read != null && read.errors().isEmpty()) {
                     all.add(read.value());
                 } else {
                     notHeard.add(from);
@@ -495,12 +495,12 @@
 
     private void tellStatus(KeeperServer.Call call, long rev, Map<Integer, Row> rows, List<Integer> notHeard) {
         SortedMap<String, Long> figures = new TreeMap<>();
-        figures.put("watches", (long) machine.watches());
-        figures.put("watches_refused", machine.refusedWatches());
+        figures.put("watches", (long) machine.openWatches());
+        figures.put("watches_refused", machine.rejectedWatches());
         figures.put("watches_unread", watches.unread());
         figures.put("watches_silent", watches.silent());
-        figures.put("changes_refused", machine.refusedChanges());
-        figures.put("reports_refused", machine.inventory().refusedForRoom());
+        figures.put("changes_refused", machine.rejectedChanges());
+        figures.put("reports_refused", machine.inventory().rejectedReports());
         figures.put("calls_faulty", faultyCalls + server.unreadable());
         figures.put("calls_lost", calls.lost());
         figures.put("calls_disk_behind", diskBehind);
@@ -510,7 +510,7 @@
                 200,
                 StatusText.status(
                         rev,
-                        Inventory.status(terms, rows, settings.nodes(), rev),
+                        Inventory.nodesByStatus(terms, rows, settings.nodes(), rev),
                         rows,
                         new StatusText.Keeper(
                                 me.keeper(),
@@ -518,7 +518,7 @@
                                 machine.history().rev(),
                                 machine.history().voters().contains(me),
                                 machine.isCaughtUp(),
-                                machine.isAlone(),
+                                machine.lacksQuorum(),
                                 notHeard.stream().sorted().toList(),
                                 figures)));
     }
--- a/src/main/java/kitemux/keeper/KeeperCalls.java
+++ b/src/main/java/kitemux/keeper/KeeperCalls.java
@@ -66,7 +66,7 @@
         keepers.forEach(at -> peers.add(new Peer(at)));
         dialer = new Bootstrap()
                 .group(loop)
-                .channelFactory(network::dialer)
+                .channelFactory(network::newOutboundChannel)
                 .disableResolver()
                 .option(ChannelOption.ALLOCATOR, network.allocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CALL_MS)
--- a/src/main/java/kitemux/keeper/KeeperFile.java
+++ b/src/main/java/kitemux/keeper/KeeperFile.java
@@ -14,7 +14,7 @@
 import kitemux.hcl.Section;
 import kitemux.hcl.Text;
 import kitemux.net.Addresses;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Voter;
 
 /** Reads a keeper's settings in HCL; {@code docs/operate/rollout.md} has all fields. */
@@ -50,8 +50,8 @@
         if (number < 0 || all.has("keeper") && number >= keepers.size()) {
             own.add("keeper: is not from 0 to " + (keepers.size() - 1) + ", the last of keepers");
         }
-        if (nodes < 1 || nodes > Terms.MOST_NODES) {
-            own.add("nodes: is not from 1 to " + Terms.MOST_NODES);
+        if (nodes < 1 || nodes > ProtocolParameters.MAX_NODE_COUNT) {
+            own.add("nodes: is not from 1 to " + ProtocolParameters.MAX_NODE_COUNT);
         }
         InetSocketAddress at = listen.isEmpty() ? null : address("listen", listen, own);
         faults.addAll(Places.placed(file, text, own));
@@ -78,7 +78,7 @@
 
     private static InetSocketAddress address(String field, String text, List<String> faults) {
         try {
-            return Addresses.read(field + ":", text);
+            return Addresses.parse(field + ":", text);
         } catch (ConfigException e) {
             faults.add(e.getMessage());
             return null;
@@ -99,7 +99,7 @@
         Set<Integer> once = new HashSet<>();
         List<String> texts = all.texts("voters", List.of());
         for (String text : texts) {
-            Voter voter = Voter.read(text);
+            Voter voter = Voter.parse(text);
             if (voter == null) {
                 faults.add("voters: \"" + text + "\" is no voter as \"0:9f2c\", the number of a keeper and "
                         + "the identity of its folder");
@@ -111,7 +111,7 @@
                 voters.add(voter);
             }
         }
-        if (texts.size() % 2 == 0 || texts.size() > Terms.MOST_VOTERS) {
+        if (texts.size() % 2 == 0 || texts.size() > ProtocolParameters.MAX_VOTER_COUNT) {
             faults.add("voters: names " + texts.size() + "; 1, 3 or 5 are needed");
         }
         return voters;
--- a/src/main/java/kitemux/keeper/KeeperFolder.java
+++ b/src/main/java/kitemux/keeper/KeeperFolder.java
@@ -11,7 +11,7 @@
 import java.util.zip.CRC32C;
 import kitemux.config.Json;
 import kitemux.disk.Disk;
-import kitemux.rollout.Kept;
+import kitemux.rollout.LogRecord;
 import kitemux.rollout.RolloutText;
 
 /**
@@ -37,11 +37,11 @@
     private final Disk disk;
     private final int keeper;
     private final String identity;
-    private final List<Kept> found;
-    private Disk.Out out;
+    private final List<LogRecord> found;
+    private Disk.OutputFile out;
     private long length;
 
-    private KeeperFolder(Disk disk, int keeper, String identity, List<Kept> found) {
+    private KeeperFolder(Disk disk, int keeper, String identity, List<LogRecord> found) {
         this.disk = disk;
         this.keeper = keeper;
         this.identity = identity;
@@ -69,8 +69,8 @@
             String aside = aside(disk);
             log.accept("folder: " + FILE + ", offset " + reading.soundUpTo + ": " + reading.fault
                     + "; it is set aside as " + aside + ", and this keeper begins anew without a vote");
-            List<Kept> versions = reading.kept.stream()
-                    .filter(kept -> !(kept instanceof Kept.Voted))
+            List<LogRecord> versions = reading.kept.stream()
+                    .filter(kept -> !(kept instanceof LogRecord.Voted))
                     .toList();
             disk.rename(FILE, aside);
             return begun(disk, keeper, identities, versions);
@@ -86,7 +86,7 @@
         return folder;
     }
 
-    private static KeeperFolder begun(Disk disk, int keeper, LongSupplier identities, List<Kept> versions)
+    private static KeeperFolder begun(Disk disk, int keeper, LongSupplier identities, List<LogRecord> versions)
             throws IOException {
         String identity = String.format("%016x", identities.getAsLong());
         KeeperFolder folder = new KeeperFolder(disk, keeper, identity, versions);
@@ -109,12 +109,12 @@
     }
 
     /** What was found in it, in order. */
-    List<Kept> found() {
+    List<LogRecord> found() {
         return found;
     }
 
     /** Writes records behind all others; they are safe once {@link #sync} has returned. */
-    void write(List<Kept> records) throws IOException {
+    void write(List<LogRecord> records) throws IOException {
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
         records.forEach(record -> lines.writeBytes(line(RolloutText.write(record))));
         out.write(lines.toByteArray());
@@ -135,11 +135,11 @@
      * Puts records in the place of all that were written; they are safe then. At any crash one of both is
      * there.
      */
-    void renew(List<Kept> records) throws IOException {
+    void renew(List<LogRecord> records) throws IOException {
         if (disk.list().contains(NEW)) {
             disk.delete(NEW);
         }
-        Disk.Out before = out;
+        Disk.OutputFile before = out;
         out = disk.create(NEW);
         byte[] head = line(("{\"form\":\"" + FORM + "\",\"version\":" + VERSION + ",\"keeper\":" + keeper
                         + ",\"identity\":\"" + identity + "\"}")
@@ -149,7 +149,7 @@
         write(records);
         sync();
         disk.rename(NEW, FILE);
-        disk.syncFolder();
+        disk.syncDirectory();
         if (before != null) {
             before.close();
         }
@@ -176,7 +176,7 @@
 
     /** What a file says, up to the first place at which it is not as it was written. */
     private static final class Reading {
-        final List<Kept> kept = new ArrayList<>();
+        final List<LogRecord> kept = new ArrayList<>();
         int keeper;
         /** Null where the first line says none. */
         String identity;
@@ -216,9 +216,9 @@
             if (identity == null) {
                 return head(record);
             }
-            RolloutText.Read<Kept> read = RolloutText.readKept(record);
-            if (!read.faults().isEmpty()) {
-                return "this program cannot read the record: " + read.faults().get(0);
+            RolloutText.ParseResult<LogRecord> read = RolloutText.readLogRecord(record);
+            if (!read.errors().isEmpty()) {
+                return "this program cannot read the record: " + read.errors().get(0);
             }
             kept.add(read.value());
             return null;
--- a/src/main/java/kitemux/keeper/KeeperProcess.java
+++ b/src/main/java/kitemux/keeper/KeeperProcess.java
@@ -8,11 +8,11 @@
 import java.security.SecureRandom;
 import kitemux.disk.FolderDisk;
 import kitemux.engine.Log;
-import kitemux.net.LoopTime;
+import kitemux.net.EventLoopClock;
 import kitemux.net.NioNetwork;
 import kitemux.net.PollingLoop;
 import kitemux.net.SelectorLoop;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 
 /** A process that is a keeper: the folder's lock, the loop, and the end. */
 public final class KeeperProcess {
@@ -23,10 +23,10 @@
 
     /** Who writes to a folder holds its lock. */
     private static FolderDisk folder(Path folder) throws IOException {
-        if (FolderDisk.isWrittenTo(folder)) {
+        if (FolderDisk.isLockedByWriter(folder)) {
             throw new IOException("another process writes to " + folder);
         }
-        return FolderDisk.toWrite(folder);
+        return FolderDisk.openForWriting(folder);
     }
 
     /**
@@ -53,21 +53,21 @@
         try {
             keeper = Keeper.open(
                     settings,
-                    Terms.usual(),
+                    ProtocolParameters.defaults(),
                     new ConfigRules(),
-                    new Keeper.Parts(loop, NioNetwork.SYSTEM, LoopTime.of(loop), log),
+                    new Keeper.Parts(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), log),
                     folder(settings.folder()),
                     new SecureRandom()::nextLong,
                     failed -> {
                         // Whoever cannot write must not answer: no hook may hold the end up.
-                        log.line("folder: cannot be written: " + failed + "; this keeper ends");
+                        log.info("folder: cannot be written: " + failed + "; this keeper ends");
                         Runtime.getRuntime().halt(CANNOT_WRITE);
                     });
         } catch (IOException e) {
             throw new IOException("folder cannot be used: " + e.getMessage(), e);
         }
         if (!settings.voters().contains(keeper.voter())) {
-            log.line("the settings name no voter " + keeper.voter() + ": unless a version does, it learns "
+            log.info("the settings name no voter " + keeper.voter() + ": unless a version does, it learns "
                     + "and does not vote");
         }
         ChannelFuture listens = keeper.listen().awaitUninterruptibly();
@@ -75,7 +75,7 @@
             throw new IOException(
                     "listen " + settings.listen() + ": " + listens.cause().getMessage());
         }
-        log.line("keeper " + keeper.voter() + " is called at "
+        log.info("keeper " + keeper.voter() + " is called at "
                 + listens.channel().localAddress());
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
--- a/src/main/java/kitemux/keeper/KeeperServer.java
+++ b/src/main/java/kitemux/keeper/KeeperServer.java
@@ -37,7 +37,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import kitemux.net.NioNetwork;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 
 /**
  * Where a keeper is called: HTTP/1.1, one call at a time on a connection. It knows framing, sizes and
@@ -82,7 +82,7 @@
                 .childOption(ChannelOption.SO_SNDBUF, SEND_BUFFER)
                 .childOption(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
-                        new WriteBufferWaterMark(Terms.MOST_UNWRITTEN / 2, Terms.MOST_UNWRITTEN))
+                        new WriteBufferWaterMark(ProtocolParameters.MAX_UNWRITTEN_BYTES / 2, ProtocolParameters.MAX_UNWRITTEN_BYTES))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
--- a/src/main/java/kitemux/keeper/RecordWriter.java
+++ b/src/main/java/kitemux/keeper/RecordWriter.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
-import kitemux.rollout.Kept;
+import kitemux.rollout.LogRecord;
 import org.jctools.queues.MpscArrayQueue;
 
 /**
@@ -26,7 +26,7 @@
      * A record and what follows once it is safe; or, where {@code anew} is not null, all that the file is to
      * hold.
      */
-    private record Item(Kept kept, Runnable then, List<Kept> anew) {}
+    private record Item(LogRecord kept, Runnable then, List<LogRecord> anew) {}
 
     private final KeeperFolder folder;
     private final Executor loop;
@@ -66,12 +66,12 @@
     /**
      * Writes a record behind all others; {@code then} runs on the loop once it and all before it are safe.
      */
-    void write(Kept kept, Runnable then) {
+    void write(LogRecord kept, Runnable then) {
         offer(new Item(kept, then, null));
     }
 
     /** Puts these in the place of all that was written or waits. */
-    void renew(List<Kept> all) {
+    void renew(List<LogRecord> all) {
         offer(new Item(null, () -> {}, all));
     }
 
@@ -105,7 +105,7 @@
     }
 
     private void write(List<Item> batch) throws IOException {
-        List<Kept> records = new ArrayList<>();
+        List<LogRecord> records = new ArrayList<>();
         for (Item item : batch) {
             if (item.anew == null) {
                 records.add(item.kept);
