--- a/src/main/java/kitemux/keeper/RolloutWatch.java
+++ b/src/main/java/kitemux/keeper/RolloutWatch.java
@@ -31,12 +31,12 @@
 import java.util.SortedMap;
 import java.util.concurrent.TimeUnit;
 import kitemux.engine.Log;
-import kitemux.engine.Time;
-import kitemux.net.ListLines;
+import kitemux.engine.Clock;
+import kitemux.net.JsonFrameReader;
 import kitemux.net.Network;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.rollout.Effect;
-import kitemux.rollout.Line;
+import kitemux.rollout.WatchEvent;
 import kitemux.rollout.Report;
 import kitemux.rollout.RolloutText;
 import kitemux.rollout.Subscriber;
@@ -52,20 +52,20 @@
     private static final long REPORT_MS = 2_000;
 
     private final EventLoop loop;
-    private final Time time;
+    private final Clock time;
     private final List<InetSocketAddress> keepers;
     private final Subscriber machine;
     private final String who;
     private final InForce inForce;
     private final Log log;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final Bootstrap dialer;
     /** Dials and watches that the machine knows, by its numbers. */
     private final Map<Long, Watch> watches = new HashMap<>();
 
     private final Set<Channel> reports = new HashSet<>();
     private long reportsNotSent;
-    private Time.Timer timer;
+    private Clock.Timer timer;
     private boolean closed;
     private Subscriber.State stood;
 
@@ -86,12 +86,12 @@
     public RolloutWatch(
             EventLoop loop,
             Network network,
-            Time time,
+            Clock time,
             List<InetSocketAddress> keepers,
             Subscriber machine,
             int node,
             long life,
-            Sockets sockets,
+            SocketBudget sockets,
             InForce inForce,
             Log log) {
         this.loop = loop;
@@ -104,7 +104,7 @@
         this.log = log;
         dialer = new Bootstrap()
                 .group(loop)
-                .channelFactory(network::dialer)
+                .channelFactory(network::newOutboundChannel)
                 .disableResolver()
                 .option(ChannelOption.ALLOCATOR, network.allocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) REPORT_MS)
@@ -151,14 +151,14 @@
             return;
         }
         for (Effect effect : effects) {
-            if (effect instanceof Effect.Dial dial) {
+            if (effect instanceof Effect.OpenWatch dial) {
                 dial(dial);
-            } else if (effect instanceof Effect.HangUp hangUp) {
+            } else if (effect instanceof Effect.CloseWatch hangUp) {
                 Watch watch = watches.remove(hangUp.watch());
                 if (watch != null) {
                     watch.channel.close();
                 }
-            } else if (effect instanceof Effect.PutInForce put) {
+            } else if (effect instanceof Effect.Apply put) {
                 // An event of its own: whoever is in the middle of one sees the old values to its end.
                 loop.execute(() -> put(put));
             } else if (effect instanceof Effect.SendReport send) {
@@ -169,28 +169,28 @@
         }
         if (machine.state() != stood) {
             stood = machine.state();
-            log.line("rollout: "
+            log.info("rollout: "
                     + switch (stood) {
-                        case DIALING -> "no keeper is watched; version " + machine.rev() + " stays in force";
+                        case CONNECTING -> "no keeper is watched; version " + machine.rev() + " stays in force";
                         case CATCHING_UP -> "catching up from version " + machine.rev();
                         case CURRENT -> "told all that its keeper knows";
-                        case ALONE -> "its keeper hears no majority: there may be versions later than " + machine.rev();
+                        case NO_QUORUM -> "its keeper hears no majority: there may be versions later than " + machine.rev();
                     });
         }
         if (timer != null) {
             timer.cancel();
         }
-        timer = time.after(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
+        timer = time.schedule(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
     }
 
-    private void put(Effect.PutInForce put) {
+    private void put(Effect.Apply put) {
         if (!closed) {
             inForce.put(put.rev(), put.values());
-            carry(machine.inForce(time.nowUs(), put.rev(), put.values()));
+            carry(machine.applied(time.nowUs(), put.rev(), put.values()));
         }
     }
 
-    private void dial(Effect.Dial dial) {
+    private void dial(Effect.OpenWatch dial) {
         Watch watch = new Watch(dial.watch());
         watches.put(dial.watch(), watch);
         ChannelFuture opening = dialer.connect(keepers.get(dial.keeper()));
@@ -203,13 +203,13 @@
             }
             watch.channel.pipeline().addLast(watch);
             watch.channel.writeAndFlush(
-                    request(HttpMethod.GET, "/rollout/watch?after=" + dial.after() + who, new byte[0]));
+                    request(HttpMethod.GET, "/rollout/watch?after=" + dial.afterRev() + who, new byte[0]));
         });
     }
 
     private Channel counted(Channel channel) {
-        sockets.opened();
-        channel.closeFuture().addListener(done -> sockets.closed());
+        sockets.serverConnectionOpened();
+        channel.closeFuture().addListener(done -> sockets.serverConnectionClosed());
         return channel;
     }
 
@@ -263,7 +263,7 @@
 
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
         private final long number;
-        private final ListLines lines = new ListLines();
+        private final JsonFrameReader lines = new JsonFrameReader();
         private Channel channel;
 
         Watch(long number) {
@@ -278,7 +278,7 @@
             if (isWanted()) {
                 watches.remove(number);
                 channel.close();
-                carry(machine.ended(time.nowUs(), number));
+                carry(machine.watchEnded(time.nowUs(), number));
             }
         }
 
@@ -293,7 +293,7 @@
                     && response.status().code() != 200) {
                 ended();
             } else if (part instanceof HttpResponse) {
-                carry(machine.connected(time.nowUs(), number));
+                carry(machine.watchOpened(time.nowUs(), number));
             } else if (part instanceof HttpContent content) {
                 read(content.content());
                 if (part instanceof LastHttpContent) {
@@ -304,29 +304,29 @@
 
         private void read(ByteBuf bytes) {
             while (isWanted()) {
-                switch (lines.next(bytes)) {
-                    case NOTHING -> {
+                switch (lines.nextFrame(bytes)) {
+                    case INCOMPLETE -> {
                         return;
                     }
-                    case BEAT -> carry(machine.line(time.nowUs(), number, new Line.Beat()));
-                    case LIST -> line(lines.list());
-                    case SPOILT -> bad(lines.spoilt());
+                    case HEARTBEAT -> carry(machine.handleEvent(time.nowUs(), number, new WatchEvent.Heartbeat()));
+                    case OBJECT -> line(lines.takeObject());
+                    case MALFORMED -> bad(lines.malformedText());
                 }
             }
         }
 
         private void line(byte[] text) {
-            RolloutText.Read<Line> read = RolloutText.readLine(text);
-            if (read.faults().isEmpty()) {
-                carry(machine.line(time.nowUs(), number, read.value()));
+            RolloutText.ParseResult<WatchEvent> read = RolloutText.readWatchEvent(text);
+            if (read.errors().isEmpty()) {
+                carry(machine.handleEvent(time.nowUs(), number, read.value()));
             } else {
-                bad(read.faults().get(0).toString());
+                bad(read.errors().get(0).toString());
             }
         }
 
         private void bad(String what) {
-            log.line("rollout: bad line: " + what);
-            carry(machine.badLine(time.nowUs(), number));
+            log.info("rollout: bad line: " + what);
+            carry(machine.handleMalformedEvent(time.nowUs(), number));
         }
 
         @Override
--- a/src/main/java/kitemux/keeper/StatusText.java
+++ b/src/main/java/kitemux/keeper/StatusText.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SortedMap;
-import kitemux.rollout.Fault;
+import kitemux.rollout.ValidationError;
 import kitemux.rollout.Inventory;
-import kitemux.rollout.Inventory.Standing;
+import kitemux.rollout.Inventory.NodeStatus;
 import kitemux.rollout.Report;
 
 /** What a keeper tells operators, as JSON: how nodes stand to a version, and what is wrong with a call. */
@@ -38,14 +38,14 @@
 
     /** One thing that is wrong with a call. */
     static byte[] fault(String path, String reason) {
-        return faults(List.of(new Fault(path, reason)));
+        return faults(List.of(new ValidationError(path, reason)));
     }
 
     /** All that is wrong with a call, each with its path. */
-    static byte[] faults(List<Fault> faults) {
+    static byte[] faults(List<ValidationError> faults) {
         return object(json -> {
             json.writeArrayFieldStart("faults");
-            for (Fault fault : faults) {
+            for (ValidationError fault : faults) {
                 json.writeStartObject();
                 json.writeStringField("path", fault.path());
                 json.writeStringField("reason", fault.reason());
@@ -83,19 +83,19 @@
 
     /** How nodes stand to a version. */
     static byte[] status(
-            long rev, Map<Standing, List<Integer>> standing, Map<Integer, Inventory.Row> rows, Keeper keeper) {
+            long rev, Map<NodeStatus, List<Integer>> standing, Map<Integer, Inventory.Row> rows, Keeper keeper) {
         return object(json -> {
             json.writeNumberField("rev", rev);
             json.writeNumberField("newest", keeper.newest);
-            nodes(json, "in_force", standing.get(Standing.IN_FORCE));
-            nodes(json, "waits_restart", standing.get(Standing.WAITS_RESTART));
-            nodes(json, "behind", standing.get(Standing.BEHIND));
-            nodes(json, "refused", standing.get(Standing.REFUSED));
-            nodes(json, "silent", standing.get(Standing.SILENT));
-            nodes(json, "not_heard", standing.get(Standing.UNHEARD));
+            nodes(json, "in_force", standing.get(NodeStatus.IN_FORCE));
+            nodes(json, "waits_restart", standing.get(NodeStatus.WAITS_RESTART));
+            nodes(json, "behind", standing.get(NodeStatus.BEHIND));
+            nodes(json, "refused", standing.get(NodeStatus.REFUSED));
+            nodes(json, "silent", standing.get(NodeStatus.SILENT));
+            nodes(json, "not_heard", standing.get(NodeStatus.UNHEARD));
             json.writeArrayFieldStart("refusals");
-            for (int node : standing.get(Standing.REFUSED)) {
-                for (Report.Refusal refusal : rows.get(node).report().refused()) {
+            for (int node : standing.get(NodeStatus.REFUSED)) {
+                for (Report.Rejection refusal : rows.get(node).report().rejections()) {
                     json.writeStartObject();
                     json.writeNumberField("node", node);
                     json.writeNumberField("rev", refusal.rev());
--- a/src/main/java/kitemux/keeper/Watches.java
+++ b/src/main/java/kitemux/keeper/Watches.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongConsumer;
-import kitemux.rollout.Line;
+import kitemux.rollout.WatchEvent;
 import kitemux.rollout.RolloutText;
 
 /** Nodes' watches: answers without an end, a line for each thing that is told. For the loop alone. */
@@ -46,7 +46,7 @@
     }
 
     /** Writes a line; a watch that is not read ends, as its node asks anew where it stands. */
-    void tell(long watch, Line line) {
+    void tell(long watch, WatchEvent line) {
         Watch to = open.get(watch);
         if (to == null) {
             return;
--- a/src/main/java/kitemux/lab/NodeProcess.java
+++ b/src/main/java/kitemux/lab/NodeProcess.java
@@ -38,7 +38,7 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.ServerEntry;
 import kitemux.fleet.ClientTry;
@@ -361,12 +361,12 @@
         if (!one.isOver()) {
             between.broken(one, usedBefore);
         }
-        one.broken();
+        one.onInternalError();
     }
 
     private FullHttpRequest message(ClientTry one) {
         RequestClass of = fleet.classes().get(one.classIndex()).requestClass();
-        boolean reads = of.repeat() == Repeat.SAFE;
+        boolean reads = of.retrySafety() == RetrySafety.SAFE;
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 reads ? HttpMethod.GET : HttpMethod.POST,
@@ -376,14 +376,14 @@
                 .set(HttpHeaderNames.HOST, "backend.local")
                 .set("X-Txn", one.txn())
                 .set("X-Lane", of.name())
-                .set("X-Remaining", one.leftUs() + "u");
+                .set("X-Remaining", one.remainingUs() + "u");
         if (one.tenant() >= 0) {
             message.headers().set("X-Org", fleet.tenants().get(one.tenant()).name());
         }
-        if (one.retry()) {
+        if (one.isRetry()) {
             message.headers().set("X-Resent", "1");
         }
-        if (of.repeat() == Repeat.KEYED) {
+        if (of.retrySafety() == RetrySafety.KEYED) {
             message.headers().set("Idempotency-Key", "key-" + one.txn());
         }
         if (!reads) {
@@ -459,11 +459,11 @@
                 long afterUs = after == null ? 0 : (long) (Double.parseDouble(after) * 1e6);
                 between.answered(one, status, afterUs);
                 if (status == 200) {
-                    one.served(Boolean.TRUE);
+                    one.onServed(Boolean.TRUE);
                 } else if (status == 429 || status == 503) {
-                    one.refused(afterUs);
+                    one.onRefused(afterUs);
                 } else {
-                    one.failed();
+                    one.onFailed();
                 }
             });
         }
@@ -480,7 +480,7 @@
             if (amid) {
                 time.happens(() -> {
                     between.cutOff(one);
-                    one.broken();
+                    one.onInternalError();
                 });
                 return;
             }
--- a/src/main/java/kitemux/lab/RealTime.java
+++ b/src/main/java/kitemux/lab/RealTime.java
@@ -81,11 +81,11 @@
         passing = true;
         try {
             long now = System.nanoTime() - beganNanos;
-            long by = now - time.nextAt();
+            long by = now - time.nextEventNanos();
             // What is due behind a step that took long is late as well: not just the first is looked at.
-            while (time.step(now)) {
+            while (time.runNext(now)) {
                 now = System.nanoTime() - beganNanos;
-                by = Math.max(by, now - time.nextAt());
+                by = Math.max(by, now - time.nextEventNanos());
             }
             wasLate(by);
         } catch (RuntimeException e) {
@@ -104,7 +104,7 @@
     }
 
     private void arm() {
-        long next = time.nextAt();
+        long next = time.nextEventNanos();
         if (armed != null && armedAt <= next) {
             return;
         }
--- a/src/main/java/kitemux/load/Captured.java
+++ b/src/main/java/kitemux/load/CaptureFile.java
@@ -12,18 +12,18 @@
  *
  * @param id two copies of a file have the same
  * @param node whose it is
- * @param beganUs Unix time in microseconds, by that node's clock
- * @param leftOut requests that it says are missing
+ * @param startedUs Unix time in microseconds, by that node's clock
+ * @param droppedCount requests that it says are missing
  * @param fault what ended it before its end, or empty
  */
-public record Captured(
+public record CaptureFile(
         long id,
         String node,
-        long beganUs,
+        long startedUs,
         List<String> classes,
         List<String> tenants,
-        List<Seen> seen,
-        long leftOut,
+        List<CapturedRequest> requests,
+        long droppedCount,
         String fault) {
 
     /**
@@ -31,25 +31,25 @@
      *
      * @throws IOException if it cannot be read, or is none of these; the message names it
      */
-    public static Captured read(Path path) throws IOException {
+    public static CaptureFile read(Path path) throws IOException {
         byte[] bytes = Files.readAllBytes(path);
-        if (!LoadFormat.hasMagic(bytes)) {
+        if (!CaptureFormat.hasMagic(bytes)) {
             throw new IOException(path + " is no captured load");
         }
         ByteBuffer file = ByteBuffer.wrap(bytes);
-        file.position(LoadFormat.MAGIC.length);
-        ByteBuffer first = LoadFormat.payload(file);
+        file.position(CaptureFormat.MAGIC.length);
+        ByteBuffer first = CaptureFormat.payload(file);
         if (first == null) {
             throw new IOException(path + " ends before its head does");
         }
-        LoadFormat.Head head = LoadFormat.readHead(first);
-        List<Seen> seen = new ArrayList<>();
+        CaptureFormat.Head head = CaptureFormat.readHead(first);
+        List<CapturedRequest> seen = new ArrayList<>();
         long leftOut = 0;
         String fault = "";
         try {
             ByteBuffer payload;
-            while ((payload = LoadFormat.payload(file)) != null) {
-                LoadFormat.Batch batch = LoadFormat.readBatch(payload, head);
+            while ((payload = CaptureFormat.payload(file)) != null) {
+                CaptureFormat.Batch batch = CaptureFormat.readBatch(payload, head);
                 leftOut += batch.leftOut();
                 seen.addAll(batch.seen());
             }
@@ -59,7 +59,7 @@
         } catch (IOException e) {
             fault = e.getMessage();
         }
-        return new Captured(
+        return new CaptureFile(
                 head.id(), head.node(), head.beganUs(), head.classes(), head.tenants(), seen, leftOut, fault);
     }
 }
--- a/src/main/java/kitemux/load/LoadFormat.java
+++ b/src/main/java/kitemux/load/CaptureFormat.java
@@ -24,17 +24,17 @@
  * read by itself: ids of servers are given numbers as they are first met in it. Numbers are of seven bits a
  * byte, the lowest first; those that may be under 0 are zigzag.
  */
-final class LoadFormat {
+final class CaptureFormat {
     static final byte[] MAGIC = "KMLOAD1\n".getBytes(StandardCharsets.US_ASCII);
     static final int FRAME_HEAD = 12;
     /** Of a frame as it is: a damaged length must not ask for all memory. */
     static final int MOST_FRAME = 4 << 20;
 
     private static final int MOST_TEXT = 4_096;
-    private static final Observer.Answer[] ANSWERS = Observer.Answer.values();
+    private static final Observer.RequestOutcome[] ANSWERS = Observer.RequestOutcome.values();
     private static final Result[] RESULTS = Result.values();
 
-    private LoadFormat() {}
+    private CaptureFormat() {}
 
     /**
      * What a file says of itself.
@@ -50,7 +50,7 @@
      *
      * @param leftOut how many were left out before it, as the ring was full or the disk failed
      */
-    record Batch(long leftOut, List<Seen> seen) {}
+    record Batch(long leftOut, List<CapturedRequest> seen) {}
 
     // ---------------------------------------------------------------- writing
 
@@ -72,24 +72,24 @@
         number(out, batch.leftOut);
         number(out, batch.seen.size());
         long before = 0;
-        for (Seen seen : batch.seen) {
-            signed(out, seen.cameUs() - before);
-            before = seen.cameUs();
-            number(out, seen.classIndex() << 1 | (seen.repeat() ? 1 : 0));
-            signed(out, seen.tenant());
-            number(out, seen.leftUs());
-            out.write(seen.end().ordinal());
-            number(out, seen.tookUs());
+        for (CapturedRequest seen : batch.seen) {
+            signed(out, seen.arrivedUs() - before);
+            before = seen.arrivedUs();
+            number(out, seen.classIndex() << 1 | (seen.isRetry() ? 1 : 0));
+            signed(out, seen.tenantIndex());
+            number(out, seen.remainingUs());
+            out.write(seen.answer().ordinal());
+            number(out, seen.durationUs());
             number(out, seen.attempts().size());
-            for (Seen.Attempt attempt : seen.attempts()) {
+            for (CapturedRequest.Attempt attempt : seen.attempts()) {
                 Integer known = servers.get(attempt.server());
                 number(out, known == null ? servers.size() : known);
                 if (known == null) {
                     servers.put(attempt.server(), servers.size());
                     text(out, attempt.server());
                 }
-                number(out, attempt.afterUs());
-                number(out, attempt.tookUs());
+                number(out, attempt.sentAfterUs());
+                number(out, attempt.durationUs());
                 out.write(attempt.result().ordinal());
             }
         }
@@ -179,13 +179,13 @@
         try {
             long leftOut = number(in);
             long count = number(in);
-            List<Seen> all = new ArrayList<>();
+            List<CapturedRequest> all = new ArrayList<>();
             List<String> servers = new ArrayList<>();
             long came = 0;
             for (long i = 0; i < count; i++) {
                 came += signed(in);
-                Seen seen = readSeen(in, came, servers);
-                if (seen.classIndex() >= head.classes.size() || seen.tenant() >= head.tenants.size()) {
+                CapturedRequest seen = readSeen(in, came, servers);
+                if (seen.classIndex() >= head.classes.size() || seen.tenantIndex() >= head.tenants.size()) {
                     throw new IOException("a request of a class or tenant that the head does not name");
                 }
                 all.add(seen);
@@ -196,22 +196,22 @@
         }
     }
 
-    private static Seen readSeen(ByteBuffer in, long came, List<String> servers) throws IOException {
+    private static CapturedRequest readSeen(ByteBuffer in, long came, List<String> servers) throws IOException {
         int of = (int) number(in);
         int tenant = (int) signed(in);
         long left = number(in);
-        Observer.Answer end = ANSWERS[in.get()];
+        Observer.RequestOutcome end = ANSWERS[in.get()];
         long took = number(in);
         long attempts = number(in);
-        List<Seen.Attempt> tried = new ArrayList<>();
+        List<CapturedRequest.Attempt> tried = new ArrayList<>();
         for (long i = 0; i < attempts; i++) {
             int server = (int) number(in);
             if (server == servers.size()) {
                 servers.add(text(in));
             }
-            tried.add(new Seen.Attempt(servers.get(server), number(in), number(in), RESULTS[in.get()]));
+            tried.add(new CapturedRequest.Attempt(servers.get(server), number(in), number(in), RESULTS[in.get()]));
         }
-        return new Seen(came, of >>> 1, tenant, (of & 1) != 0, left, tried, end, took);
+        return new CapturedRequest(came, of >>> 1, tenant, (of & 1) != 0, left, tried, end, took);
     }
 
     private static long number(ByteBuffer in) {
--- a/src/main/java/kitemux/load/Capture.java
+++ b/src/main/java/kitemux/load/CaptureWriter.java
@@ -16,7 +16,7 @@
 import java.util.function.LongSupplier;
 import java.util.stream.Stream;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import org.jctools.queues.SpscArrayQueue;
 
 /**
@@ -25,9 +25,9 @@
  * the next batch that is written says how many. Nothing is synced: after a kill of the machine the last
  * seconds may be missing, after one of the process what was not written in the last {@link #BATCH_NANOS}.
  */
-public final class Capture implements Recorder.Sink, AutoCloseable {
+public final class CaptureWriter implements RequestRecorder.Sink, AutoCloseable {
     /** The end of a captured file's name. */
-    public static final String SUFFIX = ".kmload";
+    public static final String FILE_SUFFIX = ".kmload";
 
     private static final long BATCH_NANOS = 200_000_000L;
     private static final int MOST_IN_BATCH = 4_096;
@@ -40,8 +40,8 @@
     private final List<String> tenants;
     private final LongSupplier nowUs;
     private final Consumer<String> say;
-    private final SpscArrayQueue<Seen> ring;
-    private final AtomicLong ringFull = new AtomicLong();
+    private final SpscArrayQueue<CapturedRequest> ring;
+    private final AtomicLong unreportedDropCount = new AtomicLong();
     private final SecureRandom random = new SecureRandom();
     private final Thread writer;
     /** The writer is woken after so many, a quarter of the ring; its own pause is for when fewer come. */
@@ -64,7 +64,7 @@
      * @param say lines for the operators, from any thread
      * @throws IOException if the folder cannot be made or written to
      */
-    public Capture(
+    public CaptureWriter(
             LoadSettings settings,
             String node,
             List<String> classes,
@@ -90,14 +90,14 @@
     }
 
     /** Gathers on a loop what is to be written here. */
-    public Observer recorder(Time time) {
-        return new Recorder(time, this);
+    public Observer recorder(Clock time) {
+        return new RequestRecorder(time, this);
     }
 
     @Override
-    public void offer(Seen seen) {
+    public void offer(CapturedRequest seen) {
         if (!ring.offer(seen)) {
-            ringFull.incrementAndGet();
+            unreportedDropCount.incrementAndGet();
         } else if (++sinceWake >= wakeEach && !failed) {
             sinceWake = 0;
             LockSupport.unpark(writer);
@@ -105,18 +105,18 @@
     }
 
     /** Requests that were left out and that no batch has told of yet, as the ring was full. */
-    public long ringFull() {
-        return ringFull.get();
+    public long unreportedDropCount() {
+        return unreportedDropCount.get();
     }
 
     // ---------------------------------------------------------------- the writer's thread
 
     private void run() {
-        List<Seen> batch = new ArrayList<>();
+        List<CapturedRequest> batch = new ArrayList<>();
         while (true) {
             boolean last = closing;
             ring.drain(batch::add, MOST_IN_BATCH);
-            if (!batch.isEmpty() || last && ringFull.get() + leftOut > 0) {
+            if (!batch.isEmpty() || last && unreportedDropCount.get() + leftOut > 0) {
                 write(batch);
                 batch.clear();
             } else if (last) {
@@ -132,14 +132,14 @@
         end();
     }
 
-    private void write(List<Seen> batch) {
-        long before = leftOut + ringFull.getAndSet(0);
+    private void write(List<CapturedRequest> batch) {
+        long before = leftOut + unreportedDropCount.getAndSet(0);
         leftOut = before;
         try {
             if (file == null) {
                 begin();
             }
-            append(LoadFormat.batch(new LoadFormat.Batch(before, batch)));
+            append(CaptureFormat.batch(new CaptureFormat.Batch(before, batch)));
             leftOut = 0;
             failed = false;
             if (fileBytes >= settings.fileBytes()) {
@@ -167,11 +167,11 @@
         makeRoom();
         long now = nowUs.getAsLong();
         long id = random.nextLong() >>> 1;
-        Path path = settings.folder().resolve(String.format("%016d-%016x", now, id) + SUFFIX);
+        Path path = settings.folder().resolve(String.format("%016d-%016x", now, id) + FILE_SUFFIX);
         file = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         fileBytes = 0;
-        append(LoadFormat.MAGIC);
-        append(LoadFormat.head(new LoadFormat.Head(id, node, now, classes, tenants)));
+        append(CaptureFormat.MAGIC);
+        append(CaptureFormat.head(new CaptureFormat.Head(id, node, now, classes, tenants)));
     }
 
     private void end() {
@@ -189,7 +189,7 @@
     private void makeRoom() throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.list(settings.folder())) {
-            files = all.filter(path -> path.getFileName().toString().endsWith(SUFFIX))
+            files = all.filter(path -> path.getFileName().toString().endsWith(FILE_SUFFIX))
                     .sorted(Comparator.comparing(Path::getFileName))
                     .toList();
         }
--- a/src/main/java/kitemux/load/Summary.java
+++ b/src/main/java/kitemux/load/LoadSummary.java
@@ -17,7 +17,7 @@
  * wanted are first tries: what clients ask again is their answer to being refused, and would pass for
  * demand. Service times are kept in histograms to two digits, which can be added up.
  */
-public final class Summary {
+public final class LoadSummary {
     /** Service times are told up to this. */
     private static final long MOST_US = 600_000_000L;
 
@@ -28,8 +28,8 @@
     private final long binUs;
     private final Map<String, Long> shiftUs;
     private final Set<Long> files = new HashSet<>();
-    private final List<String> remarks = new ArrayList<>();
-    private final Map<String, OfClass> classes = new LinkedHashMap<>();
+    private final List<String> warnings = new ArrayList<>();
+    private final Map<String, ClassSummary> classes = new LinkedHashMap<>();
     private final Map<String, long[]> tenants = new LinkedHashMap<>();
     private final Map<String, Integer> nodes = new TreeMap<>();
     private final TreeMap<Long, long[]> bins = new TreeMap<>();
@@ -38,25 +38,25 @@
     private long toUs;
 
     /** What is counted of a class. */
-    public static final class OfClass {
-        private long wanted;
-        private long repeats;
+    public static final class ClassSummary {
+        private long firstTries;
+        private long retries;
         private long served;
         private long refused;
         private long failed;
-        private long left;
+        private long abandoned;
         private long attempts;
-        private final Histogram serviceUs = new Histogram(MOST_US, DIGITS);
-        private final Histogram tookUs = new Histogram(MOST_US, DIGITS);
+        private final Histogram serverResponseTimeUs = new Histogram(MOST_US, DIGITS);
+        private final Histogram clientResponseTimeUs = new Histogram(MOST_US, DIGITS);
 
         /** First tries. */
-        public long wanted() {
-            return wanted;
+        public long firstTries() {
+            return firstTries;
         }
 
         /** Tries that clients marked as repeats. */
-        public long repeats() {
-            return repeats;
+        public long retries() {
+            return retries;
         }
 
         /** Tries answered with what a server made. */
@@ -75,8 +75,8 @@
         }
 
         /** Tries whose client left before an answer. */
-        public long left() {
-            return left;
+        public long abandoned() {
+            return abandoned;
         }
 
         /** Requests sent to servers. */
@@ -86,13 +86,13 @@
 
         /** From an attempt's being sent to its answer by a server, at a percentile, in microseconds, of those
          * that were answered: waiting at the server and work are not told apart. */
-        public long serviceUs(double percentile) {
-            return serviceUs.getValueAtPercentile(percentile);
+        public long serverResponseTimeUs(double percentile) {
+            return serverResponseTimeUs.getValueAtPercentile(percentile);
         }
 
         /** From a try's coming to its answer, the same of those that were served. */
-        public long tookUs(double percentile) {
-            return tookUs.getValueAtPercentile(percentile);
+        public long clientResponseTimeUs(double percentile) {
+            return clientResponseTimeUs.getValueAtPercentile(percentile);
         }
     }
 
@@ -102,7 +102,7 @@
      * @param binUs width of the steps in which rates are told
      * @param shiftUs what is added to the times of a node, by its name, where its clock is off
      */
-    public Summary(long binUs, Map<String, Long> shiftUs) {
+    public LoadSummary(long binUs, Map<String, Long> shiftUs) {
         if (binUs < 1) {
             throw new IllegalArgumentException("steps must be longer than 0");
         }
@@ -111,63 +111,63 @@
     }
 
     /** Adds a file; a copy of one that was added already is left out, and said. */
-    public void add(Captured file) {
+    public void add(CaptureFile file) {
         if (!files.add(file.id())) {
-            remarks.add("a copy of a file of " + file.node() + " is left out");
+            warnings.add("a copy of a file of " + file.node() + " is left out");
             return;
         }
         if (!file.fault().isEmpty()) {
-            remarks.add("a file of " + file.node() + " is not whole: " + file.fault());
+            warnings.add("a file of " + file.node() + " is not whole: " + file.fault());
         }
-        leftOut += file.leftOut();
-        nodes.merge(file.node(), file.seen().size(), Integer::sum);
+        leftOut += file.droppedCount();
+        nodes.merge(file.node(), file.requests().size(), Integer::sum);
         long shift = shiftUs.getOrDefault(file.node(), 0L);
-        for (Seen seen : file.seen()) {
-            add(file, seen, seen.cameUs() + shift);
+        for (CapturedRequest seen : file.requests()) {
+            add(file, seen, seen.arrivedUs() + shift);
         }
     }
 
-    private void add(Captured file, Seen seen, long cameUs) {
-        OfClass of = classes.computeIfAbsent(file.classes().get(seen.classIndex()), name -> new OfClass());
+    private void add(CaptureFile file, CapturedRequest seen, long cameUs) {
+        ClassSummary of = classes.computeIfAbsent(file.classes().get(seen.classIndex()), name -> new ClassSummary());
         long[] bin = bins.computeIfAbsent(Math.floorDiv(cameUs, binUs), at -> new long[2]);
         fromUs = Math.min(fromUs, cameUs);
         toUs = Math.max(toUs, cameUs);
-        if (seen.repeat()) {
-            of.repeats++;
+        if (seen.isRetry()) {
+            of.retries++;
             bin[1]++;
         } else {
-            of.wanted++;
+            of.firstTries++;
             bin[0]++;
         }
-        if (seen.tenant() >= 0) {
-            tenants.computeIfAbsent(file.tenants().get(seen.tenant()), name -> new long[2])[seen.repeat() ? 1 : 0]++;
+        if (seen.tenantIndex() >= 0) {
+            tenants.computeIfAbsent(file.tenants().get(seen.tenantIndex()), name -> new long[2])[seen.isRetry() ? 1 : 0]++;
         }
-        switch (seen.end()) {
+        switch (seen.answer()) {
             case SERVED -> of.served++;
             case REFUSED -> of.refused++;
             case FAILED, BROKEN -> of.failed++;
-            case LEFT -> of.left++;
+            case LEFT -> of.abandoned++;
         }
         of.attempts += seen.attempts().size();
-        for (Seen.Attempt attempt : seen.attempts()) {
+        for (CapturedRequest.Attempt attempt : seen.attempts()) {
             if (attempt.result() == Result.OK) {
-                of.serviceUs.recordValue(Math.min(MOST_US, attempt.tookUs()));
+                of.serverResponseTimeUs.recordValue(Math.min(MOST_US, attempt.durationUs()));
             }
         }
-        if (seen.end() == Observer.Answer.SERVED) {
-            of.tookUs.recordValue(Math.min(MOST_US, seen.tookUs()));
+        if (seen.answer() == Observer.RequestOutcome.SERVED) {
+            of.clientResponseTimeUs.recordValue(Math.min(MOST_US, seen.durationUs()));
         }
     }
 
     // ---------------------------------------------------------------- what it comes to
 
     /** By class, in the order in which they were met. */
-    public Map<String, OfClass> classes() {
+    public Map<String, ClassSummary> classes() {
         return classes;
     }
 
     /** First tries by tenant, the heaviest first. */
-    public Map<String, Long> wantedByTenant() {
+    public Map<String, Long> firstTriesByTenant() {
         Map<String, Long> sorted = new LinkedHashMap<>();
         tenants.entrySet().stream()
                 .sorted((a, b) -> Long.compare(b.getValue()[0], a.getValue()[0]))
@@ -181,23 +181,23 @@
     }
 
     /** First tries in all. */
-    public long wanted() {
-        return classes.values().stream().mapToLong(OfClass::wanted).sum();
+    public long firstTries() {
+        return classes.values().stream().mapToLong(ClassSummary::firstTries).sum();
     }
 
     /** Seconds from the first request to the last. */
-    public double seconds() {
+    public double durationS() {
         return toUs <= fromUs ? 0 : (toUs - fromUs) / 1e6;
     }
 
     /**
      * A step of time.
      *
-     * @param atS from the first step on, in seconds
-     * @param wantedPerS first tries a second
-     * @param repeatsPerS repeats a second
+     * @param startS from the first step on, in seconds
+     * @param firstTriesPerS first tries a second
+     * @param retriesPerS repeats a second
      */
-    public record Step(double atS, double wantedPerS, double repeatsPerS) {}
+    public record Step(double startS, double firstTriesPerS, double retriesPerS) {}
 
     /** Rates over time; steps in which nothing came are there too. */
     public List<Step> steps() {
@@ -219,7 +219,7 @@
             return Double.NaN;
         }
         double[] counts = whole.subList(1, whole.size() - 1).stream()
-                .mapToDouble(step -> step.wantedPerS() * binUs / 1e6)
+                .mapToDouble(step -> step.firstTriesPerS() * binUs / 1e6)
                 .toArray();
         double mean = Arrays.stream(counts).average().orElse(0);
         double variance =
@@ -228,13 +228,13 @@
     }
 
     /** What could not be seen, and what to keep in mind, a line each. */
-    public List<String> remarks() {
-        List<String> all = new ArrayList<>(remarks);
+    public List<String> warnings() {
+        List<String> all = new ArrayList<>(warnings);
         if (leftOut > 0) {
             all.add(leftOut + " requests were left out as they came: what is told is less than what was");
         }
-        long refused = classes.values().stream().mapToLong(OfClass::refused).sum();
-        long repeats = classes.values().stream().mapToLong(OfClass::repeats).sum();
+        long refused = classes.values().stream().mapToLong(ClassSummary::refused).sum();
+        long repeats = classes.values().stream().mapToLong(ClassSummary::retries).sum();
         if (refused > 0 && repeats < MARKED * refused) {
             all.add("of " + refused
                     + " refused tries hardly any was marked as asked again: if clients do not mark"
--- a/src/main/java/kitemux/load/Recorder.java
+++ b/src/main/java/kitemux/load/RequestRecorder.java
@@ -5,23 +5,23 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.Balancer.Result;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 
 /**
  * Gathers what a node sees of each request, on its loop, and hands it on once nothing more is heard of it. It
  * never waits: what cannot be handed on is counted and left out.
  */
-public final class Recorder implements Observer {
-    private final Time time;
+public final class RequestRecorder implements Observer {
+    private final Clock time;
     private final Sink sink;
     private final Map<Long, Open> open = new HashMap<>();
 
     /** Takes what is handed on. */
     public interface Sink {
         /** Takes it, or counts it as left out; never waits. */
-        void offer(Seen seen);
+        void offer(CapturedRequest seen);
     }
 
     private static final class Open {
@@ -31,15 +31,15 @@
         final boolean repeat;
         final long leftUs;
         final List<Sent> sent = new ArrayList<>(1);
-        Answer answer = Answer.LEFT;
+        RequestOutcome answer = RequestOutcome.LEFT;
         long answeredUs;
 
-        Open(long cameUs, Asked asked) {
+        Open(long cameUs, RequestInfo asked) {
             this.cameUs = cameUs;
             classIndex = asked.classIndex();
             tenant = asked.tenant();
-            repeat = asked.retry();
-            leftUs = asked.leftUs();
+            repeat = asked.isRetry();
+            leftUs = asked.remainingUs();
         }
     }
 
@@ -56,18 +56,18 @@
     }
 
     /** Holds nothing yet. */
-    public Recorder(Time time, Sink sink) {
+    public RequestRecorder(Clock time, Sink sink) {
         this.time = time;
         this.sink = sink;
     }
 
     @Override
-    public void taken(long id, Asked request) {
-        open.put(id, new Open(time.nowUs() - request.agoUs(), request));
+    public void onRequestAccepted(long id, RequestInfo request) {
+        open.put(id, new Open(time.nowUs() - request.ageUs(), request));
     }
 
     @Override
-    public void sent(long id, int attempt, String serverId, long untilUs) {
+    public void onAttemptStarted(long id, int attempt, String serverId, long untilUs) {
         Open of = open.get(id);
         if (of != null) {
             of.sent.add(new Sent(serverId, time.nowUs()));
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void ended(long id, int attempt, Result result) {
+    public void onAttemptEnded(long id, int attempt, Result result) {
         Open of = open.get(id);
         if (of != null && attempt < of.sent.size()) {
             of.sent.get(attempt).endedUs = time.nowUs();
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void answered(long id, Answer answer) {
+    public void onRequestAnswered(long id, RequestOutcome answer) {
         Open of = open.get(id);
         if (of != null) {
             of.answer = answer;
@@ -93,17 +93,17 @@
     }
 
     @Override
-    public void forgotten(long id) {
+    public void onRequestReleased(long id) {
         Open of = open.remove(id);
         if (of == null) {
             return;
         }
-        List<Seen.Attempt> attempts = new ArrayList<>(of.sent.size());
+        List<CapturedRequest.Attempt> attempts = new ArrayList<>(of.sent.size());
         for (Sent one : of.sent) {
-            attempts.add(new Seen.Attempt(
+            attempts.add(new CapturedRequest.Attempt(
                     one.server, Math.max(0, one.atUs - of.cameUs), Math.max(0, one.endedUs - one.atUs), one.result));
         }
-        sink.offer(new Seen(
+        sink.offer(new CapturedRequest(
                 of.cameUs,
                 of.classIndex,
                 of.tenant,
--- a/src/main/java/kitemux/load/Speeds.java
+++ b/src/main/java/kitemux/load/ServerSpeedEstimator.java
@@ -20,7 +20,7 @@
  * Means of
  * classes are compared by class, as classes differ in work.
  */
-public final class Speeds {
+public final class ServerSpeedEstimator {
     /** Fewer times of a class tell nothing of a server. */
     private static final int LEAST = 40;
     /** What was called off or not waited for any more may go on at its server for so long. */
@@ -41,27 +41,27 @@
      *
      * @param shiftUs what is added to the times of a node, by its name, where its clock is off
      */
-    public Speeds(Map<String, Long> shiftUs) {
+    public ServerSpeedEstimator(Map<String, Long> shiftUs) {
         this.shiftUs = Map.copyOf(shiftUs);
     }
 
     /**
      * A server's speed against the geometric mean of all that are told.
      *
-     * @param low and {@code high}: within which it lies by chance, 95%, by drawing its times again
-     * @param answers it rests on so many
+     * @param lowUs and {@code high}: within which it lies by chance, 95%, by drawing its times again
+     * @param sampleCount it rests on so many
      */
-    public record Speed(String server, double speed, double low, double high, int answers) {}
+    public record ServerSpeed(String server, double speed, double low, double high, int sampleCount) {}
 
     /** Adds a file. */
-    public void add(Captured file) {
+    public void add(CaptureFile file) {
         long shift = shiftUs.getOrDefault(file.node(), 0L);
-        for (Seen seen : file.seen()) {
+        for (CapturedRequest seen : file.requests()) {
             String of = file.classes().get(seen.classIndex());
-            for (Seen.Attempt attempt : seen.attempts()) {
-                long from = seen.cameUs() + shift + attempt.afterUs();
+            for (CapturedRequest.Attempt attempt : seen.attempts()) {
+                long from = seen.arrivedUs() + shift + attempt.sentAfterUs();
                 attempts.computeIfAbsent(attempt.server(), id -> new ArrayList<>())
-                        .add(new Out(from, from + attempt.tookUs(), of, attempt.result() == Result.OK));
+                        .add(new Out(from, from + attempt.durationUs(), of, attempt.result() == Result.OK));
             }
         }
     }
@@ -86,25 +86,25 @@
      * back
      * is in it.
      *
-     * @param low and {@code high}: within which the mean lies by chance, 95%
+     * @param lowUs and {@code high}: within which the mean lies by chance, 95%
      * @param cv standard deviation over mean
-     * @param answers it rests on so many
+     * @param sampleCount it rests on so many
      */
-    public record Work(String name, double meanUs, double low, double high, double cv, int answers) {}
+    public record ClassWork(String className, double meanUs, double lowUs, double highUs, double cv, int sampleCount) {}
 
     /** The work of each class of which a server had times enough, in order of their names. */
-    public List<Work> work() {
+    public List<ClassWork> estimateWork() {
         Map<String, Double> speeds = new TreeMap<>();
-        estimate().forEach(of -> speeds.put(of.server(), of.speed()));
+        estimateSpeeds().forEach(of -> speeds.put(of.server(), of.speed()));
         Map<String, Sums> byClass = new TreeMap<>();
         enough().forEach((server, classes) -> classes.forEach((name, times) -> {
             Sums all = byClass.computeIfAbsent(name, n -> new Sums());
             Arrays.stream(times).forEach(time -> all.add(time * speeds.get(server)));
         }));
-        List<Work> found = new ArrayList<>();
+        List<ClassWork> found = new ArrayList<>();
         byClass.forEach((name, all) -> {
             double half = 1.96 * all.deviation() / Math.sqrt(all.count);
-            found.add(new Work(
+            found.add(new ClassWork(
                     name, all.mean(), all.mean() - half, all.mean() + half, all.deviation() / all.mean(), all.count));
         });
         return found;
@@ -143,7 +143,7 @@
     }
 
     /** Servers with times enough, in order of their ids. */
-    public List<Speed> estimate() {
+    public List<ServerSpeed> estimateSpeeds() {
         Map<String, Map<String, double[]>> enough = enough();
         Map<String, Double> told = logs(means(enough, null));
         SplittableRandom random = new SplittableRandom(SEED);
@@ -153,11 +153,11 @@
             int draw = i;
             logs(means(enough, random)).forEach((server, log) -> drawn.get(server)[draw] = log);
         }
-        List<Speed> found = new ArrayList<>();
+        List<ServerSpeed> found = new ArrayList<>();
         told.forEach((server, log) -> {
             double[] sorted = drawn.get(server);
             Arrays.sort(sorted);
-            found.add(new Speed(
+            found.add(new ServerSpeed(
                     server,
                     Math.exp(log),
                     Math.exp(sorted[(int) (0.025 * DRAWS)]),
--- a/src/main/java/kitemux/mysql/Command.java
+++ b/src/main/java/kitemux/mysql/Command.java
@@ -1,7 +1,7 @@
 package kitemux.mysql;
 
 import java.util.List;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.mysql.AnswerTracker.Form;
 
 /**
@@ -10,11 +10,11 @@
  * @param txn its id, of which none is open twice
  * @param classIndex by the settings
  * @param tenant by the settings, or -1
- * @param leftUs how long it may take from now on, in microseconds
+ * @param remainingUs how long it may take from now on, in microseconds
  * @param form of its answer
  * @param payload the command's byte and what follows; not to be changed
  */
-record Command(String txn, int classIndex, int tenant, long leftUs, Form form, byte[] payload) implements Asked {
+record Command(String txn, int classIndex, int tenant, long remainingUs, Form form, byte[] payload) implements RequestInfo {
     private static final byte PING_BYTE = 0x0e;
 
     /** COM_PING: what checks a server, where the settings allow probes. */
--- a/src/main/java/kitemux/mysql/MysqlServers.java
+++ b/src/main/java/kitemux/mysql/MysqlServers.java
@@ -9,7 +9,7 @@
 import kitemux.Balancer.Result;
 import kitemux.engine.Log;
 import kitemux.engine.Transport.Exchange;
-import kitemux.net.Answer;
+import kitemux.net.ServerResponse;
 import kitemux.net.ServerPool;
 
 /**
@@ -17,7 +17,7 @@
  * at a time on each. An error about a statement is that statement's answer; one about the server is a
  * failure.
  */
-public final class MysqlServers implements ServerPool.Protocol<Command, Answer> {
+public final class MysqlServers implements ServerPool.Protocol<Command, ServerResponse> {
     /**
      * Errors that say the server cannot serve, whatever it is asked (server error message reference): too
      * many connections, disk full, out of memory, shutdown, user's limit, read only, offline mode, and a
@@ -36,32 +36,32 @@
     }
 
     @Override
-    public void prepare(ChannelPipeline pipeline) {
+    public void initPipeline(ChannelPipeline pipeline) {
         // Servers speak first: nothing is read before there is somebody to hear it.
         pipeline.channel().config().setAutoRead(false);
     }
 
     @Override
-    public ServerPool.Link<Command, Answer> link() {
+    public ServerPool.ServerConnection<Command, ServerResponse> newConnection() {
         return new Connection();
     }
 
     @Override
-    public Command probe() {
+    public Command probeRequest() {
         return Command.PING;
     }
 
-    private final class Connection extends ServerPool.Link<Command, Answer>
+    private final class Connection extends ServerPool.ServerConnection<Command, ServerResponse>
             implements BackConnection.LoginHeard, BackConnection.Heard {
         private final PacketDecoder decoder = new PacketDecoder();
         private final BackConnection back = new BackConnection(account, decoder, this);
         /** What is passed on, or null. */
-        private Answer passing;
+        private ServerResponse passing;
 
         private boolean free;
 
         @Override
-        protected void opened() {
+        protected void onConnected() {
             channel().pipeline().addFirst(decoder, back);
             channel().config().setAutoRead(true);
         }
@@ -73,11 +73,11 @@
 
         @Override
         public void refused(String why, ErrPacket error) {
-            log.line("server " + serverId() + " lets nobody in: " + why);
+            log.info("server " + serverId() + " lets nobody in: " + why);
         }
 
         @Override
-        protected Object message(Exchange<Command, Answer> next) {
+        protected Object createMessage(Exchange<Command, ServerResponse> next) {
             Command command = next.request();
             return back.take(Unpooled.wrappedBuffer(command.payload()), command.form(), this);
         }
@@ -86,8 +86,8 @@
 
         @Override
         public boolean begun() {
-            Answer begins = Answer.beginning(-1, back::setReading);
-            if (exchange() == null || !begin(begins)) {
+            ServerResponse begins = ServerResponse.streaming(-1, back::setReading);
+            if (exchange() == null || !startResponse(begins)) {
                 return false;
             }
             passing = begins;
@@ -96,7 +96,7 @@
 
         @Override
         public void more(ByteBuf packets) {
-            passing.more(packets);
+            passing.deliver(packets);
         }
 
         @Override
@@ -104,20 +104,20 @@
             boolean begun = passing != null;
             passing = null;
             if (result == Result.RESET || result == Result.CONNECT_FAILED) {
-                end(isWritten() ? Result.RESET : Result.CONNECT_FAILED, null);
+                completeExchange(isRequestWritten() ? Result.RESET : Result.CONNECT_FAILED, null);
                 return;
             }
             // Not before all that came is read: what came behind the answer must not answer the next.
             free = true;
             if (begun || result == Result.OK) {
-                end(Result.OK, null);
+                completeExchange(Result.OK, null);
             } else if (OF_THE_SERVER.contains(error.code())) {
-                end(Result.ERROR, null);
+                completeExchange(Result.ERROR, null);
             } else {
                 ByteBuf payload = channel().alloc().buffer();
                 error.write(payload);
                 ByteBuf packet = Packets.write(channel().alloc(), payload, 1);
-                end(Result.OK, Answer.of(ByteBufUtil.getBytes(packet)));
+                completeExchange(Result.OK, ServerResponse.buffered(ByteBufUtil.getBytes(packet)));
                 packet.release();
             }
         }
@@ -126,12 +126,12 @@
         public void channelReadComplete(ChannelHandlerContext context) {
             if (free) {
                 free = false;
-                free();
+                markAvailable();
             }
         }
 
         @Override
-        protected void letGo() {
+        protected void releaseResponse() {
             free = false;
             passing = null;
         }
--- a/src/main/java/kitemux/net/Addresses.java
+++ b/src/main/java/kitemux/net/Addresses.java
@@ -16,7 +16,7 @@
      * @param field its name, for the message
      * @throws ConfigException if it is anything else
      */
-    public static InetSocketAddress read(String field, String text) throws ConfigException {
+    public static InetSocketAddress parse(String field, String text) throws ConfigException {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
--- a/src/main/java/kitemux/net/ClientListener.java
+++ b/src/main/java/kitemux/net/ClientListener.java
@@ -19,20 +19,20 @@
     /** Between an accept that failed and the next. */
     private static final long PAUSE_MS = 10;
 
-    private final Network.Gate gate;
+    private final Network.AcceptGate gate;
     private boolean pausing;
 
-    ClientListener(Network.Gate gate) {
+    ClientListener(Network.AcceptGate gate) {
         this.gate = gate;
     }
 
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
-        SocketChannel socket = gate.mayTake() ? acceptOrPause() : null;
+        SocketChannel socket = gate.canAccept() ? acceptOrPause() : null;
         if (socket == null) {
             return 0;
         }
-        gate.taken();
+        gate.onAccepted();
         accepted.add(new Accepted(this, socket));
         return 1;
     }
@@ -47,7 +47,7 @@
         try {
             return accept();
         } catch (IOException e) {
-            gate.failed(e);
+            gate.onAcceptFailed(e);
             pausing = true;
             eventLoop().schedule(this::goOn, PAUSE_MS, TimeUnit.MILLISECONDS);
             clearReadPending();
@@ -109,7 +109,7 @@
     }
 
     /** A client's socket. */
-    static final class Accepted extends NioSocketChannel implements QuietChannel {
+    static final class Accepted extends NioSocketChannel implements InputAwareChannel {
 
         Accepted(Channel listener, SocketChannel socket) {
             super(listener, socket);
@@ -117,7 +117,7 @@
 
         /** Whether all that has come is read; nothing is taken from the socket. */
         @Override
-        public boolean isQuiet() {
+        public boolean hasNoUnreadInput() {
             try {
                 return !isActive() || javaChannel().socket().getInputStream().available() == 0;
             } catch (IOException e) {
--- a/src/main/java/kitemux/net/Unclaimed.java
+++ b/src/main/java/kitemux/net/ConnectErrorHandler.java
@@ -9,7 +9,7 @@
  * as a server does that holds as many as it may, is no defect: the network library would write fourteen
  * lines for each, which takes a node that has just started longer than a request.
  */
-final class Unclaimed extends ChannelInboundHandlerAdapter {
+final class ConnectErrorHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof IOException) {
--- a/src/main/java/kitemux/net/HostList.java
+++ b/src/main/java/kitemux/net/HostList.java
@@ -7,11 +7,11 @@
 /**
  * A server list.
  *
- * @param rev its version
- * @param all whether it holds all servers or only those that changed
+ * @param revision its version
+ * @param isFull whether it holds all servers or only those that changed
  * @param hosts its entries, in order
  */
-public record HostList(long rev, boolean all, List<Host> hosts) {
+public record HostList(long revision, boolean isFull, List<Host> hosts) {
 
     /**
      * One entry.
--- a/src/main/java/kitemux/net/ListLines.java
+++ b/src/main/java/kitemux/net/JsonFrameReader.java
@@ -10,9 +10,9 @@
  * found as soon as that is certain, and no later than with the next beat: an empty line within an object says
  * that the rest of it is not going to come.
  */
-public final class ListLines {
+public final class JsonFrameReader {
     /** No list is so long; an object without an end must not fill the memory. */
-    public static final int MOST_BYTES = 4 << 20;
+    public static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     private int depth;
@@ -22,62 +22,62 @@
     private boolean lineUsed;
 
     /** What has come. */
-    public enum What {
-        NOTHING,
-        BEAT,
-        LIST,
-        SPOILT
+    public enum Frame {
+        INCOMPLETE,
+        HEARTBEAT,
+        OBJECT,
+        MALFORMED
     }
 
-    /** Reads up to and with the next thing that is whole; {@link What#NOTHING} once all is read. */
-    public What next(ByteBuf bytes) {
+    /** Reads up to and with the next thing that is whole; {@link Frame#INCOMPLETE} once all is read. */
+    public Frame nextFrame(ByteBuf bytes) {
         while (bytes.isReadable()) {
-            What what = take(bytes.readByte());
-            if (what != What.NOTHING) {
+            Frame what = take(bytes.readByte());
+            if (what != Frame.INCOMPLETE) {
                 return what;
             }
         }
-        return What.NOTHING;
+        return Frame.INCOMPLETE;
     }
 
     /** The list that was found last, as it came. */
-    public byte[] list() {
+    public byte[] takeObject() {
         byte[] whole = object.toByteArray();
         object.reset();
         return whole;
     }
 
     /** What is spoilt, as far as it came, for the operators: 40 characters at most. */
-    public String spoilt() {
+    public String malformedText() {
         String text = object.toString(StandardCharsets.US_ASCII);
         return text.length() <= 40 ? text : text.substring(0, 40) + " ...";
     }
 
-    private What take(byte b) {
+    private Frame take(byte b) {
         if (b == '\n') {
             boolean empty = !lineUsed;
             lineUsed = false;
             if (depth == 0) {
-                return empty ? What.BEAT : What.NOTHING;
+                return empty ? Frame.HEARTBEAT : Frame.INCOMPLETE;
             }
             object.write(b);
-            return empty || inText ? What.SPOILT : What.NOTHING;
+            return empty || inText ? Frame.MALFORMED : Frame.INCOMPLETE;
         }
         if (b == ' ' || b == '\r' || b == '\t') {
             if (depth > 0) {
                 object.write(b);
             }
-            return What.NOTHING;
+            return Frame.INCOMPLETE;
         }
         lineUsed = true;
         object.write(b);
-        if (depth == 0 && b != '{' || object.size() > MOST_BYTES) {
-            return What.SPOILT;
+        if (depth == 0 && b != '{' || object.size() > MAX_OBJECT_BYTES) {
+            return Frame.MALFORMED;
         }
         if (inText) {
             inText = escaped || b != '"';
             escaped = !escaped && b == '\\';
-            return What.NOTHING;
+            return Frame.INCOMPLETE;
         }
         switch (b) {
             case '"' -> inText = true;
@@ -85,6 +85,6 @@
             case '}', ']' -> depth--;
             default -> {}
         }
-        return depth == 0 ? What.LIST : What.NOTHING;
+        return depth == 0 ? Frame.OBJECT : Frame.INCOMPLETE;
     }
 }
--- a/src/main/java/kitemux/net/WholeMillis.java
+++ b/src/main/java/kitemux/net/MillisecondTimerIoHandler.java
@@ -15,7 +15,7 @@
  * used of its processor. Harm: timers are up to a millisecond later. It also notes when it has polled the
  * sockets, for {@link PollingLoop}.
  */
-public final class WholeMillis implements IoHandler {
+public final class MillisecondTimerIoHandler implements IoHandler {
     private static final long MILLI = 1_000_000;
 
     private final IoHandler selector;
@@ -25,7 +25,7 @@
 
     private long polledNanos = saidNanos;
 
-    private WholeMillis(IoHandler selector) {
+    private MillisecondTimerIoHandler(IoHandler selector) {
         this.selector = selector;
     }
 
@@ -35,10 +35,10 @@
     }
 
     static IoHandlerFactory over(IoHandlerFactory selectors) {
-        return executor -> new WholeMillis(selectors.newHandler(executor));
+        return executor -> new MillisecondTimerIoHandler(selectors.newHandler(executor));
     }
 
-    /** As {@link PollingLoop#polledNanos}. */
+    /** As {@link PollingLoop#lastPollNanos}. */
     long polledNanos() {
         return polledNanos;
     }
--- a/src/main/java/kitemux/net/Network.java
+++ b/src/main/java/kitemux/net/Network.java
@@ -10,26 +10,26 @@
     int BACKLOG = 1_024;
 
     /** Says how many connections a listener may take in. */
-    interface Gate {
+    interface AcceptGate {
         /** Whether one more may be taken; while not, the listener takes none, and is to be told to stop
          * reading. */
-        boolean mayTake();
+        boolean canAccept();
 
         /** One was taken; it will be heard of as a channel in the same turn of the loop. */
-        void taken();
+        void onAccepted();
 
         /** The system could not hand one over; the listener tries again within tens of milliseconds. */
-        void failed(IOException cause);
+        void onAcceptFailed(IOException cause);
     }
 
     /**
-     * A channel that listens; those that it takes in are {@link QuietChannel}s. As it closes it first takes in
+     * A channel that listens; those that it takes in are {@link InputAwareChannel}s. As it closes it first takes in
      * what waits, as far as the gate allows.
      */
-    ServerChannel listener(Gate gate);
+    ServerChannel newListener(AcceptGate gate);
 
     /** A channel to a server or to discovery, not yet connected. */
-    QuietChannel dialer();
+    InputAwareChannel newOutboundChannel();
 
     /** Makes all buffers for what is read and written; they belong to whoever holds them last, by Netty's
      * rules. */
--- a/src/main/java/kitemux/net/NioNetwork.java
+++ b/src/main/java/kitemux/net/NioNetwork.java
@@ -15,13 +15,13 @@
     private NioNetwork() {}
 
     @Override
-    public ServerChannel listener(Gate gate) {
+    public ServerChannel newListener(AcceptGate gate) {
         return new ClientListener(gate);
     }
 
     @Override
-    public QuietChannel dialer() {
-        return new DialedChannel();
+    public InputAwareChannel newOutboundChannel() {
+        return new OutboundChannel();
     }
 
     @Override
--- a/src/main/java/kitemux/net/DialedChannel.java
+++ b/src/main/java/kitemux/net/OutboundChannel.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 
 /** A socket that this node opens; it can be asked whether anything has come that was not read yet. */
-final class DialedChannel extends NioSocketChannel implements QuietChannel {
+final class OutboundChannel extends NioSocketChannel implements InputAwareChannel {
     private final ByteBuffer one = ByteBuffer.allocate(1);
 
     /**
@@ -13,7 +13,7 @@
      * a byte that has come, which nobody has asked for, is gone then, and the connection must be closed.
      */
     @Override
-    public boolean isQuiet() {
+    public boolean hasNoUnreadInput() {
         try {
             return isActive() && javaChannel().read(one.clear()) == 0;
         } catch (IOException e) {
--- a/src/main/java/kitemux/net/PollingLoop.java
+++ b/src/main/java/kitemux/net/PollingLoop.java
@@ -10,5 +10,5 @@
      * poll of the same turn: whatever came before that has been read, as far as one turn reads. To be asked
      * on the loop alone.
      */
-    long polledNanos();
+    long lastPollNanos();
 }
--- a/src/main/java/kitemux/net/SelectorLoop.java
+++ b/src/main/java/kitemux/net/SelectorLoop.java
@@ -17,7 +17,7 @@
     /** A new one, the only one of its group; its thread begins with its first task. */
     public static SelectorLoop open() {
         return (SelectorLoop)
-                new MultiThreadIoEventLoopGroup(1, WholeMillis.factory()) {
+                new MultiThreadIoEventLoopGroup(1, MillisecondTimerIoHandler.factory()) {
                     @Override
                     protected IoEventLoop newChild(Executor executor, IoHandlerFactory selectors, Object... more) {
                         return new SelectorLoop(this, executor, selectors);
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public long polledNanos() {
-        return ((WholeMillis) ioHandler()).polledNanos();
+    public long lastPollNanos() {
+        return ((MillisecondTimerIoHandler) ioHandler()).polledNanos();
     }
 }
--- a/src/main/java/kitemux/net/ServerPool.java
+++ b/src/main/java/kitemux/net/ServerPool.java
@@ -17,13 +17,13 @@
 import java.util.Map;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerState;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.engine.Transport;
 
 /**
  * The connections to servers, of whatever protocol: one exchange at a time on each, the most recently used
  * first. It follows the list of servers, and knows which connections are of use; what goes over them is the
- * protocol's, by its {@link Link}s.
+ * protocol's, by its {@link ServerConnection}s.
  *
  * @param <Q> requests of the protocol
  * @param <A> answers of the protocol
@@ -31,15 +31,15 @@
 public final class ServerPool<Q, A> implements Transport<Q, A> {
     private final Bootstrap dialer;
     private final EventLoop loop;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final long connIdleUs;
-    private final Time clock;
+    private final Clock clock;
     private final Protocol<Q, A> protocol;
     private final Map<String, Upstream<Q, A>> upstreams = new HashMap<>();
     /** Requests written whole to servers, probes aside. */
     private long written;
     /** The connections that carry an exchange. */
-    private final Map<Exchange<Q, A>, Link<Q, A>> carriers = new HashMap<>();
+    private final Map<Exchange<Q, A>, ServerConnection<Q, A>> carriers = new HashMap<>();
 
     /**
      * What is spoken with servers.
@@ -49,13 +49,13 @@
      */
     public interface Protocol<Q, A> {
         /** Puts what reads and writes it into a channel that is not connected yet; a link will follow. */
-        void prepare(ChannelPipeline pipeline);
+        void initPipeline(ChannelPipeline pipeline);
 
         /** A link for a channel that has just connected. */
-        Link<Q, A> link();
+        ServerConnection<Q, A> newConnection();
 
         /** What checks a server, where the settings allow probes. */
-        Q probe();
+        Q probeRequest();
     }
 
     /**
@@ -67,8 +67,8 @@
     public ServerPool(
             EventLoop loop,
             Network network,
-            Sockets sockets,
-            Time clock,
+            SocketBudget sockets,
+            Clock clock,
             long connectTimeoutUs,
             long connIdleUs,
             Protocol<Q, A> protocol) {
@@ -79,7 +79,7 @@
         this.connIdleUs = connIdleUs;
         dialer = new Bootstrap()
                 .group(loop)
-                .channelFactory(network::dialer)
+                .channelFactory(network::newOutboundChannel)
                 // Addresses only: no name is ever looked up, and no resolver kept for the loop.
                 .disableResolver()
                 .option(ChannelOption.ALLOCATOR, network.allocator())
@@ -88,8 +88,8 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        protocol.prepare(channel.pipeline());
-                        channel.pipeline().addLast(new Unclaimed());
+                        protocol.initPipeline(channel.pipeline());
+                        channel.pipeline().addLast(new ConnectErrorHandler());
                     }
                 });
     }
@@ -97,7 +97,7 @@
     /** A server, at the address that discovery last gave. */
     private static final class Upstream<Q, A> {
         final String id;
-        final ArrayDeque<Link<Q, A>> idle = new ArrayDeque<>();
+        final ArrayDeque<ServerConnection<Q, A>> idle = new ArrayDeque<>();
         /** Exchanges for which a connection is being opened; they take the first that is free. */
         final ArrayDeque<Exchange<Q, A>> awaiting = new ArrayDeque<>();
 
@@ -116,10 +116,10 @@
 
     /** Follows the list. Word of a drain takes effect at once, also for what awaits a connection. */
     public void update(HostList list) {
-        Map<String, Upstream<Q, A>> missing = list.all() ? new HashMap<>(upstreams) : Map.of();
+        Map<String, Upstream<Q, A>> missing = list.isFull() ? new HashMap<>(upstreams) : Map.of();
         for (HostList.Host host : list.hosts()) {
             String id = host.entry().id();
-            if (list.all()) {
+            if (list.isFull()) {
                 missing.remove(id);
             }
             if (host.entry().state() == ServerState.GONE) {
@@ -137,7 +137,7 @@
             if (moved || !upstream.ready) {
                 List.copyOf(upstream.idle).stream()
                         .filter(link -> !link.isUsable())
-                        .forEach(Link::close);
+                        .forEach(ServerConnection::close);
             }
             if (!upstream.ready) {
                 turnAway(upstream);
@@ -159,12 +159,12 @@
     private static <Q, A> void turnAway(Upstream<Q, A> upstream) {
         Exchange<Q, A> exchange;
         while ((exchange = upstream.awaiting.poll()) != null) {
-            exchange.ended(Result.MOOT, null);
+            exchange.onEnded(Result.MOOT, null);
         }
     }
 
-    private static <Q, A> void closeAll(ArrayDeque<Link<Q, A>> idle) {
-        new ArrayList<>(idle).forEach(Link::close);
+    private static <Q, A> void closeAll(ArrayDeque<ServerConnection<Q, A>> idle) {
+        new ArrayList<>(idle).forEach(ServerConnection::close);
     }
 
     // ---------------------------------------------------------------- exchanges
@@ -174,12 +174,12 @@
     public void start(String serverId, Exchange<Q, A> exchange) {
         Upstream<Q, A> upstream = upstreams.get(serverId);
         if (upstream == null || !upstream.ready) {
-            exchange.ended(Result.MOOT, null);
+            exchange.onEnded(Result.MOOT, null);
             return;
         }
-        Link<Q, A> free;
+        ServerConnection<Q, A> free;
         while ((free = upstream.idle.peek()) != null) {
-            if (free.channel.isQuiet()) {
+            if (free.channel.hasNoUnreadInput()) {
                 free.carry(exchange);
                 return;
             }
@@ -187,8 +187,8 @@
             // pass for the answer to this request, or reset it.
             free.close();
         }
-        if (!sockets.hasRoomForServer() && !closeOldestIdle()) {
-            exchange.ended(Result.CONNECT_FAILED, null);
+        if (!sockets.canOpenServerConnection() && !closeOldestIdle()) {
+            exchange.onEnded(Result.CONNECT_FAILED, null);
             return;
         }
         upstream.awaiting.add(exchange);
@@ -196,12 +196,12 @@
     }
 
     @Override
-    public boolean giveUp(String serverId, Exchange<Q, A> exchange) {
+    public boolean abandon(String serverId, Exchange<Q, A> exchange) {
         Upstream<Q, A> upstream = upstreams.get(serverId);
         if (upstream != null && upstream.awaiting.remove(exchange)) {
             return false;
         }
-        Link<Q, A> link = carriers.remove(exchange);
+        ServerConnection<Q, A> link = carriers.remove(exchange);
         if (link == null) {
             return false;
         }
@@ -217,16 +217,16 @@
     }
 
     @Override
-    public Q probe() {
-        return protocol.probe();
+    public Q probeRequest() {
+        return protocol.probeRequest();
     }
 
     private void dial(Upstream<Q, A> upstream) {
         upstream.dialing++;
-        sockets.opened();
+        sockets.serverConnectionOpened();
         InetSocketAddress to = upstream.endpoint;
         ChannelFuture opening = dialer.connect(to);
-        opening.channel().closeFuture().addListener(closed -> sockets.closed());
+        opening.channel().closeFuture().addListener(closed -> sockets.serverConnectionClosed());
         // Also a dial that fails on the spot is heard of from the loop, never from inside this call. And
         // behind the ends of connections that were read in the same turn, which are told by tasks of the loop
         // as well: whoever waits for this one may have left.
@@ -238,17 +238,17 @@
             notOpened(upstream);
             return;
         }
-        Link<Q, A> link = protocol.link();
-        link.join(this, upstream, to, (QuietChannel) opening.channel());
-        opening.channel().pipeline().addLast(link).remove(Unclaimed.class);
-        link.opened();
+        ServerConnection<Q, A> link = protocol.newConnection();
+        link.join(this, upstream, to, (InputAwareChannel) opening.channel());
+        opening.channel().pipeline().addLast(link).remove(ConnectErrorHandler.class);
+        link.onConnected();
     }
 
     private void notOpened(Upstream<Q, A> upstream) {
         upstream.dialing--;
         if (upstream.awaiting.size() > upstream.dialing) {
             // One dial was made for each that waits; some may have found a connection that came free.
-            upstream.awaiting.poll().ended(Result.CONNECT_FAILED, null);
+            upstream.awaiting.poll().onEnded(Result.CONNECT_FAILED, null);
         }
     }
 
@@ -271,7 +271,7 @@
     }
 
     /** Requests written whole to servers so far, probes aside. */
-    public long writtenCount() {
+    public long writtenRequestCount() {
         return written;
     }
 
@@ -282,8 +282,8 @@
 
     /** Closes what has been idle for half of what servers allow: a request that met their close resets. And
      * what carries an answer that does not go on. */
-    public void closeOld() {
-        List.copyOf(carriers.values()).stream().filter(Link::isStalled).forEach(Link::close);
+    public void closeExpiredConnections() {
+        List.copyOf(carriers.values()).stream().filter(ServerConnection::isStalled).forEach(ServerConnection::close);
         long before = clock.nowUs() - connIdleUs / 2;
         for (Upstream<Q, A> upstream : upstreams.values()) {
             while (!upstream.idle.isEmpty() && upstream.idle.peekLast().idleSinceUs < before) {
@@ -293,9 +293,9 @@
     }
 
     private boolean closeOldestIdle() {
-        Link<Q, A> oldest = null;
+        ServerConnection<Q, A> oldest = null;
         for (Upstream<Q, A> upstream : upstreams.values()) {
-            Link<Q, A> last = upstream.idle.peekLast();
+            ServerConnection<Q, A> last = upstream.idle.peekLast();
             if (last != null && (oldest == null || last.idleSinceUs < oldest.idleSinceUs)) {
                 oldest = last;
             }
@@ -314,11 +314,11 @@
      * @param <Q> requests of the protocol
      * @param <A> answers of the protocol
      */
-    public abstract static class Link<Q, A> extends ChannelInboundHandlerAdapter {
+    public abstract static class ServerConnection<Q, A> extends ChannelInboundHandlerAdapter {
         private ServerPool<Q, A> pool;
         private Upstream<Q, A> upstream;
         private InetSocketAddress endpoint;
-        private QuietChannel channel;
+        private InputAwareChannel channel;
         private long openedAtUs;
         private boolean up;
         private Exchange<Q, A> exchange;
@@ -326,7 +326,7 @@
         private boolean closedHere;
         private long idleSinceUs;
 
-        private void join(ServerPool<Q, A> to, Upstream<Q, A> server, InetSocketAddress at, QuietChannel connected) {
+        private void join(ServerPool<Q, A> to, Upstream<Q, A> server, InetSocketAddress at, InputAwareChannel connected) {
             pool = to;
             upstream = server;
             endpoint = at;
@@ -334,11 +334,11 @@
             openedAtUs = to.clock.nowUs();
         }
 
-        /** The connection is up: {@link #free} is due once it can carry an exchange. */
-        protected abstract void opened();
+        /** The connection is up: {@link #markAvailable} is due once it can carry an exchange. */
+        protected abstract void onConnected();
 
         /** What to write for an exchange, as late as a connection is there to carry it. */
-        protected abstract Object message(Exchange<Q, A> next);
+        protected abstract Object createMessage(Exchange<Q, A> next);
 
         /** Whether what it carries has begun to be answered and will not go on. */
         protected boolean isStalled() {
@@ -350,9 +350,9 @@
          *
          * @return false if nobody wants it: the connection is closed then and carries nothing more
          */
-        protected final boolean begin(A answer) {
+        protected final boolean startResponse(A answer) {
             Exchange<Q, A> begun = exchange;
-            if (begun.begun(answer)) {
+            if (begun.onResponseStarted(answer)) {
                 return true;
             }
             pool.carriers.remove(begun);
@@ -367,17 +367,17 @@
         }
 
         /** Whether the request that it carries, or carried last, was written whole. */
-        protected final boolean isWritten() {
+        protected final boolean isRequestWritten() {
             return written;
         }
 
         /** Whether this side has ended it. */
-        protected final boolean isClosedHere() {
+        protected final boolean isClosedLocally() {
             return closedHere;
         }
 
         /** Its channel. */
-        protected final QuietChannel channel() {
+        protected final InputAwareChannel channel() {
             return channel;
         }
 
@@ -394,7 +394,7 @@
         }
 
         /** It can carry an exchange: takes up what awaits a connection, or stays idle. */
-        protected final void free() {
+        protected final void markAvailable() {
             if (!up) {
                 up = true;
                 upstream.dialing--;
@@ -403,7 +403,7 @@
                 close();
                 // Its dial was for one that still waits, perhaps at an address that has changed since.
                 if (upstream.ready && upstream.awaiting.size() > upstream.dialing) {
-                    upstream.awaiting.poll().ended(Result.CONNECT_FAILED, null);
+                    upstream.awaiting.poll().onEnded(Result.CONNECT_FAILED, null);
                 }
                 return;
             }
@@ -417,14 +417,14 @@
 
         private void carry(Exchange<Q, A> next) {
             // First, as a message that cannot be made must not cost the connection.
-            Object message = message(next);
+            Object message = createMessage(next);
             upstream.idle.remove(this);
             exchange = next;
             written = false;
             pool.carriers.put(next, this);
             channel.writeAndFlush(message).addListener(done -> {
                 if (done.isSuccess()) {
-                    pool.written += next.request() == pool.protocol.probe() ? 0 : 1;
+                    pool.written += next.request() == pool.protocol.probeRequest() ? 0 : 1;
                     written |= exchange == next;
                 } else {
                     close();
@@ -440,27 +440,27 @@
         }
 
         /** Tells the end of what it carries, if anything. */
-        protected final void end(Result result, A answer) {
+        protected final void completeExchange(Result result, A answer) {
             Exchange<Q, A> over = exchange;
             exchange = null;
             if (over != null) {
                 pool.carriers.remove(over);
-                over.ended(result, answer);
+                over.onEnded(result, answer);
             }
         }
 
         /** The connection has ended: what the protocol holds of an answer is let go. */
-        protected abstract void letGo();
+        protected abstract void releaseResponse();
 
         @Override
         public final void channelInactive(ChannelHandlerContext context) {
             upstream.idle.remove(this);
-            letGo();
+            releaseResponse();
             if (!up) {
                 up = true;
                 pool.notOpened(upstream);
             }
-            end(written ? Result.RESET : Result.CONNECT_FAILED, null);
+            completeExchange(written ? Result.RESET : Result.CONNECT_FAILED, null);
         }
     }
 }
--- a/src/main/java/kitemux/net/Answer.java
+++ b/src/main/java/kitemux/net/ServerResponse.java
@@ -7,33 +7,33 @@
  * connection to the client's on the loop, and whoever takes it says when to go on reading, so that it never
  * lies here but for a few reads.
  */
-public final class Answer {
+public final class ServerResponse {
     /** Takes what comes; its buffers are its own from then on. */
-    public interface Sink {
+    public interface BodySink {
         /** The next bytes of the body. */
-        void more(ByteBuf bytes);
+        void onBodyBytes(ByteBuf bytes);
     }
 
     /** Where it comes from. */
-    public interface Source {
+    public interface BodySource {
         /** Whether to go on reading. */
         void setReading(boolean on);
     }
 
     private final byte[] whole;
     private final long length;
-    private final Source source;
-    private Sink sink;
+    private final BodySource source;
+    private BodySink sink;
 
-    private Answer(byte[] whole, long length, Source source) {
+    private ServerResponse(byte[] whole, long length, BodySource source) {
         this.whole = whole;
         this.length = length;
         this.source = source;
     }
 
     /** One that has come whole. */
-    public static Answer of(byte[] body) {
-        return new Answer(body, body.length, null);
+    public static ServerResponse buffered(byte[] body) {
+        return new ServerResponse(body, body.length, null);
     }
 
     /**
@@ -41,8 +41,8 @@
      *
      * @param length of its body in bytes, or -1 where only its end will tell
      */
-    public static Answer beginning(long length, Source source) {
-        return new Answer(null, length, source);
+    public static ServerResponse streaming(long length, BodySource source) {
+        return new ServerResponse(null, length, source);
     }
 
     /** Its body; null for one that comes. */
@@ -56,13 +56,13 @@
     }
 
     /** Whoever takes it does so from now on. */
-    public void passTo(Sink taker) {
+    public void streamTo(BodySink taker) {
         sink = taker;
     }
 
     /** More has come. */
-    public void more(ByteBuf bytes) {
-        sink.more(bytes);
+    public void deliver(ByteBuf bytes) {
+        sink.onBodyBytes(bytes);
     }
 
     /** Whether to go on reading; to be called by whoever takes it. */
--- a/src/main/java/kitemux/net/Sockets.java
+++ b/src/main/java/kitemux/net/SocketBudget.java
@@ -1,14 +1,14 @@
 package kitemux.net;
 
 /** Counts open sockets against the process's limit, so that no side takes what the other needs. */
-public final class Sockets {
+public final class SocketBudget {
     /** Connections taken in one turn of the loop. Netty's sixteen were fewer than came while a turn took
      * 100 ms: clients gave up in the backlog, and the next turn met only those. More would need more
      * descriptors at once, before any can be closed to make room. */
-    public static final int MOST_ACCEPTED = 64;
+    public static final int MAX_ACCEPTS_PER_TURN = 64;
     /** Descriptors that the JVM, the jar, the listener and discovery hold, and those of new connections that
      * have been taken together and are looked at one by one. */
-    private static final int RESERVED = 32 + MOST_ACCEPTED;
+    private static final int RESERVED = 32 + MAX_ACCEPTS_PER_TURN;
     /** The part that clients may keep; a request in work needs a connection to a server too. */
     private static final double CLIENT_PART = 0.6;
     /** The part that clients may hold while each beyond {@link #CLIENT_PART} is let go with its next
@@ -22,7 +22,7 @@
     private static final double IDLE_PART = 1.0 / 6;
 
     private final int most;
-    private final int mostIdleClients;
+    private final int maxIdleClients;
     private int open;
     private int clients;
     /** Taken in together and not looked at yet: those that were looked at must not make room for them. */
@@ -35,40 +35,40 @@
      *
      * @param limit how many descriptors the process may hold
      */
-    public Sockets(int limit) {
+    public SocketBudget(int limit) {
         most = Math.max(8, limit - RESERVED);
-        mostIdleClients = (int) (IDLE_PART * limit);
+        maxIdleClients = (int) (IDLE_PART * limit);
     }
 
     /** One more to a server. */
-    public void opened() {
+    public void serverConnectionOpened() {
         open++;
     }
 
     /** One to a server less. */
-    public void closed() {
+    public void serverConnectionClosed() {
         open--;
     }
 
-    /** One more from a client was taken in; it is {@link #clientOpened} in the same turn of the loop. */
-    public void clientTaken() {
+    /** One more from a client was taken in; it is {@link #clientRegistered} in the same turn of the loop. */
+    public void clientAccepted() {
         open++;
         taken++;
     }
 
     /** One that was taken in is looked at. */
-    public void clientOpened() {
+    public void clientRegistered() {
         taken--;
         clients++;
     }
 
     /** One that was looked at is turned away. */
-    public void clientTurnedAway() {
+    public void clientRejected() {
         leaving++;
     }
 
     /** One that was turned away is {@link #clientClosed}. */
-    public void clientLeft() {
+    public void rejectedClientClosed() {
         leaving--;
     }
 
@@ -79,8 +79,8 @@
     }
 
     /** How many clients' connections may be idle. */
-    public int mostIdleClients() {
-        return mostIdleClients;
+    public int maxIdleClients() {
+        return maxIdleClients;
     }
 
     /**
@@ -88,22 +88,22 @@
      * one by one or turned away: a burst of them would else leave those that are served no server, and all
      * would be refused.
      */
-    public boolean hasRoomForServer() {
-        return open - Math.min(MOST_ACCEPTED, taken + leaving) < most;
+    public boolean canOpenServerConnection() {
+        return open - Math.min(MAX_ACCEPTS_PER_TURN, taken + leaving) < most;
     }
 
     /** Whether one more from a client may be taken at all, be it to turn it away. */
-    public boolean mayTakeClient() {
-        return clients + taken < CROWDED_PART * most + MOST_ACCEPTED;
+    public boolean canAcceptClient() {
+        return clients + taken < CROWDED_PART * most + MAX_ACCEPTS_PER_TURN;
     }
 
     /** Whether one that was taken may be served. */
-    public boolean mayServeClient() {
+    public boolean canServeClient() {
         return clients <= CROWDED_PART * most;
     }
 
     /** Whether one that was taken may be kept for further requests. */
-    public boolean hasRoomForClient() {
+    public boolean canKeepClient() {
         return open - taken <= most && clients <= CLIENT_PART * most;
     }
 
--- a/src/main/java/kitemux/net/DueTimers.java
+++ b/src/main/java/kitemux/net/TimerQueue.java
@@ -1,14 +1,14 @@
 package kitemux.net;
 
 import java.util.PriorityQueue;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 
 /**
  * The timers of one thread, in the order in which they are due; those of one moment in the order in which
  * they were set. It knows no clock and sleeps for nobody. Most timers are called off, and rest here until
  * they would have been due or make up half of all: an answer must not cost a search for its request's timer.
  */
-final class DueTimers {
+final class TimerQueue {
     /** Up to here those called off are not worth clearing out. */
     private static final int FEW = 64;
 
@@ -18,7 +18,7 @@
     private boolean running;
 
     /** A timer that was set. */
-    private final class Set implements Time.Timer, Comparable<Set> {
+    private final class Set implements Clock.Timer, Comparable<Set> {
         private final long atNanos;
         private final long number = ++lastNumber;
         /** Null once it has run or was called off. */
@@ -47,7 +47,7 @@
     }
 
     /** Sets a timer; the clock's nanoseconds must be less than 292 years apart. */
-    Time.Timer set(long atNanos, Runnable task) {
+    Clock.Timer set(long atNanos, Runnable task) {
         Set set = new Set(atNanos, task);
         queue.add(set);
         return set;
--- a/src/main/java/kitemux/node/LiveSettings.java
+++ b/src/main/java/kitemux/node/LiveSettings.java
@@ -16,7 +16,7 @@
 import kitemux.Balancer.Tenant;
 import kitemux.config.Json;
 import kitemux.keeper.ConfigRules;
-import kitemux.rollout.Fault;
+import kitemux.rollout.ValidationError;
 import kitemux.rollout.History;
 import kitemux.rollout.Rules;
 
@@ -56,17 +56,17 @@
         overShareWorth = settings.overShareWorth;
         classes.forEach(one -> live.add("classes/" + one.name()));
         tenants.forEach(one -> live.add("realms/" + one.name()));
-        live.addAll(List.of("overShareWorth", "discovery", History.VOTERS));
+        live.addAll(List.of("overShareWorth", "discovery", History.VOTERS_PATH));
     }
 
     @Override
-    public List<Fault> faults(Map<String, String> whole) {
-        return rules.faults(whole);
+    public List<ValidationError> validate(Map<String, String> whole) {
+        return rules.validate(whole);
     }
 
     /** By what the file says: the first is what the node started with besides, which is nothing. */
     @Override
-    public Set<String> waitRestart(Map<String, String> first, Map<String, String> next) {
+    public Set<String> pathsNeedingRestart(Map<String, String> first, Map<String, String> next) {
         Set<String> waits = new TreeSet<>();
         next.forEach((path, value) -> {
             if (!live.contains(path) || path.startsWith("classes/") && !isLive(path, read(value))) {
@@ -83,15 +83,15 @@
                 .filter(one -> one.name().equals(name))
                 .findFirst()
                 .orElseThrow();
-        return of.aimStretch() == value.path("aimStretch").decimal(0)
-                && of.repeat().name().equalsIgnoreCase(value.path("repeat").text())
-                && of.group()
+        return of.targetLatencyPerWork() == value.path("aimStretch").decimal(0)
+                && of.retrySafety().name().equalsIgnoreCase(value.path("repeat").text())
+                && of.dedupScope()
                         .name()
                         .equalsIgnoreCase(
                                 value.path("group").isMissing()
                                         ? "all"
                                         : value.path("group").text())
-                && of.windowUs() == value.path("windowUs").whole(0)
+                && of.dedupWindowUs() == value.path("windowUs").whole(0)
                 && of.stream() == value.path("stream").flag();
     }
 
@@ -117,13 +117,13 @@
                             : new RequestClass(
                                     of.name(),
                                     value.path("onTimeUs").whole(0),
-                                    of.aimStretch(),
+                                    of.targetLatencyPerWork(),
                                     value.path("giveUpUs").whole(0),
                                     value.path("importance").decimal(1),
                                     value.path("lateWorth").decimal(0),
-                                    of.repeat(),
-                                    of.group(),
-                                    of.windowUs(),
+                                    of.retrySafety(),
+                                    of.dedupScope(),
+                                    of.dedupWindowUs(),
                                     of.stream()));
         }
         List<Tenant> nextTenants = new ArrayList<>();
@@ -149,7 +149,7 @@
         told = at;
     }
 
-    /** What {@link #faults} found nothing wrong with. */
+    /** What {@link #validate} found nothing wrong with. */
     private static Json read(String value) {
         try {
             return Json.read(value.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/kitemux/node/Node.java
+++ b/src/main/java/kitemux/node/Node.java
@@ -36,20 +36,20 @@
 import kitemux.http.HttpServers;
 import kitemux.http.RequestReader;
 import kitemux.http.ShutdownSchedule;
-import kitemux.load.Capture;
+import kitemux.load.CaptureWriter;
 import kitemux.load.LoadSettings;
-import kitemux.net.Answer;
+import kitemux.net.ServerResponse;
 import kitemux.net.HostList;
-import kitemux.net.LoopTime;
+import kitemux.net.EventLoopClock;
 import kitemux.net.Network;
 import kitemux.net.NioNetwork;
 import kitemux.net.PollingLoop;
 import kitemux.net.SelectorLoop;
 import kitemux.net.ServerPool;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.ops.Operations;
-import kitemux.orders.OrderKeeper;
-import kitemux.orders.Orders;
+import kitemux.orders.OrderRecorder;
+import kitemux.orders.OrderJournal;
 import kitemux.telemetry.RequestTrace;
 import kitemux.telemetry.TraceSettings;
 
@@ -70,15 +70,15 @@
 
     private final NodeConfig config;
     private final EventLoop loop;
-    private final Sockets sockets;
-    private final ServerPool<ClientRequest, Answer> pool;
+    private final SocketBudget sockets;
+    private final ServerPool<ClientRequest, ServerResponse> pool;
     private final ClientServer clients;
     private final Discovery discovery;
     /** Where lists are pushed; null where the module asks for them, or the file names all servers. */
     private final PushedList pushed;
 
-    private final Engine<ClientRequest, Answer> engine;
-    private final LoopTime time;
+    private final Engine<ClientRequest, ServerResponse> engine;
+    private final EventLoopClock time;
     private final Log log;
     /** What operators may do while it runs; null where no address is given for it. */
     private final Operations operations;
@@ -105,29 +105,29 @@
      */
     public record Parts(
             Network network,
-            LoopTime time,
+            EventLoopClock time,
             Log log,
             Observer observer,
             ConnectionObserver connections,
             SendGate<ClientRequest> gate,
             Function<Balancer.Actions, Balancer> module,
-            UnaryOperator<Transport<ClientRequest, Answer>> transport) {
+            UnaryOperator<Transport<ClientRequest, ServerResponse>> transport) {
 
         /** The system's sockets and clock, and nothing in between. */
         static Parts real(PollingLoop loop, Log log, Function<Balancer.Actions, Balancer> module) {
             return new Parts(
                     NioNetwork.SYSTEM,
-                    LoopTime.of(loop),
+                    EventLoopClock.of(loop),
                     log,
                     Observer.NONE,
                     ConnectionObserver.NONE,
-                    SendGate.open(),
+                    SendGate.alwaysOpen(),
                     module,
                     UnaryOperator.identity());
         }
 
         /** The same with a keeper of orders, or with none where that is null. */
-        Parts with(LoopTime keepersTime, OrderKeeper<ClientRequest> keeper) {
+        Parts with(EventLoopClock keepersTime, OrderRecorder<ClientRequest> keeper) {
             return keeper == null
                     ? this
                     : new Parts(network, keepersTime, log, keeper, connections, keeper, module, transport);
@@ -137,14 +137,14 @@
         Parts observed(Observer also) {
             return also == null
                     ? this
-                    : new Parts(network, time, log, observer.and(also), connections, gate, module, transport);
+                    : new Parts(network, time, log, observer.andThen(also), connections, gate, module, transport);
         }
 
         /** The same with a trace of requests and connections, or with none where that is null. */
         Parts traced(RequestTrace trace) {
             return trace == null
                     ? this
-                    : new Parts(network, time, log, observer.and(trace), trace, gate, module, transport);
+                    : new Parts(network, time, log, observer.andThen(trace), trace, gate, module, transport);
         }
     }
 
@@ -162,7 +162,7 @@
         this.loop = loop;
         log = parts.log();
         time = parts.time();
-        sockets = new Sockets(config.sockets());
+        sockets = new SocketBudget(config.sockets());
         operations = config.operators() == null ? null : operations(parts);
         pool = new ServerPool<>(
                 loop,
@@ -177,7 +177,7 @@
                 parts.network(),
                 config.discovery(),
                 config.settings().zones,
-                config.known().rev(),
+                config.known().revision(),
                 Discovery.MOST_SILENCE_US,
                 config.seed(),
                 new Discovery.Listener() {
@@ -186,7 +186,7 @@
                         if (pushed != null) {
                             pushed.heard();
                         }
-                        list(list, list.all() ? ListKind.FULL : ListKind.CHANGES);
+                        list(list, list.isFull() ? ListKind.FULL : ListKind.CHANGES);
                         firstList.countDown();
                     }
 
@@ -197,13 +197,13 @@
                         }
                         // The module waits longer with each call that fails, and these were to another place:
                         // that nothing has changed is what lets it begin anew.
-                        engine.listed(ListKind.CHANGES, List.of(), () -> {});
+                        engine.updateServers(ListKind.CHANGES, List.of(), () -> {});
                     }
 
                     @Override
                     public void failed(String reason) {
-                        log.line("discovery: " + reason);
-                        engine.listFailed();
+                        log.info("discovery: " + reason);
+                        engine.reportListFailure();
                         if (pushed != null) {
                             pushed.failed();
                         }
@@ -218,7 +218,7 @@
                 parts.time(),
                 parts.transport().apply(pool),
                 discovery,
-                operations == null ? parts.observer() : parts.observer().and(operations.observer()),
+                operations == null ? parts.observer() : parts.observer().andThen(operations.observer()),
                 parts.gate(),
                 log,
                 parts.module());
@@ -257,12 +257,12 @@
 
             @Override
             public long dispatches() {
-                return pool.writtenCount();
+                return pool.writtenRequestCount();
             }
 
             @Override
             public int avoided() {
-                return engine.avoided();
+                return engine.ejectedServerCount();
             }
         };
         try {
@@ -323,11 +323,11 @@
             System.exit(2);
         }
         PollingLoop loop = newLoop();
-        LoopTime time = LoopTime.of(loop);
-        Orders orders = null;
+        EventLoopClock time = EventLoopClock.of(loop);
+        OrderJournal orders = null;
         if (operator.orders() != null) {
             try {
-                orders = Orders.open(operator.orders(), time, loop, log::line);
+                orders = OrderJournal.open(operator.orders(), time, loop, log::info);
             } catch (IOException e) {
                 System.err.println("kitemux: orders.folder cannot be used: " + e.getMessage());
                 System.exit(2);
@@ -337,7 +337,7 @@
         Runnable endOfCapture = () -> {};
         if (operator.load() != null) {
             try {
-                Capture capture = capture(operator.load(), config, log);
+                CaptureWriter capture = capture(operator.load(), config, log);
                 recorder = capture.recorder(time);
                 endOfCapture = capture::close;
             } catch (IOException e) {
@@ -354,7 +354,7 @@
                     Parts.real(loop, log, module(config))
                             .with(
                                     time,
-                                    orders == null ? null : orders.keeper(operator.orders(), config.settings(), time))
+                                    orders == null ? null : orders.recorder(operator.orders(), config.settings(), time))
                             .observed(recorder)
                             .traced(trace));
         } catch (UncheckedIOException e) {
@@ -367,11 +367,11 @@
             // Before it warms up, so that who asks hears that it takes no clients yet.
             orEnd("mgmt " + config.operators(), node.listenForOperators());
         }
-        log.line("warming up");
+        log.info("warming up");
         node.begin();
         Rehearsal.play(config, loop, log);
         node.awaitFirstList();
-        Orders journal = orders;
+        OrderJournal journal = orders;
         Runnable captureEnds = endOfCapture;
         // Before clients can connect: one that comes before it stands would be left without an answer.
         Opening opening = new Opening(node::start);
@@ -397,7 +397,7 @@
                                     journal.close();
                                 }
                             } catch (IOException e) {
-                                log.line("orders: the journal could not be closed: " + e);
+                                log.info("orders: the journal could not be closed: " + e);
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
@@ -407,7 +407,7 @@
         if (listens != null) {
             orEnd("listen " + config.listen(), listens);
             tellOfUnusedArchive(log);
-            log.line("listening on " + config.listen());
+            log.info("listening on " + config.listen());
         }
         if (operator.rollout() != null) {
             RolloutLink.begin(operator.rollout().keepers(), config, loop, time, node.sockets, node::discoveryIs, log);
@@ -416,9 +416,9 @@
     }
 
     /** Begins the trace; where its folder cannot be used the program ends. */
-    private static RequestTrace trace(TraceSettings settings, NodeConfig config, LoopTime time, Log log) {
+    private static RequestTrace trace(TraceSettings settings, NodeConfig config, EventLoopClock time, Log log) {
         try {
-            return RequestTrace.open(settings, "node-" + config.listen().getPort(), time, log::line);
+            return RequestTrace.open(settings, "node-" + config.listen().getPort(), time, log::info);
         } catch (IOException e) {
             System.err.println("kitemux: trace.folder cannot be used: " + e.getMessage());
             System.exit(2);
@@ -426,8 +426,8 @@
         }
     }
 
-    private static Capture capture(LoadSettings settings, NodeConfig config, Log log) throws IOException {
-        return new Capture(
+    private static CaptureWriter capture(LoadSettings settings, NodeConfig config, Log log) throws IOException {
+        return new CaptureWriter(
                 settings,
                 config.listen().getHostString() + ":" + config.listen().getPort(),
                 config.settings().classes.stream()
@@ -435,7 +435,7 @@
                         .toList(),
                 config.settings().tenants.stream().map(Balancer.Tenant::name).toList(),
                 () -> ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()),
-                log::line);
+                log::info);
     }
 
     /** Waits until an address is listened at; where it cannot be, the program ends. */
@@ -450,7 +450,7 @@
     private static void tellOfUnusedArchive(Log log) {
         try {
             ClassArchive.unused(Path.of("/proc/self"))
-                    .ifPresent(archive -> log.line("the class archive "
+                    .ifPresent(archive -> log.info("the class archive "
                             + archive + " is missing, or was made from another jar or by another JVM: starts take "
                             + "more than need be until it is made anew"));
         } catch (IOException e) {
@@ -498,16 +498,16 @@
             begin();
         }
         // What it did before it serves, such as its rehearsal, held nobody up.
-        loop.execute(time::beat);
+        loop.execute(time::tick);
         housekeeping = loop.scheduleAtFixedRate(
                 () -> {
-                    pool.closeOld();
+                    pool.closeExpiredConnections();
                     clients.closeOld();
                 },
                 HOUSEKEEPING_MS,
                 HOUSEKEEPING_MS,
                 TimeUnit.MILLISECONDS);
-        beating = loop.scheduleWithFixedDelay(this::beat, 0, LoopTime.BEAT_MS, TimeUnit.MILLISECONDS);
+        beating = loop.scheduleWithFixedDelay(this::beat, 0, EventLoopClock.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         return clients.listen(config.listen(), operations != null).addListener(opened -> {
             listening = opened.isSuccess();
             if (listening && operations != null) {
@@ -517,9 +517,9 @@
     }
 
     private void beat() {
-        long lateUs = time.beat();
+        long lateUs = time.tick();
         if (lateUs >= HELD_UP_US) {
-            log.line("loop held up for " + lateUs / 1_000 + " ms with " + engine.heldCount()
+            log.info("loop held up for " + lateUs / 1_000 + " ms with " + engine.pendingCount()
                     + " requests open: this process had no processor, or one turn took so long");
         }
     }
@@ -603,13 +603,13 @@
     }
 
     private void put(HostList list, ListKind kind) {
-        engine.listed(kind, list.entries(), () -> pool.update(list));
+        engine.updateServers(kind, list.entries(), () -> pool.update(list));
     }
 
     // ---------------------------------------------------------------- what stands, for whoever checks
 
     /** The engine; to be looked at on the loop alone. */
-    public Engine<ClientRequest, Answer> engine() {
+    public Engine<ClientRequest, ServerResponse> engine() {
         return engine;
     }
 
--- a/src/main/java/kitemux/node/NodeConfig.java
+++ b/src/main/java/kitemux/node/NodeConfig.java
@@ -78,9 +78,9 @@
                 env.getOrDefault("PROXY_DISCOVERY", json.path("discovery").text());
         String operators = env.getOrDefault("PROXY_MGMT", json.path("mgmt").text());
         return new NodeConfig(
-                Addresses.read("listen", listen),
-                operators.isEmpty() ? null : Addresses.read("mgmt", operators),
-                Addresses.read("discovery", discovery),
+                Addresses.parse("listen", listen),
+                operators.isEmpty() ? null : Addresses.parse("mgmt", operators),
+                Addresses.parse("discovery", discovery),
                 seed(json.path("seed").text()),
                 (int) sockets,
                 idle,
@@ -147,7 +147,7 @@
         apart.classes.addAll(settings.classes);
         apart.tenants.addAll(settings.tenants);
         apart.maxAttempts = settings.maxAttempts;
-        apart.cancel = settings.cancel;
+        apart.cancellationAllowed = settings.cancellationAllowed;
         // It is its own discovery, so that it calls none: each start would cost the fleet's a call more.
         InetSocketAddress own = new InetSocketAddress(listen.getAddress(), 0);
         return new NodeConfig(own, null, own, seed, sockets, connIdleUs, folder, servers, apart);
--- a/src/main/java/kitemux/node/Rehearsal.java
+++ b/src/main/java/kitemux/node/Rehearsal.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
@@ -198,11 +198,11 @@
 
         private void ask(ChannelHandlerContext context) {
             RequestClass next = classes.get((int) (left.getCount() % classes.size()));
-            boolean safe = next.repeat() == Repeat.SAFE;
+            boolean safe = next.retrySafety() == RetrySafety.SAFE;
             String request = (safe ? "GET" : "POST")
                     + " /api/rehearsal HTTP/1.1\r\nHost: rehearsal\r\nX-Txn: "
                     + ++asked + "\r\nX-Lane: " + next.name() + "\r\nX-Remaining: 1000m\r\n"
-                    + (next.repeat() == Repeat.KEYED ? "Idempotency-Key: rehearsal\r\n" : "")
+                    + (next.retrySafety() == RetrySafety.KEYED ? "Idempotency-Key: rehearsal\r\n" : "")
                     + (safe ? "\r\n" : "Content-Length: " + BODY + "\r\n\r\n" + "r".repeat(BODY));
             context.writeAndFlush(Unpooled.wrappedBuffer(request.getBytes(StandardCharsets.US_ASCII)));
         }
--- a/src/main/java/kitemux/node/Reload.java
+++ b/src/main/java/kitemux/node/Reload.java
@@ -30,7 +30,7 @@
             node.reload(NodeConfig.reread(env));
         } catch (ConfigException e) {
             node.reloadFailed();
-            log.line("reload: " + e.getMessage() + "; the configuration stays as it was");
+            log.info("reload: " + e.getMessage() + "; the configuration stays as it was");
         }
     }
 }
--- a/src/main/java/kitemux/node/RolloutLink.java
+++ b/src/main/java/kitemux/node/RolloutLink.java
@@ -7,13 +7,13 @@
 import java.util.function.Consumer;
 import kitemux.config.ConfigException;
 import kitemux.engine.Log;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.keeper.RolloutWatch;
 import kitemux.net.Addresses;
 import kitemux.net.NioNetwork;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.rollout.Subscriber;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 
 /** A node's tie to keepers; the only class of the node that names what carries configuration. */
 final class RolloutLink {
@@ -30,21 +30,21 @@
             List<InetSocketAddress> keepers,
             NodeConfig config,
             EventLoop loop,
-            Time time,
-            Sockets sockets,
+            Clock time,
+            SocketBudget sockets,
             Consumer<InetSocketAddress> discovery,
             Log log) {
         LiveSettings live = new LiveSettings(config.settings(), at -> {
             try {
-                discovery.accept(Addresses.read("discovery", at));
+                discovery.accept(Addresses.parse("discovery", at));
             } catch (ConfigException e) {
                 throw new IllegalStateException(e);
             }
         });
-        int node = config.settings().me;
+        int node = config.settings().nodeIndex;
         long life = time.nowUs() / 1_000;
         Subscriber subscriber = new Subscriber(
-                Terms.usual(), live, node, life, keepers.size(), 0, new TreeMap<>(), config.seed(), time.nowUs());
+                ProtocolParameters.defaults(), live, node, life, keepers.size(), 0, new TreeMap<>(), config.seed(), time.nowUs());
         new RolloutWatch(
                         loop,
                         NioNetwork.SYSTEM,
@@ -56,7 +56,7 @@
                         sockets,
                         (rev, values) -> {
                             live.put(values);
-                            log.line("rollout: version " + rev + " is taken in");
+                            log.info("rollout: version " + rev + " is taken in");
                         },
                         log)
                 .begin();
--- a/src/main/java/kitemux/node/RolloutSettings.java
+++ b/src/main/java/kitemux/node/RolloutSettings.java
@@ -33,7 +33,7 @@
         List<InetSocketAddress> keepers = new ArrayList<>();
         for (Json one : json.path("keepers")) {
             try {
-                keepers.add(Addresses.read("rollout.keepers[" + keepers.size() + "]", one.text()));
+                keepers.add(Addresses.parse("rollout.keepers[" + keepers.size() + "]", one.text()));
             } catch (ConfigException e) {
                 keepers.add(null);
                 faults.add(e.getMessage());
--- a/src/main/java/kitemux/node/StderrLog.java
+++ b/src/main/java/kitemux/node/StderrLog.java
@@ -10,7 +10,7 @@
     private int lines;
 
     @Override
-    public void line(String text) {
+    public void info(String text) {
         if (hasRoom()) {
             System.err.println(text.replace('\n', ' ').replace('\r', ' '));
         }
--- a/src/main/java/kitemux/ops/Figures.java
+++ b/src/main/java/kitemux/ops/Figures.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.Balancer.RequestClass;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
 
 /** Counts what became of requests, from the start of the process. Memory: a number for each that is held. */
@@ -28,12 +28,12 @@
     }
 
     @Override
-    public void taken(long id, Asked request) {
+    public void onRequestAccepted(long id, RequestInfo request) {
         open.put(id, request.classIndex());
     }
 
     @Override
-    public void answered(long id, Answer answer) {
+    public void onRequestAnswered(long id, RequestOutcome answer) {
         int of = open.remove(id);
         switch (answer) {
             case SERVED -> replies[of][SUCCESS]++;
--- a/src/main/java/kitemux/ops/Operations.java
+++ b/src/main/java/kitemux/ops/Operations.java
@@ -13,9 +13,9 @@
 import kitemux.Balancer.RequestClass;
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.net.HostList;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 
 /**
  * What operators do to a node while it runs: take servers out and back, send its clients away, ask whether it
@@ -28,7 +28,7 @@
 
     private final Served node;
     private final Executor onLoop;
-    private final Time time;
+    private final Clock time;
     private final Log log;
     private final ServersByHand servers = new ServersByHand();
     private final Figures figures;
@@ -63,8 +63,8 @@
             Served node,
             EventLoopGroup loop,
             Executor onLoop,
-            Time time,
-            Sockets sockets,
+            Clock time,
+            SocketBudget sockets,
             List<RequestClass> classes,
             Path tmp,
             InetSocketAddress clientsAt,
@@ -98,7 +98,7 @@
 
     private void takeOut(Map<String, Long> ids) {
         List<HostList.Host> changes = servers.takeOut(ids, time.nowUs());
-        log.line("out by hand: " + ids.keySet());
+        log.info("out by hand: " + ids.keySet());
         if (!changes.isEmpty()) {
             node.changed(changes);
         }
@@ -116,7 +116,7 @@
 
     /** Clients can connect to this process now; it takes the place of any that did before. */
     public void serves() {
-        folder.serves(e -> log.line("a process before this one cannot be told that it is replaced: " + e));
+        folder.serves(e -> log.info("a process before this one cannot be told that it is replaced: " + e));
     }
 
     /** Whether another process of this node takes clients in place of this one. From any thread. */
@@ -153,7 +153,7 @@
             set(path.substring((down ? DOWN : UP).length()), down, answer);
         } else {
             boolean away = path.endsWith("/start");
-            log.line(away ? "clients are sent away" : "clients are sent away no more");
+            log.info(away ? "clients are sent away" : "clients are sent away no more");
             node.sendAway(away);
             answer.give(200, away ? "sending clients away\n" : "taking clients\n");
         }
@@ -179,7 +179,7 @@
                         if (fault == null) {
                             answer.give(200, out ? "out\n" : "back\n");
                         } else {
-                            log.line("what operators asked of server " + id + " cannot be kept: " + fault);
+                            log.info("what operators asked of server " + id + " cannot be kept: " + fault);
                             answer.give(500, "cannot be kept, nothing has changed: " + fault + "\n");
                         }
                     }));
--- a/src/main/java/kitemux/ops/OperatorServer.java
+++ b/src/main/java/kitemux/ops/OperatorServer.java
@@ -27,7 +27,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import kitemux.net.NioNetwork;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 
 /**
  * Where operators call: HTTP/1.1, one call a connection. It knows framing and callers that are slow; what a
@@ -40,7 +40,7 @@
     static final long MOST_MS = 5_000;
 
     private final EventLoopGroup loop;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final Calls calls;
     /** Those that are open, the oldest first. */
     private final Set<Channel> callers = new LinkedHashSet<>();
@@ -59,7 +59,7 @@
         void give(int status, String text);
     }
 
-    OperatorServer(EventLoopGroup loop, Sockets sockets, Calls calls) {
+    OperatorServer(EventLoopGroup loop, SocketBudget sockets, Calls calls) {
         this.loop = loop;
         this.sockets = sockets;
         this.calls = calls;
@@ -84,10 +84,10 @@
     }
 
     private void accepted(Channel channel) {
-        sockets.opened();
+        sockets.serverConnectionOpened();
         callers.add(channel);
         channel.closeFuture().addListener(done -> {
-            sockets.closed();
+            sockets.serverConnectionClosed();
             callers.remove(channel);
         });
         if (callers.size() > MOST_CALLERS) {
--- a/src/main/java/kitemux/ops/ServersByHand.java
+++ b/src/main/java/kitemux/ops/ServersByHand.java
@@ -27,7 +27,7 @@
 
     /** The list that holds, given one of discovery's, in its order. */
     HostList told(HostList list) {
-        if (list.all()) {
+        if (list.isFull()) {
             listed.clear();
         }
         for (HostList.Host host : list.hosts()) {
@@ -39,14 +39,14 @@
                 listed.put(id, host);
             }
         }
-        if (list.all()) {
+        if (list.isFull()) {
             back.keySet().retainAll(listed.keySet());
         }
         return out.isEmpty() && back.isEmpty()
                 ? list
                 : new HostList(
-                        list.rev(),
-                        list.all(),
+                        list.revision(),
+                        list.isFull(),
                         list.hosts().stream().map(this::holds).toList());
     }
 
--- a/src/main/java/kitemux/orders/Kin.java
+++ b/src/main/java/kitemux/orders/DuplicateMatch.java
@@ -1,9 +1,9 @@
 package kitemux.orders;
 
-import kitemux.orders.Entry.Taken;
+import kitemux.orders.Entry.Accepted;
 
 /** Whether two requests of different ids may be the same order, tried again by a client under a new id. */
-public enum Kin {
+public enum DuplicateMatch {
     /** Nothing says so. */
     NONE(""),
     /** The client gave both the same key for their effect. */
@@ -11,19 +11,19 @@
     /** Tenant, path and body are the same; a client that meant two alike would have sent just that. */
     PERHAPS("perhaps the same, with the same path and body; the journal cannot tell");
 
-    private final String words;
+    private final String description;
 
-    Kin(String words) {
-        this.words = words;
+    DuplicateMatch(String words) {
+        this.description = words;
     }
 
     /** For the desk. */
-    public String words() {
-        return words;
+    public String description() {
+        return description;
     }
 
     /** What one is to another. */
-    public static Kin of(Taken one, Taken other) {
+    public static DuplicateMatch of(Accepted one, Accepted other) {
         if (one.number() == other.number()
                 || !one.requestClass().equals(other.requestClass())
                 || !one.tenant().equals(other.tenant())) {
--- a/src/main/java/kitemux/orders/Entry.java
+++ b/src/main/java/kitemux/orders/Entry.java
@@ -17,7 +17,7 @@
     /**
      * A request has come whole.
      *
-     * @param order the client's id for it
+     * @param orderId the client's id for it
      * @param requestClass its class by name
      * @param tenant by name; empty if it has none that the settings know
      * @param key the last part of its path; empty if there is none
@@ -25,10 +25,10 @@
      * @param bodyBytes length of its body
      * @param digest SHA-256 of its body, {@link #DIGEST} bytes
      */
-    record Taken(
+    record Accepted(
             long number,
             long atUs,
-            String order,
+            String orderId,
             String requestClass,
             String tenant,
             String key,
@@ -43,9 +43,9 @@
      * @param attempt its number among the request's, from 0
      * @param server the server's uid
      * @param endpoint the address that discovery gave for it; empty if that is not known
-     * @param untilUs when the attempt is given up
+     * @param deadlineUs when the attempt is given up
      */
-    record Intent(long number, long atUs, int attempt, String server, String endpoint, long untilUs) implements Entry {}
+    record Intent(long number, long atUs, int attempt, String server, String endpoint, long deadlineUs) implements Entry {}
 
     /** How an attempt ended; where it may have run nobody can say that it did not. */
     record Ended(long number, long atUs, int attempt, Result result, boolean mayHaveRun) implements Entry {}
@@ -66,7 +66,7 @@
      */
     record Checkpoint(long number, long atUs, List<Long> open, boolean last) implements Entry {
         /** So many fit into an entry. */
-        static final int MOST_OPEN = 4_000;
+        static final int MAX_OPEN_COUNT = 4_000;
 
         /** Keeps a copy. */
         public Checkpoint {
--- a/src/main/java/kitemux/orders/EntryCodec.java
+++ b/src/main/java/kitemux/orders/EntryCodec.java
@@ -15,7 +15,7 @@
 import kitemux.orders.Entry.Intent;
 import kitemux.orders.Entry.LeftOpen;
 import kitemux.orders.Entry.Result;
-import kitemux.orders.Entry.Taken;
+import kitemux.orders.Entry.Accepted;
 
 /**
  * Entries as bytes: what stands inside a frame. The form is written down in docs/order-journal.md, section
@@ -52,9 +52,9 @@
     }
 
     private static void write(DataOutputStream out, Entry entry) throws IOException {
-        if (entry instanceof Taken taken) {
+        if (entry instanceof Accepted taken) {
             head(out, TAKEN, entry);
-            text(out, taken.order());
+            text(out, taken.orderId());
             text(out, taken.requestClass());
             text(out, taken.tenant());
             text(out, taken.key());
@@ -64,7 +64,7 @@
         } else if (entry instanceof Intent intent) {
             head(out, INTENT, entry);
             out.writeShort(intent.attempt());
-            out.writeLong(intent.untilUs());
+            out.writeLong(intent.deadlineUs());
             text(out, intent.server());
             text(out, intent.endpoint());
         } else if (entry instanceof Ended ended) {
@@ -130,7 +130,7 @@
         long atUs = in.getLong();
         return switch (type) {
             case TAKEN ->
-                new Taken(
+                new Accepted(
                         number,
                         atUs,
                         text(in),
--- a/src/main/java/kitemux/orders/Journal.java
+++ b/src/main/java/kitemux/orders/Journal.java
@@ -42,7 +42,7 @@
     private final OpenOrders open;
     private SegmentIndex.Builder index = new SegmentIndex.Builder();
     private Header header;
-    private Disk.Out out;
+    private Disk.OutputFile out;
     private long length;
 
     private Journal(
@@ -125,7 +125,7 @@
             // Never deleted: whoever looks for an order may find more in it than this program does.
             log.accept("orders: " + name + " has no whole beginning and is set aside");
             disk.rename(name, name + SegmentNames.ASIDE);
-            disk.syncFolder();
+            disk.syncDirectory();
             return;
         }
         for (Fault fault : content.faults()) {
@@ -169,7 +169,7 @@
             length = Segment.HEADER;
             write(open.checkpoint(clockUs.getAsLong()));
             out.sync();
-            disk.syncFolder();
+            disk.syncDirectory();
         } catch (IOException e) {
             // Nothing that anybody was told of is in it. A disk that is full would else be tried again and
             // again, and fill up with beginnings.
--- a/src/main/java/kitemux/orders/JournalReader.java
+++ b/src/main/java/kitemux/orders/JournalReader.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import kitemux.disk.Disk;
 import kitemux.orders.Entry.Checkpoint;
-import kitemux.orders.Entry.Taken;
+import kitemux.orders.Entry.Accepted;
 import kitemux.orders.Segment.Content;
 import kitemux.orders.Segment.Fault;
 import kitemux.orders.Segment.Placed;
@@ -54,20 +54,20 @@
      * have not, were taken. Those that are over are handed on as they end: what is held at a time is what was
      * open at once.
      */
-    public void stories(Predicate<Taken> about, Consumer<Story> found) throws IOException {
-        stories(null, about, found);
+    public void forEachHistory(Predicate<Accepted> about, Consumer<OrderHistory> found) throws IOException {
+        forEachHistory(null, about, found);
     }
 
     /**
      * The same of those only that have one of these ids, keys or idempotency keys; segments whose index says
      * that they took none of them are not read.
      */
-    public void storiesOf(
+    public void findHistories(
             Set<String> orders,
             Set<String> keys,
             Set<String> idempotencyKeys,
-            Predicate<Taken> about,
-            Consumer<Story> found)
+            Predicate<Accepted> about,
+            Consumer<OrderHistory> found)
             throws IOException {
         long[] hashes = Stream.of(
                         orders.stream().map(By.ORDER::hash),
@@ -76,31 +76,31 @@
                 .flatMap(each -> each)
                 .mapToLong(Long::longValue)
                 .toArray();
-        stories(
+        forEachHistory(
                 hashes,
-                about.and(taken -> orders.contains(taken.order())
+                about.and(taken -> orders.contains(taken.orderId())
                         || keys.contains(taken.key())
                         || idempotencyKeys.contains(taken.idempotencyKey())),
                 found);
     }
 
-    private void stories(long[] hashes, Predicate<Taken> about, Consumer<Story> found) throws IOException {
-        Map<Long, Story> open = new LinkedHashMap<>();
+    private void forEachHistory(long[] hashes, Predicate<Accepted> about, Consumer<OrderHistory> found) throws IOException {
+        Map<Long, OrderHistory> open = new LinkedHashMap<>();
         long[] highest = new long[1];
         // Stories that are not over go on in the next segment.
         each(segment -> hashes == null || !open.isEmpty() || mayHold(segment, hashes), (name, last, content) -> {
             for (Placed placed : content.entries()) {
                 Entry entry = placed.entry();
-                Story story = open.get(entry.number());
-                if (entry instanceof Taken taken) {
+                OrderHistory story = open.get(entry.number());
+                if (entry instanceof Accepted taken) {
                     // Written once more where a disk failed in between: of that the first alone counts.
                     if (taken.number() > highest[0] && about.test(taken)) {
-                        open.put(taken.number(), new Story(taken));
+                        open.put(taken.number(), new OrderHistory(taken));
                     }
                     highest[0] = Math.max(highest[0], taken.number());
                 } else if (story != null && !(entry instanceof Checkpoint)) {
                     story.add(entry);
-                    if (story.isOver()) {
+                    if (story.isComplete()) {
                         open.remove(entry.number());
                         found.accept(story);
                     }
@@ -111,12 +111,12 @@
     }
 
     private boolean mayHold(long segment, long[] hashes) {
-        SegmentIndex index = index(segment);
+        SegmentIndex index = rebuildIndexes(segment);
         return index == null || index.mayHold(hashes);
     }
 
     /** A segment's index, or null if there is none that is sound and of it as it stands. */
-    private SegmentIndex index(long segment) {
+    private SegmentIndex rebuildIndexes(long segment) {
         try {
             SegmentIndex index = SegmentIndex.read(disk.read(SegmentNames.index(segment)));
             return index != null && index.isOf(segment, disk.size(SegmentNames.of(segment))) ? index : null;
@@ -130,11 +130,11 @@
      *
      * @return how many
      */
-    public int index() throws IOException {
+    public int rebuildIndexes() throws IOException {
         List<Long> segments = SegmentNames.sequences(disk.list());
         int made = 0;
         for (long segment : segments.subList(0, Math.max(0, segments.size() - 1))) {
-            if (index(segment) == null) {
+            if (rebuildIndexes(segment) == null) {
                 byte[] bytes = disk.read(SegmentNames.of(segment));
                 SegmentIndex.Builder builder = new SegmentIndex.Builder();
                 Segment.read(bytes).entries().forEach(placed -> builder.add(placed.entry()));
@@ -156,7 +156,7 @@
             if (disk.list().contains(name + ".new")) {
                 disk.delete(name + ".new");
             }
-            try (Disk.Out out = disk.create(name + ".new")) {
+            try (Disk.OutputFile out = disk.create(name + ".new")) {
                 out.write(bytes);
             }
             disk.rename(name + ".new", name);
@@ -175,10 +175,10 @@
      * @param tornBytes at the end of the last file, as a process leaves them that dies while it writes, or
      *     one that is writing now: no fault
      */
-    public record Verdict(int segments, long entries, List<String> faults, int tornBytes) {}
+    public record VerificationResult(int segments, long entries, List<String> faults, int tornBytes) {}
 
     /** Checks every byte. */
-    public Verdict verify() throws IOException {
+    public VerificationResult verify() throws IOException {
         List<String> faults = new ArrayList<>();
         int[] segments = new int[1];
         long[] entries = new long[1];
@@ -199,6 +199,6 @@
                 faults.add(name + ": says that it is number " + content.header().sequence());
             }
         });
-        return new Verdict(segments[0], entries[0], faults, torn[0]);
+        return new VerificationResult(segments[0], entries[0], faults, torn[0]);
     }
 }
--- a/src/main/java/kitemux/orders/OrderLog.java
+++ b/src/main/java/kitemux/orders/JournalWriter.java
@@ -18,16 +18,16 @@
  * somebody waits for is turned away when it is three quarters full, what tells of something that has happened
  * already only when it is full, and is counted then, as what it told will be found unknown.
  */
-public final class OrderLog {
+public final class JournalWriter {
     /** Entries that wait to be written. Guards memory while a disk is slow: some 8 MB at most. */
-    static final int MOST_QUEUED = 4_096;
+    static final int MAX_QUEUED_COUNT = 4_096;
 
-    private static final int MOST_AWAITED = MOST_QUEUED / 4 * 3;
+    private static final int MAX_QUEUED_FOR_COMMIT_COUNT = MAX_QUEUED_COUNT / 4 * 3;
     /** Between two tries at a disk that failed. */
-    static final long RETRY_MS = 500;
+    static final long RETRY_INTERVAL_MS = 500;
 
     /** What a commit promises. */
-    public enum Sync {
+    public enum SyncPolicy {
         /** What is told durable survives a crash of the machine; what nobody waits for, once it is synced. */
         EACH,
         /** It survives the process; a crash of the machine takes what came since the last sync. */
@@ -40,7 +40,7 @@
     private record Item(Supplier<Entry> entry, Consumer<Boolean> told) {}
 
     private final Opener opener;
-    private final Sync sync;
+    private final SyncPolicy sync;
     private final long syncNanos;
     private final Executor loop;
     private final Consumer<String> log;
@@ -67,7 +67,7 @@
         Journal open(Journal failed) throws IOException;
     }
 
-    private OrderLog(Opener opener, Journal journal, Sync sync, long syncMs, Executor loop, Consumer<String> log) {
+    private JournalWriter(Opener opener, Journal journal, SyncPolicy sync, long syncMs, Executor loop, Consumer<String> log) {
         this.opener = opener;
         this.journal = journal;
         this.sync = sync;
@@ -87,9 +87,9 @@
      * @param log for the operators, from the writer's thread
      * @throws IOException if it cannot be opened
      */
-    static OrderLog start(Opener opener, Sync sync, long syncMs, Executor loop, Consumer<String> log)
+    static JournalWriter start(Opener opener, SyncPolicy sync, long syncMs, Executor loop, Consumer<String> log)
             throws IOException {
-        OrderLog orders = new OrderLog(opener, opener.open(null), sync, syncMs, loop, log);
+        JournalWriter orders = new JournalWriter(opener, opener.open(null), sync, syncMs, loop, log);
         orders.writer.start();
         return orders;
     }
@@ -101,7 +101,7 @@
      * @param told true once it is durable, false if it is not going to be; on the loop, never from inside
      */
     void commit(Supplier<Entry> entry, Consumer<Boolean> told) {
-        if (closing || queued.get() >= MOST_AWAITED) {
+        if (closing || queued.get() >= MAX_QUEUED_FOR_COMMIT_COUNT) {
             refused.incrementAndGet();
             loop.execute(() -> told.accept(false));
             return;
@@ -110,8 +110,8 @@
     }
 
     /** Notes something that has happened; nobody waits for it. False if there is no room: it is lost. */
-    boolean note(Supplier<Entry> entry) {
-        if (queued.get() >= MOST_QUEUED) {
+    boolean append(Supplier<Entry> entry) {
+        if (queued.get() >= MAX_QUEUED_COUNT) {
             lost.incrementAndGet();
             return false;
         }
@@ -126,17 +126,17 @@
     }
 
     /** Somebody would wait no longer: the send is refused, whatever becomes of its record. */
-    void countLate() {
+    void countTimedOut() {
         refused.incrementAndGet();
     }
 
     /** Commits that were turned away, or failed, or came too late. */
-    long refusedCount() {
+    long rejectedCommitCount() {
         return refused.get();
     }
 
     /** Entries that were never written: what they told will be found unknown. */
-    long lostCount() {
+    long lostEntryCount() {
         return lost.get();
     }
 
@@ -169,7 +169,7 @@
     /** Adds what has come to what could not be written yet. */
     private void take(List<Item> batch) {
         Item item;
-        while (batch.size() < MOST_QUEUED && (item = queue.poll()) != null) {
+        while (batch.size() < MAX_QUEUED_COUNT && (item = queue.poll()) != null) {
             batch.add(item);
         }
     }
@@ -182,7 +182,7 @@
             unsyncedNanos = unsynced ? unsyncedNanos : System.nanoTime();
             unsynced = true;
             // What has happened goes with the next sync: the next order would else wait for it first.
-            if (sync == Sync.EACH && batch.stream().anyMatch(item -> item.told != null)) {
+            if (sync == SyncPolicy.EACH && batch.stream().anyMatch(item -> item.told != null)) {
                 sync();
             }
         } catch (IOException e) {
@@ -205,7 +205,7 @@
 
     /** What nobody waits for. */
     private void syncIfDue() {
-        if (journal == null || sync == Sync.NEVER || !unsynced || System.nanoTime() - unsyncedNanos < syncNanos) {
+        if (journal == null || sync == SyncPolicy.NEVER || !unsynced || System.nanoTime() - unsyncedNanos < syncNanos) {
             return;
         }
         try {
@@ -233,7 +233,7 @@
     }
 
     private boolean mayRetry() {
-        return System.nanoTime() - failedNanos >= TimeUnit.MILLISECONDS.toNanos(RETRY_MS);
+        return System.nanoTime() - failedNanos >= TimeUnit.MILLISECONDS.toNanos(RETRY_INTERVAL_MS);
     }
 
     private void reopen() {
@@ -270,8 +270,8 @@
             return;
         }
         if (journal == null) {
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(RETRY_MS / 10));
-        } else if (sync != Sync.NEVER && unsynced) {
+            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(RETRY_INTERVAL_MS / 10));
+        } else if (sync != SyncPolicy.NEVER && unsynced) {
             LockSupport.parkNanos(Math.max(1, syncNanos - (System.nanoTime() - unsyncedNanos)));
         } else if (queue.isEmpty()) {
             LockSupport.park(this);
--- a/src/main/java/kitemux/orders/OpenOrders.java
+++ b/src/main/java/kitemux/orders/OpenOrders.java
@@ -9,7 +9,7 @@
 import kitemux.orders.Entry.Ended;
 import kitemux.orders.Entry.Intent;
 import kitemux.orders.Entry.LeftOpen;
-import kitemux.orders.Entry.Taken;
+import kitemux.orders.Entry.Accepted;
 
 /** Which requests of a journal are owed an answer or have attempts out, as its entries go by. */
 final class OpenOrders {
@@ -27,7 +27,7 @@
      */
     void add(Entry entry) {
         next = Math.max(next, entry instanceof Checkpoint ? entry.number() : entry.number() + 1);
-        if (entry instanceof Taken) {
+        if (entry instanceof Accepted) {
             open.put(entry.number(), new Open());
         } else if (entry instanceof Checkpoint point) {
             // Attempts that were out then count as one: those that it does not tell of end unknown.
@@ -73,7 +73,7 @@
         List<Entry> parts = new ArrayList<>();
         int from = 0;
         do {
-            int to = Math.min(numbers.size(), from + Checkpoint.MOST_OPEN);
+            int to = Math.min(numbers.size(), from + Checkpoint.MAX_OPEN_COUNT);
             parts.add(new Checkpoint(next, atUs, numbers.subList(from, to), to == numbers.size()));
             from = to;
         } while (from < numbers.size());
--- a/src/main/java/kitemux/orders/Story.java
+++ b/src/main/java/kitemux/orders/OrderHistory.java
@@ -8,10 +8,10 @@
 import kitemux.orders.Entry.Intent;
 import kitemux.orders.Entry.LeftOpen;
 import kitemux.orders.Entry.Result;
-import kitemux.orders.Entry.Taken;
+import kitemux.orders.Entry.Accepted;
 
 /** What a journal knows of one request, and what may be said of it honestly. */
-public final class Story {
+public final class OrderHistory {
     /** What can be said of a request. */
     public enum State {
         /** Nothing was ever written to a server. */
@@ -39,14 +39,14 @@
         }
     }
 
-    private final Taken taken;
+    private final Accepted accepted;
     private final List<Attempt> attempts = new ArrayList<>();
     private Answered answered;
     private LeftOpen leftOpen;
 
     /** Begins with its being taken. */
-    public Story(Taken taken) {
-        this.taken = taken;
+    public OrderHistory(Accepted taken) {
+        this.accepted = taken;
     }
 
     /** Goes on with an entry of the same number; one that fits nothing is passed over. */
@@ -64,13 +64,13 @@
     }
 
     /** Whether nothing more will be said of it. */
-    public boolean isOver() {
+    public boolean isComplete() {
         return leftOpen != null || answered != null && attempts.stream().allMatch(a -> a.ended != null);
     }
 
     /** How it was taken. */
-    public Taken taken() {
-        return taken;
+    public Accepted accepted() {
+        return accepted;
     }
 
     /** Its attempts in their order. */
@@ -84,7 +84,7 @@
     }
 
     /** The attempt that tells most: one that a server answered, else one that may have run; else null. */
-    public Attempt telling() {
+    public Attempt decisiveAttempt() {
         Attempt found = null;
         for (Attempt attempt : attempts) {
             if (attempt.isAnswered() && attempt.ended.result() == Result.OK) {
@@ -103,11 +103,11 @@
      * @param live whether the node that took it is still at work
      */
     public State state(boolean live) {
-        Attempt telling = telling();
+        Attempt telling = decisiveAttempt();
         if (telling != null && telling.isAnswered()) {
             return State.ANSWERED;
         }
-        if (live && !isOver() && answered == null) {
+        if (live && !isComplete() && answered == null) {
             return State.UNDER_WAY;
         }
         if (telling != null) {
--- a/src/main/java/kitemux/orders/StoryText.java
+++ b/src/main/java/kitemux/orders/OrderHistoryText.java
@@ -9,24 +9,24 @@
 import java.time.temporal.ChronoUnit;
 import java.util.Locale;
 import kitemux.orders.Entry.Result;
-import kitemux.orders.Entry.Taken;
-import kitemux.orders.Story.Attempt;
+import kitemux.orders.Entry.Accepted;
+import kitemux.orders.OrderHistory.Attempt;
 
 /** Stories as the desk reads them: a sentence, a line of JSON or a line of CSV. */
-public final class StoryText {
+public final class OrderHistoryText {
     /** The first line of an export as CSV. */
-    public static final String CSV_HEAD =
+    public static final String CSV_HEADER =
             "order,class,tenant,key,taken,state,server,endpoint,sent,result,ended,answer,answered," + "body_sha256";
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private StoryText() {}
+    private OrderHistoryText() {}
 
     /** A sentence. */
-    public static String sentence(Story story, boolean live) {
-        Taken taken = story.taken();
+    public static String toSentence(OrderHistory story, boolean live) {
+        Accepted taken = story.accepted();
         StringBuilder text =
-                new StringBuilder("order ").append(taken.order()).append(" (").append(taken.requestClass());
+                new StringBuilder("order ").append(taken.orderId()).append(" (").append(taken.requestClass());
         if (!taken.tenant().isEmpty()) {
             text.append(", ").append(taken.tenant());
         }
@@ -49,8 +49,8 @@
         return text.toString();
     }
 
-    private static String fate(Story story, boolean live) {
-        Attempt attempt = story.telling();
+    private static String fate(OrderHistory story, boolean live) {
+        Attempt attempt = story.decisiveAttempt();
         return switch (story.state(live)) {
             case NEVER_SENT -> "never sent";
             case REFUSED -> "refused, no server ran it";
@@ -79,20 +79,20 @@
     }
 
     /** One line of JSON. */
-    public static String json(Story story, boolean live) {
-        return json(story, live, Kin.NONE);
+    public static String toJson(OrderHistory story, boolean live) {
+        return toJson(story, live, DuplicateMatch.NONE);
     }
 
     /** One line of JSON, of an order that is kin to one that was asked for. */
-    public static String json(Story story, boolean live, Kin kin) {
+    public static String toJson(OrderHistory story, boolean live, DuplicateMatch kin) {
         StringWriter line = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(line)) {
-            Taken taken = story.taken();
+            Accepted taken = story.accepted();
             out.writeStartObject();
-            if (kin != Kin.NONE) {
+            if (kin != DuplicateMatch.NONE) {
                 out.writeStringField("kin", kin.name().toLowerCase(Locale.ROOT));
             }
-            out.writeStringField("order", taken.order());
+            out.writeStringField("order", taken.orderId());
             out.writeStringField("class", taken.requestClass());
             out.writeStringField("tenant", taken.tenant());
             out.writeStringField("key", taken.key());
@@ -128,16 +128,16 @@
     }
 
     /**
-     * One line of CSV (RFC 4180), as {@link #CSV_HEAD} names the columns; of attempts the one that tells
+     * One line of CSV (RFC 4180), as {@link #CSV_HEADER} names the columns; of attempts the one that tells
      * most.
      */
-    public static String csv(Story story, boolean live) {
-        Taken taken = story.taken();
-        Attempt attempt = story.telling();
+    public static String toCsv(OrderHistory story, boolean live) {
+        Accepted taken = story.accepted();
+        Attempt attempt = story.decisiveAttempt();
         boolean over = attempt != null && attempt.ended() != null;
         return String.join(
                 ",",
-                cell(taken.order()),
+                cell(taken.orderId()),
                 cell(taken.requestClass()),
                 cell(taken.tenant()),
                 cell(taken.key()),
--- a/src/main/java/kitemux/orders/Orders.java
+++ b/src/main/java/kitemux/orders/OrderJournal.java
@@ -9,19 +9,19 @@
 import java.util.function.Consumer;
 import kitemux.Balancer.Settings;
 import kitemux.disk.FolderDisk;
-import kitemux.engine.Asked;
-import kitemux.engine.Time;
+import kitemux.engine.RequestInfo;
+import kitemux.engine.Clock;
 
 /** A node's journal, open: its folder's lock, its writer and its keeper. */
-public final class Orders {
+public final class OrderJournal {
     private static final long HOUR_US = 3_600_000_000L;
 
     private final FolderDisk disk;
-    private final OrderLog log;
+    private final JournalWriter log;
     private final long next;
     private final Consumer<String> say;
 
-    private Orders(FolderDisk disk, OrderLog log, long next, Consumer<String> say) {
+    private OrderJournal(FolderDisk disk, JournalWriter log, long next, Consumer<String> say) {
         this.say = say;
         this.disk = disk;
         this.log = log;
@@ -35,13 +35,13 @@
      * @param say lines for the operators, from any thread
      * @throws IOException if it cannot be opened, also as another node holds it; the message says why
      */
-    public static Orders open(OrderSettings settings, Time time, Executor loop, Consumer<String> say)
+    public static OrderJournal open(OrderSettings settings, Clock time, Executor loop, Consumer<String> say)
             throws IOException {
-        FolderDisk disk = FolderDisk.toWrite(settings.folder());
+        FolderDisk disk = FolderDisk.openForWriting(settings.folder());
         try {
             SecureRandom random = new SecureRandom();
             long[] next = new long[1];
-            OrderLog log = OrderLog.start(
+            JournalWriter log = JournalWriter.start(
                     failed -> {
                         if (failed != null) {
                             return Journal.goOn(failed);
@@ -51,8 +51,8 @@
                                 new Journal.Limits(
                                         settings.segmentBytes(),
                                         settings.segmentHours() * HOUR_US,
-                                        settings.keepDays() * 24 * HOUR_US,
-                                        settings.keepBytes()),
+                                        settings.retentionDays() * 24 * HOUR_US,
+                                        settings.maxTotalBytes()),
                                 time::nowUs,
                                 random::nextLong,
                                 say);
@@ -60,10 +60,10 @@
                         return journal;
                     },
                     settings.sync(),
-                    settings.syncMs(),
+                    settings.syncDelayMs(),
                     loop,
                     say);
-            return new Orders(disk, log, next[0], say);
+            return new OrderJournal(disk, log, next[0], say);
         } catch (IOException e) {
             disk.close();
             throw e;
@@ -71,17 +71,17 @@
     }
 
     /** What an engine is to be given; once. */
-    public <Q extends Asked> OrderKeeper<Q> keeper(OrderSettings how, Settings settings, Time time) {
-        return new OrderKeeper<>(settings, time, log, next, how);
+    public <Q extends RequestInfo> OrderRecorder<Q> recorder(OrderSettings how, Settings settings, Clock time) {
+        return new OrderRecorder<>(settings, time, log, next, how);
     }
 
     /** Writes and syncs what has come, and lets go of the folder. Not to be called on the loop. */
     public void close() throws IOException, InterruptedException {
         log.close();
         disk.close();
-        if (log.refusedCount() + log.lostCount() > 0) {
-            say.accept("orders: " + log.refusedCount() + " sends were refused for want of their record, "
-                    + log.lostCount() + " entries were lost");
+        if (log.rejectedCommitCount() + log.lostEntryCount() > 0) {
+            say.accept("orders: " + log.rejectedCommitCount() + " sends were refused for want of their record, "
+                    + log.lostEntryCount() + " entries were lost");
         }
     }
 
@@ -90,11 +90,11 @@
         if (!Files.isDirectory(folder)) {
             throw new NotDirectoryException(folder.toString());
         }
-        return new JournalReader(FolderDisk.toRead(folder));
+        return new JournalReader(FolderDisk.openForReading(folder));
     }
 
     /** Whether a node writes to this folder now. */
     public static boolean isLive(Path folder) throws IOException {
-        return FolderDisk.isWrittenTo(folder);
+        return FolderDisk.isLockedByWriter(folder);
     }
 }
--- a/src/main/java/kitemux/orders/OrderKeeper.java
+++ b/src/main/java/kitemux/orders/OrderRecorder.java
@@ -7,17 +7,17 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import kitemux.Balancer;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.orders.Entry.Answered;
 import kitemux.orders.Entry.Ended;
 import kitemux.orders.Entry.Intent;
-import kitemux.orders.Entry.Taken;
+import kitemux.orders.Entry.Accepted;
 
 /**
  * Keeps the journal of what an engine does with requests of the classes that must never run twice, and of
@@ -26,17 +26,17 @@
  *
  * @param <Q> requests of the protocol
  */
-public final class OrderKeeper<Q extends Asked> implements Observer, SendGate<Q> {
+public final class OrderRecorder<Q extends RequestInfo> implements Observer, SendGate<Q> {
     /**
      * Bytes of bodies that wait for the writer to digest them, but for one that waits alone. A request may be
      * over long before a disk that is late has its entry, and its body would fill the memory meanwhile. Harm:
      * beyond it the loop stands still for a digest, some 2 ms for each MiB.
      */
-    static final long MOST_WAITING = 8 << 20;
+    static final long MAX_PENDING_BODY_BYTES = 8 << 20;
 
     private final Settings settings;
-    private final Time time;
-    private final OrderLog orders;
+    private final Clock time;
+    private final JournalWriter orders;
     private final OrderSettings how;
     private final Map<Long, Long> numbers = new HashMap<>();
     /** Also changed by the writer. */
@@ -50,7 +50,7 @@
      * @param next the number for the first request that is taken
      * @param how which classes are kept, and how long a send waits for its record
      */
-    OrderKeeper(Settings settings, Time time, OrderLog orders, long next, OrderSettings how) {
+    OrderRecorder(Settings settings, Clock time, JournalWriter orders, long next, OrderSettings how) {
         this.settings = settings;
         this.time = time;
         this.orders = orders;
@@ -60,11 +60,11 @@
 
     private boolean isKept(int classIndex) {
         RequestClass of = settings.classes.get(classIndex);
-        return of.repeat() == Repeat.UNSAFE || how.classes().contains(of.name());
+        return of.retrySafety() == RetrySafety.UNSAFE || how.classes().contains(of.name());
     }
 
     @Override
-    public void taken(long id, Asked request) {
+    public void onRequestAccepted(long id, RequestInfo request) {
         if (!isKept(request.classIndex())) {
             return;
         }
@@ -81,16 +81,16 @@
         List<byte[]> body = request.body();
         int length = body.stream().mapToInt(part -> part.length).sum();
         long before = waiting.get();
-        if (before > 0 && before + length > MOST_WAITING) {
+        if (before > 0 && before + length > MAX_PENDING_BODY_BYTES) {
             Digest digest = Digest.of(body);
-            orders.note(() -> new Taken(number, now, txn, of.name(), tenant, key, idempotencyKey, length, digest));
+            orders.append(() -> new Accepted(number, now, txn, of.name(), tenant, key, idempotencyKey, length, digest));
             return;
         }
         // The digest is the writer's work: of a long body it would hold the loop up.
         waiting.addAndGet(length);
         LateDigest digest = new LateDigest(body, () -> waiting.addAndGet(-length));
-        if (!orders.note(
-                () -> new Taken(number, now, txn, of.name(), tenant, key, idempotencyKey, length, digest.get()))) {
+        if (!orders.append(
+                () -> new Accepted(number, now, txn, of.name(), tenant, key, idempotencyKey, length, digest.get()))) {
             waiting.addAndGet(-length);
         }
     }
@@ -117,12 +117,12 @@
     }
 
     /** Bytes of bodies that wait for the writer. */
-    long waitingBytes() {
+    long pendingBodyBytes() {
         return waiting.get();
     }
 
     @Override
-    public void before(
+    public void admit(
             long id,
             Q request,
             int attempt,
@@ -137,10 +137,10 @@
         }
         Intent intent = new Intent(number, time.nowUs(), attempt, serverId, endpoint.get(), untilUs);
         boolean[] told = {false};
-        Time.Timer patience = time.after(how.lateMs() * 1_000, () -> {
+        Clock.Timer patience = time.schedule(how.commitTimeoutMs() * 1_000, () -> {
             if (!told[0]) {
                 told[0] = true;
-                orders.countLate();
+                orders.countTimedOut();
                 then.accept(false);
             }
         });
@@ -155,29 +155,29 @@
 
     @Override
     public long retryAfterUs() {
-        return Math.min(OrderLog.RETRY_MS * 1_000, settings.maxRetryAfterUs);
+        return Math.min(JournalWriter.RETRY_INTERVAL_MS * 1_000, settings.maxRetryAfterUs);
     }
 
     @Override
-    public void ended(long id, int attempt, Balancer.Result result) {
+    public void onAttemptEnded(long id, int attempt, Balancer.Result result) {
         Long number = numbers.get(id);
         if (number != null) {
             long now = time.nowUs();
-            orders.note(() -> new Ended(number, now, attempt, Entry.Result.valueOf(result.name()), !result.neverRan));
+            orders.append(() -> new Ended(number, now, attempt, Entry.Result.valueOf(result.name()), !result.neverRan));
         }
     }
 
     @Override
-    public void answered(long id, Answer answer) {
+    public void onRequestAnswered(long id, RequestOutcome answer) {
         Long number = numbers.get(id);
         if (number != null) {
             long now = time.nowUs();
-            orders.note(() -> new Answered(number, now, Entry.Answer.valueOf(answer.name())));
+            orders.append(() -> new Answered(number, now, Entry.Answer.valueOf(answer.name())));
         }
     }
 
     @Override
-    public void forgotten(long id) {
+    public void onRequestReleased(long id) {
         numbers.remove(id);
     }
 }
--- a/src/main/java/kitemux/orders/OrderSettings.java
+++ b/src/main/java/kitemux/orders/OrderSettings.java
@@ -14,23 +14,23 @@
  *
  * @param folder where; made where it is not there
  * @param sync what a commit promises
- * @param syncMs what nobody waits for is synced so long after it was written, unless it is never synced
- * @param lateMs a send waits for its record no longer than this
+ * @param syncDelayMs what nobody waits for is synced so long after it was written, unless it is never synced
+ * @param commitTimeoutMs a send waits for its record no longer than this
  * @param segmentBytes after so many a segment is ended
  * @param segmentHours or when it was begun so long ago
- * @param keepDays segments that ended so many days ago are taken away; 0 keeps them however old
- * @param keepBytes the oldest are taken away while all together have more; 0 keeps them however many
+ * @param retentionDays segments that ended so many days ago are taken away; 0 keeps them however old
+ * @param maxTotalBytes the oldest are taken away while all together have more; 0 keeps them however many
  * @param classes of requests that are kept besides those that must never run twice
  */
 public record OrderSettings(
         Path folder,
-        OrderLog.Sync sync,
-        long syncMs,
-        long lateMs,
+        JournalWriter.SyncPolicy sync,
+        long syncDelayMs,
+        long commitTimeoutMs,
         long segmentBytes,
         long segmentHours,
-        long keepDays,
-        long keepBytes,
+        long retentionDays,
+        long maxTotalBytes,
         Set<String> classes) {
     private static final Set<String> FIELDS = Set.of(
             "folder", "sync", "syncMs", "lateMs", "segmentKiB", "segmentHours", "keepDays", "keepMiB", "classes");
@@ -58,7 +58,7 @@
         FileSection section = new FileSection(json, "orders", faults);
         section.onlyKnown(FIELDS);
         Path folder = section.folder();
-        OrderLog.Sync sync = sync(json.path("sync"), faults);
+        JournalWriter.SyncPolicy sync = sync(json.path("sync"), faults);
         long syncMs = section.within("syncMs", 20, 1, MOST_MS);
         long lateMs = section.within("lateMs", 100, 1, MOST_MS);
         long segment = section.within("segmentKiB", 4 << 10, LEAST_KIB, MOST_KIB);
@@ -72,11 +72,11 @@
                         folder, sync, syncMs, lateMs, segment << 10, hours, keepDays, keepMiB << 20, classes);
     }
 
-    private static OrderLog.Sync sync(Json json, List<String> faults) {
+    private static JournalWriter.SyncPolicy sync(Json json, List<String> faults) {
         if (json.isMissing()) {
-            return OrderLog.Sync.EACH;
+            return JournalWriter.SyncPolicy.EACH;
         }
-        for (OrderLog.Sync each : OrderLog.Sync.values()) {
+        for (JournalWriter.SyncPolicy each : JournalWriter.SyncPolicy.values()) {
             if (each.name().toLowerCase(Locale.ROOT).equals(json.text())) {
                 return each;
             }
--- a/src/main/java/kitemux/orders/SegmentIndex.java
+++ b/src/main/java/kitemux/orders/SegmentIndex.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.zip.CRC32C;
-import kitemux.orders.Entry.Taken;
+import kitemux.orders.Entry.Accepted;
 
 /**
  * Which orders an ended segment took, so that whoever asks for one need not read the others. It holds nothing
@@ -60,8 +60,8 @@
 
         /** Heeds an entry of the segment; only what is taken counts. */
         void add(Entry entry) {
-            if (entry instanceof Taken taken) {
-                hashes.add(By.ORDER.hash(taken.order()));
+            if (entry instanceof Accepted taken) {
+                hashes.add(By.ORDER.hash(taken.orderId()));
                 if (!taken.key().isEmpty()) {
                     hashes.add(By.KEY.hash(taken.key()));
                 }
--- a/src/main/java/kitemux/plan/CapturedWorkload.java
+++ b/src/main/java/kitemux/plan/CapturedWorkload.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.fleet.Fleet;
-import kitemux.load.Speeds;
-import kitemux.load.Summary;
+import kitemux.load.ServerSpeedEstimator;
+import kitemux.load.LoadSummary;
 
 /** Replaces the load and work of a fleet description by those of captured traffic. */
 public final class CapturedWorkload {
@@ -32,9 +32,9 @@
      * @param faults receives one line for each reason why the capture does not fit the description
      * @return the fleet; invalid if faults were added
      */
-    public static Fleet applyLoad(Fleet fleet, Summary summary, List<String> faults) {
-        if (summary.wanted() < MIN_FIRST_TRY_COUNT || summary.seconds() < 1) {
-            faults.add("--load: holds " + summary.wanted() + " first tries in " + summary.seconds() + " s; at least "
+    public static Fleet applyLoad(Fleet fleet, LoadSummary summary, List<String> faults) {
+        if (summary.firstTries() < MIN_FIRST_TRY_COUNT || summary.durationS() < 1) {
+            faults.add("--load: holds " + summary.firstTries() + " first tries in " + summary.durationS() + " s; at least "
                     + MIN_FIRST_TRY_COUNT + " in 1 s are needed");
             return fleet;
         }
@@ -44,7 +44,7 @@
                 faults.add("--load: has class \"" + name + "\", which the description does not have");
             }
         }
-        for (String name : summary.wantedByTenant().keySet()) {
+        for (String name : summary.firstTriesByTenant().keySet()) {
             if (!fleet.tenants().isEmpty()
                     && fleet.tenants().stream().noneMatch(t -> t.name().equals(name))) {
                 faults.add("--load: has tenant \"" + name + "\", which the description does not have");
@@ -55,9 +55,9 @@
         }
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
         for (Fleet.ClassWorkload workload : fleet.classes()) {
-            Summary.OfClass captured =
+            LoadSummary.ClassSummary captured =
                     summary.classes().get(workload.requestClass().name());
-            double share = captured == null ? 0 : (double) captured.wanted() / summary.wanted();
+            double share = captured == null ? 0 : (double) captured.firstTries() / summary.firstTries();
             classes.add(new Fleet.ClassWorkload(
                     workload.requestClass(),
                     Math.max(MIN_SHARE_RATIO, share),
@@ -74,7 +74,7 @@
      *
      * @param capturedWork captured work by class; classes without an entry stay as described
      */
-    public static Fleet applyWork(Fleet fleet, List<Speeds.Work> capturedWork) {
+    public static Fleet applyWork(Fleet fleet, List<ServerSpeedEstimator.ClassWork> capturedWork) {
         double logSpeedSum = fleet.kinds().stream()
                 .mapToDouble(k -> k.count() * Math.log(k.speed()))
                 .sum();
@@ -82,7 +82,7 @@
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
         for (Fleet.ClassWorkload described : fleet.classes()) {
             classes.add(capturedWork.stream()
-                    .filter(w -> w.name().equals(described.requestClass().name()))
+                    .filter(w -> w.className().equals(described.requestClass().name()))
                     .findFirst()
                     .map(w -> new Fleet.ClassWorkload(
                             described.requestClass(),
@@ -104,10 +104,10 @@
                 : Fleet.WorkDistribution.LOGNORMAL;
     }
 
-    private static List<Fleet.TenantShare> tenants(Fleet fleet, Summary summary) {
+    private static List<Fleet.TenantShare> tenants(Fleet fleet, LoadSummary summary) {
         double totalShare =
                 fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
-        Map<String, Long> firstTriesByTenant = summary.wantedByTenant();
+        Map<String, Long> firstTriesByTenant = summary.firstTriesByTenant();
         return fleet.tenants().stream()
                 .map(t -> new Fleet.TenantShare(
                         t.name(),
@@ -115,25 +115,25 @@
                         Math.max(
                                 MIN_SHARE_RATIO,
                                 firstTriesByTenant.getOrDefault(t.name(), 0L)
-                                        / (double) summary.wanted()
+                                        / (double) summary.firstTries()
                                         / (t.share() / totalShare))))
                 .toList();
     }
 
-    private static Fleet.Load profile(Fleet.Load load, Summary summary) {
-        double ratePerS = summary.wanted() / summary.seconds();
+    private static Fleet.Load profile(Fleet.Load load, LoadSummary summary) {
+        double ratePerS = summary.firstTries() / summary.durationS();
         List<Fleet.LoadPoint> shape = new ArrayList<>();
-        List<Summary.Step> steps = summary.steps();
+        List<LoadSummary.Step> steps = summary.steps();
         // The rate of a step applies to its middle. The last step is incomplete and is left out.
         for (int i = 0; i < Math.max(1, steps.size() - 1); i++) {
             double middleS = i + 1 < steps.size()
-                    ? (steps.get(i).atS() + steps.get(i + 1).atS()) / 2
+                    ? (steps.get(i).startS() + steps.get(i + 1).startS()) / 2
                     : 0;
-            shape.add(new Fleet.LoadPoint((long) (middleS * 1e6), steps.get(i).wantedPerS() / ratePerS));
+            shape.add(new Fleet.LoadPoint((long) (middleS * 1e6), steps.get(i).firstTriesPerS() / ratePerS));
         }
         return new Fleet.Load(
                 ratePerS,
-                Math.max(1_000_000, (long) (summary.seconds() * 1e6)),
+                Math.max(1_000_000, (long) (summary.durationS() * 1e6)),
                 shape,
                 load.quotaPerS(),
                 load.overShareWorth());
--- a/src/main/java/kitemux/plan/FleetFile.java
+++ b/src/main/java/kitemux/plan/FleetFile.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.fleet.Fleet;
 import kitemux.hcl.Places;
@@ -166,11 +166,11 @@
                 section.number("worth", 1),
                 section.number("late_worth", 0),
                 switch (repeat) {
-                    case SAFE -> Repeat.SAFE;
-                    case KEYED -> Repeat.KEYED;
-                    case NEVER_TWICE -> Repeat.UNSAFE;
+                    case SAFE -> RetrySafety.SAFE;
+                    case KEYED -> RetrySafety.KEYED;
+                    case NEVER_TWICE -> RetrySafety.UNSAFE;
                 },
-                scope == DeduplicationScope.ALL ? Group.ALL : Group.CELL,
+                scope == DeduplicationScope.ALL ? DedupScope.ALL : DedupScope.CELL,
                 section.time("window", 0),
                 false);
         Fleet.ClassWorkload workload = new Fleet.ClassWorkload(
--- a/src/main/java/kitemux/rollout/Acceptor.java
+++ b/src/main/java/kitemux/rollout/Acceptor.java
@@ -18,27 +18,27 @@
     }
 
     /** All up to this version is known to be chosen: the next is open, unless it is already. */
-    public void knows(long rev) {
+    public void advanceTo(long rev) {
         if (rev >= vote.rev()) {
             vote = Vote.empty(rev + 1);
         }
     }
 
     /** Whether it promises; the request is of the open version. */
-    public Answer prepare(Request.Prepare asked) {
-        if (!asked.ballot().isAbove(vote.promised())) {
-            return new Answer.Refused(asked.rev(), asked.ballot(), vote.promised());
+    public Response prepare(Request.Prepare asked) {
+        if (!asked.ballot().isGreaterThan(vote.promised())) {
+            return new Response.Rejected(asked.rev(), asked.ballot(), vote.promised());
         }
         vote = new Vote(vote.rev(), asked.ballot(), vote.acceptedAt(), vote.accepted());
-        return new Answer.Promised(asked.rev(), asked.ballot(), vote.acceptedAt(), vote.accepted());
+        return new Response.Promised(asked.rev(), asked.ballot(), vote.acceptedAt(), vote.accepted());
     }
 
     /** Whether it accepts; the request is of the open version. */
-    public Answer accept(Request.Accept asked) {
-        if (vote.promised().isAbove(asked.ballot())) {
-            return new Answer.Refused(asked.rev(), asked.ballot(), vote.promised());
+    public Response accept(Request.Accept asked) {
+        if (vote.promised().isGreaterThan(asked.ballot())) {
+            return new Response.Rejected(asked.rev(), asked.ballot(), vote.promised());
         }
         vote = new Vote(vote.rev(), asked.ballot(), asked.ballot(), asked.value());
-        return new Answer.Accepted(asked.rev(), asked.ballot());
+        return new Response.Accepted(asked.rev(), asked.ballot());
     }
 }
--- a/src/main/java/kitemux/rollout/Ballot.java
+++ b/src/main/java/kitemux/rollout/Ballot.java
@@ -22,7 +22,7 @@
     }
 
     /** Whether it counts for more than another. */
-    public boolean isAbove(Ballot other) {
+    public boolean isGreaterThan(Ballot other) {
         return compareTo(other) > 0;
     }
 }
--- a/src/main/java/kitemux/rollout/Change.java
+++ b/src/main/java/kitemux/rollout/Change.java
@@ -30,7 +30,7 @@
     }
 
     /** What these values become by it. */
-    public SortedMap<String, String> appliedTo(Map<String, String> values) {
+    public SortedMap<String, String> applyTo(Map<String, String> values) {
         SortedMap<String, String> now = new TreeMap<>(values);
         now.keySet().removeAll(drop);
         now.putAll(set);
--- a/src/main/java/kitemux/rollout/Effect.java
+++ b/src/main/java/kitemux/rollout/Effect.java
@@ -12,31 +12,31 @@
     record Send(int to, Request request) implements Effect {}
 
     /** Answer a keeper's call. */
-    record Reply(long call, Answer answer) implements Effect {}
+    record Reply(long call, Response answer) implements Effect {}
 
     /**
      * Write this behind all that was written, and sync. Only once that and all before it is synced comes
      * {@code then}; what stands behind this effect need not wait.
      */
-    record Write(Kept kept, List<Effect> then) implements Effect {}
+    record Persist(LogRecord entry, List<Effect> then) implements Effect {}
 
     /** Answer an operator's call. */
-    record Conclude(long call, Outcome outcome) implements Effect {}
+    record CompleteChange(long call, Outcome outcome) implements Effect {}
 
     /** Write a line to a watch. */
-    record Tell(long watch, Line line) implements Effect {}
+    record SendEvent(long watch, WatchEvent event) implements Effect {}
 
     /** Answer 503 to a watch that was asked for; it is forgotten. */
-    record RefuseWatch(long watch, String reason) implements Effect {}
+    record RejectWatch(long watch, String reason) implements Effect {}
 
     /** A node: ask this keeper for what comes after a version. */
-    record Dial(long watch, int keeper, long after) implements Effect {}
+    record OpenWatch(long watch, int keeper, long afterRev) implements Effect {}
 
     /** A node: close this watch, or give its dial up; nothing more is told of it. */
-    record HangUp(long watch) implements Effect {}
+    record CloseWatch(long watch) implements Effect {}
 
-    /** A node: have these values in force between two events, whole, then say {@link Subscriber#inForce}. */
-    record PutInForce(long rev, SortedMap<String, String> values) implements Effect {}
+    /** A node: have these values in force between two events, whole, then say {@link Subscriber#applied}. */
+    record Apply(long rev, SortedMap<String, String> values) implements Effect {}
 
     /** A node: report to a keeper; it does not matter if it is lost. */
     record SendReport(int keeper, Report report) implements Effect {}
--- a/src/main/java/kitemux/rollout/History.java
+++ b/src/main/java/kitemux/rollout/History.java
@@ -9,12 +9,12 @@
 import java.util.TreeMap;
 
 /**
- * All that was chosen and is known: the newest values, and the last {@link Terms#HISTORY} versions one by
+ * All that was chosen and is known: the newest values, and the last {@link ProtocolParameters#MAX_HISTORY_VERSION_COUNT} versions one by
  * one. Nothing in it is ever taken back.
  */
 public final class History {
     /** Path of the voters: a list of texts as of {@link Voter}. */
-    public static final String VOTERS = "keepers/voters";
+    public static final String VOTERS_PATH = "keepers/voters";
 
     /** Values as of the version before the oldest that is kept. */
     private SortedMap<String, String> oldest = new TreeMap<>();
@@ -38,7 +38,7 @@
 
     /** Who decides the next version. */
     public List<Voter> voters() {
-        List<Voter> named = values.containsKey(VOTERS) ? RolloutText.voters(values.get(VOTERS)) : null;
+        List<Voter> named = values.containsKey(VOTERS_PATH) ? RolloutText.readVoters(values.get(VOTERS_PATH)) : null;
         return named == null ? founding : named;
     }
 
@@ -53,14 +53,14 @@
     }
 
     /** Whether all versions after this one are kept one by one. */
-    public boolean reaches(long after) {
+    public boolean covers(long after) {
         return after >= before;
     }
 
     /** The versions after one, in order, {@code most} at most; none where they are not kept. */
-    public List<Version> after(long after, int most) {
+    public List<Version> versionsAfter(long after, int most) {
         List<Version> found = new ArrayList<>();
-        if (reaches(after)) {
+        if (covers(after)) {
             for (Version version : versions) {
                 if (version.rev() > after && found.size() < most) {
                     found.add(version);
@@ -72,17 +72,17 @@
 
     /** The version of this number, or null where it is not kept. */
     public Version version(long rev) {
-        List<Version> found = rev <= before ? List.of() : after(rev - 1, 1);
+        List<Version> found = rev <= before ? List.of() : versionsAfter(rev - 1, 1);
         return found.isEmpty() ? null : found.get(0);
     }
 
     /** Which version a change became; null where it is not known to be chosen. */
-    public Version chosen(String id) {
+    public Version versionOfChange(String id) {
         return byId.get(id);
     }
 
     /** Takes the next version in; false where this is not the next. */
-    boolean learn(Version version) {
+    boolean append(Version version) {
         if (version.rev() != rev() + 1) {
             return false;
         }
@@ -90,11 +90,11 @@
         byId.put(version.change().id(), version);
         version.change().set().keySet().forEach(path -> changedAt.put(path, version.rev()));
         version.change().drop().forEach(path -> changedAt.put(path, version.rev()));
-        values = version.change().appliedTo(values);
-        if (versions.size() > Terms.HISTORY) {
+        values = version.change().applyTo(values);
+        if (versions.size() > ProtocolParameters.MAX_HISTORY_VERSION_COUNT) {
             Version gone = versions.poll();
             before = gone.rev();
-            oldest = gone.change().appliedTo(oldest);
+            oldest = gone.change().applyTo(oldest);
             byId.remove(gone.change().id(), gone);
             // A base before it is refused whatever it changes.
             changedAt.values().removeIf(rev -> rev <= before);
@@ -103,7 +103,7 @@
     }
 
     /** Takes a whole in; false where it is not newer. */
-    boolean learnWhole(long rev, SortedMap<String, String> whole) {
+    boolean installSnapshot(long rev, SortedMap<String, String> whole) {
         if (rev <= rev()) {
             return false;
         }
@@ -117,12 +117,12 @@
     }
 
     /** What a folder has to hold for it, in order. */
-    public List<Kept> kept() {
-        List<Kept> all = new ArrayList<>();
+    public List<LogRecord> toRecords() {
+        List<LogRecord> all = new ArrayList<>();
         if (before > 0) {
-            all.add(new Kept.Whole(before, oldest));
+            all.add(new LogRecord.Snapshot(before, oldest));
         }
-        versions.forEach(version -> all.add(new Kept.Chosen(version)));
+        versions.forEach(version -> all.add(new LogRecord.Chosen(version)));
         return all;
     }
 
@@ -130,19 +130,19 @@
      * What stands against a change, or null: its id is known, it is faulty, its base is unknown or too old,
      * or a path of it was changed since. Changes nothing.
      */
-    public Outcome against(Change change, Rules rules) {
-        Version known = chosen(change.id());
+    public Outcome validate(Change change, Rules rules) {
+        Version known = versionOfChange(change.id());
         if (known != null) {
             return known.change().equals(change)
-                    ? new Outcome.Taken(known.rev())
-                    : new Outcome.Faulty(List.of(new Fault("id", "was used for another change")));
+                    ? new Outcome.Committed(known.rev())
+                    : new Outcome.Invalid(List.of(new ValidationError("id", "was used for another change")));
         }
         if (change.base() > rev()) {
             return new Outcome.Unavailable("version " + change.base() + " is not known here, the newest is " + rev());
         }
-        List<Fault> faults = shape(change);
+        List<ValidationError> faults = shape(change);
         if (!faults.isEmpty()) {
-            return new Outcome.Faulty(faults);
+            return new Outcome.Invalid(faults);
         }
         if (change.base() < before) {
             return new Outcome.Conflict("base", before);
@@ -155,10 +155,10 @@
                 }
             }
         }
-        SortedMap<String, String> next = change.appliedTo(values);
+        SortedMap<String, String> next = change.applyTo(values);
         faults.addAll(bounds(next));
-        faults.addAll(rules.faults(next));
-        return faults.isEmpty() ? null : new Outcome.Faulty(faults);
+        faults.addAll(rules.validate(next));
+        return faults.isEmpty() ? null : new Outcome.Invalid(faults);
     }
 
     private static Map<String, String> asMap(Change change) {
@@ -167,41 +167,41 @@
         return dropped;
     }
 
-    private List<Fault> shape(Change change) {
-        List<Fault> faults = new ArrayList<>();
+    private List<ValidationError> shape(Change change) {
+        List<ValidationError> faults = new ArrayList<>();
         if (change.set().isEmpty() && change.drop().isEmpty()) {
-            faults.add(new Fault("set", "and drop are empty"));
+            faults.add(new ValidationError("set", "and drop are empty"));
         }
         for (String path : change.drop()) {
             if (change.set().containsKey(path)) {
-                faults.add(new Fault(path, "is set and dropped"));
+                faults.add(new ValidationError(path, "is set and dropped"));
             } else if (!values.containsKey(path)) {
-                faults.add(new Fault(path, "is dropped, but is not there"));
-            } else if (path.equals(VOTERS)) {
-                faults.add(new Fault(path, "cannot be dropped"));
+                faults.add(new ValidationError(path, "is dropped, but is not there"));
+            } else if (path.equals(VOTERS_PATH)) {
+                faults.add(new ValidationError(path, "cannot be dropped"));
             }
         }
         int bytes = RolloutText.write(change).length;
-        if (bytes > Terms.MOST_CHANGE_BYTES) {
-            faults.add(new Fault("change", "has " + bytes + " bytes; " + Terms.MOST_CHANGE_BYTES + " are allowed"));
+        if (bytes > ProtocolParameters.MAX_CHANGE_BYTES) {
+            faults.add(new ValidationError("change", "has " + bytes + " bytes; " + ProtocolParameters.MAX_CHANGE_BYTES + " are allowed"));
         }
         return faults;
     }
 
-    private static List<Fault> bounds(SortedMap<String, String> next) {
-        List<Fault> faults = new ArrayList<>();
-        if (next.size() > Terms.MOST_PATHS) {
-            faults.add(new Fault("set", "makes " + next.size() + " paths; " + Terms.MOST_PATHS + " are allowed"));
+    private static List<ValidationError> bounds(SortedMap<String, String> next) {
+        List<ValidationError> faults = new ArrayList<>();
+        if (next.size() > ProtocolParameters.MAX_PATH_COUNT) {
+            faults.add(new ValidationError("set", "makes " + next.size() + " paths; " + ProtocolParameters.MAX_PATH_COUNT + " are allowed"));
         }
         long bytes = 0;
         for (Map.Entry<String, String> value : next.entrySet()) {
-            bytes += RolloutText.bytes(value.getKey()) + RolloutText.bytes(value.getValue());
+            bytes += RolloutText.utf8Length(value.getKey()) + RolloutText.utf8Length(value.getValue());
         }
-        if (bytes > Terms.MOST_BYTES) {
-            faults.add(new Fault("set", "makes " + bytes + " bytes; " + Terms.MOST_BYTES + " are allowed"));
+        if (bytes > ProtocolParameters.MAX_CONFIGURATION_BYTES) {
+            faults.add(new ValidationError("set", "makes " + bytes + " bytes; " + ProtocolParameters.MAX_CONFIGURATION_BYTES + " are allowed"));
         }
-        if (next.containsKey(VOTERS) && RolloutText.voters(next.get(VOTERS)) == null) {
-            faults.add(new Fault(VOTERS, "is no list of 1, 3 or 5 voters as \"0:9f2c\", each keeper once"));
+        if (next.containsKey(VOTERS_PATH) && RolloutText.readVoters(next.get(VOTERS_PATH)) == null) {
+            faults.add(new ValidationError(VOTERS_PATH, "is no list of 1, 3 or 5 voters as \"0:9f2c\", each keeper once"));
         }
         return faults;
     }
--- a/src/main/java/kitemux/rollout/Inventory.java
+++ b/src/main/java/kitemux/rollout/Inventory.java
@@ -8,7 +8,7 @@
 /** Which node has what in force, by what nodes reported to this keeper, and merged with what others heard. */
 public final class Inventory {
     private final Map<Integer, Heard> heard = new TreeMap<>();
-    private long refusedForRoom;
+    private long rejectedReports;
 
     private record Heard(Report report, long atUs) {}
 
@@ -16,7 +16,7 @@
     public record Row(Report report, long ageUs) {}
 
     /** What counts for a node. */
-    public enum Standing {
+    public enum NodeStatus {
         UNHEARD,
         BEHIND,
         IN_FORCE,
@@ -26,16 +26,16 @@
     }
 
     /** Reports of nodes that found no room. */
-    public long refusedForRoom() {
-        return refusedForRoom;
+    public long rejectedReports() {
+        return rejectedReports;
     }
 
     /** A node's report came. One of an earlier life of that number does not count. */
-    public void reported(long nowUs, Report report) {
+    public void addReport(long nowUs, Report report) {
         Heard last = heard.get(report.node());
-        if (last == null && heard.size() >= Terms.MOST_NODES) {
-            refusedForRoom++;
-        } else if (last == null || report.life() >= last.report.life()) {
+        if (last == null && heard.size() >= ProtocolParameters.MAX_NODE_COUNT) {
+            rejectedReports++;
+        } else if (last == null || report.incarnation() >= last.report.incarnation()) {
             heard.put(report.node(), new Heard(report, nowUs));
         }
     }
@@ -48,15 +48,15 @@
     }
 
     /** Rows of several keepers as one a node: the highest life counts, then the newest report. */
-    public static Map<Integer, Row> merged(List<List<Row>> all) {
+    public static Map<Integer, Row> merge(List<List<Row>> all) {
         Map<Integer, Row> best = new TreeMap<>();
         for (List<Row> some : all) {
             for (Row row : some) {
                 best.merge(
                         row.report.node(),
                         row,
-                        (a, b) -> a.report.life() != b.report.life()
-                                ? a.report.life() > b.report.life() ? a : b
+                        (a, b) -> a.report.incarnation() != b.report.incarnation()
+                                ? a.report.incarnation() > b.report.incarnation() ? a : b
                                 : a.ageUs <= b.ageUs ? a : b);
             }
         }
@@ -64,28 +64,28 @@
     }
 
     /** How a node stands to a version; {@code row} null where nothing was heard. */
-    public static Standing standing(Terms terms, Row row, long rev) {
+    public static NodeStatus statusOf(ProtocolParameters terms, Row row, long rev) {
         if (row == null) {
-            return Standing.UNHEARD;
+            return NodeStatus.UNHEARD;
         }
-        if (row.ageUs >= terms.silentUs()) {
-            return Standing.SILENT;
+        if (row.ageUs >= terms.reportTimeoutUs()) {
+            return NodeStatus.SILENT;
         }
         Report report = row.report;
         if (report.rev() >= rev) {
-            return report.waitRestart().isEmpty() ? Standing.IN_FORCE : Standing.WAITS_RESTART;
+            return report.pendingRestart().isEmpty() ? NodeStatus.IN_FORCE : NodeStatus.WAITS_RESTART;
         }
-        return report.refused().stream().anyMatch(refusal -> refusal.rev() >= rev) ? Standing.REFUSED : Standing.BEHIND;
+        return report.rejections().stream().anyMatch(refusal -> refusal.rev() >= rev) ? NodeStatus.REFUSED : NodeStatus.BEHIND;
     }
 
     /** Numbers of nodes by how they stand to a version, of a fleet of so many; each node once. */
-    public static Map<Standing, List<Integer>> status(Terms terms, Map<Integer, Row> merged, int nodes, long rev) {
-        Map<Standing, List<Integer>> found = new TreeMap<>();
-        for (Standing each : Standing.values()) {
+    public static Map<NodeStatus, List<Integer>> nodesByStatus(ProtocolParameters terms, Map<Integer, Row> merged, int nodes, long rev) {
+        Map<NodeStatus, List<Integer>> found = new TreeMap<>();
+        for (NodeStatus each : NodeStatus.values()) {
             found.put(each, new ArrayList<>());
         }
         for (int node = 0; node < nodes; node++) {
-            found.get(standing(terms, merged.get(node), rev)).add(node);
+            found.get(statusOf(terms, merged.get(node), rev)).add(node);
         }
         return found;
     }
