--- a/src/main/java/kitemux/rollout/KeeperMachine.java
+++ b/src/main/java/kitemux/rollout/KeeperStateMachine.java
@@ -12,10 +12,10 @@
  * A keeper: history, vote, proposals, watches and reports, and what it asks of the others to catch up. Events
  * come with the time; what is to be done comes out as effects, to be carried out in their order.
  */
-public final class KeeperMachine {
+public final class KeeperStateMachine {
     private static final String NOT_CAUGHT_UP = "this keeper has not caught up yet";
 
-    private final Terms terms;
+    private final ProtocolParameters terms;
     private final Voter me;
     private final int keepers;
     private final History history;
@@ -23,7 +23,7 @@
     private final Proposer proposer;
     private final Inventory inventory = new Inventory();
     private final Watch.Wholes wholes;
-    private final Map<Long, Watch> watches = new LinkedHashMap<>();
+    private final Map<Long, Watch> openWatches = new LinkedHashMap<>();
     private final Map<Long, Long> watchAtUs = new HashMap<>();
     private final SplittableRandom draws;
     /** When each keeper last answered, in this life. */
@@ -34,9 +34,9 @@
     private boolean caughtUp;
     private long pulseAtUs;
     private long finishAtUs = Long.MAX_VALUE;
-    private long refusedWatches;
+    private long rejectedWatches;
     private long deafUntilUs;
-    private long staleReports;
+    private long discardedReports;
     private List<Effect> out = new ArrayList<>();
     private long nowUs;
 
@@ -46,16 +46,16 @@
      * @param me its number and the identity of its folder
      * @param keepers how many keepers there are, numbered from 0
      * @param founding the voters as long as no version names others
-     * @param kept what was written, in order; what {@link #kept} gives will do as well
+     * @param kept what was written, in order; what {@link #toRecords} gives will do as well
      * @param seed of what it draws
      */
-    public KeeperMachine(
-            Terms terms,
+    public KeeperStateMachine(
+            ProtocolParameters terms,
             Voter me,
             int keepers,
             List<Voter> founding,
             Rules rules,
-            List<Kept> kept,
+            List<LogRecord> kept,
             long seed,
             long nowUs) {
         this.terms = terms;
@@ -65,19 +65,19 @@
         draws = new SplittableRandom(seed);
         history = new History(founding);
         Vote vote = Vote.empty(1);
-        for (Kept each : kept) {
-            if (each instanceof Kept.Chosen chosen) {
-                history.learn(chosen.version());
-            } else if (each instanceof Kept.Whole whole) {
-                history.learnWhole(whole.rev(), whole.values());
-            } else if (each instanceof Kept.Voted voted) {
+        for (LogRecord each : kept) {
+            if (each instanceof LogRecord.Chosen chosen) {
+                history.append(chosen.version());
+            } else if (each instanceof LogRecord.Snapshot whole) {
+                history.installSnapshot(whole.rev(), whole.values());
+            } else if (each instanceof LogRecord.Voted voted) {
                 vote = voted.vote();
             }
         }
         acceptor = new Acceptor(vote);
-        acceptor.knows(history.rev());
+        acceptor.advanceTo(history.rev());
         proposer = new Proposer(terms, me.keeper(), history, rules, draws.nextLong(), this::chosen);
-        wholes = new Watch.Wholes(terms.partBytes());
+        wholes = new Watch.Wholes(terms.snapshotPartBytes());
         pulseAtUs = nowUs;
         settle();
     }
@@ -86,7 +86,7 @@
     @Override
     public String toString() {
         Vote vote = acceptor.vote();
-        return history.after(0, Terms.HISTORY).stream()
+        return history.versionsAfter(0, ProtocolParameters.MAX_HISTORY_VERSION_COUNT).stream()
                         .map(v -> v.change().id())
                         .toList() + " "
                 + vote.rev() + " " + vote.promised() + " " + vote.acceptedAt() + " "
@@ -104,18 +104,18 @@
     }
 
     /** Watches that are open. */
-    public int watches() {
-        return watches.size();
+    public int openWatches() {
+        return openWatches.size();
     }
 
     /** Watches that found no room. */
-    public long refusedWatches() {
-        return refusedWatches;
+    public long rejectedWatches() {
+        return rejectedWatches;
     }
 
     /** Changes that found no room. */
-    public long refusedChanges() {
-        return proposer.refusedForRoom();
+    public long rejectedChanges() {
+        return proposer.rejectedChanges();
     }
 
     /**
@@ -127,14 +127,14 @@
     }
 
     /** Whether it hears no majority of the voters: there may be versions that it does not know. */
-    public boolean isAlone() {
-        return heard(terms.heardUs()) <= history.voters().size() / 2;
+    public boolean lacksQuorum() {
+        return heard(terms.voterTimeoutUs()) <= history.voters().size() / 2;
     }
 
     /** What a folder that is written anew has to hold, in order. */
-    public List<Kept> kept() {
-        List<Kept> all = history.kept();
-        all.add(new Kept.Voted(acceptor.vote()));
+    public List<LogRecord> toRecords() {
+        List<LogRecord> all = history.toRecords();
+        all.add(new LogRecord.Voted(acceptor.vote()));
         return all;
     }
 
@@ -152,8 +152,8 @@
      * while: nodes report again.
      */
     private void arrives(long now) {
-        if (now - nowUs > 2 * terms.pulseUs()) {
-            deafUntilUs = now + terms.pulseUs();
+        if (now - nowUs > 2 * terms.fetchIntervalUs()) {
+            deafUntilUs = now + terms.fetchIntervalUs();
         }
         nowUs = now;
     }
@@ -173,19 +173,19 @@
         return events(now, () -> {
             proposer.tick(now, out);
             if (now >= pulseAtUs) {
-                pulseAtUs = now + terms.pulseUs();
-                toOthers(new Request.Ask(history.rev()));
+                pulseAtUs = now + terms.fetchIntervalUs();
+                toOthers(new Request.Fetch(history.rev()));
             }
             if (now >= finishAtUs) {
                 finishAtUs = Long.MAX_VALUE;
-                proposer.finish(now, out);
+                proposer.recoverAccepted(now, out);
             }
             watchAtUs.replaceAll((id, at) -> now >= at ? send(id) : at);
         });
     }
 
     /** Another keeper asks; the effects hold its answer, once, under this number of the call. */
-    public List<Effect> asked(long now, long call, Request request) {
+    public List<Effect> handleRequest(long now, long call, Request request) {
         return events(now, () -> {
             if (request instanceof Request.Prepare asked) {
                 vote(call, asked.rev(), () -> acceptor.prepare(asked));
@@ -194,12 +194,12 @@
             } else if (request instanceof Request.Chosen asked) {
                 if (asked.version().rev() == history.rev() + 1) {
                     learn(asked.version());
-                    proposer.knows(nowUs, out);
+                    proposer.historyAdvanced(nowUs, out);
                 }
                 out.add(new Effect.Reply(call, since(history.rev())));
-            } else if (request instanceof Request.Ask asked) {
-                newestHeard = Math.max(newestHeard, asked.after());
-                out.add(new Effect.Reply(call, since(asked.after())));
+            } else if (request instanceof Request.Fetch asked) {
+                newestHeard = Math.max(newestHeard, asked.afterRev());
+                out.add(new Effect.Reply(call, since(asked.afterRev())));
             }
         });
     }
@@ -208,64 +208,64 @@
         return history.voters().contains(me);
     }
 
-    private void vote(long call, long rev, Supplier<Answer> open) {
+    private void vote(long call, long rev, Supplier<Response> open) {
         if (rev <= history.rev()) {
             out.add(new Effect.Reply(call, since(rev - 1)));
         } else if (rev > history.rev() + 1 || !votes()) {
-            out.add(new Effect.Reply(call, new Answer.Behind(rev, history.rev())));
+            out.add(new Effect.Reply(call, new Response.Behind(rev, history.rev())));
         } else {
             Vote before = acceptor.vote();
             Effect reply = new Effect.Reply(call, open.get());
             if (acceptor.vote().equals(before)) {
                 out.add(reply);
             } else {
-                out.add(new Effect.Write(new Kept.Voted(acceptor.vote()), List.of(reply)));
+                out.add(new Effect.Persist(new LogRecord.Voted(acceptor.vote()), List.of(reply)));
             }
         }
     }
 
-    private Answer since(long after) {
-        return history.reaches(after) || after >= history.rev()
-                ? new Answer.Known(after, history.rev(), history.after(after, Terms.MOST_VERSIONS))
-                : new Answer.Whole(history.rev(), history.values());
+    private Response since(long after) {
+        return history.covers(after) || after >= history.rev()
+                ? new Response.Versions(after, history.rev(), history.versionsAfter(after, ProtocolParameters.MAX_RESPONSE_VERSION_COUNT))
+                : new Response.Snapshot(history.rev(), history.values());
     }
 
     /** Another keeper has answered what was sent to it. */
-    public List<Effect> answered(long now, int from, Answer answer) {
+    public List<Effect> handleResponse(long now, int from, Response answer) {
         return events(now, () -> {
             heardUs.put(from, now);
             long before = history.rev();
-            if (answer instanceof Answer.Known known) {
+            if (answer instanceof Response.Versions known) {
                 known.versions().forEach(this::learn);
-                newestHeard = Math.max(newestHeard, known.known());
-                if (history.rev() > before && known.known() > history.rev()) {
-                    out.add(new Effect.Send(from, new Request.Ask(history.rev())));
+                newestHeard = Math.max(newestHeard, known.newestRev());
+                if (history.rev() > before && known.newestRev() > history.rev()) {
+                    out.add(new Effect.Send(from, new Request.Fetch(history.rev())));
                 }
-            } else if (answer instanceof Answer.Whole whole) {
-                newestHeard = Math.max(newestHeard, whole.known());
-                if (history.learnWhole(whole.known(), whole.values())) {
-                    learned(new Kept.Whole(whole.known(), whole.values()));
+            } else if (answer instanceof Response.Snapshot whole) {
+                newestHeard = Math.max(newestHeard, whole.rev());
+                if (history.installSnapshot(whole.rev(), whole.values())) {
+                    learned(new LogRecord.Snapshot(whole.rev(), whole.values()));
                 }
-            } else if (answer instanceof Answer.Behind behind) {
+            } else if (answer instanceof Response.Behind behind) {
                 tellWhatItLacks(from, behind);
             }
             if (history.rev() > before) {
-                proposer.knows(now, out);
+                proposer.historyAdvanced(now, out);
             }
-            proposer.answered(now, from, answer, out);
+            proposer.handleResponse(now, from, answer, out);
         });
     }
 
-    private void tellWhatItLacks(int to, Answer.Behind behind) {
-        for (Version version : history.after(behind.known(), Terms.MOST_VERSIONS)) {
+    private void tellWhatItLacks(int to, Response.Behind behind) {
+        for (Version version : history.versionsAfter(behind.newestRev(), ProtocolParameters.MAX_RESPONSE_VERSION_COUNT)) {
             out.add(new Effect.Send(to, new Request.Chosen(version)));
         }
     }
 
     /** A version is known to be chosen. Need not be synced before it is told: a majority has it on disk. */
     private void learn(Version version) {
-        if (history.learn(version)) {
-            learned(new Kept.Chosen(version));
+        if (history.append(version)) {
+            learned(new LogRecord.Chosen(version));
         }
     }
 
@@ -283,64 +283,64 @@
         }
     }
 
-    private void learned(Kept kept) {
-        acceptor.knows(history.rev());
-        out.add(new Effect.Write(kept, List.of()));
+    private void learned(LogRecord kept) {
+        acceptor.advanceTo(history.rev());
+        out.add(new Effect.Persist(kept, List.of()));
         watchAtUs.replaceAll((id, at) -> send(id));
     }
 
     /** An operator's change; {@link Effect.Conclude} follows once, at once or later. */
-    public List<Effect> change(long now, long call, Change change) {
+    public List<Effect> proposeChange(long now, long call, Change change) {
         return events(now, () -> {
             if (caughtUp) {
                 proposer.propose(now, call, change, out);
             } else {
-                out.add(new Effect.Conclude(call, new Outcome.Unavailable(NOT_CAUGHT_UP)));
+                out.add(new Effect.CompleteChange(call, new Outcome.Unavailable(NOT_CAUGHT_UP)));
             }
         });
     }
 
     /** A node wants to be told what comes after a version; lines follow, or the watch is refused. */
-    public List<Effect> watch(long now, long watch, long after) {
+    public List<Effect> openWatch(long now, long watch, long after) {
         return events(now, () -> {
             String reason = !caughtUp
                     ? NOT_CAUGHT_UP
                     : after > history.rev()
                             ? "version " + after + " is not known here yet"
-                            : watches.size() >= Terms.MOST_WATCHES ? Terms.MOST_WATCHES + " watches are open" : null;
+                            : openWatches.size() >= ProtocolParameters.MAX_WATCH_COUNT ? ProtocolParameters.MAX_WATCH_COUNT + " watches are open" : null;
             if (reason != null) {
-                refusedWatches++;
-                out.add(new Effect.RefuseWatch(watch, reason));
+                rejectedWatches++;
+                out.add(new Effect.RejectWatch(watch, reason));
                 return;
             }
-            watches.put(watch, new Watch(now, terms, after));
+            openWatches.put(watch, new Watch(now, terms, after));
             watchAtUs.put(watch, send(watch));
         });
     }
 
     /** A watch has ended, from either side. */
     public void watchEnded(long watch) {
-        watches.remove(watch);
+        openWatches.remove(watch);
         watchAtUs.remove(watch);
     }
 
     /** A node's report. */
-    public void reported(long now, Report report) {
+    public void handleReport(long now, Report report) {
         arrives(now);
         if (now < deafUntilUs) {
-            staleReports++;
+            discardedReports++;
         } else {
-            inventory.reported(now, report);
+            inventory.addReport(now, report);
         }
     }
 
     /** Reports that were let pass, since it stood still before. */
-    public long staleReports() {
-        return staleReports;
+    public long discardedReports() {
+        return discardedReports;
     }
 
     private long send(long watch) {
-        return watches.get(watch).send(nowUs, watch, terms, history, wholes, isAlone(), out);
+        return openWatches.get(watch).send(nowUs, watch, terms, history, wholes, lacksQuorum(), out);
     }
 
     /** Voters that were heard within a time, itself among them if it votes. */
@@ -358,7 +358,7 @@
         if (!isOpen) {
             finishAtUs = Long.MAX_VALUE;
         } else if (finishAtUs == Long.MAX_VALUE) {
-            finishAtUs = nowUs + draws.nextLong(terms.finishUs(), 2 * terms.finishUs());
+            finishAtUs = nowUs + draws.nextLong(terms.recoveryDelayUs(), 2 * terms.recoveryDelayUs());
         }
     }
 }
--- a/src/main/java/kitemux/rollout/Outcome.java
+++ b/src/main/java/kitemux/rollout/Outcome.java
@@ -5,10 +5,10 @@
 /** What an operator is told of a change. */
 public sealed interface Outcome {
     /** It is chosen, as this version; 200. */
-    record Taken(long rev) implements Outcome {}
+    record Committed(long rev) implements Outcome {}
 
     /** It cannot be: all that is wrong; 400. Nothing was done. */
-    record Faulty(List<Fault> faults) implements Outcome {}
+    record Invalid(List<ValidationError> errors) implements Outcome {}
 
     /** A path of it was changed by a version after its base; 409. Nothing was done. */
     record Conflict(String path, long rev) implements Outcome {}
--- a/src/main/java/kitemux/rollout/Proposer.java
+++ b/src/main/java/kitemux/rollout/Proposer.java
@@ -12,7 +12,7 @@
  * which takes it into the history before it returns.
  */
 public final class Proposer {
-    private final Terms terms;
+    private final ProtocolParameters terms;
     private final int me;
     private final History history;
     private final Rules rules;
@@ -32,7 +32,7 @@
     private Change value;
 
     private long highestRound;
-    private long refusedForRoom;
+    private long rejectedChanges;
 
     /** CHECKING of the design is no state: it takes no time. */
     private enum State {
@@ -64,7 +64,7 @@
      * @param seed of what it draws: the lengths of its phases
      * @param chosen is told each version that it had chosen
      */
-    public Proposer(Terms terms, int me, History history, Rules rules, long seed, Consumer<Version> chosen) {
+    public Proposer(ProtocolParameters terms, int me, History history, Rules rules, long seed, Consumer<Version> chosen) {
         this.terms = terms;
         this.me = me;
         this.history = history;
@@ -90,8 +90,8 @@
     }
 
     /** Calls that were refused since too many waited. */
-    public long refusedForRoom() {
-        return refusedForRoom;
+    public long rejectedChanges() {
+        return rejectedChanges;
     }
 
     /** When {@link #tick} is to be called, in microseconds; the clock's end while idle. */
@@ -101,9 +101,9 @@
 
     /** An operator's change; concluded by {@link Effect.Conclude}, once. */
     public void propose(long nowUs, long call, Change change, List<Effect> out) {
-        if (waiting.size() >= Terms.MOST_PROPOSALS) {
-            refusedForRoom++;
-            out.add(new Effect.Conclude(call, new Outcome.Unavailable(Terms.MOST_PROPOSALS + " changes wait")));
+        if (waiting.size() >= ProtocolParameters.MAX_QUEUED_CHANGE_COUNT) {
+            rejectedChanges++;
+            out.add(new Effect.CompleteChange(call, new Outcome.Unavailable(ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + " changes wait")));
             return;
         }
         waiting.add(new Call(call, change));
@@ -111,7 +111,7 @@
     }
 
     /** Something was accepted for the open version, and nobody said that it was chosen: it is finished. */
-    public void finish(long nowUs, List<Effect> out) {
+    public void recoverAccepted(long nowUs, List<Effect> out) {
         if (isIdle()) {
             attempt = new Attempt(null, nowUs);
             prepare(nowUs, out);
@@ -131,13 +131,13 @@
             end(null, out);
             return;
         }
-        if (attempt.ownSent && !history.reaches(rev - 1)) {
+        if (attempt.ownSent && !history.covers(rev - 1)) {
             // It was told the whole, in which no version has a name any more.
             end(new Outcome.Unknown(), out);
             return;
         }
         attempt.ownSent = false;
-        Outcome against = history.against(attempt.own.change, rules);
+        Outcome against = history.validate(attempt.own.change, rules);
         if (against != null) {
             end(against, out);
         } else {
@@ -148,12 +148,12 @@
     private void end(Outcome outcome, List<Effect> out) {
         state = State.IDLE;
         if (attempt.own != null) {
-            out.add(new Effect.Conclude(attempt.own.call, outcome));
+            out.add(new Effect.CompleteChange(attempt.own.call, outcome));
         }
     }
 
     private void prepare(long nowUs, List<Effect> out) {
-        if (attempt.tries >= terms.tries() || nowUs - attempt.beganUs >= terms.triesUs()) {
+        if (attempt.tries >= terms.maxBallots() || nowUs - attempt.beganUs >= terms.proposalTimeoutUs()) {
             end(
                     attempt.ownSent
                             ? new Outcome.Unknown()
@@ -172,7 +172,7 @@
     private void begin(State phase, long nowUs, Request asked, List<Effect> out) {
         state = phase;
         agreed.clear();
-        untilUs = nowUs + draws.nextLong(terms.leastPhaseUs(), terms.mostPhaseUs());
+        untilUs = nowUs + draws.nextLong(terms.minPhaseTimeoutUs(), terms.maxPhaseTimeoutUs());
         history.voters().forEach(voter -> out.add(new Effect.Send(voter.keeper(), asked)));
     }
 
@@ -181,22 +181,22 @@
     }
 
     /** An answer to what it sent; what is of another version or ballot is let pass. */
-    public void answered(long nowUs, int from, Answer answer, List<Effect> out) {
+    public void handleResponse(long nowUs, int from, Response answer, List<Effect> out) {
         if (history.voters().stream().noneMatch(voter -> voter.keeper() == from)) {
             return;
         }
-        if (answer instanceof Answer.Promised a && isMine(State.PREPARING, a.rev(), a.ballot())) {
+        if (answer instanceof Response.Promised a && isMine(State.PREPARING, a.rev(), a.ballot())) {
             promised(nowUs, from, a, out);
-        } else if (answer instanceof Answer.Accepted a && isMine(State.ACCEPTING, a.rev(), a.ballot())) {
+        } else if (answer instanceof Response.Accepted a && isMine(State.ACCEPTING, a.rev(), a.ballot())) {
             accepted(nowUs, from, out);
-        } else if (answer instanceof Answer.Refused a) {
+        } else if (answer instanceof Response.Rejected a) {
             highestRound = Math.max(highestRound, a.promised().round());
             if (isMine(state, a.rev(), a.ballot())) {
                 // Not at once, and the longer the more often it was tried: two that hinder each other would
                 // spend their tries within milliseconds. Until then the others may still agree.
                 untilUs = Math.min(
                         untilUs,
-                        nowUs + terms.leastWaitUs() + draws.nextLong(attempt.tries * terms.leastPhaseUs() / 2));
+                        nowUs + terms.minBackoffUs() + draws.nextLong(attempt.tries * terms.minPhaseTimeoutUs() / 2));
             }
         }
         next(nowUs, out);
@@ -206,10 +206,10 @@
         return !isIdle() && state == in && ofRev == rev && of.equals(ballot);
     }
 
-    private void promised(long nowUs, int from, Answer.Promised a, List<Effect> out) {
+    private void promised(long nowUs, int from, Response.Promised a, List<Effect> out) {
         agreed.add(from);
-        if (a.accepted() != null && a.acceptedAt().isAbove(highest)) {
-            highest = a.acceptedAt();
+        if (a.accepted() != null && a.acceptedBallot().isGreaterThan(highest)) {
+            highest = a.acceptedBallot();
             value = a.accepted();
         }
         if (!isMajority()) {
@@ -236,7 +236,7 @@
     }
 
     /** The history has gone on, by another's word: what is under way is checked anew. */
-    public void knows(long nowUs, List<Effect> out) {
+    public void historyAdvanced(long nowUs, List<Effect> out) {
         if (!isIdle() && rev <= history.rev()) {
             check(nowUs, out);
         }
--- a/src/main/java/kitemux/rollout/Request.java
+++ b/src/main/java/kitemux/rollout/Request.java
@@ -1,6 +1,6 @@
 package kitemux.rollout;
 
-/** What one keeper asks another one. Each has one {@link Answer}, or none where it or the answer is lost. */
+/** What one keeper asks another one. Each has one {@link Response}, or none where it or the answer is lost. */
 public sealed interface Request {
     /** Promise to accept nothing of a lower ballot for this version. */
     record Prepare(long rev, Ballot ballot) implements Request {}
@@ -12,5 +12,5 @@
     record Chosen(Version version) implements Request {}
 
     /** What came after this version? Asked as a pulse, too: whoever answers is heard. */
-    record Ask(long after) implements Request {}
+    record Fetch(long afterRev) implements Request {}
 }
--- a/src/main/java/kitemux/rollout/RolloutText.java
+++ b/src/main/java/kitemux/rollout/RolloutText.java
@@ -31,12 +31,12 @@
      * What was read.
      *
      * @param value null where there are faults
-     * @param faults all that is wrong, each with its place
+     * @param errors all that is wrong, each with its place
      */
-    public record Read<T>(T value, List<Fault> faults) {}
+    public record ParseResult<T>(T value, List<ValidationError> errors) {}
 
     /** How many bytes a text has. */
-    static int bytes(String text) {
+    static int utf8Length(String text) {
         return text.getBytes(StandardCharsets.UTF_8).length;
     }
 
@@ -123,27 +123,27 @@
     }
 
     /** A value as JSON without spaces. */
-    public static String value(Json json) {
+    public static String writeValue(Json json) {
         StringBuilder to = new StringBuilder();
-        value(to, json);
+        writeValue(to, json);
         return to.toString();
     }
 
-    private static void value(StringBuilder to, Json json) {
+    private static void writeValue(StringBuilder to, Json json) {
         if (json.isMissing()) {
             to.append("null");
         } else if (json.isObject()) {
             char before = '{';
             for (Map.Entry<String, Json> field : json.fields().entrySet()) {
                 quote(to.append(before), field.getKey());
-                value(to.append(':'), field.getValue());
+                writeValue(to.append(':'), field.getValue());
                 before = ',';
             }
             to.append(before == '{' ? "{}" : "}");
         } else if (json.isList()) {
             char before = '[';
             for (Json each : json) {
-                value(to.append(before), each);
+                writeValue(to.append(before), each);
                 before = ',';
             }
             to.append(before == '[' ? "[]" : "]");
@@ -174,21 +174,21 @@
     }
 
     /** A line of a watch, without its end; a beat is empty. */
-    public static byte[] write(Line line) {
-        if (line instanceof Line.Next next) {
+    public static byte[] write(WatchEvent line) {
+        if (line instanceof WatchEvent.Update next) {
             return new Text()
                     .number("rev", next.rev())
                     .values("set", next.set())
                     .texts("drop", next.drop())
                     .bytes();
-        } else if (line instanceof Line.Part part) {
+        } else if (line instanceof WatchEvent.SnapshotPart part) {
             return new Text()
                     .number("rev", part.rev())
                     .number("part", part.part())
-                    .number("of", part.of())
+                    .number("of", part.partCount())
                     .values("set", part.set())
                     .bytes();
-        } else if (line instanceof Line.Alone alone) {
+        } else if (line instanceof WatchEvent.NoQuorum alone) {
             return new Text().number("rev", alone.rev()).raw("alone", "true").bytes();
         }
         return new byte[0];
@@ -196,7 +196,7 @@
 
     private static Text text(Report report) {
         List<Text> refused = new ArrayList<>();
-        for (Report.Refusal each : report.refused()) {
+        for (Report.Rejection each : report.rejections()) {
             refused.add(new Text()
                     .number("rev", each.rev())
                     .text("path", each.path())
@@ -204,9 +204,9 @@
         }
         return new Text()
                 .number("node", report.node())
-                .number("life", report.life())
+                .number("life", report.incarnation())
                 .number("rev", report.rev())
-                .texts("waits_restart", report.waitRestart())
+                .texts("waits_restart", report.pendingRestart())
                 .objects("refused", refused);
     }
 
@@ -249,72 +249,72 @@
         }
         return new Text()
                 .text("kind", "ask")
-                .number("after", ((Request.Ask) request).after())
+                .number("after", ((Request.Fetch) request).afterRev())
                 .bytes();
     }
 
     /** What a keeper answers. */
-    public static byte[] write(Answer answer) {
-        if (answer instanceof Answer.Promised a) {
+    public static byte[] write(Response answer) {
+        if (answer instanceof Response.Promised a) {
             Text text =
                     new Text().text("kind", "promised").number("rev", a.rev()).ballot("ballot", a.ballot());
             if (a.accepted() != null) {
-                text.ballot("accepted_at", a.acceptedAt())
+                text.ballot("accepted_at", a.acceptedBallot())
                         .raw("accepted", text(a.accepted()).toString());
             }
             return text.bytes();
-        } else if (answer instanceof Answer.Accepted a) {
+        } else if (answer instanceof Response.Accepted a) {
             return new Text()
                     .text("kind", "accepted")
                     .number("rev", a.rev())
                     .ballot("ballot", a.ballot())
                     .bytes();
-        } else if (answer instanceof Answer.Refused a) {
+        } else if (answer instanceof Response.Rejected a) {
             return new Text()
                     .text("kind", "refused")
                     .number("rev", a.rev())
                     .ballot("ballot", a.ballot())
                     .ballot("promised", a.promised())
                     .bytes();
-        } else if (answer instanceof Answer.Behind a) {
+        } else if (answer instanceof Response.Behind a) {
             return new Text()
                     .text("kind", "behind")
                     .number("rev", a.rev())
-                    .number("known", a.known())
+                    .number("known", a.newestRev())
                     .bytes();
-        } else if (answer instanceof Answer.Known a) {
+        } else if (answer instanceof Response.Versions a) {
             return new Text()
                     .text("kind", "known")
-                    .number("after", a.after())
-                    .number("known", a.known())
+                    .number("after", a.afterRev())
+                    .number("known", a.newestRev())
                     .objects(
                             "versions",
                             a.versions().stream().map(RolloutText::text).toList())
                     .bytes();
         }
-        Answer.Whole a = (Answer.Whole) answer;
+        Response.Snapshot a = (Response.Snapshot) answer;
         return new Text()
                 .text("kind", "whole")
-                .number("known", a.known())
+                .number("known", a.rev())
                 .values("values", a.values())
                 .bytes();
     }
 
     /** What a keeper writes to its folder. */
-    public static byte[] write(Kept kept) {
-        if (kept instanceof Kept.Chosen k) {
+    public static byte[] write(LogRecord kept) {
+        if (kept instanceof LogRecord.Chosen k) {
             return new Text()
                     .text("kind", "chosen")
                     .raw("version", text(k.version()).toString())
                     .bytes();
-        } else if (kept instanceof Kept.Whole k) {
+        } else if (kept instanceof LogRecord.Snapshot k) {
             return new Text()
                     .text("kind", "whole")
                     .number("rev", k.rev())
                     .values("values", k.values())
                     .bytes();
         }
-        Vote vote = ((Kept.Voted) kept).vote();
+        Vote vote = ((LogRecord.Voted) kept).vote();
         Text text = new Text().text("kind", "voted").number("rev", vote.rev()).ballot("promised", vote.promised());
         if (vote.accepted() != null) {
             text.ballot("accepted_at", vote.acceptedAt())
@@ -325,13 +325,13 @@
 
     /** What an operator is told. */
     public static byte[] write(Outcome outcome) {
-        if (outcome instanceof Outcome.Taken o) {
+        if (outcome instanceof Outcome.Committed o) {
             return new Text().number("rev", o.rev()).bytes();
-        } else if (outcome instanceof Outcome.Faulty o) {
+        } else if (outcome instanceof Outcome.Invalid o) {
             return new Text()
                     .objects(
                             "faults",
-                            o.faults().stream()
+                            o.errors().stream()
                                     .map(fault -> new Text()
                                             .text("path", fault.path())
                                             .text("reason", fault.reason()))
@@ -348,12 +348,12 @@
     }
 
     /** Values as the parts of a whole, in order; one at least, and each of one value at least. */
-    static List<Line.Part> parts(long rev, SortedMap<String, String> values, int partBytes) {
+    static List<WatchEvent.SnapshotPart> splitSnapshot(long rev, SortedMap<String, String> values, int partBytes) {
         List<SortedMap<String, String>> cut = new ArrayList<>();
         SortedMap<String, String> part = new TreeMap<>();
         int size = 0;
         for (Map.Entry<String, String> value : values.entrySet()) {
-            int more = bytes(value.getKey()) + bytes(value.getValue()) + 4;
+            int more = utf8Length(value.getKey()) + utf8Length(value.getValue()) + 4;
             if (!part.isEmpty() && size + more > partBytes) {
                 cut.add(part);
                 part = new TreeMap<>();
@@ -363,9 +363,9 @@
             size += more;
         }
         cut.add(part);
-        List<Line.Part> parts = new ArrayList<>();
+        List<WatchEvent.SnapshotPart> parts = new ArrayList<>();
         for (int i = 0; i < cut.size(); i++) {
-            parts.add(new Line.Part(rev, i + 1, cut.size(), cut.get(i)));
+            parts.add(new WatchEvent.SnapshotPart(rev, i + 1, cut.size(), cut.get(i)));
         }
         return parts;
     }
@@ -376,14 +376,14 @@
     private static final class Source {
         private final Json json;
         private final String place;
-        private final List<Fault> faults;
+        private final List<ValidationError> faults;
 
-        Source(Json json, String place, List<Fault> faults, String... known) {
+        Source(Json json, String place, List<ValidationError> faults, String... known) {
             this.json = json;
             this.place = place;
             this.faults = faults;
             if (!json.isObject()) {
-                faults.add(new Fault(place.isEmpty() ? "body" : place, "is no object"));
+                faults.add(new ValidationError(place.isEmpty() ? "body" : place, "is no object"));
             }
             List<String> names = List.of(known);
             json.fields().keySet().stream()
@@ -397,7 +397,7 @@
         }
 
         void fault(String name, String reason) {
-            faults.add(new Fault(at(name), reason));
+            faults.add(new ValidationError(at(name), reason));
         }
 
         Json json(String name) {
@@ -451,9 +451,9 @@
             }
             json(name).fields().forEach((path, value) -> {
                 if (value.isMissing()) {
-                    faults.add(new Fault(path, "is null; to drop it, name it in drop"));
+                    faults.add(new ValidationError(path, "is null; to drop it, name it in drop"));
                 } else {
-                    values.put(path, RolloutText.value(value));
+                    values.put(path, RolloutText.writeValue(value));
                 }
                 path(path);
             });
@@ -461,10 +461,10 @@
         }
 
         void path(String path) {
-            if (!PATH.matcher(path).matches() || path.length() > Terms.MOST_PATH_CHARS) {
-                faults.add(new Fault(
+            if (!PATH.matcher(path).matches() || path.length() > ProtocolParameters.MAX_PATH_LENGTH_CHARS) {
+                faults.add(new ValidationError(
                         path,
-                        "is no path: a section, a slash and a name, at most " + Terms.MOST_PATH_CHARS + " characters"));
+                        "is no path: a section, a slash and a name, at most " + ProtocolParameters.MAX_PATH_LENGTH_CHARS + " characters"));
             }
         }
 
@@ -475,7 +475,7 @@
             }
             for (Json each : json(name)) {
                 if (!each.isString()) {
-                    fault(name, "holds what is no string: " + RolloutText.value(each));
+                    fault(name, "holds what is no string: " + RolloutText.writeValue(each));
                 } else if (!texts.add(each.text())) {
                     fault(name, "holds twice " + each.text());
                 }
@@ -500,21 +500,21 @@
     }
 
     private interface Reader<T> {
-        T read(Json json, List<Fault> faults);
+        T read(Json json, List<ValidationError> faults);
     }
 
-    private static <T> Read<T> read(byte[] text, Reader<T> reader) {
-        List<Fault> faults = new ArrayList<>();
+    private static <T> ParseResult<T> read(byte[] text, Reader<T> reader) {
+        List<ValidationError> faults = new ArrayList<>();
         T value = null;
         try {
             value = reader.read(Json.read(text), faults);
         } catch (IOException e) {
-            faults.add(new Fault("body", "is no JSON: " + e.getMessage()));
+            faults.add(new ValidationError("body", "is no JSON: " + e.getMessage()));
         }
-        return new Read<>(faults.isEmpty() ? value : null, List.copyOf(faults));
+        return new ParseResult<>(faults.isEmpty() ? value : null, List.copyOf(faults));
     }
 
-    private static Change change(Json json, String place, List<Fault> faults) {
+    private static Change change(Json json, String place, List<ValidationError> faults) {
         Source from = new Source(json, place, faults, "id", "base", "set", "drop");
         String id = from.text("id");
         if (from.json("id").isString() && !ID.matcher(id).matches()) {
@@ -527,26 +527,26 @@
         return new Change(id, base, set, drop);
     }
 
-    private static Version version(Json json, String place, List<Fault> faults) {
+    private static Version version(Json json, String place, List<ValidationError> faults) {
         Source from = new Source(json, place, faults, "rev", "change");
         return new Version(from.rev("rev", 1), from.change("change"));
     }
 
     /** An operator's change. */
-    public static Read<Change> readChange(byte[] text) {
-        if (text.length > Terms.MOST_CHANGE_BYTES) {
-            return new Read<>(
+    public static ParseResult<Change> readChange(byte[] text) {
+        if (text.length > ProtocolParameters.MAX_CHANGE_BYTES) {
+            return new ParseResult<>(
                     null,
-                    List.of(new Fault(
-                            "change", "has " + text.length + " bytes; " + Terms.MOST_CHANGE_BYTES + " are allowed")));
+                    List.of(new ValidationError(
+                            "change", "has " + text.length + " bytes; " + ProtocolParameters.MAX_CHANGE_BYTES + " are allowed")));
         }
         return read(text, (json, faults) -> change(json, "", faults));
     }
 
     /** A line of a watch, without its end. */
-    public static Read<Line> readLine(byte[] text) {
+    public static ParseResult<WatchEvent> readWatchEvent(byte[] text) {
         if (text.length == 0) {
-            return new Read<>(new Line.Beat(), List.of());
+            return new ParseResult<>(new WatchEvent.Heartbeat(), List.of());
         }
         return read(text, (json, faults) -> {
             if (!json.path("alone").isMissing()) {
@@ -554,30 +554,30 @@
                 if (!from.json("alone").flag()) {
                     from.fault("alone", "is not true");
                 }
-                return new Line.Alone(from.rev("rev", 0));
+                return new WatchEvent.NoQuorum(from.rev("rev", 0));
             }
             if (!json.path("part").isMissing()) {
                 Source from = new Source(json, "", faults, "rev", "part", "of", "set");
-                int of = (int) from.whole("of", 1, Terms.MOST_PATHS);
-                return new Line.Part(from.rev("rev", 1), (int) from.whole("part", 1, of), of, from.values("set"));
+                int of = (int) from.whole("of", 1, ProtocolParameters.MAX_PATH_COUNT);
+                return new WatchEvent.SnapshotPart(from.rev("rev", 1), (int) from.whole("part", 1, of), of, from.values("set"));
             }
             Source from = new Source(json, "", faults, "rev", "set", "drop");
             SortedSet<String> drop = from.texts("drop");
             drop.forEach(from::path);
-            return new Line.Next(from.rev("rev", 1), from.values("set"), drop);
+            return new WatchEvent.Update(from.rev("rev", 1), from.values("set"), drop);
         });
     }
 
-    private static Report report(Json json, String place, List<Fault> faults) {
+    private static Report report(Json json, String place, List<ValidationError> faults) {
         Source from = new Source(json, place, faults, "node", "life", "rev", "waits_restart", "refused");
-        List<Report.Refusal> refused = new ArrayList<>();
+        List<Report.Rejection> refused = new ArrayList<>();
         for (Json each : from.list("refused")) {
             Source one = new Source(each, from.at("refused"), faults, "rev", "path", "reason");
-            refused.add(new Report.Refusal(one.rev("rev", 1), one.text("path"), one.text("reason")));
+            refused.add(new Report.Rejection(one.rev("rev", 1), one.text("path"), one.text("reason")));
         }
         SortedSet<String> waits = from.texts("waits_restart");
-        if (refused.size() > Terms.MOST_TOLD || waits.size() > Terms.MOST_TOLD) {
-            from.fault("refused", "or waits_restart has more than " + Terms.MOST_TOLD);
+        if (refused.size() > ProtocolParameters.MAX_REPORTED_COUNT || waits.size() > ProtocolParameters.MAX_REPORTED_COUNT) {
+            from.fault("refused", "or waits_restart has more than " + ProtocolParameters.MAX_REPORTED_COUNT);
         }
         return new Report(
                 (int) from.whole("node", 0, Integer.MAX_VALUE),
@@ -588,12 +588,12 @@
     }
 
     /** A node's report. */
-    public static Read<Report> readReport(byte[] text) {
+    public static ParseResult<Report> readReport(byte[] text) {
         return read(text, (json, faults) -> report(json, "", faults));
     }
 
     /** Rows of an inventory. */
-    public static Read<List<Inventory.Row>> readRows(byte[] text) {
+    public static ParseResult<List<Inventory.Row>> readRows(byte[] text) {
         return read(text, (json, faults) -> {
             Source from = new Source(json, "", faults, "rows");
             List<Inventory.Row> rows = new ArrayList<>();
@@ -607,7 +607,7 @@
     }
 
     /** What another keeper asks. */
-    public static Read<Request> readRequest(byte[] text) {
+    public static ParseResult<Request> readRequest(byte[] text) {
         return read(text, (json, faults) -> switch (json.path("kind").text()) {
             case "prepare" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "ballot");
@@ -618,21 +618,21 @@
                 yield new Request.Accept(from.rev("rev", 1), from.ballot("ballot"), from.change("value"));
             }
             case "chosen" -> new Request.Chosen(new Source(json, "", faults, "kind", "version").version("version"));
-            case "ask" -> new Request.Ask(new Source(json, "", faults, "kind", "after").rev("after", 0));
+            case "ask" -> new Request.Fetch(new Source(json, "", faults, "kind", "after").rev("after", 0));
             default -> {
-                faults.add(new Fault("kind", "is none of prepare, accept, chosen, ask"));
+                faults.add(new ValidationError("kind", "is none of prepare, accept, chosen, ask"));
                 yield null;
             }
         });
     }
 
     /** What another keeper answers. */
-    public static Read<Answer> readAnswer(byte[] text) {
+    public static ParseResult<Response> readResponse(byte[] text) {
         return read(text, (json, faults) -> switch (json.path("kind").text()) {
             case "promised" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "ballot", "accepted_at", "accepted");
                 boolean is = from.has("accepted") || from.has("accepted_at");
-                yield new Answer.Promised(
+                yield new Response.Promised(
                         from.rev("rev", 1),
                         from.ballot("ballot"),
                         is ? from.ballot("accepted_at") : Ballot.NONE,
@@ -640,67 +640,67 @@
             }
             case "accepted" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "ballot");
-                yield new Answer.Accepted(from.rev("rev", 1), from.ballot("ballot"));
+                yield new Response.Accepted(from.rev("rev", 1), from.ballot("ballot"));
             }
             case "refused" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "ballot", "promised");
-                yield new Answer.Refused(from.rev("rev", 1), from.ballot("ballot"), from.ballot("promised"));
+                yield new Response.Rejected(from.rev("rev", 1), from.ballot("ballot"), from.ballot("promised"));
             }
             case "behind" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "known");
-                yield new Answer.Behind(from.rev("rev", 1), from.rev("known", 0));
+                yield new Response.Behind(from.rev("rev", 1), from.rev("known", 0));
             }
             case "known" -> {
                 Source from = new Source(json, "", faults, "kind", "after", "known", "versions");
                 List<Version> versions = new ArrayList<>();
                 from.list("versions").forEach(each -> versions.add(version(each, "versions", faults)));
-                if (versions.size() > Terms.MOST_VERSIONS) {
-                    from.fault("versions", "has more than " + Terms.MOST_VERSIONS);
+                if (versions.size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
+                    from.fault("versions", "has more than " + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT);
                 }
-                yield new Answer.Known(from.rev("after", 0), from.rev("known", 0), List.copyOf(versions));
+                yield new Response.Versions(from.rev("after", 0), from.rev("known", 0), List.copyOf(versions));
             }
             case "whole" -> {
                 Source from = new Source(json, "", faults, "kind", "known", "values");
-                yield new Answer.Whole(from.rev("known", 1), from.values("values"));
+                yield new Response.Snapshot(from.rev("known", 1), from.values("values"));
             }
             default -> {
-                faults.add(new Fault("kind", "is none of promised, accepted, refused, behind, known, whole"));
+                faults.add(new ValidationError("kind", "is none of promised, accepted, refused, behind, known, whole"));
                 yield null;
             }
         });
     }
 
     /** What a keeper's folder holds. */
-    public static Read<Kept> readKept(byte[] text) {
+    public static ParseResult<LogRecord> readLogRecord(byte[] text) {
         return read(text, (json, faults) -> switch (json.path("kind").text()) {
-            case "chosen" -> new Kept.Chosen(new Source(json, "", faults, "kind", "version").version("version"));
+            case "chosen" -> new LogRecord.Chosen(new Source(json, "", faults, "kind", "version").version("version"));
             case "whole" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "values");
-                yield new Kept.Whole(from.rev("rev", 1), from.values("values"));
+                yield new LogRecord.Snapshot(from.rev("rev", 1), from.values("values"));
             }
             case "voted" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "promised", "accepted_at", "accepted");
                 boolean is = from.has("accepted") || from.has("accepted_at");
-                yield new Kept.Voted(new Vote(
+                yield new LogRecord.Voted(new Vote(
                         from.rev("rev", 1),
                         from.ballot("promised"),
                         is ? from.ballot("accepted_at") : Ballot.NONE,
                         is ? from.change("accepted") : null));
             }
             default -> {
-                faults.add(new Fault("kind", "is none of chosen, whole, voted"));
+                faults.add(new ValidationError("kind", "is none of chosen, whole, voted"));
                 yield null;
             }
         });
     }
 
     /** The voters that a value names; null where it names none that could be. */
-    static List<Voter> voters(String value) {
+    static List<Voter> readVoters(String value) {
         List<Voter> voters = new ArrayList<>();
         Set<Integer> keepers = new HashSet<>();
         try {
             for (Json each : Json.read(value.getBytes(StandardCharsets.UTF_8))) {
-                Voter voter = Voter.read(each.text());
+                Voter voter = Voter.parse(each.text());
                 if (voter == null || !each.isString() || !keepers.add(voter.keeper())) {
                     return null;
                 }
@@ -709,6 +709,6 @@
         } catch (IOException e) {
             return null;
         }
-        return voters.size() % 2 == 1 && voters.size() <= Terms.MOST_VOTERS ? List.copyOf(voters) : null;
+        return voters.size() % 2 == 1 && voters.size() <= ProtocolParameters.MAX_VOTER_COUNT ? List.copyOf(voters) : null;
     }
 }
--- a/src/main/java/kitemux/rollout/Rules.java
+++ b/src/main/java/kitemux/rollout/Rules.java
@@ -10,11 +10,11 @@
  */
 public interface Rules {
     /** All that is wrong with a whole configuration, values as JSON by path; empty where nothing is. */
-    List<Fault> faults(Map<String, String> whole);
+    List<ValidationError> validate(Map<String, String> whole);
 
     /**
      * Paths whose values in {@code next} are not in force before the process starts anew, where it started
      * with {@code first}; empty where all are live.
      */
-    Set<String> waitRestart(Map<String, String> first, Map<String, String> next);
+    Set<String> pathsNeedingRestart(Map<String, String> first, Map<String, String> next);
 }
--- a/src/main/java/kitemux/rollout/Subscriber.java
+++ b/src/main/java/kitemux/rollout/Subscriber.java
@@ -17,13 +17,13 @@
 public final class Subscriber {
     /** How it stands to keepers. */
     public enum State {
-        DIALING,
+        CONNECTING,
         CATCHING_UP,
         CURRENT,
-        ALONE
+        NO_QUORUM
     }
 
-    private final Terms terms;
+    private final ProtocolParameters terms;
     private final Rules rules;
     private final int node;
     private final long life;
@@ -32,7 +32,7 @@
     /** What the process has started with. */
     private final SortedMap<String, String> first;
 
-    private State state = State.DIALING;
+    private State state = State.CONNECTING;
     private List<Effect> out = new ArrayList<>();
     private long nowUs;
 
@@ -49,7 +49,7 @@
     private long sideRev;
 
     private SortedMap<String, String> side;
-    private final List<Report.Refusal> refused = new ArrayList<>();
+    private final List<Report.Rejection> refused = new ArrayList<>();
     /** Parts of a whole: of which version, and the last that came. */
     private long wholeRev;
 
@@ -61,7 +61,7 @@
     private long watch;
 
     private int keeper = -1;
-    private boolean connected;
+    private boolean watchOpened;
     private long silentAtUs = Long.MAX_VALUE;
     private long dialAtUs;
     private long reportAtUs = Long.MAX_VALUE;
@@ -74,8 +74,8 @@
     private long trialAtUs = Long.MAX_VALUE;
     private final Set<Integer> tried = new HashSet<>();
     private long waitUs;
-    private long badLines;
-    private long redials;
+    private long malformedEvents;
+    private long reconnects;
 
     /**
      * Begins with what the node's own file says.
@@ -87,7 +87,7 @@
      * @param seed of what it draws
      */
     public Subscriber(
-            Terms terms,
+            ProtocolParameters terms,
             Rules rules,
             int node,
             long life,
@@ -108,7 +108,7 @@
         this.dialAtUs = nowUs;
         sideRev = rev;
         side = values;
-        waitUs = terms.mostWaitUs();
+        waitUs = terms.initialMaxBackoffUs();
     }
 
     /** How it stands to keepers. */
@@ -127,13 +127,13 @@
     }
 
     /** Lines that could not be, since its start. */
-    public long badLines() {
-        return badLines;
+    public long malformedEvents() {
+        return malformedEvents;
     }
 
     /** Watches that it gave up or lost, since its start. */
-    public long redials() {
-        return redials;
+    public long reconnects() {
+        return reconnects;
     }
 
     /** When {@link #tick} is to be called, in microseconds. */
@@ -193,19 +193,19 @@
         keeper = draw(null);
         tried.add(keeper);
         watch = ++watches;
-        connected = false;
-        silentAtUs = nowUs + terms.dialUs();
-        out.add(new Effect.Dial(watch, keeper, sideRev));
+        watchOpened = false;
+        silentAtUs = nowUs + terms.connectTimeoutUs();
+        out.add(new Effect.OpenWatch(watch, keeper, sideRev));
     }
 
     private long patienceUs() {
-        return nowUs + draws.nextLong(terms.leastPatienceUs(), terms.mostPatienceUs());
+        return nowUs + draws.nextLong(terms.minWatchTimeoutUs(), terms.maxWatchTimeoutUs());
     }
 
     /** A dial was answered: lines may follow. */
-    public List<Effect> connected(long now, long on) {
+    public List<Effect> watchOpened(long now, long on) {
         return events(now, () -> {
-            if (on == watch && !connected) {
+            if (on == watch && !watchOpened) {
                 begin();
             } else if (on == trial && !trialConnected) {
                 trialConnected = true;
@@ -215,7 +215,7 @@
     }
 
     private void begin() {
-        connected = true;
+        watchOpened = true;
         state = State.CATCHING_UP;
         silentAtUs = patienceUs();
         reportAtUs = nowUs;
@@ -223,7 +223,7 @@
     }
 
     /** A dial has failed or was refused, or a watch has ended. */
-    public List<Effect> ended(long now, long on) {
+    public List<Effect> watchEnded(long now, long on) {
         return events(now, () -> {
             if (on == watch) {
                 lost(false);
@@ -235,32 +235,32 @@
 
     private void lost(boolean hangUp) {
         if (hangUp) {
-            out.add(new Effect.HangUp(watch));
+            out.add(new Effect.CloseWatch(watch));
         }
-        boolean wasConnected = connected;
-        redials++;
+        boolean wasConnected = watchOpened;
+        reconnects++;
         watch = 0;
-        connected = false;
+        watchOpened = false;
         whole = null;
         silentAtUs = Long.MAX_VALUE;
-        state = State.DIALING;
+        state = State.CONNECTING;
         if (trial != 0) {
             takeTrial();
             return;
         }
         trialAtUs = Long.MAX_VALUE;
-        long mostUs = terms.mostWaitUs();
+        long mostUs = terms.initialMaxBackoffUs();
         if (wasConnected) {
             tried.clear();
             tried.add(keeper);
-            waitUs = terms.mostWaitUs();
+            waitUs = terms.initialMaxBackoffUs();
         } else if (tried.size() >= keepers) {
             // Only between two rounds: one of those that are back is found soon.
-            waitUs = Math.min(2 * waitUs, terms.longestWaitUs());
+            waitUs = Math.min(2 * waitUs, terms.maxBackoffUs());
             mostUs = waitUs;
             tried.clear();
         }
-        dialAtUs = nowUs + draws.nextLong(terms.leastWaitUs(), mostUs + 1);
+        dialAtUs = nowUs + draws.nextLong(terms.minBackoffUs(), mostUs + 1);
     }
 
     /** The keeper that is tried is the one that it watches from now on, or dials. */
@@ -274,7 +274,7 @@
         if (was) {
             begin();
         } else {
-            state = State.DIALING;
+            state = State.CONNECTING;
         }
     }
 
@@ -290,82 +290,82 @@
         tried.add(trialKeeper);
         trial = ++watches;
         trialConnected = false;
-        trialEndsAtUs = nowUs + terms.dialUs();
-        out.add(new Effect.Dial(trial, trialKeeper, sideRev));
+        trialEndsAtUs = nowUs + terms.connectTimeoutUs();
+        out.add(new Effect.OpenWatch(trial, trialKeeper, sideRev));
     }
 
     private void trialFailed(boolean hangUp) {
         if (hangUp) {
-            out.add(new Effect.HangUp(trial));
+            out.add(new Effect.CloseWatch(trial));
         }
         dropTrial();
         trialAtUs = nowUs
                 + (tried.size() < keepers
-                        ? draws.nextLong(terms.leastWaitUs(), terms.mostWaitUs())
-                        : terms.aloneTryUs());
+                        ? draws.nextLong(terms.minBackoffUs(), terms.initialMaxBackoffUs())
+                        : terms.noQuorumRetryUs());
     }
 
     /** A line of a watch. */
-    public List<Effect> line(long now, long on, Line line) {
+    public List<Effect> handleEvent(long now, long on, WatchEvent line) {
         return events(now, () -> {
             if (on == trial && trialConnected) {
-                if (line instanceof Line.Alone) {
+                if (line instanceof WatchEvent.NoQuorum) {
                     trialFailed(true);
                     return;
                 }
-                out.add(new Effect.HangUp(watch));
+                out.add(new Effect.CloseWatch(watch));
                 takeTrial();
             }
-            if (on == watch && connected) {
+            if (on == watch && watchOpened) {
                 take(line);
             }
         });
     }
 
     /** A line of a watch that could not be read. */
-    public List<Effect> badLine(long now, long on) {
+    public List<Effect> handleMalformedEvent(long now, long on) {
         return events(now, () -> {
-            if (on == watch && connected) {
+            if (on == watch && watchOpened) {
                 bad();
             } else if (on == trial && trialConnected) {
-                badLines++;
+                malformedEvents++;
                 trialFailed(true);
             }
         });
     }
 
     private void bad() {
-        badLines++;
+        malformedEvents++;
         lost(true);
     }
 
-    private void take(Line line) {
+    private void take(WatchEvent line) {
         silentAtUs = patienceUs();
-        if (line instanceof Line.Alone) {
-            if (state != State.ALONE) {
-                state = State.ALONE;
+        if (line instanceof WatchEvent.NoQuorum) {
+            if (state != State.NO_QUORUM) {
+                state = State.NO_QUORUM;
                 tried.clear();
                 tried.add(keeper);
                 trialAtUs = nowUs;
             }
             return;
         }
-        if (state == State.ALONE && trial != 0) {
-            out.add(new Effect.HangUp(trial));
+        if (state == State.NO_QUORUM && trial != 0) {
+            out.add(new Effect.CloseWatch(trial));
             dropTrial();
         }
         trialAtUs = Long.MAX_VALUE;
-        if (line instanceof Line.Part part) {
+        if (line instanceof WatchEvent.SnapshotPart part) {
             state = State.CATCHING_UP;
             part(part);
-        } else if (line instanceof Line.Next next) {
+        } else if (line instanceof WatchEvent.Update next) {
             next(next);
         } else {
             state = State.CURRENT;
         }
     }
 
-    private void part(Line.Part part) {
+    private void part(WatchEvent.SnapshotPart part) {
         boolean isFirst = part.part() == 1 && part.rev() > sideRev;
         boolean isNext = whole != null && part.rev() == wholeRev && part.part() == lastPart + 1;
         if (!isFirst && !isNext) {
@@ -378,7 +378,7 @@
         wholeRev = part.rev();
         lastPart = part.part();
         whole.putAll(part.set());
-        if (part.part() == part.of()) {
+        if (part.part() == part.partCount()) {
             state = State.CURRENT;
             side = whole;
             whole = null;
@@ -387,33 +387,33 @@
         }
     }
 
-    private void next(Line.Next next) {
+    private void next(WatchEvent.Update next) {
         if (next.rev() != sideRev + 1 || whole != null) {
             bad();
             return;
         }
         state = State.CURRENT;
         sideRev = next.rev();
-        side = new Change("", 0, next.set(), next.drop()).appliedTo(side);
+        side = new Change("", 0, next.set(), next.drop()).applyTo(side);
         judge();
     }
 
     /** The copy on the side is in force if it is sound as a whole; else it waits for what mends it. */
     private void judge() {
-        List<Fault> faults = rules.faults(side);
+        List<ValidationError> faults = rules.validate(side);
         refused.clear();
         if (faults.isEmpty()) {
-            out.add(new Effect.PutInForce(sideRev, side));
+            out.add(new Effect.Apply(sideRev, side));
         } else {
             faults.stream()
-                    .limit(Terms.MOST_TOLD)
-                    .forEach(fault -> refused.add(new Report.Refusal(sideRev, fault.path(), fault.reason())));
+                    .limit(ProtocolParameters.MAX_REPORTED_COUNT)
+                    .forEach(fault -> refused.add(new Report.Rejection(sideRev, fault.path(), fault.reason())));
             report();
         }
     }
 
     /** What was to be put in force is so: all that was asked for up to this version. */
-    public List<Effect> inForce(long now, long nowRev, SortedMap<String, String> nowValues) {
+    public List<Effect> applied(long now, long nowRev, SortedMap<String, String> nowValues) {
         return events(now, () -> {
             if (nowRev > rev) {
                 rev = nowRev;
@@ -424,10 +424,10 @@
     }
 
     private void report() {
-        reportAtUs = nowUs + terms.reportUs();
-        if (connected) {
-            SortedSet<String> waits = new TreeSet<>(rules.waitRestart(first, values));
-            while (waits.size() > Terms.MOST_TOLD) {
+        reportAtUs = nowUs + terms.reportIntervalUs();
+        if (watchOpened) {
+            SortedSet<String> waits = new TreeSet<>(rules.pathsNeedingRestart(first, values));
+            while (waits.size() > ProtocolParameters.MAX_REPORTED_COUNT) {
                 waits.remove(waits.last());
             }
             out.add(new Effect.SendReport(keeper, new Report(node, life, rev, waits, List.copyOf(refused))));
--- a/src/main/java/kitemux/rollout/Pace.java
+++ b/src/main/java/kitemux/rollout/TokenBucket.java
@@ -4,7 +4,7 @@
  * How much a watch may be sent: so much a second in the long run, and so much at once. What must go, a beat,
  * goes whatever was sent, and is made up for by what follows.
  */
-public final class Pace {
+public final class TokenBucket {
     private final long perSecond;
     private final long atOnce;
     private double bytes;
@@ -18,7 +18,7 @@
      * @param first bytes that may go at the beginning; 0 where nobody knows what was sent just before by
      *     another
      */
-    public Pace(long nowUs, long perSecond, long atOnce, long first) {
+    public TokenBucket(long nowUs, long perSecond, long atOnce, long first) {
         this.perSecond = perSecond;
         this.atOnce = atOnce;
         this.bytes = first;
@@ -38,7 +38,7 @@
     }
 
     /** So many bytes went. */
-    public void sent(long nowUs, int some) {
+    public void consume(long nowUs, int some) {
         advance(nowUs);
         bytes -= some;
     }
--- a/src/main/java/kitemux/rollout/Fault.java
+++ b/src/main/java/kitemux/rollout/ValidationError.java
@@ -6,7 +6,7 @@
  * @param path of the configuration, or the dotted name of a field
  * @param reason what is wrong, to stand behind it
  */
-public record Fault(String path, String reason) {
+public record ValidationError(String path, String reason) {
     @Override
     public String toString() {
         return path + " " + reason;
--- a/src/main/java/kitemux/rollout/Voter.java
+++ b/src/main/java/kitemux/rollout/Voter.java
@@ -15,7 +15,7 @@
     }
 
     /** Reads what {@link #toString()} wrote; null where it is none. */
-    public static Voter read(String text) {
+    public static Voter parse(String text) {
         int colon = text.indexOf(':');
         if (!text.matches("[0-9]{1,3}:[0-9A-Za-z]{1,32}")) {
             return null;
--- a/src/main/java/kitemux/rollout/package-info.java
+++ b/src/main/java/kitemux/rollout/package-info.java
@@ -26,7 +26,7 @@
  * {@code answered}; one that is lost needs no word, and an answer to an earlier process must not reach a
  * later one. {@code Reply}, {@code Conclude}, {@code Tell} and {@code RefuseWatch} bear the number under
  * which the carrier told the event; it gives each a new one. A watch that is not refused at once is answered
- * with 200. The carrier ends a watch with more than {@link kitemux.rollout.Terms#MOST_UNWRITTEN} bytes
+ * with 200. The carrier ends a watch with more than {@link kitemux.rollout.Terms#MAX_UNWRITTEN_BYTES} bytes
  * unwritten, and says {@code watchEnded} of each that ends. At a node, numbers of watches come with {@code
  * Dial}; {@code PutInForce} is done between two events of the loop, then {@code inForce} is told, and not
  * before.
--- a/src/main/java/kitemux/scale/Hollow.java
+++ b/src/main/java/kitemux/scale/Hollow.java
@@ -107,7 +107,7 @@
     }
 
     private static void begin(Told told, List<HollowNode> nodes, PrintStream out) throws ConfigException {
-        InetSocketAddress list = Addresses.read("list", told.list);
+        InetSocketAddress list = Addresses.parse("list", told.list);
         InetSocketAddress[] peers = null;
         if (told.peers) {
             peers = new InetSocketAddress[told.size.nodes()];
@@ -127,7 +127,7 @@
     /** Defects must not pass unseen; what the watch has to tell is expected here. */
     private static final Log QUIET = new Log() {
         @Override
-        public void line(String text) {}
+        public void info(String text) {}
 
         @Override
         public void error(String what, Throwable cause) {
--- a/src/main/java/kitemux/scale/HollowNode.java
+++ b/src/main/java/kitemux/scale/HollowNode.java
@@ -25,19 +25,19 @@
 import kitemux.Balancer.Settings;
 import kitemux.ServiceQBalancer;
 import kitemux.discovery.Discovery;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
 import kitemux.net.HostList;
-import kitemux.net.LoopTime;
+import kitemux.net.EventLoopClock;
 import kitemux.net.Network;
 import kitemux.net.NioNetwork;
-import kitemux.net.QuietChannel;
+import kitemux.net.InputAwareChannel;
 import kitemux.net.SelectorLoop;
 import kitemux.net.ServerPool;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.peers.Datagram;
 import kitemux.peers.Members;
 import kitemux.peers.Message;
@@ -56,10 +56,10 @@
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private final SelectorLoop loop;
-    private final LoopTime time;
-    private final ServerPool<Asked, Object> pool;
+    private final EventLoopClock time;
+    private final ServerPool<RequestInfo, Object> pool;
     private final Discovery discovery;
-    private final Engine<Asked, Object> engine;
+    private final Engine<RequestInfo, Object> engine;
     private final InetSocketAddress[] peers;
     private final int me;
     private final long seed;
@@ -119,10 +119,10 @@
         this.peers = peers;
         this.seed = seed;
         loop = SelectorLoop.open();
-        time = LoopTime.of(loop);
+        time = EventLoopClock.of(loop);
         Network network = new Counted();
         pool = new ServerPool<>(
-                loop, network, new Sockets(SOCKETS), time, settings.connectTimeoutUs, CONN_IDLE_US, new NoRequests());
+                loop, network, new SocketBudget(SOCKETS), time, settings.connectTimeoutUs, CONN_IDLE_US, new NoRequests());
         discovery = new Discovery(
                 loop,
                 network,
@@ -134,14 +134,14 @@
                 new Discovery.Listener() {
                     @Override
                     public void listed(HostList told) {
-                        put(told, told.all() ? ListKind.FULL : ListKind.CHANGES);
-                        readRev = told.rev();
+                        put(told, told.isFull() ? ListKind.FULL : ListKind.CHANGES);
+                        readRev = told.revision();
                         heardAtUs = time.nowUs();
                     }
 
                     @Override
                     public void failed(String reason) {
-                        engine.listFailed();
+                        engine.reportListFailure();
                     }
                 },
                 log);
@@ -151,23 +151,23 @@
                 pool,
                 discovery,
                 Observer.NONE,
-                SendGate.open(),
+                SendGate.alwaysOpen(),
                 log,
                 actions -> new ServiceQBalancer(settings, seed, actions));
     }
 
     private void put(HostList list, ListKind kind) {
-        engine.listed(kind, list.entries(), () -> pool.update(list));
+        engine.updateServers(kind, list.entries(), () -> pool.update(list));
     }
 
     /** Follows the list from now on, as a node that knows no server yet. */
     void start() {
         loop.execute(() -> {
             threadId = Thread.currentThread().getId();
-            time.beat();
+            time.tick();
             put(new HostList(0, true, List.of()), ListKind.CACHED);
-            loop.scheduleAtFixedRate(pool::closeOld, HOUSEKEEPING_MS, HOUSEKEEPING_MS, TimeUnit.MILLISECONDS);
-            loop.scheduleWithFixedDelay(time::beat, 0, LoopTime.BEAT_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleAtFixedRate(pool::closeExpiredConnections, HOUSEKEEPING_MS, HOUSEKEEPING_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleWithFixedDelay(time::tick, 0, EventLoopClock.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
             if (peers != null) {
                 meet();
             }
@@ -236,7 +236,7 @@
             return;
         }
         ticking = true;
-        time.after(Math.max(1, members.nextAtUs() - time.nowUs()), () -> {
+        time.schedule(Math.max(1, members.nextAtUs() - time.nowUs()), () -> {
             ticking = false;
             members.tick(time.nowUs());
             tick();
@@ -282,13 +282,13 @@
     /** The system's sockets, with all that comes and goes counted and timed. */
     private final class Counted implements Network {
         @Override
-        public ServerChannel listener(Gate gate) {
+        public ServerChannel newListener(AcceptGate gate) {
             throw new IllegalStateException("a hollow node takes no clients");
         }
 
         @Override
-        public QuietChannel dialer() {
-            QuietChannel channel = NioNetwork.SYSTEM.dialer();
+        public InputAwareChannel newOutboundChannel() {
+            InputAwareChannel channel = NioNetwork.SYSTEM.newOutboundChannel();
             channel.pipeline().addFirst(new Meter());
             calls++;
             return channel;
@@ -332,19 +332,19 @@
     }
 
     /** There is no way to ask a server for anything: no request ever comes. */
-    private static final class NoRequests implements ServerPool.Protocol<Asked, Object> {
+    private static final class NoRequests implements ServerPool.Protocol<RequestInfo, Object> {
         @Override
-        public void prepare(ChannelPipeline pipeline) {
+        public void initPipeline(ChannelPipeline pipeline) {
             throw new IllegalStateException("a hollow node dials no server");
         }
 
         @Override
-        public ServerPool.Link<Asked, Object> link() {
+        public ServerPool.ServerConnection<RequestInfo, Object> newConnection() {
             throw new IllegalStateException("a hollow node dials no server");
         }
 
         @Override
-        public Asked probe() {
+        public RequestInfo probeRequest() {
             throw new IllegalStateException("a hollow node probes no server");
         }
     }
--- a/src/main/java/kitemux/scale/Sized.java
+++ b/src/main/java/kitemux/scale/Sized.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
@@ -69,17 +69,17 @@
     Settings settings(int me) {
         Settings set = new Settings();
         set.nodes = nodes;
-        set.me = me;
+        set.nodeIndex = me;
         set.zones.addAll(zoneNames());
         set.myZone = me % zones;
-        set.classes.add(new RequestClass("page", 500_000, 0, 2_000_000, 1, 0.2, Repeat.SAFE, null, 0, false));
+        set.classes.add(new RequestClass("page", 500_000, 0, 2_000_000, 1, 0.2, RetrySafety.SAFE, null, 0, false));
         set.classes.add(
-                new RequestClass("order", 800_000, 0, 3_000_000, 4, 0.2, Repeat.KEYED, Group.ALL, 60_000_000, false));
+                new RequestClass("order", 800_000, 0, 3_000_000, 4, 0.2, RetrySafety.KEYED, DedupScope.ALL, 60_000_000, false));
         for (int t = 0; t < tenants; t++) {
             set.tenants.add(new Tenant(tenant(t), QUOTA_TIMES * ALL_PER_S / tenants));
         }
         set.overShareWorth = 0.5;
-        set.cancel = true;
+        set.cancellationAllowed = true;
         set.maxRetryAfterUs = 5_000_000;
         set.listOnRequest = true;
         return set;
--- a/src/main/java/kitemux/sidecar/Beside.java
+++ b/src/main/java/kitemux/sidecar/Beside.java
@@ -33,11 +33,11 @@
         try {
             started = start();
         } catch (IOException e) {
-            log.line("the application cannot be started: " + e.getMessage());
+            log.info("the application cannot be started: " + e.getMessage());
             return 127;
         }
         int code = started.waitFor();
-        log.line("the application has ended with exit code " + code);
+        log.info("the application has ended with exit code " + code);
         return code;
     }
 
@@ -59,7 +59,7 @@
         told.destroy();
         try {
             if (!told.waitFor(MOST_END_S, TimeUnit.SECONDS)) {
-                log.line("the application did not end within " + MOST_END_S + " s and is ended");
+                log.info("the application did not end within " + MOST_END_S + " s and is ended");
                 told.destroyForcibly();
             }
         } catch (InterruptedException e) {
--- a/src/main/java/kitemux/sidecar/LineLog.java
+++ b/src/main/java/kitemux/sidecar/LineLog.java
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public void line(String text) {
+    public void info(String text) {
         say("info", text, "");
     }
 
--- a/src/main/java/kitemux/sidecar/Sidecar.java
+++ b/src/main/java/kitemux/sidecar/Sidecar.java
@@ -202,9 +202,9 @@
             }
         }
         if (members.isEmpty()) {
-            log.line("no server is known yet: all requests are refused until one is");
+            log.info("no server is known yet: all requests are refused until one is");
         } else if (left != null) {
-            log.line("began with what the process before this one knew, "
+            log.info("began with what the process before this one knew, "
                     + (nowUs() - left.savedUs()) / 1_000_000
                     + " s ago");
         }
@@ -238,7 +238,7 @@
         }
         if (!trouble.isEmpty()) {
             trouble = "";
-            log.line(from + ": can be read again");
+            log.info(from + ": can be read again");
         }
         take(members.told(nowUs(), all));
         return true;
@@ -248,7 +248,7 @@
     private void trouble(String from, String what) {
         if (!what.equals(trouble)) {
             trouble = what;
-            log.line(from + ": " + what + "; what it said before holds");
+            log.info(from + ": " + what + "; what it said before holds");
         }
     }
 
@@ -258,7 +258,7 @@
             tell(decision.serving());
         }
         // Whoever reads that a server drains may rely on it.
-        decision.say().forEach(log::line);
+        decision.say().forEach(log::info);
     }
 
     private void tell(List<Members.Serving> serving) {
@@ -271,7 +271,7 @@
                     options.seed()));
             reload.run();
         } catch (IOException e) {
-            log.line("the configuration cannot be written: " + e);
+            log.info("the configuration cannot be written: " + e);
         }
     }
 
@@ -296,7 +296,7 @@
                 take(members.described(nowUs(), ConfigWriter.members(app)));
             }
         }
-        decision.say().forEach(log::line);
+        decision.say().forEach(log::info);
         if (!app.members().file().isEmpty()) {
             lookAtList();
         }
@@ -371,7 +371,7 @@
         try {
             state.write(members.save(app.name(), nowUs()));
         } catch (IOException e) {
-            log.line("state: cannot be written, and the next process begins without it: " + e);
+            log.info("state: cannot be written, and the next process begins without it: " + e);
         }
     }
 }
--- a/src/main/java/kitemux/sidecar/StateFolder.java
+++ b/src/main/java/kitemux/sidecar/StateFolder.java
@@ -33,9 +33,9 @@
         } catch (NoSuchFileException e) {
             return Optional.empty();
         } catch (IOException e) {
-            log.line("state: " + file + " cannot be read: " + e);
+            log.info("state: " + file + " cannot be read: " + e);
         } catch (SavedMembers.UnusableException e) {
-            log.line("state: " + file + " " + e.getMessage() + "; beginning without it");
+            log.info("state: " + file + " " + e.getMessage() + "; beginning without it");
         }
         return Optional.empty();
     }
--- a/src/main/java/kitemux/sim/ColdWork.java
+++ b/src/main/java/kitemux/sim/ColdStartLoad.java
@@ -7,7 +7,7 @@
  * the rule on cold servers, for whoever judges by it. N is what the settings allow within their time, in
  * requests of mean work; what is beyond by no more than 2 x root of N + 2 is chance.
  */
-public final class ColdWork {
+public final class ColdStartLoad {
     /** At the first fall more than this part has to have come from nodes that knew of the start, for it to be
      * their fault. */
     private static final double FROM_TOLD = 2.0 / 3;
@@ -19,16 +19,16 @@
 
     private double sumUs;
     private double toldUs;
-    private double highest;
+    private double peakRatio;
 
     /** What became of a server by what came to it. */
     public enum Verdict {
         /** It stands. */
-        STANDS,
+        WITHIN_LIMIT,
         /** It falls, by what came from nodes that could not know. */
-        FALLS,
+        OVERLOADED,
         /** It falls, and the nodes are to blame. */
-        PUSHED_OVER
+        OVERLOADED_BY_NODES
     }
 
     /**
@@ -37,18 +37,18 @@
      * @param meanWorkUs mean work of a request, in microseconds on a core of speed 1, above 0
      * @param withinUs the stretch of time that the settings name, in microseconds
      */
-    public ColdWork(double meanWorkUs, long withinUs) {
+    public ColdStartLoad(double meanWorkUs, long withinUs) {
         this.meanWorkUs = meanWorkUs;
         this.withinUs = withinUs;
     }
 
     /** How many requests of mean work a cold server stands where the settings allow {@code n}. */
-    public static double most(double n) {
+    public static double maxRequests(double n) {
         return n + 2 * Math.sqrt(n) + 2;
     }
 
     /** A new process: what came to the one before is of no concern. */
-    public void begins() {
+    public void reset() {
         in.clear();
         sumUs = 0;
         toldUs = 0;
@@ -61,7 +61,7 @@
      * @param fromTold whether its node had been told of the start
      * @param allowedUs work that the settings allow it in their time, as warm as it is now
      */
-    public Verdict came(long nowUs, double workUs, boolean fromTold, double allowedUs) {
+    public Verdict recordArrival(long nowUs, double workUs, boolean fromTold, double allowedUs) {
         in.add(new double[] {nowUs, workUs, fromTold ? workUs : 0});
         sumUs += workUs;
         toldUs += fromTold ? workUs : 0;
@@ -70,21 +70,21 @@
             sumUs -= old[1];
             toldUs -= old[2];
         }
-        double part = sumUs / meanWorkUs / most(allowedUs / meanWorkUs);
-        highest = Math.max(highest, part);
+        double part = sumUs / meanWorkUs / maxRequests(allowedUs / meanWorkUs);
+        peakRatio = Math.max(peakRatio, part);
         if (part <= 1) {
-            return Verdict.STANDS;
+            return Verdict.WITHIN_LIMIT;
         }
-        return toldUs > FROM_TOLD * sumUs ? Verdict.PUSHED_OVER : Verdict.FALLS;
+        return toldUs > FROM_TOLD * sumUs ? Verdict.OVERLOADED_BY_NODES : Verdict.OVERLOADED;
     }
 
     /** What has come within the time that is looked at, in requests of mean work. */
-    public double requests() {
+    public double recentRequests() {
         return sumUs / meanWorkUs;
     }
 
     /** The most that came in any such stretch, as a part of what a server then stands; 0 if nothing came. */
-    public double highest() {
-        return highest;
+    public double peakRatio() {
+        return peakRatio;
     }
 }
--- a/src/main/java/kitemux/sim/Scheduler.java
+++ b/src/main/java/kitemux/sim/Scheduler.java
@@ -15,9 +15,9 @@
 
     private Event[] heap = new Event[FIRST_ROOM];
     private int size;
-    private long now;
+    private long nowNanos;
     private long asked;
-    private long steps;
+    private long executedEventCount;
 
     /** Something that is to happen. */
     public static final class Event {
@@ -50,33 +50,33 @@
     }
 
     /** Nanoseconds since the world began. */
-    public long now() {
-        return now;
+    public long nowNanos() {
+        return nowNanos;
     }
 
     /** The same in microseconds. */
     public long nowUs() {
-        return now / 1_000;
+        return nowNanos / 1_000;
     }
 
     /** How many events have happened. */
-    public long steps() {
-        return steps;
+    public long executedEventCount() {
+        return executedEventCount;
     }
 
     /** How many are to happen. */
-    public int pending() {
+    public int pendingEventCount() {
         return size;
     }
 
     /** When the next event happens, in nanoseconds; the clock's end if there is none. */
-    public long nextAt() {
+    public long nextEventNanos() {
         return size == 0 ? Long.MAX_VALUE : heap[0].at;
     }
 
     /** At this time, or now if it has passed; behind all that was asked for before at the same time. */
-    public Event at(long nanos, Runnable what) {
-        Event event = new Event(this, Math.max(now, nanos), asked++, what);
+    public Event scheduleAt(long nanos, Runnable what) {
+        Event event = new Event(this, Math.max(nowNanos, nanos), asked++, what);
         if (size == heap.length) {
             heap = Arrays.copyOf(heap, 2 * size);
         }
@@ -85,25 +85,25 @@
     }
 
     /** So many microseconds from now; what is too far off for the clock is at its end. */
-    public Event afterUs(long us, Runnable what) {
-        return at(us > (Long.MAX_VALUE - now) / 1_000 ? Long.MAX_VALUE : now + us * 1_000, what);
+    public Event scheduleAfterUs(long us, Runnable what) {
+        return scheduleAt(us > (Long.MAX_VALUE - nowNanos) / 1_000 ? Long.MAX_VALUE : nowNanos + us * 1_000, what);
     }
 
     /** So many milliseconds from now. */
-    public Event afterMs(long ms, Runnable what) {
-        return at(now + ms * 1_000_000, what);
+    public Event scheduleAfterMs(long ms, Runnable what) {
+        return scheduleAt(nowNanos + ms * 1_000_000, what);
     }
 
     /** Lets the next event happen; false if there is none, or none up to this time. */
-    public boolean step(long untilNanos) {
+    public boolean runNext(long untilNanos) {
         if (size == 0 || heap[0].at > untilNanos) {
-            now = Math.max(now, untilNanos);
+            nowNanos = Math.max(nowNanos, untilNanos);
             return false;
         }
         Event next = heap[0];
         remove(0);
-        now = next.at;
-        steps++;
+        nowNanos = next.at;
+        executedEventCount++;
         Runnable what = next.what;
         next.what = null;
         what.run();
--- a/src/main/java/kitemux/telemetry/RequestTrace.java
+++ b/src/main/java/kitemux/telemetry/RequestTrace.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import kitemux.Balancer.Result;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.http.CloseReason;
 import kitemux.http.ConnectionObserver;
 import kitemux.http.ShutdownPhase;
@@ -22,12 +22,12 @@
  * {@link #close}.
  */
 public final class RequestTrace implements Observer, ConnectionObserver, AutoCloseable {
-    private final Time time;
+    private final Clock time;
     private final TraceFile file;
     /** The client's id of each request that is held, by the engine's. */
     private final Map<Long, String> txns = new HashMap<>();
 
-    private RequestTrace(Time time, TraceFile file) {
+    private RequestTrace(Clock time, TraceFile file) {
         this.time = time;
         this.file = file;
     }
@@ -39,7 +39,7 @@
      * @param say told once that lines cannot be written
      * @throws IOException if the file cannot be made
      */
-    public static RequestTrace open(TraceSettings settings, String name, Time time, Consumer<String> say)
+    public static RequestTrace open(TraceSettings settings, String name, Clock time, Consumer<String> say)
             throws IOException {
         Files.createDirectories(settings.folder());
         Path path =
@@ -76,28 +76,28 @@
     }
 
     @Override
-    public void taken(long id, Asked request) {
+    public void onRequestAccepted(long id, RequestInfo request) {
         txns.put(id, request.txn());
-        request(id, "taken, " + request.leftUs() + " us left");
+        request(id, "taken, " + request.remainingUs() + " us left");
     }
 
     @Override
-    public void sent(long id, int attempt, String serverId, long untilUs) {
+    public void onAttemptStarted(long id, int attempt, String serverId, long untilUs) {
         request(id, "attempt " + attempt + " to " + serverId + ", " + (untilUs - time.nowUs()) + " us left");
     }
 
     @Override
-    public void ended(long id, int attempt, Result result) {
+    public void onAttemptEnded(long id, int attempt, Result result) {
         request(id, "attempt " + attempt + " ended " + result);
     }
 
     @Override
-    public void answered(long id, Answer answer) {
+    public void onRequestAnswered(long id, RequestOutcome answer) {
         request(id, "answered " + answer);
     }
 
     @Override
-    public void forgotten(long id) {
+    public void onRequestReleased(long id) {
         txns.remove(id);
     }
 
--- a/src/main/java/kitemux/world/Box.java
+++ b/src/main/java/kitemux/world/Box.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import kitemux.Balancer.Settings;
-import kitemux.sim.ColdWork;
+import kitemux.sim.ColdStartLoad;
 
 /**
  * A server with one core: it takes requests in turn, turns away what its waiting room does not hold, is
@@ -70,7 +70,7 @@
     private long crowdedSinceUs = -1;
     private long idleSinceUs = -1;
     /** What came to it while cold. */
-    private final ColdWork coldWork;
+    private final ColdStartLoad coldWork;
 
     /** A request in its waiting room or in work. */
     private record Job(Ask ask, Ask.Run run, Line line, long takenUs, long leftUs, long dialUs) {}
@@ -85,7 +85,7 @@
             boolean chokes) {
         this.world = world;
         this.settings = settings;
-        coldWork = new ColdWork(Clients.meanWorkUs(), settings.fallUs);
+        coldWork = new ColdStartLoad(Clients.meanWorkUs(), settings.overloadOutageUs);
         this.random = random;
         this.machine = machine;
         uid = machine.name;
@@ -140,14 +140,14 @@
         crowdedSinceUs = -1;
         startedUs = world.time.nowUs();
         bootMs = world.unixMs();
-        coldWork.begins();
+        coldWork.reset();
         machine.acceptor = this::incoming;
     }
 
     /** The part of its work that it can do by now, in (0, 1]. */
     private double warmth() {
-        double age = (double) (world.time.nowUs() - startedUs) / settings.coldUs;
-        return age >= 1 ? 1 : settings.coldFrom + (1 - settings.coldFrom) * age;
+        double age = (double) (world.time.nowUs() - startedUs) / settings.warmUpUs;
+        return age >= 1 ? 1 : settings.coldCapacityRatio + (1 - settings.coldCapacityRatio) * age;
     }
 
     private double pace() {
@@ -212,7 +212,7 @@
         }
 
         private void take(Ask ask, Messages.Message request, NodeHost from) {
-            Ask.Run run = new Ask.Run(Box.this, end, request.firstSentAt(), world.time.now());
+            Ask.Run run = new Ask.Run(Box.this, end, request.firstSentAt(), world.time.nowNanos());
             world.tape.note(Tape.What.ATTEMPT, ask.number, machine.number);
             if (world.tape.isOn()) {
                 world.tape.line(
@@ -256,7 +256,7 @@
 
     private void afterwards(long us, Runnable what) {
         int of = process;
-        world.time.afterUs(us, () -> {
+        world.time.scheduleAfterUs(us, () -> {
             if (of == process) {
                 what.run();
             }
@@ -286,7 +286,7 @@
         job.line.busy = false;
         job.line.end.write(Messages.write("HTTP/1.1 " + status, "X-Turned-Away: 1\r\n", new byte[0]), () -> {
             job.run.answerHeard = true;
-            job.run.turnedAwayHeardAt = world.time.now();
+            job.run.turnedAwayHeardAt = world.time.nowNanos();
         });
     }
 
@@ -320,7 +320,7 @@
         if (left == kept) {
             giving.remove(job.run);
             job.run.giving = false;
-            job.run.stoppedAt = world.time.now();
+            job.run.stoppedAt = world.time.nowNanos();
             return;
         }
         int to = from == 0 ? LONG : from + (whole.length - from) / left;
@@ -409,7 +409,7 @@
                         coldWork,
                         ask.workUs,
                         from.knowsStartOf(this),
-                        settings.fallMultiple * speed * warmth() * settings.fallUs);
+                        settings.overloadRatio * speed * warmth() * settings.overloadOutageUs);
     }
 
     private void watchCrowd() {
--- a/src/main/java/kitemux/world/Clients.java
+++ b/src/main/java/kitemux/world/Clients.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
 import kitemux.http.Limits;
@@ -74,7 +74,7 @@
                 end.close();
             }
         });
-        world.time.afterMs(UP_EVERY_MS, () -> {
+        world.time.scheduleAfterMs(UP_EVERY_MS, () -> {
             if (process == node.process() && !inFront.contains(node) && !over) {
                 watch(node);
             }
@@ -89,7 +89,7 @@
     // ---------------------------------------------------------------- what is asked
 
     void begin() {
-        world.time.afterUs(gapUs(), this::arrive);
+        world.time.scheduleAfterUs(gapUs(), this::arrive);
     }
 
     private long gapUs() {
@@ -97,7 +97,7 @@
     }
 
     private void arrive() {
-        if (world.time.now() >= plan.lengthMs() * 1_000_000L || wanted >= plan.requests()) {
+        if (world.time.nowNanos() >= plan.lengthMs() * 1_000_000L || wanted >= plan.requests()) {
             over = true;
             return;
         }
@@ -106,15 +106,15 @@
         RequestClass cls = settings.classes.get(pick < SAFE_SHARE ? 0 : pick < SAFE_SHARE + KEYED_SHARE ? 1 : 2);
         int tenant = (int) (settings.tenants.size() * random.nextDouble() * random.nextDouble());
         want(new Want(cls, tenant, workOf(cls), 0, Long.toHexString(random.nextLong())));
-        world.time.afterUs(gapUs(), this::arrive);
+        world.time.scheduleAfterUs(gapUs(), this::arrive);
     }
 
     /** Half of the mean is certain, the rest is chance, as for work that is mostly alike. */
     private long workOf(RequestClass cls) {
-        return 1 + (long) (meanWorkUs(cls.repeat()) * (0.5 - 0.5 * Math.log(1 - random.nextDouble())));
+        return 1 + (long) (meanWorkUs(cls.retrySafety()) * (0.5 - 0.5 * Math.log(1 - random.nextDouble())));
     }
 
-    private static double meanWorkUs(Repeat repeat) {
+    private static double meanWorkUs(RetrySafety repeat) {
         return switch (repeat) {
             case SAFE -> 19_000;
             case KEYED -> 22_000;
@@ -124,9 +124,9 @@
 
     /** Mean work of what is asked, in microseconds on a core of speed 1. */
     static double meanWorkUs() {
-        return SAFE_SHARE * meanWorkUs(Repeat.SAFE)
-                + KEYED_SHARE * meanWorkUs(Repeat.KEYED)
-                + (1 - SAFE_SHARE - KEYED_SHARE) * meanWorkUs(Repeat.UNSAFE);
+        return SAFE_SHARE * meanWorkUs(RetrySafety.SAFE)
+                + KEYED_SHARE * meanWorkUs(RetrySafety.KEYED)
+                + (1 - SAFE_SHARE - KEYED_SHARE) * meanWorkUs(RetrySafety.UNSAFE);
     }
 
     private void want(Want want) {
@@ -152,7 +152,7 @@
             line.send(ask, want, ask.wire.length);
         }
         if (rude > 1 - plan.leaving()) {
-            world.time.afterUs((long) (random.nextDouble() * ask.remainingUs), () -> line.leave(ask));
+            world.time.scheduleAfterUs((long) (random.nextDouble() * ask.remainingUs), () -> line.leave(ask));
         }
     }
 
@@ -160,7 +160,7 @@
         RequestClass cls = want.cls;
         long number = ++asked;
         String txn = Long.toHexString(Tape.mix(number)) + "-" + number;
-        boolean safe = cls.repeat() == Repeat.SAFE;
+        boolean safe = cls.retrySafety() == RetrySafety.SAFE;
         String what = (safe ? "GET" : "POST") + " /api/" + want.key + (number % 5 == 0 ? "?page=" + number : "");
         byte[] body =
                 safe ? new byte[0] : new byte[random.nextInt(12) == 0 ? random.nextInt(30_000) : random.nextInt(300)];
@@ -199,7 +199,7 @@
     private void later(Want want, long us) {
         if (want.tries + 1 < MOST_TRIES && !over) {
             Want next = new Want(want.cls, want.tenant, want.workUs, want.tries + 1, want.key);
-            world.time.afterUs(us, () -> want(next));
+            world.time.scheduleAfterUs(us, () -> want(next));
         }
     }
 
@@ -208,8 +208,8 @@
         boolean refused = status == 429 || status == 503;
         boolean mayTryAgain = refused
                 || status != 200
-                        && (want.cls.repeat() == Repeat.SAFE
-                                || want.cls.repeat() == Repeat.KEYED && want.cls.group() == Group.ALL);
+                        && (want.cls.retrySafety() == RetrySafety.SAFE
+                                || want.cls.retrySafety() == RetrySafety.KEYED && want.cls.dedupScope() == DedupScope.ALL);
         if (mayTryAgain) {
             String after = answer.header("retry-after");
             long us = after == null ? 50_000 : (long) (Double.parseDouble(after) * 1e6);
@@ -264,7 +264,7 @@
             this.free = free;
             open++;
             end = world.fabric.connect(machine, node.machine.address, this);
-            world.time.afterMs(DIAL_MS, () -> {
+            world.time.scheduleAfterMs(DIAL_MS, () -> {
                 if (!end.connected) {
                     ended();
                 }
@@ -278,7 +278,7 @@
         void sendOnceUp(byte[] bytes) {
             mute = true;
             write(bytes);
-            world.time.afterMs(200 + random.nextInt(4_000), this::close);
+            world.time.scheduleAfterMs(200 + random.nextInt(4_000), this::close);
         }
 
         /** Sends a request, or so much of it, and the rest after a while or never. */
@@ -294,9 +294,9 @@
             mute = true;
             write(java.util.Arrays.copyOf(ask.wire, first));
             if (random.nextBoolean()) {
-                world.time.afterMs(random.nextInt(3_000), this::close);
+                world.time.scheduleAfterMs(random.nextInt(3_000), this::close);
             } else {
-                world.time.afterUs(random.nextInt(200_000), () -> {
+                world.time.scheduleAfterUs(random.nextInt(200_000), () -> {
                     if (!gone && waiting.stream().anyMatch(s -> s.ask == ask)) {
                         write(java.util.Arrays.copyOfRange(ask.wire, first, ask.wire.length));
                         sent(ask);
@@ -318,9 +318,9 @@
             if (!end.connected) {
                 return;
             }
-            ask.sentAt = world.time.now();
+            ask.sentAt = world.time.nowNanos();
             if (!ask.behind) {
-                world.time.at(Judge.dueAt(ask), () -> look(ask));
+                world.time.scheduleAt(Judge.dueAt(ask), () -> look(ask));
             }
         }
 
@@ -330,10 +330,10 @@
                 return;
             }
             long deadline = ask.sentAt + ask.remainingUs * 1_000;
-            long had = world.time.now() - deadline - node.stalledBetween(deadline, world.time.now());
+            long had = world.time.nowNanos() - deadline - node.stalledBetween(deadline, world.time.nowNanos());
             long more = Judge.dueAt(ask) - deadline - had + world.judge.moreGraceNanos;
             if (more > 0) {
-                world.time.at(world.time.now() + more, () -> look(ask));
+                world.time.scheduleAt(world.time.nowNanos() + more, () -> look(ask));
                 return;
             }
             if (isLongAmid() && waiting.peek().ask == ask) {
@@ -357,8 +357,8 @@
             }
             long due = world.judge.longAnswerDueAt(ask, heardAt) + world.judge.moreGraceNanos;
             due += node.stalledBetween(Math.min(heardAt, ask.sentAt + ask.remainingUs * 1_000), due);
-            if (world.time.now() < due) {
-                world.time.at(due, () -> lookAtLong(ask));
+            if (world.time.nowNanos() < due) {
+                world.time.scheduleAt(due, () -> lookAtLong(ask));
                 return;
             }
             if (isTaken(ask)) {
@@ -393,7 +393,7 @@
             if (!gone) {
                 waiting.forEach(s -> {
                     s.ask.over = true;
-                    s.ask.leftAt = world.time.now();
+                    s.ask.leftAt = world.time.nowNanos();
                 });
                 waiting.clear();
                 if (random.nextInt(4) == 0) {
@@ -432,7 +432,7 @@
             }
             End.Segment segment;
             while (!gone && (segment = end.read()) != null) {
-                heardAt = world.time.now();
+                heardAt = world.time.nowNanos();
                 try {
                     reader.take(segment, this::got);
                 } catch (IllegalArgumentException e) {
@@ -519,7 +519,7 @@
             } else if (taken && !last) {
                 world.judge.lost(
                         ask, "was taken, and its connection #" + end.connection + " ended with no whole answer");
-            } else if (sent.want != null && (!end.connected || sent.want.cls.repeat() == Repeat.SAFE)) {
+            } else if (sent.want != null && (!end.connected || sent.want.cls.retrySafety() == RetrySafety.SAFE)) {
                 later(sent.want, 100_000 + random.nextInt(400_000));
             }
         }
--- a/src/main/java/kitemux/world/Defect.java
+++ b/src/main/java/kitemux/world/Defect.java
@@ -5,7 +5,7 @@
 import kitemux.Balancer;
 import kitemux.engine.Transport;
 import kitemux.http.ClientRequest;
-import kitemux.net.Answer;
+import kitemux.net.ServerResponse;
 
 /** Puts unsound parts in the place of sound ones, to see that they are found. All of these leave things
  * alone. */
@@ -29,7 +29,7 @@
     }
 
     /** The connections to servers, as the engine has them. */
-    default Transport<ClientRequest, Answer> transport(Transport<ClientRequest, Answer> sound) {
+    default Transport<ClientRequest, ServerResponse> transport(Transport<ClientRequest, ServerResponse> sound) {
         return sound;
     }
 
--- a/src/main/java/kitemux/world/DiskGate.java
+++ b/src/main/java/kitemux/world/DiskGate.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.engine.SendGate;
 import kitemux.http.ClientRequest;
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void before(
+    public void admit(
             long id,
             ClientRequest request,
             int attempt,
@@ -44,7 +44,7 @@
             Supplier<String> endpoint,
             long untilUs,
             Consumer<Boolean> then) {
-        if (mood == 0 || settings.classes.get(request.classIndex()).repeat() != Repeat.UNSAFE) {
+        if (mood == 0 || settings.classes.get(request.classIndex()).retrySafety() != RetrySafety.UNSAFE) {
             then.accept(true);
             return;
         }
--- a/src/main/java/kitemux/world/Fabric.java
+++ b/src/main/java/kitemux/world/Fabric.java
@@ -47,15 +47,15 @@
     }
 
     long now() {
-        return time.now();
+        return time.nowNanos();
     }
 
     void at(long nanos, Runnable what) {
-        time.at(nanos, what);
+        time.scheduleAt(nanos, what);
     }
 
     void soon(Runnable what) {
-        time.at(time.now() + delay(), what);
+        time.scheduleAt(time.nowNanos() + delay(), what);
     }
 
     long delay() {
@@ -96,7 +96,7 @@
 
     private void breakBehind(End from) {
         long when = now() + 2 * delay();
-        time.at(when, () -> cutOff(from));
+        time.scheduleAt(when, () -> cutOff(from));
     }
 
     /** Both ends find the connection broken. */
@@ -119,7 +119,7 @@
             tape.line(Tape.What.CONNECT, "#" + near.connection + " " + from + " -> " + to);
         }
         boolean hangs = hanging > 0 && random.nextDouble() < hanging;
-        time.at(time.now() + from.spent + delay(), () -> {
+        time.scheduleAt(time.nowNanos() + from.spent + delay(), () -> {
             Machine target = machines.get(to);
             if (hangs || from.silent || target == null || target.silent) {
                 return;
@@ -186,7 +186,7 @@
     /** An address as plans write it. */
     static InetSocketAddress address(String text) {
         try {
-            return Addresses.read("address", text);
+            return Addresses.parse("address", text);
         } catch (ConfigException e) {
             throw new IllegalArgumentException(e);
         }
--- a/src/main/java/kitemux/world/Judge.java
+++ b/src/main/java/kitemux/world/Judge.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
-import kitemux.sim.ColdWork;
+import kitemux.sim.ColdStartLoad;
 import kitemux.sim.Scheduler;
 
 /**
@@ -66,7 +66,7 @@
 
     void breach(Rule rule, String what) {
         tape.note(Tape.What.BREACH, rule.ordinal(), breaches.size());
-        Breach breach = new Breach(rule, time.steps(), time.now() / 1e6, what);
+        Breach breach = new Breach(rule, time.executedEventCount(), time.nowNanos() / 1e6, what);
         if (tape.isOn()) {
             tape.line(Tape.What.BREACH, breach.toString());
         }
@@ -91,7 +91,7 @@
         int status = answer.status();
         ask.status = status;
         ask.answerSentAt = answer.lastSentAt();
-        ask.answeredAt = time.now();
+        ask.answeredAt = time.nowNanos();
         tape.note(Tape.What.ANSWER, ask.number, status);
         if (tape.isOn()) {
             tape.line(Tape.What.ANSWER, ask + " " + status);
@@ -154,12 +154,12 @@
         breach(
                 Rule.LONG_ANSWERS,
                 ask + (ask.given() != null ? " is withheld since " : " has no end since ")
-                        + (time.now() - heardAt) / 1_000_000 + " ms");
+                        + (time.nowNanos() - heardAt) / 1_000_000 + " ms");
     }
 
     private void checkRefusal(Ask ask, Ask.Run run) {
         RequestClass cls = ask.cls;
-        boolean harmless = cls.repeat() == Repeat.SAFE || cls.repeat() == Repeat.KEYED && cls.group() == Group.ALL;
+        boolean harmless = cls.retrySafety() == RetrySafety.SAFE || cls.retrySafety() == RetrySafety.KEYED && cls.dedupScope() == DedupScope.ALL;
         if (!harmless && run.mayHaveRun(ask.answerSentAt)) {
             breach(Rule.EFFECTS, ask + " was refused though it may have run at " + run.box);
         }
@@ -209,18 +209,18 @@
             if (!earlier.mayHaveRun(run.sentAt)) {
                 continue;
             }
-            if (cls.repeat() == Repeat.UNSAFE) {
+            if (cls.retrySafety() == RetrySafety.UNSAFE) {
                 breach(Rule.EFFECTS, ask + " was sent to " + run.box + " though it may have run at " + earlier.box);
-            } else if (cls.repeat() == Repeat.KEYED && cls.group() == Group.CELL && earlier.box.cell != run.box.cell) {
+            } else if (cls.retrySafety() == RetrySafety.KEYED && cls.dedupScope() == DedupScope.CELL && earlier.box.cell != run.box.cell) {
                 breach(Rule.EFFECTS, ask + " was repeated at " + run.box + ", outside the group of " + earlier.box);
-            } else if (cls.repeat() == Repeat.KEYED
-                    && run.sentAt - earlier.sentAt > (cls.windowUs() + LONGER_US) * 1_000) {
+            } else if (cls.retrySafety() == RetrySafety.KEYED
+                    && run.sentAt - earlier.sentAt > (cls.dedupWindowUs() + LONGER_US) * 1_000) {
                 breach(
                         Rule.EFFECTS,
                         ask + " was repeated " + (run.sentAt - earlier.sentAt) / 1_000_000 + " ms after it was sent to "
                                 + earlier.box);
             }
-            if (!settings.secondCopies
+            if (!settings.hedgingAllowed
                     && !earlier.answerHeard
                     && !earlier.end.peer.closed
                     && !earlier.end.peer.resetIn
@@ -245,16 +245,16 @@
      * @param allowedUs what the settings allow it in their time, as warm as it is now
      * @return whether it falls over
      */
-    boolean fallsOver(Box box, ColdWork sent, double workUs, boolean fromTold, double allowedUs) {
-        ColdWork.Verdict verdict = sent.came(time.nowUs(), workUs, fromTold, allowedUs);
-        if (verdict == ColdWork.Verdict.PUSHED_OVER) {
+    boolean fallsOver(Box box, ColdStartLoad sent, double workUs, boolean fromTold, double allowedUs) {
+        ColdStartLoad.Verdict verdict = sent.recordArrival(time.nowUs(), workUs, fromTold, allowedUs);
+        if (verdict == ColdStartLoad.Verdict.OVERLOADED_BY_NODES) {
             breach(
                     Rule.COLD,
-                    box + " was sent " + Math.round(sent.requests()) + " requests in "
-                            + settings.fallUs / 1_000 + " ms, in which it may get "
+                    box + " was sent " + Math.round(sent.recentRequests()) + " requests in "
+                            + settings.overloadOutageUs / 1_000 + " ms, in which it may get "
                             + Math.round(allowedUs / Clients.meanWorkUs()));
         }
-        return verdict != ColdWork.Verdict.STANDS;
+        return verdict != ColdStartLoad.Verdict.WITHIN_LIMIT;
     }
 
     // ---------------------------------------------------------------- what is out
--- a/src/main/java/kitemux/world/ListServer.java
+++ b/src/main/java/kitemux/world/ListServer.java
@@ -188,7 +188,7 @@
         }
 
         private void beat() {
-            world.time.afterMs(BEAT_MS, () -> {
+            world.time.scheduleAfterMs(BEAT_MS, () -> {
                 if (watches.contains(this) && !end.closed && up) {
                     write("\n", () -> {});
                     beat();
--- a/src/main/java/kitemux/world/NodeHost.java
+++ b/src/main/java/kitemux/world/NodeHost.java
@@ -16,7 +16,7 @@
 import kitemux.engine.Observer;
 import kitemux.http.ConnectionObserver;
 import kitemux.net.HostList;
-import kitemux.net.LoopTime;
+import kitemux.net.EventLoopClock;
 import kitemux.node.Node;
 import kitemux.node.NodeConfig;
 import kitemux.sim.Scheduler;
@@ -105,7 +105,7 @@
             hosts.add(new HostList.Host(
                     new ServerEntry(e.uid(), 0, e.cell(), state, 1, e.bootMs() * 1_000), Fabric.address(e.endpoint())));
             if (state == ServerState.DRAINING) {
-                gone.put(e.uid(), world.time.now());
+                gone.put(e.uid(), world.time.nowNanos());
             }
         }
         NodeConfig config = config(new HostList(knownRev, true, hosts));
@@ -113,7 +113,7 @@
         network = new WorldNetwork(world.fabric, machine, loop, this::soon, world.defect);
         Node.Parts parts = new Node.Parts(
                 network,
-                LoopTime.startingAt(loop, world.unixUs()),
+                EventLoopClock.startingAt(loop, world.unixUs()),
                 new TapeLog(),
                 Observer.NONE,
                 ConnectionObserver.NONE,
@@ -180,14 +180,14 @@
         int of = process;
         node.drain(
                 false,
-                () -> world.time.afterUs(1, () -> {
+                () -> world.time.scheduleAfterUs(1, () -> {
                     if (of == process) {
                         world.nodeNote(this, "has ended");
                         end();
                     }
                 }));
         soon();
-        world.time.afterMs(killAfterMs, () -> {
+        world.time.scheduleAfterMs(killAfterMs, () -> {
             if (of == process) {
                 kill();
             }
@@ -208,7 +208,7 @@
 
     /** Stands still: nothing runs on its loop for so long. */
     void stall(long ms) {
-        long begin = Math.max(stalledUntil, world.time.now());
+        long begin = Math.max(stalledUntil, world.time.nowNanos());
         stalledUntil = begin + ms * 1_000_000;
         stalls.add(new long[] {begin, stalledUntil});
     }
@@ -219,7 +219,7 @@
      * No answer may be later for it: that is what is asked of a node so short of its processor.
      */
     void slow(long stillMs, long thingNanos) {
-        stalledUntil = Math.max(stalledUntil, world.time.now() + stillMs * 1_000_000);
+        stalledUntil = Math.max(stalledUntil, world.time.nowNanos() + stillMs * 1_000_000);
         machine.thingNanos = thingNanos;
     }
 
@@ -234,7 +234,7 @@
 
     /** Something waits for the loop. */
     void soon() {
-        turnBy(world.time.now() + (long) (random.nextDouble() * LATENESS_NS));
+        turnBy(world.time.nowNanos() + (long) (random.nextDouble() * LATENESS_NS));
     }
 
     private long standsUntil() {
@@ -250,7 +250,7 @@
             turn.cancel();
         }
         turnAt = at;
-        turn = world.time.at(at, this::turn);
+        turn = world.time.scheduleAt(at, this::turn);
     }
 
     private void turn() {
@@ -258,13 +258,13 @@
         if (node == null) {
             return;
         }
-        if (world.time.now() < standsUntil()) {
+        if (world.time.nowNanos() < standsUntil()) {
             turnBy(standsUntil());
             return;
         }
         int of = process;
         int done = loop.runNow();
-        inTurnUntil = world.time.now() + machine.spent;
+        inTurnUntil = world.time.nowNanos() + machine.spent;
         machine.spent = 0;
         if (of != process) {
             return;
@@ -275,7 +275,7 @@
         } else {
             long wait = loop.untilTimer();
             if (wait >= 0) {
-                turnBy(world.time.now() + wait + (long) (random.nextDouble() * LATENESS_NS));
+                turnBy(world.time.nowNanos() + wait + (long) (random.nextDouble() * LATENESS_NS));
             }
         }
     }
@@ -302,7 +302,7 @@
         }
         Map<String, ListServer.Entry> next = all ? new LinkedHashMap<>() : known;
         if (all) {
-            known.keySet().forEach(uid -> gone.putIfAbsent(uid, world.time.now()));
+            known.keySet().forEach(uid -> gone.putIfAbsent(uid, world.time.nowNanos()));
         }
         for (ListServer.Entry entry : entries) {
             if (entry.state().equals("Gone")) {
@@ -313,7 +313,7 @@
             if (entry.state().equals("Ready")) {
                 gone.remove(entry.uid());
             } else {
-                gone.putIfAbsent(entry.uid(), world.time.now());
+                gone.putIfAbsent(entry.uid(), world.time.nowNanos());
             }
         }
         known = next;
@@ -334,7 +334,7 @@
     // ---------------------------------------------------------------- checks
 
     private void checkFlight(int of) {
-        world.time.afterMs(200 + random.nextInt(100), () -> {
+        world.time.scheduleAfterMs(200 + random.nextInt(100), () -> {
             if (of == process) {
                 check();
                 checkFlight(of);
@@ -343,7 +343,7 @@
     }
 
     private void check() {
-        int believed = node.engine().outstandingCount();
+        int believed = node.engine().inFlightCount();
         int out = world.judge.outOf(machine);
         if (out > believed) {
             world.judge.breach(Rule.FLIGHT, this + " has " + out + " attempts out and believes in " + believed);
@@ -368,10 +368,10 @@
             return;
         }
         check();
-        if (node.engine().heldCount() > 0 || checked.inFlight() > 0) {
+        if (node.engine().pendingCount() > 0 || checked.inFlight() > 0) {
             world.judge.breach(
                     Rule.LEFT_OVER,
-                    this + " holds " + node.engine().heldCount() + " requests and " + checked.inFlight() + " attempts");
+                    this + " holds " + node.engine().pendingCount() + " requests and " + checked.inFlight() + " attempts");
         }
         node.close();
         for (int i = 0; i < 8; i++) {
@@ -395,7 +395,7 @@
     /** What the node says to its operators. */
     private final class TapeLog implements Log {
         @Override
-        public void line(String text) {
+        public void info(String text) {
             world.tape.note(Tape.What.LOG, machine.number, text.length());
             if (world.tape.isOn()) {
                 world.tape.line(Tape.What.LOG, NodeHost.this + ": " + text);
--- a/src/main/java/kitemux/world/Plan.java
+++ b/src/main/java/kitemux/world/Plan.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import kitemux.Balancer.Group;
+import kitemux.Balancer.DedupScope;
 import kitemux.world.Fault.Kind;
 
 /**
@@ -36,7 +36,7 @@
         double leaving,
         boolean chokes,
         boolean secondCopies,
-        Group group,
+        DedupScope group,
         long windowUs,
         int sockets,
         boolean wholeLists,
@@ -104,7 +104,7 @@
                 random.nextInt(2) == 0 ? 0.2 * random.nextDouble() : 0.01,
                 random.nextInt(3) == 0,
                 random.nextInt(4) != 0,
-                random.nextInt(4) == 0 ? Group.ALL : Group.CELL,
+                random.nextInt(4) == 0 ? DedupScope.ALL : DedupScope.CELL,
                 random.nextInt(4) == 0 ? 60_000 : 1_200_000,
                 random.nextInt(8) == 0 ? 160 : 384,
                 random.nextInt(4) == 0,
@@ -152,7 +152,7 @@
     }
 
     /** The same, asked and served otherwise. */
-    Plan like(int nodeCount, double leavingShare, boolean copies, Group keyedGroup, long keyedWindowUs) {
+    Plan like(int nodeCount, double leavingShare, boolean copies, DedupScope keyedGroup, long keyedWindowUs) {
         return new Plan(
                 seed,
                 boxes,
--- a/src/main/java/kitemux/world/Scenario.java
+++ b/src/main/java/kitemux/world/Scenario.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
-import kitemux.Balancer.Group;
+import kitemux.Balancer.DedupScope;
 import kitemux.world.Fault.Kind;
 
 /** The kinds of worlds that can be asked for by name: what is drawn at random, and the hard cases. */
@@ -145,7 +145,7 @@
                             plan.nodes(),
                             plan.leaving(),
                             random.nextBoolean(),
-                            Group.CELL,
+                            DedupScope.CELL,
                             20_000 + random.nextInt(120_000))
                     .with(List.of(
                             new Fault(Kind.BOXES_SLOW, 200, plan.lengthMs(), 0.4, random.nextDouble()),
--- a/src/main/java/kitemux/world/Tape.java
+++ b/src/main/java/kitemux/world/Tape.java
@@ -46,13 +46,13 @@
 
     /** Something happened; the two numbers tell it apart from others of its kind. */
     void note(What what, long a, long b) {
-        digest = mix(digest ^ what.ordinal() + 31 * time.now());
+        digest = mix(digest ^ what.ordinal() + 31 * time.nowNanos());
         digest = mix(digest + a * 0x9e3779b97f4a7c15L ^ b);
     }
 
     /** The line to what was just noted. */
     void line(What what, String text) {
-        lines.printf(Locale.ROOT, "%12.6f %8d %-8s %s%n", time.now() / 1e9, time.steps(), what, text);
+        lines.printf(Locale.ROOT, "%12.6f %8d %-8s %s%n", time.nowNanos() / 1e9, time.executedEventCount(), what, text);
     }
 
     long digest() {
--- a/src/main/java/kitemux/world/World.java
+++ b/src/main/java/kitemux/world/World.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
@@ -145,29 +145,29 @@
         set.nodes = plan.nodes();
         set.zones.add("amman-room");
         set.classes.add(
-                new RequestClass("view-page", 100_000, 0, 500_000, 1, 0, Repeat.SAFE, Group.ALL, 5_000_000, false));
+                new RequestClass("view-page", 100_000, 0, 500_000, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 5_000_000, false));
         set.classes.add(new RequestClass(
-                "add-photo", 200_000, 0, 600_000, 5, 0, Repeat.KEYED, plan.group(), plan.windowUs(), false));
+                "add-photo", 200_000, 0, 600_000, 5, 0, RetrySafety.KEYED, plan.group(), plan.windowUs(), false));
         set.classes.add(new RequestClass(
-                "place-order", 300_000, 0, 1_000_000, 5, 0, Repeat.UNSAFE, Group.ALL, 5_000_000, false));
+                "place-order", 300_000, 0, 1_000_000, 5, 0, RetrySafety.UNSAFE, DedupScope.ALL, 5_000_000, false));
         double all = plan.boxes() * SERVED_PER_S;
         for (int i = 0; i < 3; i++) {
             set.tenants.add(new Tenant("school-" + (char) ('a' + i), all / 3));
         }
         set.overShareWorth = 0.1;
         set.maxAttempts = 4;
-        set.secondCopies = plan.secondCopies();
-        set.cancel = true;
+        set.hedgingAllowed = plan.secondCopies();
+        set.cancellationAllowed = true;
         set.probes = true;
         set.maxRetryAfterUs = 1_000_000;
         set.tickUs = 2_000;
         set.connectTimeoutUs = 50_000;
         set.listOnRequest = true;
         set.drainGraceUs = 500_000;
-        set.coldFrom = 0.12;
-        set.coldUs = 23_000_000;
-        set.fallMultiple = 4;
-        set.fallUs = 2_000_000;
+        set.coldCapacityRatio = 0.12;
+        set.warmUpUs = 23_000_000;
+        set.overloadRatio = 4;
+        set.overloadOutageUs = 2_000_000;
         return set;
     }
 
@@ -181,7 +181,7 @@
 
     /** Whether nodes expect a key with requests of this class. */
     boolean isKeyed(RequestClass of) {
-        return told.classes.get(settings.classes.indexOf(of)).repeat() == Repeat.KEYED;
+        return told.classes.get(settings.classes.indexOf(of)).retrySafety() == RetrySafety.KEYED;
     }
 
     long unixMs() {
@@ -217,13 +217,13 @@
             node.start();
             clients.watch(node);
         }
-        time.afterMs(300, clients::begin);
+        time.scheduleAfterMs(300, clients::begin);
         for (Fault fault : plan.faults()) {
-            time.afterMs(fault.atMs(), () -> begin(fault));
+            time.scheduleAfterMs(fault.atMs(), () -> begin(fault));
         }
         try {
             long settled = (plan.lengthMs() + SETTLE_MS) * 1_000_000;
-            while (time.step(settled)) {
+            while (time.runNext(settled)) {
                 // What happens next is the step's.
             }
             nodes.forEach(NodeHost::checkEnd);
@@ -237,8 +237,8 @@
         }
         return new Verdict(
                 plan,
-                time.steps(),
-                time.now() / 1e6,
+                time.executedEventCount(),
+                time.nowNanos() / 1e6,
                 tape.digest(),
                 clients.asked(),
                 judge.served,
@@ -260,7 +260,7 @@
     private void list(Box box, String state) {
         ListServer.Entry entry = entry(box, state);
         for (ListServer each : lists) {
-            time.afterMs(100 + chance.nextInt(900) + listDelayMs, () -> each.learn(entry));
+            time.scheduleAfterMs(100 + chance.nextInt(900) + listDelayMs, () -> each.learn(entry));
         }
     }
 
@@ -301,16 +301,16 @@
             case NODE_KILLED -> {
                 NodeHost node = node(fault);
                 node.kill();
-                time.afterMs(1_000 + chance.nextInt(2_900), () -> noticeEnd(node));
+                time.scheduleAfterMs(1_000 + chance.nextInt(2_900), () -> noticeEnd(node));
                 restart(node, fault.forMs());
             }
             case NODE_TERMINATED -> {
                 NodeHost node = node(fault);
                 node.terminate(KILL_AFTER_MS);
-                time.afterMs(200 + chance.nextInt(200), () -> clients.takeOut(node));
+                time.scheduleAfterMs(200 + chance.nextInt(200), () -> clients.takeOut(node));
                 restart(node, KILL_AFTER_MS + fault.forMs());
             }
-            case NODE_STALLS -> stall(node(fault), fault, time.now() + fault.forMs() * 1_000_000);
+            case NODE_STALLS -> stall(node(fault), fault, time.nowNanos() + fault.forMs() * 1_000_000);
             case LIST_DOWN -> listDown(fault);
             case LIST_LATE -> {
                 listDelayMs = (long) (5_000 * fault.share());
@@ -343,7 +343,7 @@
     }
 
     private void until(Fault fault, Runnable end) {
-        time.afterMs(fault.forMs(), () -> {
+        time.scheduleAfterMs(fault.forMs(), () -> {
             fault(fault.kind() + " ends");
             end.run();
         });
@@ -374,7 +374,7 @@
             box.die();
             list(box, "Gone");
         }
-        time.afterMs(forMs, () -> backCold(box));
+        time.scheduleAfterMs(forMs, () -> backCold(box));
     }
 
     private void backCold(Box box) {
@@ -394,14 +394,14 @@
         list(box, "Terminating");
         // What discovery has to tell counts as told six seconds later at the latest.
         long boot = box.bootMs;
-        time.afterMs(Math.min(6_000, 1_500 + listDelayMs), () -> box.draining |= box.bootMs == boot);
-        time.afterMs(1_000 + listDelayMs + forMs / 2, () -> {
+        time.scheduleAfterMs(Math.min(6_000, 1_500 + listDelayMs), () -> box.draining |= box.bootMs == boot);
+        time.scheduleAfterMs(1_000 + listDelayMs + forMs / 2, () -> {
             if (box.isUp() && box.bootMs == boot) {
                 box.die();
                 list(box, "Gone");
             }
         });
-        time.afterMs(2_000 + listDelayMs + forMs, () -> backCold(box));
+        time.scheduleAfterMs(2_000 + listDelayMs + forMs, () -> backCold(box));
     }
 
     private void noticeEnd(NodeHost node) {
@@ -411,7 +411,7 @@
     }
 
     private void restart(NodeHost node, long afterMs) {
-        time.afterMs(afterMs + plan.startMs(), () -> {
+        time.scheduleAfterMs(afterMs + plan.startMs(), () -> {
             if (!node.isUp()) {
                 clients.takeOut(node);
                 node.start();
@@ -421,19 +421,19 @@
     }
 
     private void stall(NodeHost node, Fault fault, long until) {
-        if (time.now() < until) {
+        if (time.nowNanos() < until) {
             node.stall(20 + (long) (fault.share() * (60 + chance.nextInt(120))));
-            time.afterMs(40 + chance.nextInt(250), () -> stall(node, fault, until));
+            time.scheduleAfterMs(40 + chance.nextInt(250), () -> stall(node, fault, until));
         }
     }
 
     private void listDown(Fault fault) {
         ListServer list = lists.get(0);
         list.goDown(fault.pick() < 0.3);
-        time.afterMs(fault.forMs(), () -> {
+        time.scheduleAfterMs(fault.forMs(), () -> {
             fault("discovery is back");
             list.comeUp((int) (fault.share() * 4));
-            time.afterMs(1_000 + chance.nextInt(3_000), list::catchUp);
+            time.scheduleAfterMs(1_000 + chance.nextInt(3_000), list::catchUp);
         });
     }
 }
--- a/src/main/java/kitemux/world/WorldChannel.java
+++ b/src/main/java/kitemux/world/WorldChannel.java
@@ -17,7 +17,7 @@
 import java.net.SocketAddress;
 import java.nio.channels.ClosedChannelException;
 import java.util.concurrent.TimeUnit;
-import kitemux.net.QuietChannel;
+import kitemux.net.InputAwareChannel;
 
 /**
  * A node's end of a connection in the world, with a pipeline like any other. It keeps to what Netty's NIO
@@ -25,7 +25,7 @@
  * end of what comes, on errors tells the pipeline first, writes what there is room for and the rest when
  * there is more.
  */
-final class WorldChannel extends AbstractChannel implements QuietChannel, WorldLoop.Ready {
+final class WorldChannel extends AbstractChannel implements InputAwareChannel, WorldLoop.Ready {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
 
     private final WorldNetwork network;
@@ -322,7 +322,7 @@
      * own.
      */
     @Override
-    public boolean isQuiet() {
+    public boolean hasNoUnreadInput() {
         if (accepted) {
             return !isActive() || end.unread() == 0;
         }
--- a/src/main/java/kitemux/world/WorldListener.java
+++ b/src/main/java/kitemux/world/WorldListener.java
@@ -11,14 +11,14 @@
  * accepts. */
 final class WorldListener extends AbstractServerChannel implements WorldLoop.Ready {
     private final WorldNetwork network;
-    private final Network.Gate gate;
+    private final Network.AcceptGate gate;
     private final ChannelConfig config = new NoSocket(this, () -> wantsAccept = false);
     private final ArrayDeque<End> backlog = new ArrayDeque<>();
     private boolean open = true;
     private boolean bound;
     private boolean wantsAccept;
 
-    WorldListener(WorldNetwork network, Network.Gate gate) {
+    WorldListener(WorldNetwork network, Network.AcceptGate gate) {
         super();
         this.network = network;
         this.gate = gate;
@@ -30,8 +30,8 @@
         if (open && wantsAccept && !backlog.isEmpty()) {
             var handle = unsafe().recvBufAllocHandle();
             handle.reset(config);
-            while (!backlog.isEmpty() && gate.mayTake()) {
-                gate.taken();
+            while (!backlog.isEmpty() && gate.canAccept()) {
+                gate.onAccepted();
                 pipeline().fireChannelRead(network.accept(this, backlog.poll()));
                 handle.incMessagesRead(1);
                 if (!handle.continueReading()) {
@@ -68,8 +68,8 @@
     @Override
     protected void doClose() {
         if (open) {
-            while (bound && !backlog.isEmpty() && gate.mayTake()) {
-                gate.taken();
+            while (bound && !backlog.isEmpty() && gate.canAccept()) {
+                gate.onAccepted();
                 pipeline().fireChannelRead(network.accept(this, backlog.poll()));
             }
             open = false;
--- a/src/main/java/kitemux/world/WorldLoop.java
+++ b/src/main/java/kitemux/world/WorldLoop.java
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public long polledNanos() {
+    public long lastPollNanos() {
         return readiness.polledNanos;
     }
 
@@ -129,7 +129,7 @@
 
         @Override
         public long nanoTime() {
-            return time.now() + machine.spent;
+            return time.nowNanos() + machine.spent;
         }
 
         @Override
--- a/src/main/java/kitemux/world/WorldNetwork.java
+++ b/src/main/java/kitemux/world/WorldNetwork.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import kitemux.net.Network;
-import kitemux.net.QuietChannel;
+import kitemux.net.InputAwareChannel;
 
 /** The world's network as one process of a node has it. */
 final class WorldNetwork implements Network {
@@ -31,12 +31,12 @@
     }
 
     @Override
-    public ServerChannel listener(Gate gate) {
+    public ServerChannel newListener(AcceptGate gate) {
         return new WorldListener(this, gate);
     }
 
     @Override
-    public QuietChannel dialer() {
+    public InputAwareChannel newOutboundChannel() {
         WorldChannel channel = new WorldChannel(this);
         defect.opened(channel, false);
         return channel;
--- a/src/test/java/kitemux/ColdServerTest.java
+++ b/src/test/java/kitemux/ColdServerTest.java
@@ -157,7 +157,7 @@
         set.nodes = 8;
         Node node = new Node(set, 5);
         node.list(ListKind.CACHED, List.of(started("cold", node.now), Node.server("warm")));
-        long warmAt = node.now + set.coldUs;
+        long warmAt = node.now + set.warmUpUs;
         int answered = 0;
         while (node.now < warmAt) {
             for (int i = 0; i < 3; i++) {
@@ -189,7 +189,7 @@
         for (int me = 0; me < 40; me++) {
             Balancer.Settings set = Node.settings();
             set.nodes = 24;
-            set.me = me % 24;
+            set.nodeIndex = me % 24;
             Node node = new Node(set, 300 + me).with(10);
             for (int i = 0; i < 200; i++) {
                 node.serve(Node.SAFE, Result.OK, 20_000);
--- a/src/test/java/kitemux/ExampleTest.java
+++ b/src/test/java/kitemux/ExampleTest.java
@@ -53,7 +53,7 @@
     void aRequestIsSentAndServed() {
         Balancer.Settings settings = new Balancer.Settings();
         settings.classes.add(new Balancer.RequestClass(
-                "page", 200_000, 0, 1_000_000, 1, 0, Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
+                "page", 200_000, 0, 1_000_000, 1, 0, Balancer.RetrySafety.SAFE, Balancer.DedupScope.ALL, 0, false));
         Proxy proxy = new Proxy();
         Balancer balancer = new ServiceQBalancer(settings, 42, proxy);
         long now = 0;
--- a/src/test/java/kitemux/KeysTest.java
+++ b/src/test/java/kitemux/KeysTest.java
@@ -24,7 +24,7 @@
     private static Node node(int me, boolean warmKeys) {
         Settings set = Node.settings();
         set.nodes = 4;
-        set.me = me;
+        set.nodeIndex = me;
         set.warmKeys = warmKeys;
         set.crossZonePrice = 0.01;
         return new Node(set, 50 + me).with(SERVERS);
--- a/src/test/java/kitemux/LargeFleetTest.java
+++ b/src/test/java/kitemux/LargeFleetTest.java
@@ -25,7 +25,7 @@
     private static Node node(int me) {
         Settings set = Node.settings();
         set.nodes = NODES;
-        set.me = me;
+        set.nodeIndex = me;
         return new Node(set, 100 + me);
     }
 
@@ -124,7 +124,7 @@
         for (int me = 0; me < 14; me++) {
             Settings set = Node.settings();
             set.nodes = 14;
-            set.me = me;
+            set.nodeIndex = me;
             Set<String> used = inUse(new Node(set, 100 + me).with(60), 400);
             assertEquals(9, used.size(), "node " + me + " uses " + used);
             used.forEach(s -> nodesOf.merge(s, 1, Integer::sum));
@@ -240,7 +240,7 @@
         for (int tenant = 0; tenant < 2; tenant++) {
             Settings set = Node.settings();
             set.nodes = NODES;
-            set.me = 3;
+            set.nodeIndex = 3;
             set.tenants.clear();
             set.overShareWorth = 0.1;
             set.tenants.add(new Balancer.Tenant("greedy", 1));
--- a/src/test/java/kitemux/LateNodeTest.java
+++ b/src/test/java/kitemux/LateNodeTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Request;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
@@ -64,7 +64,7 @@
     void whereALateAnswerIsWorthSomethingItIsSentAllTheSame() {
         Settings settings = Node.settings();
         settings.classes.set(
-                Node.SAFE, new RequestClass("safe", 200_000, 0, 1_000_000, 1, 0.5, Repeat.SAFE, null, 0, false));
+                Node.SAFE, new RequestClass("safe", 200_000, 0, 1_000_000, 1, 0.5, RetrySafety.SAFE, null, 0, false));
         Node node = node(settings);
         ask(node, Node.SAFE, 150_000);
         assertEquals(1, node.attempts(NEXT));
--- a/src/test/java/kitemux/ManyNodesTest.java
+++ b/src/test/java/kitemux/ManyNodesTest.java
@@ -5,8 +5,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.Settings;
@@ -19,7 +19,7 @@
     private static final long USUAL_US = 80_000;
 
     private static RequestClass of(String name, double worth) {
-        return new RequestClass(name, 200_000, 0, 1_000_000, worth, 0, Repeat.UNSAFE, Group.ALL, 0, false);
+        return new RequestClass(name, 200_000, 0, 1_000_000, worth, 0, RetrySafety.UNSAFE, DedupScope.ALL, 0, false);
     }
 
     private static Node used(int nodes, int servers, long usualUs) {
--- a/src/test/java/kitemux/MechanismTest.java
+++ b/src/test/java/kitemux/MechanismTest.java
@@ -107,7 +107,7 @@
     void aServerAtItsLimitIsPassedOverAndTheQueueServesWorthFirst() {
         Settings set = Node.settings();
         set.classes.add(new Balancer.RequestClass(
-                "dear", 200_000, 0, 1_000_000, 9, 0, Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
+                "dear", 200_000, 0, 1_000_000, 9, 0, Balancer.RetrySafety.SAFE, Balancer.DedupScope.ALL, 0, false));
         set.nodes = 2;
         Node node = new Node(set, 3).with(2);
         List<Long> ids = new ArrayList<>();
@@ -213,7 +213,7 @@
     void answersFarSlowerThanTheirClassCanBeLowerALimitHoweverFarTheAim() {
         Settings set = Node.settings();
         set.classes.add(new Balancer.RequestClass(
-                "patient", 20_000_000, 0, 30_000_000, 1, 0, Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
+                "patient", 20_000_000, 0, 30_000_000, 1, 0, Balancer.RetrySafety.SAFE, Balancer.DedupScope.ALL, 0, false));
         Node node = new Node(set, 3).with(1);
         for (int i = 0; i < 80; i++) {
             node.serve(5, Result.OK, i < 40 ? 10_000 : 200_000);
--- a/src/test/java/kitemux/Node.java
+++ b/src/test/java/kitemux/Node.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import kitemux.Balancer.Actions;
-import kitemux.Balancer.Group;
+import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Request;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
@@ -53,19 +53,19 @@
         Settings set = new Settings();
         set.zones.add("here");
         set.zones.add("there");
-        set.classes.add(requestClass("safe", Repeat.SAFE, Group.ALL));
-        set.classes.add(requestClass("keyed-all", Repeat.KEYED, Group.ALL));
-        set.classes.add(requestClass("keyed-zone", Repeat.KEYED, Group.ZONE));
-        set.classes.add(requestClass("keyed-cell", Repeat.KEYED, Group.CELL));
-        set.classes.add(requestClass("unsafe", Repeat.UNSAFE, Group.ALL));
+        set.classes.add(requestClass("safe", RetrySafety.SAFE, DedupScope.ALL));
+        set.classes.add(requestClass("keyed-all", RetrySafety.KEYED, DedupScope.ALL));
+        set.classes.add(requestClass("keyed-zone", RetrySafety.KEYED, DedupScope.ZONE));
+        set.classes.add(requestClass("keyed-cell", RetrySafety.KEYED, DedupScope.CELL));
+        set.classes.add(requestClass("unsafe", RetrySafety.UNSAFE, DedupScope.ALL));
         set.tenants.add(new Tenant("tenant", 0));
         set.maxAttempts = 4;
-        set.secondCopies = true;
-        set.cancel = true;
+        set.hedgingAllowed = true;
+        set.cancellationAllowed = true;
         return set;
     }
 
-    static RequestClass requestClass(String name, Repeat repeat, Group group) {
+    static RequestClass requestClass(String name, RetrySafety repeat, DedupScope group) {
         return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, repeat, group, 400_000, false);
     }
 
--- a/src/test/java/kitemux/RandomEventsTest.java
+++ b/src/test/java/kitemux/RandomEventsTest.java
@@ -11,10 +11,10 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import kitemux.Balancer.Group;
+import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Request;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
@@ -69,25 +69,25 @@
             random = new SplittableRandom(seed);
             set.classes.replaceAll(c -> new RequestClass(
                     c.name(),
-                    c.aimUs(),
+                    c.targetLatencyUs(),
                     0,
                     c.deadlineUs(),
                     c.worth(),
                     random.nextInt(2) * 0.5,
-                    c.repeat(),
-                    c.group(),
+                    c.retrySafety(),
+                    c.dedupScope(),
                     80_000,
                     false));
             set.nodes = 1 + random.nextInt(5);
             set.maxAttempts = 1 + random.nextInt(5);
-            set.cancel = random.nextBoolean();
-            set.secondCopies = random.nextBoolean();
+            set.cancellationAllowed = random.nextBoolean();
+            set.hedgingAllowed = random.nextBoolean();
             set.listOnRequest = random.nextBoolean();
             set.crossZonePrice = random.nextBoolean() ? 0.02 : 0;
             set.tickUs = 1_000 * (1 + random.nextInt(5));
             set.drainGraceUs = 0;
-            set.coldUs = 8_000_000;
-            set.coldFrom = 0.2;
+            set.warmUpUs = 8_000_000;
+            set.coldCapacityRatio = 0.2;
             set.warmKeys = random.nextBoolean();
             balancer = new ServiceQBalancer(set, seed, this);
         }
@@ -108,15 +108,15 @@
             assertTrue(request.attempts.size() < set.maxAttempts);
             Attempt binding = request.binding();
             if (binding != null) {
-                assertTrue(request.cls.repeat() != Repeat.UNSAFE, "rule 2: an unsafe request may have run");
-                if (request.cls.repeat() == Repeat.KEYED) {
-                    assertTrue(now <= binding.sentAt + request.cls.windowUs(), "rule 2: inside the window");
-                    assertTrue(sameGroup(request.cls.group(), binding.server, server), "rule 2: in the group");
+                assertTrue(request.cls.retrySafety() != RetrySafety.UNSAFE, "rule 2: an unsafe request may have run");
+                if (request.cls.retrySafety() == RetrySafety.KEYED) {
+                    assertTrue(now <= binding.sentAt + request.cls.dedupWindowUs(), "rule 2: inside the window");
+                    assertTrue(sameGroup(request.cls.dedupScope(), binding.server, server), "rule 2: in the group");
                 }
-                assertTrue(set.secondCopies || request.attempts.stream().allMatch(a -> a.result != null));
+                assertTrue(set.hedgingAllowed || request.attempts.stream().allMatch(a -> a.result != null));
             }
             assertTrue(server.state() == ServerState.READY, "rule 3: nothing to a draining or gone server");
-            if (server.startedAtUs() > 0 && now < server.startedAtUs() + set.coldUs) {
+            if (server.startedAtUs() > 0 && now < server.startedAtUs() + set.warmUpUs) {
                 coldSends.computeIfAbsent(server, k -> new ArrayList<>()).add(new long[] {now, ready()});
             }
             Attempt attempt = new Attempt();
@@ -138,8 +138,8 @@
             return (random.nextInt(8) > 0 ? Result.OK : bad[random.nextInt(bad.length)]).ordinal();
         }
 
-        private static boolean sameGroup(Group group, ServerEntry a, ServerEntry b) {
-            return group == Group.ALL || (group == Group.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
+        private static boolean sameGroup(DedupScope group, ServerEntry a, ServerEntry b) {
+            return group == DedupScope.ALL || (group == DedupScope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
         }
 
         private void finish(long id, boolean refusal) {
@@ -150,8 +150,8 @@
             assertTrue(now <= request.deadlineAt + set.tickUs, "rule 1: the answer comes in time");
             if (refusal && request.binding() != null) {
                 assertTrue(
-                        request.cls.repeat() == Repeat.SAFE
-                                || request.cls.repeat() == Repeat.KEYED && request.cls.group() == Group.ALL,
+                        request.cls.retrySafety() == RetrySafety.SAFE
+                                || request.cls.retrySafety() == RetrySafety.KEYED && request.cls.dedupScope() == DedupScope.ALL,
                         "rule 2: a refusal promises that trying again is harmless");
             }
             request.over = true;
@@ -170,7 +170,7 @@
 
         @Override
         public void cancel(long requestId, int attempt) {
-            assertTrue(set.cancel);
+            assertTrue(set.cancellationAllowed);
             Attempt out = held.get(requestId).attempts.get(attempt);
             if (out.result == null) {
                 answers.removeIf(a -> a[1] == requestId && a[2] == attempt);
@@ -332,14 +332,14 @@
         judge.coldSends.forEach((start, sends) -> {
             for (long[] first : sends) {
                 List<long[]> span = sends.stream()
-                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.fallUs)
+                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.overloadOutageUs)
                         .toList();
                 double ready =
                         Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
-                double age = Math.min(1, (first[0] + set.fallUs - start.startedAtUs()) / (double) set.coldUs);
-                double share = set.coldFrom + (1 - set.coldFrom) * age;
+                double age = Math.min(1, (first[0] + set.overloadOutageUs - start.startedAtUs()) / (double) set.warmUpUs);
+                double share = set.coldCapacityRatio + (1 - set.coldCapacityRatio) * age;
                 assertTrue(
-                        span.size() - 2 <= set.fallMultiple * share * rate / ready * set.fallUs / 1e6,
+                        span.size() - 2 <= set.overloadRatio * share * rate / ready * set.overloadOutageUs / 1e6,
                         "rule 4: " + span.size() + " sends in one span");
             }
         });
--- a/src/test/java/kitemux/RulesTest.java
+++ b/src/test/java/kitemux/RulesTest.java
@@ -241,7 +241,7 @@
         Settings none = new Settings();
         assertThrows(IllegalArgumentException.class, () -> new Node(none, 1));
         Settings negative = Node.settings();
-        negative.coldUs = -1;
+        negative.warmUpUs = -1;
         assertThrows(IllegalArgumentException.class, () -> new Node(negative, 1));
         Settings zone = Node.settings();
         zone.myZone = 9;
--- a/src/test/java/kitemux/SilenceTest.java
+++ b/src/test/java/kitemux/SilenceTest.java
@@ -80,7 +80,7 @@
     @Test
     void whereNoSecondCopiesAreAllowedNothingIsHedged() {
         Settings set = Node.settings();
-        set.secondCopies = false;
+        set.hedgingAllowed = false;
         Node node = used(set, 4);
         long id = node.ask(Node.SAFE);
         node.advance(10 * USUAL_US);
--- a/src/test/java/kitemux/cli/OrdersCommandTest.java
+++ b/src/test/java/kitemux/cli/OrdersCommandTest.java
@@ -13,7 +13,7 @@
 import kitemux.orders.Entry.Ended;
 import kitemux.orders.Entry.Intent;
 import kitemux.orders.Entry.Result;
-import kitemux.orders.JournalOnDisk;
+import kitemux.orders.TestJournals;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -29,15 +29,15 @@
     @BeforeEach
     void write() throws Exception {
         journal = folder.resolve("orders");
-        JournalOnDisk.write(
+        TestJournals.write(
                 journal,
-                JournalOnDisk.taken(1, "paid"),
+                TestJournals.accepted(1, "paid"),
                 new Intent(1, 10, 0, "web-1", "127.0.0.1:80", 99),
                 new Ended(1, 20, 0, Result.OK, true),
                 new Answered(1, 30, Answer.SERVED),
-                JournalOnDisk.taken(2, "lost"),
+                TestJournals.accepted(2, "lost"),
                 new Intent(2, 10, 0, "web-2", "127.0.0.1:81", 99),
-                JournalOnDisk.taken(3, "kept"));
+                TestJournals.accepted(3, "kept"));
     }
 
     private int run(String... arguments) {
@@ -68,7 +68,7 @@
 
     @Test
     void whatALiveNodeStillHasIsUnderWay() throws Exception {
-        try (AutoCloseable held = JournalOnDisk.hold(journal)) {
+        try (AutoCloseable held = TestJournals.lock(journal)) {
             assertEquals(3, run("orders", "ask", "--journal", journal.toString(), "--order", "lost"));
             assertTrue(said.contains("under way, sent to web-2"), said + held);
         }
@@ -115,11 +115,11 @@
 
     @Test
     void aSecondTryUnderAnotherIdIsNamedAsWhatItCanBeKnownToBe() throws Exception {
-        JournalOnDisk.write(
+        TestJournals.write(
                 journal,
-                JournalOnDisk.again(9, "again", "cart-1", ""),
-                JournalOnDisk.again(10, "keyed", "cart-7", "k"),
-                JournalOnDisk.again(11, "rekeyed", "cart-8", "k"));
+                TestJournals.acceptedWithKeys(9, "again", "cart-1", ""),
+                TestJournals.acceptedWithKeys(10, "keyed", "cart-7", "k"),
+                TestJournals.acceptedWithKeys(11, "rekeyed", "cart-8", "k"));
         run("orders", "ask", "--journal", journal.toString(), "--order", "paid");
         assertTrue(
                 said.lines().anyMatch(line -> line.startsWith("perhaps the same") && line.contains("order again ")),
--- a/src/test/java/kitemux/disk/MemoryDisk.java
+++ b/src/test/java/kitemux/disk/MemoryDisk.java
@@ -21,18 +21,18 @@
 
     private final Map<ByteArrayOutputStream, byte[]> safeBytes = new LinkedHashMap<>();
     /** Operations until all fail; negative for never. */
-    public int failAfter = -1;
+    public int operationsUntilFailure = -1;
 
-    public int operations;
+    public int operationCount;
     /** Segments read. */
-    public int reads;
+    public int segmentReadCount;
 
     private void step() throws IOException {
-        operations++;
-        if (failAfter == 0) {
+        operationCount++;
+        if (operationsUntilFailure == 0) {
             throw new IOException("the power is off");
         }
-        failAfter = failAfter > 0 ? failAfter - 1 : failAfter;
+        operationsUntilFailure = operationsUntilFailure > 0 ? operationsUntilFailure - 1 : operationsUntilFailure;
     }
 
     /**
@@ -78,7 +78,7 @@
 
     @Override
     public byte[] read(String name) throws IOException {
-        reads += name.endsWith(".orders") ? 1 : 0;
+        segmentReadCount += name.endsWith(".orders") ? 1 : 0;
         ByteArrayOutputStream file = files.get(name);
         if (file == null) {
             throw new FileNotFoundException(name);
@@ -92,7 +92,7 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
+    public OutputFile create(String name) throws IOException {
         step();
         if (files.containsKey(name)) {
             throw new FileAlreadyExistsException(name);
@@ -103,7 +103,7 @@
     }
 
     @Override
-    public Out append(String name, long from) throws IOException {
+    public OutputFile append(String name, long from) throws IOException {
         step();
         ByteArrayOutputStream file = files.get(name);
         byte[] kept = file.toByteArray();
@@ -114,12 +114,12 @@
         return out(file);
     }
 
-    private Out out(ByteArrayOutputStream file) {
-        return new Out() {
+    private OutputFile out(ByteArrayOutputStream file) {
+        return new OutputFile() {
             @Override
             public void write(byte[] bytes) throws IOException {
                 // Half of it is written as the power goes.
-                if (failAfter == 0) {
+                if (operationsUntilFailure == 0) {
                     file.write(bytes, 0, bytes.length / 2);
                 }
                 step();
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
+    public void syncDirectory() throws IOException {
         step();
         safeNames.clear();
         safeNames.putAll(files);
--- a/src/test/java/kitemux/engine/EngineTest.java
+++ b/src/test/java/kitemux/engine/EngineTest.java
@@ -15,7 +15,7 @@
 import kitemux.Balancer;
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Request;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
@@ -35,7 +35,7 @@
     private long agoUs = AGO_US;
 
     /** Asked for by a test: what it cannot say stands still. */
-    private record Ask(long leftUs, long agoUs, boolean isStreamed) implements Asked {
+    private record Ask(long remainingUs, long ageUs, boolean isStreamed) implements RequestInfo {
         Ask(long leftUs, long agoUs) {
             this(leftUs, agoUs, true);
         }
@@ -65,7 +65,7 @@
         }
 
         @Override
-        public boolean retry() {
+        public boolean isRetry() {
             return false;
         }
 
@@ -86,7 +86,7 @@
     }
 
     /** Timers that run when a test says so, as late as it likes. */
-    private static final class HandTime implements Time {
+    private static final class HandTime implements Clock {
         private record Due(long atUs, Runnable task) {}
 
         private final List<Due> due = new ArrayList<>();
@@ -99,12 +99,12 @@
         }
 
         @Override
-        public long unreadUs() {
+        public long readLagUs() {
             return unreadUs;
         }
 
         @Override
-        public Timer after(long us, Runnable task) {
+        public Timer schedule(long us, Runnable task) {
             Due timer = new Due(nowUs + us, task);
             due.add(timer);
             return () -> due.remove(timer);
@@ -138,7 +138,7 @@
 
     private final SendGate<Ask> gate = new SendGate<>() {
         @Override
-        public void before(
+        public void admit(
                 long id,
                 Ask request,
                 int attempt,
@@ -167,7 +167,7 @@
         }
 
         @Override
-        public boolean giveUp(String serverId, Exchange<Ask, String> given) {
+        public boolean abandon(String serverId, Exchange<Ask, String> given) {
             return given == exchange;
         }
 
@@ -177,7 +177,7 @@
         }
 
         @Override
-        public Ask probe() {
+        public Ask probeRequest() {
             throw new AssertionError("nobody asked for a probe");
         }
 
@@ -192,29 +192,29 @@
         }
     };
 
-    private final Client<String> client = new Client<>() {
+    private final ResponseSink<String> client = new ResponseSink<>() {
         @Override
-        public void begun(String answer) {
+        public void onResponseStarted(String answer) {
             answers.add("begun " + answer);
         }
 
         @Override
-        public void served(String answer) {
+        public void onServed(String answer) {
             answers.add(answer);
         }
 
         @Override
-        public void refused(long retryAfterUs) {
+        public void onRefused(long retryAfterUs) {
             answers.add("refused " + retryAfterUs);
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             answers.add("failed");
         }
 
         @Override
-        public void broken() {
+        public void onInternalError() {
             answers.add("broken");
         }
     };
@@ -224,7 +224,7 @@
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                     if (method.getName().equals("onRequest")) {
-                        assertEquals(agoUs, ((Request) args[1]).agoUs(), "as the protocol has it");
+                        assertEquals(agoUs, ((Request) args[1]).ageUs(), "as the protocol has it");
                         for (int i = 0; i < sends; i++) {
                             actions.send(((Request) args[1]).id(), "s", 0);
                         }
@@ -251,7 +251,7 @@
                 gate,
                 new Log() {
                     @Override
-                    public void line(String text) {
+                    public void info(String text) {
                         throw new AssertionError(text);
                     }
 
@@ -268,9 +268,9 @@
     }
 
     private void ask(Ask asked) {
-        agoUs = asked.agoUs();
+        agoUs = asked.ageUs();
         Engine<Ask, String> engine = engine(this::module);
-        engine.ask(engine.take(client, asked));
+        engine.dispatch(engine.accept(client, asked));
     }
 
     // ---------------------------------------------------------------- a node that is late itself
@@ -280,7 +280,7 @@
         ask(LEFT_US);
         time.nowUs += 50_000;
         time.unreadUs = 40_000;
-        exchange.ended(Result.OK, "yes");
+        exchange.onEnded(Result.OK, "yes");
         assertEquals(30_000, told.get(0).latencyUs());
     }
 
@@ -289,7 +289,7 @@
         ask(LEFT_US);
         time.nowUs += 10_000;
         time.unreadUs = 40_000;
-        exchange.ended(Result.OK, "yes");
+        exchange.onEnded(Result.OK, "yes");
         assertEquals(5_000, told.get(0).latencyUs());
     }
 
@@ -297,12 +297,12 @@
     void aLoopThatKeepsUpTakesNothingOffAndNeitherDoesWhatWasNeverRead() {
         ask(LEFT_US);
         time.nowUs += 50_000;
-        exchange.ended(Result.OK, "yes");
+        exchange.onEnded(Result.OK, "yes");
         assertEquals(50_000, told.get(0).latencyUs());
         ask(LEFT_US);
         time.nowUs += 50_000;
         time.unreadUs = 40_000;
-        exchange.ended(Result.RESET, null);
+        exchange.onEnded(Result.RESET, null);
         assertEquals(50_000, told.get(1).latencyUs());
     }
 
@@ -310,7 +310,7 @@
     void aServerThatWasLeftTooLittleTimeByThisNodeIsNeitherFullNorSilent() {
         ask(new Ask(5_000, 80_000));
         time.nowUs += 1_000;
-        exchange.ended(Result.FULL, null);
+        exchange.onEnded(Result.FULL, null);
         assertEquals(Result.MOOT, told.get(0).result());
         ask(new Ask(5_000, 80_000));
         time.nowUs += 5_000;
@@ -322,10 +322,10 @@
     void aServerThatHadMoreOfTheTimeThanThisNodeIsFullAndAnErrorIsAlwaysOne() {
         ask(new Ask(LEFT_US, 80_000));
         time.nowUs += 1_000;
-        exchange.ended(Result.FULL, null);
+        exchange.onEnded(Result.FULL, null);
         assertEquals(Result.FULL, told.get(0).result());
         ask(new Ask(5_000, 80_000));
-        exchange.ended(Result.ERROR, null);
+        exchange.onEnded(Result.ERROR, null);
         assertEquals(Result.ERROR, told.get(1).result());
     }
 
@@ -343,12 +343,12 @@
     @Test
     void anAnswerThatHasBegunIsServedAtItsEndAndHasNoDeadline() {
         ask(LEFT_US);
-        assertTrue(exchange.begun("rows"));
+        assertTrue(exchange.onResponseStarted("rows"));
         assertEquals(List.of("first byte 0"), heard);
         time.nowUs += 10 * LEFT_US;
         time.runDue();
         assertEquals(List.of("begun rows"), answers);
-        exchange.ended(Result.OK, null);
+        exchange.onEnded(Result.OK, null);
         assertEquals(Arrays.asList("begun rows", null), answers);
         assertTrue(told.get(0).requestEnded());
     }
@@ -358,13 +358,13 @@
     void aLongAnswerIsServedAtItsEndAndHasNoDeadline() {
         ask(new Ask(LEFT_US, AGO_US, false));
         assertEquals(1_000_000 + LEFT_US, exchange.deadlineUs());
-        assertTrue(exchange.begun("long"));
+        assertTrue(exchange.onResponseStarted("long"));
         assertEquals(Result.OK, told.get(0).result());
         assertTrue(told.get(0).requestEnded());
         time.nowUs += 10 * LEFT_US;
         time.runDue();
         assertEquals(List.of("begun long"), answers);
-        exchange.ended(Result.OK, null);
+        exchange.onEnded(Result.OK, null);
         assertEquals(Arrays.asList("begun long", null), answers);
         assertEquals(1, told.size());
     }
@@ -373,12 +373,12 @@
     void anAnswerThatBreaksOffHasOneEndAndBeginsNoSecondTime() {
         ask(LEFT_US);
         Transport.Exchange<Ask, String> first = exchange;
-        assertTrue(first.begun("rows"));
-        first.ended(Result.RESET, null);
+        assertTrue(first.onResponseStarted("rows"));
+        first.onEnded(Result.RESET, null);
         assertEquals(List.of("begun rows", "failed"), answers);
         assertEquals(Result.RESET, told.get(0).result());
-        assertFalse(first.begun("more"));
-        first.ended(Result.OK, "late");
+        assertFalse(first.onResponseStarted("more"));
+        first.onEnded(Result.OK, "late");
         assertEquals(List.of("begun rows", "failed"), answers);
         assertEquals(1, told.size());
     }
@@ -388,10 +388,10 @@
         sends = 2;
         ask(LEFT_US);
         assertEquals(2, exchanges.size());
-        assertTrue(exchanges.get(1).begun("rows"));
-        assertFalse(exchanges.get(0).begun("other rows"), "told to break it off");
+        assertTrue(exchanges.get(1).onResponseStarted("rows"));
+        assertFalse(exchanges.get(0).onResponseStarted("other rows"), "told to break it off");
         assertEquals(Result.CANCELLED, told.get(0).result());
-        exchanges.get(1).ended(Result.OK, null);
+        exchanges.get(1).onEnded(Result.OK, null);
         assertEquals(Arrays.asList("begun rows", null), answers);
     }
 
@@ -399,44 +399,44 @@
     void aWholeAnswerBesideOneThatHasBegunIsNotServed() {
         sends = 2;
         ask(LEFT_US);
-        assertTrue(exchanges.get(0).begun("rows"));
-        exchanges.get(1).ended(Result.OK, "whole");
+        assertTrue(exchanges.get(0).onResponseStarted("rows"));
+        exchanges.get(1).onEnded(Result.OK, "whole");
         assertEquals(Result.CANCELLED, told.get(0).result(), "it may have run");
         assertEquals(List.of("begun rows"), answers);
-        exchanges.get(0).ended(Result.OK, null);
+        exchanges.get(0).onEnded(Result.OK, null);
         assertEquals(Arrays.asList("begun rows", null), answers);
     }
 
     @Test
     void anAnswerThatBeginsAfterItsClientHasLeftIsNotWanted() {
         Engine<Ask, String> engine = engine(this::module);
-        Engine.Held<Ask, String> held = engine.take(client, new Ask(LEFT_US));
-        engine.ask(held);
-        engine.left(held);
-        assertFalse(exchange.begun("rows"));
+        Engine.PendingRequest<Ask, String> held = engine.accept(client, new Ask(LEFT_US));
+        engine.dispatch(held);
+        engine.clientDisconnected(held);
+        assertFalse(exchange.onResponseStarted("rows"));
         assertEquals(List.of(), answers);
-        assertEquals(0, engine.heldCount());
+        assertEquals(0, engine.pendingCount());
     }
 
     @Test
     void theDecisionModuleTriesNothingAgainOnceAnAnswerHasBegun() {
         Settings settings = new Settings();
         settings.zones.add("z");
-        settings.classes.add(new RequestClass("select", 200_000, 0, 1_000_000, 1, 0, Repeat.SAFE, null, 0, true));
+        settings.classes.add(new RequestClass("select", 200_000, 0, 1_000_000, 1, 0, RetrySafety.SAFE, null, 0, true));
         Engine<Ask, String> engine = engine(actions -> new ServiceQBalancer(settings, 1, actions));
-        engine.listed(
+        engine.updateServers(
                 ListKind.FULL,
                 List.of(
                         new ServerEntry("a", 0, 0, ServerState.READY, 1, 0),
                         new ServerEntry("b", 0, 0, ServerState.READY, 1, 0)),
                 () -> {});
-        engine.ask(engine.take(client, new Ask(LEFT_US)));
-        assertTrue(exchange.begun("rows"));
-        exchange.ended(Result.RESET, null);
+        engine.dispatch(engine.accept(client, new Ask(LEFT_US)));
+        assertTrue(exchange.onResponseStarted("rows"));
+        exchange.onEnded(Result.RESET, null);
         assertEquals(1, exchanges.size(), "a safe one is tried again only while nothing has come of it");
         assertEquals(List.of("begun rows", "refused 0"), answers);
-        engine.ask(engine.take(client, new Ask(LEFT_US)));
-        exchange.ended(Result.RESET, null);
+        engine.dispatch(engine.accept(client, new Ask(LEFT_US)));
+        exchange.onEnded(Result.RESET, null);
         assertEquals(3, exchanges.size(), "without a begin it passes on");
     }
 
@@ -446,17 +446,17 @@
         ask(LEFT_US);
         assertEquals(null, exchange);
         atGate.get(0).accept(true);
-        exchange.ended(Result.OK, "yes");
+        exchange.onEnded(Result.OK, "yes");
         assertEquals(List.of("yes"), answers);
     }
 
-    private Engine.Held<Ask, String> askAndLeave() {
+    private Engine.PendingRequest<Ask, String> askAndLeave() {
         agoUs = AGO_US;
         Engine<Ask, String> engine = engine(this::module);
-        Engine.Held<Ask, String> held = engine.take(client, new Ask(LEFT_US));
-        engine.ask(held);
-        engine.left(held);
-        assertEquals(0, engine.heldCount());
+        Engine.PendingRequest<Ask, String> held = engine.accept(client, new Ask(LEFT_US));
+        engine.dispatch(held);
+        engine.clientDisconnected(held);
+        assertEquals(0, engine.pendingCount());
         return held;
     }
 
@@ -483,7 +483,7 @@
         sends = 2;
         ask(LEFT_US);
         dialing = true;
-        exchanges.get(0).ended(Result.OK, "yes");
+        exchanges.get(0).onEnded(Result.OK, "yes");
         assertEquals(
                 List.of(Result.OK, Result.MOOT),
                 told.stream().map(Outcome::result).toList());
--- a/src/test/java/kitemux/fleet/BoxTest.java
+++ b/src/test/java/kitemux/fleet/BoxTest.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleSupplier;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Result;
 import kitemux.plan.Estimate;
 import kitemux.plan.QueueingFormulas;
@@ -60,7 +60,7 @@
                 return;
             }
             box.submit(new Box.Job(
-                    new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, Repeat.SAFE), 1),
+                    new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), 1),
                     workUs.getAsDouble(),
                     arrivedAtUs,
                     new Box.ReplyHandler() {
@@ -77,10 +77,10 @@
                             return true;
                         }
                     }));
-            test.scheduler.afterUs(Math.round(arrivals.exponential(WORK_US / load)), next[0]);
+            test.scheduler.scheduleAfterUs(Math.round(arrivals.exponential(WORK_US / load)), next[0]);
         };
         next[0].run();
-        while (test.scheduler.step(endUs * 1_100)) {
+        while (test.scheduler.runNext(endUs * 1_100)) {
             assertTrue(counts[0] >= 0);
         }
         return measuresLoss ? (double) counts[1] / (counts[0] + counts[1]) : sum[0] / counts[0] / WORK_US;
@@ -116,7 +116,7 @@
     private void send(Box box, int count, double workUs) {
         for (int i = 0; i < count; i++) {
             box.submit(new Box.Job(
-                    new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, Repeat.SAFE), i),
+                    new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), i),
                     workUs,
                     0,
                     new Box.ReplyHandler() {
@@ -161,7 +161,7 @@
         for (int i = 0; i < 203; i++) {
             boolean isAware = i % 2 == 0;
             box.submit(new Box.Job(
-                    new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, Repeat.SAFE), i),
+                    new RuleChecker.TrackedTry(FleetFixtures.requestClass("c", 1, 2, 1, RetrySafety.SAFE), i),
                     10_000,
                     0,
                     new Box.ReplyHandler() {
@@ -188,21 +188,21 @@
         Box box = box(1, 1_000, new Fleet.OverloadSlowdown(5, 1_000_000, 3, 0.3, 2_000_000, 60_000_000));
         // More than six requests are queued for a second and a half.
         send(box, 200, 10_000);
-        scheduler.step(0);
-        while (scheduler.nowUs() < 1_500_000 && scheduler.step(1_500_000_000L)) {
+        scheduler.runNext(0);
+        while (scheduler.nowUs() < 1_500_000 && scheduler.runNext(1_500_000_000L)) {
             assertFalse(box.hasCollapsed());
         }
         assertTrue(box.wasOverloaded());
         // The queue is processed three times slower. After the server has rested, single requests are fast again.
         long restedUs = 10_000_000;
-        while (scheduler.step(restedUs * 1_000)) {
+        while (scheduler.runNext(restedUs * 1_000)) {
             assertTrue(box.isUp());
         }
         send(box, 1, 10_000);
         send(box, 1, 10_000);
         long before = scheduler.nowUs();
         double busyBefore = box.busyUs;
-        while (scheduler.step((before + 100_000) * 1_000)) {
+        while (scheduler.runNext((before + 100_000) * 1_000)) {
             assertTrue(box.isUp());
         }
         assertEquals(20_000, box.busyUs - busyBefore, 10_100, "at least the second request is fast");
@@ -211,7 +211,7 @@
     @Test
     void repeatedExecutionAndWrongAnswersAreReported() {
         RuleChecker.TrackedTry unsafe =
-                new RuleChecker.TrackedTry(FleetFixtures.requestClass("order", 1, 2, 1, Repeat.UNSAFE), 7);
+                new RuleChecker.TrackedTry(FleetFixtures.requestClass("order", 1, 2, 1, RetrySafety.UNSAFE), 7);
         Box box = box(1, 10, null);
         rules.executionStarted(unsafe, box, 0);
         assertEquals(0, rules.violationCount());
@@ -221,10 +221,10 @@
         assertEquals(2, rules.violationCount(), "refusal of an executed request");
         rules.answered(unsafe, false);
         assertEquals(3, rules.violationCount(), "second answer");
-        rules.unanswered(new RuleChecker.TrackedTry(FleetFixtures.requestClass("page", 1, 2, 1, Repeat.SAFE), 8));
+        rules.unanswered(new RuleChecker.TrackedTry(FleetFixtures.requestClass("page", 1, 2, 1, RetrySafety.SAFE), 8));
         assertEquals(4, rules.violationCount());
         RuleChecker.TrackedTry refused =
-                new RuleChecker.TrackedTry(FleetFixtures.requestClass("order", 1, 2, 1, Repeat.UNSAFE), 9);
+                new RuleChecker.TrackedTry(FleetFixtures.requestClass("order", 1, 2, 1, RetrySafety.UNSAFE), 9);
         rules.answered(refused, true);
         assertEquals(4, rules.violationCount());
         rules.executionStarted(refused, box, 0);
@@ -247,13 +247,13 @@
                 rules,
                 new RandomStream(1, RandomStream.Purpose.SERVERS));
         RuleChecker.TrackedTry keyed =
-                new RuleChecker.TrackedTry(FleetFixtures.requestClass("photo", 1, 2, 1, Repeat.KEYED), 7);
+                new RuleChecker.TrackedTry(FleetFixtures.requestClass("photo", 1, 2, 1, RetrySafety.KEYED), 7);
         rules.executionStarted(keyed, box, 1_000);
-        rules.executionStarted(keyed, box, 1_000 + keyed.requestClass.windowUs());
+        rules.executionStarted(keyed, box, 1_000 + keyed.requestClass.dedupWindowUs());
         assertEquals(0, rules.violationCount());
         rules.executionStarted(keyed, otherRackBox, 2_000);
         assertEquals(1, rules.violationCount(), "execution in another rack");
-        rules.executionStarted(keyed, box, 1_001 + keyed.requestClass.windowUs());
+        rules.executionStarted(keyed, box, 1_001 + keyed.requestClass.dedupWindowUs());
         assertEquals(2, rules.violationCount(), "execution after the deduplication window");
     }
 }
--- a/src/test/java/kitemux/fleet/FleetFixtures.java
+++ b/src/test/java/kitemux/fleet/FleetFixtures.java
@@ -1,8 +1,8 @@
 package kitemux.fleet;
 
 import java.util.List;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 
 /** Fleets used as a starting point by tests. */
@@ -10,9 +10,9 @@
     private FleetFixtures() {}
 
     /** Returns a request class that is deduplicated per rack. */
-    static RequestClass requestClass(String name, long aimMs, long deadlineMs, double worth, Repeat repeat) {
+    static RequestClass requestClass(String name, long aimMs, long deadlineMs, double worth, RetrySafety repeat) {
         return new RequestClass(
-                name, aimMs * 1_000, 0, deadlineMs * 1_000, worth, 0, repeat, Group.CELL, 1_200_000, false);
+                name, aimMs * 1_000, 0, deadlineMs * 1_000, worth, 0, repeat, DedupScope.CELL, 1_200_000, false);
     }
 
     /** Returns the fleet with its racks and nodes spread over the given number of zones. */
@@ -44,19 +44,19 @@
                 new Fleet.ServerKind("old", oldServers, 1, 0.75, 0.1, 400, 0.2, 18_000_000, false, 1));
         List<Fleet.ClassWorkload> classes = List.of(
                 new Fleet.ClassWorkload(
-                        requestClass("view-page", 100, 500, 1, Repeat.SAFE),
+                        requestClass("view-page", 100, 500, 1, RetrySafety.SAFE),
                         0.51,
                         19_000,
                         Fleet.WorkDistribution.EXPONENTIAL,
                         1),
                 new Fleet.ClassWorkload(
-                        requestClass("add-photo", 200, 600, 5, Repeat.KEYED),
+                        requestClass("add-photo", 200, 600, 5, RetrySafety.KEYED),
                         0.30,
                         22_000,
                         Fleet.WorkDistribution.LOGNORMAL,
                         0.5),
                 new Fleet.ClassWorkload(
-                        requestClass("place-order", 300, 1_000, 5, Repeat.UNSAFE),
+                        requestClass("place-order", 300, 1_000, 5, RetrySafety.UNSAFE),
                         0.19,
                         33_000,
                         Fleet.WorkDistribution.LOGNORMAL,
--- a/src/test/java/kitemux/fleet/PerNodeBudgetBalancer.java
+++ b/src/test/java/kitemux/fleet/PerNodeBudgetBalancer.java
@@ -82,15 +82,15 @@
     private String chooseServer(long request, String server) {
         if (dispatchedRequests.add(request)) {
             for (Map.Entry<String, Long> coldStart : coldStartsUs.entrySet()) {
-                double warmUpProgress = (double) (nowUs - coldStart.getValue()) / settings.coldUs;
-                double capacityRatio = settings.coldFrom + (1 - settings.coldFrom) * warmUpProgress;
+                double warmUpProgress = (double) (nowUs - coldStart.getValue()) / settings.warmUpUs;
+                double capacityRatio = settings.coldCapacityRatio + (1 - settings.coldCapacityRatio) * warmUpProgress;
                 ArrayDeque<Long> recentUs = sentTimesUs.computeIfAbsent(coldStart.getKey(), id -> new ArrayDeque<>());
-                while (!recentUs.isEmpty() && recentUs.peek() <= nowUs - settings.fallUs) {
+                while (!recentUs.isEmpty() && recentUs.peek() <= nowUs - settings.overloadOutageUs) {
                     recentUs.poll();
                 }
                 if (warmUpProgress < 1
                         && recentUs.size() + 1
-                                <= settings.fallMultiple * capacityRatio * settings.fallUs / meanWorkUs) {
+                                <= settings.overloadRatio * capacityRatio * settings.overloadOutageUs / meanWorkUs) {
                     recentUs.add(nowUs);
                     return coldStart.getKey();
                 }
--- a/src/test/java/kitemux/http/LongAnswerBoundsTest.java
+++ b/src/test/java/kitemux/http/LongAnswerBoundsTest.java
@@ -20,21 +20,21 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
 import kitemux.engine.Log;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.engine.Transport.Exchange;
-import kitemux.net.Answer;
+import kitemux.net.ServerResponse;
 import kitemux.net.HostList;
 import kitemux.net.NioNetwork;
 import kitemux.net.ServerPool;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -56,27 +56,27 @@
     private final BlockingQueue<Result> ends = new LinkedBlockingQueue<>();
     private ServerSocket listening;
     private Socket server;
-    private Answer answer;
-    private ServerPool<ClientRequest, Answer> pool;
+    private ServerResponse answer;
+    private ServerPool<ClientRequest, ServerResponse> pool;
 
-    private final Time clock = new Time() {
+    private final Clock clock = new Clock() {
         @Override
         public long nowUs() {
             return nowUs.get();
         }
 
         @Override
-        public long unreadUs() {
+        public long readLagUs() {
             return unreadUs.get();
         }
 
         @Override
-        public Timer after(long us, Runnable task) {
+        public Timer schedule(long us, Runnable task) {
             throw new AssertionError("no timer is needed");
         }
     };
 
-    private final Exchange<ClientRequest, Answer> exchange = new Exchange<>() {
+    private final Exchange<ClientRequest, ServerResponse> exchange = new Exchange<>() {
         @Override
         public ClientRequest request() {
             return new ClientRequest(
@@ -84,14 +84,14 @@
         }
 
         @Override
-        public long untilUs() {
+        public long expiresAtUs() {
             return DEADLINE_US;
         }
 
         @Override
-        public boolean begun(Answer begins) {
+        public boolean onResponseStarted(ServerResponse begins) {
             answer = begins;
-            begins.passTo(bytes -> {
+            begins.streamTo(bytes -> {
                 comings.add(passed.addAndGet(bytes.readableBytes()));
                 bytes.release();
             });
@@ -99,7 +99,7 @@
         }
 
         @Override
-        public void ended(Result result, Answer whole) {
+        public void onEnded(Result result, ServerResponse whole) {
             assertNull(whole);
             ends.add(result);
         }
@@ -109,10 +109,10 @@
     void anAnswerHasBegun() throws Exception {
         listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         Settings settings = new Settings();
-        settings.classes.add(new RequestClass("page", 100_000, 0, DEADLINE_US, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
+        settings.classes.add(new RequestClass("page", 100_000, 0, DEADLINE_US, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 0, false));
         Log log = new Log() {
             @Override
-            public void line(String text) {}
+            public void info(String text) {}
 
             @Override
             public void error(String what, Throwable cause) {
@@ -122,7 +122,7 @@
         pool = new ServerPool<>(
                 loop,
                 NioNetwork.SYSTEM,
-                new Sockets(256),
+                new SocketBudget(256),
                 clock,
                 1_000_000,
                 Long.MAX_VALUE / 2,
@@ -176,7 +176,7 @@
         while (ends.isEmpty() && nowUs.get() < until) {
             nowUs.addAndGet(LOOK_US);
             // The connection's end is told behind the call that closes it.
-            loop.submit(() -> pool.closeOld()).sync();
+            loop.submit(() -> pool.closeExpiredConnections()).sync();
             loop.submit(() -> {}).sync();
         }
         return ends.peek();
--- a/src/test/java/kitemux/http/RequestReaderTest.java
+++ b/src/test/java/kitemux/http/RequestReaderTest.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
@@ -16,7 +16,7 @@
 class RequestReaderTest {
     private static ClientRequest read(long agoUs) throws BadRequestException {
         Settings settings = new Settings();
-        settings.classes.add(new RequestClass("page", 100_000, 0, 500_000, 1, 0, Repeat.SAFE, null, 0, false));
+        settings.classes.add(new RequestClass("page", 100_000, 0, 500_000, 1, 0, RetrySafety.SAFE, null, 0, false));
         HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/x");
         request.headers().set("X-Txn", "t").set("X-Lane", "page").set("X-Remaining", "300m");
         return new RequestReader(settings).read(request, List.of(), agoUs);
@@ -24,10 +24,10 @@
 
     @Test
     void itsTimeRunsFromTheEarliestThatItMayHaveComeAndItsAimFromTheMiddle() throws Exception {
-        assertEquals(0, read(0).agoUs());
-        long allUs = read(0).leftUs();
-        assertEquals(allUs - 80_000, read(80_000).leftUs());
-        assertEquals(40_000, read(80_000).agoUs());
-        assertEquals(0, read(400_000).leftUs());
+        assertEquals(0, read(0).ageUs());
+        long allUs = read(0).remainingUs();
+        assertEquals(allUs - 80_000, read(80_000).remainingUs());
+        assertEquals(40_000, read(80_000).ageUs());
+        assertEquals(0, read(400_000).remainingUs());
     }
 }
--- a/src/test/java/kitemux/keeper/ConfigRulesTest.java
+++ b/src/test/java/kitemux/keeper/ConfigRulesTest.java
@@ -17,7 +17,7 @@
         for (int i = 0; i < pathsAndValues.length; i += 2) {
             all.put(pathsAndValues[i], pathsAndValues[i + 1]);
         }
-        return rules.faults(all).toString();
+        return rules.validate(all).toString();
     }
 
     @Test
@@ -79,7 +79,7 @@
         Map<String, String> first = Map.of("classes/get", GET, "limits/attemptsCap", "3", "overShareWorth", "1");
         assertEquals(
                 Set.of(),
-                rules.waitRestart(
+                rules.pathsNeedingRestart(
                         first,
                         Map.of(
                                 "classes/get",
@@ -92,7 +92,7 @@
                                 "[]")));
         assertEquals(
                 Set.of("classes/get", "limits/attemptsCap", "classes/put"),
-                rules.waitRestart(
+                rules.pathsNeedingRestart(
                         first,
                         Map.of(
                                 "classes/get",
@@ -101,6 +101,6 @@
                                 "4",
                                 "classes/put",
                                 GET)));
-        assertEquals(Set.of("classes/get", "limits/attemptsCap"), rules.waitRestart(first, Map.of()));
+        assertEquals(Set.of("classes/get", "limits/attemptsCap"), rules.pathsNeedingRestart(first, Map.of()));
     }
 }
--- a/src/test/java/kitemux/keeper/HookedDisk.java
+++ b/src/test/java/kitemux/keeper/HookedDisk.java
@@ -22,8 +22,8 @@
         this.synced = synced;
     }
 
-    private Out hooked(Out out) {
-        return new Out() {
+    private OutputFile hooked(OutputFile out) {
+        return new OutputFile() {
             @Override
             public void write(byte[] bytes) throws IOException {
                 out.write(bytes);
@@ -63,12 +63,12 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
+    public OutputFile create(String name) throws IOException {
         return hooked(of.create(name));
     }
 
     @Override
-    public Out append(String name, long from) throws IOException {
+    public OutputFile append(String name, long from) throws IOException {
         return hooked(of.append(name, from));
     }
 
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
-        of.syncFolder();
+    public void syncDirectory() throws IOException {
+        of.syncDirectory();
     }
 }
--- a/src/test/java/kitemux/keeper/KeeperFolderTest.java
+++ b/src/test/java/kitemux/keeper/KeeperFolderTest.java
@@ -15,7 +15,7 @@
 import kitemux.disk.MemoryDisk;
 import kitemux.rollout.Ballot;
 import kitemux.rollout.Change;
-import kitemux.rollout.Kept;
+import kitemux.rollout.LogRecord;
 import kitemux.rollout.Version;
 import kitemux.rollout.Vote;
 import org.junit.jupiter.api.Test;
@@ -33,16 +33,16 @@
                 String.format("%016x", rev), rev - 1, Map.of("realms/a", "{\"quotaPerS\":" + rev + "}"), List.of());
     }
 
-    private static Kept chosen(long rev) {
-        return new Kept.Chosen(new Version(rev, change(rev)));
+    private static LogRecord chosen(long rev) {
+        return new LogRecord.Chosen(new Version(rev, change(rev)));
     }
 
-    private static Kept voted(long rev) {
-        return new Kept.Voted(new Vote(rev, new Ballot(4, 1), new Ballot(2, 0), change(rev)));
+    private static LogRecord voted(long rev) {
+        return new LogRecord.Voted(new Vote(rev, new Ballot(4, 1), new Ballot(2, 0), change(rev)));
     }
 
-    private static final List<Kept> RECORDS = List.of(
-            new Kept.Whole(7, new TreeMap<>(Map.of("realms/b", "{\"quotaPerS\":2}"))),
+    private static final List<LogRecord> RECORDS = List.of(
+            new LogRecord.Snapshot(7, new TreeMap<>(Map.of("realms/b", "{\"quotaPerS\":2}"))),
             voted(8),
             chosen(8),
             voted(9),
@@ -137,10 +137,10 @@
             MemoryDisk disk = holding(spoilt);
             KeeperFolder folder = open(disk);
             assertNotEquals(identity, folder.identity(), "byte " + at);
-            assertTrue(folder.found().stream().noneMatch(kept -> kept instanceof Kept.Voted), "byte " + at);
+            assertTrue(folder.found().stream().noneMatch(kept -> kept instanceof LogRecord.Voted), "byte " + at);
             if (at >= head) {
-                List<Kept> versions = RECORDS.stream()
-                        .filter(kept -> !(kept instanceof Kept.Voted))
+                List<LogRecord> versions = RECORDS.stream()
+                        .filter(kept -> !(kept instanceof LogRecord.Voted))
                         .toList();
                 assertEquals(versions.subList(0, folder.found().size()), folder.found());
             }
@@ -161,7 +161,7 @@
         int operations = 0;
         for (int failAfter = 0; ; failAfter++) {
             MemoryDisk disk = new MemoryDisk();
-            disk.failAfter = failAfter;
+            disk.operationsUntilFailure = failAfter;
             int synced = 0;
             String identity = null;
             boolean done = false;
--- a/src/test/java/kitemux/keeper/KeeperTest.java
+++ b/src/test/java/kitemux/keeper/KeeperTest.java
@@ -27,8 +27,8 @@
 import kitemux.disk.FolderDisk;
 import kitemux.rollout.Ballot;
 import kitemux.rollout.Change;
-import kitemux.rollout.Kept;
-import kitemux.rollout.Terms;
+import kitemux.rollout.LogRecord;
+import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Version;
 import kitemux.rollout.Vote;
 import org.junit.jupiter.api.Test;
@@ -44,7 +44,7 @@
     private Path root;
 
     private Keepers keepers(int count, int voting, int nodes) throws Exception {
-        return new Keepers(root, count, voting, nodes, Terms.usual()).serving();
+        return new Keepers(root, count, voting, nodes, ProtocolParameters.defaults()).serving();
     }
 
     private static String id(int number) {
@@ -138,7 +138,7 @@
 
     @Test
     void aVoterThatEndsBetweenItsSyncAndItsAnswerKeepsWhatItAccepted() throws Exception {
-        try (Keepers keepers = new Keepers(root, 3, 3, 2, Terms.usual())) {
+        try (Keepers keepers = new Keepers(root, 3, 3, 2, ProtocolParameters.defaults())) {
             CountDownLatch synced = new CountDownLatch(1);
             CountDownLatch goOn = new CountDownLatch(1);
             AtomicBoolean accepted = new AtomicBoolean();
@@ -257,30 +257,30 @@
 
     @Test
     void aWatchThatIsNotReadEnds() throws Exception {
-        Terms usual = Terms.usual();
+        ProtocolParameters usual = ProtocolParameters.defaults();
         // The pace would take minutes to fill what may be unwritten.
-        Terms fast = new Terms(
-                usual.beatUs(),
-                usual.leastPatienceUs(),
-                usual.mostPatienceUs(),
-                usual.dialUs(),
-                usual.leastWaitUs(),
-                usual.mostWaitUs(),
-                usual.longestWaitUs(),
-                usual.aloneTryUs(),
-                usual.reportUs(),
-                usual.silentUs(),
-                usual.leastPhaseUs(),
-                usual.mostPhaseUs(),
-                usual.tries(),
-                usual.triesUs(),
-                usual.pulseUs(),
-                usual.heardUs(),
-                usual.finishUs(),
+        ProtocolParameters fast = new ProtocolParameters(
+                usual.heartbeatIntervalUs(),
+                usual.minWatchTimeoutUs(),
+                usual.maxWatchTimeoutUs(),
+                usual.connectTimeoutUs(),
+                usual.minBackoffUs(),
+                usual.initialMaxBackoffUs(),
+                usual.maxBackoffUs(),
+                usual.noQuorumRetryUs(),
+                usual.reportIntervalUs(),
+                usual.reportTimeoutUs(),
+                usual.minPhaseTimeoutUs(),
+                usual.maxPhaseTimeoutUs(),
+                usual.maxBallots(),
+                usual.proposalTimeoutUs(),
+                usual.fetchIntervalUs(),
+                usual.voterTimeoutUs(),
+                usual.recoveryDelayUs(),
                 1 << 30,
                 1 << 20,
                 1 << 20,
-                usual.partBytes());
+                usual.snapshotPartBytes());
         try (Keepers keepers = new Keepers(root, 1, 1, 2, fast).serving();
                 Socket unread = keepers.watch(0, 0, 0);
                 Socket read = keepers.watch(0, 0, 1)) {
@@ -309,29 +309,29 @@
 
     @Test
     void aWatchWhoseNodeDoesNotReportEnds() throws Exception {
-        Terms usual = Terms.usual();
-        Terms impatient = new Terms(
-                usual.beatUs(),
-                usual.leastPatienceUs(),
-                usual.mostPatienceUs(),
-                usual.dialUs(),
-                usual.leastWaitUs(),
-                usual.mostWaitUs(),
-                usual.longestWaitUs(),
-                usual.aloneTryUs(),
-                usual.reportUs() / 10,
-                usual.silentUs() / 10,
-                usual.leastPhaseUs(),
-                usual.mostPhaseUs(),
-                usual.tries(),
-                usual.triesUs(),
-                usual.pulseUs(),
-                usual.heardUs(),
-                usual.finishUs(),
-                usual.paceBytes(),
-                usual.paceAtOnce(),
-                usual.paceFirst(),
-                usual.partBytes());
+        ProtocolParameters usual = ProtocolParameters.defaults();
+        ProtocolParameters impatient = new ProtocolParameters(
+                usual.heartbeatIntervalUs(),
+                usual.minWatchTimeoutUs(),
+                usual.maxWatchTimeoutUs(),
+                usual.connectTimeoutUs(),
+                usual.minBackoffUs(),
+                usual.initialMaxBackoffUs(),
+                usual.maxBackoffUs(),
+                usual.noQuorumRetryUs(),
+                usual.reportIntervalUs() / 10,
+                usual.reportTimeoutUs() / 10,
+                usual.minPhaseTimeoutUs(),
+                usual.maxPhaseTimeoutUs(),
+                usual.maxBallots(),
+                usual.proposalTimeoutUs(),
+                usual.fetchIntervalUs(),
+                usual.voterTimeoutUs(),
+                usual.recoveryDelayUs(),
+                usual.rateBytesPerSecond(),
+                usual.burstBytes(),
+                usual.initialBurstBytes(),
+                usual.snapshotPartBytes());
         try (Keepers keepers = new Keepers(root, 1, 1, 2, impatient).serving();
                 Socket mute = keepers.watch(0, 0, 1)) {
             Keepers.Node node = keepers.node(0, 0);
@@ -346,14 +346,14 @@
     /** A file of records that is too long is written anew with what counts of it. */
     @Test
     void aLongFileOfRecordsIsWrittenAnew() throws Exception {
-        try (Keepers keepers = new Keepers(root, 1, 1, 1, Terms.usual())) {
+        try (Keepers keepers = new Keepers(root, 1, 1, 1, ProtocolParameters.defaults())) {
             Change large = Change.of(id(9), 0, Map.of("realms/a", "\"" + "x".repeat(4_000) + "\""), List.of());
-            try (FolderDisk disk = FolderDisk.toWrite(keepers.folder(0))) {
+            try (FolderDisk disk = FolderDisk.openForWriting(keepers.folder(0))) {
                 KeeperFolder folder = KeeperFolder.open(disk, 0, () -> 1, line -> {});
                 while (!folder.isLong()) {
-                    folder.write(List.of(new Kept.Voted(new Vote(1, new Ballot(1, 0), new Ballot(1, 0), large))));
+                    folder.write(List.of(new LogRecord.Voted(new Vote(1, new Ballot(1, 0), new Ballot(1, 0), large))));
                 }
-                folder.write(List.of(new Kept.Chosen(
+                folder.write(List.of(new LogRecord.Chosen(
                         new Version(1, Change.of(id(1), 0, Map.of("realms/b", "{\"quotaPerS\":1}"), List.of())))));
                 folder.sync();
                 folder.close();
@@ -392,10 +392,10 @@
         for (int i = 0; i < 500; i++) {
             values.put(String.format("realms/tenant-%04d", i), "{\"quotaPerS\":" + i + "}");
         }
-        try (Keepers keepers = new Keepers(root, 1, 1, 1, Terms.usual())) {
-            try (FolderDisk disk = FolderDisk.toWrite(keepers.folder(0))) {
+        try (Keepers keepers = new Keepers(root, 1, 1, 1, ProtocolParameters.defaults())) {
+            try (FolderDisk disk = FolderDisk.openForWriting(keepers.folder(0))) {
                 KeeperFolder folder = KeeperFolder.open(disk, 0, () -> 1, line -> {});
-                folder.write(List.of(new Kept.Whole(2_000, values)));
+                folder.write(List.of(new LogRecord.Snapshot(2_000, values)));
                 folder.sync();
                 folder.close();
             }
@@ -430,9 +430,9 @@
                                     "{\"quotaPerS\":" + value.path("quotaPerS").text() + "}"));
                 }
                 assertEquals(values, told);
-                Terms terms = Terms.usual();
+                ProtocolParameters terms = ProtocolParameters.defaults();
                 assertTrue(
-                        bytes <= terms.paceFirst() + terms.paceAtOnce() + terms.paceBytes() * tookS,
+                        bytes <= terms.initialBurstBytes() + terms.burstBytes() + terms.rateBytesPerSecond() * tookS,
                         bytes + " bytes in " + tookS + " s");
             }
             Keepers.Node node = keepers.node(0, 0);
@@ -545,7 +545,7 @@
     void watchesBeyondTheMostAreRefused() throws Exception {
         List<Socket> sockets = new ArrayList<>();
         try (Keepers keepers = keepers(1, 1, 1)) {
-            for (int i = 0; i < Terms.MOST_WATCHES; i++) {
+            for (int i = 0; i < ProtocolParameters.MAX_WATCH_COUNT; i++) {
                 sockets.add(keepers.watch(0, 0, 0));
                 byte[] head = new byte[15];
                 assertEquals(15, sockets.get(i).getInputStream().readNBytes(head, 0, 15));
@@ -558,7 +558,7 @@
                     keepers.status(0, "").path("keeper").path("watches_refused").whole(0));
             sockets.get(0).close();
             long until = System.nanoTime() + 30_000_000_000L;
-            while (keepers.status(0, "").path("keeper").path("watches").whole(0) == Terms.MOST_WATCHES) {
+            while (keepers.status(0, "").path("keeper").path("watches").whole(0) == ProtocolParameters.MAX_WATCH_COUNT) {
                 assertTrue(System.nanoTime() < until, "a watch that has ended makes no room");
             }
             sockets.add(keepers.watch(0, 0, 0));
@@ -600,7 +600,7 @@
             keepers.cutOff(0, true);
             List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
             // One is tried and the most wait; one more finds no room.
-            for (int i = 0; i < Terms.MOST_PROPOSALS + 2; i++) {
+            for (int i = 0; i < ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + 2; i++) {
                 all.add(keepers.change(0, id(i + 1), 0, "{\"realms/a" + i + "\":{\"quotaPerS\":1}}"));
             }
             HttpResponse<?> first = (HttpResponse<?>) CompletableFuture.anyOf(all.toArray(CompletableFuture[]::new))
@@ -614,7 +614,7 @@
 
     @Test
     void aVoterWhoseDiskFailsAnswersNoMore() throws Exception {
-        try (Keepers keepers = new Keepers(root, 3, 3, 1, Terms.usual())) {
+        try (Keepers keepers = new Keepers(root, 3, 3, 1, ProtocolParameters.defaults())) {
             AtomicBoolean broken = new AtomicBoolean();
             for (int k = 0; k < 3; k++) {
                 int number = k;
