--- a/src/test/java/kitemux/keeper/Keepers.java
+++ b/src/test/java/kitemux/keeper/Keepers.java
@@ -28,13 +28,13 @@
 import kitemux.config.Json;
 import kitemux.disk.Disk;
 import kitemux.disk.FolderDisk;
-import kitemux.net.LoopTime;
+import kitemux.net.EventLoopClock;
 import kitemux.net.NioNetwork;
 import kitemux.net.PollingLoop;
 import kitemux.net.SelectorLoop;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.rollout.Subscriber;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Voter;
 
 /**
@@ -44,7 +44,7 @@
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private final Path root;
-    private final Terms terms;
+    private final ProtocolParameters terms;
     private final int nodes;
     private final int count;
     /** Of the ways between. */
@@ -70,7 +70,7 @@
     private final List<Node> started = new ArrayList<>();
 
     /** The first ones vote. */
-    Keepers(Path root, int count, int voting, int nodes, Terms terms) throws IOException {
+    Keepers(Path root, int count, int voting, int nodes, ProtocolParameters terms) throws IOException {
         this.root = root;
         this.count = count;
         this.nodes = nodes;
@@ -88,8 +88,8 @@
                 between[k][other] = new Switch(group);
             }
             if (k < voting) {
-                try (FolderDisk disk = FolderDisk.toWrite(folder(k))) {
-                    voters.add(Voter.read(Keeper.make(disk, k, draws::incrementAndGet, lines[k])));
+                try (FolderDisk disk = FolderDisk.openForWriting(folder(k))) {
+                    voters.add(Voter.parse(Keeper.make(disk, k, draws::incrementAndGet, lines[k])));
                 }
             }
         }
@@ -120,12 +120,12 @@
         for (int other = 0; other < count; other++) {
             others.add(between[number][other].address());
         }
-        disks[number] = FolderDisk.toWrite(folder(number));
+        disks[number] = FolderDisk.openForWriting(folder(number));
         Keeper keeper = Keeper.open(
                 new KeeperSettings(number, others, ANY_PORT, folder(number), voters, nodes),
                 terms,
                 new ConfigRules(),
-                new Keeper.Parts(loop, NioNetwork.SYSTEM, LoopTime.of(loop), lines[number]),
+                new Keeper.Parts(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), lines[number]),
                 disk.apply(disks[number]),
                 draws::incrementAndGet,
                 failed::add);
@@ -243,7 +243,7 @@
         volatile SortedMap<String, String> values = new TreeMap<>();
 
         Node(int number, List<InetSocketAddress> dialed) {
-            LoopTime time = LoopTime.of(loop);
+            EventLoopClock time = EventLoopClock.of(loop);
             Subscriber machine = new Subscriber(
                     terms,
                     new ConfigRules(),
@@ -262,7 +262,7 @@
                     machine,
                     number,
                     1,
-                    new Sockets(1_024),
+                    new SocketBudget(1_024),
                     (rev, all) -> {
                         values = all;
                         revs.add(rev);
--- a/src/test/java/kitemux/keeper/Lines.java
+++ b/src/test/java/kitemux/keeper/Lines.java
@@ -11,7 +11,7 @@
     private final List<String> lines = new ArrayList<>();
 
     @Override
-    public synchronized void line(String text) {
+    public synchronized void info(String text) {
         lines.add(text);
         notifyAll();
     }
@@ -19,7 +19,7 @@
     @Override
     public void error(String what, Throwable cause) {
         cause.printStackTrace();
-        line("ERROR " + what + ": " + cause);
+        info("ERROR " + what + ": " + cause);
     }
 
     synchronized int count() {
--- a/src/test/java/kitemux/keeper/NodeFollowsTest.java
+++ b/src/test/java/kitemux/keeper/NodeFollowsTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CompletableFuture;
 import kitemux.cli.Main;
 import kitemux.config.Json;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -80,7 +80,7 @@
 
     @Test
     void withTheSectionItFollowsAndReports() throws Exception {
-        try (Keepers keepers = new Keepers(root.resolve("keepers"), 1, 1, 2, Terms.usual()).serving()) {
+        try (Keepers keepers = new Keepers(root.resolve("keepers"), 1, 1, 2, ProtocolParameters.defaults()).serving()) {
             Process node = node(
                     "{\"rollout\":{\"keepers\":[\"127.0.0.1:" + keepers.at(0).getPort() + "\"]}}");
             try (BufferedReader lines = node.inputReader()) {
--- a/src/test/java/kitemux/keeper/RecordWriterTest.java
+++ b/src/test/java/kitemux/keeper/RecordWriterTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import kitemux.disk.MemoryDisk;
-import kitemux.rollout.Kept;
+import kitemux.rollout.LogRecord;
 import kitemux.rollout.Vote;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -23,8 +23,8 @@
 
     private final LinkedBlockingQueue<Exception> failed = new LinkedBlockingQueue<>();
 
-    private static Kept kept(int rev) {
-        return new Kept.Voted(Vote.empty(rev));
+    private static LogRecord kept(int rev) {
+        return new LogRecord.Voted(Vote.empty(rev));
     }
 
     private KeeperFolder folder(kitemux.disk.Disk on) throws IOException {
@@ -62,7 +62,7 @@
     @Test
     void aWriteThatFailsIsTheEndAndNothingFollows() throws Exception {
         KeeperFolder folder = folder(disk);
-        disk.failAfter = 1;
+        disk.operationsUntilFailure = 1;
         RecordWriter writer = new RecordWriter(folder, loop::add, failed::add);
         writer.write(kept(1), () -> {});
         assertEquals("the power is off", failed.poll(30, TimeUnit.SECONDS).getMessage());
--- a/src/test/java/kitemux/keeper/RolloutWatchTest.java
+++ b/src/test/java/kitemux/keeper/RolloutWatchTest.java
@@ -17,13 +17,13 @@
 import java.util.TreeMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import kitemux.net.LoopTime;
+import kitemux.net.EventLoopClock;
 import kitemux.net.NioNetwork;
 import kitemux.net.PollingLoop;
 import kitemux.net.SelectorLoop;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.rollout.Subscriber;
-import kitemux.rollout.Terms;
+import kitemux.rollout.ProtocolParameters;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -42,7 +42,7 @@
     private final LinkedBlockingQueue<Asked> asked = new LinkedBlockingQueue<>();
 
     private volatile SortedMap<String, String> values = new TreeMap<>();
-    private final Sockets sockets = new Sockets(1_024);
+    private final SocketBudget sockets = new SocketBudget(1_024);
     private ServerSocket listening;
     private RolloutWatch watch;
 
@@ -70,13 +70,13 @@
         Thread accepts = new Thread(this::accept, "keeper");
         accepts.setDaemon(true);
         accepts.start();
-        LoopTime time = LoopTime.of(loop);
+        EventLoopClock time = EventLoopClock.of(loop);
         watch = new RolloutWatch(
                 loop,
                 NioNetwork.SYSTEM,
                 time,
                 List.of((InetSocketAddress) listening.getLocalSocketAddress()),
-                new Subscriber(Terms.usual(), new ConfigRules(), 17, 5, 1, 0, new TreeMap<>(), 1, time.nowUs()),
+                new Subscriber(ProtocolParameters.defaults(), new ConfigRules(), 17, 5, 1, 0, new TreeMap<>(), 1, time.nowUs()),
                 17,
                 5,
                 sockets,
@@ -146,7 +146,7 @@
     }
 
     private long badLines() throws Exception {
-        return loop.submit(() -> watch.machine().badLines()).get();
+        return loop.submit(() -> watch.machine().malformedEvents()).get();
     }
 
     @Test
--- a/src/test/java/kitemux/lab/LatePlayerTest.java
+++ b/src/test/java/kitemux/lab/LatePlayerTest.java
@@ -67,8 +67,8 @@
                                 by -> told.add(new long[] {time[0].scheduler().nowUs(), by}));
                         time[0].begin();
                         time[0].happens(() -> {
-                            time[0].scheduler().afterUs(0, LatePlayerTest::stall);
-                            time[0].scheduler().afterUs(1_000, () -> {});
+                            time[0].scheduler().scheduleAfterUs(0, LatePlayerTest::stall);
+                            time[0].scheduler().scheduleAfterUs(1_000, () -> {});
                             dueUs[0] = time[0].scheduler().nowUs() + 1_000;
                         });
                         time[0].happens(() -> {});
--- a/src/test/java/kitemux/lab/LoopbackTest.java
+++ b/src/test/java/kitemux/lab/LoopbackTest.java
@@ -16,9 +16,9 @@
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.RunResult;
-import kitemux.load.Captured;
-import kitemux.load.Speeds;
-import kitemux.load.Summary;
+import kitemux.load.CaptureFile;
+import kitemux.load.ServerSpeedEstimator;
+import kitemux.load.LoadSummary;
 import kitemux.plan.FleetFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -86,10 +86,10 @@
                     return node;
                 })
                 .result();
-        Summary summary = new Summary(1_000_000, Map.of());
+        LoadSummary summary = new LoadSummary(1_000_000, Map.of());
         try (Stream<Path> files = Files.list(folder.resolve("load"))) {
             for (Path file : files.toList()) {
-                summary.add(Captured.read(file));
+                summary.add(CaptureFile.read(file));
             }
         }
         assertEquals(2, summary.nodes().size(), "both nodes write into one folder");
@@ -97,7 +97,7 @@
         for (RunResult.ClassOutcome of : happened.classes()) {
             // What the nodes had in their last batch as they were killed is missing: a fifth of a second
             // of some.
-            assertEquals(of.offered(), summary.classes().get(of.name()).wanted(), 0.05 * of.offered(), of.name());
+            assertEquals(of.offered(), summary.classes().get(of.name()).firstTries(), 0.05 * of.offered(), of.name());
         }
     }
 
@@ -143,14 +143,14 @@
             node.environment().put("KITEMUX_SETTINGS", settings.toString());
             return node;
         });
-        Speeds speeds = new Speeds(Map.of());
+        ServerSpeedEstimator speeds = new ServerSpeedEstimator(Map.of());
         try (Stream<Path> files = Files.list(folder.resolve("load"))) {
             for (Path file : files.toList()) {
-                speeds.add(Captured.read(file));
+                speeds.add(CaptureFile.read(file));
             }
         }
         Map<String, Double> found =
-                speeds.estimate().stream().collect(Collectors.toMap(Speeds.Speed::server, Speeds.Speed::speed));
+                speeds.estimateSpeeds().stream().collect(Collectors.toMap(ServerSpeedEstimator.ServerSpeed::server, ServerSpeedEstimator.ServerSpeed::speed));
         assertEquals(Set.of("old-0", "old-1", "std-0", "std-1"), found.keySet());
         assertEquals(2, found.get("std-0") / found.get("old-0"), 0.3, found::toString);
         assertEquals(2, found.get("std-1") / found.get("old-1"), 0.3, found::toString);
--- a/src/test/java/kitemux/load/CaptureTest.java
+++ b/src/test/java/kitemux/load/CaptureTest.java
@@ -32,20 +32,20 @@
 
     private final BlockingQueue<String> said = new LinkedBlockingQueue<>();
 
-    private static Seen seen(int number) {
-        return new Seen(
+    private static CapturedRequest seen(int number) {
+        return new CapturedRequest(
                 NOW + number * 1_000L,
                 number % 2,
                 number % 3 - 1,
                 number % 5 == 0,
                 500_000,
-                List.of(new Seen.Attempt("s" + number % 7, 100, 20_000 + number, Result.OK)),
-                Observer.Answer.SERVED,
+                List.of(new CapturedRequest.Attempt("s" + number % 7, 100, 20_000 + number, Result.OK)),
+                Observer.RequestOutcome.SERVED,
                 20_500 + number);
     }
 
-    private Capture capture(Path into, int ring, int fileKiB, int keepMiB) throws IOException {
-        return new Capture(
+    private CaptureWriter capture(Path into, int ring, int fileKiB, int keepMiB) throws IOException {
+        return new CaptureWriter(
                 new LoadSettings(into, ring, (long) fileKiB << 10, (long) keepMiB << 20),
                 "n0",
                 List.of("page", "order"),
@@ -61,7 +61,7 @@
     }
 
     private Path written(int requests) throws IOException {
-        try (Capture capture = capture(folder, 8_192, 4_096, 16)) {
+        try (CaptureWriter capture = capture(folder, 8_192, 4_096, 16)) {
             for (int i = 0; i < requests; i++) {
                 capture.offer(seen(i));
             }
@@ -71,15 +71,15 @@
 
     @Test
     void whatIsWrittenIsReadAgain() throws IOException {
-        Captured file = Captured.read(written(1_000));
+        CaptureFile file = CaptureFile.read(written(1_000));
         assertEquals(
                 Stream.iterate(0, i -> i + 1)
                         .limit(1_000)
                         .map(CaptureTest::seen)
                         .toList(),
-                file.seen());
+                file.requests());
         assertEquals("", file.fault());
-        assertEquals(0, file.leftOut());
+        assertEquals(0, file.droppedCount());
         assertEquals("n0", file.node());
         assertEquals(List.of("page", "order"), file.classes());
         assertTrue(said.isEmpty(), said::toString);
@@ -88,41 +88,41 @@
     @Property(tries = 200)
     void anyBatchIsReadAsItWas(@ForAll @Size(max = 40) List<@IntRange(min = 0, max = 1_000_000) Integer> numbers)
             throws IOException {
-        List<Seen> all = new ArrayList<>();
+        List<CapturedRequest> all = new ArrayList<>();
         for (int n : numbers) {
-            List<Seen.Attempt> attempts = new ArrayList<>();
+            List<CapturedRequest.Attempt> attempts = new ArrayList<>();
             for (int i = 0; i < n % 4; i++) {
-                attempts.add(new Seen.Attempt(
+                attempts.add(new CapturedRequest.Attempt(
                         "box-" + n % 11 + i, n * 31L, (long) n * n, Result.values()[n % Result.values().length]));
             }
             // Times go back as well: who came first may be answered last.
-            all.add(new Seen(
+            all.add(new CapturedRequest(
                     NOW - n * 977L,
                     n % 2,
                     n % 3 - 1,
                     n % 2 == 0,
                     n,
                     attempts,
-                    Observer.Answer.values()[n % Observer.Answer.values().length],
+                    Observer.RequestOutcome.values()[n % Observer.RequestOutcome.values().length],
                     n * 13L));
         }
-        LoadFormat.Head head = new LoadFormat.Head(7, "n", NOW, List.of("x", "y"), List.of("t", "u"));
-        byte[] frame = LoadFormat.batch(new LoadFormat.Batch(numbers.size(), all));
-        LoadFormat.Batch read = LoadFormat.readBatch(LoadFormat.payload(java.nio.ByteBuffer.wrap(frame)), head);
-        assertEquals(new LoadFormat.Batch(numbers.size(), all), read);
+        CaptureFormat.Head head = new CaptureFormat.Head(7, "n", NOW, List.of("x", "y"), List.of("t", "u"));
+        byte[] frame = CaptureFormat.batch(new CaptureFormat.Batch(numbers.size(), all));
+        CaptureFormat.Batch read = CaptureFormat.readBatch(CaptureFormat.payload(java.nio.ByteBuffer.wrap(frame)), head);
+        assertEquals(new CaptureFormat.Batch(numbers.size(), all), read);
     }
 
     /** As a kill leaves it, wherever it was. */
     @Test
     void aFileCutOffAnywhereGivesAllWholeBatchesBeforeThat() throws IOException {
         byte[] head = Files.readAllBytes(written(1));
-        byte[] batch = LoadFormat.batch(new LoadFormat.Batch(0, List.of(seen(1), seen(2))));
+        byte[] batch = CaptureFormat.batch(new CaptureFormat.Batch(0, List.of(seen(1), seen(2))));
         byte[] all = java.util.Arrays.copyOf(head, head.length + batch.length);
         System.arraycopy(batch, 0, all, head.length, batch.length);
         for (int cut = head.length; cut <= all.length; cut++) {
             Path file = Files.write(folder.resolve("cut"), java.util.Arrays.copyOf(all, cut));
-            Captured read = Captured.read(file);
-            assertEquals(cut == all.length ? 3 : 1, read.seen().size(), "cut at " + cut);
+            CaptureFile read = CaptureFile.read(file);
+            assertEquals(cut == all.length ? 3 : 1, read.requests().size(), "cut at " + cut);
             assertEquals(cut != all.length && cut != head.length, read.fault().startsWith("cut off"), "at " + cut);
         }
     }
@@ -130,14 +130,14 @@
     @Test
     void aFlippedBitIsFoundWhereverItIs() throws IOException {
         byte[] whole = Files.readAllBytes(written(3));
-        List<Seen> seen = Captured.read(files(folder).get(0)).seen();
+        List<CapturedRequest> seen = CaptureFile.read(files(folder).get(0)).requests();
         for (int at = 0; at < whole.length; at++) {
             byte[] damaged = whole.clone();
             damaged[at] ^= 0x10;
             Path file = Files.write(folder.resolve("damaged"), damaged);
             try {
-                Captured read = Captured.read(file);
-                assertTrue(!read.fault().isEmpty() && read.seen().size() < seen.size(), "byte " + at);
+                CaptureFile read = CaptureFile.read(file);
+                assertTrue(!read.fault().isEmpty() && read.requests().size() < seen.size(), "byte " + at);
             } catch (IOException e) {
                 assertTrue(e.getMessage().length() > 5, "byte " + at);
             }
@@ -147,14 +147,14 @@
     @Test
     void whatIsNoCapturedLoadIsToldByName() throws IOException {
         Path file = Files.writeString(folder.resolve("notes"), "dear diary");
-        IOException told = assertThrows(IOException.class, () -> Captured.read(file));
+        IOException told = assertThrows(IOException.class, () -> CaptureFile.read(file));
         assertTrue(told.getMessage().endsWith("notes is no captured load"), told.getMessage());
     }
 
     @Test
     void whatAFullRingDoesNotTakeIsCountedAndNothingWaits() throws IOException {
         Path into = folder.resolve("ring");
-        try (Capture capture = capture(into, 64, 4_096, 16)) {
+        try (CaptureWriter capture = capture(into, 64, 4_096, 16)) {
             for (int i = 0; i < 100_000; i++) {
                 capture.offer(seen(i));
             }
@@ -162,9 +162,9 @@
         long kept = 0;
         long leftOut = 0;
         for (Path path : files(into)) {
-            Captured file = Captured.read(path);
-            kept += file.seen().size();
-            leftOut += file.leftOut();
+            CaptureFile file = CaptureFile.read(path);
+            kept += file.requests().size();
+            leftOut += file.droppedCount();
         }
         assertEquals(100_000, kept + leftOut);
         assertTrue(leftOut > 0, "the ring never filled");
@@ -175,7 +175,7 @@
         Path into = folder.resolve("many");
         for (int round = 0; round < 12; round++) {
             long at = NOW + round;
-            try (Capture capture = new Capture(
+            try (CaptureWriter capture = new CaptureWriter(
                     new LoadSettings(into, 8_192, 64 << 10, 192 << 10),
                     "n0",
                     List.of("page", "order"),
@@ -200,7 +200,7 @@
     @Test
     void aDiskThatFailsIsToldOnceAndCountsWhatItDidNotTake() throws Exception {
         Path into = folder.resolve("gone");
-        try (Capture capture = capture(into, 8_192, 4_096, 16)) {
+        try (CaptureWriter capture = capture(into, 8_192, 4_096, 16)) {
             Files.delete(into);
             capture.offer(seen(1));
             capture.offer(seen(2));
@@ -210,9 +210,9 @@
             capture.offer(seen(3));
         }
         assertTrue(said.isEmpty(), said::toString);
-        Captured file = Captured.read(files(into).get(0));
-        assertEquals(List.of(seen(3)), file.seen());
-        assertEquals(2, file.leftOut());
+        CaptureFile file = CaptureFile.read(files(into).get(0));
+        assertEquals(List.of(seen(3)), file.requests());
+        assertEquals(2, file.droppedCount());
     }
 
     // ---------------------------------------------------------------- settings
--- a/src/test/java/kitemux/mysql/MysqlServersTest.java
+++ b/src/test/java/kitemux/mysql/MysqlServersTest.java
@@ -11,25 +11,25 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
 import kitemux.ServiceQBalancer;
-import kitemux.engine.Client;
+import kitemux.engine.ResponseSink;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
 import kitemux.mysql.AnswerTracker.Form;
-import kitemux.net.Answer;
+import kitemux.net.ServerResponse;
 import kitemux.net.HostList;
-import kitemux.net.LoopTime;
+import kitemux.net.EventLoopClock;
 import kitemux.net.NioNetwork;
 import kitemux.net.SelectorLoop;
 import kitemux.net.ServerPool;
-import kitemux.net.Sockets;
+import kitemux.net.SocketBudget;
 import kitemux.standin.OrderDatabase;
 import kitemux.standin.OrderDatabase.Fault;
 import org.junit.jupiter.api.AfterEach;
@@ -49,8 +49,8 @@
     private final SelectorLoop loop = SelectorLoop.open();
     private final List<OrderDatabase> databases = new ArrayList<>();
     private final List<String> lines = new ArrayList<>();
-    private Engine<Command, Answer> engine;
-    private ServerPool<Command, Answer> pool;
+    private Engine<Command, ServerResponse> engine;
+    private ServerPool<Command, ServerResponse> pool;
     private int asked;
 
     @AfterEach
@@ -62,7 +62,7 @@
     }
 
     /** What a client was told; one answer, and its bytes. */
-    private static final class Told implements Client<Answer> {
+    private static final class Told implements ResponseSink<ServerResponse> {
         private final CompletableFuture<String> end = new CompletableFuture<>();
         private final List<Integer> firstBytes = new ArrayList<>();
         private long bytes;
@@ -76,10 +76,10 @@
         }
 
         @Override
-        public void begun(Answer answer) {
+        public void onResponseStarted(ServerResponse answer) {
             assertFalse(begun, "begun once");
             begun = true;
-            answer.passTo(packets -> {
+            answer.streamTo(packets -> {
                 byte[] copy = new byte[packets.readableBytes()];
                 packets.readBytes(copy);
                 packets.release();
@@ -88,7 +88,7 @@
         }
 
         @Override
-        public void served(Answer answer) {
+        public void onServed(ServerResponse answer) {
             if (answer != null) {
                 see(answer.body());
             }
@@ -96,17 +96,17 @@
         }
 
         @Override
-        public void refused(long retryAfterUs) {
+        public void onRefused(long retryAfterUs) {
             tell("refused");
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             tell("failed");
         }
 
         @Override
-        public void broken() {
+        public void onInternalError() {
             tell("broken");
         }
 
@@ -123,17 +123,17 @@
     private void start(int servers) throws Exception {
         Settings settings = new Settings();
         settings.zones.add("here");
-        for (Repeat repeat : List.of(Repeat.SAFE, Repeat.UNSAFE)) {
+        for (RetrySafety repeat : List.of(RetrySafety.SAFE, RetrySafety.UNSAFE)) {
             settings.classes.add(
                     new RequestClass(repeat.name(), 1_000_000, 0, 5_000_000, 1, 0, repeat, null, 0, false));
         }
         settings.maxAttempts = 4;
-        settings.cancel = true;
+        settings.cancellationAllowed = true;
         settings.connectTimeoutUs = 5_000_000;
-        LoopTime time = LoopTime.of(loop);
+        EventLoopClock time = EventLoopClock.of(loop);
         Log log = new Log() {
             @Override
-            public void line(String text) {
+            public void info(String text) {
                 lines.add(text);
             }
 
@@ -145,7 +145,7 @@
         pool = new ServerPool<>(
                 loop,
                 NioNetwork.SYSTEM,
-                new Sockets(256),
+                new SocketBudget(256),
                 time,
                 settings.connectTimeoutUs,
                 60_000_000,
@@ -156,7 +156,7 @@
                 pool,
                 () -> {},
                 Observer.NONE,
-                SendGate.open(),
+                SendGate.alwaysOpen(),
                 log,
                 actions -> new ServiceQBalancer(settings, 7, actions));
         List<HostList.Host> hosts = new ArrayList<>();
@@ -166,7 +166,7 @@
             hosts.add(new HostList.Host(new ServerEntry("s" + i, 0, 0, ServerState.READY, 1, 0), database.address()));
         }
         HostList list = new HostList(1, true, hosts);
-        loop.submit(() -> engine.listed(ListKind.FULL, list.entries(), () -> pool.update(list)))
+        loop.submit(() -> engine.updateServers(ListKind.FULL, list.entries(), () -> pool.update(list)))
                 .sync();
     }
 
@@ -177,7 +177,7 @@
         System.arraycopy(text, 0, payload, 1, text.length);
         Command command = new Command("c" + ++asked, classIndex, -1, 4_000_000, Form.RESULTS, payload);
         Told told = new Told();
-        loop.execute(() -> engine.ask(engine.take(told, command)));
+        loop.execute(() -> engine.dispatch(engine.accept(told, command)));
         return told;
     }
 
--- a/src/test/java/kitemux/net/ClientListenerTest.java
+++ b/src/test/java/kitemux/net/ClientListenerTest.java
@@ -38,17 +38,17 @@
     private final SelectorLoop loop = SelectorLoop.open();
     private final Queue<SocketAddress> accepted = new ConcurrentLinkedQueue<>();
 
-    private static final Network.Gate OPEN = new Network.Gate() {
+    private static final Network.AcceptGate OPEN = new Network.AcceptGate() {
         @Override
-        public boolean mayTake() {
+        public boolean canAccept() {
             return true;
         }
 
         @Override
-        public void taken() {}
+        public void onAccepted() {}
 
         @Override
-        public void failed(IOException cause) {}
+        public void onAcceptFailed(IOException cause) {}
     };
 
     private Channel listen(ChannelFactory<ServerChannel> listener) {
@@ -77,19 +77,19 @@
         AtomicInteger failures = new AtomicInteger();
         CompletableFuture<Long> acceptedAtNanos = new CompletableFuture<>();
         AtomicLong lastFailureNanos = new AtomicLong();
-        Network.Gate counting = new Network.Gate() {
+        Network.AcceptGate counting = new Network.AcceptGate() {
             @Override
-            public boolean mayTake() {
+            public boolean canAccept() {
                 return true;
             }
 
             @Override
-            public void taken() {
+            public void onAccepted() {
                 acceptedAtNanos.complete(System.nanoTime());
             }
 
             @Override
-            public void failed(IOException cause) {
+            public void onAcceptFailed(IOException cause) {
                 failures.incrementAndGet();
                 lastFailureNanos.set(System.nanoTime());
             }
@@ -139,7 +139,7 @@
     /** Guards against connections that the system has completed and resets as their listener closes. */
     @Test
     void whatWaitsIsAcceptedAndNothingComesUpOnceTheListenerIsClosed() throws Exception {
-        Channel listener = listen(() -> NioNetwork.SYSTEM.listener(OPEN));
+        Channel listener = listen(() -> NioNetwork.SYSTEM.newListener(OPEN));
         SocketAddress at = listener.localAddress();
         try (SocketChannel waits = SocketChannel.open()) {
             CompletableFuture<Void> closed = new CompletableFuture<>();
--- a/src/test/java/kitemux/net/UnclaimedTest.java
+++ b/src/test/java/kitemux/net/ConnectErrorHandlerTest.java
@@ -8,11 +8,11 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-class UnclaimedTest {
+class ConnectErrorHandlerTest {
 
     @Test
     void aConnectionThatIsResetIsClosedAndNothingIsSaid() {
-        EmbeddedChannel channel = new EmbeddedChannel(new Unclaimed());
+        EmbeddedChannel channel = new EmbeddedChannel(new ConnectErrorHandler());
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
         channel.checkException();
         assertFalse(channel.isOpen());
@@ -20,7 +20,7 @@
 
     @Test
     void aDefectIsNotHidden() {
-        EmbeddedChannel channel = new EmbeddedChannel(new Unclaimed());
+        EmbeddedChannel channel = new EmbeddedChannel(new ConnectErrorHandler());
         IllegalStateException defect = new IllegalStateException("defect");
         channel.pipeline().fireExceptionCaught(defect);
         assertSame(defect, assertThrows(IllegalStateException.class, channel::checkException));
--- a/src/test/java/kitemux/net/WholeMillisTest.java
+++ b/src/test/java/kitemux/net/MillisecondTimerIoHandlerTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-class WholeMillisTest {
+class MillisecondTimerIoHandlerTest {
     private static final int TIMERS = 50;
     /** Short of half a millisecond past a whole one: the case in which selectors are asked to hurry. */
     private static final long EACH_US = 2_400;
@@ -26,7 +26,7 @@
             looks.incrementAndGet();
             return hasTasks ? now.get() : SelectStrategy.SELECT;
         });
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, whole ? WholeMillis.over(plain) : plain);
+        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, whole ? MillisecondTimerIoHandler.over(plain) : plain);
         EventLoop loop = (EventLoop) group.next();
         CountDownLatch ran = new CountDownLatch(TIMERS);
         Runnable again = new Runnable() {
@@ -56,7 +56,7 @@
 
     @Test
     void timersRunAndTasksFromElsewhereWakeTheLoop() throws Exception {
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, WholeMillis.factory());
+        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, MillisecondTimerIoHandler.factory());
         try {
             assertEquals("task", group.submit(() -> "task").get(20, TimeUnit.SECONDS));
             assertEquals(
--- a/src/test/java/kitemux/net/SelectorLoopTest.java
+++ b/src/test/java/kitemux/net/SelectorLoopTest.java
@@ -31,7 +31,7 @@
         CompletableFuture<Long> waited = new CompletableFuture<>();
         loop.execute(() -> {
             long sinceNanos = loop.ticker().nanoTime();
-            loop.schedule(() -> waited.complete(loop.polledNanos() - sinceNanos), waitNanos, TimeUnit.NANOSECONDS);
+            loop.schedule(() -> waited.complete(loop.lastPollNanos() - sinceNanos), waitNanos, TimeUnit.NANOSECONDS);
         });
         long nanos = waited.get(20, TimeUnit.SECONDS);
         assertTrue(nanos >= waitNanos / 2, "polled " + nanos + " ns after the timer was set");
@@ -49,8 +49,8 @@
                         @Override
                         public void channelRead(ChannelHandlerContext context, Object bytes) {
                             ((ByteBuf) bytes).release();
-                            reading.complete(loop.polledNanos());
-                            loop.execute(() -> behind.complete(loop.polledNanos()));
+                            reading.complete(loop.lastPollNanos());
+                            loop.execute(() -> behind.complete(loop.lastPollNanos()));
                         }
                     })
                     .connect(far.getLocalSocketAddress())
--- a/src/test/java/kitemux/net/DueTimersTest.java
+++ b/src/test/java/kitemux/net/TimerQueueTest.java
@@ -6,24 +6,24 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class DueTimersTest {
+class TimerQueueTest {
 
     /** Steps: below 50 sets one, 50 to 89 calls one off, the rest lets time pass. */
     @Property(tries = 300)
     void whatRunsIsWhatAPlainSortedListWouldTell(
             @ForAll @Size(max = 600) List<@IntRange(min = 0, max = 99) Integer> steps) {
-        DueTimers timers = new DueTimers();
+        TimerQueue timers = new TimerQueue();
         // The clock runs over on its way.
         long now = Long.MAX_VALUE - 40;
         long passed = 0;
-        List<Time.Timer> set = new ArrayList<>();
+        List<Clock.Timer> set = new ArrayList<>();
         List<long[]> plain = new ArrayList<>();
         List<Integer> ran = new ArrayList<>();
         List<Integer> expected = new ArrayList<>();
@@ -56,7 +56,7 @@
 
     @Test
     void whatIsCalledOffDoesNotPileUp() {
-        DueTimers timers = new DueTimers();
+        TimerQueue timers = new TimerQueue();
         timers.set(0, () -> {});
         for (int i = 1; i <= 100_000; i++) {
             timers.set(i, () -> {}).cancel();
@@ -66,7 +66,7 @@
 
     @Test
     void whatATimerSetsWaitsForTheNextCall() {
-        DueTimers timers = new DueTimers();
+        TimerQueue timers = new TimerQueue();
         List<String> ran = new ArrayList<>();
         timers.set(1, () -> {
             ran.add("first");
--- a/src/test/java/kitemux/node/BacklogTest.java
+++ b/src/test/java/kitemux/node/BacklogTest.java
@@ -35,8 +35,8 @@
 import kitemux.ServiceQBalancer;
 import kitemux.engine.Log;
 import kitemux.http.Limits;
-import kitemux.net.LoopTime;
-import kitemux.net.Sockets;
+import kitemux.net.EventLoopClock;
+import kitemux.net.SocketBudget;
 import org.junit.jupiter.api.Test;
 
 /** A node that has fallen behind: its loop stood still while clients came and went. */
@@ -212,7 +212,7 @@
                         @Override
                         public void channelRead(ChannelHandlerContext context, Object bytes) {
                             ((ByteBuf) bytes).release();
-                            parkFor(2 * LoopTime.BEAT_MS);
+                            parkFor(2 * EventLoopClock.TICK_INTERVAL_MS);
                             loop.execute(() -> {
                                 standing.countDown();
                                 awaitRelease(release);
@@ -280,7 +280,7 @@
             CountDownLatch release = holdUp(site.loop);
             List<Socket> clients = new ArrayList<>();
             // Just as many as are taken in one turn: more may wait behind them, and do not.
-            for (int i = 0; i < Sockets.MOST_ACCEPTED; i++) {
+            for (int i = 0; i < SocketBudget.MAX_ACCEPTS_PER_TURN; i++) {
                 Socket client = site.connect();
                 Site.write(client, Http.page("/api/p", "t" + i, "5000m"));
                 clients.add(client);
@@ -312,9 +312,9 @@
                             20_000_000,
                             page.worth(),
                             page.lateWorth(),
-                            page.repeat(),
-                            page.group(),
-                            page.windowUs(),
+                            page.retrySafety(),
+                            page.dedupScope(),
+                            page.dedupWindowUs(),
                             page.stream()));
             site.start(server);
             CountDownLatch drained = new CountDownLatch(1);
@@ -380,7 +380,7 @@
                 Site.write(clients.get(i), Http.page("/api/p", "t" + i, "5000m"));
             }
             // Its time runs out meanwhile, and so much more that it is overdue.
-            parkFor(200 + LoopTime.OVERDUE_MS);
+            parkFor(200 + EventLoopClock.OVERDUE_TIMER_MS);
             release.countDown();
             assertEquals(503, Http.read(overdue.getInputStream()).status());
             assertEquals("request", told.poll());
@@ -426,7 +426,7 @@
                 Site site = Site.quiet()) {
             site.log = new Log() {
                 @Override
-                public void line(String text) {
+                public void info(String text) {
                     lines.add(text);
                 }
 
--- a/src/test/java/kitemux/node/ConfigTextTest.java
+++ b/src/test/java/kitemux/node/ConfigTextTest.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
@@ -38,27 +38,27 @@
     private static Settings settings() {
         Settings set = new Settings();
         set.nodes = 7;
-        set.me = 3;
+        set.nodeIndex = 3;
         set.zones = List.of("a", "b \"quoted\"");
         set.myZone = 1;
         set.classes = List.of(
-                new RequestClass("page", 40_000, 0, 500_000, 1.5, 0.25, Repeat.SAFE, Group.ALL, 0, false),
-                new RequestClass("cart", 50_000, 0, 600_000, 3, 0.5, Repeat.KEYED, Group.CELL, 70_000, false),
-                new RequestClass("note", 50_000, 0, 600_000, 3, 0.5, Repeat.KEYED, Group.ZONE, 80_000, false),
-                new RequestClass("pay", 60_000, 0, 700_000, 9, 0, Repeat.UNSAFE, Group.ALL, 0, false));
+                new RequestClass("page", 40_000, 0, 500_000, 1.5, 0.25, RetrySafety.SAFE, DedupScope.ALL, 0, false),
+                new RequestClass("cart", 50_000, 0, 600_000, 3, 0.5, RetrySafety.KEYED, DedupScope.CELL, 70_000, false),
+                new RequestClass("note", 50_000, 0, 600_000, 3, 0.5, RetrySafety.KEYED, DedupScope.ZONE, 80_000, false),
+                new RequestClass("pay", 60_000, 0, 700_000, 9, 0, RetrySafety.UNSAFE, DedupScope.ALL, 0, false));
         set.tenants = List.of(new Tenant("north", 12.5), new Tenant("south", 0));
         set.overShareWorth = 0.125;
         set.maxAttempts = 5;
-        set.secondCopies = true;
-        set.cancel = true;
+        set.hedgingAllowed = true;
+        set.cancellationAllowed = true;
         set.maxRetryAfterUs = 9_000_001;
         set.connectTimeoutUs = 123_457;
         set.listOnRequest = true;
         set.drainGraceUs = 1_234_567;
-        set.coldFrom = 0.35;
-        set.coldUs = 11_000_003;
-        set.fallMultiple = 2.25;
-        set.fallUs = 3_000_007;
+        set.coldCapacityRatio = 0.35;
+        set.warmUpUs = 11_000_003;
+        set.overloadRatio = 2.25;
+        set.overloadOutageUs = 3_000_007;
         return set;
     }
 
--- a/src/test/java/kitemux/node/DiscoveryTest.java
+++ b/src/test/java/kitemux/node/DiscoveryTest.java
@@ -29,7 +29,7 @@
         Discovery discovery = new Discovery(
                 site.loop,
                 NioNetwork.SYSTEM,
-                Addresses.read("discovery", site.discovery.endpoint()),
+                Addresses.parse("discovery", site.discovery.endpoint()),
                 site.settings.zones,
                 41,
                 mostSilenceUs,
@@ -37,8 +37,8 @@
                 new Discovery.Listener() {
                     @Override
                     public void listed(HostList list) {
-                        told.add(list.rev()
-                                + (list.all() ? " all " : " changes ")
+                        told.add(list.revision()
+                                + (list.isFull() ? " all " : " changes ")
                                 + list.hosts().size());
                     }
 
@@ -253,7 +253,7 @@
             site.node.reload(new NodeConfig(
                     old.listen(),
                     old.operators(),
-                    Addresses.read("discovery", after.endpoint()),
+                    Addresses.parse("discovery", after.endpoint()),
                     old.seed(),
                     old.sockets(),
                     old.connIdleUs(),
@@ -300,7 +300,7 @@
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
             Discovery discovery = watch(site, Discovery.MOST_SILENCE_US, told);
             FarServer.next(site.discovery.requests);
-            InetSocketAddress to = Addresses.read("discovery", there.endpoint());
+            InetSocketAddress to = Addresses.parse("discovery", there.endpoint());
             site.loop.execute(() -> discovery.moveTo(to));
             FarServer.next(site.discovery.ended);
             assertEquals(
@@ -325,7 +325,7 @@
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
             Discovery discovery = watch(site, Discovery.MOST_SILENCE_US, told);
             FarServer.Peer before = FarServer.next(site.discovery.peers);
-            InetSocketAddress to = Addresses.read("discovery", there.endpoint());
+            InetSocketAddress to = Addresses.parse("discovery", there.endpoint());
             site.loop.execute(() -> discovery.moveTo(to));
             FarServer.Peer after = FarServer.next(there.peers);
             before.write(Site.chunk(Site.list(42, true, "s0=10.0.0.1:80=Terminating") + "\n"));
@@ -349,7 +349,7 @@
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
             Discovery discovery = watch(site, 60_000_000, told);
             FarServer.next(site.discovery.peers);
-            InetSocketAddress to = Addresses.read("discovery", there.endpoint());
+            InetSocketAddress to = Addresses.parse("discovery", there.endpoint());
             site.loop.execute(() -> discovery.moveTo(to));
             FarServer.next(there.peers);
             assertNotNull(site.discovery.ended.poll(10, TimeUnit.SECONDS), "it is read on without an end");
@@ -371,7 +371,7 @@
             site.node.reload(new NodeConfig(
                     old.listen(),
                     old.operators(),
-                    Addresses.read("discovery", after.endpoint()),
+                    Addresses.parse("discovery", after.endpoint()),
                     old.seed(),
                     old.sockets(),
                     old.connIdleUs(),
--- a/src/test/java/kitemux/node/EndingsTest.java
+++ b/src/test/java/kitemux/node/EndingsTest.java
@@ -81,7 +81,7 @@
     void whatWaitsForAConnectionIsNotSentOnceItsClientHasLeft(boolean cancel) throws Exception {
         try (Full server = new Full();
                 Site site = Site.quiet()) {
-            site.settings.cancel = cancel;
+            site.settings.cancellationAllowed = cancel;
             site.startKnowing(Site.list(1, true, "s0=" + server.endpoint() + "=Ready"));
             Socket leaves = site.connect();
             Site.write(leaves, Http.page("/api/p", "left", "5000m"));
--- a/src/test/java/kitemux/node/LiveSettingsTest.java
+++ b/src/test/java/kitemux/node/LiveSettingsTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
@@ -16,9 +16,9 @@
 
 class LiveSettingsTest {
     private static final RequestClass PAGE =
-            new RequestClass("page", 100, 0, 500, 1, 0, Repeat.SAFE, Group.ALL, 0, false);
+            new RequestClass("page", 100, 0, 500, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 0, false);
     private static final RequestClass ORDER =
-            new RequestClass("order", 100, 0, 500, 4, 0.5, Repeat.UNSAFE, Group.CELL, 7, true);
+            new RequestClass("order", 100, 0, 500, 4, 0.5, RetrySafety.UNSAFE, DedupScope.CELL, 7, true);
     private static final String FAST =
             "{\"onTimeUs\":50,\"giveUpUs\":300,\"importance\":2," + "\"lateWorth\":0.25,\"repeat\":\"safe\"}";
 
@@ -50,7 +50,7 @@
                 FAST));
         assertEquals(List.of(new Tenant("a", 1), new Tenant("b", 9.5)), settings.tenants);
         assertEquals(
-                List.of(new RequestClass("page", 50, 0, 300, 2, 0.25, Repeat.SAFE, Group.ALL, 0, false), ORDER),
+                List.of(new RequestClass("page", 50, 0, 300, 2, 0.25, RetrySafety.SAFE, DedupScope.ALL, 0, false), ORDER),
                 settings.classes);
         assertSame(ORDER, settings.classes.get(1));
         assertEquals(0.75, settings.overShareWorth);
@@ -66,7 +66,7 @@
     void whatIsNotLiveIsSaidToWait() {
         assertEquals(
                 Set.of(),
-                live.waitRestart(
+                live.pathsNeedingRestart(
                         Map.of(),
                         Map.of(
                                 "realms/a",
@@ -81,9 +81,9 @@
                                 "[]")));
         assertEquals(
                 Set.of("realms/new", "classes/new", "limits/attemptsCap"),
-                live.waitRestart(Map.of(), Map.of("realms/new", "{}", "classes/new", FAST, "limits/attemptsCap", "9")));
+                live.pathsNeedingRestart(Map.of(), Map.of("realms/new", "{}", "classes/new", FAST, "limits/attemptsCap", "9")));
         String order = "{\"repeat\":\"unsafe\",\"group\":\"cell\",\"windowUs\":7,\"stream\":true}";
-        assertEquals(Set.of(), live.waitRestart(Map.of(), Map.of("classes/order", order)));
+        assertEquals(Set.of(), live.pathsNeedingRestart(Map.of(), Map.of("classes/order", order)));
         for (String other : List.of(
                 order.replace("unsafe", "safe"),
                 order.replace("cell", "all"),
@@ -91,7 +91,7 @@
                 order.replace("true", "false"),
                 order.replace("\"repeat\"", "\"aimStretch\":1,\"repeat\""),
                 order.replace("\"group\":\"cell\",", ""))) {
-            assertEquals(Set.of("classes/order"), live.waitRestart(Map.of(), Map.of("classes/order", other)), other);
+            assertEquals(Set.of("classes/order"), live.pathsNeedingRestart(Map.of(), Map.of("classes/order", other)), other);
         }
     }
 
--- a/src/test/java/kitemux/node/PushedListTest.java
+++ b/src/test/java/kitemux/node/PushedListTest.java
@@ -7,14 +7,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import kitemux.discovery.PushedList;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import org.junit.jupiter.api.Test;
 
 /** Lists that are pushed to an agent on the node's own machine, which only the node asks. */
 class PushedListTest {
 
     /** Timers that run when the test says so. */
-    private static final class HandTime implements Time {
+    private static final class HandTime implements Clock {
         final List<Long> waits = new ArrayList<>();
         Runnable task;
 
@@ -24,7 +24,7 @@
         }
 
         @Override
-        public Timer after(long us, Runnable what) {
+        public Timer schedule(long us, Runnable what) {
             waits.add(us);
             task = what;
             return () -> task = null;
--- a/src/test/java/kitemux/node/ServerPoolTest.java
+++ b/src/test/java/kitemux/node/ServerPoolTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import kitemux.net.NioNetwork;
-import kitemux.net.QuietChannel;
+import kitemux.net.InputAwareChannel;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -278,26 +278,26 @@
         EventLoop loop = Node.newLoop();
         try (ServerSocket far = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             // Nothing is read by itself, as when the loop has not come to it yet.
-            QuietChannel channel = (QuietChannel) new Bootstrap()
+            InputAwareChannel channel = (InputAwareChannel) new Bootstrap()
                     .group(loop)
-                    .channelFactory(NioNetwork.SYSTEM::dialer)
+                    .channelFactory(NioNetwork.SYSTEM::newOutboundChannel)
                     .option(ChannelOption.AUTO_READ, false)
                     .handler(new ChannelInboundHandlerAdapter())
                     .connect(far.getLocalSocketAddress())
                     .sync()
                     .channel();
             Socket server = far.accept();
-            assertTrue(channel.isQuiet());
+            assertTrue(channel.hasNoUnreadInput());
             server.getOutputStream().write('x');
-            while (channel.isQuiet()) {
+            while (channel.hasNoUnreadInput()) {
                 Thread.onSpinWait();
             }
-            assertTrue(channel.isQuiet(), "the byte is gone");
+            assertTrue(channel.hasNoUnreadInput(), "the byte is gone");
             server.close();
-            while (channel.isQuiet()) {
+            while (channel.hasNoUnreadInput()) {
                 Thread.onSpinWait();
             }
-            assertFalse(channel.isQuiet(), "the end stays");
+            assertFalse(channel.hasNoUnreadInput(), "the end stays");
         } finally {
             loop.parent().shutdownGracefully();
         }
--- a/src/test/java/kitemux/node/Site.java
+++ b/src/test/java/kitemux/node/Site.java
@@ -14,8 +14,8 @@
 import java.util.List;
 import java.util.function.Function;
 import kitemux.Balancer;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
@@ -50,18 +50,18 @@
         this.discovery = discovery;
         module = actions -> new ServiceQBalancer(settings, 7, actions);
         settings.zones.add("here");
-        settings.classes.add(requestClass("page", Repeat.SAFE, Group.ALL));
-        settings.classes.add(requestClass("photo", Repeat.KEYED, Group.CELL));
-        settings.classes.add(requestClass("order", Repeat.UNSAFE, Group.ALL));
+        settings.classes.add(requestClass("page", RetrySafety.SAFE, DedupScope.ALL));
+        settings.classes.add(requestClass("photo", RetrySafety.KEYED, DedupScope.CELL));
+        settings.classes.add(requestClass("order", RetrySafety.UNSAFE, DedupScope.ALL));
         settings.tenants.add(new Tenant("org", 0));
         settings.maxAttempts = 4;
-        settings.cancel = true;
+        settings.cancellationAllowed = true;
         settings.maxRetryAfterUs = 250_000;
         settings.connectTimeoutUs = 5_000_000;
         settings.listOnRequest = true;
     }
 
-    private static RequestClass requestClass(String name, Repeat repeat, Group group) {
+    private static RequestClass requestClass(String name, RetrySafety repeat, DedupScope group) {
         return new RequestClass(name, 1_000_000, 0, 5_000_000, 1, 0, repeat, group, 1_200_000, false);
     }
 
@@ -99,7 +99,7 @@
         return new NodeConfig(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 operators,
-                Addresses.read("discovery", discovery.endpoint()),
+                Addresses.parse("discovery", discovery.endpoint()),
                 7,
                 sockets,
                 connIdleUs,
--- a/src/test/java/kitemux/node/TermsTest.java
+++ b/src/test/java/kitemux/node/TermsTest.java
@@ -19,8 +19,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.ServiceQBalancer;
 import kitemux.http.RequestReader;
@@ -80,7 +80,7 @@
                 Site site = Site.quiet()) {
             site.settings.classes.set(
                     1,
-                    new RequestClass("photo", 1_000_000, 0, 5_000_000, 1, 0, Repeat.KEYED, Group.CELL, 250_000, false));
+                    new RequestClass("photo", 1_000_000, 0, 5_000_000, 1, 0, RetrySafety.KEYED, DedupScope.CELL, 250_000, false));
             site.start(one, two);
             String photo = Http.order("t", "4000m").replace("X-Lane: order", "X-Lane: photo\r\nIdempotency-Key: k");
             assertEquals(status, site.ask(photo).status());
--- a/src/test/java/kitemux/node/UnsoundNode.java
+++ b/src/test/java/kitemux/node/UnsoundNode.java
@@ -12,14 +12,14 @@
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.ServiceQBalancer;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
 import kitemux.engine.Transport;
 import kitemux.fleet.PerNodeBudgetBalancer;
 import kitemux.http.ClientRequest;
 import kitemux.http.ConnectionObserver;
-import kitemux.net.LoopTime;
+import kitemux.net.EventLoopClock;
 import kitemux.net.NioNetwork;
 import kitemux.net.PollingLoop;
 
@@ -57,11 +57,11 @@
                     case BUDGETS_BY_NODE ->
                         new Node.Parts(
                                 NioNetwork.SYSTEM,
-                                LoopTime.of(loop),
+                                EventLoopClock.of(loop),
                                 sound.log(),
                                 Observer.NONE,
                                 ConnectionObserver.NONE,
-                                SendGate.open(),
+                                SendGate.alwaysOpen(),
                                 actions -> PerNodeBudgetBalancer.create(
                                         config.settings(), config.seed(), actions, Double.parseDouble(args[1])),
                                 sound.transport());
@@ -74,10 +74,10 @@
     private static final class LateSender implements Observer {
         private final EventLoop loop;
         private final boolean sends;
-        private final Map<Long, Asked> held = new HashMap<>();
+        private final Map<Long, RequestInfo> held = new HashMap<>();
         private final Set<Long> kept = new HashSet<>();
         private String server;
-        private Transport<ClientRequest, kitemux.net.Answer> transport;
+        private Transport<ClientRequest, kitemux.net.ServerResponse> transport;
 
         LateSender(EventLoop loop, boolean sends) {
             this.loop = loop;
@@ -146,24 +146,24 @@
                         }
 
                         @Override
-                        public long untilUs() {
+                        public long expiresAtUs() {
                             return Long.MAX_VALUE;
                         }
 
                         @Override
-                        public void ended(Balancer.Result result, kitemux.net.Answer answer) {}
+                        public void onEnded(Balancer.Result result, kitemux.net.ServerResponse answer) {}
                     }),
                     LATE_MS,
                     TimeUnit.MILLISECONDS);
         }
 
         @Override
-        public void taken(long id, Asked request) {
+        public void onRequestAccepted(long id, RequestInfo request) {
             held.put(id, request);
         }
 
         @Override
-        public void forgotten(long id) {
+        public void onRequestReleased(long id) {
             held.remove(id);
         }
     }
--- a/src/test/java/kitemux/node/WrittenConfigTest.java
+++ b/src/test/java/kitemux/node/WrittenConfigTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.ServerState;
 import kitemux.app.App;
@@ -76,15 +76,15 @@
     }
 
     private void holds(App app, NodeConfig read, String text) {
-        Map<String, Repeat> classes = new java.util.HashMap<>();
+        Map<String, RetrySafety> classes = new java.util.HashMap<>();
         for (RequestClass of : read.settings().classes) {
-            classes.put(of.name(), of.repeat());
-            if (of.repeat() == Repeat.KEYED) {
-                assertTrue(of.windowUs() > 0 && of.windowUs() <= app.keys().keptUs(), text);
+            classes.put(of.name(), of.retrySafety());
+            if (of.retrySafety() == RetrySafety.KEYED) {
+                assertTrue(of.dedupWindowUs() > 0 && of.dedupWindowUs() <= app.keys().keptUs(), text);
             }
-            assertTrue(of.aimUs() <= of.deadlineUs() && read.settings().connectTimeoutUs < of.deadlineUs(), text);
+            assertTrue(of.targetLatencyUs() <= of.deadlineUs() && read.settings().connectTimeoutUs < of.deadlineUs(), text);
         }
-        app.neverTwice().forEach(name -> assertEquals(Repeat.UNSAFE, classes.get(name), text));
+        app.neverTwice().forEach(name -> assertEquals(RetrySafety.UNSAFE, classes.get(name), text));
         app.classes().forEach(work -> assertEquals(work.again(), classes.get(work.name()), text));
         boolean ready = false;
         for (HostList.Host host : read.known().hosts()) {
--- a/src/test/java/kitemux/orders/JournalTest.java
+++ b/src/test/java/kitemux/orders/JournalTest.java
@@ -20,7 +20,7 @@
 import kitemux.orders.Entry.Intent;
 import kitemux.orders.Entry.LeftOpen;
 import kitemux.orders.Entry.Result;
-import kitemux.orders.Entry.Taken;
+import kitemux.orders.Entry.Accepted;
 import org.junit.jupiter.api.Test;
 
 /** A journal whose power is cut, at each of its steps. */
@@ -43,8 +43,8 @@
                 lines::add);
     }
 
-    static Taken taken(long number, String order) {
-        return new Taken(number, 5, order, "place-order", "school", "cart-" + number, "", 3, BODY);
+    static Accepted accepted(long number, String order) {
+        return new Accepted(number, 5, order, "place-order", "school", "cart-" + number, "", 3, BODY);
     }
 
     /** All entries of a disk in their order, and what stands between them. */
@@ -71,7 +71,7 @@
                 long number = journal.next();
                 run.begun.add(number);
                 journal.append(
-                        List.of(taken(number, "o" + number), new Intent(number, 6, 0, "s1", "127.0.0.1:1", 900)));
+                        List.of(accepted(number, "o" + number), new Intent(number, 6, 0, "s1", "127.0.0.1:1", 900)));
                 journal.sync();
                 run.durableIntents.add(number);
                 journal.append(
@@ -92,7 +92,7 @@
         Set<Long> answers = new HashSet<>();
         Map<Long, Integer> left = new HashMap<>();
         for (Entry entry : entries(found)) {
-            if (entry instanceof Taken) {
+            if (entry instanceof Accepted) {
                 taken.merge(entry.number(), 1, Integer::sum);
             } else if (entry instanceof Intent) {
                 intents.add(entry.number());
@@ -119,10 +119,10 @@
         MemoryDisk whole = new MemoryDisk();
         assertEquals(12, orders(whole, 12, 400).durableAnswers.size());
         assertTrue(SegmentNames.sequences(whole.list()).size() > 4, "segments were ended on the way");
-        for (int cut = 0; cut <= whole.operations; cut++) {
+        for (int cut = 0; cut <= whole.operationCount; cut++) {
             for (int unsynced : new int[] {0, 1, 7, 30, 64, 65, 100, 1_000_000}) {
                 MemoryDisk disk = new MemoryDisk();
-                disk.failAfter = cut;
+                disk.operationsUntilFailure = cut;
                 Run run = orders(disk, 12, 400);
                 check(disk.afterPowerCut(unsynced), run);
             }
@@ -132,11 +132,11 @@
     @Test
     void aPowerCutInTheMiddleOfARecoveryIsRecoveredFromAsWell() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        disk.failAfter = 25;
+        disk.operationsUntilFailure = 25;
         Run run = orders(disk, 12, 400);
         for (int cut = 0; cut < 12; cut++) {
             MemoryDisk found = disk.afterPowerCut(50);
-            found.failAfter = cut;
+            found.operationsUntilFailure = cut;
             try {
                 open(found, 400, 9).close();
             } catch (IOException e) {
@@ -173,7 +173,7 @@
     void anOldSegmentsBytesDoNotPassForEntriesOfANewOne() throws IOException {
         Segment.Header first = new Segment.Header(1, 11, 0);
         Segment.Header second = new Segment.Header(2, 22, 0);
-        byte[] frame = Segment.frame(first, Segment.HEADER, taken(1, "o"));
+        byte[] frame = Segment.frame(first, Segment.HEADER, accepted(1, "o"));
         byte[] bytes = new byte[Segment.HEADER + frame.length];
         System.arraycopy(second.bytes(), 0, bytes, 0, Segment.HEADER);
         System.arraycopy(frame, 0, bytes, Segment.HEADER, frame.length);
@@ -231,13 +231,13 @@
         ageUs = 1_000;
         MemoryDisk disk = new MemoryDisk();
         try (Journal journal = open(disk, 1 << 20, 7)) {
-            journal.append(List.of(taken(1, "a")));
+            journal.append(List.of(accepted(1, "a")));
             assertEquals(1, journal.header().sequence());
             clockUs += 1_000;
-            journal.append(List.of(taken(2, "b")));
+            journal.append(List.of(accepted(2, "b")));
             assertEquals(2, journal.header().sequence());
             clockUs -= 500_000;
-            journal.append(List.of(taken(3, "c")));
+            journal.append(List.of(accepted(3, "c")));
             assertEquals(2, journal.header().sequence(), "a clock that is set back ends nothing");
         }
     }
@@ -251,12 +251,12 @@
         assertTrue(kept <= 2, kept + " segments are kept");
         try (Journal journal = open(disk, 400, 8)) {
             long waiting = journal.next();
-            journal.append(List.of(taken(waiting, "waits"), new Intent(waiting, 6, 0, "s", "", 9)));
+            journal.append(List.of(accepted(waiting, "waits"), new Intent(waiting, 6, 0, "s", "", 9)));
             for (int i = 1; i < 12; i++) {
-                journal.append(List.of(taken(waiting + i, "o" + i), new Answered(waiting + i, 8, Answer.REFUSED)));
+                journal.append(List.of(accepted(waiting + i, "o" + i), new Answered(waiting + i, 8, Answer.REFUSED)));
             }
             journal.sync();
-            assertTrue(entries(disk).contains(taken(waiting, "waits")), "open, however old");
+            assertTrue(entries(disk).contains(accepted(waiting, "waits")), "open, however old");
             assertEquals(waiting, journal.oldestOpen());
         }
     }
@@ -278,11 +278,11 @@
                 "an index goes with its segment");
         try (Journal journal = open(disk, 400, 8)) {
             long waiting = journal.next();
-            journal.append(List.of(taken(waiting, "waits"), new Intent(waiting, 6, 0, "s", "", 9)));
+            journal.append(List.of(accepted(waiting, "waits"), new Intent(waiting, 6, 0, "s", "", 9)));
             for (int i = 1; i < 30; i++) {
-                journal.append(List.of(taken(waiting + i, "o" + i), new Answered(waiting + i, 8, Answer.REFUSED)));
+                journal.append(List.of(accepted(waiting + i, "o" + i), new Answered(waiting + i, 8, Answer.REFUSED)));
             }
-            assertTrue(entries(disk).contains(taken(waiting, "waits")), "open, however much there is");
+            assertTrue(entries(disk).contains(accepted(waiting, "waits")), "open, however much there is");
         }
     }
 
@@ -290,11 +290,11 @@
     void anIdThatComesAgainAfterARestartIsAnOrderOfItsOwn() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         try (Journal journal = open(disk, 1 << 20, 7)) {
-            journal.append(List.of(taken(1, "same"), new Intent(1, 6, 0, "s", "", 9)));
+            journal.append(List.of(accepted(1, "same"), new Intent(1, 6, 0, "s", "", 9)));
         }
         try (Journal journal = open(disk, 1 << 20, 8)) {
             long number = journal.next();
-            journal.append(List.of(taken(number, "same"), new Answered(number, 8, Answer.REFUSED)));
+            journal.append(List.of(accepted(number, "same"), new Answered(number, 8, Answer.REFUSED)));
         }
         assertEquals(List.of("same UNKNOWN", "same REFUSED"), found(disk, "same", new int[1]));
     }
@@ -306,7 +306,7 @@
         byte[] first = disk.read(SegmentNames.of(1));
         for (int length = 0; length < Segment.HEADER; length++) {
             disk.put(SegmentNames.of(2), java.util.Arrays.copyOf(first, length));
-            JournalReader.Verdict verdict = new JournalReader(disk).verify();
+            JournalReader.VerificationResult verdict = new JournalReader(disk).verify();
             assertEquals(List.of(), verdict.faults(), "a node died, or is, before " + length + " bytes");
             assertEquals(length, verdict.tornBytes());
         }
@@ -320,15 +320,15 @@
 
     private static List<String> found(MemoryDisk disk, String order, int[] reads) throws IOException {
         List<String> found = new ArrayList<>();
-        disk.reads = 0;
+        disk.segmentReadCount = 0;
         new JournalReader(disk)
-                .storiesOf(
+                .findHistories(
                         Set.of(order),
                         Set.of(),
                         Set.of(),
                         taken -> true,
-                        story -> found.add(story.taken().order() + " " + story.state(false)));
-        reads[0] = disk.reads;
+                        story -> found.add(story.accepted().orderId() + " " + story.state(false)));
+        reads[0] = disk.segmentReadCount;
         return found;
     }
 
@@ -349,8 +349,8 @@
             assertEquals(i <= 40 ? List.of("o" + i + " ANSWERED") : List.of(), quick);
             assertTrue(with[0] <= 4 && without[0] == segments.size(), with[0] + " of " + without[0]);
             if (i == 41) {
-                assertEquals(segments.size() - 1, new JournalReader(bare).index());
-                assertEquals(0, new JournalReader(bare).index());
+                assertEquals(segments.size() - 1, new JournalReader(bare).rebuildIndexes());
+                assertEquals(0, new JournalReader(bare).rebuildIndexes());
                 found(bare, "o7", with);
                 assertTrue(with[0] <= 4, "made anew, it spares as much");
             }
--- a/src/test/java/kitemux/orders/OrderLogTest.java
+++ b/src/test/java/kitemux/orders/JournalWriterTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /** The writer of a journal, on disks that do not do what they should. */
-class OrderLogTest {
+class JournalWriterTest {
     private final MemoryDisk disk = new MemoryDisk();
     private final AtomicBoolean gone = new AtomicBoolean();
     private final AtomicBoolean full = new AtomicBoolean();
@@ -34,7 +34,7 @@
     private final Semaphore syncs = new Semaphore(Integer.MAX_VALUE / 2);
     private final BlockingQueue<Boolean> told = new LinkedBlockingQueue<>();
     private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
-    private OrderLog log;
+    private JournalWriter log;
 
     /** The same disk, which may be gone, and syncs only when it is let. */
     private final Disk moody = new Disk() {
@@ -44,8 +44,8 @@
             }
         }
 
-        private Out out(Out sound) {
-            return new Out() {
+        private OutputFile out(OutputFile sound) {
+            return new OutputFile() {
                 @Override
                 public void write(byte[] bytes) throws IOException {
                     check();
@@ -86,14 +86,14 @@
         }
 
         @Override
-        public Out create(String name) throws IOException {
+        public OutputFile create(String name) throws IOException {
             check();
             created.incrementAndGet();
             return out(disk.create(name));
         }
 
         @Override
-        public Out append(String name, long from) throws IOException {
+        public OutputFile append(String name, long from) throws IOException {
             return out(disk.append(name, from));
         }
 
@@ -108,14 +108,14 @@
         }
 
         @Override
-        public void syncFolder() throws IOException {
+        public void syncDirectory() throws IOException {
             check();
-            disk.syncFolder();
+            disk.syncDirectory();
         }
     };
 
-    private OrderLog start(OrderLog.Sync sync, long syncMs) throws IOException {
-        log = OrderLog.start(
+    private JournalWriter start(JournalWriter.SyncPolicy sync, long syncMs) throws IOException {
+        log = JournalWriter.start(
                 failed -> failed == null
                         ? Journal.open(
                                 moody, new Journal.Limits(1 << 20, Long.MAX_VALUE, 0, 0), () -> 1, () -> 5, lines::add)
@@ -153,7 +153,7 @@
 
     @Test
     void nobodyIsToldBeforeTheDiskHasSynced() throws Exception {
-        start(OrderLog.Sync.EACH, 1);
+        start(JournalWriter.SyncPolicy.EACH, 1);
         syncs.drainPermits();
         log.commit(() -> intent(1), told::add);
         assertNull(told.poll(50, TimeUnit.MILLISECONDS));
@@ -163,7 +163,7 @@
 
     @Test
     void whatComesWhileADiskSyncsIsSyncedTogether() throws Exception {
-        start(OrderLog.Sync.EACH, 1);
+        start(JournalWriter.SyncPolicy.EACH, 1);
         syncs.drainPermits();
         log.commit(() -> intent(1), told::add);
         while (!syncs.hasQueuedThreads()) {
@@ -181,9 +181,9 @@
 
     @Test
     void whatNobodyWaitsForGoesWithTheNextSyncAndHoldsUpNone() throws Exception {
-        start(OrderLog.Sync.EACH, 60_000);
+        start(JournalWriter.SyncPolicy.EACH, 60_000);
         syncs.drainPermits();
-        log.note(() -> new Answered(1, 4, Answer.SERVED));
+        log.append(() -> new Answered(1, 4, Answer.SERVED));
         while (!onDisk().contains(new Answered(1, 4, Answer.SERVED))) {
             Thread.onSpinWait();
         }
@@ -195,9 +195,9 @@
     @Test
     @Timeout(60)
     void whatNobodyWaitsForIsSyncedByItselfIfNothingElseComes() throws Exception {
-        start(OrderLog.Sync.EACH, 5);
+        start(JournalWriter.SyncPolicy.EACH, 5);
         syncs.drainPermits();
-        log.note(() -> new Answered(1, 4, Answer.SERVED));
+        log.append(() -> new Answered(1, 4, Answer.SERVED));
         while (!syncs.hasQueuedThreads()) {
             Thread.onSpinWait();
         }
@@ -206,31 +206,31 @@
 
     @Test
     void aDiskThatIsGoneRefusesAtOnceAndWhatHappenedIsWrittenOnceItIsBack() throws Exception {
-        start(OrderLog.Sync.EACH, 1);
-        log.note(() -> JournalTest.taken(1, "first"));
+        start(JournalWriter.SyncPolicy.EACH, 1);
+        log.append(() -> JournalTest.accepted(1, "first"));
         log.commit(() -> intent(1), told::add);
         assertEquals(true, next());
         gone.set(true);
-        log.note(() -> new Answered(1, 4, Answer.SERVED));
+        log.append(() -> new Answered(1, 4, Answer.SERVED));
         log.commit(() -> intent(2), told::add);
         assertEquals(false, next());
         log.commit(() -> intent(3), told::add);
         assertEquals(false, next());
-        assertEquals(2, log.refusedCount());
+        assertEquals(2, log.rejectedCommitCount());
         gone.set(false);
         do {
             log.commit(() -> intent(4), told::add);
         } while (!next());
         assertTrue(onDisk().contains(new Answered(1, 4, Answer.SERVED)), "it happened, and is told late");
         assertTrue(onDisk().contains(intent(4)));
-        assertEquals(0, log.lostCount());
+        assertEquals(0, log.lostEntryCount());
         assertTrue(lines.stream().anyMatch(line -> line.contains("cannot be written")), lines.toString());
         assertTrue(lines.stream().anyMatch(line -> line.contains("is written again")), lines.toString());
     }
 
     @Test
     void aDiskThatIsFullIsNotFilledWithBeginnings() throws Exception {
-        start(OrderLog.Sync.EACH, 1);
+        start(JournalWriter.SyncPolicy.EACH, 1);
         int files = disk.list().size();
         full.set(true);
         log.commit(() -> intent(1), told::add);
@@ -247,7 +247,7 @@
 
     @Test
     void aDefectCostsItsEntryAndNotTheWriter() throws Exception {
-        start(OrderLog.Sync.EACH, 1);
+        start(JournalWriter.SyncPolicy.EACH, 1);
         log.commit(
                 () -> {
                     throw new IllegalStateException("broken for the test");
@@ -262,26 +262,26 @@
 
     @Test
     void aFullQueueTurnsAwayWhatIsWaitedForBeforeWhatHasHappened() throws Exception {
-        start(OrderLog.Sync.EACH, 1);
+        start(JournalWriter.SyncPolicy.EACH, 1);
         syncs.drainPermits();
         int refusedAt = -1;
-        for (int i = 0; i < OrderLog.MOST_QUEUED && refusedAt < 0; i++) {
+        for (int i = 0; i < JournalWriter.MAX_QUEUED_COUNT && refusedAt < 0; i++) {
             long number = i + 1;
             log.commit(() -> intent(number), told::add);
             refusedAt = told.contains(false) ? i : -1;
         }
-        assertTrue(refusedAt > 0 && refusedAt < OrderLog.MOST_QUEUED, "at " + refusedAt);
-        log.note(() -> new Answered(1, 4, Answer.SERVED));
-        assertEquals(0, log.lostCount());
-        for (int i = 0; i < OrderLog.MOST_QUEUED; i++) {
-            log.note(() -> new Answered(1, 4, Answer.SERVED));
+        assertTrue(refusedAt > 0 && refusedAt < JournalWriter.MAX_QUEUED_COUNT, "at " + refusedAt);
+        log.append(() -> new Answered(1, 4, Answer.SERVED));
+        assertEquals(0, log.lostEntryCount());
+        for (int i = 0; i < JournalWriter.MAX_QUEUED_COUNT; i++) {
+            log.append(() -> new Answered(1, 4, Answer.SERVED));
         }
-        assertNotEquals(0, log.lostCount());
+        assertNotEquals(0, log.lostEntryCount());
     }
 
     @Test
     void timedSyncsComeByThemselves() throws Exception {
-        start(OrderLog.Sync.TIMED, 5);
+        start(JournalWriter.SyncPolicy.TIMED, 5);
         syncs.drainPermits();
         log.commit(() -> intent(1), told::add);
         assertEquals(true, next(), "told once it is written");
--- a/src/test/java/kitemux/orders/StoryTest.java
+++ b/src/test/java/kitemux/orders/OrderHistoryTest.java
@@ -13,13 +13,13 @@
 import kitemux.orders.Entry.Intent;
 import kitemux.orders.Entry.LeftOpen;
 import kitemux.orders.Entry.Result;
-import kitemux.orders.Story.State;
+import kitemux.orders.OrderHistory.State;
 import org.junit.jupiter.api.Test;
 
 /** What may be said of an order, and in which words. */
-class StoryTest {
-    private static Story story(Entry... entries) {
-        Story story = new Story(JournalTest.taken(1, "o1"));
+class OrderHistoryTest {
+    private static OrderHistory story(Entry... entries) {
+        OrderHistory story = new OrderHistory(JournalTest.accepted(1, "o1"));
         for (Entry entry : entries) {
             story.add(entry);
         }
@@ -76,18 +76,18 @@
 
     @Test
     void theAttemptThatWasServedTellsMost() {
-        Story story = story(intent(0), ended(0, Result.RESET, true), intent(1), ended(1, Result.OK, true));
-        assertEquals("web-1", story.telling().intent().server());
-        Story unsure = story(intent(0), ended(0, Result.FULL, false), intent(1));
-        assertEquals("web-1", unsure.telling().intent().server());
+        OrderHistory story = story(intent(0), ended(0, Result.RESET, true), intent(1), ended(1, Result.OK, true));
+        assertEquals("web-1", story.decisiveAttempt().intent().server());
+        OrderHistory unsure = story(intent(0), ended(0, Result.FULL, false), intent(1));
+        assertEquals("web-1", unsure.decisiveAttempt().intent().server());
     }
 
     @Test
     void itIsOverOnceAnsweredWithNothingOutOrLeftOpen() {
-        assertTrue(!story(intent(0), answered(Answer.SERVED)).isOver());
+        assertTrue(!story(intent(0), answered(Answer.SERVED)).isComplete());
         assertTrue(story(intent(0), ended(0, Result.OK, true), answered(Answer.SERVED))
-                .isOver());
-        assertTrue(story(intent(0), new LeftOpen(1, 40)).isOver());
+                .isComplete());
+        assertTrue(story(intent(0), new LeftOpen(1, 40)).isComplete());
     }
 
     @Test
@@ -96,28 +96,28 @@
                 "order o1 (place-order, school, cart-1), taken 1970-01-01T00:00:00.000005Z: sent to "
                         + "web-0 (127.0.0.1:80) at 1970-01-01T00:00:00.000010Z, answered 200 at "
                         + "1970-01-01T00:00:00.000020Z; the client was served at 1970-01-01T00:00:00.000030Z",
-                StoryText.sentence(story(intent(0), ended(0, Result.OK, true), answered(Answer.SERVED)), false));
+                OrderHistoryText.toSentence(story(intent(0), ended(0, Result.OK, true), answered(Answer.SERVED)), false));
         assertTrue(
-                StoryText.sentence(story(intent(0), new LeftOpen(1, 40)), false).endsWith("Z, answer unknown"));
-        assertTrue(StoryText.sentence(story(), false).endsWith(": never sent"));
+                OrderHistoryText.toSentence(story(intent(0), new LeftOpen(1, 40)), false).endsWith("Z, answer unknown"));
+        assertTrue(OrderHistoryText.toSentence(story(), false).endsWith(": never sent"));
     }
 
     @Test
     void linesOfJsonAndCsvSayTheSame() throws Exception {
-        Story story = story(intent(0), ended(0, Result.TIMEOUT, true), answered(Answer.FAILED));
-        Json json = Json.read(StoryText.json(story, false).getBytes(UTF_8));
+        OrderHistory story = story(intent(0), ended(0, Result.TIMEOUT, true), answered(Answer.FAILED));
+        Json json = Json.read(OrderHistoryText.toJson(story, false).getBytes(UTF_8));
         assertEquals("unknown", json.path("state").text());
         assertEquals(
                 "web-0", json.path("attempts").values().get(0).path("server").text());
-        String csv = StoryText.csv(story, false);
-        assertEquals(StoryText.CSV_HEAD.split(",").length, csv.split(",", -1).length);
+        String csv = OrderHistoryText.toCsv(story, false);
+        assertEquals(OrderHistoryText.CSV_HEADER.split(",").length, csv.split(",", -1).length);
         assertTrue(csv.contains(",unknown,web-0,127.0.0.1:80,"), csv);
     }
 
     @Test
     void whatAClientChoseIsNoFormulaAndNoNewColumn() {
-        Story story = new Story(JournalTest.taken(1, "=1+1,\"x\""));
-        assertTrue(StoryText.csv(story, false).startsWith("\"'=1+1,\"\"x\"\"\",place-order,"));
+        OrderHistory story = new OrderHistory(JournalTest.accepted(1, "=1+1,\"x\""));
+        assertTrue(OrderHistoryText.toCsv(story, false).startsWith("\"'=1+1,\"\"x\"\"\",place-order,"));
     }
 
     @Test
@@ -138,7 +138,7 @@
         faults.clear();
         OrderSettings read = OrderSettings.read(Json.read("{\"folder\":\"/x\"}".getBytes(UTF_8)), List.of(), faults);
         assertEquals(List.of(), faults);
-        assertEquals(OrderLog.Sync.EACH, read.sync());
+        assertEquals(JournalWriter.SyncPolicy.EACH, read.sync());
         assertEquals(4 << 20, read.segmentBytes());
     }
 }
--- a/src/test/java/kitemux/orders/OrderKeeperTest.java
+++ b/src/test/java/kitemux/orders/OrderRecorderTest.java
@@ -13,21 +13,21 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
 import kitemux.Balancer.Settings;
 import kitemux.disk.MemoryDisk;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import org.junit.jupiter.api.Test;
 
 /** Which requests a journal holds, and what becomes of a send whose record is late. */
-class OrderKeeperTest {
+class OrderRecorderTest {
     /** Asked for by a test. */
-    private record Ask(int classIndex, String txn, List<byte[]> body) implements Asked {
+    private record Ask(int classIndex, String txn, List<byte[]> body) implements RequestInfo {
         Ask(int classIndex) {
             this(classIndex, "t" + classIndex, List.of(new byte[] {4}, new byte[] {5}));
         }
@@ -38,7 +38,7 @@
         }
 
         @Override
-        public long leftUs() {
+        public long remainingUs() {
             return 1_000_000;
         }
 
@@ -48,7 +48,7 @@
         }
 
         @Override
-        public boolean retry() {
+        public boolean isRetry() {
             return false;
         }
 
@@ -69,93 +69,93 @@
     private final Queue<Runnable> timers = new ArrayDeque<>();
     private final List<Boolean> gate = new ArrayList<>();
 
-    private final Time time = new Time() {
+    private final Clock time = new Clock() {
         @Override
         public long nowUs() {
             return 50;
         }
 
         @Override
-        public Timer after(long us, Runnable task) {
+        public Timer schedule(long us, Runnable task) {
             timers.add(task);
             return () -> timers.remove(task);
         }
     };
 
-    private OrderLog log;
+    private JournalWriter log;
 
-    private OrderKeeper<Ask> keeper(Set<String> more) throws Exception {
-        for (Repeat repeat : List.of(Repeat.SAFE, Repeat.KEYED, Repeat.UNSAFE)) {
-            settings.classes.add(new RequestClass(repeat.name(), 1, 0, 2, 1, 0, repeat, Group.ALL, 1, false));
+    private OrderRecorder<Ask> keeper(Set<String> more) throws Exception {
+        for (RetrySafety repeat : List.of(RetrySafety.SAFE, RetrySafety.KEYED, RetrySafety.UNSAFE)) {
+            settings.classes.add(new RequestClass(repeat.name(), 1, 0, 2, 1, 0, repeat, DedupScope.ALL, 1, false));
         }
-        log = OrderLog.start(
+        log = JournalWriter.start(
                 failed -> Journal.open(
                         disk, new Journal.Limits(1 << 20, Long.MAX_VALUE, 0, 0), () -> 50, () -> 3, line -> {}),
-                OrderLog.Sync.EACH,
+                JournalWriter.SyncPolicy.EACH,
                 1,
                 loop::add,
                 line -> {});
-        return new OrderKeeper<>(
+        return new OrderRecorder<>(
                 settings,
                 time,
                 log,
                 1,
-                new OrderSettings(Path.of("x"), OrderLog.Sync.EACH, 1, 100, 1 << 20, 1, 0, 0, more));
+                new OrderSettings(Path.of("x"), JournalWriter.SyncPolicy.EACH, 1, 100, 1 << 20, 1, 0, 0, more));
     }
 
     private List<String> kept() throws Exception {
         log.close();
         List<String> kept = new ArrayList<>();
         new JournalReader(disk)
-                .stories(taken -> true, story -> kept.add(story.taken().order() + " " + story.state(false)));
+                .forEachHistory(taken -> true, story -> kept.add(story.accepted().orderId() + " " + story.state(false)));
         return kept;
     }
 
-    private void play(OrderKeeper<Ask> keeper, int classIndex) throws Exception {
+    private void play(OrderRecorder<Ask> keeper, int classIndex) throws Exception {
         Ask ask = new Ask(classIndex);
         long id = 10 + classIndex;
-        keeper.taken(id, ask);
-        keeper.before(id, ask, 0, "s", () -> "127.0.0.1:1", 99, gate::add);
+        keeper.onRequestAccepted(id, ask);
+        keeper.admit(id, ask, 0, "s", () -> "127.0.0.1:1", 99, gate::add);
         while (gate.isEmpty()) {
             loop.poll(20, TimeUnit.SECONDS).run();
         }
         assertEquals(List.of(true), gate);
         gate.clear();
-        keeper.ended(id, 0, Result.OK);
-        keeper.answered(id, Observer.Answer.SERVED);
-        keeper.forgotten(id);
+        keeper.onAttemptEnded(id, 0, Result.OK);
+        keeper.onRequestAnswered(id, Observer.RequestOutcome.SERVED);
+        keeper.onRequestReleased(id);
     }
 
     @Test
     void bodiesThatWaitForALateWriterAreBoundedAndNoneIsLostForIt() throws Exception {
-        OrderKeeper<Ask> keeper = keeper(Set.of());
+        OrderRecorder<Ask> keeper = keeper(Set.of());
         CountDownLatch stands = new CountDownLatch(1);
-        log.note(() -> {
+        log.append(() -> {
             try {
                 stands.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            return new Entry.Taken(0, 50, "first", "UNSAFE", "", "", "", 0, Digest.of(new byte[0]));
+            return new Entry.Accepted(0, 50, "first", "UNSAFE", "", "", "", 0, Digest.of(new byte[0]));
         });
-        byte[] alone = new byte[(int) OrderKeeper.MOST_WAITING + 1];
-        keeper.taken(1, new Ask(2, "alone", List.of(alone)));
-        assertEquals(alone.length, keeper.waitingBytes(), "one by itself is never the loop's work");
+        byte[] alone = new byte[(int) OrderRecorder.MAX_PENDING_BODY_BYTES + 1];
+        keeper.onRequestAccepted(1, new Ask(2, "alone", List.of(alone)));
+        assertEquals(alone.length, keeper.pendingBodyBytes(), "one by itself is never the loop's work");
         for (int i = 0; i < 5; i++) {
-            keeper.taken(2 + i, new Ask(2, "more" + i, List.of(new byte[1 << 20])));
-            assertEquals(alone.length, keeper.waitingBytes(), "beyond it only digests are held");
+            keeper.onRequestAccepted(2 + i, new Ask(2, "more" + i, List.of(new byte[1 << 20])));
+            assertEquals(alone.length, keeper.pendingBodyBytes(), "beyond it only digests are held");
         }
         stands.countDown();
         List<String> kept = kept();
         for (String order : List.of("alone", "more0", "more1", "more2", "more3", "more4")) {
             assertTrue(kept.stream().anyMatch(story -> story.startsWith(order + " ")), order + " of " + kept);
         }
-        assertEquals(0, keeper.waitingBytes());
+        assertEquals(0, keeper.pendingBodyBytes());
     }
 
     @Test
     void onlyWhatMustNeverRunTwiceIsKept() throws Exception {
-        OrderKeeper<Ask> keeper = keeper(Set.of());
+        OrderRecorder<Ask> keeper = keeper(Set.of());
         for (int c = 0; c < 3; c++) {
             play(keeper, c);
         }
@@ -165,7 +165,7 @@
 
     @Test
     void otherClassesAreKeptWhereTheSettingsNameThem() throws Exception {
-        OrderKeeper<Ask> keeper = keeper(Set.of("KEYED"));
+        OrderRecorder<Ask> keeper = keeper(Set.of("KEYED"));
         for (int c = 0; c < 3; c++) {
             play(keeper, c);
         }
@@ -174,17 +174,17 @@
 
     @Test
     void aRecordThatIsLateSendsNothingHoweverItEnds() throws Exception {
-        OrderKeeper<Ask> keeper = keeper(Set.of());
-        keeper.taken(7, new Ask(2));
-        keeper.before(7, new Ask(2), 0, "s", () -> "", 99, gate::add);
+        OrderRecorder<Ask> keeper = keeper(Set.of());
+        keeper.onRequestAccepted(7, new Ask(2));
+        keeper.admit(7, new Ask(2), 0, "s", () -> "", 99, gate::add);
         timers.remove().run();
         assertEquals(List.of(false), gate);
         loop.poll(20, TimeUnit.SECONDS).run();
         assertEquals(List.of(false), gate, "told once");
-        keeper.ended(7, 0, Result.MOOT);
-        keeper.answered(7, Observer.Answer.REFUSED);
-        keeper.forgotten(7);
+        keeper.onAttemptEnded(7, 0, Result.MOOT);
+        keeper.onRequestAnswered(7, Observer.RequestOutcome.REFUSED);
+        keeper.onRequestReleased(7);
         assertEquals(List.of("t2 REFUSED"), kept());
-        assertEquals(1, log.refusedCount());
+        assertEquals(1, log.rejectedCommitCount());
     }
 }
--- a/src/test/java/kitemux/peers/Meeting.java
+++ b/src/test/java/kitemux/peers/Meeting.java
@@ -150,7 +150,7 @@
             disarm();
             long at = members.nextAtUs();
             if (running && !still && at != Long.MAX_VALUE) {
-                next = time.at(Math.max(at, time.nowUs()) * 1_000, () -> {
+                next = time.scheduleAt(Math.max(at, time.nowUs()) * 1_000, () -> {
                     members.tick(time.nowUs());
                     arm();
                 });
@@ -165,7 +165,7 @@
         for (int i = 0; i < nodes; i++) {
             seats.add(new Seat(i));
         }
-        seats.forEach(seat -> time.afterUs(draws.nextLong(200_000), seat::start));
+        seats.forEach(seat -> time.scheduleAfterUs(draws.nextLong(200_000), seat::start));
         run(1_000_000);
     }
 
@@ -191,14 +191,14 @@
                 copy[draws.nextInt(copy.length)] ^= (byte) (1 << draws.nextInt(8));
             }
             byte[] whole = draws.nextDouble() < spoilt ? Arrays.copyOf(copy, draws.nextInt(copy.length)) : copy;
-            time.afterUs(
+            time.scheduleAfterUs(
                     draws.nextLong(leastLateUs, mostLateUs), () -> seats.get(to).take(whole));
         }
     }
 
     void run(long us) {
-        long until = time.now() + us * 1_000;
-        while (time.step(until)) {
+        long until = time.nowNanos() + us * 1_000;
+        while (time.runNext(until)) {
             // Each step is one event.
         }
     }
--- a/src/test/java/kitemux/plan/CapturedWorkloadTest.java
+++ b/src/test/java/kitemux/plan/CapturedWorkloadTest.java
@@ -11,10 +11,10 @@
 import java.util.Map;
 import kitemux.engine.Observer;
 import kitemux.fleet.Fleet;
-import kitemux.load.Captured;
-import kitemux.load.Seen;
-import kitemux.load.Speeds;
-import kitemux.load.Summary;
+import kitemux.load.CaptureFile;
+import kitemux.load.CapturedRequest;
+import kitemux.load.ServerSpeedEstimator;
+import kitemux.load.LoadSummary;
 import org.junit.jupiter.api.Test;
 
 /** Tests that captured load and work replace those of a fleet description. */
@@ -32,28 +32,28 @@
      * Captures ten seconds: 100 requests per second, and 300 from the sixth second on. A tenth are orders,
      * and each request takes two tries.
      */
-    private static Summary summary(String firstClass) {
-        List<Seen> requests = new ArrayList<>();
+    private static LoadSummary summary(String firstClass) {
+        List<CapturedRequest> requests = new ArrayList<>();
         int number = 0;
         for (int s = 0; s < 10; s++) {
             int perS = s < 5 ? 100 : 300;
             for (int i = 0; i < perS; i++) {
                 long atUs = START_UNIX_US + s * 1_000_000L + i * 1_000_000L / perS;
                 int classIndex = number % 10 == 0 ? 1 : 0;
-                requests.add(new Seen(
+                requests.add(new CapturedRequest(
                         atUs,
                         classIndex,
                         number++ % 4 == 0 ? 0 : 1,
                         false,
                         500_000,
                         List.of(),
-                        Observer.Answer.REFUSED,
+                        Observer.RequestOutcome.REFUSED,
                         10));
-                requests.add(new Seen(atUs + 500, classIndex, 1, true, 400_000, List.of(), Observer.Answer.SERVED, 10));
+                requests.add(new CapturedRequest(atUs + 500, classIndex, 1, true, 400_000, List.of(), Observer.RequestOutcome.SERVED, 10));
             }
         }
-        Summary summary = new Summary(1_000_000, Map.of());
-        summary.add(new Captured(
+        LoadSummary summary = new LoadSummary(1_000_000, Map.of());
+        summary.add(new CaptureFile(
                 1,
                 "n",
                 START_UNIX_US,
@@ -89,8 +89,8 @@
         Fleet fleet = CapturedWorkload.applyWork(
                 described,
                 List.of(
-                        new Speeds.Work("view-page", 30_000, 29_000, 31_000, 0.97, 500),
-                        new Speeds.Work("place-order", 40_000, 39_000, 41_000, 0.6, 500)));
+                        new ServerSpeedEstimator.ClassWork("view-page", 30_000, 29_000, 31_000, 0.97, 500),
+                        new ServerSpeedEstimator.ClassWork("place-order", 40_000, 39_000, 41_000, 0.6, 500)));
         assertEquals(List.of(), fleet.validate());
         assertEquals(30_000 * Math.sqrt(0.97 * 0.75), fleet.classes().get(0).meanWorkUs(), 1);
         assertEquals(Fleet.WorkDistribution.EXPONENTIAL, fleet.classes().get(0).distribution());
@@ -105,7 +105,7 @@
         CapturedWorkload.applyLoad(yearbook(), summary("video"), faults);
         assertEquals(List.of("--load: has class \"video\", which the description does not have"), faults);
         faults.clear();
-        CapturedWorkload.applyLoad(yearbook(), new Summary(1_000_000, Map.of()), faults);
+        CapturedWorkload.applyLoad(yearbook(), new LoadSummary(1_000_000, Map.of()), faults);
         assertTrue(faults.get(0).startsWith("--load: holds 0 first tries"), faults::toString);
     }
 }
--- a/src/test/java/kitemux/rollout/Defect.java
+++ b/src/test/java/kitemux/rollout/Defect.java
@@ -6,7 +6,7 @@
     Defect NONE = new Defect() {};
 
     /** Where in a version lines go that a keeper asks of itself and its like. */
-    default Terms terms(Terms terms) {
+    default ProtocolParameters terms(ProtocolParameters terms) {
         return terms;
     }
 
@@ -21,17 +21,17 @@
     }
 
     /** What goes out for an answer to a request. */
-    default Answer answer(Request request, Answer answer) {
+    default Response answer(Request request, Response answer) {
         return answer;
     }
 
     /** Another keeper that an answer is taken for as well, or -1. */
-    default int alsoFrom(int from, Answer answer) {
+    default int alsoFrom(int from, Response answer) {
         return -1;
     }
 
     /** Whether a record is synced. */
-    default boolean syncs(Kept kept) {
+    default boolean syncs(LogRecord kept) {
         return true;
     }
 
@@ -51,12 +51,12 @@
     }
 
     /** What a node takes a line for, and null for one that was not written. */
-    default Line line(Line line, Rules rules, Subscriber subscriber) {
+    default WatchEvent line(WatchEvent line, Rules rules, Subscriber subscriber) {
         return line;
     }
 
     /** Whether a line is written. */
-    default boolean writes(Line line, boolean wholeUnderWay) {
+    default boolean writes(WatchEvent line, boolean wholeUnderWay) {
         return true;
     }
 
--- a/src/test/java/kitemux/rollout/Fleet.java
+++ b/src/test/java/kitemux/rollout/Fleet.java
@@ -33,7 +33,7 @@
     final SortedMap<String, String> firstValues;
     final long firstRev;
     private final Defect defect;
-    private final Terms terms;
+    private final ProtocolParameters terms;
     private final int[] regionOfNode;
     /** Regions between which nothing passes. */
     final boolean[][] cut = new boolean[3][3];
@@ -64,7 +64,7 @@
         this.defect = defect;
         this.firstRev = firstRev;
         this.firstValues = firstValues;
-        terms = defect.terms(Terms.usual());
+        terms = defect.terms(ProtocolParameters.defaults());
         Map<Long, Map<String, String>> first = new TreeMap<>(Map.of(firstRev, firstValues));
         first.put(0L, Map.of());
         judge = new Judge(first, Fleet::isSound, (node, values) -> !oldNodes.contains(node) || isKnownToOld(values));
@@ -75,7 +75,7 @@
         for (int k = 0; k < KEEPERS; k++) {
             KeeperHost host = new KeeperHost(k);
             if (firstRev > 0) {
-                host.disk.add(new Kept.Whole(firstRev, firstValues));
+                host.disk.add(new LogRecord.Snapshot(firstRev, firstValues));
             }
             keepers.add(host);
         }
@@ -120,15 +120,15 @@
     }
 
     private void passes() {
-        time.afterUs(100_000, () -> {
+        time.scheduleAfterUs(100_000, () -> {
             see(new Judge.Passed(nowUs()));
             passes();
         });
     }
 
     void run(long us) {
-        long until = time.now() + us * 1_000;
-        while (time.step(until) && judge.breaches().isEmpty()) {
+        long until = time.nowNanos() + us * 1_000;
+        while (time.runNext(until) && judge.breaches().isEmpty()) {
             // Each step is one event.
         }
     }
@@ -210,7 +210,7 @@
                 timer.cancel();
             }
             long at = isUp() ? nextAtUs() : Long.MAX_VALUE;
-            timer = at == Long.MAX_VALUE ? null : time.at(Math.max(at, nowUs()) * 1_000, inLife(this::tick));
+            timer = at == Long.MAX_VALUE ? null : time.scheduleAt(Math.max(at, nowUs()) * 1_000, inLife(this::tick));
         }
 
         void stop() {
@@ -268,17 +268,17 @@
         final int number;
         final int region;
         String identity;
-        final List<Kept> disk = new ArrayList<>();
-        private final ArrayDeque<Kept> unsynced = new ArrayDeque<>();
+        final List<LogRecord> disk = new ArrayList<>();
+        private final ArrayDeque<LogRecord> unsynced = new ArrayDeque<>();
         private long diskFreeUs;
-        KeeperMachine machine;
+        KeeperStateMachine machine;
         /** Other keepers hear nothing of it, nor it of them; nodes do. */
         boolean silent;
 
         private long told = -1;
         private final Map<Long, Connection> lines = new HashMap<>();
         /** What it was asked, by call. */
-        private final Map<Long, Consumer<Answer>> replies = new HashMap<>();
+        private final Map<Long, Consumer<Response>> replies = new HashMap<>();
 
         KeeperHost(int number) {
             this.number = number;
@@ -303,10 +303,10 @@
 
         void start() {
             begins();
-            List<Kept> read = disk.stream()
-                    .map(kept -> RolloutText.readKept(RolloutText.write(kept)).value())
+            List<LogRecord> read = disk.stream()
+                    .map(kept -> RolloutText.readLogRecord(RolloutText.write(kept)).value())
                     .toList();
-            machine = new KeeperMachine(
+            machine = new KeeperStateMachine(
                     terms,
                     new Voter(number, identity),
                     KEEPERS,
@@ -319,10 +319,10 @@
             known();
             if (defect.servesAtOnce()) {
                 for (int v : VOTERS) {
-                    machine.answered(
+                    machine.handleResponse(
                             nowUs(),
                             v,
-                            new Answer.Known(
+                            new Response.Versions(
                                     machine.history().rev(), machine.history().rev(), List.of()));
                 }
             }
@@ -343,7 +343,7 @@
             replies.clear();
             List.copyOf(lines.values()).forEach(line -> {
                 if (!isCut(region, regionOfNode[line.node.number])) {
-                    time.afterUs(lateUs(region, regionOfNode[line.node.number]), () -> line.node.ended(line));
+                    time.scheduleAfterUs(lateUs(region, regionOfNode[line.node.number]), () -> line.node.ended(line));
                 }
             });
             lines.clear();
@@ -360,15 +360,15 @@
             reach();
         }
 
-        private void synced(Kept kept) {
+        private void synced(LogRecord kept) {
             disk.add(kept);
-            if (kept instanceof Kept.Voted voted && voted.vote().accepted() != null) {
+            if (kept instanceof LogRecord.Voted voted && voted.vote().accepted() != null) {
                 see(new Judge.OnDisk(
                         nowUs(),
                         number,
                         voted.vote().rev(),
                         voted.vote().accepted().id()));
-            } else if (kept instanceof Kept.Chosen chosen) {
+            } else if (kept instanceof LogRecord.Chosen chosen) {
                 see(new Judge.OnDisk(
                         nowUs(),
                         number,
@@ -377,17 +377,17 @@
             }
         }
 
-        private void write(Effect.Write effect) {
-            if (!defect.syncs(effect.kept())) {
+        private void write(Effect.Persist effect) {
+            if (!defect.syncs(effect.entry())) {
                 done(effect.then());
                 return;
             }
-            unsynced.add(effect.kept());
+            unsynced.add(effect.entry());
             diskFreeUs = Math.max(diskFreeUs, nowUs())
                     + (draws.nextInt(20) == 0 ? draws.nextLong(100_000, 500_000) : draws.nextLong(500, 20_000));
             long life = process;
             boolean waits = defect.waitsForSync();
-            time.at(diskFreeUs * 1_000, () -> {
+            time.scheduleAt(diskFreeUs * 1_000, () -> {
                 if (process == life && isUp()) {
                     // A disk goes on while its process stands still.
                     synced(unsynced.poll());
@@ -427,17 +427,17 @@
                 if (effect instanceof Effect.Send send) {
                     keepers.get(send.to()).ask(this, send.request());
                 } else if (effect instanceof Effect.Reply reply) {
-                    Consumer<Answer> to = replies.remove(reply.call());
+                    Consumer<Response> to = replies.remove(reply.call());
                     if (to != null) {
                         to.accept(reply.answer());
                     }
-                } else if (effect instanceof Effect.Write write) {
+                } else if (effect instanceof Effect.Persist write) {
                     write(write);
-                } else if (effect instanceof Effect.Conclude conclude) {
+                } else if (effect instanceof Effect.CompleteChange conclude) {
                     operators.remove(conclude.call()).accept(conclude.outcome());
-                } else if (effect instanceof Effect.Tell tell) {
+                } else if (effect instanceof Effect.SendEvent tell) {
                     tell(tell);
-                } else if (effect instanceof Effect.RefuseWatch refuse) {
+                } else if (effect instanceof Effect.RejectWatch refuse) {
                     Connection line = lines.remove(refuse.watch());
                     arrives(line, () -> line.node.endedNow(line));
                     count("refused watch");
@@ -452,13 +452,13 @@
             if (isLost(from)) {
                 return;
             }
-            time.afterUs(
+            time.scheduleAfterUs(
                     from == this ? 0 : lateUs(region, from.region),
                     () -> inLife(() -> {
                                 Request read = RolloutText.readRequest(bytes).value();
                                 long call = ++calls;
                                 replies.put(call, answer -> answered(from, fromLife, read, answer));
-                                done(machine.asked(nowUs(), call, defect.asked(read, ++turns)));
+                                done(machine.handleRequest(nowUs(), call, defect.asked(read, ++turns)));
                             })
                             .run());
         }
@@ -468,19 +468,19 @@
                     && (isCut(region, other.region) || silent || other.silent || draws.nextDouble() < loss);
         }
 
-        private void answered(KeeperHost asker, long askerLife, Request request, Answer answer) {
+        private void answered(KeeperHost asker, long askerLife, Request request, Response answer) {
             if (isLost(asker)) {
                 return;
             }
             byte[] bytes = RolloutText.write(defect.answer(request, answer));
-            time.afterUs(asker == this ? 0 : lateUs(region, asker.region), () -> {
+            time.scheduleAfterUs(asker == this ? 0 : lateUs(region, asker.region), () -> {
                 if (asker.process == askerLife && asker.isUp()) {
                     asker.inLife(() -> {
-                                Answer read = RolloutText.readAnswer(bytes).value();
-                                asker.done(asker.machine.answered(nowUs(), number, read));
+                                Response read = RolloutText.readResponse(bytes).value();
+                                asker.done(asker.machine.handleResponse(nowUs(), number, read));
                                 int also = defect.alsoFrom(number, read);
                                 if (also >= 0 && asker.isUp()) {
-                                    asker.done(asker.machine.answered(nowUs(), also, read));
+                                    asker.done(asker.machine.handleResponse(nowUs(), also, read));
                                 }
                             })
                             .run();
@@ -495,7 +495,7 @@
                         operators.put(call, to);
                         Change read = RolloutText.readChange(RolloutText.write(change))
                                 .value();
-                        done(machine.change(nowUs(), call, read));
+                        done(machine.proposeChange(nowUs(), call, read));
                     })
                     .run();
         }
@@ -503,8 +503,8 @@
         private void watch(Connection line, long after) {
             lines.put(line.id, line);
             long at = defect.servesAtOnce() ? Math.min(after, machine.history().rev()) : after;
-            List<Effect> effects = machine.watch(nowUs(), line.id, at);
-            if (effects.stream().noneMatch(e -> e instanceof Effect.RefuseWatch)) {
+            List<Effect> effects = machine.openWatch(nowUs(), line.id, at);
+            if (effects.stream().noneMatch(e -> e instanceof Effect.RejectWatch)) {
                 arrives(line, () -> line.node.connected(line));
             }
             done(effects);
@@ -517,7 +517,7 @@
                 line.broken = true;
             }
             line.lastUs = Math.max(line.lastUs, nowUs() + lateUs(region, there));
-            time.at(line.lastUs * 1_000, () -> {
+            time.scheduleAt(line.lastUs * 1_000, () -> {
                 line.broken |= isCut(region, there);
                 if (!line.broken && line.node.process == line.nodeLife) {
                     line.node.inLife(what).run();
@@ -525,24 +525,24 @@
             });
         }
 
-        private void tell(Effect.Tell tell) {
+        private void tell(Effect.SendEvent tell) {
             Connection line = lines.get(tell.watch());
-            if (line == null || !defect.writes(tell.line(), line.hasWhole)) {
+            if (line == null || !defect.writes(tell.event(), line.hasWhole)) {
                 return;
             }
-            if (tell.line() instanceof Line.Part part) {
-                line.hasWhole = part.part() < part.of();
+            if (tell.event() instanceof WatchEvent.SnapshotPart part) {
+                line.hasWhole = part.part() < part.partCount();
             }
-            byte[] bytes = RolloutText.write(tell.line());
+            byte[] bytes = RolloutText.write(tell.event());
             if (!line.closed && line.node.process == line.nodeLife) {
-                see(new Judge.Sent(nowUs(), line.nodeProcess, bytes.length + Terms.LINE_BYTES));
+                see(new Judge.Sent(nowUs(), line.nodeProcess, bytes.length + ProtocolParameters.EVENT_FRAMING_BYTES));
             }
             long rev = machine.history().rev();
-            arrives(line, () -> line.node.line(line, RolloutText.readLine(bytes).value(), rev));
+            arrives(line, () -> line.node.line(line, RolloutText.readWatchEvent(bytes).value(), rev));
         }
 
         private void nodeLeft(Connection line) {
-            time.afterUs(lateUs(region, regionOfNode[line.node.number]), () -> {
+            time.scheduleAfterUs(lateUs(region, regionOfNode[line.node.number]), () -> {
                 if (lines.remove(line.id) != null && isUp()) {
                     machine.watchEnded(line.id);
                 }
@@ -552,7 +552,7 @@
         private void report(byte[] bytes, String process) {
             inLife(() -> {
                         see(new Judge.Heard(nowUs(), name(), process));
-                        machine.reported(
+                        machine.handleReport(
                                 nowUs(),
                                 defect.report(RolloutText.readReport(bytes).value()));
                     })
@@ -640,7 +640,7 @@
             reach();
             for (long at = 0; at < us; at += 2_000_000) {
                 KeeperHost to = keepers.get(draws.nextInt(KEEPERS));
-                time.afterUs(at, () -> {
+                time.scheduleAfterUs(at, () -> {
                     if (to.isWell() && !isCut(to.region, regionOfNode[number])) {
                         History now = to.machine.history();
                         if (now.rev() >= firstRev && judge.revOf(oldName) <= now.rev()) {
@@ -661,8 +661,8 @@
             long more = 750_000L * Math.max(0, bad - 2);
             if (subscriber != null && subscriber.rev() < firstRev) {
                 long bytes = 0;
-                for (Line.Part part : RolloutText.parts(firstRev, firstValues, terms.partBytes())) {
-                    bytes += RolloutText.write(part).length + 2L * Terms.LINE_BYTES;
+                for (WatchEvent.SnapshotPart part : RolloutText.splitSnapshot(firstRev, firstValues, terms.snapshotPartBytes())) {
+                    bytes += RolloutText.write(part).length + 2L * ProtocolParameters.EVENT_FRAMING_BYTES;
                 }
                 more += RETRY_WHOLE_US + bytes * 1_000_000 / 6_000;
             }
@@ -679,8 +679,8 @@
                             k -> k.machine.history().rev()))
                     .orElse(null);
             if (newest != null) {
-                for (Version version : newest.machine.history().after(from, Terms.HISTORY)) {
-                    bytes += RolloutText.write(version.change()).length + Terms.LINE_BYTES;
+                for (Version version : newest.machine.history().versionsAfter(from, ProtocolParameters.MAX_HISTORY_VERSION_COUNT)) {
+                    bytes += RolloutText.write(version.change()).length + ProtocolParameters.EVENT_FRAMING_BYTES;
                 }
             }
             return bytes;
@@ -693,14 +693,14 @@
 
         private void done(List<Effect> effects) {
             for (Effect effect : effects) {
-                if (effect instanceof Effect.Dial dial) {
+                if (effect instanceof Effect.OpenWatch dial) {
                     dial(dial);
-                } else if (effect instanceof Effect.HangUp up) {
+                } else if (effect instanceof Effect.CloseWatch up) {
                     Connection line = lines.remove(up.watch());
                     if (line != null) {
                         leave(line);
                     }
-                } else if (effect instanceof Effect.PutInForce put) {
+                } else if (effect instanceof Effect.Apply put) {
                     put(put);
                 } else if (effect instanceof Effect.SendReport send) {
                     report(send.keeper(), send.report());
@@ -712,22 +712,22 @@
             KeeperHost keeper = keepers.get(to);
             byte[] bytes = RolloutText.write(report);
             String by = name();
-            report.refused()
+            report.rejections()
                     .forEach(refusal -> see(new Judge.Refused(
                             nowUs(),
                             number,
                             refusal.rev(),
                             defect.report(report)
-                                    .refused()
-                                    .get(report.refused().indexOf(refusal))
+                                    .rejections()
+                                    .get(report.rejections().indexOf(refusal))
                                     .path())));
             if (!isCut(keeper.region, regionOfNode[number])) {
                 see(new Judge.Reported(nowUs(), number));
-                time.afterUs(lateUs(keeper.region, regionOfNode[number]), () -> keeper.report(bytes, by));
+                time.scheduleAfterUs(lateUs(keeper.region, regionOfNode[number]), () -> keeper.report(bytes, by));
             }
         }
 
-        private void put(Effect.PutInForce put) {
+        private void put(Effect.Apply put) {
             long lateUs = draws.nextInt(20) == 0 ? draws.nextLong(200_000, 800_000) : draws.nextLong(100, 5_000);
             slowUntilUs = Math.max(slowUntilUs, nowUs() + lateUs);
             if (defect.reportsEarly()) {
@@ -736,15 +736,15 @@
                         new Report(number, life, put.rev(), new java.util.TreeSet<>(), List.of()));
             }
             Subscriber to = subscriber;
-            time.at(slowUntilUs * 1_000, inLife(() -> {
+            time.scheduleAt(slowUntilUs * 1_000, inLife(() -> {
                 if (subscriber == to) {
                     see(new Judge.InForce(nowUs(), number, name(), put.rev(), put.values()));
-                    done(subscriber.inForce(nowUs(), put.rev(), put.values()));
+                    done(subscriber.applied(nowUs(), put.rev(), put.values()));
                 }
             }));
         }
 
-        private void dial(Effect.Dial dial) {
+        private void dial(Effect.OpenWatch dial) {
             if (defect.forgets() && subscriber.rev() > fileRev) {
                 subscribe(fileRev);
                 see(new Judge.InForce(nowUs(), number, name(), subscriber.rev(), subscriber.values()));
@@ -759,17 +759,17 @@
             if (isCut(keeper.region, here)) {
                 return;
             }
-            time.afterUs(lateUs(keeper.region, here), () -> {
+            time.scheduleAfterUs(lateUs(keeper.region, here), () -> {
                 if (isCut(keeper.region, here)) {
                     return;
                 }
                 if (!keeper.isUp()) {
-                    time.afterUs(lateUs(keeper.region, here), () -> ended(line));
+                    time.scheduleAfterUs(lateUs(keeper.region, here), () -> ended(line));
                     return;
                 }
                 keeper.inLife(() -> {
                             if (!line.closed) {
-                                keeper.watch(line, dial.after());
+                                keeper.watch(line, dial.afterRev());
                             }
                         })
                         .run();
@@ -778,20 +778,20 @@
 
         private void connected(Connection line) {
             if (lines.containsKey(line.nodeWatch)) {
-                done(subscriber.connected(nowUs(), line.nodeWatch));
+                done(subscriber.watchOpened(nowUs(), line.nodeWatch));
             }
         }
 
-        private void line(Connection line, Line text, long keeperRev) {
+        private void line(Connection line, WatchEvent text, long keeperRev) {
             if (lines.get(line.nodeWatch) != line) {
                 return;
             }
-            Line taken = defect.line(text, rules, subscriber);
+            WatchEvent taken = defect.line(text, rules, subscriber);
             if (taken != null) {
-                if (!(taken instanceof Line.Alone)) {
+                if (!(taken instanceof WatchEvent.NoQuorum)) {
                     see(new Judge.Spoke(nowUs(), name(), keeperRev));
                 }
-                done(subscriber.line(nowUs(), line.nodeWatch, taken));
+                done(subscriber.handleEvent(nowUs(), line.nodeWatch, taken));
             }
         }
 
@@ -803,7 +803,7 @@
 
         private void endedNow(Connection line) {
             if (lines.remove(line.nodeWatch) != null) {
-                done(subscriber.ended(nowUs(), line.nodeWatch));
+                done(subscriber.watchEnded(nowUs(), line.nodeWatch));
             }
         }
     }
@@ -824,10 +824,10 @@
             }
         }
         long rev = at.machine.history().rev();
-        Map<Inventory.Standing, List<Integer>> status =
-                Inventory.status(terms, Inventory.merged(rows), nodes.size(), rev);
+        Map<Inventory.NodeStatus, List<Integer>> status =
+                Inventory.nodesByStatus(terms, Inventory.merge(rows), nodes.size(), rev);
         status.forEach((standing, some) -> some.forEach(node -> count("status " + standing)));
-        status.get(Inventory.Standing.IN_FORCE).forEach(node -> see(new Judge.Counted(nowUs(), node, rev, asked)));
-        status.get(Inventory.Standing.WAITS_RESTART).forEach(node -> see(new Judge.Counted(nowUs(), node, rev, asked)));
+        status.get(Inventory.NodeStatus.IN_FORCE).forEach(node -> see(new Judge.Counted(nowUs(), node, rev, asked)));
+        status.get(Inventory.NodeStatus.WAITS_RESTART).forEach(node -> see(new Judge.Counted(nowUs(), node, rev, asked)));
     }
 }
--- a/src/test/java/kitemux/rollout/Mutant.java
+++ b/src/test/java/kitemux/rollout/Mutant.java
@@ -21,26 +21,26 @@
         }
 
         @Override
-        public Answer answer(Request request, Answer answer) {
-            if (answer instanceof Answer.Promised a) {
-                return new Answer.Promised(a.rev(), lowered(a.ballot()), lowered(a.acceptedAt()), a.accepted());
-            } else if (answer instanceof Answer.Accepted a) {
-                return new Answer.Accepted(a.rev(), lowered(a.ballot()));
+        public Response answer(Request request, Response answer) {
+            if (answer instanceof Response.Promised a) {
+                return new Response.Promised(a.rev(), lowered(a.ballot()), lowered(a.acceptedBallot()), a.accepted());
+            } else if (answer instanceof Response.Accepted a) {
+                return new Response.Accepted(a.rev(), lowered(a.ballot()));
             }
             return answer;
         }
     },
     PROMISE_NOT_SYNCED(Judge.Promise.ONE_HISTORY) {
         @Override
-        public boolean syncs(Kept kept) {
-            return !(kept instanceof Kept.Voted voted) || voted.vote().accepted() != null;
+        public boolean syncs(LogRecord kept) {
+            return !(kept instanceof LogRecord.Voted voted) || voted.vote().accepted() != null;
         }
     },
     ACCEPTED_VALUE_NOT_TAKEN_UP(Judge.Promise.ONE_HISTORY) {
         @Override
-        public Answer answer(Request request, Answer answer) {
-            return answer instanceof Answer.Promised a
-                    ? new Answer.Promised(a.rev(), a.ballot(), Ballot.NONE, null)
+        public Response answer(Request request, Response answer) {
+            return answer instanceof Response.Promised a
+                    ? new Response.Promised(a.rev(), a.ballot(), Ballot.NONE, null)
                     : answer;
         }
     },
@@ -63,34 +63,34 @@
         }
 
         @Override
-        public Line line(Line line, Rules rules, Subscriber subscriber) {
-            return line instanceof Line.Alone ? new Line.Beat() : line;
+        public WatchEvent line(WatchEvent line, Rules rules, Subscriber subscriber) {
+            return line instanceof WatchEvent.NoQuorum ? new WatchEvent.Heartbeat() : line;
         }
     },
     PART_OF_A_WHOLE_IN_FORCE(Judge.Promise.WHOLE) {
         @Override
-        public Line line(Line line, Rules rules, Subscriber subscriber) {
-            return line instanceof Line.Part part && part.part() == 1
-                    ? new Line.Part(part.rev(), 1, 1, part.set())
+        public WatchEvent line(WatchEvent line, Rules rules, Subscriber subscriber) {
+            return line instanceof WatchEvent.SnapshotPart part && part.part() == 1
+                    ? new WatchEvent.SnapshotPart(part.rev(), 1, 1, part.set())
                     : line;
         }
     },
     HALF_OF_A_CHANGE_AFTER_A_FAULT(Judge.Promise.WHOLE) {
         @Override
-        public Line line(Line line, Rules rules, Subscriber subscriber) {
-            if (!(line instanceof Line.Next next)) {
+        public WatchEvent line(WatchEvent line, Rules rules, Subscriber subscriber) {
+            if (!(line instanceof WatchEvent.Update next)) {
                 return line;
             }
-            Map<String, String> after = new Change("", 0, next.set(), next.drop()).appliedTo(subscriber.values());
+            Map<String, String> after = new Change("", 0, next.set(), next.drop()).applyTo(subscriber.values());
             SortedMap<String, String> sound = new TreeMap<>(next.set());
-            rules.faults(after).forEach(fault -> sound.remove(fault.path()));
-            return new Line.Next(next.rev(), sound, next.drop());
+            rules.validate(after).forEach(fault -> sound.remove(fault.path()));
+            return new WatchEvent.Update(next.rev(), sound, next.drop());
         }
     },
     NO_PATIENCE(Judge.Promise.TIMELY) {
         @Override
-        public Terms terms(Terms t) {
-            return with(t, 100, t.paceBytes(), t.paceFirst(), t.partBytes());
+        public ProtocolParameters terms(ProtocolParameters t) {
+            return with(t, 100, t.rateBytesPerSecond(), t.initialBurstBytes(), t.snapshotPartBytes());
         }
     },
     SAME_KEEPER_REDIALED(Judge.Promise.TIMELY) {
@@ -101,13 +101,13 @@
     },
     BEATS_BEHIND_A_LONG_WHOLE(Judge.Promise.TIMELY) {
         @Override
-        public Terms terms(Terms t) {
-            return with(t, 1, t.paceBytes(), t.paceFirst(), 7_600);
+        public ProtocolParameters terms(ProtocolParameters t) {
+            return with(t, 1, t.rateBytesPerSecond(), t.initialBurstBytes(), 7_600);
         }
 
         @Override
-        public boolean writes(Line line, boolean wholeUnderWay) {
-            return !wholeUnderWay || line instanceof Line.Part;
+        public boolean writes(WatchEvent line, boolean wholeUnderWay) {
+            return !wholeUnderWay || line instanceof WatchEvent.SnapshotPart;
         }
     },
     REPORT_BEFORE_IT_IS_IN_FORCE(Judge.Promise.TRUTHFUL) {
@@ -119,13 +119,13 @@
     EARLIER_LIFE_COUNTED(Judge.Promise.TRUTHFUL) {
         @Override
         public Report report(Report r) {
-            return new Report(r.node(), 0, r.rev(), r.waitRestart(), r.refused());
+            return new Report(r.node(), 0, r.rev(), r.pendingRestart(), r.rejections());
         }
     },
     ANSWER_AFTER_TWO_ACCEPTANCES(Judge.Promise.DURABLE) {
         @Override
-        public int alsoFrom(int from, Answer answer) {
-            return !(answer instanceof Answer.Accepted) ? -1 : from == 0 ? 1 : 0;
+        public int alsoFrom(int from, Response answer) {
+            return !(answer instanceof Response.Accepted) ? -1 : from == 0 ? 1 : 0;
         }
     },
     ANSWER_BEFORE_THE_SYNC(Judge.Promise.DURABLE) {
@@ -136,14 +136,14 @@
     },
     NO_PACE(Judge.Promise.PACED) {
         @Override
-        public Terms terms(Terms t) {
-            return with(t, 1, 1_000_000, t.paceFirst(), t.partBytes());
+        public ProtocolParameters terms(ProtocolParameters t) {
+            return with(t, 1, 1_000_000, t.initialBurstBytes(), t.snapshotPartBytes());
         }
     },
     PACE_FORGOTTEN_AFTER_A_REDIAL(Judge.Promise.PACED) {
         @Override
-        public Terms terms(Terms t) {
-            return with(t, 1, t.paceBytes(), t.paceAtOnce(), t.partBytes());
+        public ProtocolParameters terms(ProtocolParameters t) {
+            return with(t, 1, t.rateBytesPerSecond(), t.burstBytes(), t.snapshotPartBytes());
         }
     },
     CHECK_SKIPPED_AT_THE_KEEPER(Judge.Promise.SOUND) {
@@ -151,13 +151,13 @@
         public Rules keeperRules(Rules rules) {
             return new Rules() {
                 @Override
-                public List<Fault> faults(Map<String, String> whole) {
+                public List<ValidationError> validate(Map<String, String> whole) {
                     return List.of();
                 }
 
                 @Override
-                public Set<String> waitRestart(Map<String, String> first, Map<String, String> next) {
-                    return rules.waitRestart(first, next);
+                public Set<String> pathsNeedingRestart(Map<String, String> first, Map<String, String> next) {
+                    return rules.pathsNeedingRestart(first, next);
                 }
             };
         }
@@ -167,11 +167,11 @@
         public Report report(Report r) {
             return new Report(
                     r.node(),
-                    r.life(),
+                    r.incarnation(),
                     r.rev(),
-                    r.waitRestart(),
-                    r.refused().stream()
-                            .map(each -> new Report.Refusal(each.rev(), "", each.reason()))
+                    r.pendingRestart(),
+                    r.rejections().stream()
+                            .map(each -> new Report.Rejection(each.rev(), "", each.reason()))
                             .toList());
         }
     };
@@ -191,27 +191,27 @@
         return new Ballot(ballot.round() % RAISED, ballot.keeper());
     }
 
-    private static Terms with(Terms t, int patience, long paceBytes, long paceFirst, int partBytes) {
-        return new Terms(
-                t.beatUs(),
-                patience * t.leastPatienceUs(),
-                patience * t.mostPatienceUs(),
-                t.dialUs(),
-                t.leastWaitUs(),
-                t.mostWaitUs(),
-                t.longestWaitUs(),
-                t.aloneTryUs(),
-                t.reportUs(),
-                t.silentUs(),
-                t.leastPhaseUs(),
-                t.mostPhaseUs(),
-                t.tries(),
-                t.triesUs(),
-                t.pulseUs(),
-                t.heardUs(),
-                t.finishUs(),
+    private static ProtocolParameters with(ProtocolParameters t, int patience, long paceBytes, long paceFirst, int partBytes) {
+        return new ProtocolParameters(
+                t.heartbeatIntervalUs(),
+                patience * t.minWatchTimeoutUs(),
+                patience * t.maxWatchTimeoutUs(),
+                t.connectTimeoutUs(),
+                t.minBackoffUs(),
+                t.initialMaxBackoffUs(),
+                t.maxBackoffUs(),
+                t.noQuorumRetryUs(),
+                t.reportIntervalUs(),
+                t.reportTimeoutUs(),
+                t.minPhaseTimeoutUs(),
+                t.maxPhaseTimeoutUs(),
+                t.maxBallots(),
+                t.proposalTimeoutUs(),
+                t.fetchIntervalUs(),
+                t.voterTimeoutUs(),
+                t.recoveryDelayUs(),
                 paceBytes,
-                t.paceAtOnce(),
+                t.burstBytes(),
                 paceFirst,
                 partBytes);
     }
--- a/src/test/java/kitemux/rollout/Orders.java
+++ b/src/test/java/kitemux/rollout/Orders.java
@@ -21,12 +21,12 @@
     private static final int KEEPERS = 3;
     private static final Rules NO_RULES = new Rules() {
         @Override
-        public List<Fault> faults(Map<String, String> whole) {
+        public List<ValidationError> validate(Map<String, String> whole) {
             return List.of();
         }
 
         @Override
-        public Set<String> waitRestart(Map<String, String> first, Map<String, String> next) {
+        public Set<String> pathsNeedingRestart(Map<String, String> first, Map<String, String> next) {
             return Set.of();
         }
     };
@@ -59,8 +59,8 @@
      * One step: the message of this place arrives, or from KEEPERS places before 0 on, what befalls a keeper.
      */
     private static final class World {
-        final KeeperMachine[] keepers = new KeeperMachine[KEEPERS];
-        final List<List<Kept>> disks = new ArrayList<>();
+        final KeeperStateMachine[] keepers = new KeeperStateMachine[KEEPERS];
+        final List<List<LogRecord>> disks = new ArrayList<>();
         final int[] lives = new int[KEEPERS];
         final long[] nowUs = new long[KEEPERS];
         final List<Message> flying = new ArrayList<>();
@@ -166,13 +166,13 @@
         for (int k = 0; k < 2; k++) {
             // Each has heard the others, so that it takes calls.
             for (int other = 0; other < KEEPERS; other++) {
-                world.keepers[k].answered(0, other, new Answer.Known(0, 0, List.of()));
+                world.keepers[k].handleResponse(0, other, new Response.Versions(0, 0, List.of()));
             }
             done(
                     world,
                     judge,
                     k,
-                    world.keepers[k].change(
+                    world.keepers[k].proposeChange(
                             0, k, Change.of(String.format("%016x", k + 1), 0, Map.of("realms/" + k, "1"), List.of())));
         }
         for (int i = 0; i < path.length; i++) {
@@ -186,8 +186,8 @@
 
     private void start(World world, int k) {
         List<Voter> voters = List.of(new Voter(0, "a"), new Voter(1, "a"), new Voter(2, "a"));
-        world.keepers[k] = new KeeperMachine(
-                Terms.usual(), voters.get(k), KEEPERS, voters, NO_RULES, world.disks.get(k), 7, world.nowUs[k]);
+        world.keepers[k] = new KeeperStateMachine(
+                ProtocolParameters.defaults(), voters.get(k), KEEPERS, voters, NO_RULES, world.disks.get(k), 7, world.nowUs[k]);
     }
 
     private void step(World world, Judge judge, int choice) {
@@ -214,7 +214,7 @@
                 world,
                 judge,
                 k,
-                world.keepers[k].asked(world.nowUs[k], 1, defect.asked(message.request, ++world.turns)),
+                world.keepers[k].handleRequest(world.nowUs[k], 1, defect.asked(message.request, ++world.turns)),
                 message);
     }
 
@@ -224,7 +224,7 @@
 
     private void done(World world, Judge judge, int k, List<Effect> effects, Message asked) {
         for (Effect effect : effects) {
-            if (effect instanceof Effect.Send send && !(send.request() instanceof Request.Ask)) {
+            if (effect instanceof Effect.Send send && !(send.request() instanceof Request.Fetch)) {
                 world.flying.add(new Message(k, world.lives[k], send.to(), send.request()));
             } else if (effect instanceof Effect.Reply reply && world.lives[asked.from] == asked.fromLife) {
                 // An answer to an earlier life does not reach a later one.
@@ -232,13 +232,13 @@
                         world,
                         judge,
                         asked.from,
-                        world.keepers[asked.from].answered(
+                        world.keepers[asked.from].handleResponse(
                                 world.nowUs[asked.from], k, defect.answer(asked.request, reply.answer())));
-            } else if (effect instanceof Effect.Write write) {
-                if (defect.syncs(write.kept())) {
-                    world.disks.get(k).add(write.kept());
+            } else if (effect instanceof Effect.Persist write) {
+                if (defect.syncs(write.entry())) {
+                    world.disks.get(k).add(write.entry());
                 }
-                if (write.kept() instanceof Kept.Voted voted && voted.vote().accepted() != null) {
+                if (write.entry() instanceof LogRecord.Voted voted && voted.vote().accepted() != null) {
                     judge.see(new Judge.OnDisk(
                             0, k, voted.vote().rev(), voted.vote().accepted().id()));
                 }
@@ -246,7 +246,7 @@
             }
         }
         History history = world.keepers[k].history();
-        for (Version version : history.after(0, Terms.HISTORY)) {
+        for (Version version : history.versionsAfter(0, ProtocolParameters.MAX_HISTORY_VERSION_COUNT)) {
             judge.see(new Judge.Known(
                     0,
                     "keeper " + k + " of " + version.rev(),
--- a/src/test/java/kitemux/rollout/Play.java
+++ b/src/test/java/kitemux/rollout/Play.java
@@ -62,7 +62,7 @@
     }
 
     private void contend() {
-        fleet.time.afterUs(draws.nextLong(20_000, 400_000), () -> {
+        fleet.time.scheduleAfterUs(draws.nextLong(20_000, 400_000), () -> {
             if (isContended) {
                 put(drawn(3));
                 put(drawn(6));
@@ -72,7 +72,7 @@
     }
 
     private void fail() {
-        fleet.time.afterUs(draws.nextLong(200_000, 3_000_000), () -> {
+        fleet.time.scheduleAfterUs(draws.nextLong(200_000, 3_000_000), () -> {
             if (isContended) {
                 Fleet.KeeperHost keeper = fleet.keepers.get(draws.nextInt(Fleet.KEEPERS));
                 long learners = fleet.keepers.stream()
@@ -121,11 +121,11 @@
     }
 
     private void operators() {
-        fleet.time.afterUs(draws.nextLong(200_000, 6_000_000), () -> {
+        fleet.time.scheduleAfterUs(draws.nextLong(200_000, 6_000_000), () -> {
             change();
             operators();
         });
-        fleet.time.afterUs(
+        fleet.time.scheduleAfterUs(
                 draws.nextLong(500_000, 3_000_000),
                 () -> fleet.status(fleet.keepers.get(draws.nextInt(Fleet.KEEPERS))));
     }
@@ -140,11 +140,11 @@
         put(one);
         if (how <= 3) {
             // Two operators at once, at two keepers, of whom some change the same.
-            fleet.time.afterUs(draws.nextLong(1, 200_000), () -> put(drawn(draws.nextInt(8))));
+            fleet.time.scheduleAfterUs(draws.nextLong(1, 200_000), () -> put(drawn(draws.nextInt(8))));
         }
         if (how == 4) {
             // The same call twice.
-            fleet.time.afterUs(draws.nextLong(1, 500_000), () -> put(one));
+            fleet.time.scheduleAfterUs(draws.nextLong(1, 500_000), () -> put(one));
         }
     }
 
@@ -190,14 +190,14 @@
         again.add(change);
         at.change(change, outcome -> {
             fleet.count(outcome.getClass().getSimpleName());
-            if (outcome instanceof Outcome.Taken taken) {
+            if (outcome instanceof Outcome.Committed taken) {
                 fleet.see(new Judge.Answered(fleet.nowUs(), change.id(), taken.rev()));
             }
         });
     }
 
     private void later(long least, long most, Runnable what) {
-        fleet.time.afterUs(draws.nextLong(least, most), what);
+        fleet.time.scheduleAfterUs(draws.nextLong(least, most), what);
     }
 
     private void cutOff(int region, long us) {
@@ -207,7 +207,7 @@
             }
         }
         fleet.reach();
-        fleet.time.afterUs(us, () -> {
+        fleet.time.scheduleAfterUs(us, () -> {
             for (int other = 0; other < 3; other++) {
                 if (other != region) {
                     fleet.setCut(region, other, false);
--- a/src/test/java/kitemux/rollout/RolloutTextTest.java
+++ b/src/test/java/kitemux/rollout/RolloutTextTest.java
@@ -67,10 +67,10 @@
         Map<String, String> as = new TreeMap<>();
         set.forEach((path, value) -> as.put(
                 path,
-                RolloutText.readLine(("{\"rev\":1,\"part\":1,\"of\":1," + "\"set\":{\"realms/a\":" + value + "}}")
+                RolloutText.readWatchEvent(("{\"rev\":1,\"part\":1,\"of\":1," + "\"set\":{\"realms/a\":" + value + "}}")
                                                 .getBytes(StandardCharsets.UTF_8))
                                         .value()
-                                instanceof Line.Part part
+                                instanceof WatchEvent.SnapshotPart part
                         ? part.set().get("realms/a")
                         : null));
         return as;
@@ -91,9 +91,9 @@
         return Combinators.combine(revs(), changes()).as(Version::new);
     }
 
-    private static <T> void same(T value, byte[] text, Function<byte[], RolloutText.Read<T>> read) {
-        RolloutText.Read<T> again = read.apply(text);
-        assertEquals(List.of(), again.faults());
+    private static <T> void same(T value, byte[] text, Function<byte[], RolloutText.ParseResult<T>> read) {
+        RolloutText.ParseResult<T> again = read.apply(text);
+        assertEquals(List.of(), again.errors());
         assertEquals(value, again.value());
         assertTrue(new String(text, StandardCharsets.UTF_8).chars().noneMatch(c -> c < ' '), "one line");
     }
@@ -109,18 +109,18 @@
     }
 
     @Provide
-    Arbitrary<Line> anyLine() {
+    Arbitrary<WatchEvent> anyLine() {
         return Arbitraries.oneOf(
-                Combinators.combine(revs(), changes()).as((rev, c) -> new Line.Next(rev, c.set(), c.drop())),
+                Combinators.combine(revs(), changes()).as((rev, c) -> new WatchEvent.Update(rev, c.set(), c.drop())),
                 Combinators.combine(revs(), Arbitraries.integers().between(1, 300), changes())
-                        .as((rev, of, c) -> new Line.Part(rev, 1 + (int) (rev % of), of, c.set())),
-                Arbitraries.just(new Line.Beat()),
-                revs().map(Line.Alone::new));
+                        .as((rev, of, c) -> new WatchEvent.SnapshotPart(rev, 1 + (int) (rev % of), of, c.set())),
+                Arbitraries.just(new WatchEvent.Heartbeat()),
+                revs().map(WatchEvent.NoQuorum::new));
     }
 
     @Property(tries = 300)
-    void aLineIsReadBack(@ForAll("anyLine") Line line) {
-        same(line, RolloutText.write(line), RolloutText::readLine);
+    void aLineIsReadBack(@ForAll("anyLine") WatchEvent line) {
+        same(line, RolloutText.write(line), RolloutText::readWatchEvent);
     }
 
     @Provide
@@ -131,7 +131,7 @@
                         revs(),
                         paths().set().ofMaxSize(3),
                         Combinators.combine(revs(), paths(), names())
-                                .as(Report.Refusal::new)
+                                .as(Report.Rejection::new)
                                 .list()
                                 .ofMaxSize(3))
                 .as((node, life, rev, waits, refused) -> new Report(node, life, rev, new TreeSet<>(waits), refused));
@@ -150,7 +150,7 @@
                 Combinators.combine(revs(), ballots()).as(Request.Prepare::new),
                 Combinators.combine(revs(), ballots(), changes()).as(Request.Accept::new),
                 versions().map(Request.Chosen::new),
-                revs().map(Request.Ask::new));
+                revs().map(Request.Fetch::new));
     }
 
     @Property(tries = 200)
@@ -159,42 +159,42 @@
     }
 
     @Provide
-    Arbitrary<Answer> anyAnswer() {
+    Arbitrary<Response> anyAnswer() {
         return Arbitraries.oneOf(
-                Combinators.combine(revs(), ballots(), ballots(), changes()).as(Answer.Promised::new),
-                Combinators.combine(revs(), ballots()).as((rev, b) -> new Answer.Promised(rev, b, Ballot.NONE, null)),
-                Combinators.combine(revs(), ballots()).as(Answer.Accepted::new),
-                Combinators.combine(revs(), ballots(), ballots()).as(Answer.Refused::new),
-                Combinators.combine(revs(), revs()).as(Answer.Behind::new),
+                Combinators.combine(revs(), ballots(), ballots(), changes()).as(Response.Promised::new),
+                Combinators.combine(revs(), ballots()).as((rev, b) -> new Response.Promised(rev, b, Ballot.NONE, null)),
+                Combinators.combine(revs(), ballots()).as(Response.Accepted::new),
+                Combinators.combine(revs(), ballots(), ballots()).as(Response.Rejected::new),
+                Combinators.combine(revs(), revs()).as(Response.Behind::new),
                 Combinators.combine(revs(), revs(), versions().list().ofMaxSize(3))
-                        .as(Answer.Known::new),
-                Combinators.combine(revs(), changes()).as((rev, c) -> new Answer.Whole(rev, c.set())));
+                        .as(Response.Versions::new),
+                Combinators.combine(revs(), changes()).as((rev, c) -> new Response.Snapshot(rev, c.set())));
     }
 
     @Property(tries = 200)
-    void anAnswerIsReadBack(@ForAll("anyAnswer") Answer answer) {
-        same(answer, RolloutText.write(answer), RolloutText::readAnswer);
+    void anAnswerIsReadBack(@ForAll("anyAnswer") Response answer) {
+        same(answer, RolloutText.write(answer), RolloutText::readResponse);
     }
 
     @Provide
-    Arbitrary<Kept> anyKept() {
+    Arbitrary<LogRecord> anyKept() {
         return Arbitraries.oneOf(
-                versions().map(Kept.Chosen::new),
-                Combinators.combine(revs(), changes()).as((rev, c) -> new Kept.Whole(rev, c.set())),
+                versions().map(LogRecord.Chosen::new),
+                Combinators.combine(revs(), changes()).as((rev, c) -> new LogRecord.Snapshot(rev, c.set())),
                 Combinators.combine(revs(), ballots(), ballots(), changes())
-                        .as((rev, p, at, c) -> new Kept.Voted(new Vote(rev, p, at, c))),
+                        .as((rev, p, at, c) -> new LogRecord.Voted(new Vote(rev, p, at, c))),
                 Combinators.combine(revs(), ballots())
-                        .as((rev, p) -> new Kept.Voted(new Vote(rev, p, Ballot.NONE, null))));
+                        .as((rev, p) -> new LogRecord.Voted(new Vote(rev, p, Ballot.NONE, null))));
     }
 
     @Property(tries = 200)
-    void aKeptRecordIsReadBack(@ForAll("anyKept") Kept kept) {
-        same(kept, RolloutText.write(kept), RolloutText::readKept);
+    void aKeptRecordIsReadBack(@ForAll("anyKept") LogRecord kept) {
+        same(kept, RolloutText.write(kept), RolloutText::readLogRecord);
     }
 
-    private static void wholeOrFaults(RolloutText.Read<?> read) {
-        assertEquals(read.value() == null, !read.faults().isEmpty(), "half taken in");
-        read.faults().forEach(fault -> {
+    private static void wholeOrFaults(RolloutText.ParseResult<?> read) {
+        assertEquals(read.value() == null, !read.errors().isEmpty(), "half taken in");
+        read.errors().forEach(fault -> {
             assertTrue(!fault.path().isEmpty() || fault.reason().startsWith("is no path"), () -> "no place: " + fault);
             assertTrue(!fault.reason().isEmpty(), () -> "no reason: " + fault);
         });
@@ -234,17 +234,17 @@
     @Property(tries = 1_000)
     void whateverComesIsWholeOrItsFaultsAreTold(@ForAll("spoilt") byte[] text) {
         wholeOrFaults(RolloutText.readChange(text));
-        wholeOrFaults(RolloutText.readLine(text));
+        wholeOrFaults(RolloutText.readWatchEvent(text));
         wholeOrFaults(RolloutText.readReport(text));
         wholeOrFaults(RolloutText.readRows(text));
         wholeOrFaults(RolloutText.readRequest(text));
-        wholeOrFaults(RolloutText.readAnswer(text));
-        wholeOrFaults(RolloutText.readKept(text));
+        wholeOrFaults(RolloutText.readResponse(text));
+        wholeOrFaults(RolloutText.readLogRecord(text));
     }
 
     @Test
     void everyFaultOfAChangeIsToldWithItsPlace() {
-        RolloutText.Read<Change> read = RolloutText.readChange(("{\"id\":\"xyz\",\"base\":-1,\"more\":1,"
+        RolloutText.ParseResult<Change> read = RolloutText.readChange(("{\"id\":\"xyz\",\"base\":-1,\"more\":1,"
                         + "\"set\":{\"realms/a\":null,\"/b\":1},\"drop\":[\"realms/c\",\"realms/c\",7,\"a/b/c\"]}")
                 .getBytes(StandardCharsets.UTF_8));
         assertNull(read.value());
@@ -258,20 +258,20 @@
                         "drop holds twice realms/c",
                         "drop holds what is no string: 7",
                         "a/b/c is no path: a section, a slash and a name, at most 128 characters"),
-                read.faults().stream().map(Fault::toString).toList());
+                read.errors().stream().map(ValidationError::toString).toList());
     }
 
     @Test
     void whatIsMissingIsNamed() {
         assertEquals(
                 List.of("id is missing", "base is missing"),
-                RolloutText.readChange("{}".getBytes(StandardCharsets.UTF_8)).faults().stream()
-                        .map(Fault::toString)
+                RolloutText.readChange("{}".getBytes(StandardCharsets.UTF_8)).errors().stream()
+                        .map(ValidationError::toString)
                         .toList());
         assertEquals(
                 Set.of("body"),
-                Set.copyOf(RolloutText.readChange("[".getBytes(StandardCharsets.UTF_8)).faults().stream()
-                        .map(Fault::path)
+                Set.copyOf(RolloutText.readChange("[".getBytes(StandardCharsets.UTF_8)).errors().stream()
+                        .map(ValidationError::path)
                         .toList()));
     }
 
@@ -279,7 +279,7 @@
     void votersAreNamedOnceAndOdd() {
         assertEquals(
                 List.of(new Voter(0, "a"), new Voter(2, "b"), new Voter(1, "c")),
-                RolloutText.voters("[\"0:a\",\"2:b\",\"1:c\"]"));
+                RolloutText.readVoters("[\"0:a\",\"2:b\",\"1:c\"]"));
         for (String bad : List.of(
                 "[]",
                 "[\"0:a\",\"1:b\"]",
@@ -291,7 +291,7 @@
                 "[\"x:a\"]",
                 "[\"0:a b\"]",
                 "[\"0:a\",\"1:a\",\"2:a\",\"3:a\",\"4:a\",\"5:a\",\"6:a\"]")) {
-            assertNull(RolloutText.voters(bad), bad);
+            assertNull(RolloutText.readVoters(bad), bad);
         }
     }
 }
--- a/src/test/java/kitemux/rollout/ToyRules.java
+++ b/src/test/java/kitemux/rollout/ToyRules.java
@@ -14,17 +14,17 @@
     static final long NOT_KNOWN_TO_OLD = 900;
 
     @Override
-    public List<Fault> faults(Map<String, String> whole) {
-        List<Fault> faults = new ArrayList<>();
+    public List<ValidationError> validate(Map<String, String> whole) {
+        List<ValidationError> faults = new ArrayList<>();
         whole.forEach((path, value) -> {
             if (path.startsWith("realms/") && value.startsWith("-")) {
-                faults.add(new Fault(path, "is negative"));
+                faults.add(new ValidationError(path, "is negative"));
             } else if (isOld && path.startsWith("realms/") && Long.parseLong(value) >= NOT_KNOWN_TO_OLD) {
-                faults.add(new Fault(path, "is not known to this program"));
+                faults.add(new ValidationError(path, "is not known to this program"));
             }
         });
         if (number(whole, "classes/a") + number(whole, "classes/b") != 100) {
-            faults.add(new Fault("classes/a", "and classes/b do not make 100"));
+            faults.add(new ValidationError("classes/a", "and classes/b do not make 100"));
         }
         return faults;
     }
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public Set<String> waitRestart(Map<String, String> first, Map<String, String> next) {
+    public Set<String> pathsNeedingRestart(Map<String, String> first, Map<String, String> next) {
         Set<String> found = new TreeSet<>();
         for (String path : List.of("limits/dial")) {
             if (!first.getOrDefault(path, "").equals(next.getOrDefault(path, ""))) {
--- a/src/test/java/kitemux/sidecar/LineLogTest.java
+++ b/src/test/java/kitemux/sidecar/LineLogTest.java
@@ -25,7 +25,7 @@
     @Test
     void aLineIsALineWhateverIsSaid() throws InterruptedException {
         LineLog log = new LineLog(new PrintStream(bytes, true, StandardCharsets.UTF_8), false, 16, () -> NOW);
-        log.line("server web-1 is\ndraining\r");
+        log.info("server web-1 is\ndraining\r");
         log.error("a defect", new IllegalStateException("why"));
         log.flush();
         assertEquals("2026-12-01T10:00:00.123Z info server web-1 is draining ", lines().get(0));
@@ -40,7 +40,7 @@
     @Test
     void asJsonEachIsAnObjectWithTimeLevelAndText() throws IOException, InterruptedException {
         LineLog log = new LineLog(new PrintStream(bytes, true, StandardCharsets.UTF_8), true, 16, () -> NOW);
-        log.line("a \"quoted\"\nword");
+        log.info("a \"quoted\"\nword");
         log.error("a defect", new IllegalStateException("why"));
         log.flush();
         Json first = Json.read(lines().get(0).getBytes(StandardCharsets.UTF_8));
@@ -75,10 +75,10 @@
             }
         };
         LineLog log = new LineLog(new PrintStream(hangs, true, StandardCharsets.UTF_8), false, 16, () -> NOW);
-        log.line("first");
+        log.info("first");
         writing.await();
         for (int i = 0; i < 100; i++) {
-            log.line("line " + i);
+            log.info("line " + i);
         }
         goOn.countDown();
         log.flush();
--- a/src/test/java/kitemux/sim/SchedulerTest.java
+++ b/src/test/java/kitemux/sim/SchedulerTest.java
@@ -26,22 +26,22 @@
         for (int step : steps) {
             if (step < 60) {
                 long number = events.size();
-                plain.add(new long[] {time.now() + step % 7, number});
-                events.add(time.at(time.now() + step % 7, () -> happened.add(number)));
+                plain.add(new long[] {time.nowNanos() + step % 7, number});
+                events.add(time.scheduleAt(time.nowNanos() + step % 7, () -> happened.add(number)));
             } else if (step < 90 && !events.isEmpty()) {
                 int which = step * 31 % events.size();
                 events.get(which).cancel();
                 plain.removeIf(p -> p[1] == which);
             } else {
                 plain.sort(Comparator.<long[]>comparingLong(p -> p[0]).thenComparingLong(p -> p[1]));
-                assertEquals(!plain.isEmpty(), time.step(time.now() + 10));
+                assertEquals(!plain.isEmpty(), time.runNext(time.nowNanos() + 10));
                 if (!plain.isEmpty()) {
                     long[] next = plain.remove(0);
                     expected.add(next[1]);
-                    assertEquals(next[0], time.now());
+                    assertEquals(next[0], time.nowNanos());
                 }
             }
-            assertEquals(plain.size(), time.pending());
+            assertEquals(plain.size(), time.pendingEventCount());
         }
         assertEquals(expected, happened);
     }
@@ -50,10 +50,10 @@
     void whatIsTooFarOffForTheClockDoesNotHappenAtOnce() {
         // A module asked to be woken so late that the sum overflowed, and was woken at once, again and again.
         Scheduler time = new Scheduler();
-        time.at(1_000_000, () -> {});
-        time.step(Long.MAX_VALUE);
-        time.afterUs(Long.MAX_VALUE / 4, () -> {});
-        assertFalse(time.step(60_000_000_000L));
-        assertEquals(60_000_000_000L, time.now());
+        time.scheduleAt(1_000_000, () -> {});
+        time.runNext(Long.MAX_VALUE);
+        time.scheduleAfterUs(Long.MAX_VALUE / 4, () -> {});
+        assertFalse(time.runNext(60_000_000_000L));
+        assertEquals(60_000_000_000L, time.nowNanos());
     }
 }
--- a/src/test/java/kitemux/telemetry/RequestTraceTest.java
+++ b/src/test/java/kitemux/telemetry/RequestTraceTest.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.CountDownLatch;
 import kitemux.Balancer.Result;
 import kitemux.config.Json;
-import kitemux.engine.Asked;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
-import kitemux.engine.Time;
+import kitemux.engine.Clock;
 import kitemux.http.CloseReason;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -22,7 +22,7 @@
     @TempDir
     private Path folder;
 
-    private static final class FixedTime implements Time {
+    private static final class FixedTime implements Clock {
         private long nowUs = 1_000;
 
         @Override
@@ -31,12 +31,12 @@
         }
 
         @Override
-        public Timer after(long us, Runnable task) {
+        public Timer schedule(long us, Runnable task) {
             throw new UnsupportedOperationException("nothing waits here");
         }
     }
 
-    private record Page(String txn) implements Asked {
+    private record Page(String txn) implements RequestInfo {
         @Override
         public int classIndex() {
             return 0;
@@ -48,7 +48,7 @@
         }
 
         @Override
-        public long leftUs() {
+        public long remainingUs() {
             return 400_000;
         }
     }
@@ -64,13 +64,13 @@
         FixedTime time = new FixedTime();
         RequestTrace trace = RequestTrace.open(new TraceSettings(folder, 64), "node", time, line -> {});
         trace.accepted(1, InetSocketAddress.createUnresolved("client", 7));
-        trace.taken(9, new Page("t1"));
+        trace.onRequestAccepted(9, new Page("t1"));
         trace.requested(1, "t1");
-        trace.sent(9, 0, "s0", 301_000);
+        trace.onAttemptStarted(9, 0, "s0", 301_000);
         time.nowUs = 301_000;
-        trace.ended(9, 0, Result.TIMEOUT);
-        trace.answered(9, Observer.Answer.FAILED);
-        trace.forgotten(9);
+        trace.onAttemptEnded(9, 0, Result.TIMEOUT);
+        trace.onRequestAnswered(9, Observer.RequestOutcome.FAILED);
+        trace.onRequestReleased(9);
         trace.closed(1, CloseReason.LAST_ANSWER);
         trace.close();
         assertEquals(
--- a/src/test/java/kitemux/world/AgainstEmulatorTest.java
+++ b/src/test/java/kitemux/world/AgainstEmulatorTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.LongStream;
-import kitemux.Balancer.Group;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.DedupScope;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
@@ -40,7 +40,7 @@
                 0,
                 false,
                 true,
-                Group.CELL,
+                DedupScope.CELL,
                 1_200_000,
                 384,
                 false,
@@ -50,10 +50,10 @@
 
     /** Half of the work is certain, the rest exponential: so is the deviation half of the mean. */
     private static Fleet.ClassWorkload work(
-            String name, double share, double meanUs, long aimMs, long deadlineMs, double worth, Repeat repeat) {
+            String name, double share, double meanUs, long aimMs, long deadlineMs, double worth, RetrySafety repeat) {
         return new Fleet.ClassWorkload(
                 new RequestClass(
-                        name, aimMs * 1_000, 0, deadlineMs * 1_000, worth, 0, repeat, Group.CELL, 1_200_000, false),
+                        name, aimMs * 1_000, 0, deadlineMs * 1_000, worth, 0, repeat, DedupScope.CELL, 1_200_000, false),
                 share,
                 meanUs,
                 Fleet.WorkDistribution.LOGNORMAL,
@@ -77,9 +77,9 @@
                         500_000),
                 new Fleet.Clients(300, 0, 0.4, 0.8, 60_000, 1, 1_000_000, 0),
                 List.of(
-                        work("view-page", 0.51, 19_000, 100, 500, 1, Repeat.SAFE),
-                        work("add-photo", 0.30, 22_000, 200, 600, 5, Repeat.KEYED),
-                        work("place-order", 0.19, 33_000, 300, 1_000, 5, Repeat.UNSAFE)),
+                        work("view-page", 0.51, 19_000, 100, 500, 1, RetrySafety.SAFE),
+                        work("add-photo", 0.30, 22_000, 200, 600, 5, RetrySafety.KEYED),
+                        work("place-order", 0.19, 33_000, 300, 1_000, 5, RetrySafety.UNSAFE)),
                 // Which tenant asks is told there by the product of two even draws.
                 List.of(
                         new Fleet.TenantShare("school-a", 1, 3 * 0.6995),
--- a/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
+++ b/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
@@ -16,7 +16,7 @@
 import java.util.function.UnaryOperator;
 import kitemux.Balancer;
 import kitemux.Balancer.ListKind;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
@@ -27,7 +27,7 @@
 import kitemux.engine.SendGate;
 import kitemux.http.ConnectionObserver;
 import kitemux.net.HostList;
-import kitemux.net.LoopTime;
+import kitemux.net.EventLoopClock;
 import kitemux.node.Node;
 import kitemux.node.NodeConfig;
 import kitemux.sim.Scheduler;
@@ -77,7 +77,7 @@
             if (!busy && !waiting.isEmpty()) {
                 busy = true;
                 Call next = waiting.poll();
-                time.afterMs(callMs, () -> {
+                time.scheduleAfterMs(callMs, () -> {
                     busy = false;
                     next.answer();
                     work();
@@ -107,7 +107,7 @@
             private void begins() {
                 calls++;
                 waiting.add(this);
-                time.afterMs(mostWaitMs, () -> {
+                time.scheduleAfterMs(mostWaitMs, () -> {
                     if (waiting.remove(this)) {
                         end.write(Messages.write("HTTP/1.1 503 Busy", "", new byte[0]));
                     }
@@ -127,7 +127,7 @@
             }
 
             private void beat() {
-                time.afterMs(2_000, () -> {
+                time.scheduleAfterMs(2_000, () -> {
                     if (!end.closed) {
                         chunk("\n");
                         beat();
@@ -172,11 +172,11 @@
                     settings);
             Node.Parts parts = new Node.Parts(
                     new WorldNetwork(fabric, machine, loop, this::soon, Defect.NONE),
-                    LoopTime.startingAt(loop, UNIX_US + time.nowUs()),
+                    EventLoopClock.startingAt(loop, UNIX_US + time.nowUs()),
                     SILENT,
                     Observer.NONE,
                     ConnectionObserver.NONE,
-                    SendGate.open(),
+                    SendGate.alwaysOpen(),
                     actions -> noting(as.apply(new ServiceQBalancer(settings, config.seed(), actions), actions)),
                     UnaryOperator.identity());
             new Node(config, loop, parts).start().addListener(opened -> listens = opened.isSuccess());
@@ -186,25 +186,25 @@
         private Balancer noting(Balancer module) {
             return told(module, (method, args) -> {
                 if (method.equals("onServers") && args[1] != ListKind.CACHED) {
-                    heardMs = Math.min(heardMs, time.now() / NANOS);
+                    heardMs = Math.min(heardMs, time.nowNanos() / NANOS);
                 }
                 return true;
             });
         }
 
         private void soon() {
-            turnAt(time.now());
+            turnAt(time.nowNanos());
         }
 
         private void turnAt(long nanos) {
             if (turn != null) {
                 turn.cancel();
             }
-            turn = time.at(nanos, () -> {
+            turn = time.scheduleAt(nanos, () -> {
                 turn = null;
                 long wait = loop.runNow() > 0 || loop.hasReady() ? TURN_NS : loop.untilTimer();
                 if (wait >= 0) {
-                    turnAt(time.now() + Math.max(1, wait));
+                    turnAt(time.nowNanos() + Math.max(1, wait));
                 }
             });
         }
@@ -231,7 +231,7 @@
 
     private static final Log SILENT = new Log() {
         @Override
-        public void line(String text) {}
+        public void info(String text) {}
 
         @Override
         public void error(String what, Throwable cause) {
@@ -244,7 +244,7 @@
         set.nodes = NODES;
         set.zones.add("z");
         set.classes.add(
-                new RequestClass("page", 100_000, 0, 500_000, 1, 0, Repeat.SAFE, Balancer.Group.ALL, 5_000_000, false));
+                new RequestClass("page", 100_000, 0, 500_000, 1, 0, RetrySafety.SAFE, Balancer.DedupScope.ALL, 5_000_000, false));
         set.listOnRequest = true;
         set.connectTimeoutUs = 1_000_000;
         return set;
@@ -271,11 +271,11 @@
         for (int i = 0; i < NODES; i++) {
             Machine machine = fabric.add("n" + i, 100 + i, "10.0.0." + (i + 1) + ":8000");
             SplittableRandom own = random.split();
-            time.afterMs(own.nextLong(1_000), () -> all.add(new Restarted(time, fabric, machine, discovery, own, as)));
+            time.scheduleAfterMs(own.nextLong(1_000), () -> all.add(new Restarted(time, fabric, machine, discovery, own, as)));
         }
         boolean more = true;
         while (more) {
-            more = time.step(WITHIN_MS * NANOS);
+            more = time.runNext(WITHIN_MS * NANOS);
         }
         return new Outcome(
                 all.stream().filter(node -> node.listens).count(),
--- a/src/test/java/kitemux/world/DescribedWorldTest.java
+++ b/src/test/java/kitemux/world/DescribedWorldTest.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.stream.LongStream;
-import kitemux.Balancer.Repeat;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Settings;
 import kitemux.app.App;
@@ -104,14 +104,14 @@
         Settings truth = ConfigWriter.settings(app);
         truth.classes.replaceAll(of -> new RequestClass(
                 of.name(),
-                of.aimUs(),
+                of.targetLatencyUs(),
                 0,
                 of.deadlineUs(),
                 of.worth(),
                 of.lateWorth(),
-                app.neverTwice().contains(of.name()) ? Repeat.UNSAFE : of.repeat(),
+                app.neverTwice().contains(of.name()) ? RetrySafety.UNSAFE : of.retrySafety(),
                 app.keys().shared(),
-                of.repeat() == Repeat.KEYED ? app.keys().keptUs() : of.windowUs(),
+                of.retrySafety() == RetrySafety.KEYED ? app.keys().keptUs() : of.dedupWindowUs(),
                 false));
         Set<Integer> draining = new HashSet<>();
         for (int i = 0; i < app.servers().size(); i++) {
--- a/src/test/java/kitemux/world/LateAttemptTest.java
+++ b/src/test/java/kitemux/world/LateAttemptTest.java
@@ -13,7 +13,7 @@
 import kitemux.Balancer.Result;
 import kitemux.engine.Transport;
 import kitemux.http.ClientRequest;
-import kitemux.net.Answer;
+import kitemux.net.ServerResponse;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -42,9 +42,9 @@
         }
 
         @Override
-        public Transport<ClientRequest, Answer> transport(Transport<ClientRequest, Answer> sound) {
+        public Transport<ClientRequest, ServerResponse> transport(Transport<ClientRequest, ServerResponse> sound) {
             return new Transport<>() {
-                private void again(String serverId, Exchange<ClientRequest, Answer> like) {
+                private void again(String serverId, Exchange<ClientRequest, ServerResponse> like) {
                     EventLoop loop = leaving.get();
                     if (loop != null) {
                         loop.schedule(() -> sound.start(serverId, new Unheard(like)), LATE_MS, TimeUnit.MILLISECONDS);
@@ -52,24 +52,24 @@
                 }
 
                 @Override
-                public void start(String serverId, Exchange<ClientRequest, Answer> exchange) {
+                public void start(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
                     sound.start(serverId, exchange);
                 }
 
                 @Override
-                public boolean giveUp(String serverId, Exchange<ClientRequest, Answer> exchange) {
+                public boolean abandon(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
                     again(serverId, exchange);
-                    return sound.giveUp(serverId, exchange);
+                    return sound.abandon(serverId, exchange);
                 }
 
                 @Override
-                public boolean withdraw(String serverId, Exchange<ClientRequest, Answer> exchange) {
+                public boolean withdraw(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
                     return sound.withdraw(serverId, exchange);
                 }
 
                 @Override
-                public ClientRequest probe() {
-                    return sound.probe();
+                public ClientRequest probeRequest() {
+                    return sound.probeRequest();
                 }
 
                 @Override
@@ -86,20 +86,20 @@
     }
 
     /** Sent like another, with nobody to hear its end. */
-    private record Unheard(Transport.Exchange<ClientRequest, Answer> like)
-            implements Transport.Exchange<ClientRequest, Answer> {
+    private record Unheard(Transport.Exchange<ClientRequest, ServerResponse> like)
+            implements Transport.Exchange<ClientRequest, ServerResponse> {
         @Override
         public ClientRequest request() {
             return like.request();
         }
 
         @Override
-        public long untilUs() {
-            return like.untilUs();
+        public long expiresAtUs() {
+            return like.expiresAtUs();
         }
 
         @Override
-        public void ended(Result result, Answer answer) {}
+        public void onEnded(Result result, ServerResponse answer) {}
     }
 
     @Test
--- a/src/test/java/kitemux/world/Mutant.java
+++ b/src/test/java/kitemux/world/Mutant.java
@@ -22,7 +22,7 @@
 import kitemux.Balancer.ServerEntry;
 import kitemux.engine.Transport;
 import kitemux.http.ClientRequest;
-import kitemux.net.Answer;
+import kitemux.net.ServerResponse;
 
 /** Deliberate defects, each with the rule that it breaks and the kind of world that it is looked for in. */
 enum Mutant implements Defect {
@@ -49,11 +49,11 @@
     },
     TIMEOUT_TAKEN_FOR_NEVER_SENT(Rule.EFFECTS, "boxes-die-at-restart") {
         @Override
-        public Transport<ClientRequest, Answer> transport(Transport<ClientRequest, Answer> sound) {
+        public Transport<ClientRequest, ServerResponse> transport(Transport<ClientRequest, ServerResponse> sound) {
             return new Carried(sound) {
                 @Override
-                public boolean giveUp(String serverId, Exchange<ClientRequest, Answer> exchange) {
-                    super.giveUp(serverId, exchange);
+                public boolean abandon(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
+                    super.abandon(serverId, exchange);
                     return false;
                 }
             };
@@ -72,10 +72,10 @@
     },
     SENT_TWICE_AT_ONCE(Rule.EFFECTS, "calm") {
         @Override
-        public Transport<ClientRequest, Answer> transport(Transport<ClientRequest, Answer> sound) {
+        public Transport<ClientRequest, ServerResponse> transport(Transport<ClientRequest, ServerResponse> sound) {
             return new Carried(sound) {
                 @Override
-                public void start(String serverId, Exchange<ClientRequest, Answer> exchange) {
+                public void start(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
                     super.start(serverId, exchange);
                     if (exchange.request().classIndex() == 2) {
                         super.start(serverId, new Unheard(exchange));
@@ -86,10 +86,10 @@
     },
     SENT_TOO_OFTEN(Rule.EFFECTS, "calm") {
         @Override
-        public Transport<ClientRequest, Answer> transport(Transport<ClientRequest, Answer> sound) {
+        public Transport<ClientRequest, ServerResponse> transport(Transport<ClientRequest, ServerResponse> sound) {
             return new Carried(sound) {
                 @Override
-                public void start(String serverId, Exchange<ClientRequest, Answer> exchange) {
+                public void start(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
                     super.start(serverId, exchange);
                     for (int i = 0; i < 4 && exchange.request().classIndex() == 0; i++) {
                         super.start(serverId, new Unheard(exchange));
@@ -100,10 +100,10 @@
     },
     SECOND_COPY_WHERE_NONE_MAY_BE(Rule.EFFECTS, "random") {
         @Override
-        public Transport<ClientRequest, Answer> transport(Transport<ClientRequest, Answer> sound) {
+        public Transport<ClientRequest, ServerResponse> transport(Transport<ClientRequest, ServerResponse> sound) {
             return new Carried(sound) {
                 @Override
-                public void start(String serverId, Exchange<ClientRequest, Answer> exchange) {
+                public void start(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
                     super.start(serverId, exchange);
                     if (exchange.request().classIndex() == 0) {
                         super.start(serverId, new Unheard(exchange));
@@ -145,19 +145,19 @@
             Balancer.Settings set = new Balancer.Settings();
             sound.classes.forEach(c -> set.classes.add(new Balancer.RequestClass(
                     c.name(),
-                    c.aimUs(),
-                    c.aimStretch(),
+                    c.targetLatencyUs(),
+                    c.targetLatencyPerWork(),
                     c.deadlineUs(),
                     c.worth(),
                     c.lateWorth(),
-                    c.repeat(),
-                    c.group(),
+                    c.retrySafety(),
+                    c.dedupScope(),
                     10_000_000,
                     c.stream())));
             set.tenants.addAll(sound.tenants);
             set.zones.addAll(sound.zones);
             set.maxAttempts = sound.maxAttempts;
-            set.cancel = true;
+            set.cancellationAllowed = true;
             set.listOnRequest = true;
             set.nodes = sound.nodes;
             return set;
@@ -232,7 +232,7 @@
                                     r.id(),
                                     r.classIndex(),
                                     r.tenant(),
-                                    r.leftUs() + 500_000,
+                                    r.remainingUs() + 500_000,
                                     r.workUs(),
                                     r.retry(),
                                     r.key()));
@@ -262,20 +262,20 @@
     },
     SENT_AFTER_THE_ANSWER(Rule.ANSWERED, "calm") {
         @Override
-        public Transport<ClientRequest, Answer> transport(Transport<ClientRequest, Answer> sound) {
+        public Transport<ClientRequest, ServerResponse> transport(Transport<ClientRequest, ServerResponse> sound) {
             return new Carried(sound) {
-                private final List<Exchange<ClientRequest, Answer>> over = new ArrayList<>();
+                private final List<Exchange<ClientRequest, ServerResponse>> over = new ArrayList<>();
                 private final Set<String> again = new HashSet<>();
 
                 @Override
-                public void start(String serverId, Exchange<ClientRequest, Answer> exchange) {
+                public void start(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
                     super.start(serverId, exchange);
                     // By then it has long been answered.
                     if (exchange.request().classIndex() == 0) {
                         over.add(exchange);
                     }
                     if (over.size() > 50) {
-                        Exchange<ClientRequest, Answer> old = over.remove(0);
+                        Exchange<ClientRequest, ServerResponse> old = over.remove(0);
                         if (again.add(old.request().txn())) {
                             super.start(serverId, new Unheard(old));
                         }
@@ -286,12 +286,12 @@
     },
     SENT_ON_FOR_ONE_THAT_LEFT(Rule.GONE, "random") {
         @Override
-        public Transport<ClientRequest, Answer> transport(Transport<ClientRequest, Answer> sound) {
+        public Transport<ClientRequest, ServerResponse> transport(Transport<ClientRequest, ServerResponse> sound) {
             return new Carried(sound) {
-                private final List<Exchange<ClientRequest, Answer>> givenUp = new ArrayList<>();
+                private final List<Exchange<ClientRequest, ServerResponse>> givenUp = new ArrayList<>();
 
                 @Override
-                public void start(String serverId, Exchange<ClientRequest, Answer> exchange) {
+                public void start(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
                     super.start(serverId, exchange);
                     if (givenUp.size() > 5) {
                         super.start(serverId, new Unheard(givenUp.remove(0)));
@@ -299,9 +299,9 @@
                 }
 
                 @Override
-                public boolean giveUp(String serverId, Exchange<ClientRequest, Answer> exchange) {
+                public boolean abandon(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
                     givenUp.add(exchange);
-                    return super.giveUp(serverId, exchange);
+                    return super.abandon(serverId, exchange);
                 }
             };
         }
@@ -358,10 +358,10 @@
     },
     ATTEMPT_LEAKED(Rule.FLIGHT, "random") {
         @Override
-        public Transport<ClientRequest, Answer> transport(Transport<ClientRequest, Answer> sound) {
+        public Transport<ClientRequest, ServerResponse> transport(Transport<ClientRequest, ServerResponse> sound) {
             return new Carried(sound) {
                 @Override
-                public boolean giveUp(String serverId, Exchange<ClientRequest, Answer> exchange) {
+                public boolean abandon(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
                     return true;
                 }
             };
@@ -439,48 +439,48 @@
     }
 
     /** Sent like another, with nobody to hear its end. */
-    private record Unheard(Transport.Exchange<ClientRequest, Answer> like)
-            implements Transport.Exchange<ClientRequest, Answer> {
+    private record Unheard(Transport.Exchange<ClientRequest, ServerResponse> like)
+            implements Transport.Exchange<ClientRequest, ServerResponse> {
         @Override
         public ClientRequest request() {
             return like.request();
         }
 
         @Override
-        public long untilUs() {
-            return like.untilUs();
+        public long expiresAtUs() {
+            return like.expiresAtUs();
         }
 
         @Override
-        public void ended(Result result, Answer answer) {}
+        public void onEnded(Result result, ServerResponse answer) {}
     }
 
     /** Passes all on. */
-    private static class Carried implements Transport<ClientRequest, Answer> {
-        private final Transport<ClientRequest, Answer> sound;
+    private static class Carried implements Transport<ClientRequest, ServerResponse> {
+        private final Transport<ClientRequest, ServerResponse> sound;
 
-        Carried(Transport<ClientRequest, Answer> sound) {
+        Carried(Transport<ClientRequest, ServerResponse> sound) {
             this.sound = sound;
         }
 
         @Override
-        public void start(String serverId, Exchange<ClientRequest, Answer> exchange) {
+        public void start(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
             sound.start(serverId, exchange);
         }
 
         @Override
-        public boolean giveUp(String serverId, Exchange<ClientRequest, Answer> exchange) {
-            return sound.giveUp(serverId, exchange);
+        public boolean abandon(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
+            return sound.abandon(serverId, exchange);
         }
 
         @Override
-        public boolean withdraw(String serverId, Exchange<ClientRequest, Answer> exchange) {
+        public boolean withdraw(String serverId, Exchange<ClientRequest, ServerResponse> exchange) {
             return sound.withdraw(serverId, exchange);
         }
 
         @Override
-        public ClientRequest probe() {
-            return sound.probe();
+        public ClientRequest probeRequest() {
+            return sound.probeRequest();
         }
 
         @Override
