--- a/src/main/java/kitemux/fleet/ClientPopulation.java
+++ b/src/main/java/kitemux/fleet/ClientPopulation.java
@@ -1,8 +1,8 @@
 package kitemux.fleet;
 
 import java.util.List;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.sim.Scheduler;
 
 /**
@@ -96,16 +96,17 @@
      * proportion to the current one, so that every variant of the fleet meets the same clients.
      */
     private void scheduleNextArrival() {
-        scheduler.scheduleAfterUs((long) arrivalRandom.exponential(1e6 / (fleet.load().ratePerS() * maxLoadFactor)), () -> {
-            long now = scheduler.nowUs();
-            if (now >= fleet.load().durationUs()) {
-                return;
-            }
-            boolean arrives =
-                    arrivalRandom.nextDouble() * maxLoadFactor < fleet.load().factorAt(now);
-            drawRequest(arrives, NO_TENANT);
-            scheduleNextArrival();
-        });
+        scheduler.scheduleAfterUs(
+                (long) arrivalRandom.exponential(1e6 / (fleet.load().ratePerS() * maxLoadFactor)), () -> {
+                    long now = scheduler.nowUs();
+                    if (now >= fleet.load().durationUs()) {
+                        return;
+                    }
+                    boolean arrives = arrivalRandom.nextDouble() * maxLoadFactor
+                            < fleet.load().factorAt(now);
+                    drawRequest(arrives, NO_TENANT);
+                    scheduleNextArrival();
+                });
     }
 
     /**
@@ -248,11 +249,17 @@
         private void tryEnded(ClientTry.Outcome outcome, long retryAfterUs) {
             if (outcome == ClientTry.Outcome.SERVED) {
                 outcomes.served(
-                        arrivedAtUs, classIndex, tenant, worth, scheduler.nowUs() - arrivedAtUs, requestClass.targetLatencyUs());
+                        arrivedAtUs,
+                        classIndex,
+                        tenant,
+                        worth,
+                        scheduler.nowUs() - arrivedAtUs,
+                        requestClass.targetLatencyUs());
                 return;
             }
             Fleet.Clients clients = fleet.clients();
-            boolean isRetrySafe = outcome == ClientTry.Outcome.REFUSED || requestClass.retrySafety() != RetrySafety.UNSAFE;
+            boolean isRetrySafe =
+                    outcome == ClientTry.Outcome.REFUSED || requestClass.retrySafety() != RetrySafety.UNSAFE;
             long waitUs = (long) (clients.backoffUs() * (1L << (triesSent - 1)) * (0.5 + clientRandom.nextDouble()));
             if (outcome == ClientTry.Outcome.REFUSED
                     && clientRandom.nextDouble() < clients.retryAfterComplianceRatio()) {
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -418,10 +418,12 @@
         int restartCount = fault.count() == 0 ? eligibleNodes.size() : Math.min(fault.count(), eligibleNodes.size());
         for (int n = 0; n < restartCount; n++) {
             int node = eligibleNodes.get(n);
-            scheduler.scheduleAfterUs(n / atOnce * (fault.durationUs() + fleet.nodes().startupUs()), () -> {
-                killNode(node);
-                scheduler.scheduleAfterUs(fault.durationUs() + fleet.nodes().startupUs(), () -> startNode(node));
-            });
+            scheduler.scheduleAfterUs(
+                    n / atOnce * (fault.durationUs() + fleet.nodes().startupUs()), () -> {
+                        killNode(node);
+                        scheduler.scheduleAfterUs(
+                                fault.durationUs() + fleet.nodes().startupUs(), () -> startNode(node));
+                    });
         }
     }
 
--- a/src/main/java/kitemux/fleet/Fleet.java
+++ b/src/main/java/kitemux/fleet/Fleet.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 
 /**
  * A fleet, its load and the faults that occur, as the emulator runs it. Times are in microseconds, rates per
@@ -513,7 +513,8 @@
             require(problems, work.cv >= 0, prefix + "cv must not be negative");
             require(
                     problems,
-                    work.requestClass.targetLatencyUs() > 0 && work.requestClass.deadlineUs() >= work.requestClass.targetLatencyUs(),
+                    work.requestClass.targetLatencyUs() > 0
+                            && work.requestClass.deadlineUs() >= work.requestClass.targetLatencyUs(),
                     prefix + "aim must be above 0 and at most the deadline");
             require(
                     problems,
--- a/src/main/java/kitemux/fleet/RuleChecker.java
+++ b/src/main/java/kitemux/fleet/RuleChecker.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Locale;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.sim.Scheduler;
 
 /**
@@ -76,7 +76,8 @@
                     // The copy that was sent last may start first; the rack recognises a duplicate in either order.
                     case KEYED ->
                         sentUs <= clientTry.firstSentUs + clientTry.requestClass.dedupWindowUs()
-                                && (clientTry.requestClass.dedupScope() != DedupScope.CELL || clientTry.rack == box.rack);
+                                && (clientTry.requestClass.dedupScope() != DedupScope.CELL
+                                        || clientTry.rack == box.rack);
                     case UNSAFE -> false;
                 };
         if (!isAllowed) {
--- a/src/main/java/kitemux/keeper/ConfigRules.java
+++ b/src/main/java/kitemux/keeper/ConfigRules.java
@@ -12,10 +12,10 @@
 import kitemux.config.Json;
 import kitemux.config.SettingsReader;
 import kitemux.net.Addresses;
-import kitemux.rollout.ValidationError;
 import kitemux.rollout.History;
-import kitemux.rollout.Rules;
 import kitemux.rollout.ProtocolParameters;
+import kitemux.rollout.Rules;
+import kitemux.rollout.ValidationError;
 
 /**
  * What paths of a configuration mean: fields by the names that a node's file has them under, read by the same
--- a/src/main/java/kitemux/keeper/StatusText.java
+++ b/src/main/java/kitemux/keeper/StatusText.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SortedMap;
-import kitemux.rollout.ValidationError;
 import kitemux.rollout.Inventory;
 import kitemux.rollout.Inventory.NodeStatus;
 import kitemux.rollout.Report;
+import kitemux.rollout.ValidationError;
 
 /** What a keeper tells operators, as JSON: how nodes stand to a version, and what is wrong with a call. */
 final class StatusText {
--- a/src/main/java/kitemux/load/RequestRecorder.java
+++ b/src/main/java/kitemux/load/RequestRecorder.java
@@ -5,57 +5,57 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.Balancer.Result;
-import kitemux.engine.RequestInfo;
-import kitemux.engine.Observer;
 import kitemux.engine.Clock;
+import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 
 /**
- * Gathers what a node sees of each request, on its loop, and hands it on once nothing more is heard of it. It
- * never waits: what cannot be handed on is counted and left out.
+ * Collects the events of each request on a node's event loop, and hands the request to a sink once no further
+ * events can follow. It never blocks: the sink drops and counts requests that it cannot accept.
  */
 public final class RequestRecorder implements Observer {
     private final Clock time;
     private final Sink sink;
-    private final Map<Long, Open> open = new HashMap<>();
+    private final Map<Long, OpenRequest> openRequests = new HashMap<>();
 
-    /** Takes what is handed on. */
+    /** Receives recorded requests. */
     public interface Sink {
-        /** Takes it, or counts it as left out; never waits. */
-        void offer(CapturedRequest seen);
+        /** Accepts a request, or drops and counts it. Never blocks. */
+        void offer(CapturedRequest request);
     }
 
-    private static final class Open {
-        final long cameUs;
+    private static final class OpenRequest {
+        final long arrivedUs;
         final int classIndex;
-        final int tenant;
-        final boolean repeat;
-        final long leftUs;
-        final List<Sent> sent = new ArrayList<>(1);
+        final int tenantIndex;
+        final boolean isRetry;
+        final long remainingUs;
+        final List<SentAttempt> attempts = new ArrayList<>(1);
         RequestOutcome answer = RequestOutcome.LEFT;
         long answeredUs;
 
-        Open(long cameUs, RequestInfo asked) {
-            this.cameUs = cameUs;
-            classIndex = asked.classIndex();
-            tenant = asked.tenant();
-            repeat = asked.isRetry();
-            leftUs = asked.remainingUs();
+        OpenRequest(long arrivedUs, RequestInfo request) {
+            this.arrivedUs = arrivedUs;
+            classIndex = request.classIndex();
+            tenantIndex = request.tenant();
+            isRetry = request.isRetry();
+            remainingUs = request.remainingUs();
         }
     }
 
-    private static final class Sent {
+    private static final class SentAttempt {
         final String server;
-        final long atUs;
+        final long sentUs;
         long endedUs;
         Result result;
 
-        Sent(String server, long atUs) {
+        SentAttempt(String server, long sentUs) {
             this.server = server;
-            this.atUs = atUs;
+            this.sentUs = sentUs;
         }
     }
 
-    /** Holds nothing yet. */
+    /** Creates a recorder without any requests. */
     public RequestRecorder(Clock time, Sink sink) {
         this.time = time;
         this.sink = sink;
@@ -63,59 +63,62 @@
 
     @Override
     public void onRequestAccepted(long id, RequestInfo request) {
-        open.put(id, new Open(time.nowUs() - request.ageUs(), request));
+        openRequests.put(id, new OpenRequest(time.nowUs() - request.ageUs(), request));
     }
 
     @Override
-    public void onAttemptStarted(long id, int attempt, String serverId, long untilUs) {
-        Open of = open.get(id);
-        if (of != null) {
-            of.sent.add(new Sent(serverId, time.nowUs()));
+    public void onAttemptStarted(long id, int attempt, String serverId, long deadlineUs) {
+        OpenRequest openRequest = openRequests.get(id);
+        if (openRequest != null) {
+            openRequest.attempts.add(new SentAttempt(serverId, time.nowUs()));
         }
     }
 
     @Override
     public void onAttemptEnded(long id, int attempt, Result result) {
-        Open of = open.get(id);
-        if (of != null && attempt < of.sent.size()) {
-            of.sent.get(attempt).endedUs = time.nowUs();
-            of.sent.get(attempt).result = result;
+        OpenRequest openRequest = openRequests.get(id);
+        if (openRequest != null && attempt < openRequest.attempts.size()) {
+            openRequest.attempts.get(attempt).endedUs = time.nowUs();
+            openRequest.attempts.get(attempt).result = result;
         }
     }
 
     @Override
     public void onRequestAnswered(long id, RequestOutcome answer) {
-        Open of = open.get(id);
-        if (of != null) {
-            of.answer = answer;
-            of.answeredUs = time.nowUs();
+        OpenRequest openRequest = openRequests.get(id);
+        if (openRequest != null) {
+            openRequest.answer = answer;
+            openRequest.answeredUs = time.nowUs();
         }
     }
 
     @Override
     public void onRequestReleased(long id) {
-        Open of = open.remove(id);
-        if (of == null) {
+        OpenRequest openRequest = openRequests.remove(id);
+        if (openRequest == null) {
             return;
         }
-        List<CapturedRequest.Attempt> attempts = new ArrayList<>(of.sent.size());
-        for (Sent one : of.sent) {
+        List<CapturedRequest.Attempt> attempts = new ArrayList<>(openRequest.attempts.size());
+        for (SentAttempt attempt : openRequest.attempts) {
             attempts.add(new CapturedRequest.Attempt(
-                    one.server, Math.max(0, one.atUs - of.cameUs), Math.max(0, one.endedUs - one.atUs), one.result));
+                    attempt.server,
+                    Math.max(0, attempt.sentUs - openRequest.arrivedUs),
+                    Math.max(0, attempt.endedUs - attempt.sentUs),
+                    attempt.result));
         }
         sink.offer(new CapturedRequest(
-                of.cameUs,
-                of.classIndex,
-                of.tenant,
-                of.repeat,
-                of.leftUs,
+                openRequest.arrivedUs,
+                openRequest.classIndex,
+                openRequest.tenantIndex,
+                openRequest.isRetry,
+                openRequest.remainingUs,
                 attempts,
-                of.answer,
-                Math.max(0, of.answeredUs - of.cameUs)));
+                openRequest.answer,
+                Math.max(0, openRequest.answeredUs - openRequest.arrivedUs)));
     }
 
-    /** Requests of which more is to be heard. */
+    /** Returns the number of requests for which further events are expected. */
     int openCount() {
-        return open.size();
+        return openRequests.size();
     }
 }
--- a/src/main/java/kitemux/node/LiveSettings.java
+++ b/src/main/java/kitemux/node/LiveSettings.java
@@ -16,9 +16,9 @@
 import kitemux.Balancer.Tenant;
 import kitemux.config.Json;
 import kitemux.keeper.ConfigRules;
-import kitemux.rollout.ValidationError;
 import kitemux.rollout.History;
 import kitemux.rollout.Rules;
+import kitemux.rollout.ValidationError;
 
 /**
  * What a node takes of a configuration that it is told while it runs. What that does not name stays as the
--- a/src/main/java/kitemux/plan/CapturedWorkload.java
+++ b/src/main/java/kitemux/plan/CapturedWorkload.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.fleet.Fleet;
-import kitemux.load.ServerSpeedEstimator;
 import kitemux.load.LoadSummary;
+import kitemux.load.ServerSpeedEstimator;
 
 /** Replaces the load and work of a fleet description by those of captured traffic. */
 public final class CapturedWorkload {
@@ -34,8 +34,8 @@
      */
     public static Fleet applyLoad(Fleet fleet, LoadSummary summary, List<String> faults) {
         if (summary.firstTries() < MIN_FIRST_TRY_COUNT || summary.durationS() < 1) {
-            faults.add("--load: holds " + summary.firstTries() + " first tries in " + summary.durationS() + " s; at least "
-                    + MIN_FIRST_TRY_COUNT + " in 1 s are needed");
+            faults.add("--load: holds " + summary.firstTries() + " first tries in " + summary.durationS()
+                    + " s; at least " + MIN_FIRST_TRY_COUNT + " in 1 s are needed");
             return fleet;
         }
         for (String name : summary.classes().keySet()) {
--- a/src/main/java/kitemux/rollout/History.java
+++ b/src/main/java/kitemux/rollout/History.java
@@ -183,7 +183,8 @@
         }
         int bytes = RolloutText.write(change).length;
         if (bytes > ProtocolParameters.MAX_CHANGE_BYTES) {
-            faults.add(new ValidationError("change", "has " + bytes + " bytes; " + ProtocolParameters.MAX_CHANGE_BYTES + " are allowed"));
+            faults.add(new ValidationError(
+                    "change", "has " + bytes + " bytes; " + ProtocolParameters.MAX_CHANGE_BYTES + " are allowed"));
         }
         return faults;
     }
@@ -191,17 +192,21 @@
     private static List<ValidationError> bounds(SortedMap<String, String> next) {
         List<ValidationError> faults = new ArrayList<>();
         if (next.size() > ProtocolParameters.MAX_PATH_COUNT) {
-            faults.add(new ValidationError("set", "makes " + next.size() + " paths; " + ProtocolParameters.MAX_PATH_COUNT + " are allowed"));
+            faults.add(new ValidationError(
+                    "set", "makes " + next.size() + " paths; " + ProtocolParameters.MAX_PATH_COUNT + " are allowed"));
         }
         long bytes = 0;
         for (Map.Entry<String, String> value : next.entrySet()) {
             bytes += RolloutText.utf8Length(value.getKey()) + RolloutText.utf8Length(value.getValue());
         }
         if (bytes > ProtocolParameters.MAX_CONFIGURATION_BYTES) {
-            faults.add(new ValidationError("set", "makes " + bytes + " bytes; " + ProtocolParameters.MAX_CONFIGURATION_BYTES + " are allowed"));
+            faults.add(new ValidationError(
+                    "set",
+                    "makes " + bytes + " bytes; " + ProtocolParameters.MAX_CONFIGURATION_BYTES + " are allowed"));
         }
         if (next.containsKey(VOTERS_PATH) && RolloutText.readVoters(next.get(VOTERS_PATH)) == null) {
-            faults.add(new ValidationError(VOTERS_PATH, "is no list of 1, 3 or 5 voters as \"0:9f2c\", each keeper once"));
+            faults.add(
+                    new ValidationError(VOTERS_PATH, "is no list of 1, 3 or 5 voters as \"0:9f2c\", each keeper once"));
         }
         return faults;
     }
--- a/src/main/java/kitemux/rollout/Proposer.java
+++ b/src/main/java/kitemux/rollout/Proposer.java
@@ -64,7 +64,8 @@
      * @param seed of what it draws: the lengths of its phases
      * @param chosen is told each version that it had chosen
      */
-    public Proposer(ProtocolParameters terms, int me, History history, Rules rules, long seed, Consumer<Version> chosen) {
+    public Proposer(
+            ProtocolParameters terms, int me, History history, Rules rules, long seed, Consumer<Version> chosen) {
         this.terms = terms;
         this.me = me;
         this.history = history;
@@ -103,7 +104,8 @@
     public void propose(long nowUs, long call, Change change, List<Effect> out) {
         if (waiting.size() >= ProtocolParameters.MAX_QUEUED_CHANGE_COUNT) {
             rejectedChanges++;
-            out.add(new Effect.CompleteChange(call, new Outcome.Unavailable(ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + " changes wait")));
+            out.add(new Effect.CompleteChange(
+                    call, new Outcome.Unavailable(ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + " changes wait")));
             return;
         }
         waiting.add(new Call(call, change));
--- a/src/main/java/kitemux/rollout/Report.java
+++ b/src/main/java/kitemux/rollout/Report.java
@@ -12,7 +12,8 @@
  * @param pendingRestart paths of it that are so only after a restart
  * @param rejections what it does not take, and why
  */
-public record Report(int node, long incarnation, long rev, SortedSet<String> pendingRestart, List<Rejection> rejections) {
+public record Report(
+        int node, long incarnation, long rev, SortedSet<String> pendingRestart, List<Rejection> rejections) {
     /** A fault of a version that stays out of force. */
     public record Rejection(long rev, String path, String reason) {}
 }
--- a/src/main/java/kitemux/scale/HollowNode.java
+++ b/src/main/java/kitemux/scale/HollowNode.java
@@ -25,16 +25,16 @@
 import kitemux.Balancer.Settings;
 import kitemux.ServiceQBalancer;
 import kitemux.discovery.Discovery;
-import kitemux.engine.RequestInfo;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 import kitemux.engine.SendGate;
-import kitemux.net.HostList;
 import kitemux.net.EventLoopClock;
+import kitemux.net.HostList;
+import kitemux.net.InputAwareChannel;
 import kitemux.net.Network;
 import kitemux.net.NioNetwork;
-import kitemux.net.InputAwareChannel;
 import kitemux.net.SelectorLoop;
 import kitemux.net.ServerPool;
 import kitemux.net.SocketBudget;
@@ -122,7 +122,13 @@
         time = EventLoopClock.of(loop);
         Network network = new Counted();
         pool = new ServerPool<>(
-                loop, network, new SocketBudget(SOCKETS), time, settings.connectTimeoutUs, CONN_IDLE_US, new NoRequests());
+                loop,
+                network,
+                new SocketBudget(SOCKETS),
+                time,
+                settings.connectTimeoutUs,
+                CONN_IDLE_US,
+                new NoRequests());
         discovery = new Discovery(
                 loop,
                 network,
@@ -166,7 +172,8 @@
             threadId = Thread.currentThread().getId();
             time.tick();
             put(new HostList(0, true, List.of()), ListKind.CACHED);
-            loop.scheduleAtFixedRate(pool::closeExpiredConnections, HOUSEKEEPING_MS, HOUSEKEEPING_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleAtFixedRate(
+                    pool::closeExpiredConnections, HOUSEKEEPING_MS, HOUSEKEEPING_MS, TimeUnit.MILLISECONDS);
             loop.scheduleWithFixedDelay(time::tick, 0, EventLoopClock.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
             if (peers != null) {
                 meet();
--- a/src/main/java/kitemux/world/World.java
+++ b/src/main/java/kitemux/world/World.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
 import kitemux.sim.Scheduler;
@@ -144,8 +144,8 @@
         Settings set = new Settings();
         set.nodes = plan.nodes();
         set.zones.add("amman-room");
-        set.classes.add(
-                new RequestClass("view-page", 100_000, 0, 500_000, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 5_000_000, false));
+        set.classes.add(new RequestClass(
+                "view-page", 100_000, 0, 500_000, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 5_000_000, false));
         set.classes.add(new RequestClass(
                 "add-photo", 200_000, 0, 600_000, 5, 0, RetrySafety.KEYED, plan.group(), plan.windowUs(), false));
         set.classes.add(new RequestClass(
--- a/src/test/java/kitemux/fleet/FleetFixtures.java
+++ b/src/test/java/kitemux/fleet/FleetFixtures.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 
 /** Fleets used as a starting point by tests. */
 public final class FleetFixtures {
--- a/src/test/java/kitemux/http/LongAnswerBoundsTest.java
+++ b/src/test/java/kitemux/http/LongAnswerBoundsTest.java
@@ -21,19 +21,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
-import kitemux.engine.Log;
 import kitemux.engine.Clock;
+import kitemux.engine.Log;
 import kitemux.engine.Transport.Exchange;
-import kitemux.net.ServerResponse;
 import kitemux.net.HostList;
 import kitemux.net.NioNetwork;
 import kitemux.net.ServerPool;
+import kitemux.net.ServerResponse;
 import kitemux.net.SocketBudget;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -109,7 +109,8 @@
     void anAnswerHasBegun() throws Exception {
         listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         Settings settings = new Settings();
-        settings.classes.add(new RequestClass("page", 100_000, 0, DEADLINE_US, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 0, false));
+        settings.classes.add(
+                new RequestClass("page", 100_000, 0, DEADLINE_US, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 0, false));
         Log log = new Log() {
             @Override
             public void info(String text) {}
--- a/src/test/java/kitemux/lab/LoopbackTest.java
+++ b/src/test/java/kitemux/lab/LoopbackTest.java
@@ -17,8 +17,8 @@
 import kitemux.fleet.Fleet;
 import kitemux.fleet.RunResult;
 import kitemux.load.CaptureFile;
-import kitemux.load.ServerSpeedEstimator;
 import kitemux.load.LoadSummary;
+import kitemux.load.ServerSpeedEstimator;
 import kitemux.plan.FleetFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -149,8 +149,9 @@
                 speeds.add(CaptureFile.read(file));
             }
         }
-        Map<String, Double> found =
-                speeds.estimateSpeeds().stream().collect(Collectors.toMap(ServerSpeedEstimator.ServerSpeed::server, ServerSpeedEstimator.ServerSpeed::speed));
+        Map<String, Double> found = speeds.estimateSpeeds().stream()
+                .collect(Collectors.toMap(
+                        ServerSpeedEstimator.ServerSpeed::server, ServerSpeedEstimator.ServerSpeed::speed));
         assertEquals(Set.of("old-0", "old-1", "std-0", "std-1"), found.keySet());
         assertEquals(2, found.get("std-0") / found.get("old-0"), 0.3, found::toString);
         assertEquals(2, found.get("std-1") / found.get("old-1"), 0.3, found::toString);
--- a/src/test/java/kitemux/net/ConnectErrorHandlerTest.java
+++ b/src/test/java/kitemux/net/ConnectErrorHandlerTest.java
@@ -8,10 +8,11 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
+/** Tests errors on a connection that has not been taken over by the pool. */
 class ConnectErrorHandlerTest {
 
     @Test
-    void aConnectionThatIsResetIsClosedAndNothingIsSaid() {
+    void resetConnectionIsClosedSilently() {
         EmbeddedChannel channel = new EmbeddedChannel(new ConnectErrorHandler());
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
         channel.checkException();
@@ -19,7 +20,7 @@
     }
 
     @Test
-    void aDefectIsNotHidden() {
+    void unexpectedExceptionIsPropagated() {
         EmbeddedChannel channel = new EmbeddedChannel(new ConnectErrorHandler());
         IllegalStateException defect = new IllegalStateException("defect");
         channel.pipeline().fireExceptionCaught(defect);
--- a/src/test/java/kitemux/net/SelectorLoopTest.java
+++ b/src/test/java/kitemux/net/SelectorLoopTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Tests the poll time that an event loop reports. */
 class SelectorLoopTest {
     private final SelectorLoop loop = SelectorLoop.open();
 
@@ -24,9 +25,9 @@
         loop.parent().shutdownGracefully(0, 20, TimeUnit.SECONDS).sync();
     }
 
-    /** What has waited in the selector has not lain there unread. */
+    /** Time that the loop spends waiting in the selector does not count as read lag. */
     @Test
-    void aPollIsWhereItsWaitEnds() throws Exception {
+    void pollTimeIsTakenAfterTheSelectorWait() throws Exception {
         long waitNanos = TimeUnit.MILLISECONDS.toNanos(200);
         CompletableFuture<Long> waited = new CompletableFuture<>();
         loop.execute(() -> {
@@ -38,10 +39,10 @@
     }
 
     @Test
-    void whileItReadsAPollIsTheOneBeforeAndInTasksItIsOfTheirTurn() throws Exception {
-        CompletableFuture<Long> reading = new CompletableFuture<>();
-        CompletableFuture<Long> behind = new CompletableFuture<>();
-        try (ServerSocket far = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+    void readsSeeThePreviousPollAndTasksSeeTheCurrentOne() throws Exception {
+        CompletableFuture<Long> whileReading = new CompletableFuture<>();
+        CompletableFuture<Long> inTask = new CompletableFuture<>();
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
@@ -49,29 +50,29 @@
                         @Override
                         public void channelRead(ChannelHandlerContext context, Object bytes) {
                             ((ByteBuf) bytes).release();
-                            reading.complete(loop.lastPollNanos());
-                            loop.execute(() -> behind.complete(loop.lastPollNanos()));
+                            whileReading.complete(loop.lastPollNanos());
+                            loop.execute(() -> inTask.complete(loop.lastPollNanos()));
                         }
                     })
-                    .connect(far.getLocalSocketAddress())
+                    .connect(server.getLocalSocketAddress())
                     .sync();
-            try (Socket peer = far.accept()) {
-                CountDownLatch standing = new CountDownLatch(1);
+            try (Socket peer = server.accept()) {
+                CountDownLatch blocked = new CountDownLatch(1);
                 CountDownLatch release = new CountDownLatch(1);
                 loop.execute(() -> {
-                    standing.countDown();
+                    blocked.countDown();
                     try {
                         release.await(20, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-                standing.await();
+                blocked.await();
                 long writtenNanos = loop.ticker().nanoTime();
                 peer.getOutputStream().write(0);
                 release.countDown();
-                assertTrue(reading.get(20, TimeUnit.SECONDS) - writtenNanos < 0);
-                assertTrue(behind.get(20, TimeUnit.SECONDS) - writtenNanos > 0);
+                assertTrue(whileReading.get(20, TimeUnit.SECONDS) - writtenNanos < 0);
+                assertTrue(inTask.get(20, TimeUnit.SECONDS) - writtenNanos > 0);
             }
         }
     }
--- a/src/test/java/kitemux/rollout/BoundsTest.java
+++ b/src/test/java/kitemux/rollout/BoundsTest.java
@@ -142,7 +142,12 @@
         WatchEvent one = first(solo, 5);
         assertEquals(2, assertInstanceOf(WatchEvent.Update.class, one).rev());
         assertEquals(
-                new WatchEvent.SnapshotPart(ProtocolParameters.MAX_HISTORY_VERSION_COUNT + 1, 1, 1, solo.machine.history().values()), first(solo, 6));
+                new WatchEvent.SnapshotPart(
+                        ProtocolParameters.MAX_HISTORY_VERSION_COUNT + 1,
+                        1,
+                        1,
+                        solo.machine.history().values()),
+                first(solo, 6));
         assertInstanceOf(
                 Outcome.Conflict.class,
                 solo.change(9, Change.of("ffffffffffffffff", 0, Map.of("limits/y", "1"), List.of())));
@@ -150,13 +155,16 @@
         KeeperStateMachine again = new KeeperStateMachine(TERMS, ME, 1, List.of(ME), new ToyRules(false), kept, 2, 0);
         assertEquals(solo.machine.history().values(), again.history().values());
         assertEquals(kept, again.toRecords());
-        KeeperStateMachine fromDisk = new KeeperStateMachine(TERMS, ME, 1, List.of(ME), new ToyRules(false), solo.disk, 2, 0);
+        KeeperStateMachine fromDisk =
+                new KeeperStateMachine(TERMS, ME, 1, List.of(ME), new ToyRules(false), solo.disk, 2, 0);
         assertEquals(kept, fromDisk.toRecords());
     }
 
     private static WatchEvent first(Solo solo, long watch) {
         return solo.done.stream()
-                .filter(e -> e instanceof Effect.SendEvent t && t.watch() == watch && !(t.event() instanceof WatchEvent.Heartbeat))
+                .filter(e -> e instanceof Effect.SendEvent t
+                        && t.watch() == watch
+                        && !(t.event() instanceof WatchEvent.Heartbeat))
                 .map(e -> ((Effect.SendEvent) e).event())
                 .findFirst()
                 .orElseThrow();
@@ -205,8 +213,9 @@
         }
         assertTrue(phases > 1, "it has tried again");
         assertTrue(solo.done.stream()
-                .anyMatch(e ->
-                        e instanceof Effect.CompleteChange c && c.call() == 0 && c.outcome() instanceof Outcome.Unavailable));
+                .anyMatch(e -> e instanceof Effect.CompleteChange c
+                        && c.call() == 0
+                        && c.outcome() instanceof Outcome.Unavailable));
     }
 
     @Test
@@ -215,10 +224,11 @@
         for (int i = 1; i <= ProtocolParameters.MAX_RESPONSE_VERSION_COUNT + 1; i++) {
             solo.put(Map.of("limits/x", Integer.toString(i)));
         }
-        Effect.Reply reply =
-                (Effect.Reply) solo.machine.handleRequest(0, 3, new Request.Fetch(0)).get(0);
+        Effect.Reply reply = (Effect.Reply)
+                solo.machine.handleRequest(0, 3, new Request.Fetch(0)).get(0);
         Response.Versions known = (Response.Versions) reply.answer();
-        assertEquals(ProtocolParameters.MAX_RESPONSE_VERSION_COUNT, known.versions().size());
+        assertEquals(
+                ProtocolParameters.MAX_RESPONSE_VERSION_COUNT, known.versions().size());
         assertEquals(ProtocolParameters.MAX_RESPONSE_VERSION_COUNT + 1, known.newestRev());
     }
 
@@ -255,8 +265,12 @@
         Effect.SendReport report = (Effect.SendReport) subscriber
                 .handleEvent(2, watch, new WatchEvent.Update(1, new SortedValues(40, "2").map, new TreeSet<>()))
                 .get(0);
-        assertEquals(ProtocolParameters.MAX_REPORTED_COUNT, report.report().rejections().size());
-        assertEquals(ProtocolParameters.MAX_REPORTED_COUNT, report.report().pendingRestart().size());
+        assertEquals(
+                ProtocolParameters.MAX_REPORTED_COUNT,
+                report.report().rejections().size());
+        assertEquals(
+                ProtocolParameters.MAX_REPORTED_COUNT,
+                report.report().pendingRestart().size());
         assertEquals(0, subscriber.rev());
     }
 
--- a/src/test/java/kitemux/rollout/Orders.java
+++ b/src/test/java/kitemux/rollout/Orders.java
@@ -187,7 +187,14 @@
     private void start(World world, int k) {
         List<Voter> voters = List.of(new Voter(0, "a"), new Voter(1, "a"), new Voter(2, "a"));
         world.keepers[k] = new KeeperStateMachine(
-                ProtocolParameters.defaults(), voters.get(k), KEEPERS, voters, NO_RULES, world.disks.get(k), 7, world.nowUs[k]);
+                ProtocolParameters.defaults(),
+                voters.get(k),
+                KEEPERS,
+                voters,
+                NO_RULES,
+                world.disks.get(k),
+                7,
+                world.nowUs[k]);
     }
 
     private void step(World world, Judge judge, int choice) {
@@ -238,7 +245,8 @@
                 if (defect.syncs(write.entry())) {
                     world.disks.get(k).add(write.entry());
                 }
-                if (write.entry() instanceof LogRecord.Voted voted && voted.vote().accepted() != null) {
+                if (write.entry() instanceof LogRecord.Voted voted
+                        && voted.vote().accepted() != null) {
                     judge.see(new Judge.OnDisk(
                             0, k, voted.vote().rev(), voted.vote().accepted().id()));
                 }
