--- a/src/main/java/kitemux/bench/KillRuns.java
+++ b/src/main/java/kitemux/bench/KillRuns.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import kitemux.orders.JournalReader.VerificationResult;
-import kitemux.orders.OrderJournal;
 import kitemux.orders.OrderHistory;
 import kitemux.orders.OrderHistory.State;
+import kitemux.orders.OrderJournal;
 import kitemux.standin.OrderBox;
 import kitemux.standin.OrderBox.Did;
 
--- a/src/main/java/kitemux/cli/LoadCommand.java
+++ b/src/main/java/kitemux/cli/LoadCommand.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import kitemux.load.CaptureFile;
-import kitemux.load.ServerSpeedEstimator;
 import kitemux.load.LoadSummary;
+import kitemux.load.ServerSpeedEstimator;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -213,8 +213,8 @@
                         of.clientResponseTimeUs(50) / 1e3,
                         of.clientResponseTimeUs(99) / 1e3));
         all.firstTriesByTenant()
-                .forEach((name, wanted) ->
-                        line(out, "%s: %.3f of what was wanted", name, (double) wanted / Math.max(1, all.firstTries())));
+                .forEach((name, wanted) -> line(
+                        out, "%s: %.3f of what was wanted", name, (double) wanted / Math.max(1, all.firstTries())));
         all.steps()
                 .forEach(step -> line(
                         out,
@@ -229,7 +229,10 @@
         double rate = all.durationS() == 0 ? 0 : all.firstTries() / all.durationS();
         all.classes()
                 .forEach((name, of) -> line(
-                        out, "# class \"%s\": share = %.4f", name, (double) of.firstTries() / Math.max(1, all.firstTries())));
+                        out,
+                        "# class \"%s\": share = %.4f",
+                        name,
+                        (double) of.firstTries() / Math.max(1, all.firstTries())));
         all.firstTriesByTenant()
                 .forEach((name, wanted) -> line(
                         out,
--- a/src/main/java/kitemux/cli/OrdersCommand.java
+++ b/src/main/java/kitemux/cli/OrdersCommand.java
@@ -16,14 +16,14 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 import kitemux.bench.KillRuns;
+import kitemux.orders.DuplicateMatch;
 import kitemux.orders.Entry.Accepted;
 import kitemux.orders.JournalReader;
 import kitemux.orders.JournalReader.VerificationResult;
-import kitemux.orders.DuplicateMatch;
-import kitemux.orders.OrderJournal;
 import kitemux.orders.OrderHistory;
 import kitemux.orders.OrderHistory.State;
 import kitemux.orders.OrderHistoryText;
+import kitemux.orders.OrderJournal;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -118,7 +118,8 @@
                     if (asked.size() < MOST_ASKED) {
                         asked.add(story.accepted());
                     }
-                    System.out.println(json ? OrderHistoryText.toJson(story, live) : OrderHistoryText.toSentence(story, live));
+                    System.out.println(
+                            json ? OrderHistoryText.toJson(story, live) : OrderHistoryText.toSentence(story, live));
                 };
                 if (order == null && key == null) {
                     OrderJournal.reader(journal).forEachHistory(about, print);
@@ -233,7 +234,8 @@
                 }
                 reader.forEachHistory(
                         taken -> taken.atUs() >= sinceUs,
-                        story -> System.out.println(json ? OrderHistoryText.toJson(story, live) : OrderHistoryText.toCsv(story, live)));
+                        story -> System.out.println(
+                                json ? OrderHistoryText.toJson(story, live) : OrderHistoryText.toCsv(story, live)));
                 return Main.DONE;
             } catch (DateTimeParseException e) {
                 return unusable("--since is no time: " + since);
--- a/src/main/java/kitemux/cli/TryCommand.java
+++ b/src/main/java/kitemux/cli/TryCommand.java
@@ -280,8 +280,11 @@
 
     private String line(Emulation live, long nowUs) {
         RunResult now = live.result();
-        long refused = now.classes().stream().mapToLong(RunResult.ClassOutcome::refused).sum();
-        long failed = now.classes().stream().mapToLong(RunResult.ClassOutcome::failed).sum();
+        long refused = now.classes().stream()
+                .mapToLong(RunResult.ClassOutcome::refused)
+                .sum();
+        long failed =
+                now.classes().stream().mapToLong(RunResult.ClassOutcome::failed).sum();
         List<Double> seconds = now.inTimeBySecond();
         int second = (int) Math.min(seconds.size(), nowUs / 1_000_000) - 1;
         return String.format(
@@ -329,8 +332,9 @@
                     result.inTimeByTenant().get(t));
         }
         for (String rule : RULES) {
-            long told =
-                    result.violations().stream().filter(line -> line.contains(rule)).count();
+            long told = result.violations().stream()
+                    .filter(line -> line.contains(rule))
+                    .count();
             out.println(rule + ": " + (told == 0 ? "kept" : "BROKEN, " + told + " told of"));
         }
         result.violations().forEach(line -> out.println("  " + line));
--- a/src/main/java/kitemux/config/SettingsReader.java
+++ b/src/main/java/kitemux/config/SettingsReader.java
@@ -2,9 +2,9 @@
 
 import java.util.Map;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ReportField;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
 
--- a/src/main/java/kitemux/discovery/Discovery.java
+++ b/src/main/java/kitemux/discovery/Discovery.java
@@ -30,8 +30,8 @@
 import kitemux.Balancer.ServerState;
 import kitemux.config.ConfigException;
 import kitemux.config.Json;
-import kitemux.engine.ServerListSource;
 import kitemux.engine.Log;
+import kitemux.engine.ServerListSource;
 import kitemux.net.HostList;
 import kitemux.net.JsonFrameReader;
 import kitemux.net.Network;
@@ -320,7 +320,8 @@
                 switch (what) {
                     case OBJECT -> readList(lines.takeObject());
                     // A beat. As the first word it says that nothing has changed: the call has its answer.
-                    case HEARTBEAT -> heard(told || !place.revIsOfHere ? null : new HostList(place.rev, false, List.of()));
+                    case HEARTBEAT ->
+                        heard(told || !place.revIsOfHere ? null : new HostList(place.rev, false, List.of()));
                     default -> broken("bad line: " + lines.malformedText());
                 }
             }
--- a/src/main/java/kitemux/lab/Deeds.java
+++ b/src/main/java/kitemux/lab/Deeds.java
@@ -83,7 +83,8 @@
                 boxes.add(kind.name() + "-" + i);
             }
         });
-        List<String> tenants = fleet.tenants().stream().map(Fleet.TenantShare::name).toList();
+        List<String> tenants =
+                fleet.tenants().stream().map(Fleet.TenantShare::name).toList();
         int number = 0;
         for (String line : text.lines().toList()) {
             number++;
@@ -127,13 +128,16 @@
             case BACK -> live.recover(to);
             case RESTART -> live.restartNode();
             case FLOOD -> {
-                int tenant =
-                        fleet.tenants().stream().map(Fleet.TenantShare::name).toList().indexOf(to);
+                int tenant = fleet.tenants().stream()
+                        .map(Fleet.TenantShare::name)
+                        .toList()
+                        .indexOf(to);
                 Fleet.TenantShare of = fleet.tenants().get(tenant);
                 double all = fleet.tenants().stream()
                         .mapToDouble(t -> t.share() * t.usageRatio())
                         .sum();
-                live.addTenantLoad(tenant, (FLOOD - 1) * fleet.load().ratePerS() * of.share() * of.usageRatio() / all, FLOOD_US);
+                live.addTenantLoad(
+                        tenant, (FLOOD - 1) * fleet.load().ratePerS() * of.share() * of.usageRatio() / all, FLOOD_US);
             }
         }
     }
--- a/src/main/java/kitemux/lab/ExperimentFile.java
+++ b/src/main/java/kitemux/lab/ExperimentFile.java
@@ -107,7 +107,11 @@
                 clients.nodeSkew()));
         Fleet.Nodes nodes = fleet.nodes();
         fleet = fleet.with(new Fleet.Nodes(
-                of.whole("nodes", nodes.count()), nodes.eventCostUs(), nodes.cores(), nodes.startupUs(), nodes.failureDetectionUs()));
+                of.whole("nodes", nodes.count()),
+                nodes.eventCostUs(),
+                nodes.cores(),
+                nodes.startupUs(),
+                nodes.failureDetectionUs()));
         List<Fleet.Fault> wrong = new ArrayList<>(fleet.faults());
         of.repeated("fault").forEach(fault -> wrong.add(FleetFile.readFault(fault)));
         fleet = fleet.withFaults(wrong);
@@ -193,8 +197,8 @@
                 require(
                         faults,
                         variant.fleet().faults().stream()
-                                .noneMatch(fault -> fault.kind() == Fleet.FaultKind.VANISH
-                                        || fault.kind() == Fleet.FaultKind.CUT),
+                                .noneMatch(fault ->
+                                        fault.kind() == Fleet.FaultKind.VANISH || fault.kind() == Fleet.FaultKind.CUT),
                         at + "what vanishes without a word cannot be played over loopback;"
                                 + " take where = [\"emulator\"]");
                 require(
--- a/src/main/java/kitemux/lab/Loopback.java
+++ b/src/main/java/kitemux/lab/Loopback.java
@@ -29,10 +29,10 @@
 import kitemux.Balancer.Settings;
 import kitemux.config.ConfigText;
 import kitemux.fleet.Box;
+import kitemux.fleet.ClientTry;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.RunResult;
-import kitemux.fleet.ClientTry;
 import kitemux.sim.Scheduler;
 
 /**
--- a/src/main/java/kitemux/load/CaptureWriter.java
+++ b/src/main/java/kitemux/load/CaptureWriter.java
@@ -15,96 +15,101 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.stream.Stream;
-import kitemux.engine.Observer;
 import kitemux.engine.Clock;
+import kitemux.engine.Observer;
 import org.jctools.queues.SpscArrayQueue;
 
 /**
- * Writes what a node sees to files, on a thread of its own. Between the loop and it stands a ring of fixed
- * size: what comes while it is full is counted and left out, as is what a failing disk does not take, and
- * the next batch that is written says how many. Nothing is synced: after a kill of the machine the last
- * seconds may be missing, after one of the process what was not written in the last {@link #BATCH_NANOS}.
+ * Writes the requests of a node to capture files, on a dedicated thread. The event loop hands requests over
+ * through a ring of fixed size. Requests are dropped and counted if the ring is full or the disk fails, and the
+ * next batch that is written records their number. Files are not synced: a crash of the machine may lose the
+ * last seconds, and a crash of the process may lose the last {@link #BATCH_INTERVAL_NANOS}.
  */
 public final class CaptureWriter implements RequestRecorder.Sink, AutoCloseable {
-    /** The end of a captured file's name. */
+    /** Suffix of the names of capture files. */
     public static final String FILE_SUFFIX = ".kmload";
 
-    private static final long BATCH_NANOS = 200_000_000L;
-    private static final int MOST_IN_BATCH = 4_096;
-    /** After the disk has failed, until it is tried again. */
-    private static final long REST_NANOS = 1_000_000_000L;
+    private static final long BATCH_INTERVAL_NANOS = 200_000_000L;
+    private static final int MAX_BATCH_COUNT = 4_096;
+    /** Interval between attempts to write after a disk failure. */
+    private static final long RETRY_INTERVAL_NANOS = 1_000_000_000L;
 
     private final LoadSettings settings;
     private final String node;
     private final List<String> classes;
     private final List<String> tenants;
-    private final LongSupplier nowUs;
-    private final Consumer<String> say;
+    private final LongSupplier clockUs;
+    private final Consumer<String> operatorLog;
     private final SpscArrayQueue<CapturedRequest> ring;
     private final AtomicLong unreportedDropCount = new AtomicLong();
     private final SecureRandom random = new SecureRandom();
-    private final Thread writer;
-    /** The writer is woken after so many, a quarter of the ring; its own pause is for when fewer come. */
-    private final int wakeEach;
+    private final Thread writerThread;
+    /**
+     * Requests after which the writer is woken, a quarter of the ring. With fewer requests it wakes up by itself
+     * after {@link #BATCH_INTERVAL_NANOS}.
+     */
+    private final int wakeThresholdCount;
 
-    private volatile boolean closing;
+    private volatile boolean isClosing;
 
     private FileChannel file;
     private long fileBytes;
-    private long leftOut;
-    private volatile boolean failed;
-    /** Requests offered since the writer was last woken; the loop's. */
-    private int sinceWake;
+    private long droppedCount;
+    private volatile boolean hasFailed;
+    /** Requests offered since the writer was last woken; used on the event loop only. */
+    private int offersSinceWake;
 
     /**
-     * Starts the writer; the first file is begun with the first request.
+     * Starts the writer thread. The first file is created when the first request arrives.
      *
-     * @param node names whose files these are
-     * @param nowUs Unix time in microseconds, from any thread
-     * @param say lines for the operators, from any thread
-     * @throws IOException if the folder cannot be made or written to
+     * @param node the node's name, which is written to the files
+     * @param classes the names of the request classes, in the order of their indexes
+     * @param tenants the names of the tenants, in the order of their indexes
+     * @param clockUs supplies the Unix time in microseconds; called on any thread
+     * @param operatorLog receives lines for the operators, on any thread
+     * @throws IOException if the folder cannot be created or is not writable
      */
     public CaptureWriter(
             LoadSettings settings,
             String node,
             List<String> classes,
             List<String> tenants,
-            LongSupplier nowUs,
-            Consumer<String> say)
+            LongSupplier clockUs,
+            Consumer<String> operatorLog)
             throws IOException {
         this.settings = settings;
         this.node = node;
         this.classes = classes;
         this.tenants = tenants;
-        this.nowUs = nowUs;
-        this.say = say;
+        this.clockUs = clockUs;
+        this.operatorLog = operatorLog;
         Files.createDirectories(settings.folder());
         if (!Files.isWritable(settings.folder())) {
-            throw new IOException(settings.folder() + " may not be written to");
+            throw new IOException(settings.folder() + " is not writable");
         }
         ring = new SpscArrayQueue<>(settings.ring());
-        wakeEach = settings.ring() / 4;
-        writer = new Thread(this::run, "load");
-        writer.setDaemon(true);
-        writer.start();
+        wakeThresholdCount = settings.ring() / 4;
+        writerThread = new Thread(this::run, "load");
+        writerThread.setDaemon(true);
+        writerThread.start();
     }
 
-    /** Gathers on a loop what is to be written here. */
+    /** Returns an observer that records requests on an event loop and hands them to this writer. */
     public Observer recorder(Clock time) {
         return new RequestRecorder(time, this);
     }
 
     @Override
-    public void offer(CapturedRequest seen) {
-        if (!ring.offer(seen)) {
+    public void offer(CapturedRequest request) {
+        if (!ring.offer(request)) {
             unreportedDropCount.incrementAndGet();
-        } else if (++sinceWake >= wakeEach && !failed) {
-            sinceWake = 0;
-            LockSupport.unpark(writer);
+        } else if (++offersSinceWake >= wakeThresholdCount && !hasFailed) {
+            offersSinceWake = 0;
+            LockSupport.unpark(writerThread);
         }
     }
 
-    /** Requests that were left out and that no batch has told of yet, as the ring was full. */
+    /** Returns the number of requests that a full ring dropped and that no batch has recorded yet. */
     public long unreportedDropCount() {
         return unreportedDropCount.get();
     }
@@ -114,79 +119,80 @@
     private void run() {
         List<CapturedRequest> batch = new ArrayList<>();
         while (true) {
-            boolean last = closing;
-            ring.drain(batch::add, MOST_IN_BATCH);
-            if (!batch.isEmpty() || last && unreportedDropCount.get() + leftOut > 0) {
+            boolean isLastPass = isClosing;
+            ring.drain(batch::add, MAX_BATCH_COUNT);
+            if (!batch.isEmpty() || isLastPass && unreportedDropCount.get() + droppedCount > 0) {
                 write(batch);
                 batch.clear();
-            } else if (last) {
+            } else if (isLastPass) {
                 break;
             }
-            if (ring.size() < MOST_IN_BATCH && !closing) {
-                LockSupport.parkNanos(failed ? REST_NANOS : BATCH_NANOS);
+            if (ring.size() < MAX_BATCH_COUNT && !isClosing) {
+                LockSupport.parkNanos(hasFailed ? RETRY_INTERVAL_NANOS : BATCH_INTERVAL_NANOS);
             }
-            if (failed && last) {
+            if (hasFailed && isLastPass) {
                 break;
             }
         }
-        end();
+        closeFile();
     }
 
     private void write(List<CapturedRequest> batch) {
-        long before = leftOut + unreportedDropCount.getAndSet(0);
-        leftOut = before;
+        long droppedBefore = droppedCount + unreportedDropCount.getAndSet(0);
+        droppedCount = droppedBefore;
         try {
             if (file == null) {
-                begin();
+                beginFile();
             }
-            append(CaptureFormat.batch(new CaptureFormat.Batch(before, batch)));
-            leftOut = 0;
-            failed = false;
+            append(CaptureFormat.encodeBatch(new CaptureFormat.Batch(droppedBefore, batch)));
+            droppedCount = 0;
+            hasFailed = false;
             if (fileBytes >= settings.fileBytes()) {
-                end();
+                closeFile();
             }
         } catch (IOException e) {
-            leftOut = before + batch.size();
-            if (!failed) {
-                say.accept("load: what comes is left out and counted, as it cannot be written: " + e.getMessage());
+            droppedCount = droppedBefore + batch.size();
+            if (!hasFailed) {
+                operatorLog.accept(
+                        "load: requests are dropped and counted, since they cannot be written: " + e.getMessage());
             }
-            failed = true;
-            // What was written of the batch is a frame cut off, behind which nothing could be read.
-            end();
+            hasFailed = true;
+            // The file may end with an incomplete frame, and a reader would not find anything behind it.
+            closeFile();
         }
     }
 
     private void append(byte[] bytes) throws IOException {
-        ByteBuffer left = ByteBuffer.wrap(bytes);
-        while (left.hasRemaining()) {
-            fileBytes += file.write(left);
+        ByteBuffer remaining = ByteBuffer.wrap(bytes);
+        while (remaining.hasRemaining()) {
+            fileBytes += file.write(remaining);
         }
     }
 
-    private void begin() throws IOException {
-        makeRoom();
-        long now = nowUs.getAsLong();
+    private void beginFile() throws IOException {
+        deleteOldFiles();
+        long now = clockUs.getAsLong();
         long id = random.nextLong() >>> 1;
         Path path = settings.folder().resolve(String.format("%016d-%016x", now, id) + FILE_SUFFIX);
         file = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         fileBytes = 0;
         append(CaptureFormat.MAGIC);
-        append(CaptureFormat.head(new CaptureFormat.Head(id, node, now, classes, tenants)));
+        append(CaptureFormat.encodeHeader(new CaptureFormat.Header(id, node, now, classes, tenants)));
     }
 
-    private void end() {
+    private void closeFile() {
         if (file != null) {
             try {
                 file.close();
             } catch (IOException e) {
-                say.accept("load: a file could not be closed: " + e.getMessage());
+                operatorLog.accept("load: a capture file could not be closed: " + e.getMessage());
             }
             file = null;
         }
     }
 
-    /** The oldest files go until there is room for one more. Names begin with the time. */
-    private void makeRoom() throws IOException {
+    /** Deletes the oldest files until there is room for another one. The names sort by time. */
+    private void deleteOldFiles() throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.list(settings.folder())) {
             files = all.filter(path -> path.getFileName().toString().endsWith(FILE_SUFFIX))
@@ -203,13 +209,13 @@
         }
     }
 
-    /** Writes what waits, and ends the writer. Nothing is to be offered from then on. */
+    /** Writes the requests in the ring and ends the writer thread. No request may be offered afterwards. */
     @Override
     public void close() {
-        closing = true;
-        LockSupport.unpark(writer);
+        isClosing = true;
+        LockSupport.unpark(writerThread);
         try {
-            writer.join();
+            writerThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/kitemux/ops/Operations.java
+++ b/src/main/java/kitemux/ops/Operations.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.concurrent.Executor;
 import kitemux.Balancer.RequestClass;
+import kitemux.engine.Clock;
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
-import kitemux.engine.Clock;
 import kitemux.net.HostList;
 import kitemux.net.SocketBudget;
 
--- a/src/main/java/kitemux/plan/CapturedWorkload.java
+++ b/src/main/java/kitemux/plan/CapturedWorkload.java
@@ -4,37 +4,43 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.fleet.Fleet;
-import kitemux.load.ServerSpeedEstimator;
 import kitemux.load.LoadSummary;
+import kitemux.load.ServerSpeedEstimator;
 
-/** Puts what was captured in the place of what a description says of the load. */
+/** Replaces the load and work of a fleet description by those of captured traffic. */
 public final class CapturedWorkload {
-    /** Of what was wanted: a class that hardly came is left as it is described. */
-    private static final double NOTHING = 1e-4;
-    /** Rates rest on fewer first tries than this by chance alone. */
-    private static final long LEAST_WANTED = 100;
-    /** Deviations over means under which work counts as fixed, and so near 1 as exponential. */
-    private static final double FIXED = 0.05;
+    /**
+     * Lowest share of a class or usage of a tenant, which keeps it valid even if the capture hardly contains
+     * it.
+     */
+    private static final double MIN_SHARE_RATIO = 1e-4;
+    /** Lowest number of captured first tries; rates of fewer would be dominated by chance. */
+    private static final long MIN_FIRST_TRY_COUNT = 100;
+    /** Coefficient of variation below which work counts as fixed. */
+    private static final double FIXED_MAX_CV = 0.05;
 
-    private static final double LIKE_EXPONENTIAL = 0.1;
+    /** Distance of the coefficient of variation from 1 within which work counts as exponential. */
+    private static final double EXPONENTIAL_CV_TOLERANCE = 0.1;
 
     private CapturedWorkload() {}
 
     /**
-     * The same fleet under captured load: rate and shape over time, shares of classes, and what tenants ask
-     * against their share. Work, aims and all else stay as they are described, as a capture cannot tell them.
+     * Returns the fleet with the captured load: its rate and profile, the shares of classes, and the usage of
+     * tenants relative to their shares. Work, latency objectives and all else stay as described, because a
+     * capture does not contain them.
      *
-     * @param faults one line is added for each reason why it cannot be done, with what it is about
-     * @return the fleet; not to be played if there are faults
+     * @param faults receives one line for each reason why the capture does not fit the description
+     * @return the fleet; invalid if faults were added
      */
     public static Fleet applyLoad(Fleet fleet, LoadSummary summary, List<String> faults) {
-        if (summary.firstTries() < LEAST_WANTED || summary.durationS() < 1) {
-            faults.add("--load: holds " + summary.firstTries() + " first tries in " + summary.durationS() + " s; at least "
-                    + LEAST_WANTED + " in 1 s are needed");
+        if (summary.firstTries() < MIN_FIRST_TRY_COUNT || summary.durationS() < 1) {
+            faults.add("--load: holds " + summary.firstTries() + " first tries in " + summary.durationS()
+                    + " s; at least " + MIN_FIRST_TRY_COUNT + " in 1 s are needed");
             return fleet;
         }
         for (String name : summary.classes().keySet()) {
-            if (fleet.classes().stream().noneMatch(work -> work.requestClass().name().equals(name))) {
+            if (fleet.classes().stream()
+                    .noneMatch(workload -> workload.requestClass().name().equals(name))) {
                 faults.add("--load: has class \"" + name + "\", which the description does not have");
             }
         }
@@ -48,74 +54,85 @@
             return fleet;
         }
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
-        for (Fleet.ClassWorkload work : fleet.classes()) {
-            LoadSummary.ClassSummary of = summary.classes().get(work.requestClass().name());
-            double share = of == null ? 0 : (double) of.firstTries() / summary.firstTries();
-            classes.add(new Fleet.ClassWorkload(work.requestClass(), Math.max(NOTHING, share), work.meanWorkUs(), work.distribution(), work.cv()));
+        for (Fleet.ClassWorkload workload : fleet.classes()) {
+            LoadSummary.ClassSummary captured =
+                    summary.classes().get(workload.requestClass().name());
+            double share = captured == null ? 0 : (double) captured.firstTries() / summary.firstTries();
+            classes.add(new Fleet.ClassWorkload(
+                    workload.requestClass(),
+                    Math.max(MIN_SHARE_RATIO, share),
+                    workload.meanWorkUs(),
+                    workload.distribution(),
+                    workload.cv()));
         }
-        return fleet.withClasses(classes).withTenants(tenants(fleet, summary)).with(shape(fleet.load(), summary));
+        return fleet.withClasses(classes).withTenants(tenants(fleet, summary)).with(profile(fleet.load(), summary));
     }
 
     /**
-     * The same fleet whose classes are as much work as captured answers say. What is captured is told for a
-     * server
-     * of mean speed; the description's servers say how quick that is.
+     * Returns the fleet with the captured work of its classes. Captured work refers to a server of mean speed
+     * and is converted by the mean speed of the described servers.
      *
-     * @param works what captures tell; a class that they do not tell of stays as it is described
+     * @param capturedWork captured work by class; classes without an entry stay as described
      */
-    public static Fleet applyWork(Fleet fleet, List<ServerSpeedEstimator.ClassWork> works) {
-        double logs = fleet.kinds().stream()
+    public static Fleet applyWork(Fleet fleet, List<ServerSpeedEstimator.ClassWork> capturedWork) {
+        double logSpeedSum = fleet.kinds().stream()
                 .mapToDouble(k -> k.count() * Math.log(k.speed()))
                 .sum();
-        double meanSpeed = Math.exp(logs / fleet.serverCount());
+        double meanSpeed = Math.exp(logSpeedSum / fleet.serverCount());
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
         for (Fleet.ClassWorkload described : fleet.classes()) {
-            classes.add(works.stream()
+            classes.add(capturedWork.stream()
                     .filter(w -> w.className().equals(described.requestClass().name()))
                     .findFirst()
                     .map(w -> new Fleet.ClassWorkload(
-                            described.requestClass(), described.share(), w.meanUs() * meanSpeed, spread(w.cv()), w.cv()))
+                            described.requestClass(),
+                            described.share(),
+                            w.meanUs() * meanSpeed,
+                            distribution(w.cv()),
+                            w.cv()))
                     .orElse(described));
         }
         return fleet.withClasses(classes);
     }
 
-    private static Fleet.WorkDistribution spread(double cv) {
-        if (cv < FIXED) {
+    private static Fleet.WorkDistribution distribution(double cv) {
+        if (cv < FIXED_MAX_CV) {
             return Fleet.WorkDistribution.FIXED;
         }
-        return Math.abs(cv - 1) < LIKE_EXPONENTIAL ? Fleet.WorkDistribution.EXPONENTIAL : Fleet.WorkDistribution.LOGNORMAL;
+        return Math.abs(cv - 1) < EXPONENTIAL_CV_TOLERANCE
+                ? Fleet.WorkDistribution.EXPONENTIAL
+                : Fleet.WorkDistribution.LOGNORMAL;
     }
 
     private static List<Fleet.TenantShare> tenants(Fleet fleet, LoadSummary summary) {
-        double entitled =
+        double totalShare =
                 fleet.tenants().stream().mapToDouble(Fleet.TenantShare::share).sum();
-        Map<String, Long> wanted = summary.firstTriesByTenant();
+        Map<String, Long> firstTriesByTenant = summary.firstTriesByTenant();
         return fleet.tenants().stream()
                 .map(t -> new Fleet.TenantShare(
                         t.name(),
                         t.share(),
                         Math.max(
-                                NOTHING,
-                                wanted.getOrDefault(t.name(), 0L)
+                                MIN_SHARE_RATIO,
+                                firstTriesByTenant.getOrDefault(t.name(), 0L)
                                         / (double) summary.firstTries()
-                                        / (t.share() / entitled))))
+                                        / (t.share() / totalShare))))
                 .toList();
     }
 
-    private static Fleet.Load shape(Fleet.Load load, LoadSummary summary) {
-        double rate = summary.firstTries() / summary.durationS();
+    private static Fleet.Load profile(Fleet.Load load, LoadSummary summary) {
+        double ratePerS = summary.firstTries() / summary.durationS();
         List<Fleet.LoadPoint> shape = new ArrayList<>();
         List<LoadSummary.Step> steps = summary.steps();
-        // A step's rate is that of its middle; the last one is not whole.
+        // The rate of a step applies to its middle. The last step is incomplete and is left out.
         for (int i = 0; i < Math.max(1, steps.size() - 1); i++) {
             double middleS = i + 1 < steps.size()
                     ? (steps.get(i).startS() + steps.get(i + 1).startS()) / 2
                     : 0;
-            shape.add(new Fleet.LoadPoint((long) (middleS * 1e6), steps.get(i).firstTriesPerS() / rate));
+            shape.add(new Fleet.LoadPoint((long) (middleS * 1e6), steps.get(i).firstTriesPerS() / ratePerS));
         }
         return new Fleet.Load(
-                rate,
+                ratePerS,
                 Math.max(1_000_000, (long) (summary.durationS() * 1e6)),
                 shape,
                 load.quotaPerS(),
--- a/src/main/java/kitemux/plan/FleetFile.java
+++ b/src/main/java/kitemux/plan/FleetFile.java
@@ -7,64 +7,75 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.fleet.Fleet;
 import kitemux.hcl.Places;
 import kitemux.hcl.Section;
 
 /**
- * Reads a fleet, its load and what goes wrong from a description in HCL; {@code docs/operate/plan.md} has all
- * fields.
+ * Reads a fleet, its load and its faults from a description in HCL.
+ * {@code docs/operate/plan.md} documents the fields.
  */
 public final class FleetFile {
     private FleetFile() {}
 
-    /** Where descriptions are that others name. */
+    /** Provides the text of descriptions that other descriptions refer to. */
     public interface FileSource {
-        /** The text of a file, by its path from the folder of whoever names it. */
+        /**
+         * Returns the text of a file.
+         *
+         * @param path path relative to the folder of the referring file
+         * @throws IOException if the file cannot be read
+         */
         String read(String path) throws IOException;
     }
 
+    /** The values of the field {@code repeat}: whether a request of a class may be repeated. */
     private enum RepeatPolicy {
         SAFE,
         KEYED,
         NEVER_TWICE
     }
 
+    /** The values of the field {@code group}: the servers among which a repeated keyed request is recognised. */
     private enum DeduplicationScope {
         ALL,
         RACK
     }
 
     /**
-     * Reads a fleet that another description names.
+     * Reads a fleet that another description refers to.
      *
-     * @param path as it is named; empty where it is not
-     * @param namers gets what is wrong with the name, as faults of its field {@code fleet}
-     * @param own gets what is wrong in the fleet's description, with its places
+     * @param path path of the fleet's description; empty if none is given
+     * @param source provides the text
+     * @param referrerFaults receives faults of the reference itself, in the field {@code fleet}
+     * @param fleetFaults receives faults of the fleet's description, with their positions
      * @return the fleet; null if there are faults
      */
-    public static Fleet readNamed(String path, FileSource texts, List<String> namers, List<String> own) {
+    public static Fleet readNamed(
+            String path, FileSource source, List<String> referrerFaults, List<String> fleetFaults) {
         if (path.isEmpty()) {
             return null;
         }
         try {
-            String text = texts.read(path);
-            List<String> found = new ArrayList<>();
-            Fleet fleet = read(text, found);
-            own.addAll(Places.placed(path, text, found));
-            return own.isEmpty() ? fleet : null;
+            String text = source.read(path);
+            List<String> foundFaults = new ArrayList<>();
+            Fleet fleet = read(text, foundFaults);
+            fleetFaults.addAll(Places.placed(path, text, foundFaults));
+            return fleetFaults.isEmpty() ? fleet : null;
         } catch (IOException e) {
-            namers.add("fleet: " + path + " cannot be read: " + e.getMessage());
+            referrerFaults.add("fleet: " + path + " cannot be read: " + e.getMessage());
             return null;
         }
     }
 
     /**
+     * Reads a fleet from its description.
+     *
      * @param text the description
-     * @param faults gets all that is wrong, one line each with field and reason
-     * @return the fleet; not to be played if there are faults
+     * @param faults receives the faults, one line each with field and reason
+     * @return the fleet; must not be run if there are faults
      */
     public static Fleet read(String text, List<String> faults) {
         Map<String, Object> parsed;
@@ -74,187 +85,188 @@
             faults.add("this is not HCL: " + String.valueOf(e.getMessage()).replace('\n', ' '));
             return null;
         }
-        Section all = new Section("", parsed, faults);
+        Section root = new Section("", parsed, faults);
         List<Fleet.ServerKind> kinds = new ArrayList<>();
-        all.labelled("boxes", true).forEach((name, box) -> kinds.add(kind(name, box)));
+        root.labelled("boxes", true).forEach((name, section) -> kinds.add(kind(name, section)));
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
-        all.labelled("class", true).forEach((name, of) -> classes.add(work(name, of)));
+        root.labelled("class", true).forEach((name, section) -> classes.add(work(name, section)));
         List<Fleet.TenantShare> tenants = new ArrayList<>();
-        all.labelled("tenant", false).forEach((name, of) -> {
-            tenants.add(new Fleet.TenantShare(name, of.number("share", Double.NaN), of.number("usage", 1)));
-            of.end();
+        root.labelled("tenant", false).forEach((name, section) -> {
+            tenants.add(new Fleet.TenantShare(name, section.number("share", Double.NaN), section.number("usage", 1)));
+            section.end();
         });
-        Fleet.Nodes nodes = nodes(all.block("nodes", true));
-        Fleet.OverloadSlowdown choke = choke(all.block("choke", false));
-        Fleet.Links links = links(all.block("links", true));
-        Fleet.DiscoveryDelays list = list(all.block("list", false), faults);
-        Fleet.Clients clients = clients(all.block("clients", true));
-        Fleet.Load load = load(all.block("load", true));
-        List<Fleet.Fault> wrong = new ArrayList<>();
-        for (Section fault : all.repeated("fault")) {
-            wrong.add(readFault(fault));
+        Fleet.Nodes nodes = nodes(root.block("nodes", true));
+        Fleet.OverloadSlowdown slowdown = overloadSlowdown(root.block("choke", false));
+        Fleet.Links links = links(root.block("links", true));
+        Fleet.DiscoveryDelays delays = discoveryDelays(root.block("list", false), faults);
+        Fleet.Clients clients = clients(root.block("clients", true));
+        Fleet.Load load = load(root.block("load", true));
+        List<Fleet.Fault> injectedFaults = new ArrayList<>();
+        for (Section fault : root.repeated("fault")) {
+            injectedFaults.add(readFault(fault));
         }
         Fleet fleet = new Fleet(
                 kinds,
-                all.whole("racks", 1),
-                zones(all.part("zones")),
+                root.whole("racks", 1),
+                zones(root.part("zones")),
                 nodes,
-                choke,
+                slowdown,
                 links,
-                list,
+                delays,
                 clients,
                 classes,
                 tenants,
                 load,
-                wrong);
-        all.end();
+                injectedFaults);
+        root.end();
         if (faults.isEmpty()) {
             faults.addAll(fleet.validate());
         }
         return fleet;
     }
 
-    /** Something that goes wrong. */
-    public static Fleet.Fault readFault(Section of) {
+    /** Reads a fault from its section of a description. */
+    public static Fleet.Fault readFault(Section section) {
         Fleet.Fault fault = new Fleet.Fault(
-                of.word("trouble", Fleet.FaultKind.class, null),
-                of.word("among", Fleet.FaultScope.class, Fleet.FaultScope.ANY),
-                of.whole("which", 0),
-                of.whole("count", 0),
-                of.time("at", -1),
-                of.time("for", -1),
-                of.number("size", 1));
-        of.end();
+                section.word("trouble", Fleet.FaultKind.class, null),
+                section.word("among", Fleet.FaultScope.class, Fleet.FaultScope.ANY),
+                section.whole("which", 0),
+                section.whole("count", 0),
+                section.time("at", -1),
+                section.time("for", -1),
+                section.number("size", 1));
+        section.end();
         return fault;
     }
 
-    private static Fleet.ServerKind kind(String name, Section box) {
+    private static Fleet.ServerKind kind(String name, Section section) {
         Fleet.ServerKind kind = new Fleet.ServerKind(
                 name,
-                box.whole("count", Double.NaN),
-                box.whole("cores", 1),
-                box.number("speed", 1),
-                box.number("speed_cv", 0),
-                box.whole("queue", 1_000),
-                box.number("cold_from", 1),
-                box.time("cold", 0),
-                box.yes("warms_by_work", false),
-                box.number("cost", 1));
-        box.end();
+                section.whole("count", Double.NaN),
+                section.whole("cores", 1),
+                section.number("speed", 1),
+                section.number("speed_cv", 0),
+                section.whole("queue", 1_000),
+                section.number("cold_from", 1),
+                section.time("cold", 0),
+                section.yes("warms_by_work", false),
+                section.number("cost", 1));
+        section.end();
         return kind;
     }
 
-    private static Fleet.ClassWorkload work(String name, Section of) {
-        RepeatPolicy repeat = of.word("repeat", RepeatPolicy.class, null);
-        DeduplicationScope group = of.word("group", DeduplicationScope.class, DeduplicationScope.ALL);
-        RequestClass cls = new RequestClass(
+    private static Fleet.ClassWorkload work(String name, Section section) {
+        RepeatPolicy repeat = section.word("repeat", RepeatPolicy.class, null);
+        DeduplicationScope scope = section.word("group", DeduplicationScope.class, DeduplicationScope.ALL);
+        RequestClass requestClass = new RequestClass(
                 name,
-                of.time("aim", -1),
+                section.time("aim", -1),
                 0,
-                of.time("deadline", -1),
-                of.number("worth", 1),
-                of.number("late_worth", 0),
+                section.time("deadline", -1),
+                section.number("worth", 1),
+                section.number("late_worth", 0),
                 switch (repeat) {
                     case SAFE -> RetrySafety.SAFE;
                     case KEYED -> RetrySafety.KEYED;
                     case NEVER_TWICE -> RetrySafety.UNSAFE;
                 },
-                group == DeduplicationScope.ALL ? DedupScope.ALL : DedupScope.CELL,
-                of.time("window", 0),
+                scope == DeduplicationScope.ALL ? DedupScope.ALL : DedupScope.CELL,
+                section.time("window", 0),
                 false);
-        Fleet.ClassWorkload work = new Fleet.ClassWorkload(
-                cls,
-                of.number("share", Double.NaN),
-                of.time("work", -1),
-                of.word("spread", Fleet.WorkDistribution.class, Fleet.WorkDistribution.EXPONENTIAL),
-                of.number("cv", 1));
-        of.end();
-        return work;
+        Fleet.ClassWorkload workload = new Fleet.ClassWorkload(
+                requestClass,
+                section.number("share", Double.NaN),
+                section.time("work", -1),
+                section.word("spread", Fleet.WorkDistribution.class, Fleet.WorkDistribution.EXPONENTIAL),
+                section.number("cv", 1));
+        section.end();
+        return workload;
     }
 
-    private static Fleet.Nodes nodes(Section of) {
+    private static Fleet.Nodes nodes(Section section) {
         Fleet.Nodes nodes = new Fleet.Nodes(
-                of.whole("count", Double.NaN),
-                of.time("event", 60),
-                of.number("cores", 1),
-                of.time("start", 1_500_000),
-                of.time("notice", 2_000_000));
-        of.end();
+                section.whole("count", Double.NaN),
+                section.time("event", 60),
+                section.number("cores", 1),
+                section.time("start", 1_500_000),
+                section.time("notice", 2_000_000));
+        section.end();
         return nodes;
     }
 
-    private static Fleet.Zones zones(Section of) {
-        Fleet.Zones zones = new Fleet.Zones(of.whole("count", 1), of.time("across", 0), of.number("price", 0));
-        of.end();
+    private static Fleet.Zones zones(Section section) {
+        Fleet.Zones zones =
+                new Fleet.Zones(section.whole("count", 1), section.time("across", 0), section.number("price", 0));
+        section.end();
         return zones;
     }
 
-    private static Fleet.OverloadSlowdown choke(Section of) {
-        if (of == null) {
+    private static Fleet.OverloadSlowdown overloadSlowdown(Section section) {
+        if (section == null) {
             return null;
         }
-        Fleet.OverloadSlowdown choke = new Fleet.OverloadSlowdown(
-                of.number("at", Double.NaN),
-                of.time("over", -1),
-                of.number("slower", Double.NaN),
-                of.number("below", 0.3),
-                of.time("rest", -1),
-                of.time("most", -1));
-        of.end();
-        return choke;
+        Fleet.OverloadSlowdown slowdown = new Fleet.OverloadSlowdown(
+                section.number("at", Double.NaN),
+                section.time("over", -1),
+                section.number("slower", Double.NaN),
+                section.number("below", 0.3),
+                section.time("rest", -1),
+                section.time("most", -1));
+        section.end();
+        return slowdown;
     }
 
-    private static Fleet.Links links(Section of) {
+    private static Fleet.Links links(Section section) {
         Fleet.Links links = new Fleet.Links(
-                of.time("way", 200),
-                of.number("jitter", 0.2),
-                of.whole("handshakes", 2),
-                of.time("handshake", 0),
-                of.whole("most_per_core", 1_000),
-                of.time("idle", 60_000_000),
-                of.time("connect", 250_000));
-        of.end();
+                section.time("way", 200),
+                section.number("jitter", 0.2),
+                section.whole("handshakes", 2),
+                section.time("handshake", 0),
+                section.whole("most_per_core", 1_000),
+                section.time("idle", 60_000_000),
+                section.time("connect", 250_000));
+        section.end();
         return links;
     }
 
-    private static Fleet.DiscoveryDelays list(Section given, List<String> faults) {
-        Section of = given == null ? new Section("list", Map.of(), faults) : given;
-        Fleet.DiscoveryDelays list = new Fleet.DiscoveryDelays(
-                new Fleet.Range(of.time("gone_from", 560_000), of.time("gone_to", 5_000_000)),
-                new Fleet.Range(of.time("silent_from", 5_000_000), of.time("silent_to", 13_000_000)),
-                new Fleet.Range(of.time("back_from", 230_000), of.time("back_to", 2_100_000)),
-                of.time("grace", 500_000));
-        of.end();
-        return list;
+    private static Fleet.DiscoveryDelays discoveryDelays(Section configured, List<String> faults) {
+        Section section = configured == null ? new Section("list", Map.of(), faults) : configured;
+        Fleet.DiscoveryDelays delays = new Fleet.DiscoveryDelays(
+                new Fleet.Range(section.time("gone_from", 560_000), section.time("gone_to", 5_000_000)),
+                new Fleet.Range(section.time("silent_from", 5_000_000), section.time("silent_to", 13_000_000)),
+                new Fleet.Range(section.time("back_from", 230_000), section.time("back_to", 2_100_000)),
+                section.time("grace", 500_000));
+        section.end();
+        return delays;
     }
 
-    private static Fleet.Clients clients(Section of) {
+    private static Fleet.Clients clients(Section section) {
         Fleet.Clients clients = new Fleet.Clients(
-                of.time("way", 700),
-                of.whole("retries", 2),
-                of.number("try_from", 0.4),
-                of.number("try_to", 0.8),
-                of.time("backoff", 20_000),
-                of.number("honour", 0.85),
-                of.time("most_retry_after", 1_000_000),
-                of.number("skew", 0));
-        of.end();
+                section.time("way", 700),
+                section.whole("retries", 2),
+                section.number("try_from", 0.4),
+                section.number("try_to", 0.8),
+                section.time("backoff", 20_000),
+                section.number("honour", 0.85),
+                section.time("most_retry_after", 1_000_000),
+                section.number("skew", 0));
+        section.end();
         return clients;
     }
 
-    private static Fleet.Load load(Section of) {
+    private static Fleet.Load load(Section section) {
         List<Fleet.LoadPoint> shape = new ArrayList<>();
-        for (Section point : of.repeated("point")) {
+        for (Section point : section.repeated("point")) {
             shape.add(new Fleet.LoadPoint(point.time("at", 0), point.number("times", Double.NaN)));
             point.end();
         }
         Fleet.Load load = new Fleet.Load(
-                of.number("rate", Double.NaN),
-                of.time("length", 40_000_000),
+                section.number("rate", Double.NaN),
+                section.time("length", 40_000_000),
                 shape,
-                of.number("quota", 0),
-                of.number("over_share_worth", 0.1));
-        of.end();
+                section.number("quota", 0),
+                section.number("over_share_worth", 0.1));
+        section.end();
         return load;
     }
 }
--- a/src/main/java/kitemux/world/Clients.java
+++ b/src/main/java/kitemux/world/Clients.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.http.Limits;
 
@@ -209,7 +209,8 @@
         boolean mayTryAgain = refused
                 || status != 200
                         && (want.cls.retrySafety() == RetrySafety.SAFE
-                                || want.cls.retrySafety() == RetrySafety.KEYED && want.cls.dedupScope() == DedupScope.ALL);
+                                || want.cls.retrySafety() == RetrySafety.KEYED
+                                        && want.cls.dedupScope() == DedupScope.ALL);
         if (mayTryAgain) {
             String after = answer.header("retry-after");
             long us = after == null ? 50_000 : (long) (Double.parseDouble(after) * 1e6);
--- a/src/main/java/kitemux/world/NodeHost.java
+++ b/src/main/java/kitemux/world/NodeHost.java
@@ -15,8 +15,8 @@
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
 import kitemux.http.ConnectionObserver;
-import kitemux.net.HostList;
 import kitemux.net.EventLoopClock;
+import kitemux.net.HostList;
 import kitemux.node.Node;
 import kitemux.node.NodeConfig;
 import kitemux.sim.Scheduler;
@@ -371,7 +371,8 @@
         if (node.engine().pendingCount() > 0 || checked.inFlight() > 0) {
             world.judge.breach(
                     Rule.LEFT_OVER,
-                    this + " holds " + node.engine().pendingCount() + " requests and " + checked.inFlight() + " attempts");
+                    this + " holds " + node.engine().pendingCount() + " requests and " + checked.inFlight()
+                            + " attempts");
         }
         node.close();
         for (int i = 0; i < 8; i++) {
--- a/src/test/java/kitemux/RandomEventsTest.java
+++ b/src/test/java/kitemux/RandomEventsTest.java
@@ -14,10 +14,10 @@
 import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.ListKind;
 import kitemux.Balancer.Outcome;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Request;
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.Result;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
@@ -151,7 +151,8 @@
             if (refusal && request.binding() != null) {
                 assertTrue(
                         request.cls.retrySafety() == RetrySafety.SAFE
-                                || request.cls.retrySafety() == RetrySafety.KEYED && request.cls.dedupScope() == DedupScope.ALL,
+                                || request.cls.retrySafety() == RetrySafety.KEYED
+                                        && request.cls.dedupScope() == DedupScope.ALL,
                         "rule 2: a refusal promises that trying again is harmless");
             }
             request.over = true;
@@ -336,7 +337,8 @@
                         .toList();
                 double ready =
                         Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
-                double age = Math.min(1, (first[0] + set.overloadOutageUs - start.startedAtUs()) / (double) set.warmUpUs);
+                double age =
+                        Math.min(1, (first[0] + set.overloadOutageUs - start.startedAtUs()) / (double) set.warmUpUs);
                 double share = set.coldCapacityRatio + (1 - set.coldCapacityRatio) * age;
                 assertTrue(
                         span.size() - 2 <= set.overloadRatio * share * rate / ready * set.overloadOutageUs / 1e6,
--- a/src/test/java/kitemux/disk/MemoryDisk.java
+++ b/src/test/java/kitemux/disk/MemoryDisk.java
@@ -10,24 +10,26 @@
 import java.util.Map;
 
 /**
- * A disk that keeps each change apart until it is synced, so that a test can cut the power at any of them:
- * all that was synced is there then, and of the rest as much as the test chooses.
+ * An in-memory disk that simulates power cuts. It tracks which changes have been synced; after a power cut the
+ * synced changes are kept, and the test chooses how much of the others is kept.
  */
 public final class MemoryDisk implements Disk {
-    /** What the machine sees. */
+    /** The files as the running process sees them. */
     private final Map<String, ByteArrayOutputStream> files = new LinkedHashMap<>();
-    /** What is on the platter: names as of the last sync of the folder, bytes as of the file's. */
-    private final Map<String, ByteArrayOutputStream> safeNames = new LinkedHashMap<>();
+    /** The file names as of the last sync of the directory. */
+    private final Map<String, ByteArrayOutputStream> syncedFiles = new LinkedHashMap<>();
 
-    private final Map<ByteArrayOutputStream, byte[]> safeBytes = new LinkedHashMap<>();
-    /** Operations until all fail; negative for never. */
+    /** The contents of each file as of its last sync. */
+    private final Map<ByteArrayOutputStream, byte[]> syncedBytes = new LinkedHashMap<>();
+    /** Number of operations after which all operations fail; negative for never. */
     public int operationsUntilFailure = -1;
 
+    /** Number of operations so far that change the disk. */
     public int operationCount;
-    /** Segments read. */
+    /** Number of journal segments read. */
     public int segmentReadCount;
 
-    private void step() throws IOException {
+    private void countOperation() throws IOException {
         operationCount++;
         if (operationsUntilFailure == 0) {
             throw new IOException("the power is off");
@@ -36,39 +38,39 @@
     }
 
     /**
-     * As it is found after the power was cut.
+     * Returns the disk as found after a power cut.
      *
-     * @param unsynced how many bytes of what was written to each file behind its last sync are there all the
-     *     same; a name that was not synced is there if any are asked for
+     * @param unsynced how many of the bytes written to each file after its last sync are kept; unsynced file names
+     *     are kept if this is positive
      */
     public MemoryDisk afterPowerCut(int unsynced) {
-        MemoryDisk found = new MemoryDisk();
-        Map<String, ByteArrayOutputStream> names = unsynced > 0 ? files : safeNames;
+        MemoryDisk recovered = new MemoryDisk();
+        Map<String, ByteArrayOutputStream> names = unsynced > 0 ? files : syncedFiles;
         names.forEach((name, file) -> {
-            byte[] safe = safeBytes.getOrDefault(file, new byte[0]);
-            byte[] seen = file.toByteArray();
-            ByteArrayOutputStream left = new ByteArrayOutputStream();
-            left.writeBytes(safe);
-            if (seen.length > safe.length) {
-                left.write(seen, safe.length, Math.min(unsynced, seen.length - safe.length));
+            byte[] synced = syncedBytes.getOrDefault(file, new byte[0]);
+            byte[] written = file.toByteArray();
+            ByteArrayOutputStream content = new ByteArrayOutputStream();
+            content.writeBytes(synced);
+            if (written.length > synced.length) {
+                content.write(written, synced.length, Math.min(unsynced, written.length - synced.length));
             }
-            found.put(name, left.toByteArray());
+            recovered.put(name, content.toByteArray());
         });
-        return found;
+        return recovered;
     }
 
-    /** What the machine sees, to be changed. */
+    /** Returns the files as the running process sees them; tests may modify them. */
     public Map<String, ByteArrayOutputStream> files() {
         return files;
     }
 
-    /** A file that is there and safe. */
+    /** Adds a file whose name and contents are synced. */
     public void put(String name, byte[] bytes) {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
         file.writeBytes(bytes);
         files.put(name, file);
-        safeNames.put(name, file);
-        safeBytes.put(file, bytes);
+        syncedFiles.put(name, file);
+        syncedBytes.put(file, bytes);
     }
 
     @Override
@@ -93,7 +95,7 @@
 
     @Override
     public OutputFile create(String name) throws IOException {
-        step();
+        countOperation();
         if (files.containsKey(name)) {
             throw new FileAlreadyExistsException(name);
         }
@@ -103,14 +105,14 @@
     }
 
     @Override
-    public OutputFile append(String name, long from) throws IOException {
-        step();
+    public OutputFile append(String name, long length) throws IOException {
+        countOperation();
         ByteArrayOutputStream file = files.get(name);
         byte[] kept = file.toByteArray();
         file.reset();
-        file.write(kept, 0, (int) from);
-        byte[] safe = safeBytes.getOrDefault(file, new byte[0]);
-        safeBytes.put(file, java.util.Arrays.copyOf(safe, (int) Math.min(safe.length, from)));
+        file.write(kept, 0, (int) length);
+        byte[] synced = syncedBytes.getOrDefault(file, new byte[0]);
+        syncedBytes.put(file, java.util.Arrays.copyOf(synced, (int) Math.min(synced.length, length)));
         return out(file);
     }
 
@@ -118,43 +120,43 @@
         return new OutputFile() {
             @Override
             public void write(byte[] bytes) throws IOException {
-                // Half of it is written as the power goes.
+                // Half of the bytes are written when the power fails.
                 if (operationsUntilFailure == 0) {
                     file.write(bytes, 0, bytes.length / 2);
                 }
-                step();
+                countOperation();
                 file.writeBytes(bytes);
             }
 
             @Override
             public void sync() throws IOException {
-                step();
-                safeBytes.put(file, file.toByteArray());
+                countOperation();
+                syncedBytes.put(file, file.toByteArray());
             }
 
             @Override
             public void close() {
-                // Nothing is held.
+                // There are no resources to release.
             }
         };
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        step();
+        countOperation();
         files.put(to, files.remove(from));
     }
 
     @Override
     public void delete(String name) throws IOException {
-        step();
+        countOperation();
         files.remove(name);
     }
 
     @Override
     public void syncDirectory() throws IOException {
-        step();
-        safeNames.clear();
-        safeNames.putAll(files);
+        countOperation();
+        syncedFiles.clear();
+        syncedFiles.putAll(files);
     }
 }
--- a/src/test/java/kitemux/node/LiveSettingsTest.java
+++ b/src/test/java/kitemux/node/LiveSettingsTest.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
 import org.junit.jupiter.api.Test;
@@ -50,7 +50,9 @@
                 FAST));
         assertEquals(List.of(new Tenant("a", 1), new Tenant("b", 9.5)), settings.tenants);
         assertEquals(
-                List.of(new RequestClass("page", 50, 0, 300, 2, 0.25, RetrySafety.SAFE, DedupScope.ALL, 0, false), ORDER),
+                List.of(
+                        new RequestClass("page", 50, 0, 300, 2, 0.25, RetrySafety.SAFE, DedupScope.ALL, 0, false),
+                        ORDER),
                 settings.classes);
         assertSame(ORDER, settings.classes.get(1));
         assertEquals(0.75, settings.overShareWorth);
--- a/src/test/java/kitemux/world/AgainstEmulatorTest.java
+++ b/src/test/java/kitemux/world/AgainstEmulatorTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.stream.LongStream;
 import kitemux.Balancer.DedupScope;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.RunResult;
@@ -53,7 +53,16 @@
             String name, double share, double meanUs, long aimMs, long deadlineMs, double worth, RetrySafety repeat) {
         return new Fleet.ClassWorkload(
                 new RequestClass(
-                        name, aimMs * 1_000, 0, deadlineMs * 1_000, worth, 0, repeat, DedupScope.CELL, 1_200_000, false),
+                        name,
+                        aimMs * 1_000,
+                        0,
+                        deadlineMs * 1_000,
+                        worth,
+                        0,
+                        repeat,
+                        DedupScope.CELL,
+                        1_200_000,
+                        false),
                 share,
                 meanUs,
                 Fleet.WorkDistribution.LOGNORMAL,
--- a/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
+++ b/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
@@ -16,8 +16,8 @@
 import java.util.function.UnaryOperator;
 import kitemux.Balancer;
 import kitemux.Balancer.ListKind;
-import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.RequestClass;
+import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
@@ -26,8 +26,8 @@
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
 import kitemux.http.ConnectionObserver;
-import kitemux.net.HostList;
 import kitemux.net.EventLoopClock;
+import kitemux.net.HostList;
 import kitemux.node.Node;
 import kitemux.node.NodeConfig;
 import kitemux.sim.Scheduler;
@@ -243,8 +243,8 @@
         Settings set = new Settings();
         set.nodes = NODES;
         set.zones.add("z");
-        set.classes.add(
-                new RequestClass("page", 100_000, 0, 500_000, 1, 0, RetrySafety.SAFE, Balancer.DedupScope.ALL, 5_000_000, false));
+        set.classes.add(new RequestClass(
+                "page", 100_000, 0, 500_000, 1, 0, RetrySafety.SAFE, Balancer.DedupScope.ALL, 5_000_000, false));
         set.listOnRequest = true;
         set.connectTimeoutUs = 1_000_000;
         return set;
@@ -271,7 +271,8 @@
         for (int i = 0; i < NODES; i++) {
             Machine machine = fabric.add("n" + i, 100 + i, "10.0.0." + (i + 1) + ":8000");
             SplittableRandom own = random.split();
-            time.scheduleAfterMs(own.nextLong(1_000), () -> all.add(new Restarted(time, fabric, machine, discovery, own, as)));
+            time.scheduleAfterMs(
+                    own.nextLong(1_000), () -> all.add(new Restarted(time, fabric, machine, discovery, own, as)));
         }
         boolean more = true;
         while (more) {
