--- a/src/main/java/kitemux/soak/SoakNode.java
+++ b/src/main/java/kitemux/soak/SoakNode.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import kitemux.lab.Guard;
+import kitemux.lab.ProcessGuard;
 
 /** One process of the node that is played, behind a guard by which it does not outlive the soak. */
 final class SoakNode implements AutoCloseable {
@@ -64,7 +64,8 @@
                     "{\"trace\":{\"folder\":\"%s\"}}".formatted(folder.resolve("traces")));
             launcher.environment().put("KITEMUX_SETTINGS", settings.toString());
         }
-        return new SoakNode(Guard.before(launcher).redirectErrorStream(true).start(), operatorsPort);
+        return new SoakNode(
+                ProcessGuard.wrap(launcher).redirectErrorStream(true).start(), operatorsPort);
     }
 
     private static String config(int clientsPort, int operatorsPort, long deadlineMs, List<SoakServer> servers) {
