--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -174,7 +174,7 @@
                 .max()
                 .orElse(0);
         settings.overloadRatio = COLD_LOAD_CAPACITY_RATIO;
-        settings.overloadOutageUs = COLD_LOAD_WINDOW_US;
+        settings.overloadWindowUs = COLD_LOAD_WINDOW_US;
         return settings;
     }
 
--- a/src/test/java/kitemux/fleet/PerNodeBudgetBalancer.java
+++ b/src/test/java/kitemux/fleet/PerNodeBudgetBalancer.java
@@ -85,12 +85,12 @@
                 double warmUpProgress = (double) (nowUs - coldStart.getValue()) / settings.warmUpUs;
                 double capacityRatio = settings.coldCapacityRatio + (1 - settings.coldCapacityRatio) * warmUpProgress;
                 ArrayDeque<Long> recentUs = sentTimesUs.computeIfAbsent(coldStart.getKey(), id -> new ArrayDeque<>());
-                while (!recentUs.isEmpty() && recentUs.peek() <= nowUs - settings.overloadOutageUs) {
+                while (!recentUs.isEmpty() && recentUs.peek() <= nowUs - settings.overloadWindowUs) {
                     recentUs.poll();
                 }
                 if (warmUpProgress < 1
                         && recentUs.size() + 1
-                                <= settings.overloadRatio * capacityRatio * settings.overloadOutageUs / meanWorkUs) {
+                                <= settings.overloadRatio * capacityRatio * settings.overloadWindowUs / meanWorkUs) {
                     recentUs.add(nowUs);
                     return coldStart.getKey();
                 }
