--- a/src/main/java/kitemux/bench/CaptureBench.java
+++ b/src/main/java/kitemux/bench/CaptureBench.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.stream.Stream;
 import kitemux.Balancer.Result;
-import kitemux.engine.RequestInfo;
-import kitemux.engine.Observer;
 import kitemux.engine.Clock;
+import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 import kitemux.load.CaptureWriter;
 import kitemux.load.LoadSettings;
 
--- a/src/main/java/kitemux/bench/JournalBench.java
+++ b/src/main/java/kitemux/bench/JournalBench.java
@@ -14,13 +14,13 @@
 import kitemux.Balancer.Result;
 import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
-import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 import kitemux.orders.JournalReader;
-import kitemux.orders.OrderRecorder;
 import kitemux.orders.JournalWriter;
-import kitemux.orders.OrderSettings;
 import kitemux.orders.OrderJournal;
+import kitemux.orders.OrderRecorder;
+import kitemux.orders.OrderSettings;
 
 /** What a journal of many orders costs: to write, to take up after a crash, to ask and to check. */
 public final class JournalBench {
@@ -85,8 +85,8 @@
         Path folder = Files.createTempDirectory("kitemux-journal");
         try {
             Path journal = folder.resolve("orders");
-            OrderSettings how =
-                    new OrderSettings(journal, JournalWriter.SyncPolicy.NEVER, 1, PATIENCE_MS, 4 << 20, 24, 0, 0, Set.of());
+            OrderSettings how = new OrderSettings(
+                    journal, JournalWriter.SyncPolicy.NEVER, 1, PATIENCE_MS, 4 << 20, 24, 0, 0, Set.of());
             out.printf(
                     Locale.ROOT,
                     "%d orders, Java %s, heap of at most %d MB%n",
--- a/src/main/java/kitemux/cli/SoakCommand.java
+++ b/src/main/java/kitemux/cli/SoakCommand.java
@@ -57,8 +57,8 @@
         boolean clean = true;
         for (long one = seed; one < seed + seeds; one++) {
             Path folder = Files.createTempDirectory("kitemux-soak");
-            Soak.Result result = Soak.run(
-                    () -> Builds.java(List.of(), played(), "node"), !untraced, one, upgrades, changes, folder);
+            Soak.Result result =
+                    Soak.run(() -> Builds.java(List.of(), played(), "node"), !untraced, one, upgrades, changes, folder);
             print(out, result);
             clean &= result.violations().isEmpty() && result.isOnSchedule();
         }
@@ -76,7 +76,9 @@
                 result.unreadRequests(),
                 result.maxLatenessMs(),
                 result.isOnSchedule() ? "" : " (too late to rely on)",
-                result.violations().stream().filter(line -> !line.startsWith(" ")).count());
+                result.violations().stream()
+                        .filter(line -> !line.startsWith(" "))
+                        .count());
         if (!result.violations().isEmpty()) {
             out.printf(
                     "  kitemux soak --seed %d --changes %d%s%n", result.seed(), changes, upgrades ? " --upgrades" : "");
--- a/src/main/java/kitemux/drill/Drill.java
+++ b/src/main/java/kitemux/drill/Drill.java
@@ -26,13 +26,13 @@
 import kitemux.Balancer.Result;
 import kitemux.Balancer.ServerEntry;
 import kitemux.drill.Fault.Way;
-import kitemux.fleet.Fleet;
 import kitemux.fleet.ClientTry;
-import kitemux.lab.RunInterceptor;
-import kitemux.lab.ProcessGuard;
+import kitemux.fleet.Fleet;
 import kitemux.lab.LongAnswer;
 import kitemux.lab.LoopStallMonitor;
 import kitemux.lab.LoopbackRun;
+import kitemux.lab.ProcessGuard;
+import kitemux.lab.RunInterceptor;
 import kitemux.sim.Scheduler;
 
 /**
--- a/src/main/java/kitemux/http/ClientConnection.java
+++ b/src/main/java/kitemux/http/ClientConnection.java
@@ -28,12 +28,12 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import kitemux.engine.ResponseSink;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
-import kitemux.net.ServerResponse;
+import kitemux.engine.ResponseSink;
 import kitemux.net.EventLoopClock;
 import kitemux.net.InputAwareChannel;
+import kitemux.net.ServerResponse;
 
 /**
  * A client's connection: one request at a time, further ones wait their turn. Behind what is turned down as
@@ -569,7 +569,8 @@
             if (isQuiet()) {
                 closeIfOlderThan(everAsked ? Limits.IDLE_TIMEOUT_MS : Limits.REQUEST_READ_TIMEOUT_MS, CloseReason.IDLE);
             }
-        } else if (isOlderThan(Limits.REQUEST_READ_TIMEOUT_MS + (body == null ? 0 : body.size() / Limits.MIN_BODY_RATE_BYTES_PER_MS))) {
+        } else if (isOlderThan(Limits.REQUEST_READ_TIMEOUT_MS
+                + (body == null ? 0 : body.size() / Limits.MIN_BODY_RATE_BYTES_PER_MS))) {
             turnDown(HttpResponseStatus.REQUEST_TIMEOUT);
         }
     }
--- a/src/main/java/kitemux/http/ClientServer.java
+++ b/src/main/java/kitemux/http/ClientServer.java
@@ -23,10 +23,10 @@
 import java.util.function.IntConsumer;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
-import kitemux.net.ServerResponse;
 import kitemux.net.EventLoopClock;
-import kitemux.net.Network;
 import kitemux.net.InputAwareChannel;
+import kitemux.net.Network;
+import kitemux.net.ServerResponse;
 import kitemux.net.SocketBudget;
 
 /** The side that clients see: which connections there are, which make room for others, and their end. */
--- a/src/main/java/kitemux/keeper/KeeperProcess.java
+++ b/src/main/java/kitemux/keeper/KeeperProcess.java
@@ -72,8 +72,8 @@
         }
         ChannelFuture listens = keeper.listen().awaitUninterruptibly();
         if (!listens.isSuccess()) {
-            throw new IOException(
-                    "listen " + settings.listenAddress() + ": " + listens.cause().getMessage());
+            throw new IOException("listen " + settings.listenAddress() + ": "
+                    + listens.cause().getMessage());
         }
         log.info("keeper " + keeper.voter() + " is called at "
                 + listens.channel().localAddress());
--- a/src/main/java/kitemux/keeper/RolloutWatch.java
+++ b/src/main/java/kitemux/keeper/RolloutWatch.java
@@ -30,16 +30,16 @@
 import java.util.Set;
 import java.util.SortedMap;
 import java.util.concurrent.TimeUnit;
-import kitemux.engine.Log;
 import kitemux.engine.Clock;
+import kitemux.engine.Log;
 import kitemux.net.JsonFrameReader;
 import kitemux.net.Network;
 import kitemux.net.SocketBudget;
 import kitemux.rollout.Effect;
-import kitemux.rollout.WatchEvent;
 import kitemux.rollout.Report;
 import kitemux.rollout.RolloutText;
 import kitemux.rollout.Subscriber;
+import kitemux.rollout.WatchEvent;
 
 /**
  * A node's watch on the keepers: carries the effects of its {@link Subscriber} to sockets, and what is to be
@@ -174,7 +174,8 @@
                         case CONNECTING -> "no keeper is watched; version " + subscriber.rev() + " stays in force";
                         case CATCHING_UP -> "catching up from version " + subscriber.rev();
                         case CURRENT -> "told all that its keeper knows";
-                        case NO_QUORUM -> "its keeper hears no majority: there may be versions later than " + subscriber.rev();
+                        case NO_QUORUM ->
+                            "its keeper hears no majority: there may be versions later than " + subscriber.rev();
                     });
         }
         if (timer != null) {
--- a/src/main/java/kitemux/lab/DiscoveryStub.java
+++ b/src/main/java/kitemux/lab/DiscoveryStub.java
@@ -150,7 +150,8 @@
     }
 
     private byte[] text(boolean all, Collection<ServerEntry> servers) {
-        return (ConfigText.list(rev, all, zones, withAddresses(servers, addresses)) + "\n").getBytes(StandardCharsets.UTF_8);
+        return (ConfigText.list(rev, all, zones, withAddresses(servers, addresses)) + "\n")
+                .getBytes(StandardCharsets.UTF_8);
     }
 
     private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
--- a/src/main/java/kitemux/lab/LoopbackRun.java
+++ b/src/main/java/kitemux/lab/LoopbackRun.java
@@ -29,10 +29,10 @@
 import kitemux.Balancer.Settings;
 import kitemux.config.ConfigText;
 import kitemux.fleet.Box;
+import kitemux.fleet.ClientTry;
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.RunResult;
-import kitemux.fleet.ClientTry;
 import kitemux.sim.Scheduler;
 
 /**
@@ -153,7 +153,8 @@
     }
 
     /** The same, with somebody between its parties. */
-    public static Outcome execute(Fleet fleet, long seed, Launcher launcher, InterceptorFactory standing, Watcher watcher)
+    public static Outcome execute(
+            Fleet fleet, long seed, Launcher launcher, InterceptorFactory standing, Watcher watcher)
             throws IOException, InterruptedException {
         LoopbackSubnet held = LoopbackSubnet.acquire();
         Path folder = Files.createTempDirectory("kitemux-lab");
@@ -275,7 +276,11 @@
         addresses.forEach((box, listens) -> seen.put(box, between.boxAddress(number, box, listens)));
         InetSocketAddress listAt = place.address(number, LIST_PORT);
         DiscoveryStub desk = new DiscoveryStub(
-                listAt, loop, List.of(ZONE), seen, watch -> time.happens(() -> between.discoveryRequested(number, watch)));
+                listAt,
+                loop,
+                List.of(ZONE),
+                seen,
+                watch -> time.happens(() -> between.discoveryRequested(number, watch)));
         desks.add(desk);
         List<ServerEntry> all = of.boxes().stream()
                 .map(box -> new ServerEntry(box.id(), 0, box.rack(), ServerState.READY, 1, 0))
--- a/src/main/java/kitemux/lab/NodeProcess.java
+++ b/src/main/java/kitemux/lab/NodeProcess.java
@@ -41,9 +41,9 @@
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerEntry;
+import kitemux.fleet.ClientTry;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.FleetNode;
-import kitemux.fleet.ClientTry;
 
 /**
  * A real node's process on a loopback address, and its clients' connections: each try is a request of its
--- a/src/main/java/kitemux/lab/PredictionReport.java
+++ b/src/main/java/kitemux/lab/PredictionReport.java
@@ -25,7 +25,8 @@
      * @param violations rules broken, in all runs
      * @param delayedRuns runs over sockets whose player was behind
      */
-    public record VariantResult(String variant, Estimate predicted, Estimate measured, long violations, long delayedRuns) {
+    public record VariantResult(
+            String variant, Estimate predicted, Estimate measured, long violations, long delayedRuns) {
         /** How far the prediction is off, as a part of what happened; NaN where one of the two is missing. */
         public double relativeError() {
             return predicted == null || measured == null ? Double.NaN : predicted.mean() / measured.mean() - 1;
@@ -50,7 +51,8 @@
     }
 
     private static Estimate inTime(List<ResultRow> rows, Predicate<ResultRow> which) {
-        List<Double> values = rows.stream().filter(which).map(ResultRow::inTimeRatio).toList();
+        List<Double> values =
+                rows.stream().filter(which).map(ResultRow::inTimeRatio).toList();
         return values.isEmpty() ? null : Estimate.of(values);
     }
 
--- a/src/main/java/kitemux/lab/ResultsComparison.java
+++ b/src/main/java/kitemux/lab/ResultsComparison.java
@@ -24,7 +24,8 @@
      * @param pairs runs that both have
      * @param mean of the second less the first
      */
-    public record Difference(String variant, Experiment.Environment environment, int pairs, double mean, double low, double high) {
+    public record Difference(
+            String variant, Experiment.Environment environment, int pairs, double mean, double low, double high) {
         /** Whether the interval lies on one side of 0; one pair alone tells nothing. */
         public boolean isSignificant() {
             return pairs > 1 && (low > 0 || high < 0);
@@ -40,7 +41,9 @@
         Map<String, ResultRow> names = new LinkedHashMap<>();
         for (ResultRow a : first) {
             second.stream()
-                    .filter(b -> b.variant().equals(a.variant()) && b.environment() == a.environment() && b.seed() == a.seed())
+                    .filter(b -> b.variant().equals(a.variant())
+                            && b.environment() == a.environment()
+                            && b.seed() == a.seed())
                     .findFirst()
                     .ifPresent(b -> {
                         String key = a.variant() + "\t" + a.environment();
--- a/src/main/java/kitemux/load/LoadSummary.java
+++ b/src/main/java/kitemux/load/LoadSummary.java
@@ -13,31 +13,31 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What captured files of one or more nodes say together: how much was wanted, and what came of it. What was
- * wanted are first tries: what clients ask again is their answer to being refused, and would pass for
- * demand. Service times are kept in histograms to two digits, which can be added up.
+ * Summarises the capture files of one or more nodes: the demand, and how it was answered. The demand is counted
+ * in first tries. Retries are a reaction of clients to refusals and would inflate it. Response times are kept in
+ * histograms with two significant digits, which can be merged.
  */
 public final class LoadSummary {
-    /** Service times are told up to this. */
-    private static final long MOST_US = 600_000_000L;
+    /** Longest response time that is recorded; longer ones count as this. */
+    private static final long MAX_RECORDED_US = 600_000_000L;
 
-    private static final int DIGITS = 2;
-    /** Of what was refused, so much must be asked again for repeats to be marked by all clients. */
-    private static final double MARKED = 0.05;
+    private static final int SIGNIFICANT_DIGIT_COUNT = 2;
+    /** Ratio of marked retries to refusals below which clients probably do not mark their retries. */
+    private static final double MIN_MARKED_RETRY_RATIO = 0.05;
 
-    private final long binUs;
-    private final Map<String, Long> shiftUs;
-    private final Set<Long> files = new HashSet<>();
+    private final long stepUs;
+    private final Map<String, Long> clockShiftUs;
+    private final Set<Long> fileIds = new HashSet<>();
     private final List<String> warnings = new ArrayList<>();
     private final Map<String, ClassSummary> classes = new LinkedHashMap<>();
     private final Map<String, long[]> tenants = new LinkedHashMap<>();
     private final Map<String, Integer> nodes = new TreeMap<>();
-    private final TreeMap<Long, long[]> bins = new TreeMap<>();
-    private long leftOut;
-    private long fromUs = Long.MAX_VALUE;
-    private long toUs;
+    private final TreeMap<Long, long[]> countsByStep = new TreeMap<>();
+    private long droppedCount;
+    private long firstArrivalUs = Long.MAX_VALUE;
+    private long lastArrivalUs;
 
-    /** What is counted of a class. */
+    /** The counts and response times of a request class. */
     public static final class ClassSummary {
         private long firstTries;
         private long retries;
@@ -46,127 +46,140 @@
         private long failed;
         private long abandoned;
         private long attempts;
-        private final Histogram serverResponseTimeUs = new Histogram(MOST_US, DIGITS);
-        private final Histogram clientResponseTimeUs = new Histogram(MOST_US, DIGITS);
+        private final Histogram serverResponseTimeUs = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGIT_COUNT);
+        private final Histogram clientResponseTimeUs = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGIT_COUNT);
 
-        /** First tries. */
+        /** Returns the number of first tries. */
         public long firstTries() {
             return firstTries;
         }
 
-        /** Tries that clients marked as repeats. */
+        /** Returns the number of tries that clients marked as retries. */
         public long retries() {
             return retries;
         }
 
-        /** Tries answered with what a server made. */
+        /** Returns the number of tries that were answered with a server's response. */
         public long served() {
             return served;
         }
 
-        /** Tries answered as refused. */
+        /** Returns the number of tries that were refused. */
         public long refused() {
             return refused;
         }
 
-        /** Tries answered as failed. */
+        /** Returns the number of tries that failed. */
         public long failed() {
             return failed;
         }
 
-        /** Tries whose client left before an answer. */
+        /** Returns the number of tries whose client left before an answer. */
         public long abandoned() {
             return abandoned;
         }
 
-        /** Requests sent to servers. */
+        /** Returns the number of attempts that were sent to servers. */
         public long attempts() {
             return attempts;
         }
 
-        /** From an attempt's being sent to its answer by a server, at a percentile, in microseconds, of those
-         * that were answered: waiting at the server and work are not told apart. */
+        /**
+         * Returns a percentile of the time from sending an attempt to the server's answer, in microseconds. It
+         * covers the attempts that were answered, and includes queueing at the server as well as work.
+         *
+         * @param percentile from 0 to 100
+         */
         public long serverResponseTimeUs(double percentile) {
             return serverResponseTimeUs.getValueAtPercentile(percentile);
         }
 
-        /** From a try's coming to its answer, the same of those that were served. */
+        /**
+         * Returns a percentile of the time from a try's arrival to its answer, in microseconds. It covers the
+         * tries that were served.
+         *
+         * @param percentile from 0 to 100
+         */
         public long clientResponseTimeUs(double percentile) {
             return clientResponseTimeUs.getValueAtPercentile(percentile);
         }
     }
 
     /**
-     * Nothing yet.
+     * Creates an empty summary.
      *
-     * @param binUs width of the steps in which rates are told
-     * @param shiftUs what is added to the times of a node, by its name, where its clock is off
+     * @param stepUs the length of the steps for which rates are computed, in microseconds; at least 1
+     * @param clockShiftUs what is added to the times of a node to correct its clock, in microseconds, by the
+     *     node's name
+     * @throws IllegalArgumentException if the step is too short
      */
-    public LoadSummary(long binUs, Map<String, Long> shiftUs) {
-        if (binUs < 1) {
-            throw new IllegalArgumentException("steps must be longer than 0");
+    public LoadSummary(long stepUs, Map<String, Long> clockShiftUs) {
+        if (stepUs < 1) {
+            throw new IllegalArgumentException("the step must be at least 1 microsecond");
         }
-        this.binUs = binUs;
-        this.shiftUs = Map.copyOf(shiftUs);
+        this.stepUs = stepUs;
+        this.clockShiftUs = Map.copyOf(clockShiftUs);
     }
 
-    /** Adds a file; a copy of one that was added already is left out, and said. */
+    /** Adds a capture file. A copy of a file that was added before is skipped with a warning. */
     public void add(CaptureFile file) {
-        if (!files.add(file.id())) {
-            warnings.add("a copy of a file of " + file.node() + " is left out");
+        if (!fileIds.add(file.id())) {
+            warnings.add("a capture file of " + file.node() + " is skipped as a copy of another one");
             return;
         }
         if (!file.fault().isEmpty()) {
-            warnings.add("a file of " + file.node() + " is not whole: " + file.fault());
+            warnings.add("a capture file of " + file.node() + " is incomplete: " + file.fault());
         }
-        leftOut += file.droppedCount();
+        droppedCount += file.droppedCount();
         nodes.merge(file.node(), file.requests().size(), Integer::sum);
-        long shift = shiftUs.getOrDefault(file.node(), 0L);
-        for (CapturedRequest seen : file.requests()) {
-            add(file, seen, seen.arrivedUs() + shift);
+        long shiftUs = clockShiftUs.getOrDefault(file.node(), 0L);
+        for (CapturedRequest request : file.requests()) {
+            add(file, request, request.arrivedUs() + shiftUs);
         }
     }
 
-    private void add(CaptureFile file, CapturedRequest seen, long cameUs) {
-        ClassSummary of = classes.computeIfAbsent(file.classes().get(seen.classIndex()), name -> new ClassSummary());
-        long[] bin = bins.computeIfAbsent(Math.floorDiv(cameUs, binUs), at -> new long[2]);
-        fromUs = Math.min(fromUs, cameUs);
-        toUs = Math.max(toUs, cameUs);
-        if (seen.isRetry()) {
-            of.retries++;
-            bin[1]++;
+    private void add(CaptureFile file, CapturedRequest request, long arrivedUs) {
+        ClassSummary classSummary =
+                classes.computeIfAbsent(file.classes().get(request.classIndex()), name -> new ClassSummary());
+        long[] stepCounts = countsByStep.computeIfAbsent(Math.floorDiv(arrivedUs, stepUs), at -> new long[2]);
+        firstArrivalUs = Math.min(firstArrivalUs, arrivedUs);
+        lastArrivalUs = Math.max(lastArrivalUs, arrivedUs);
+        if (request.isRetry()) {
+            classSummary.retries++;
+            stepCounts[1]++;
         } else {
-            of.firstTries++;
-            bin[0]++;
+            classSummary.firstTries++;
+            stepCounts[0]++;
         }
-        if (seen.tenantIndex() >= 0) {
-            tenants.computeIfAbsent(file.tenants().get(seen.tenantIndex()), name -> new long[2])[seen.isRetry() ? 1 : 0]++;
+        if (request.tenantIndex() >= 0) {
+            tenants.computeIfAbsent(file.tenants().get(request.tenantIndex()), name -> new long[2])[
+                    request.isRetry() ? 1 : 0]++;
         }
-        switch (seen.answer()) {
-            case SERVED -> of.served++;
-            case REFUSED -> of.refused++;
-            case FAILED, BROKEN -> of.failed++;
-            case LEFT -> of.abandoned++;
+        switch (request.answer()) {
+            case SERVED -> classSummary.served++;
+            case REFUSED -> classSummary.refused++;
+            case FAILED, BROKEN -> classSummary.failed++;
+            case LEFT -> classSummary.abandoned++;
         }
-        of.attempts += seen.attempts().size();
-        for (CapturedRequest.Attempt attempt : seen.attempts()) {
+        classSummary.attempts += request.attempts().size();
+        for (CapturedRequest.Attempt attempt : request.attempts()) {
             if (attempt.result() == Result.OK) {
-                of.serverResponseTimeUs.recordValue(Math.min(MOST_US, attempt.durationUs()));
+                classSummary.serverResponseTimeUs.recordValue(Math.min(MAX_RECORDED_US, attempt.durationUs()));
             }
         }
-        if (seen.answer() == Observer.RequestOutcome.SERVED) {
-            of.clientResponseTimeUs.recordValue(Math.min(MOST_US, seen.durationUs()));
+        if (request.answer() == Observer.RequestOutcome.SERVED) {
+            classSummary.clientResponseTimeUs.recordValue(Math.min(MAX_RECORDED_US, request.durationUs()));
         }
     }
 
-    // ---------------------------------------------------------------- what it comes to
+    // ---------------------------------------------------------------- results
 
-    /** By class, in the order in which they were met. */
+    /** Returns the summaries by class name, in the order in which the classes first occurred. */
     public Map<String, ClassSummary> classes() {
         return classes;
     }
 
-    /** First tries by tenant, the heaviest first. */
+    /** Returns the number of first tries by tenant, the tenants with the most first. */
     public Map<String, Long> firstTriesByTenant() {
         Map<String, Long> sorted = new LinkedHashMap<>();
         tenants.entrySet().stream()
@@ -175,51 +188,58 @@
         return sorted;
     }
 
-    /** Requests by node. */
+    /** Returns the number of requests by node. */
     public Map<String, Integer> nodes() {
         return nodes;
     }
 
-    /** First tries in all. */
+    /** Returns the number of first tries of all classes. */
     public long firstTries() {
         return classes.values().stream().mapToLong(ClassSummary::firstTries).sum();
     }
 
-    /** Seconds from the first request to the last. */
+    /** Returns the time from the first request to the last, in seconds. */
     public double durationS() {
-        return toUs <= fromUs ? 0 : (toUs - fromUs) / 1e6;
+        return lastArrivalUs <= firstArrivalUs ? 0 : (lastArrivalUs - firstArrivalUs) / 1e6;
     }
 
     /**
-     * A step of time.
+     * The rates in one step of time.
      *
-     * @param startS from the first step on, in seconds
-     * @param firstTriesPerS first tries a second
-     * @param retriesPerS repeats a second
+     * @param startS the start of the step, in seconds since the start of the first step
+     * @param firstTriesPerS the rate of first tries per second
+     * @param retriesPerS the rate of marked retries per second
      */
     public record Step(double startS, double firstTriesPerS, double retriesPerS) {}
 
-    /** Rates over time; steps in which nothing came are there too. */
+    /** Returns the rates over time, including the steps without requests. */
     public List<Step> steps() {
         List<Step> steps = new ArrayList<>();
-        if (!bins.isEmpty()) {
-            for (long at = bins.firstKey(); at <= bins.lastKey(); at++) {
-                long[] bin = bins.getOrDefault(at, new long[2]);
-                steps.add(new Step((at - bins.firstKey()) * binUs / 1e6, bin[0] * 1e6 / binUs, bin[1] * 1e6 / binUs));
+        if (!countsByStep.isEmpty()) {
+            for (long at = countsByStep.firstKey(); at <= countsByStep.lastKey(); at++) {
+                long[] stepCounts = countsByStep.getOrDefault(at, new long[2]);
+                steps.add(new Step(
+                        (at - countsByStep.firstKey()) * stepUs / 1e6,
+                        stepCounts[0] * 1e6 / stepUs,
+                        stepCounts[1] * 1e6 / stepUs));
             }
         }
         return steps;
     }
 
-    /** Variance of the steps' counts of first tries over their mean: 1 where clients come independently, more
-     * where they come in bursts. The first and last step, which are not whole, do not count. */
+    /**
+     * Returns the index of dispersion of the first tries per step: their variance divided by their mean. It is 1
+     * for independent clients and larger for bursts. The first and the last step are incomplete and do not count.
+     *
+     * @return the index, or NaN if there are fewer than four steps or no first tries
+     */
     public double burstiness() {
-        List<Step> whole = steps();
-        if (whole.size() < 4) {
+        List<Step> allSteps = steps();
+        if (allSteps.size() < 4) {
             return Double.NaN;
         }
-        double[] counts = whole.subList(1, whole.size() - 1).stream()
-                .mapToDouble(step -> step.firstTriesPerS() * binUs / 1e6)
+        double[] counts = allSteps.subList(1, allSteps.size() - 1).stream()
+                .mapToDouble(step -> step.firstTriesPerS() * stepUs / 1e6)
                 .toArray();
         double mean = Arrays.stream(counts).average().orElse(0);
         double variance =
@@ -227,19 +247,21 @@
         return mean == 0 ? Double.NaN : variance / mean;
     }
 
-    /** What could not be seen, and what to keep in mind, a line each. */
+    /** Returns warnings on missing data and on how to read the summary, one per line. */
     public List<String> warnings() {
-        List<String> all = new ArrayList<>(warnings);
-        if (leftOut > 0) {
-            all.add(leftOut + " requests were left out as they came: what is told is less than what was");
-        }
-        long refused = classes.values().stream().mapToLong(ClassSummary::refused).sum();
-        long repeats = classes.values().stream().mapToLong(ClassSummary::retries).sum();
-        if (refused > 0 && repeats < MARKED * refused) {
-            all.add("of " + refused
-                    + " refused tries hardly any was marked as asked again: if clients do not mark"
-                    + " repeats, up to " + refused + " of what counts as wanted may be repeats");
-        }
-        return all;
+        List<String> allWarnings = new ArrayList<>(warnings);
+        if (droppedCount > 0) {
+            allWarnings.add(droppedCount + " requests were dropped during the capture, so the counts are too low");
+        }
+        long refused =
+                classes.values().stream().mapToLong(ClassSummary::refused).sum();
+        long retries =
+                classes.values().stream().mapToLong(ClassSummary::retries).sum();
+        if (refused > 0 && retries < MIN_MARKED_RETRY_RATIO * refused) {
+            allWarnings.add("of " + refused
+                    + " refused tries hardly any was followed by a marked retry: if clients do not mark"
+                    + " retries, up to " + refused + " of the tries counted as wanted may be retries");
+        }
+        return allWarnings;
     }
 }
--- a/src/main/java/kitemux/members/Membership.java
+++ b/src/main/java/kitemux/members/Membership.java
@@ -50,7 +50,9 @@
 
     /** Begins with what an earlier process of the same application knew, before anything else is told. */
     public Decision restore(long nowUs, MembershipSnapshot saved) {
-        belief.set(saved.members().stream().map(MembershipSnapshot.MemberRecord::member).toList());
+        belief.set(saved.members().stream()
+                .map(MembershipSnapshot.MemberRecord::member)
+                .toList());
         saved.members()
                 .forEach(one -> joined.put(
                         one.member().name(), new Joined(one.member().address(), Math.min(nowUs, one.startedUs()))));
--- a/src/main/java/kitemux/mysql/BackendConnection.java
+++ b/src/main/java/kitemux/mysql/BackendConnection.java
@@ -8,9 +8,9 @@
 import java.io.IOException;
 import java.util.Map;
 import kitemux.Balancer.Result;
+import kitemux.mysql.PacketDecoder.Part;
 import kitemux.mysql.ResponseTracker.Completion;
 import kitemux.mysql.ResponseTracker.ResponseType;
-import kitemux.mysql.PacketDecoder.Part;
 
 /**
  * A connection to a server: logs in ("Connection Phase"), and then carries one command at a time. What of an
@@ -355,7 +355,8 @@
                     refused("the server does not know the password's digest yet: log in there once over TLS", null);
                 }
             }
-            default -> throw new ProtocolException(ProtocolException.Kind.MALFORMED, "a login's answer begins with " + first);
+            default ->
+                throw new ProtocolException(ProtocolException.Kind.MALFORMED, "a login's answer begins with " + first);
         }
     }
 
--- a/src/main/java/kitemux/mysql/Command.java
+++ b/src/main/java/kitemux/mysql/Command.java
@@ -14,7 +14,8 @@
  * @param responseType of its answer
  * @param payload the command's byte and what follows; not to be changed
  */
-record Command(String txn, int classIndex, int tenant, long remainingUs, ResponseType responseType, byte[] payload) implements RequestInfo {
+record Command(String txn, int classIndex, int tenant, long remainingUs, ResponseType responseType, byte[] payload)
+        implements RequestInfo {
     private static final byte PING_BYTE = 0x0e;
 
     /** COM_PING: what checks a server, where the settings allow probes. */
--- a/src/main/java/kitemux/mysql/Fields.java
+++ b/src/main/java/kitemux/mysql/Fields.java
@@ -61,7 +61,8 @@
                 return in.readLongLE();
             case NULL:
             case 0xff:
-                throw new ProtocolException(ProtocolException.Kind.MALFORMED, "no number begins with " + first + " in " + what);
+                throw new ProtocolException(
+                        ProtocolException.Kind.MALFORMED, "no number begins with " + first + " in " + what);
             default:
                 return first;
         }
--- a/src/main/java/kitemux/mysql/InitialHandshake.java
+++ b/src/main/java/kitemux/mysql/InitialHandshake.java
@@ -50,7 +50,8 @@
         if (!Capabilities.has(capabilities, Capabilities.PROTOCOL_41)
                 || !Capabilities.has(capabilities, Capabilities.PLUGIN_AUTH)
                 || nonceLength != AuthPlugin.NONCE_BYTES + 1) {
-            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "the server knows no protocol 4.1 or no plugins");
+            throw new ProtocolException(
+                    ProtocolException.Kind.MALFORMED, "the server knows no protocol 4.1 or no plugins");
         }
         byte[] rest = Fields.bytes(in, nonceLength - FIRST_NONCE, "the nonce");
         byte[] nonce = Arrays.copyOf(first, AuthPlugin.NONCE_BYTES);
--- a/src/main/java/kitemux/mysql/MysqlServerProtocol.java
+++ b/src/main/java/kitemux/mysql/MysqlServerProtocol.java
@@ -9,8 +9,8 @@
 import kitemux.Balancer.Result;
 import kitemux.engine.Log;
 import kitemux.engine.Transport.Exchange;
-import kitemux.net.ServerResponse;
 import kitemux.net.ServerPool;
+import kitemux.net.ServerResponse;
 
 /**
  * MySQL's protocol towards servers: connections that are logged in before they carry anything, one command
--- a/src/main/java/kitemux/mysql/PayloadAssembler.java
+++ b/src/main/java/kitemux/mysql/PayloadAssembler.java
@@ -33,7 +33,8 @@
             }
             if (payload.readableBytes() + part.bytes().readableBytes() > most) {
                 close();
-                throw new ProtocolException(ProtocolException.Kind.TOO_LARGE, "a packet has more than " + most + " bytes");
+                throw new ProtocolException(
+                        ProtocolException.Kind.TOO_LARGE, "a packet has more than " + most + " bytes");
             }
             payload.writeBytes(part.bytes());
         } finally {
--- a/src/main/java/kitemux/mysql/ResponseTracker.java
+++ b/src/main/java/kitemux/mysql/ResponseTracker.java
@@ -163,11 +163,13 @@
             resultEnds();
         } else if (form != ResponseType.RESULT_SETS || first == LOCAL_FILE) {
             // No file of the client's is ever read for a server.
-            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "an answer of this command cannot begin with " + first);
+            throw new ProtocolException(
+                    ProtocolException.Kind.MALFORMED, "an answer of this command cannot begin with " + first);
         } else {
             columnsLeft = Fields.lenenc(payload, "the number of columns");
             if (columnsLeft < 1 || columnsLeft > 1 << 16 || payload.isReadable()) {
-                throw new ProtocolException(ProtocolException.Kind.MALFORMED, "a result has " + columnsLeft + " columns");
+                throw new ProtocolException(
+                        ProtocolException.Kind.MALFORMED, "a result has " + columnsLeft + " columns");
             }
             state = State.COLUMNS;
         }
--- a/src/main/java/kitemux/ops/Figures.java
+++ b/src/main/java/kitemux/ops/Figures.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import kitemux.Balancer.RequestClass;
-import kitemux.engine.RequestInfo;
 import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 
 /** Counts what became of requests, from the start of the process. Memory: a number for each that is held. */
 final class Figures implements Observer {
--- a/src/main/java/kitemux/peers/Datagram.java
+++ b/src/main/java/kitemux/peers/Datagram.java
@@ -145,7 +145,8 @@
             if (standing >= MemberState.values().length) {
                 return null;
             }
-            believed.add(new MemberRecord(node, of, incarnation, MemberState.values()[standing], in.getShort() & 0xffff));
+            believed.add(
+                    new MemberRecord(node, of, incarnation, MemberState.values()[standing], in.getShort() & 0xffff));
         }
         List<Update> said = new ArrayList<>(words);
         for (int i = 0; i < words; i++) {
--- a/src/main/java/kitemux/peers/Membership.java
+++ b/src/main/java/kitemux/peers/Membership.java
@@ -176,8 +176,9 @@
         if (silent) {
             return Long.MAX_VALUE;
         }
-        long next =
-                probe == null ? probeAtUs : probe.helped || terms.indirectProbes() == 0 ? probe.endsAtUs : probe.answerAtUs;
+        long next = probe == null
+                ? probeAtUs
+                : probe.helped || terms.indirectProbes() == 0 ? probe.endsAtUs : probe.answerAtUs;
         for (Probe one : asked) {
             next = Math.min(next, one.answerAtUs);
         }
@@ -250,8 +251,9 @@
     /** All that are there in turn, in an order that is drawn anew each time, but for special ones. */
     private int choose() {
         int kind = ++probes % SPECIAL_EVERY;
-        int special =
-                kind == 0 ? oneOf(MemberState.GONE, new BitSet()) : kind == 1 ? oneOf(MemberState.SUSPECT, new BitSet()) : -1;
+        int special = kind == 0
+                ? oneOf(MemberState.GONE, new BitSet())
+                : kind == 1 ? oneOf(MemberState.SUSPECT, new BitSet()) : -1;
         if (special >= 0) {
             return special;
         }
@@ -369,8 +371,8 @@
             }
             case ACK -> answered(message);
             case PING_REQUEST -> {
-                Probe forOther =
-                        new Probe(message.target(), ++numbers, nowUs + terms.probeTimeoutUs(), 0, from, message.sequence());
+                Probe forOther = new Probe(
+                        message.target(), ++numbers, nowUs + terms.probeTimeoutUs(), 0, from, message.sequence());
                 asked.add(forOther);
                 send(forOther.node, Message.Kind.PING, forOther.number, 0);
             }
@@ -486,7 +488,11 @@
      * @throws IllegalArgumentException if the text is too long or the topic or time out of range
      */
     public void broadcast(int topic, int version, int forMs, byte[] text) {
-        if (topic < 0 || topic > 255 || forMs < 1 || forMs > 65_535 || text.length > Datagram.MAX_UPDATE_PAYLOAD_BYTES) {
+        if (topic < 0
+                || topic > 255
+                || forMs < 1
+                || forMs > 65_535
+                || text.length > Datagram.MAX_UPDATE_PAYLOAD_BYTES) {
             throw new IllegalArgumentException("topic " + topic + ", " + forMs + " ms, " + text.length + " bytes");
         }
         news.hears(new Update(terms.self(), me.generation(), topic, version, forMs, text.clone()), nowUs);
--- a/src/main/java/kitemux/rollout/TokenBucket.java
+++ b/src/main/java/kitemux/rollout/TokenBucket.java
@@ -1,45 +1,49 @@
 package kitemux.rollout;
 
 /**
- * How much a watch may be sent: so much a second in the long run, and so much at once. What must go, a beat,
- * goes whatever was sent, and is made up for by what follows.
+ * Limits the bytes sent on a watch to a sustained rate and a burst. Heartbeats are sent even if the bucket
+ * is empty; the events after them make up for it.
  */
 public final class TokenBucket {
-    private final long perSecond;
-    private final long atOnce;
-    private double bytes;
-    private long asOfUs;
+    private final long bytesPerSecond;
+    private final long burstBytes;
+    private double availableBytes;
+    private long updatedAtUs;
 
     /**
-     * A new watch.
+     * Creates a bucket for a new watch.
      *
-     * @param perSecond bytes a second, above 0
-     * @param atOnce bytes that may go at once after a pause
-     * @param first bytes that may go at the beginning; 0 where nobody knows what was sent just before by
-     *     another
+     * @param bytesPerSecond sustained rate, above 0
+     * @param burstBytes bytes that may be sent at once after a pause
+     * @param initialBytes bytes that may be sent at the beginning; 0 if it is not known what another keeper
+     *     has sent just before
      */
-    public TokenBucket(long nowUs, long perSecond, long atOnce, long first) {
-        this.perSecond = perSecond;
-        this.atOnce = atOnce;
-        this.bytes = first;
-        this.asOfUs = nowUs;
+    public TokenBucket(long nowUs, long bytesPerSecond, long burstBytes, long initialBytes) {
+        this.bytesPerSecond = bytesPerSecond;
+        this.burstBytes = burstBytes;
+        this.availableBytes = initialBytes;
+        this.updatedAtUs = nowUs;
     }
 
-    private void advance(long nowUs) {
-        bytes = Math.min(atOnce, bytes + (nowUs - asOfUs) * (double) perSecond / 1_000_000);
-        asOfUs = nowUs;
+    private void refill(long nowUs) {
+        availableBytes =
+                Math.min(burstBytes, availableBytes + (nowUs - updatedAtUs) * (double) bytesPerSecond / 1_000_000);
+        updatedAtUs = nowUs;
     }
 
-    /** When so many bytes may go, in microseconds; no later than now if they may go at once. */
-    public long readyAtUs(long nowUs, int some) {
-        advance(nowUs);
-        double missing = Math.min(some, atOnce) - bytes;
-        return missing <= 0 ? nowUs : nowUs + (long) Math.ceil(missing * 1_000_000 / perSecond);
+    /**
+     * Returns when the given number of bytes may be sent, in microseconds; {@code nowUs} if it may be sent
+     * at once.
+     */
+    public long readyAtUs(long nowUs, int byteCount) {
+        refill(nowUs);
+        double missing = Math.min(byteCount, burstBytes) - availableBytes;
+        return missing <= 0 ? nowUs : nowUs + (long) Math.ceil(missing * 1_000_000 / bytesPerSecond);
     }
 
-    /** So many bytes went. */
-    public void consume(long nowUs, int some) {
-        advance(nowUs);
-        bytes -= some;
+    /** Takes sent bytes from the bucket, which may become negative. */
+    public void consume(long nowUs, int byteCount) {
+        refill(nowUs);
+        availableBytes -= byteCount;
     }
 }
--- a/src/main/java/kitemux/soak/Soak.java
+++ b/src/main/java/kitemux/soak/Soak.java
@@ -203,7 +203,8 @@
     }
 
     private SoakNode start() throws IOException {
-        return SoakNode.start(launcher.newNodeProcess(), folder, clientsPort, hold(), plan.deadlineMs(), servers, traced);
+        return SoakNode.start(
+                launcher.newNodeProcess(), folder, clientsPort, hold(), plan.deadlineMs(), servers, traced);
     }
 
     // ---------------------------------------------------------------- changes of processes
--- a/src/main/java/kitemux/soak/SoakNode.java
+++ b/src/main/java/kitemux/soak/SoakNode.java
@@ -64,7 +64,8 @@
                     "{\"trace\":{\"folder\":\"%s\"}}".formatted(folder.resolve("traces")));
             launcher.environment().put("KITEMUX_SETTINGS", settings.toString());
         }
-        return new SoakNode(ProcessGuard.wrap(launcher).redirectErrorStream(true).start(), operatorsPort);
+        return new SoakNode(
+                ProcessGuard.wrap(launcher).redirectErrorStream(true).start(), operatorsPort);
     }
 
     private static String config(int clientsPort, int operatorsPort, long deadlineMs, List<SoakServer> servers) {
--- a/src/main/java/kitemux/world/WorldNetwork.java
+++ b/src/main/java/kitemux/world/WorldNetwork.java
@@ -7,8 +7,8 @@
 import java.net.SocketAddress;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import kitemux.net.Network;
 import kitemux.net.InputAwareChannel;
+import kitemux.net.Network;
 
 /** The world's network as one process of a node has it. */
 final class WorldNetwork implements Network {
--- a/src/test/java/kitemux/keeper/KeeperTest.java
+++ b/src/test/java/kitemux/keeper/KeeperTest.java
@@ -558,7 +558,8 @@
                     keepers.status(0, "").path("keeper").path("watches_refused").whole(0));
             sockets.get(0).close();
             long until = System.nanoTime() + 30_000_000_000L;
-            while (keepers.status(0, "").path("keeper").path("watches").whole(0) == ProtocolParameters.MAX_WATCH_COUNT) {
+            while (keepers.status(0, "").path("keeper").path("watches").whole(0)
+                    == ProtocolParameters.MAX_WATCH_COUNT) {
                 assertTrue(System.nanoTime() < until, "a watch that has ended makes no room");
             }
             sockets.add(keepers.watch(0, 0, 0));
--- a/src/test/java/kitemux/lab/LoopbackRunTest.java
+++ b/src/test/java/kitemux/lab/LoopbackRunTest.java
@@ -17,8 +17,8 @@
 import kitemux.fleet.Fleet;
 import kitemux.fleet.RunResult;
 import kitemux.load.CaptureFile;
-import kitemux.load.ServerSpeedEstimator;
 import kitemux.load.LoadSummary;
+import kitemux.load.ServerSpeedEstimator;
 import kitemux.plan.FleetFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -52,7 +52,8 @@
         Fleet fleet = TestFleets.small()
                 .withFaults(List.of(
                         new Fleet.Fault(Fleet.FaultKind.RELEASE, Fleet.FaultScope.ANY, 0, 2, 300_000, 200_000, 2),
-                        new Fleet.Fault(Fleet.FaultKind.NODES_RESTART, Fleet.FaultScope.ANY, 0, 1, 1_000_000, 100_000, 1)));
+                        new Fleet.Fault(
+                                Fleet.FaultKind.NODES_RESTART, Fleet.FaultScope.ANY, 0, 1, 1_000_000, 100_000, 1)));
         RunResult happened = LoopbackRun.execute(fleet, 5, TestFleets::node).result();
         assertEquals(happened.requests(), ended(happened), "each wish ends once");
         assertEquals(List.of(), happened.violations());
@@ -108,8 +109,8 @@
     void serversThatAllDieServeNobodyMeanwhile() throws Exception {
         Fleet fleet = TestFleets.small()
                 .with(TestFleets.small().load().scaledBy(2))
-                .withFaults(
-                        List.of(new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.ANY, 0, 0, 1_000_000, 1_000_000, 1)));
+                .withFaults(List.of(
+                        new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.ANY, 0, 0, 1_000_000, 1_000_000, 1)));
         RunResult predicted = Emulation.run(fleet, 2);
         RunResult happened = LoopbackRun.execute(fleet, 2, TestFleets::node).result();
         assertEquals(List.of(), happened.violations());
@@ -148,8 +149,9 @@
                 speeds.add(CaptureFile.read(file));
             }
         }
-        Map<String, Double> found =
-                speeds.estimateSpeeds().stream().collect(Collectors.toMap(ServerSpeedEstimator.ServerSpeed::server, ServerSpeedEstimator.ServerSpeed::speed));
+        Map<String, Double> found = speeds.estimateSpeeds().stream()
+                .collect(Collectors.toMap(
+                        ServerSpeedEstimator.ServerSpeed::server, ServerSpeedEstimator.ServerSpeed::speed));
         assertEquals(Set.of("old-0", "old-1", "std-0", "std-1"), found.keySet());
         assertEquals(2, found.get("std-0") / found.get("old-0"), 0.3, found::toString);
         assertEquals(2, found.get("std-1") / found.get("old-1"), 0.3, found::toString);
--- a/src/test/java/kitemux/lab/ResultsTest.java
+++ b/src/test/java/kitemux/lab/ResultsTest.java
@@ -37,7 +37,8 @@
                                 "",
                                 0,
                                 false,
-                                TestFleets.small().with(TestFleets.small().load().scaledBy(2)))));
+                                TestFleets.small()
+                                        .with(TestFleets.small().load().scaledBy(2)))));
     }
 
     private ResultsFolder results() throws IOException {
@@ -62,8 +63,10 @@
     void theSameSeedGivesTheSameLineHoweverManyArePlayedAtOnce() throws Exception {
         ResultsFolder one = ResultsFolder.openOrCreate(folder.resolve("one"), Map.of());
         ResultsFolder many = ResultsFolder.openOrCreate(folder.resolve("many"), Map.of());
-        new ExperimentRunner(TestFleets::node, 1, 1).runMissing(experiment(3, Experiment.Environment.EMULATOR), one, row -> {});
-        new ExperimentRunner(TestFleets::node, 8, 1).runMissing(experiment(3, Experiment.Environment.EMULATOR), many, row -> {});
+        new ExperimentRunner(TestFleets::node, 1, 1)
+                .runMissing(experiment(3, Experiment.Environment.EMULATOR), one, row -> {});
+        new ExperimentRunner(TestFleets::node, 8, 1)
+                .runMissing(experiment(3, Experiment.Environment.EMULATOR), many, row -> {});
         assertEquals(
                 one.rows().stream().map(ResultRow::toLine).sorted().toList(),
                 many.rows().stream().map(ResultRow::toLine).sorted().toList());
@@ -76,7 +79,9 @@
         Files.writeString(folder.resolve("r").resolve("runs.tsv"), "a\tloopback\t2\t0.4", StandardOpenOption.APPEND);
         assertEquals(1, results.rows().size());
         results.append(row("a", Experiment.Environment.LOOPBACK, 2, 0.6));
-        assertEquals(List.of(0.5, 0.6), results.rows().stream().map(ResultRow::inTimeRatio).toList());
+        assertEquals(
+                List.of(0.5, 0.6),
+                results.rows().stream().map(ResultRow::inTimeRatio).toList());
     }
 
     @Test
@@ -104,7 +109,8 @@
                 row("a", Experiment.Environment.EMULATOR, 1, 0.88),
                 row("a", Experiment.Environment.LOOPBACK, 1, 0.8),
                 row("b", Experiment.Environment.EMULATOR, 1, 0.5));
-        List<PredictionReport.VariantResult> lines = PredictionReport.variantResults(experiment(1, Experiment.Environment.values()), rows);
+        List<PredictionReport.VariantResult> lines =
+                PredictionReport.variantResults(experiment(1, Experiment.Environment.values()), rows);
         assertEquals(0.1, lines.get(0).relativeError(), 1e-9);
         assertTrue(Double.isNaN(lines.get(1).relativeError()), "nothing happened that it could be held against");
         assertTrue(PredictionReport.table(experiment(1, Experiment.Environment.values()), rows)
@@ -125,7 +131,8 @@
             rows.add(row("std " + i, Experiment.Environment.LOOPBACK, 1, 0.71 + 0.1 * i));
         }
         Experiment experiment = new Experiment(0.9, 1, List.of(Experiment.Environment.values()), variants);
-        List<PredictionReport.GoalCrossing> found = PredictionReport.goalCrossings(experiment, PredictionReport.variantResults(experiment, rows));
+        List<PredictionReport.GoalCrossing> found =
+                PredictionReport.goalCrossings(experiment, PredictionReport.variantResults(experiment, rows));
         assertEquals(2, found.get(0).predicted(), 1e-6);
         assertEquals(1.5, found.get(0).measured(), 1e-6);
         assertEquals(3, found.get(1).predicted());
@@ -145,8 +152,11 @@
         assertTrue(ResultsComparison.compare(first, better).get(0).isSignificant());
         assertEquals(0.0245, ResultsComparison.compare(first, better).get(0).mean(), 1e-9);
         assertFalse(ResultsComparison.compare(first, other).get(0).isSignificant());
-        assertFalse(ResultsComparison.compare(first.subList(0, 1), better).get(0).isSignificant(), "of one pair nothing is told");
-        assertEquals(List.of(), ResultsComparison.compare(first, List.of(row("b", Experiment.Environment.EMULATOR, 1, 1))));
+        assertFalse(
+                ResultsComparison.compare(first.subList(0, 1), better).get(0).isSignificant(),
+                "of one pair nothing is told");
+        assertEquals(
+                List.of(), ResultsComparison.compare(first, List.of(row("b", Experiment.Environment.EMULATOR, 1, 1))));
         assertNotEquals(ResultsComparison.compare(first, better), ResultsComparison.compare(first, other));
     }
 
@@ -155,7 +165,9 @@
         String page = ResultsPage.render(
                 "<trial> @DATA@",
                 experiment(1, Experiment.Environment.values()),
-                List.of(row("a", Experiment.Environment.EMULATOR, 1, 0.95), row("a", Experiment.Environment.LOOPBACK, 1, 0.8)));
+                List.of(
+                        row("a", Experiment.Environment.EMULATOR, 1, 0.95),
+                        row("a", Experiment.Environment.LOOPBACK, 1, 0.8)));
         assertTrue(page.contains("<h1>&lt;trial&gt; @DATA@</h1>"));
         assertTrue(page.contains("class=\"off\">+18.7%"), "a miss is marked");
         assertTrue(page.contains("\"predicted\":[0.95,null]"));
--- a/src/test/java/kitemux/mysql/MysqlServersTest.java
+++ b/src/test/java/kitemux/mysql/MysqlServersTest.java
@@ -17,18 +17,18 @@
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
 import kitemux.ServiceQBalancer;
-import kitemux.engine.ResponseSink;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
+import kitemux.engine.ResponseSink;
 import kitemux.engine.SendGate;
 import kitemux.mysql.ResponseTracker.ResponseType;
-import kitemux.net.ServerResponse;
-import kitemux.net.HostList;
 import kitemux.net.EventLoopClock;
+import kitemux.net.HostList;
 import kitemux.net.NioNetwork;
 import kitemux.net.SelectorLoop;
 import kitemux.net.ServerPool;
+import kitemux.net.ServerResponse;
 import kitemux.net.SocketBudget;
 import kitemux.standin.OrderDatabase;
 import kitemux.standin.OrderDatabase.Fault;
@@ -149,7 +149,8 @@
                 time,
                 settings.connectTimeoutUs,
                 60_000_000,
-                new MysqlServerProtocol(new BackendConnection.Account(OrderDatabase.USER, OrderDatabase.PASSWORD, ""), log));
+                new MysqlServerProtocol(
+                        new BackendConnection.Account(OrderDatabase.USER, OrderDatabase.PASSWORD, ""), log));
         engine = new Engine<>(
                 settings.maxAttempts,
                 time,
--- a/src/test/java/kitemux/mysql/StatementTest.java
+++ b/src/test/java/kitemux/mysql/StatementTest.java
@@ -129,7 +129,8 @@
     void noTextFailsAndNothingBehindAReadMakesAWriteARead(@ForAll @StringLength(max = 60) String text) {
         Statement.analyze(text);
         assertFalse(Statement.analyze("INSERT INTO t VALUES (1) " + text).isReadOnly());
-        assertFalse(Statement.analyze("SELECT 1; INSERT INTO t VALUES (1); " + text).isReadOnly());
+        assertFalse(
+                Statement.analyze("SELECT 1; INSERT INTO t VALUES (1); " + text).isReadOnly());
         assertFalse(Statement.analyze("SELECT 1 FROM t WHERE f(1) " + text).isReadOnly());
     }
 
--- a/src/test/java/kitemux/node/EventLoopStallTest.java
+++ b/src/test/java/kitemux/node/EventLoopStallTest.java
@@ -93,7 +93,8 @@
             Site.write(stays, Http.page("stays"));
             release.countDown();
             assertEquals(200, Http.read(stays.getInputStream()).status());
-            assertEquals("before", ScriptedServer.next(server.requests).headers().get("x-txn"));
+            assertEquals(
+                    "before", ScriptedServer.next(server.requests).headers().get("x-txn"));
             assertEquals("stays", ScriptedServer.next(server.requests).headers().get("x-txn"));
             assertEquals(200, site.ask(Http.page("after")).status());
             assertEquals("after", ScriptedServer.next(server.requests).headers().get("x-txn"));
@@ -183,8 +184,8 @@
         }
     }
 
-    private static void whatLiesUnreadRunsOutOfTime(Site site, ScriptedServer server, Socket kept, CountDownLatch release)
-            throws Exception {
+    private static void whatLiesUnreadRunsOutOfTime(
+            Site site, ScriptedServer server, Socket kept, CountDownLatch release) throws Exception {
         Site.write(kept, Http.page("/api/p", "on a connection that was there", "400m"));
         Socket fresh = site.connect();
         Site.write(fresh, Http.page("/api/p", "on a new one", "400m"));
--- a/src/test/java/kitemux/orders/JournalTest.java
+++ b/src/test/java/kitemux/orders/JournalTest.java
@@ -14,62 +14,64 @@
 import java.util.SplittableRandom;
 import kitemux.disk.Disk;
 import kitemux.disk.MemoryDisk;
+import kitemux.orders.Entry.Accepted;
 import kitemux.orders.Entry.Answer;
 import kitemux.orders.Entry.Answered;
 import kitemux.orders.Entry.Ended;
 import kitemux.orders.Entry.Intent;
 import kitemux.orders.Entry.LeftOpen;
 import kitemux.orders.Entry.Result;
-import kitemux.orders.Entry.Accepted;
 import org.junit.jupiter.api.Test;
 
-/** A journal whose power is cut, at each of its steps. */
+/** Tests recovery of a journal after power cuts and corruption, deletion of old segments, and look-ups. */
 class JournalTest {
     private static final Digest BODY = Digest.of(new byte[] {1, 2, 3});
 
-    private final List<String> lines = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
     private long clockUs = 1_000_000;
-    private long ageUs = Long.MAX_VALUE;
-    private long keepUs;
-    private long keepBytes;
+    private long segmentAgeUs = Long.MAX_VALUE;
+    private long retentionUs;
+    private long maxTotalBytes;
 
-    private Journal open(Disk disk, long mostSegment, long seed) throws IOException {
+    private Journal open(Disk disk, long segmentBytes, long seed) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
         return Journal.open(
                 disk,
-                new Journal.Limits(mostSegment, ageUs, keepUs, keepBytes),
+                new Journal.Limits(segmentBytes, segmentAgeUs, retentionUs, maxTotalBytes),
                 () -> clockUs++,
                 random::nextLong,
-                lines::add);
+                logLines::add);
     }
 
-    static Accepted accepted(long number, String order) {
-        return new Accepted(number, 5, order, "place-order", "school", "cart-" + number, "", 3, BODY);
+    static Accepted accepted(long number, String orderId) {
+        return new Accepted(number, 5, orderId, "place-order", "school", "cart-" + number, "", 3, BODY);
     }
 
-    /** All entries of a disk in their order, and what stands between them. */
+    /** Returns the entries of all segments on a disk, in order. */
     private static List<Entry> entries(MemoryDisk disk) throws IOException {
         List<Entry> all = new ArrayList<>();
         for (long sequence : SegmentNames.sequences(disk.list())) {
-            Segment.read(disk.read(SegmentNames.of(sequence))).entries().forEach(p -> all.add(p.entry()));
+            Segment.read(disk.read(SegmentNames.segmentName(sequence)))
+                    .entries()
+                    .forEach(p -> all.add(p.entry()));
         }
         return all;
     }
 
-    /** What a run of orders was told to be durable before the power went. */
+    /** The orders that a run began, and those whose entries were durable before the power cut. */
     private static final class Run {
         final Set<Long> durableIntents = new HashSet<>();
         final Set<Long> durableAnswers = new HashSet<>();
-        final Set<Long> begun = new HashSet<>();
+        final Set<Long> begunOrders = new HashSet<>();
     }
 
-    /** Orders one after the other, each taken, sent, ended and answered, until the power goes. */
-    private Run orders(Disk disk, int count, long mostSegment) {
+    /** Records orders one after the other, each accepted, sent, ended and answered, until the power cut. */
+    private Run placeOrders(Disk disk, int count, long segmentBytes) {
         Run run = new Run();
-        try (Journal journal = open(disk, mostSegment, 7)) {
+        try (Journal journal = open(disk, segmentBytes, 7)) {
             for (int i = 0; i < count; i++) {
-                long number = journal.next();
-                run.begun.add(number);
+                long number = journal.nextNumber();
+                run.begunOrders.add(number);
                 journal.append(
                         List.of(accepted(number, "o" + number), new Intent(number, 6, 0, "s1", "127.0.0.1:1", 900)));
                 journal.sync();
@@ -80,118 +82,119 @@
                 run.durableAnswers.add(number);
             }
         } catch (IOException e) {
-            // The power went.
+            // The power was cut.
         }
         return run;
     }
 
-    private void check(MemoryDisk found, Run run) throws IOException {
-        open(found, 400, 8).close();
-        Map<Long, Integer> taken = new HashMap<>();
+    private void recoverAndCheck(MemoryDisk disk, Run run) throws IOException {
+        open(disk, 400, 8).close();
+        Map<Long, Integer> accepted = new HashMap<>();
         Set<Long> intents = new HashSet<>();
         Set<Long> answers = new HashSet<>();
-        Map<Long, Integer> left = new HashMap<>();
-        for (Entry entry : entries(found)) {
+        Map<Long, Integer> leftOpen = new HashMap<>();
+        for (Entry entry : entries(disk)) {
             if (entry instanceof Accepted) {
-                taken.merge(entry.number(), 1, Integer::sum);
+                accepted.merge(entry.number(), 1, Integer::sum);
             } else if (entry instanceof Intent) {
                 intents.add(entry.number());
             } else if (entry instanceof Answered) {
                 answers.add(entry.number());
             } else if (entry instanceof LeftOpen) {
-                left.merge(entry.number(), 1, Integer::sum);
+                leftOpen.merge(entry.number(), 1, Integer::sum);
             }
         }
-        assertTrue(intents.containsAll(run.durableIntents), "a send without its record");
+        assertTrue(intents.containsAll(run.durableIntents), "a durable intent is missing");
         assertTrue(answers.containsAll(run.durableAnswers));
-        assertTrue(run.begun.containsAll(taken.keySet()), "an order that nobody sent");
-        assertTrue(taken.values().stream().allMatch(n -> n == 1), "an order recorded twice");
-        for (long number : taken.keySet()) {
+        assertTrue(run.begunOrders.containsAll(accepted.keySet()), "an order was recorded that was never placed");
+        assertTrue(accepted.values().stream().allMatch(n -> n == 1), "an order was recorded twice");
+        for (long number : accepted.keySet()) {
             assertEquals(
                     answers.contains(number) ? 0 : 1,
-                    left.getOrDefault(number, 0),
-                    "open orders are marked, once, and no others: " + number);
+                    leftOpen.getOrDefault(number, 0),
+                    "an open order is marked as left open once, any other is not: " + number);
         }
     }
 
+    /** Cuts the power after each disk operation, with different amounts of unsynced data surviving. */
     @Test
-    void whereverThePowerIsCutNoSendIsWithoutItsRecordAndNoneIsThereTwice() throws IOException {
-        MemoryDisk whole = new MemoryDisk();
-        assertEquals(12, orders(whole, 12, 400).durableAnswers.size());
-        assertTrue(SegmentNames.sequences(whole.list()).size() > 4, "segments were ended on the way");
-        for (int cut = 0; cut <= whole.operationCount; cut++) {
-            for (int unsynced : new int[] {0, 1, 7, 30, 64, 65, 100, 1_000_000}) {
+    void powerCutAtAnyStepLosesNoDurableEntryAndDuplicatesNone() throws IOException {
+        MemoryDisk fullRunDisk = new MemoryDisk();
+        assertEquals(12, placeOrders(fullRunDisk, 12, 400).durableAnswers.size());
+        assertTrue(SegmentNames.sequences(fullRunDisk.list()).size() > 4, "the run uses several segments");
+        for (int operationCount = 0; operationCount <= fullRunDisk.operationCount; operationCount++) {
+            for (int unsyncedBytes : new int[] {0, 1, 7, 30, 64, 65, 100, 1_000_000}) {
                 MemoryDisk disk = new MemoryDisk();
-                disk.operationsUntilFailure = cut;
-                Run run = orders(disk, 12, 400);
-                check(disk.afterPowerCut(unsynced), run);
+                disk.operationsUntilFailure = operationCount;
+                Run run = placeOrders(disk, 12, 400);
+                recoverAndCheck(disk.afterPowerCut(unsyncedBytes), run);
             }
         }
     }
 
     @Test
-    void aPowerCutInTheMiddleOfARecoveryIsRecoveredFromAsWell() throws IOException {
+    void powerCutDuringRecoveryIsRecovered() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         disk.operationsUntilFailure = 25;
-        Run run = orders(disk, 12, 400);
-        for (int cut = 0; cut < 12; cut++) {
-            MemoryDisk found = disk.afterPowerCut(50);
-            found.operationsUntilFailure = cut;
+        Run run = placeOrders(disk, 12, 400);
+        for (int operationCount = 0; operationCount < 12; operationCount++) {
+            MemoryDisk diskAfterCut = disk.afterPowerCut(50);
+            diskAfterCut.operationsUntilFailure = operationCount;
             try {
-                open(found, 400, 9).close();
+                open(diskAfterCut, 400, 9).close();
             } catch (IOException e) {
-                // The power went again.
+                // The power was cut again.
             }
-            for (int unsynced : new int[] {0, 3, 20, 1_000_000}) {
-                check(found.afterPowerCut(unsynced), run);
+            for (int unsyncedBytes : new int[] {0, 3, 20, 1_000_000}) {
+                recoverAndCheck(diskAfterCut.afterPowerCut(unsyncedBytes), run);
             }
         }
     }
 
     @Test
-    void bytesSpoiltInTheMiddleHideNothingBehindThemAndAreNamed() throws IOException {
+    void corruptBytesAreLoggedAndHideNoEntryBehindThem() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 5, 1 << 20);
-        String name = SegmentNames.of(1);
+        placeOrders(disk, 5, 1 << 20);
+        String name = SegmentNames.segmentName(1);
         byte[] bytes = disk.read(name);
-        List<Segment.Placed> before = Segment.read(bytes).entries();
-        bytes[before.get(4).offset() + Segment.FRAME + 3] ^= 0x10;
+        List<Segment.LocatedEntry> entriesBefore = Segment.read(bytes).entries();
+        bytes[entriesBefore.get(4).offset() + Segment.FRAME_HEADER_BYTES + 3] ^= 0x10;
         disk.put(name, bytes);
         open(disk, 1 << 20, 8).close();
         assertTrue(
-                lines.stream()
-                        .anyMatch(line ->
-                                line.contains(name + ", offset " + before.get(4).offset() + ":")
-                                        && line.contains("checksum")),
-                lines.toString());
+                logLines.stream()
+                        .anyMatch(line -> line.contains(name + ", offset "
+                                        + entriesBefore.get(4).offset() + ":")
+                                && line.contains("checksum")),
+                logLines.toString());
         assertEquals(
-                before.size() - 1,
+                entriesBefore.size() - 1,
                 entries(disk).stream().filter(e -> !(e instanceof LeftOpen)).count());
     }
 
     @Test
-    void anOldSegmentsBytesDoNotPassForEntriesOfANewOne() throws IOException {
-        Segment.Header first = new Segment.Header(1, 11, 0);
-        Segment.Header second = new Segment.Header(2, 22, 0);
-        byte[] frame = Segment.frame(first, Segment.HEADER, accepted(1, "o"));
-        byte[] bytes = new byte[Segment.HEADER + frame.length];
-        System.arraycopy(second.bytes(), 0, bytes, 0, Segment.HEADER);
-        System.arraycopy(frame, 0, bytes, Segment.HEADER, frame.length);
+    void framesOfAnotherSegmentAreRejected() throws IOException {
+        Segment.Header firstHeader = new Segment.Header(1, 11, 0);
+        Segment.Header secondHeader = new Segment.Header(2, 22, 0);
+        byte[] frame = Segment.encodeFrame(firstHeader, Segment.HEADER_BYTES, accepted(1, "o"));
+        byte[] bytes = new byte[Segment.HEADER_BYTES + frame.length];
+        System.arraycopy(secondHeader.bytes(), 0, bytes, 0, Segment.HEADER_BYTES);
+        System.arraycopy(frame, 0, bytes, Segment.HEADER_BYTES, frame.length);
         assertTrue(Segment.read(bytes).entries().isEmpty());
-        System.arraycopy(first.bytes(), 0, bytes, 0, Segment.HEADER);
+        System.arraycopy(firstHeader.bytes(), 0, bytes, 0, Segment.HEADER_BYTES);
         assertEquals(1, Segment.read(bytes).entries().size());
     }
 
     @Test
-    void spoiltBytesNeverFailAReaderNorYieldWhatWasNotWritten() throws IOException {
+    void corruptBytesNeitherFailAReaderNorYieldFalseEntries() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 8, 1 << 20);
-        byte[] sound = disk.read(SegmentNames.of(1));
+        placeOrders(disk, 8, 1 << 20);
+        byte[] intact = disk.read(SegmentNames.segmentName(1));
         Set<Entry> written = new HashSet<>(entries(disk));
         SplittableRandom random = new SplittableRandom(3);
-        int yielded = 0;
+        int decodedCount = 0;
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = sound.clone();
+            byte[] bytes = intact.clone();
             for (int n = 1 + random.nextInt(4); n > 0; n--) {
                 int at = random.nextInt(bytes.length);
                 switch (random.nextInt(3)) {
@@ -199,7 +202,7 @@
                     case 1 -> bytes = java.util.Arrays.copyOf(bytes, Math.max(1, at));
                     default ->
                         System.arraycopy(
-                                sound,
+                                intact,
                                 0,
                                 bytes,
                                 Math.min(at, bytes.length),
@@ -207,28 +210,28 @@
                 }
             }
             Segment.Content content = Segment.read(bytes);
-            yielded += content.entries().size();
+            decodedCount += content.entries().size();
             assertTrue(content.entries().stream().allMatch(p -> written.contains(p.entry())));
         }
-        assertTrue(yielded > 20_000, "most of it was still read");
+        assertTrue(decodedCount > 20_000, "most intact entries were still decoded");
     }
 
     @Test
-    void whatIsNoSegmentIsSetAsideAndNotDeleted() throws IOException {
+    void invalidSegmentIsSetAsideAndNotDeleted() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 2, 1 << 20);
-        disk.put(SegmentNames.of(2), "half a head".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+        placeOrders(disk, 2, 1 << 20);
+        disk.put(SegmentNames.segmentName(2), "half a head".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         try (Journal journal = open(disk, 1 << 20, 8)) {
             assertEquals(3, journal.header().sequence());
-            assertEquals(3, journal.next());
+            assertEquals(3, journal.nextNumber());
         }
-        assertTrue(disk.list().contains(SegmentNames.of(2) + SegmentNames.ASIDE));
-        assertFalse(disk.list().contains(SegmentNames.of(2)));
+        assertTrue(disk.list().contains(SegmentNames.segmentName(2) + SegmentNames.SET_ASIDE_SUFFIX));
+        assertFalse(disk.list().contains(SegmentNames.segmentName(2)));
     }
 
     @Test
-    void aSegmentEndsWhenItIsOldToo() throws IOException {
-        ageUs = 1_000;
+    void segmentEndsByAge() throws IOException {
+        segmentAgeUs = 1_000;
         MemoryDisk disk = new MemoryDisk();
         try (Journal journal = open(disk, 1 << 20, 7)) {
             journal.append(List.of(accepted(1, "a")));
@@ -238,142 +241,152 @@
             assertEquals(2, journal.header().sequence());
             clockUs -= 500_000;
             journal.append(List.of(accepted(3, "c")));
-            assertEquals(2, journal.header().sequence(), "a clock that is set back ends nothing");
+            assertEquals(2, journal.header().sequence(), "a clock that is set back ends no segment");
         }
     }
 
     @Test
-    void oldSegmentsAreTakenAwayButNoneWithAnOpenOrder() throws IOException {
-        keepUs = 1;
+    void expiredSegmentsAreDeletedUnlessAnOrderIsOpen() throws IOException {
+        retentionUs = 1;
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 12, 400);
-        int kept = SegmentNames.sequences(disk.list()).size();
-        assertTrue(kept <= 2, kept + " segments are kept");
+        placeOrders(disk, 12, 400);
+        int segmentCount = SegmentNames.sequences(disk.list()).size();
+        assertTrue(segmentCount <= 2, segmentCount + " segments remain");
         try (Journal journal = open(disk, 400, 8)) {
-            long waiting = journal.next();
-            journal.append(List.of(accepted(waiting, "waits"), new Intent(waiting, 6, 0, "s", "", 9)));
+            long openNumber = journal.nextNumber();
+            journal.append(List.of(accepted(openNumber, "waits"), new Intent(openNumber, 6, 0, "s", "", 9)));
             for (int i = 1; i < 12; i++) {
-                journal.append(List.of(accepted(waiting + i, "o" + i), new Answered(waiting + i, 8, Answer.REFUSED)));
+                journal.append(
+                        List.of(accepted(openNumber + i, "o" + i), new Answered(openNumber + i, 8, Answer.REFUSED)));
             }
             journal.sync();
-            assertTrue(entries(disk).contains(accepted(waiting, "waits")), "open, however old");
-            assertEquals(waiting, journal.oldestOpen());
+            assertTrue(
+                    entries(disk).contains(accepted(openNumber, "waits")),
+                    "a segment with an open order stays, however old it is");
+            assertEquals(openNumber, journal.oldestOpen());
         }
     }
 
     @Test
-    void theOldestGoWhileThereIsTooMuchAndNoneWithAnOpenOrder() throws IOException {
-        keepBytes = 2_500;
+    void oldestSegmentsAreDeletedBySizeUnlessAnOrderIsOpen() throws IOException {
+        maxTotalBytes = 2_500;
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 12, 400);
+        placeOrders(disk, 12, 400);
         List<Long> segments = SegmentNames.sequences(disk.list());
-        assertTrue(segments.size() > 2 && segments.get(0) > 1, segments + " are kept");
+        assertTrue(segments.size() > 2 && segments.get(0) > 1, segments + " remain");
         long bytes = 0;
         for (long segment : segments) {
-            bytes += disk.size(SegmentNames.of(segment));
+            bytes += disk.size(SegmentNames.segmentName(segment));
         }
-        assertTrue(bytes <= keepBytes + 1_000, bytes + " bytes: at most what one segment holds beyond");
+        assertTrue(bytes <= maxTotalBytes + 1_000, bytes + " bytes exceed the limit by more than one segment");
         assertTrue(
-                disk.list().stream().noneMatch(name -> name.equals(SegmentNames.index(1))),
-                "an index goes with its segment");
+                disk.list().stream().noneMatch(name -> name.equals(SegmentNames.indexName(1))),
+                "an index is deleted with its segment");
         try (Journal journal = open(disk, 400, 8)) {
-            long waiting = journal.next();
-            journal.append(List.of(accepted(waiting, "waits"), new Intent(waiting, 6, 0, "s", "", 9)));
+            long openNumber = journal.nextNumber();
+            journal.append(List.of(accepted(openNumber, "waits"), new Intent(openNumber, 6, 0, "s", "", 9)));
             for (int i = 1; i < 30; i++) {
-                journal.append(List.of(accepted(waiting + i, "o" + i), new Answered(waiting + i, 8, Answer.REFUSED)));
+                journal.append(
+                        List.of(accepted(openNumber + i, "o" + i), new Answered(openNumber + i, 8, Answer.REFUSED)));
             }
-            assertTrue(entries(disk).contains(accepted(waiting, "waits")), "open, however much there is");
+            assertTrue(
+                    entries(disk).contains(accepted(openNumber, "waits")),
+                    "a segment with an open order stays, however large the journal is");
         }
     }
 
     @Test
-    void anIdThatComesAgainAfterARestartIsAnOrderOfItsOwn() throws IOException {
+    void reusedIdAfterARestartIsASeparateOrder() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         try (Journal journal = open(disk, 1 << 20, 7)) {
             journal.append(List.of(accepted(1, "same"), new Intent(1, 6, 0, "s", "", 9)));
         }
         try (Journal journal = open(disk, 1 << 20, 8)) {
-            long number = journal.next();
+            long number = journal.nextNumber();
             journal.append(List.of(accepted(number, "same"), new Answered(number, 8, Answer.REFUSED)));
         }
-        assertEquals(List.of("same UNKNOWN", "same REFUSED"), found(disk, "same", new int[1]));
+        assertEquals(List.of("same UNKNOWN", "same REFUSED"), findOrders(disk, "same", new int[1]));
     }
 
     @Test
-    void aLastSegmentWithoutAWholeHeaderIsTornAndNoFault() throws IOException {
+    void incompleteHeaderOfTheLastSegmentIsTornAndNoFault() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 3, 1 << 20);
-        byte[] first = disk.read(SegmentNames.of(1));
-        for (int length = 0; length < Segment.HEADER; length++) {
-            disk.put(SegmentNames.of(2), java.util.Arrays.copyOf(first, length));
-            JournalReader.VerificationResult verdict = new JournalReader(disk).verify();
-            assertEquals(List.of(), verdict.faults(), "a node died, or is, before " + length + " bytes");
-            assertEquals(length, verdict.tornBytes());
+        placeOrders(disk, 3, 1 << 20);
+        byte[] first = disk.read(SegmentNames.segmentName(1));
+        for (int length = 0; length < Segment.HEADER_BYTES; length++) {
+            disk.put(SegmentNames.segmentName(2), java.util.Arrays.copyOf(first, length));
+            JournalReader.VerificationResult result = new JournalReader(disk).verify();
+            assertEquals(List.of(), result.faults(), "an incomplete header of " + length + " bytes is no fault");
+            assertEquals(length, result.tornBytes());
         }
-        disk.put(SegmentNames.of(2), new byte[Segment.HEADER]);
-        assertEquals(1, new JournalReader(disk).verify().faults().size(), "long enough, and no header");
-        disk.put(SegmentNames.of(2), new byte[3]);
-        disk.put(SegmentNames.of(3), first);
+        disk.put(SegmentNames.segmentName(2), new byte[Segment.HEADER_BYTES]);
+        assertEquals(1, new JournalReader(disk).verify().faults().size(), "the header is complete, but invalid");
+        disk.put(SegmentNames.segmentName(2), new byte[3]);
+        disk.put(SegmentNames.segmentName(3), first);
         assertEquals(
-                2, new JournalReader(disk).verify().faults().size(), "not the last, and one that says it is another");
+                2,
+                new JournalReader(disk).verify().faults().size(),
+                "a torn segment is not the last, and a header has another sequence number");
     }
 
-    private static List<String> found(MemoryDisk disk, String order, int[] reads) throws IOException {
-        List<String> found = new ArrayList<>();
+    private static List<String> findOrders(MemoryDisk disk, String orderId, int[] reads) throws IOException {
+        List<String> results = new ArrayList<>();
         disk.segmentReadCount = 0;
         new JournalReader(disk)
                 .findHistories(
-                        Set.of(order),
+                        Set.of(orderId),
                         Set.of(),
                         Set.of(),
-                        taken -> true,
-                        story -> found.add(story.accepted().orderId() + " " + story.state(false)));
+                        accepted -> true,
+                        history -> results.add(history.accepted().orderId() + " " + history.state(false)));
         reads[0] = disk.segmentReadCount;
-        return found;
+        return results;
     }
 
     @Test
-    void anIndexSparesTheReadingOfSegmentsAndChangesNoAnswer() throws IOException {
+    void indexSavesSegmentReadsWithoutChangingResults() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 40, 800);
+        placeOrders(disk, 40, 800);
         List<Long> segments = SegmentNames.sequences(disk.list());
-        int[] with = new int[1];
-        int[] without = new int[1];
+        int[] readsWithIndex = new int[1];
+        int[] readsWithoutIndex = new int[1];
         for (int i = 1; i <= 41; i++) {
-            List<String> quick = found(disk, "o" + i, with);
-            MemoryDisk bare = disk.afterPowerCut(0);
+            List<String> results = findOrders(disk, "o" + i, readsWithIndex);
+            MemoryDisk diskWithoutIndexes = disk.afterPowerCut(0);
             for (long segment : segments.subList(0, segments.size() - 1)) {
-                bare.files().remove(SegmentNames.index(segment));
+                diskWithoutIndexes.files().remove(SegmentNames.indexName(segment));
             }
-            assertEquals(found(bare, "o" + i, without), quick);
-            assertEquals(i <= 40 ? List.of("o" + i + " ANSWERED") : List.of(), quick);
-            assertTrue(with[0] <= 4 && without[0] == segments.size(), with[0] + " of " + without[0]);
+            assertEquals(findOrders(diskWithoutIndexes, "o" + i, readsWithoutIndex), results);
+            assertEquals(i <= 40 ? List.of("o" + i + " ANSWERED") : List.of(), results);
+            assertTrue(
+                    readsWithIndex[0] <= 4 && readsWithoutIndex[0] == segments.size(),
+                    readsWithIndex[0] + " of " + readsWithoutIndex[0]);
             if (i == 41) {
-                assertEquals(segments.size() - 1, new JournalReader(bare).rebuildIndexes());
-                assertEquals(0, new JournalReader(bare).rebuildIndexes());
-                found(bare, "o7", with);
-                assertTrue(with[0] <= 4, "made anew, it spares as much");
+                assertEquals(segments.size() - 1, new JournalReader(diskWithoutIndexes).rebuildIndexes());
+                assertEquals(0, new JournalReader(diskWithoutIndexes).rebuildIndexes());
+                findOrders(diskWithoutIndexes, "o7", readsWithIndex);
+                assertTrue(readsWithIndex[0] <= 4, "a rebuilt index saves as many reads");
             }
         }
     }
 
     @Test
-    void anIndexThatIsSpoiltOrOfAnotherTimeCountsAsNone() throws IOException {
+    void corruptOrOutdatedIndexIsIgnored() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        orders(disk, 12, 800);
-        String name = SegmentNames.index(1);
-        byte[] sound = disk.read(name);
-        assertTrue(SegmentIndex.read(sound).isOf(1, disk.size(SegmentNames.of(1))));
-        assertFalse(SegmentIndex.read(sound).isOf(2, disk.size(SegmentNames.of(1))));
-        assertFalse(SegmentIndex.read(sound).isOf(1, disk.size(SegmentNames.of(1)) + 1));
-        for (int i = 0; i < sound.length; i++) {
-            byte[] spoilt = sound.clone();
-            spoilt[i] ^= 1;
-            disk.put(name, spoilt);
-            assertEquals(List.of("o1 ANSWERED"), found(disk, "o1", new int[1]), "byte " + i);
+        placeOrders(disk, 12, 800);
+        String name = SegmentNames.indexName(1);
+        byte[] intact = disk.read(name);
+        assertTrue(SegmentIndex.read(intact).matches(1, disk.size(SegmentNames.segmentName(1))));
+        assertFalse(SegmentIndex.read(intact).matches(2, disk.size(SegmentNames.segmentName(1))));
+        assertFalse(SegmentIndex.read(intact).matches(1, disk.size(SegmentNames.segmentName(1)) + 1));
+        for (int i = 0; i < intact.length; i++) {
+            byte[] corrupt = intact.clone();
+            corrupt[i] ^= 1;
+            disk.put(name, corrupt);
+            assertEquals(List.of("o1 ANSWERED"), findOrders(disk, "o1", new int[1]), "byte " + i);
         }
-        for (int length = 0; length < sound.length; length++) {
-            assertEquals(null, SegmentIndex.read(java.util.Arrays.copyOf(sound, length)));
+        for (int length = 0; length < intact.length; length++) {
+            assertEquals(null, SegmentIndex.read(java.util.Arrays.copyOf(intact, length)));
         }
     }
 }
--- a/src/test/java/kitemux/orders/OrderRecorderTest.java
+++ b/src/test/java/kitemux/orders/OrderRecorderTest.java
@@ -19,16 +19,15 @@
 import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.disk.MemoryDisk;
-import kitemux.engine.RequestInfo;
-import kitemux.engine.Observer;
 import kitemux.engine.Clock;
+import kitemux.engine.Observer;
+import kitemux.engine.RequestInfo;
 import org.junit.jupiter.api.Test;
 
-/** Which requests a journal holds, and what becomes of a send whose record is late. */
+/** Tests which requests are recorded, the memory limit for bodies, and the time-out of commits. */
 class OrderRecorderTest {
-    /** Asked for by a test. */
-    private record Ask(int classIndex, String txn, List<byte[]> body) implements RequestInfo {
-        Ask(int classIndex) {
+    private record TestRequest(int classIndex, String txn, List<byte[]> body) implements RequestInfo {
+        TestRequest(int classIndex) {
             this(classIndex, "t" + classIndex, List.of(new byte[] {4}, new byte[] {5}));
         }
 
@@ -65,9 +64,9 @@
 
     private final Settings settings = new Settings();
     private final MemoryDisk disk = new MemoryDisk();
-    private final BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Runnable> eventLoop = new LinkedBlockingQueue<>();
     private final Queue<Runnable> timers = new ArrayDeque<>();
-    private final List<Boolean> gate = new ArrayList<>();
+    private final List<Boolean> decisions = new ArrayList<>();
 
     private final Clock time = new Clock() {
         @Override
@@ -82,109 +81,115 @@
         }
     };
 
-    private JournalWriter log;
+    private JournalWriter writer;
 
-    private OrderRecorder<Ask> keeper(Set<String> more) throws Exception {
+    private OrderRecorder<TestRequest> createRecorder(Set<String> recordedClasses) throws Exception {
         for (RetrySafety repeat : List.of(RetrySafety.SAFE, RetrySafety.KEYED, RetrySafety.UNSAFE)) {
             settings.classes.add(new RequestClass(repeat.name(), 1, 0, 2, 1, 0, repeat, DedupScope.ALL, 1, false));
         }
-        log = JournalWriter.start(
-                failed -> Journal.open(
+        writer = JournalWriter.start(
+                failedJournal -> Journal.open(
                         disk, new Journal.Limits(1 << 20, Long.MAX_VALUE, 0, 0), () -> 50, () -> 3, line -> {}),
                 JournalWriter.SyncPolicy.EACH,
                 1,
-                loop::add,
+                eventLoop::add,
                 line -> {});
         return new OrderRecorder<>(
                 settings,
                 time,
-                log,
+                writer,
                 1,
-                new OrderSettings(Path.of("x"), JournalWriter.SyncPolicy.EACH, 1, 100, 1 << 20, 1, 0, 0, more));
+                new OrderSettings(
+                        Path.of("x"), JournalWriter.SyncPolicy.EACH, 1, 100, 1 << 20, 1, 0, 0, recordedClasses));
     }
 
-    private List<String> kept() throws Exception {
-        log.close();
-        List<String> kept = new ArrayList<>();
+    private List<String> readHistories() throws Exception {
+        writer.close();
+        List<String> histories = new ArrayList<>();
         new JournalReader(disk)
-                .forEachHistory(taken -> true, story -> kept.add(story.accepted().orderId() + " " + story.state(false)));
-        return kept;
+                .forEachHistory(
+                        accepted -> true,
+                        history -> histories.add(history.accepted().orderId() + " " + history.state(false)));
+        return histories;
     }
 
-    private void play(OrderRecorder<Ask> keeper, int classIndex) throws Exception {
-        Ask ask = new Ask(classIndex);
+    private void processRequest(OrderRecorder<TestRequest> recorder, int classIndex) throws Exception {
+        TestRequest request = new TestRequest(classIndex);
         long id = 10 + classIndex;
-        keeper.onRequestAccepted(id, ask);
-        keeper.admit(id, ask, 0, "s", () -> "127.0.0.1:1", 99, gate::add);
-        while (gate.isEmpty()) {
-            loop.poll(20, TimeUnit.SECONDS).run();
+        recorder.onRequestAccepted(id, request);
+        recorder.admit(id, request, 0, "s", () -> "127.0.0.1:1", 99, decisions::add);
+        while (decisions.isEmpty()) {
+            eventLoop.poll(20, TimeUnit.SECONDS).run();
         }
-        assertEquals(List.of(true), gate);
-        gate.clear();
-        keeper.onAttemptEnded(id, 0, Result.OK);
-        keeper.onRequestAnswered(id, Observer.RequestOutcome.SERVED);
-        keeper.onRequestReleased(id);
+        assertEquals(List.of(true), decisions);
+        decisions.clear();
+        recorder.onAttemptEnded(id, 0, Result.OK);
+        recorder.onRequestAnswered(id, Observer.RequestOutcome.SERVED);
+        recorder.onRequestReleased(id);
     }
 
     @Test
-    void bodiesThatWaitForALateWriterAreBoundedAndNoneIsLostForIt() throws Exception {
-        OrderRecorder<Ask> keeper = keeper(Set.of());
-        CountDownLatch stands = new CountDownLatch(1);
-        log.append(() -> {
+    void pendingBodiesAreBoundedAndNoOrderIsLost() throws Exception {
+        OrderRecorder<TestRequest> recorder = createRecorder(Set.of());
+        CountDownLatch writerReleased = new CountDownLatch(1);
+        writer.append(() -> {
             try {
-                stands.await();
+                writerReleased.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
             return new Entry.Accepted(0, 50, "first", "UNSAFE", "", "", "", 0, Digest.of(new byte[0]));
         });
-        byte[] alone = new byte[(int) OrderRecorder.MAX_PENDING_BODY_BYTES + 1];
-        keeper.onRequestAccepted(1, new Ask(2, "alone", List.of(alone)));
-        assertEquals(alone.length, keeper.pendingBodyBytes(), "one by itself is never the loop's work");
+        byte[] largeBody = new byte[(int) OrderRecorder.MAX_PENDING_BODY_BYTES + 1];
+        recorder.onRequestAccepted(1, new TestRequest(2, "alone", List.of(largeBody)));
+        assertEquals(
+                largeBody.length, recorder.pendingBodyBytes(), "the event loop does not digest a single pending body");
         for (int i = 0; i < 5; i++) {
-            keeper.onRequestAccepted(2 + i, new Ask(2, "more" + i, List.of(new byte[1 << 20])));
-            assertEquals(alone.length, keeper.pendingBodyBytes(), "beyond it only digests are held");
+            recorder.onRequestAccepted(2 + i, new TestRequest(2, "more" + i, List.of(new byte[1 << 20])));
+            assertEquals(largeBody.length, recorder.pendingBodyBytes(), "beyond the limit only digests are held");
         }
-        stands.countDown();
-        List<String> kept = kept();
-        for (String order : List.of("alone", "more0", "more1", "more2", "more3", "more4")) {
-            assertTrue(kept.stream().anyMatch(story -> story.startsWith(order + " ")), order + " of " + kept);
+        writerReleased.countDown();
+        List<String> histories = readHistories();
+        for (String orderId : List.of("alone", "more0", "more1", "more2", "more3", "more4")) {
+            assertTrue(
+                    histories.stream().anyMatch(history -> history.startsWith(orderId + " ")),
+                    orderId + " of " + histories);
         }
-        assertEquals(0, keeper.pendingBodyBytes());
+        assertEquals(0, recorder.pendingBodyBytes());
     }
 
     @Test
-    void onlyWhatMustNeverRunTwiceIsKept() throws Exception {
-        OrderRecorder<Ask> keeper = keeper(Set.of());
+    void onlyUnsafeClassesAreRecordedByDefault() throws Exception {
+        OrderRecorder<TestRequest> recorder = createRecorder(Set.of());
         for (int c = 0; c < 3; c++) {
-            play(keeper, c);
+            processRequest(recorder, c);
         }
-        assertEquals(List.of("t2 ANSWERED"), kept());
-        assertTrue(timers.isEmpty(), "a record that came in time leaves no timer");
+        assertEquals(List.of("t2 ANSWERED"), readHistories());
+        assertTrue(timers.isEmpty(), "a commit in time cancels its timer");
     }
 
     @Test
-    void otherClassesAreKeptWhereTheSettingsNameThem() throws Exception {
-        OrderRecorder<Ask> keeper = keeper(Set.of("KEYED"));
+    void classesNamedInTheSettingsAreRecorded() throws Exception {
+        OrderRecorder<TestRequest> recorder = createRecorder(Set.of("KEYED"));
         for (int c = 0; c < 3; c++) {
-            play(keeper, c);
+            processRequest(recorder, c);
         }
-        assertEquals(List.of("t1 ANSWERED", "t2 ANSWERED"), kept());
+        assertEquals(List.of("t1 ANSWERED", "t2 ANSWERED"), readHistories());
     }
 
     @Test
-    void aRecordThatIsLateSendsNothingHoweverItEnds() throws Exception {
-        OrderRecorder<Ask> keeper = keeper(Set.of());
-        keeper.onRequestAccepted(7, new Ask(2));
-        keeper.admit(7, new Ask(2), 0, "s", () -> "", 99, gate::add);
+    void commitTimeoutRefusesTheSendEvenIfTheEntryBecomesDurable() throws Exception {
+        OrderRecorder<TestRequest> recorder = createRecorder(Set.of());
+        recorder.onRequestAccepted(7, new TestRequest(2));
+        recorder.admit(7, new TestRequest(2), 0, "s", () -> "", 99, decisions::add);
         timers.remove().run();
-        assertEquals(List.of(false), gate);
-        loop.poll(20, TimeUnit.SECONDS).run();
-        assertEquals(List.of(false), gate, "told once");
-        keeper.onAttemptEnded(7, 0, Result.MOOT);
-        keeper.onRequestAnswered(7, Observer.RequestOutcome.REFUSED);
-        keeper.onRequestReleased(7);
-        assertEquals(List.of("t2 REFUSED"), kept());
-        assertEquals(1, log.rejectedCommitCount());
+        assertEquals(List.of(false), decisions);
+        eventLoop.poll(20, TimeUnit.SECONDS).run();
+        assertEquals(List.of(false), decisions, "the callback runs only once");
+        recorder.onAttemptEnded(7, 0, Result.MOOT);
+        recorder.onRequestAnswered(7, Observer.RequestOutcome.REFUSED);
+        recorder.onRequestReleased(7);
+        assertEquals(List.of("t2 REFUSED"), readHistories());
+        assertEquals(1, writer.rejectedCommitCount());
     }
 }
--- a/src/test/java/kitemux/peers/DatagramTest.java
+++ b/src/test/java/kitemux/peers/DatagramTest.java
@@ -49,7 +49,8 @@
     void whatIsWrittenIsRead(@ForAll("messages") Message message) {
         byte[] bytes = Datagram.write(message, FLEET);
         assertEquals(message, Datagram.read(bytes, FLEET).message());
-        assertEquals(Datagram.ReadError.WRONG_FLEET, Datagram.read(bytes, FLEET + 1).error());
+        assertEquals(
+                Datagram.ReadError.WRONG_FLEET, Datagram.read(bytes, FLEET + 1).error());
     }
 
     @Property(tries = 100)
@@ -74,8 +75,11 @@
         byte[] bytes = Datagram.write(new Message(Message.Kind.PING, 1, 2, 3, 0, List.of(), List.of()), FLEET);
         assertEquals(Datagram.HEAD, bytes.length);
         bytes[0]++;
-        assertEquals(Datagram.ReadError.UNSUPPORTED_VERSION, Datagram.read(bytes, FLEET).error());
-        assertEquals(Datagram.ReadError.TOO_SHORT, Datagram.read(new byte[3], FLEET).error());
+        assertEquals(
+                Datagram.ReadError.UNSUPPORTED_VERSION,
+                Datagram.read(bytes, FLEET).error());
+        assertEquals(
+                Datagram.ReadError.TOO_SHORT, Datagram.read(new byte[3], FLEET).error());
     }
 
     @Test
--- a/src/test/java/kitemux/peers/MembersTest.java
+++ b/src/test/java/kitemux/peers/MembersTest.java
@@ -106,7 +106,8 @@
         assertTrue(meeting.until(
                         3 * Promises.GIVEN_UP_US,
                         () -> meeting.but(0, 1, 2).stream().allMatch(i -> meeting.allSee(some, i, MemberState.GONE))
-                                && some.stream().allMatch(i -> meeting.allSee(meeting.but(0, 1, 2), i, MemberState.GONE)))
+                                && some.stream()
+                                        .allMatch(i -> meeting.allSee(meeting.but(0, 1, 2), i, MemberState.GONE)))
                 >= 0);
         assertTrue(meeting.seats.stream().allMatch(seat -> seat.members.isMinority()));
         meeting.part(some, false);
@@ -198,7 +199,8 @@
         Membership members = meeting.seats.get(0).members;
         MemberRecord nobody = new MemberRecord(9, 5, 0, MemberState.GONE, 0);
         members.receive(meeting.time.nowUs(), new Message(Message.Kind.PING, 9, 1, 1, 0, List.of(), List.of()));
-        members.receive(meeting.time.nowUs(), new Message(Message.Kind.PING_REQUEST, 1, 1, 1, 12, List.of(), List.of()));
+        members.receive(
+                meeting.time.nowUs(), new Message(Message.Kind.PING_REQUEST, 1, 1, 1, 12, List.of(), List.of()));
         members.receive(
                 meeting.time.nowUs(),
                 new Message(Message.Kind.PING, 1, Long.MAX_VALUE >>> 16, 1, 0, List.of(nobody), List.of()));
--- a/src/test/java/kitemux/peers/PromisesTest.java
+++ b/src/test/java/kitemux/peers/PromisesTest.java
@@ -63,13 +63,27 @@
         SUSPECTS_ARE_NEVER_GIVEN_UP {
             @Override
             public MembershipConfig terms(MembershipConfig t) {
-                return new MembershipConfig(t.nodeCount(), t.self(), t.probePeriodUs(), t.probeTimeoutUs(), t.indirectProbes(), 100, t.maxDatagramBytes());
+                return new MembershipConfig(
+                        t.nodeCount(),
+                        t.self(),
+                        t.probePeriodUs(),
+                        t.probeTimeoutUs(),
+                        t.indirectProbes(),
+                        100,
+                        t.maxDatagramBytes());
             }
         },
         SUSPECTS_HAVE_NO_TIME {
             @Override
             public MembershipConfig terms(MembershipConfig t) {
-                return new MembershipConfig(t.nodeCount(), t.self(), t.probePeriodUs(), t.probeTimeoutUs(), t.indirectProbes(), 1, t.maxDatagramBytes());
+                return new MembershipConfig(
+                        t.nodeCount(),
+                        t.self(),
+                        t.probePeriodUs(),
+                        t.probeTimeoutUs(),
+                        t.indirectProbes(),
+                        1,
+                        t.maxDatagramBytes());
             }
 
             @Override
@@ -95,7 +109,8 @@
         THE_GONE_ARE_NOT_SOUGHT {
             @Override
             public Message sent(Meeting.Seat by, int to, Message message) {
-                return message.kind() == Message.Kind.PING && by.members.recordOf(to).state() == MemberState.GONE
+                return message.kind() == Message.Kind.PING
+                                && by.members.recordOf(to).state() == MemberState.GONE
                         ? null
                         : message;
             }
@@ -120,7 +135,8 @@
 
             @Override
             public MembershipConfig terms(MembershipConfig t) {
-                return new MembershipConfig(t.nodeCount(), t.self(), t.probePeriodUs(), t.probeTimeoutUs(), 0, 1, t.maxDatagramBytes());
+                return new MembershipConfig(
+                        t.nodeCount(), t.self(), t.probePeriodUs(), t.probeTimeoutUs(), 0, 1, t.maxDatagramBytes());
             }
         };
 
--- a/src/test/java/kitemux/peers/Sizes.java
+++ b/src/test/java/kitemux/peers/Sizes.java
@@ -42,7 +42,8 @@
                 bytes += (meeting.bytes - size) / 60.0 / nodes / plays;
                 meeting.seats.get(1).die();
                 long one = meeting.until(
-                        120_000_000, () -> meeting.but(1).stream().anyMatch(i -> meeting.seen(i, 1) == MemberState.GONE));
+                        120_000_000,
+                        () -> meeting.but(1).stream().anyMatch(i -> meeting.seen(i, 1) == MemberState.GONE));
                 first.add(one / 1e6);
                 all.add((one + meeting.until(120_000_000, () -> meeting.allSee(meeting.but(1), 1, MemberState.GONE)))
                         / 1e6);
--- a/src/test/java/kitemux/soak/SoakJudgeTest.java
+++ b/src/test/java/kitemux/soak/SoakJudgeTest.java
@@ -19,7 +19,10 @@
     }
 
     private static String found(
-            Request request, List<SoakServer.Arrival> arrivals, List<String> traces, List<SoakVerifier.UnannouncedKill> killed) {
+            Request request,
+            List<SoakServer.Arrival> arrivals,
+            List<String> traces,
+            List<SoakVerifier.UnannouncedKill> killed) {
         List<SoakVerifier.Violation> found = SoakVerifier.judge(List.of(request), arrivals, traces, killed);
         return found.isEmpty() ? "nothing" : found.get(0).rule();
     }
@@ -37,7 +40,8 @@
     void whatAKillWithNoSignalBeforeFindsIsLeftToTheClient() {
         Request broken = request(0, Request.Outcome.BROKEN, 100_000);
         List<SoakServer.Arrival> read = List.of(arrival(1_000, TIME_US));
-        assertEquals("nothing", found(broken, read, List.of(), List.of(new SoakVerifier.UnannouncedKill(SENT_US + 99_000))));
+        assertEquals(
+                "nothing", found(broken, read, List.of(), List.of(new SoakVerifier.UnannouncedKill(SENT_US + 99_000))));
         assertEquals("lost", found(broken, read, List.of(), List.of(new SoakVerifier.UnannouncedKill(SENT_US - 1))));
     }
 
--- a/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
+++ b/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
@@ -26,8 +26,8 @@
 import kitemux.engine.Observer;
 import kitemux.engine.SendGate;
 import kitemux.http.ConnectionObserver;
-import kitemux.net.HostList;
 import kitemux.net.EventLoopClock;
+import kitemux.net.HostList;
 import kitemux.node.Node;
 import kitemux.node.NodeConfig;
 import kitemux.sim.Scheduler;
@@ -271,7 +271,8 @@
         for (int i = 0; i < NODES; i++) {
             Machine machine = fabric.add("n" + i, 100 + i, "10.0.0." + (i + 1) + ":8000");
             SplittableRandom own = random.split();
-            time.scheduleAfterMs(own.nextLong(1_000), () -> all.add(new Restarted(time, fabric, machine, discovery, own, as)));
+            time.scheduleAfterMs(
+                    own.nextLong(1_000), () -> all.add(new Restarted(time, fabric, machine, discovery, own, as)));
         }
         boolean more = true;
         while (more) {
