--- a/src/main/java/kitemux/ServiceQBalancer.java
+++ b/src/main/java/kitemux/ServiceQBalancer.java
@@ -18,321 +18,595 @@
 import java.util.stream.Stream;
 
 /**
- * Every decision of the load balancer. Its interface, meaning all types, events and actions, stands in
- * {@code Balancer.java}.
+ * Makes every decision of the load balancer. {@link Balancer} defines its interface: all types, events and actions.
  *
- * <p>The ordinary path is ServiceQ's: a failed attempt adds one to its server's error count, a success
- * clears it; a first try draws two servers by weights that fall with the count and goes to the one with
- * fewer of this node's own requests in flight; a failure that may be repeated passes to the next server
- * in list order; when nothing can be tried the request waits, first come first served, inside the
- * client's time. Departures are marked "Exception" below.
+ * <p>The ordinary path follows ServiceQ. A failed attempt adds one to the error count of its server, and a success
+ * clears the count. A first try draws two servers, by weights that fall with the error count, and goes to the one
+ * with fewer requests of this node in flight. A failed attempt that may be repeated is retried on the next server in
+ * list order. When no server can be tried, the request waits in a queue, first come first served, until its deadline.
+ * Departures from this path are marked "Exception" below.
+ *
+ * <p>Fields and parameters whose names end in {@code At} or {@code Until} are times of the caller's clock in
+ * microseconds.
  */
 public final class ServiceQBalancer implements Balancer {
 
-    /** Further draws for one that may not be sent to: to look through a large fleet took too much CPU. */
-    private static final int REDRAWS = 15;
-    /** Draws by key, some of which the weights turn down: with three a burst waited in vain, with sixteen it
-     * spread over servers that did not know the key. */
-    private static final int KEY_DRAWS = 8;
-    /** Shortest sweep over waiting requests: long against its cost, short against any aim. */
-    private static final long MIN_SWEEP_US = 5_000;
-    /** Share of a new value in a running mean, and in the share of timely answers, which follows a jam. */
-    private static final double MEAN_GAIN = 1.0 / 32;
-
-    private static final double TIMELY_GAIN = 1.0 / 8;
-    /** Share of timely answers under which a sparse node throttles what it takes up, by the square, but for
-     * a part without which it would learn of no recovery. */
-    private static final double THROTTLED_AT = 0.7;
-
-    private static final double LEAST_ADMITTED = 0.05;
-    /** What a request costs a server that knows no keys yet, against the mean of others: a careful guess. */
-    private static final double UNKNOWN_KEY_COST = 3;
-    /** Gap between answers that a node assumes before it has seen any: careful with cold servers. */
-    private static final double FIRST_GAP_US = 50_000;
-    /** Requests in flight that all nodes together start with for each server: few enough for one core. */
-    private static final double FIRST_LIMIT = 4;
-    /** The same where keys are warm: past what a server holds, so that the first cut finds the limit. */
-    private static final double FIRST_WARM_LIMIT = 64;
-    /** Answers slower than this share of the aim say that a server is crowded: the rest is for chance, and a
-     * server that is crowded up to its aim may already have turned slower. */
-    private static final double CROWDED_AT = 0.35;
-    /** The same share at a node of many, and at a sparse one: what many nodes send evens out badly, so even
-     * servers with much room answer some requests slowly. */
-    private static final double MANY_CROWDED_AT = 0.6;
-
-    private static final double SPARSE_CROWDED_AT = 0.7;
-    /** Part of that growth that stays while half of the answers come late: some must, or none comes back. */
-    private static final double LEAST_GROWTH = 0.1;
-    /** Growth of a server's limit over all nodes for an answer in good time, and its cut for a slow one: at a
-     * limit of four, one slow answer in four holds the balance. */
-    private static final double LIMIT_STEP = 0.15;
-
-    private static final double LIMIT_CUT = 0.1;
-    /** Answers that take this many times the least mean of their class say so too, however far the aim is. */
-    private static final double CROWDED_BY = 3;
-    /** Share of the mean of their class here over which answers are slower than most, as times are skewed. */
-    private static final double SLOW_BY = 0.8;
-    /** So many times that tell of a slow server, and not of chance. */
-    private static final double FAR_SLOWER = 2;
-    /** Most errors that slow answers add up to: a server that is slower still has its limit. */
-    private static final int MOST_SLOW = 8;
-    /** Growth of that least mean with each answer, so that it follows a change of work: by half in 4,000. */
-    private static final double LEAST_DRIFT = 1.0001;
-    /** Longest time between two requests to a server whose limit is under one: 1 s kept them choked. */
-    private static final long MOST_REST_US = 2_000_000;
-    /** Requests that a sparse node may send ahead of a server's rest, as arrivals come in bunches. */
-    private static final double BURST = 2;
-    /** Power of the nodes with which step and cut grow: at 0 many learn slowly, at a half chance rules. */
-    private static final double LEARN_BY_NODES = 0.25;
-    /** Cut of a limit for a request turned away or not answered in time, which is more than slow. */
-    private static final double LIMIT_HARD_CUT = 0.3;
-    /** A waiting request with fewer of its class's usual latencies left to its aim is too late: in overload
-     * all that is served has waited so long; but at most with this share left. At a node of many it is one
-     * less for what is worth most, which goes first, unless a quarter of its class waits in vain. */
-    private static final double TOO_LATE_AT = 2;
-
-    private static final double IN_VAIN_BY = 4;
-    private static final double MOST_LATE_AT = 0.8;
-    /** Failures among a server's last {@link #REMEMBERED} answers from which on it is ejected, beside so many
-     * times what all servers fail in common: connections that break anywhere are no server's fault. */
-    private static final int EJECT_AT = 4;
-
-    private static final double IN_COMMON = 2;
-    private static final double COMMON_GAIN = 1.0 / 256;
-    private static final int REMEMBERED = 16;
-    /** Successes in a row that restore a server: one may be luck, three hardly if most fail. */
-    private static final int TRIALS = 3;
-    /** First time without requests for an ejected server, doubled with each failed trial; the longest. */
-    private static final long EJECT_US = 250_000;
-
-    private static final long MOST_EJECT_US = 4_000_000;
-    /** Trials with unsafe requests are this much further apart: each that fails is lost. */
-    private static final int UNSAFE_TRIALS = 4;
-    /** Times the usual latency of its class after which an unanswered attempt is silent: of work that is
-     * spread exponentially, one answer in fifty takes longer. */
-    private static final double SILENT_BY = 4;
-    /** A node whose wake-up comes this much too late was paused itself. */
-    private static final long PAUSED_US = 50_000;
-    /** Budget of hedges: a share of first tries, and so many at once. */
-    private static final double HEDGE_SHARE = 0.2;
-
-    private static final double MOST_HEDGES = 20;
-    /** Own requests in flight from which on a local server is compared with those of other zones. */
-    private static final int SPILL_AT = 2;
-
-    private static final long LOG_EVERY_US = 1_000_000;
-    /** Part of the limits for requests beyond their tenant's share. */
-    private static final double OVER_SHARE_PART = 0.5;
-    /** A tenant may use up this much of its share at once before it counts as beyond it, and so many
-     * requests: at a node of many its part is a few requests a second, which come in bunches. */
-    private static final double SHARE_BURST_S = 1;
-
-    private static final double LEAST_SHARE_BURST = 8;
-    /** Wait before a failed list call is made again, at first and at most, drawn from half to half as much
-     * more. Calls are taken in turn, and a turn comes no later for having asked early. At most: a call that
-     * discovery is down for lasts 4 s, and what it has at its return counts after 6 s. */
-    private static final long LIST_BACKOFF_US = 50_000;
-
-    private static final long MOST_LIST_BACKOFF_US = 660_000;
-
-    /** Most nodes that share a server in a large fleet, against the connections that a server accepts. */
-    private static final int SHARERS = 24;
-    /** How many suffice where there are many nodes, if each has {@link #ENOUGH_IN_USE} servers: it sees its
-     * own attempts alone, so with fewer sharers its requests in flight tell more of a server. With 14 at each
-     * of 60 servers they told nothing: half of the pages came too late at 0.58 of capacity. */
-    private static final int MANY_NODES = 4;
-
-    private static final int FEW_SHARERS = 2;
-    private static final int ENOUGH_IN_USE = 8;
-    /** Nodes that share a server from which on a node counts as sparse: its first part of a place is then a
-     * fifth at most. With fewer, being sparse lost more than it gained. */
-    private static final double SPARSE_FROM = 20;
-    /** Least servers that a node uses, where there are as many: one may fail and one hang. */
-    private static final int LEAST_IN_USE = 4;
-    /** Places in the table of subsets for each server, at least: all then have about equally many nodes. */
-    private static final int ROW_PLACES = 4;
-    /** Places for each server in the table that keys draw from, at least: parts then differ by some percent.
-     * Their number changes only as the fleet doubles, since with it all keys move. */
-    private static final int KEY_PLACES = 16;
-    /** Waiting requests with a key that are tried in vain at each event and at each sweep: CPU is scarce. */
-    private static final int KEYS_TRIED = 4;
-
-    private static final int KEYS_SWEPT = 64;
-
-    private static final Comparator<Call> BY_VALUE = Comparator.comparingDouble(call -> -call.value);
-
-    private final Settings set;
-    private final Actions out;
+    /**
+     * Maximum number of redraws when the drawn server may not be sent to. Searching a whole large fleet takes too
+     * much CPU.
+     */
+    private static final int MAX_REDRAW_COUNT = 15;
+
+    /**
+     * Number of draws for a key, some of which the server weights reject. With 3 draws, requests of a burst waited
+     * until they ran out of time; with 16, the burst spread to servers that did not know the key.
+     */
+    private static final int KEY_DRAW_COUNT = 8;
+
+    /**
+     * Minimum interval between sweeps of the queue: long relative to the cost of a sweep, short relative to any
+     * target latency.
+     */
+    private static final long MIN_SWEEP_INTERVAL_US = 5_000;
+
+    /** Weight of a new sample in the moving averages of latencies and of the gaps between answers. */
+    private static final double MEAN_SMOOTHING_RATIO = 1.0 / 32;
+
+    /**
+     * Weight of a new sample in the ratios of timely answers and of unserved requests, which have to follow
+     * congestion quickly.
+     */
+    private static final double TIMELY_SMOOTHING_RATIO = 1.0 / 8;
+
+    /**
+     * Ratio of timely answers below which a sparse node admits fewer requests, in proportion to the square of the
+     * ratio.
+     */
+    private static final double THROTTLING_TIMELY_RATIO = 0.7;
+
+    /** Minimum share of requests that a throttled node admits. Without it the node could not detect a recovery. */
+    private static final double MIN_ADMISSION_RATIO = 0.05;
+
+    /**
+     * Cost of a request at a server that knows no keys yet, relative to the mean cost at other servers; a
+     * conservative estimate.
+     */
+    private static final double UNKNOWN_KEY_COST_RATIO = 3;
+
+    /**
+     * Gap between the answers of one server that a node assumes before it has observed any. It is long so that cold
+     * servers are not flooded.
+     */
+    private static final double INITIAL_ANSWER_GAP_US = 50_000;
+
+    /** Initial limit on the requests in flight at a server, over all nodes; low enough for a server with one core. */
+    private static final double INITIAL_CONCURRENCY_LIMIT = 4;
+
+    /**
+     * Initial limit where servers remember keys. It exceeds the capacity of a server, so that the first decrease
+     * finds the actual limit.
+     */
+    private static final double INITIAL_WARM_KEY_CONCURRENCY_LIMIT = 64;
+
+    /**
+     * Share of the target latency above which an answer indicates a crowded server. The rest is a margin for
+     * variance: a server that is crowded up to the target may already have become slower.
+     */
+    private static final double CROWDED_TARGET_RATIO = 0.35;
+
+    /**
+     * Replaces {@link #CROWDED_TARGET_RATIO} where there are many nodes. The requests of many nodes are spread
+     * unevenly, so that even servers with spare capacity answer some requests slowly.
+     */
+    private static final double MANY_NODES_CROWDED_TARGET_RATIO = 0.6;
+
+    /** Replaces {@link #CROWDED_TARGET_RATIO} at a sparse node and where servers remember keys. */
+    private static final double SPARSE_CROWDED_TARGET_RATIO = 0.7;
+
+    /**
+     * Share of the limit growth that remains while half of the answers or more are late. Without any growth, limits
+     * would never recover.
+     */
+    private static final double MIN_LIMIT_GROWTH_RATIO = 0.1;
+
+    /**
+     * Increase of a server's limit, over all nodes, for an answer well within the target. At a limit of 4, one slow
+     * answer in four keeps increase and decrease in balance.
+     */
+    private static final double LIMIT_INCREASE_STEP = 0.15;
+
+    /** Share by which a slow answer decreases a server's limit. */
+    private static final double LIMIT_DECREASE_RATIO = 0.1;
+
+    /**
+     * Multiple of the minimum mean latency of a class above which an answer indicates a crowded server, however
+     * distant the target is.
+     */
+    private static final double CROWDED_LATENCY_RATIO = 3;
+
+    /**
+     * Share of the class's mean latency at this node above which an answer is slower than most; latencies are skewed,
+     * so most lie below their mean.
+     */
+    private static final double SLOW_LATENCY_RATIO = 0.8;
+
+    /**
+     * Additional factor on {@link #SLOW_LATENCY_RATIO} at nodes that are not sparse, which separates a slow server
+     * from chance.
+     */
+    private static final double SLOW_LATENCY_MARGIN_RATIO = 2;
+
+    /**
+     * Maximum error count that slow answers alone can add up to. Beyond that, the concurrency limit still protects a
+     * slower server.
+     */
+    private static final int MAX_SLOW_ANSWER_ERROR_COUNT = 8;
+
+    /**
+     * Growth of tracked minima with each answer, so that they follow a change of the work: by one half within 4,000
+     * answers.
+     */
+    private static final double MINIMUM_DRIFT_RATIO = 1.0001;
+
+    /**
+     * Maximum interval between two requests to a server whose limit is below one. With 1 s such servers stayed
+     * overloaded.
+     */
+    private static final long MAX_PACING_INTERVAL_US = 2_000_000;
+
+    /** Number of requests that a sparse node may send ahead of a server's pacing, since arrivals come in bursts. */
+    private static final double SPARSE_BURST_COUNT = 2;
+
+    /**
+     * Exponent of the number of nodes by which the increase and decrease of limits grow. With 0 many nodes adapt
+     * slowly; with 0.5 chance dominates.
+     */
+    private static final double LIMIT_ADAPTATION_EXPONENT = 0.25;
+
+    /** Share by which a rejected or timed-out request decreases a server's limit; it says more than a slow answer. */
+    private static final double LIMIT_OVERLOAD_DECREASE_RATIO = 0.3;
+
+    /**
+     * Minimum time left to the target latency, in mean latencies of the class, below which a queued request is too
+     * late: under overload every served request has waited that long. With many nodes it is one less for the most
+     * valuable class, which is served first, unless a quarter of the class goes unserved.
+     */
+    private static final double MIN_REMAINING_LATENCY_RATIO = 2;
+
+    /**
+     * Rate at which the unserved ratio of a class removes its advantage in {@link #MIN_REMAINING_LATENCY_RATIO}; the
+     * advantage is gone at one quarter.
+     */
+    private static final double UNSERVED_PENALTY_RATIO = 4;
+
+    /** Upper bound for the required time left, as a share of the target latency. */
+    private static final double MAX_REMAINING_TARGET_RATIO = 0.8;
+
+    /**
+     * Number of failures among the last {@link #HEALTH_HISTORY_COUNT} answers of a server at which it is ejected, in
+     * addition to the failures that all servers have in common.
+     */
+    private static final int EJECTION_FAILURE_COUNT = 4;
+
+    /**
+     * Multiple of the common failure ratio that does not count towards an ejection. Connections that break anywhere
+     * are no fault of a single server.
+     */
+    private static final double COMMON_FAILURE_ALLOWANCE_RATIO = 2;
+
+    /** Weight of a new sample in the common failure ratio. */
+    private static final double COMMON_FAILURE_SMOOTHING_RATIO = 1.0 / 256;
+
+    /** Number of recent answers from which the health of a server is judged. */
+    private static final int HEALTH_HISTORY_COUNT = 16;
+
+    /**
+     * Number of consecutive successful trials that restore an ejected server. One may be luck; three are unlikely if
+     * most requests fail.
+     */
+    private static final int RESTORING_SUCCESS_COUNT = 3;
+
+    /** Time without requests after the first ejection; it doubles with each failed trial. */
+    private static final long INITIAL_EJECTION_US = 250_000;
+
+    /** Maximum time without requests between two trials of an ejected server. */
+    private static final long MAX_EJECTION_US = 4_000_000;
+
+    /**
+     * Additional delay of a trial with an unsafe request, in ejection times: each unsafe trial that fails is a lost
+     * request.
+     */
+    private static final int UNSAFE_TRIAL_DELAY_RATIO = 4;
+
+    /**
+     * Multiple of the class's mean latency after which an unanswered attempt counts as silent. With exponentially
+     * distributed work one answer in fifty takes longer.
+     */
+    private static final double SILENCE_LATENCY_RATIO = 4;
+
+    /** Delay of a wake-up beyond which the node itself is considered to have been paused. */
+    private static final long NODE_PAUSE_THRESHOLD_US = 50_000;
+
+    /** Hedges allowed per first try. */
+    private static final double HEDGE_BUDGET_RATIO = 0.2;
+
+    /** Maximum number of hedges that the budget accumulates. */
+    private static final double MAX_HEDGE_BUDGET_COUNT = 20;
+
+    /** Number of own requests in flight at which a local server is compared with servers of other zones. */
+    private static final int ZONE_SPILLOVER_COUNT = 2;
+
+    /** Minimum interval between two log lines. */
+    private static final long MIN_LOG_INTERVAL_US = 1_000_000;
+
+    /** Share of the concurrency limits that is open to requests beyond their tenant's share. */
+    private static final double OVER_SHARE_LIMIT_RATIO = 0.5;
+
+    /** Time in seconds whose quota a tenant may use at once before it counts as beyond its share. */
+    private static final double QUOTA_BURST_S = 1;
+
+    /**
+     * Minimum number of requests that a tenant may send at once. With many nodes, the share of one node is a few
+     * requests a second, which arrive in bursts.
+     */
+    private static final double MIN_QUOTA_BURST_COUNT = 8;
+
+    /**
+     * Backoff before the first repeat of a failed list request. The actual wait is drawn between 0.5 and 1.5 times
+     * the backoff. List requests are answered in turn, and requesting early does not delay the turn.
+     */
+    private static final long INITIAL_LIST_BACKOFF_US = 50_000;
+
+    /**
+     * Maximum backoff between list requests. A request that discovery is down for lasts up to 4 s, and the list that
+     * discovery has after its return takes effect 6 s later.
+     */
+    private static final long MAX_LIST_BACKOFF_US = 660_000;
+
+    /**
+     * Maximum number of nodes that share a server in a large fleet, to respect the number of connections that a
+     * server accepts.
+     */
+    private static final int MAX_NODES_PER_SERVER_COUNT = 24;
+
+    /** Number of nodes from which on each node uses a subset of the servers. */
+    private static final int MANY_NODES_MIN_COUNT = 4;
+
+    /**
+     * Number of nodes that suffice to share a server, provided that each node has {@link #SUFFICIENT_SUBSET_COUNT}
+     * servers. A node sees only its own attempts, so with fewer nodes per server its requests in flight say more
+     * about the server's load. With 14 nodes at each of 60 servers they said nothing: half of the pages were late at
+     * 0.58 of the capacity.
+     */
+    private static final int MIN_NODES_PER_SERVER_COUNT = 2;
+
+    /** Number of servers that suffice for a node. */
+    private static final int SUFFICIENT_SUBSET_COUNT = 8;
+
+    /**
+     * Number of nodes per server above which a node counts as sparse; its initial limit is then at most one fifth of
+     * a request. With a lower bound, sparse operation lost more than it gained.
+     */
+    private static final double SPARSE_NODES_PER_SERVER_COUNT = 20;
+
+    /**
+     * Minimum number of servers that a node uses where that many exist, so that one may fail and another may hang.
+     */
+    private static final int MIN_SUBSET_COUNT = 4;
+
+    /**
+     * Minimum number of slots for each server in the table of subsets; it gives all servers about the same number of
+     * nodes.
+     */
+    private static final int SUBSET_SLOTS_PER_SERVER_COUNT = 4;
+
+    /**
+     * Minimum number of slots for each server in the table that keys are drawn from; the shares of servers then
+     * differ by a few percent. The table size changes only when the fleet doubles, since a change moves all keys.
+     */
+    private static final int KEY_SLOTS_PER_SERVER_COUNT = 16;
+
+    /** Maximum number of queued keyed requests that may fail to find a server at each event; bounds CPU use. */
+    private static final int KEYED_TRIES_PER_EVENT_COUNT = 4;
+
+    /** Maximum number of queued keyed requests that may fail to find a server at each sweep; bounds CPU use. */
+    private static final int KEYED_TRIES_PER_SWEEP_COUNT = 64;
+
+    /** Orders the queue by falling value. */
+    private static final Comparator<PendingRequest> HIGHEST_VALUE_FIRST =
+            Comparator.comparingDouble(pending -> -pending.value);
+
+    private final Settings settings;
+    private final Actions actions;
     private final SplittableRandom random;
-    private final long sweepUs;
-    private double limitStep;
-    private double limitCut;
-    /** Whether so many nodes share a server that own requests in flight tell little of its load. */
+    private final long sweepIntervalUs;
+
+    /** Increase of a server's limit for an answer well within the target, before it is scaled. */
+    private double limitIncrease;
+
+    /** Share by which a slow answer decreases a server's limit, before it is scaled. */
+    private double limitDecreaseRatio;
+
+    /**
+     * Whether a server is shared by many nodes, so that this node's own requests in flight say little about the
+     * server's load.
+     */
     private boolean sparse;
 
-    private final boolean many;
-    private double timely = 0.75;
-    private double failing;
+    /** Whether the number of nodes reaches {@link #MANY_NODES_MIN_COUNT}. */
+    private final boolean manyNodes;
+
+    /** Moving average of the share of answers that meet their target latency. */
+    private double timelyRatio = 0.75;
 
-    private final Map<String, Server> byId = new HashMap<>();
-    private final Set<Server> listed = new LinkedHashSet<>();
-    /** The servers in use: all that are ready, or this node's part of them in a large fleet. */
-    private Server[] ready = new Server[0];
+    /** Moving average of the share of answers that are failures, over all servers that are not ejected. */
+    private double commonFailureRatio;
 
-    private double sharers;
-    private double firstLimit;
-    /** Nodes that may send to a server: {@link #sharers} counts those that rarely do for less. */
-    private double senders;
+    private final Map<String, Server> serversById = new HashMap<>();
 
-    private int nearSize;
-    private Pool everywhere = new Pool(ready, false);
-    private Pool nearby = everywhere;
+    /** Servers of the current list, including draining ones. */
+    private final Set<Server> listedServers = new LinkedHashSet<>();
+
+    /** The servers in use: all that are ready, or this node's subset of them in a large fleet. */
+    private Server[] usedServers = new Server[0];
+
+    /** Number of nodes that share a server; nodes that rarely send to it count for less. */
+    private double effectiveNodesPerServer;
+
+    /** Initial limit on this node's requests in flight at a server. */
+    private double initialLimit;
+
+    /** Number of nodes that may send to a server. */
+    private double nodesPerServer;
+
+    /** Size of the last local subset; kept through small changes of the list. */
+    private int localSubsetSize;
+
+    /** All servers in use. */
+    private DrawPool fullPool = new DrawPool(usedServers, false);
+
+    /** The preferred servers; the same object as {@link #fullPool} if all are preferred. */
+    private DrawPool preferredPool = fullPool;
+
+    /** Whether an error count or the list has changed since the weights were last computed. */
     private boolean weightsStale;
-    private double largestEffect = 1;
-    private final List<Server> ejected = new ArrayList<>();
-    private long logFreeAt;
-    /** Attempts by class, in the order sent, until they are known or found silent. */
-    private final List<ArrayDeque<Try>> watched = new ArrayList<>();
 
-    private double hedgesLeft = MOST_HEDGES;
+    /** Weight of a server without errors. */
+    private double maxWeight = 1;
+
+    /** Servers in use that are ejected, for all classes or for some. */
+    private final List<Server> ejectedServers = new ArrayList<>();
+
+    /** Earliest time of the next log line. */
+    private long nextLogAt;
+
+    /** Attempts by class, in the order sent, until they are resolved or found silent. */
+    private final List<ArrayDeque<WatchedAttempt>> watchedAttempts = new ArrayList<>();
 
-    private final Map<Long, Call> calls = new HashMap<>();
-    private final ArrayList<Call> waiting = new ArrayList<>();
+    /** Number of hedges that may be sent at present. */
+    private double hedgeBudget = MAX_HEDGE_BUDGET_COUNT;
+
+    /** Requests that have no final answer or still have attempts in flight, by id. */
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+
+    /** Requests that wait for a server, by falling value. */
+    private final ArrayList<PendingRequest> queue = new ArrayList<>();
 
     private long now;
-    private long wakePending = Long.MAX_VALUE;
+
+    /** Time of the wake-up that was requested, or {@code Long.MAX_VALUE} if none is pending. */
+    private long pendingWakeAt = Long.MAX_VALUE;
+
+    /** Time of the last successful answer. */
     private long lastServedAt;
-    /** Time between answers of one server, at an even part of what this node gets: now, and at the best. */
-    private double evenGapUs;
-
-    private double leastGapUs = Double.MAX_VALUE;
-    private final double[] latencyUs;
-    private final double[] leastLatencyUs;
-    private final int[] answers;
-    /** By class, the share that ended without an attempt. */
-    private final double[] inVain;
-
-    private final double[] shareLeft;
-    private final long[] shareSeenAt;
-    private int inFlight;
-    private double limits;
-    private long askListAt = Long.MAX_VALUE;
-    private long listBackoffUs = LIST_BACKOFF_US;
 
+    /** Mean time between the answers of one server, at an even share of the answers that this node receives. */
+    private double meanAnswerGapUs;
+
+    /** Minimum of {@link #meanAnswerGapUs}, with a slow upward drift. */
+    private double minAnswerGapUs = Double.MAX_VALUE;
+
+    /** Mean latency of successful answers, by class. */
+    private final double[] meanLatencyUs;
+
+    /** Minimum of {@link #meanLatencyUs} by class, with a slow upward drift. */
+    private final double[] minMeanLatencyUs;
+
+    /** Number of successful answers, by class. */
+    private final int[] answerCounts;
+
+    /** Moving average, by class, of the share of requests that end without an attempt. */
+    private final double[] unservedRatios;
+
+    /** Requests that each tenant may still send within its share (a token bucket). */
+    private final double[] quotaTokens;
+
+    /** Time of the last refill of {@link #quotaTokens}, by tenant; 0 before the first. */
+    private final long[] quotaRefilledAt;
+
+    /** Requests in flight at the counted servers, without those found silent. */
+    private int totalInFlight;
+
+    /** Sum of the limits of the counted servers. */
+    private double totalLimit;
+
+    /** Time of the next list request, or {@code Long.MAX_VALUE} if none is due. */
+    private long nextListRequestAt = Long.MAX_VALUE;
+
+    /** Current backoff between failed list requests. */
+    private long listBackoffUs = INITIAL_LIST_BACKOFF_US;
+
+    /** State that this node keeps for a server. */
     private static final class Server {
         final String id;
-        final long hash;
-        /** Whether it is one of those that come first. */
-        boolean first;
+
+        /** Determines the server's order in slot tables; all nodes compute the same value. */
+        final long placementHash;
+
+        /** Whether draws prefer this server. */
+        boolean preferred;
 
         int zone;
         int cell;
         ServerState state;
         long startedAt;
+
+        /** Index into {@link #usedServers}. */
         int position;
-        int errors;
+
+        /** ServiceQ's error count, from which the weight follows. */
+        int errorCount;
+
         int inFlight;
-        /** Those of them that were found silent: they say nothing of the room at other servers. */
-        int hung;
 
+        /** Requests in flight that were found silent; they say nothing about the capacity of other servers. */
+        int silentInFlight;
+
+        /** Limit on this node's requests in flight; a limit below one is kept by pacing. */
         double limit;
-        long limitCutAt;
-        long restUntil;
-        long restUs;
-        long wantedAt;
+
+        long limitDecreasedAt;
+
+        /** Time before which no request is sent while the limit is below one. */
+        long pacedUntil;
+
+        long pacingIntervalUs;
+
+        /** Last time that the limit kept a request away. */
+        long limitReachedAt;
+
+        /** Whether it is one of {@link #usedServers}. */
         boolean inUse;
-        /** What all its answers say, and those of each class: it may fail one class and serve the others. */
-        final Health overall = new Health();
 
-        final Health[] byClass;
+        /**
+         * Health over all classes. Health is also kept by class, since a server may fail one class and serve the
+         * others.
+         */
+        final Health overallHealth = new Health();
+
+        final Health[] healthByClass;
+
+        /** Earliest time of the next request while the server is cold. */
         long nextColdSendAt;
 
-        Server(String id, int classes) {
+        Server(String id, int classCount) {
             this.id = id;
-            hash = new SplittableRandom(id.hashCode()).nextLong();
-            byClass = Stream.generate(Health::new).limit(classes).toArray(Health[]::new);
+            placementHash = new SplittableRandom(id.hashCode()).nextLong();
+            healthByClass = Stream.generate(Health::new).limit(classCount).toArray(Health[]::new);
         }
 
         boolean isEjectedFor(int classIndex) {
-            return overall.ejected || byClass[classIndex].ejected;
+            return overallHealth.ejected || healthByClass[classIndex].ejected;
         }
     }
 
-    /** The last answers of a server and what follows from them. */
+    /** The last answers of a server, of all classes or of one, and the ejection state that follows from them. */
     private static final class Health {
-        int history;
+        /** One bit for each recent answer, the newest lowest; 1 is a failure. */
+        int failureBits;
+
         boolean ejected;
-        long trialAt;
-        long ejectedForUs;
-        int trialsWon;
-        long answeredAt;
-        long servedAt;
 
-        int recentFailures() {
-            return Integer.bitCount(history & (1 << REMEMBERED) - 1);
+        /** Earliest time of the next trial of an ejected server. */
+        long nextTrialAt;
+
+        /** Current time between trials. */
+        long ejectionUs;
+
+        /** Consecutive successful trials. */
+        int trialSuccesses;
+
+        long lastAnsweredAt;
+        long lastSucceededAt;
+
+        int recentFailureCount() {
+            return Integer.bitCount(failureBits & (1 << HEALTH_HISTORY_COUNT) - 1);
         }
     }
 
     /** An attempt that is watched for silence. */
-    private record Try(Call call, int attempt) {}
+    private record WatchedAttempt(PendingRequest pending, int attempt) {}
 
-    /** What is drawn from: servers with their weights summed up to each, and the places that keys draw. */
-    private static final class Pool {
+    /** The servers to draw from, with their cumulative weights and the slot table for keys. */
+    private static final class DrawPool {
         final Server[] servers;
-        final long[] weightsUpTo;
-        final Server[] places;
+        final long[] cumulativeWeights;
+        final Server[] keySlots;
 
-        Pool(Server[] servers, boolean forKeys) {
+        DrawPool(Server[] servers, boolean forKeys) {
             this.servers = servers;
-            weightsUpTo = new long[servers.length];
-            places = !forKeys || servers.length == 0
+            cumulativeWeights = new long[servers.length];
+            keySlots = !forKeys || servers.length == 0
                     ? new Server[0]
-                    : table(servers, nextPrime(KEY_PLACES * Integer.highestOneBit(servers.length)), 1);
+                    : buildSlotTable(
+                            servers, nextPrime(KEY_SLOTS_PER_SERVER_COUNT * Integer.highestOneBit(servers.length)), 1);
         }
     }
 
-    private static final class Call {
+    /** A request with its attempts, from its arrival until its final answer and the end of its last attempt. */
+    private static final class PendingRequest {
         final Request request;
-        final RequestClass cls;
+        final RequestClass requestClass;
         final long arrivedAt;
-        final long aimAt;
+        final long targetAt;
         final long deadlineAt;
         final Server[] servers;
         final long[] sentAt;
         final Result[] results;
-        /** Attempts that were counted as failures before they ended. */
+
+        /** Whether an attempt was counted as a failure before it ended. */
         final boolean[] silent;
-        /** Fixes the draws by the request's key; 0 without one. */
+
+        /** Fixes the draws by the request's key; 0 without a key. */
         final long keySeed;
 
+        /** Worth for the work it takes; orders the queue. */
         double value;
+
+        /** Whether it is beyond its tenant's share. */
         boolean overShare;
+
+        /** Whether its value was reduced because its target can no longer be met. */
         boolean late;
-        int attempts;
-        int outstanding;
-        boolean waiting;
-        boolean left;
+
+        int attemptCount;
+
+        /** Number of attempts without an outcome. */
+        int outstandingCount;
+
+        /** Whether it waits in the queue. */
+        boolean queued;
+
+        /** Whether the client has left. */
+        boolean clientGone;
+
+        /** Whether a streamed answer has begun. */
         boolean streaming;
+
+        /** Whether it has its final answer. */
         boolean ended;
 
-        Call(Request request, Settings set, long now) {
+        PendingRequest(Request request, Settings settings, long now) {
             this.request = request;
-            cls = set.classes.get(request.classIndex());
-            long aim = Math.min(
-                    cls.deadlineUs(), cls.targetLatencyUs() + (long) (cls.targetLatencyPerWork() * request.workUs()));
+            requestClass = settings.classes.get(request.classIndex());
+            long targetUs = Math.min(
+                    requestClass.deadlineUs(),
+                    requestClass.targetLatencyUs() + (long) (requestClass.targetLatencyPerWork() * request.workUs()));
             arrivedAt = now - Math.max(0, request.ageUs());
             deadlineAt = now + Math.max(0, request.remainingUs());
-            aimAt = Math.min(deadlineAt, arrivedAt + aim);
-            servers = new Server[set.maxAttempts];
-            sentAt = new long[set.maxAttempts];
-            results = new Result[set.maxAttempts];
-            silent = new boolean[set.maxAttempts];
-            keySeed = set.warmKeys && request.key() != null ? mix(request.key().hashCode()) | 1 : 0;
-        }
-
-        /** The earliest attempt not known never to have run, or -1: it binds repeats and refusals. */
-        int binding() {
-            for (int i = 0; i < attempts; i++) {
+            targetAt = Math.min(deadlineAt, arrivedAt + targetUs);
+            servers = new Server[settings.maxAttempts];
+            sentAt = new long[settings.maxAttempts];
+            results = new Result[settings.maxAttempts];
+            silent = new boolean[settings.maxAttempts];
+            keySeed = settings.warmKeys && request.key() != null
+                    ? mixBits(request.key().hashCode()) | 1
+                    : 0;
+        }
+
+        /** Returns the number of the earliest attempt that may have run, or -1. It restricts retries and refusals. */
+        int firstPossiblyExecutedAttempt() {
+            for (int i = 0; i < attemptCount; i++) {
                 if (results[i] == null || !results[i].neverRan) {
                     return i;
                 }
@@ -342,36 +616,40 @@
     }
 
     /**
-     * A node that has just started and knows nothing.
+     * Creates the decision module of a node that has just started.
      *
+     * @param nodeSettings the settings of the node
+     * @param seed seed of all random decisions
+     * @param nodeActions the actions of the node
      * @throws IllegalArgumentException if the settings are out of range
      */
-    public ServiceQBalancer(Settings settings, long seed, Actions actions) {
-        settings.validate();
-        set = settings;
-        out = actions;
+    public ServiceQBalancer(Settings nodeSettings, long seed, Actions nodeActions) {
+        nodeSettings.validate();
+        settings = nodeSettings;
+        actions = nodeActions;
         random = new SplittableRandom(seed);
-        sweepUs = Math.max(MIN_SWEEP_US, 2 * settings.tickUs);
-        many = set.nodes >= MANY_NODES;
-        shareAmong(set.nodes);
-        latencyUs = new double[set.classes.size()];
-        leastLatencyUs = new double[set.classes.size()];
-        answers = new int[set.classes.size()];
-        inVain = new double[set.classes.size()];
-        shareLeft = new double[set.tenants.size()];
-        shareSeenAt = new long[set.tenants.size()];
-        set.classes.forEach(c -> watched.add(new ArrayDeque<>()));
-    }
-
-    private void shareAmong(double nodes) {
-        sharers = nodes;
-        // Where keys are warm, what a server can hold depends on the keys it knows: the first cut shows it.
-        firstLimit = (set.warmKeys ? FIRST_WARM_LIMIT : FIRST_LIMIT) / sharers;
-        // Both by the same factor: for all nodes together the balance between step and cut stays.
-        double pace = Math.pow(nodes, LEARN_BY_NODES);
-        limitStep = LIMIT_STEP / pace;
-        limitCut = 1 - Math.pow(1 - LIMIT_CUT, pace);
-        sparse = senders > SPARSE_FROM;
+        sweepIntervalUs = Math.max(MIN_SWEEP_INTERVAL_US, 2 * nodeSettings.tickUs);
+        manyNodes = settings.nodes >= MANY_NODES_MIN_COUNT;
+        setEffectiveNodesPerServer(settings.nodes);
+        meanLatencyUs = new double[settings.classes.size()];
+        minMeanLatencyUs = new double[settings.classes.size()];
+        answerCounts = new int[settings.classes.size()];
+        unservedRatios = new double[settings.classes.size()];
+        quotaTokens = new double[settings.tenants.size()];
+        quotaRefilledAt = new long[settings.tenants.size()];
+        settings.classes.forEach(requestClass -> watchedAttempts.add(new ArrayDeque<>()));
+    }
+
+    private void setEffectiveNodesPerServer(double nodes) {
+        effectiveNodesPerServer = nodes;
+        // Where servers remember keys, their capacity depends on the keys that they know; the first decrease finds it.
+        initialLimit = (settings.warmKeys ? INITIAL_WARM_KEY_CONCURRENCY_LIMIT : INITIAL_CONCURRENCY_LIMIT)
+                / effectiveNodesPerServer;
+        // Both change by the same factor, so that increase and decrease stay in balance over all nodes.
+        double adaptationFactor = Math.pow(nodes, LIMIT_ADAPTATION_EXPONENT);
+        limitIncrease = LIMIT_INCREASE_STEP / adaptationFactor;
+        limitDecreaseRatio = 1 - Math.pow(1 - LIMIT_DECREASE_RATIO, adaptationFactor);
+        sparse = nodesPerServer > SPARSE_NODES_PER_SERVER_COUNT;
     }
 
     // ---------------------------------------------------------------- the server list
@@ -380,19 +658,19 @@
     public void onServers(long nowUs, ListKind kind, List<ServerEntry> entries) {
         now = nowUs;
         if (kind != ListKind.CHANGES) {
-            listed.forEach(server -> server.state = ServerState.GONE);
-            listed.clear();
+            listedServers.forEach(server -> server.state = ServerState.GONE);
+            listedServers.clear();
         }
         for (ServerEntry entry : entries) {
-            Server server = byId.computeIfAbsent(entry.id(), id -> new Server(id, set.classes.size()));
+            Server server = serversById.computeIfAbsent(entry.id(), id -> new Server(id, settings.classes.size()));
             if (entry.state() == ServerState.GONE) {
-                listed.remove(server);
+                listedServers.remove(server);
             } else {
-                listed.add(server);
+                listedServers.add(server);
             }
             if (entry.startedAtUs() > server.startedAt) {
-                // A new process: what was counted against the old one says nothing of it.
-                startAnew(server);
+                // A new process: failures of the old one say nothing about it.
+                resetServer(server);
                 server.nextColdSendAt = 0;
                 server.startedAt = entry.startedAtUs();
             }
@@ -400,165 +678,188 @@
             server.zone = entry.zone();
             server.cell = entry.cell();
         }
-        chooseServers();
-        // Servers come and go as long as a node runs: what is gone and holds nothing is forgotten.
-        byId.values().removeIf(server -> server.state == ServerState.GONE && server.inFlight == 0);
-        if (set.listOnRequest && kind == ListKind.CACHED) {
-            askForList();
+        updateUsedServers();
+        // Servers come and go for as long as a node runs, so gone servers without requests in flight are removed.
+        serversById.values().removeIf(server -> server.state == ServerState.GONE && server.inFlight == 0);
+        if (settings.listOnRequest && kind == ListKind.CACHED) {
+            requestList();
         } else {
-            askListAt = Long.MAX_VALUE;
-            listBackoffUs = LIST_BACKOFF_US;
+            nextListRequestAt = Long.MAX_VALUE;
+            listBackoffUs = INITIAL_LIST_BACKOFF_US;
         }
-        serveWaiting(KEYS_TRIED);
+        serveQueue(KEYED_TRIES_PER_EVENT_COUNT);
         scheduleWake();
     }
 
-    private void chooseServers() {
-        Server[] before = ready;
-        ready = inUse(listed.stream().filter(s -> s.state == ServerState.READY).toArray(Server[]::new));
-        Arrays.stream(before).forEach(server -> server.inUse = false);
-        evenGapUs = evenGapUs == 0 ? FIRST_GAP_US * ready.length : evenGapUs;
-        for (int i = 0; i < ready.length; i++) {
-            ready[i].position = i;
-            ready[i].inUse = true;
-            // Not before it is known how many nodes share it.
-            ready[i].limit = ready[i].limit == 0 ? firstLimit : ready[i].limit;
-            if (isCold(ready[i]) && ready[i].nextColdSendAt == 0) {
-                // All nodes hear of a start at once: their first sends together would be a burst.
-                ready[i].nextColdSendAt = now + (long) (random.nextDouble() * coldGap(ready[i], -1));
+    private void updateUsedServers() {
+        Server[] previouslyUsed = usedServers;
+        usedServers = selectUsedServers(
+                listedServers.stream().filter(s -> s.state == ServerState.READY).toArray(Server[]::new));
+        Arrays.stream(previouslyUsed).forEach(server -> server.inUse = false);
+        meanAnswerGapUs = meanAnswerGapUs == 0 ? INITIAL_ANSWER_GAP_US * usedServers.length : meanAnswerGapUs;
+        for (int i = 0; i < usedServers.length; i++) {
+            usedServers[i].position = i;
+            usedServers[i].inUse = true;
+            // The initial limit depends on the number of nodes that share the server, which is known only now.
+            usedServers[i].limit = usedServers[i].limit == 0 ? initialLimit : usedServers[i].limit;
+            if (isCold(usedServers[i]) && usedServers[i].nextColdSendAt == 0) {
+                // All nodes learn of a start at the same time; their first requests together would be a burst.
+                usedServers[i].nextColdSendAt = now + (long) (random.nextDouble() * coldSendGapUs(usedServers[i], -1));
             }
         }
-        Arrays.stream(before).forEach(this::closeIfUnused);
-        everywhere = new Pool(ready, set.warmKeys);
-        nearby = set.crossZonePrice == 0 && Arrays.stream(ready).allMatch(s -> s.first)
-                ? everywhere
-                : new Pool(Arrays.stream(ready).filter(s -> s.first).toArray(Server[]::new), false);
+        Arrays.stream(previouslyUsed).forEach(this::closeIfUnused);
+        fullPool = new DrawPool(usedServers, settings.warmKeys);
+        preferredPool = settings.crossZonePrice == 0
+                        && Arrays.stream(usedServers).allMatch(s -> s.preferred)
+                ? fullPool
+                : new DrawPool(
+                        Arrays.stream(usedServers).filter(s -> s.preferred).toArray(Server[]::new), false);
         weightsStale = true;
-        countReady();
+        recountUsedServers();
     }
 
-    /** Connections to a server no longer in use would hold its places for the nodes that do use it. */
+    /**
+     * Closes idle connections to a server that is no longer in use; they would take up connections of the nodes that
+     * use it.
+     */
     private void closeIfUnused(Server server) {
         if (!server.inUse && server.inFlight == 0) {
-            out.closeIdle(server.id);
+            actions.closeIdle(server.id);
         }
     }
 
     /**
-     * Exception, subsets: acts from {@link #MANY_NODES} nodes at a server on, and keeps to fewer. Connections
-     * are capped, cost work and are priced, and what a node sees is spread thinner with each server it uses:
-     * every node then keeps to a part of the servers, near ones first where crossing zones costs, else
-     * the first half of it, of which it then knows more. Where these are busy or sick it has the others.
+     * Exception, subsets: applies from {@link #MANY_NODES_MIN_COUNT} nodes on, which would otherwise all share each
+     * server. Connections are capped, cost work and have a price, and a node learns less about each server the more
+     * servers it uses. Each node therefore uses a subset of the servers. It prefers the local servers where crossing
+     * zones has a price, and otherwise the first half of the subset, about which it then learns more. The other
+     * servers of the subset are used when these are busy or failing.
      */
-    private Server[] inUse(Server[] all) {
-        List<Server> part = part(all);
-        boolean halved = set.crossZonePrice == 0 && part.size() < all.length;
-        List<Server> first = halved ? part.subList(0, (part.size() + 1) / 2) : part;
-        part.forEach(s -> s.first = halved ? first.contains(s) : set.crossZonePrice == 0 || s.zone == set.myZone);
-        senders = Math.max(1, (double) set.nodes * part.size() / Math.max(1, all.length));
-        shareAmong(Math.max(1, senders * Math.sqrt((double) first.size() / Math.max(1, part.size()))));
-        Set<Server> used = new HashSet<>(part);
+    private Server[] selectUsedServers(Server[] all) {
+        List<Server> subset = selectSubset(all);
+        boolean halved = settings.crossZonePrice == 0 && subset.size() < all.length;
+        List<Server> preferred = halved ? subset.subList(0, (subset.size() + 1) / 2) : subset;
+        subset.forEach(s -> s.preferred =
+                halved ? preferred.contains(s) : settings.crossZonePrice == 0 || s.zone == settings.myZone);
+        nodesPerServer = Math.max(1, (double) settings.nodes * subset.size() / Math.max(1, all.length));
+        setEffectiveNodesPerServer(Math.max(
+                1, nodesPerServer * Math.sqrt((double) preferred.size() / Math.max(1, subset.size()))));
+        Set<Server> used = new HashSet<>(subset);
         return Arrays.stream(all).filter(used::contains).toArray(Server[]::new);
     }
 
-    /** This node's part of these servers. */
-    private List<Server> part(Server[] all) {
-        int zones = set.crossZonePrice == 0 ? 1 : Math.max(1, set.zones.size());
-        boolean whole = zones == 1;
-        Server[] near =
-                Arrays.stream(all).filter(s -> whole || s.zone == set.myZone).toArray(Server[]::new);
-        Server[] far =
-                Arrays.stream(all).filter(s -> !whole && s.zone != set.myZone).toArray(Server[]::new);
-        int nearUsed = partOf(near.length, (double) set.nodes / zones, zones == 1 ? 2 : 1);
-        int farUsed = partOf(far.length, set.nodes, 1);
-        if (nearUsed == near.length && farUsed == far.length) {
+    /** Returns this node's subset of the servers, local and remote. */
+    private List<Server> selectSubset(Server[] all) {
+        int zones = settings.crossZonePrice == 0 ? 1 : Math.max(1, settings.zones.size());
+        boolean ignoresZones = zones == 1;
+        Server[] local = Arrays.stream(all)
+                .filter(s -> ignoresZones || s.zone == settings.myZone)
+                .toArray(Server[]::new);
+        Server[] remote = Arrays.stream(all)
+                .filter(s -> !ignoresZones && s.zone != settings.myZone)
+                .toArray(Server[]::new);
+        int localSize = subsetSize(local.length, (double) settings.nodes / zones, zones == 1 ? 2 : 1);
+        int remoteSize = subsetSize(remote.length, settings.nodes, 1);
+        if (localSize == local.length && remoteSize == remote.length) {
             return Arrays.asList(all);
         }
-        // Sizes are kept through small changes of the list, since with them all places move.
-        nearSize = 2 * nearUsed > nearSize && nearUsed < 2 * nearSize ? nearSize : nearUsed;
-        List<Server> used = new ArrayList<>(subset(near, Math.min(near.length, nearSize)));
-        used.addAll(subset(far, Math.min(farUsed, Math.max(LEAST_IN_USE, nearSize / 2))));
+        // The size is kept through small changes of the list, since a change of the size moves all slots.
+        localSubsetSize =
+                2 * localSize > localSubsetSize && localSize < 2 * localSubsetSize ? localSubsetSize : localSize;
+        List<Server> used = new ArrayList<>(pickSubset(local, Math.min(local.length, localSubsetSize)));
+        used.addAll(pickSubset(remote, Math.min(remoteSize, Math.max(MIN_SUBSET_COUNT, localSubsetSize / 2))));
         return used;
     }
 
-    private static int partOf(int servers, double nodes, int atLeast) {
-        // In a fleet that has shrunk, the least of all nodes would meet the cap on connections.
-        int least = (int) Math.max(atLeast, Math.min(LEAST_IN_USE, 2 * SHARERS * servers / nodes));
-        double enough = Math.max(ENOUGH_IN_USE, FEW_SHARERS * servers / nodes);
-        int part = (int) Math.ceil(Math.min(enough, SHARERS * servers / nodes));
-        return nodes < MANY_NODES ? servers : Math.min(servers, Math.max(least, part));
+    /** Returns how many of the servers each node uses, given the number of nodes. */
+    private static int subsetSize(int serverCount, double nodeCount, int lowerBound) {
+        // In a fleet that has shrunk, the minimum of every node would exceed the cap on connections.
+        int minSize = (int) Math.max(
+                lowerBound, Math.min(MIN_SUBSET_COUNT, 2 * MAX_NODES_PER_SERVER_COUNT * serverCount / nodeCount));
+        double sufficientSize = Math.max(SUFFICIENT_SUBSET_COUNT, MIN_NODES_PER_SERVER_COUNT * serverCount / nodeCount);
+        int size = (int) Math.ceil(Math.min(sufficientSize, MAX_NODES_PER_SERVER_COUNT * serverCount / nodeCount));
+        return nodeCount < MANY_NODES_MIN_COUNT ? serverCount : Math.min(serverCount, Math.max(minSize, size));
     }
 
     /**
-     * This node's part of the servers. As in Maglev hashing, the servers take turns in claiming places from a
-     * table of rows, each in an order of its own, and node i has row i modulo their number: all get equally
-     * many, every node finds the same table from the same list, and a change of the list moves few places.
-     * A row for each node takes much CPU in a large fleet; few nodes would share rows unevenly.
+     * Returns this node's subset by consistent assignment. As in Maglev hashing, the servers take turns in claiming
+     * slots of a table of rows, each in an order of its own, and node i uses row i modulo the number of rows. All
+     * servers get about the same number of nodes, every node computes the same table from the same list, and a change
+     * of the list moves few slots. A row for each node takes much CPU in a large fleet, while a small number of nodes
+     * would share rows unevenly.
      */
-    private List<Server> subset(Server[] from, int size) {
-        if (size == from.length) {
-            return Arrays.asList(from);
-        }
-        int rows = set.nodes * size > 2 * ROW_PLACES * from.length ? 1 : set.nodes;
-        while (rows < set.nodes && rows * size < ROW_PLACES * from.length) {
-            rows *= 2;
-        }
-        Server[] table = table(from, nextPrime(rows * size), size);
-        int first = set.nodeIndex % rows * size;
-        return Arrays.stream(table, first, first + size)
+    private List<Server> pickSubset(Server[] candidates, int size) {
+        if (size == candidates.length) {
+            return Arrays.asList(candidates);
+        }
+        int rowCount =
+                settings.nodes * size > 2 * SUBSET_SLOTS_PER_SERVER_COUNT * candidates.length ? 1 : settings.nodes;
+        while (rowCount < settings.nodes && rowCount * size < SUBSET_SLOTS_PER_SERVER_COUNT * candidates.length) {
+            rowCount *= 2;
+        }
+        Server[] slots = buildSlotTable(candidates, nextPrime(rowCount * size), size);
+        int firstSlot = settings.nodeIndex % rowCount * size;
+        return Arrays.stream(slots, firstSlot, firstSlot + size)
                 .filter(Objects::nonNull)
                 .toList();
     }
 
-    /** The servers take turns in claiming places, each in an order of its own, none twice in a row. */
-    private static Server[] table(Server[] from, int places, int row) {
-        Server[] turns = from.clone();
-        Arrays.sort(turns, Comparator.comparingLong(server -> server.hash));
-        Server[] table = new Server[places];
-        // A bit for each server and row with a place of its own. A row of one place is full with one.
+    /**
+     * Builds a table in which the servers take turns in claiming slots, each in an order of its own and at most once
+     * in each row.
+     *
+     * @param rowSize slots of a row; 1 for a table without rows
+     */
+    private static Server[] buildSlotTable(Server[] candidates, int slotCount, int rowSize) {
+        Server[] servers = candidates.clone();
+        Arrays.sort(servers, Comparator.comparingLong(server -> server.placementHash));
+        Server[] slots = new Server[slotCount];
+        // One bit for each pair of server and row in which the server has a slot. Rows of a single slot need no bits.
         BitSet claimed = new BitSet();
-        int rows = places / row + 1;
-        int[] at = new int[turns.length];
-        int[] tries = new int[turns.length];
-        for (int i = 0; i < turns.length; i++) {
-            at[i] = (int) Math.floorMod(turns[i].hash, (long) places);
-        }
-        int left = places;
-        int idle = 0;
-        for (int i = 0; left > 0 && idle < turns.length; i = (i + 1) % turns.length) {
-            int skip = 1 + (int) Math.floorMod(turns[i].hash >> 32, places - 1L);
-            while (tries[i] < places && (table[at[i]] != null || row > 1 && claimed.get(i * rows + at[i] / row))) {
-                at[i] = (at[i] + skip) % places;
-                tries[i]++;
+        int rowCount = slotCount / rowSize + 1;
+        int[] nextSlot = new int[servers.length];
+        int[] triedSlotCount = new int[servers.length];
+        for (int i = 0; i < servers.length; i++) {
+            nextSlot[i] = (int) Math.floorMod(servers[i].placementHash, (long) slotCount);
+        }
+        int freeSlotCount = slotCount;
+        int exhaustedServerCount = 0;
+        for (int i = 0; freeSlotCount > 0 && exhaustedServerCount < servers.length; i = (i + 1) % servers.length) {
+            int step = 1 + (int) Math.floorMod(servers[i].placementHash >> 32, slotCount - 1L);
+            while (triedSlotCount[i] < slotCount
+                    && (slots[nextSlot[i]] != null
+                            || rowSize > 1 && claimed.get(i * rowCount + nextSlot[i] / rowSize))) {
+                nextSlot[i] = (nextSlot[i] + step) % slotCount;
+                triedSlotCount[i]++;
             }
-            idle = tries[i] == places ? idle + 1 : 0;
-            if (tries[i] < places) {
-                left--;
-                table[at[i]] = turns[i];
-                claimed.set(row > 1 ? i * rows + at[i] / row : 0);
+            exhaustedServerCount = triedSlotCount[i] == slotCount ? exhaustedServerCount + 1 : 0;
+            if (triedSlotCount[i] < slotCount) {
+                freeSlotCount--;
+                slots[nextSlot[i]] = servers[i];
+                claimed.set(rowSize > 1 ? i * rowCount + nextSlot[i] / rowSize : 0);
             }
         }
-        return table;
+        return slots;
     }
 
-    private static int nextPrime(int from) {
-        return BigInteger.valueOf(from - 1).nextProbablePrime().intValue();
+    private static int nextPrime(int lowerBound) {
+        return BigInteger.valueOf(lowerBound - 1).nextProbablePrime().intValue();
     }
 
     @Override
     public void onListFailed(long nowUs) {
         now = nowUs;
-        if (set.listOnRequest) {
-            // Jittered backoff: nodes that failed together must not ask together again.
-            askListAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
-            listBackoffUs = Math.min(4 * listBackoffUs, MOST_LIST_BACKOFF_US);
+        if (settings.listOnRequest) {
+            // Jittered backoff: nodes whose requests failed together must not repeat them together.
+            nextListRequestAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
+            listBackoffUs = Math.min(4 * listBackoffUs, MAX_LIST_BACKOFF_US);
             scheduleWake();
         }
     }
 
-    private void askForList() {
-        out.subscribe();
-        askListAt = now + Math.max(1, set.askWithinUs / 2);
+    private void requestList() {
+        actions.subscribe();
+        nextListRequestAt = now + Math.max(1, settings.askWithinUs / 2);
     }
 
     // ---------------------------------------------------------------- requests and outcomes
@@ -567,28 +868,31 @@
     public void onRequest(long nowUs, Request request) {
         now = nowUs;
         if (request.classIndex() < 0
-                || request.classIndex() >= set.classes.size()
-                || request.tenant() >= set.tenants.size()
-                || calls.containsKey(request.id())) {
-            throw new IllegalArgumentException("unknown class or tenant, or an id that is held: " + request);
-        }
-        Call call = new Call(request, set, now);
-        calls.put(request.id(), call);
-        call.value = value(call);
-        // A node that is behind spends no more on what it has read too late: that is how it catches up.
-        if (sparse && random.nextDouble() >= admitted(call) || isTooLate(call) && call.cls.lateWorth() == 0) {
-            giveUp(call);
+                || request.classIndex() >= settings.classes.size()
+                || request.tenant() >= settings.tenants.size()
+                || pendingRequests.containsKey(request.id())) {
+            throw new IllegalArgumentException(
+                    "request rejected: unknown class or tenant, or its id is still in use: " + request);
+        }
+        PendingRequest pending = new PendingRequest(request, settings, now);
+        pendingRequests.put(request.id(), pending);
+        pending.value = computeValue(pending);
+        // A node that is behind spends no more work on requests that it reads too late, so that it can catch up.
+        if (sparse && random.nextDouble() >= admissionProbability(pending)
+                || isTooLate(pending) && pending.requestClass.lateWorth() == 0) {
+            refuseOrFail(pending);
             scheduleWake();
             return;
         }
-        // Nobody waits for the same server, or those who do are tried with each answer.
-        boolean first = waiting.isEmpty() || call.keySeed != 0;
-        Server server = first && now < call.deadlineAt ? drawForFirstTry(call) : null;
+        // Either no request waits, or this one has a key: keyed requests that wait for the same servers are tried at
+        // each event.
+        boolean mayBypassQueue = queue.isEmpty() || pending.keySeed != 0;
+        Server server = mayBypassQueue && now < pending.deadlineAt ? selectServer(pending) : null;
         if (server != null) {
-            send(call, server);
+            send(pending, server);
         } else {
-            defer(call);
-            serveWaiting(KEYS_TRIED);
+            enqueue(pending);
+            serveQueue(KEYED_TRIES_PER_EVENT_COUNT);
         }
         scheduleWake();
     }
@@ -596,373 +900,411 @@
     @Override
     public void onOutcome(long nowUs, Outcome outcome) {
         now = nowUs;
-        Call call = calls.get(outcome.requestId());
+        PendingRequest pending = pendingRequests.get(outcome.requestId());
         int attempt = outcome.attempt();
-        if (call == null || attempt < 0 || attempt >= call.attempts || call.results[attempt] != null) {
+        if (pending == null || attempt < 0 || attempt >= pending.attemptCount || pending.results[attempt] != null) {
             return;
         }
-        Server server = call.servers[attempt];
+        Server server = pending.servers[attempt];
         Result result = outcome.result();
-        call.results[attempt] = result;
-        call.outstanding--;
+        pending.results[attempt] = result;
+        pending.outstandingCount--;
         server.inFlight--;
-        inFlight -= isCounted(server) && !call.silent[attempt] ? 1 : 0;
-        server.hung -= call.silent[attempt] ? 1 : 0;
+        totalInFlight -= countsTowardTotals(server) && !pending.silent[attempt] ? 1 : 0;
+        server.silentInFlight -= pending.silent[attempt] ? 1 : 0;
         closeIfUnused(server);
-        Health ofClass = server.byClass[call.request.classIndex()];
+        Health classHealth = server.healthByClass[pending.request.classIndex()];
         if (result == Result.OK) {
-            succeeded(
+            recordSuccess(
                     server,
-                    ofClass,
-                    outcome.latencyUs() > (sparse ? 1 : FAR_SLOWER) * SLOW_BY * latencyUs[call.request.classIndex()]);
-        } else if (result != Result.CANCELLED && result != Result.MOOT && !call.silent[attempt]) {
-            // A time-out of a server that has answered since tells of crowding, not of silence, as being
-            // full does: the limit heeds it.
-            failed(
+                    classHealth,
+                    outcome.latencyUs()
+                            > (sparse ? 1 : SLOW_LATENCY_MARGIN_RATIO)
+                                    * SLOW_LATENCY_RATIO
+                                    * meanLatencyUs[pending.request.classIndex()]);
+        } else if (result != Result.CANCELLED && result != Result.MOOT && !pending.silent[attempt]) {
+            // A time-out of a server that has answered the class since, like a FULL result, indicates load and not
+            // silence; the limit accounts for it.
+            recordFailure(
                     server,
-                    ofClass,
-                    result != Result.FULL && (result != Result.TIMEOUT || ofClass.answeredAt < call.sentAt[attempt]));
+                    classHealth,
+                    result != Result.FULL
+                            && (result != Result.TIMEOUT || classHealth.lastAnsweredAt < pending.sentAt[attempt]));
         }
-        ofClass.answeredAt = result == Result.OK || result == Result.ERROR ? now : ofClass.answeredAt;
-        adaptLimit(call, attempt, outcome);
+        classHealth.lastAnsweredAt = result == Result.OK || result == Result.ERROR ? now : classHealth.lastAnsweredAt;
+        adaptLimit(pending, attempt, outcome);
         if (outcome.requestEnded()) {
-            end(call);
-        } else if (!call.ended && call.outstanding == 0) {
-            passOn(call, server);
+            finish(pending);
+        } else if (!pending.ended && pending.outstandingCount == 0) {
+            retryOrFinish(pending, server);
         }
-        forgetIfOver(call);
-        serveWaiting(KEYS_TRIED);
+        removeIfFinished(pending);
+        serveQueue(KEYED_TRIES_PER_EVENT_COUNT);
         scheduleWake();
     }
 
     @Override
     public void onFirstByte(long nowUs, long requestId, int attempt) {
         now = nowUs;
-        Call call = calls.get(requestId);
-        if (call != null) {
-            call.streaming = true;
+        PendingRequest pending = pendingRequests.get(requestId);
+        if (pending != null) {
+            pending.streaming = true;
         }
     }
 
     @Override
     public void onClientGone(long nowUs, long requestId) {
         now = nowUs;
-        Call call = calls.get(requestId);
-        if (call != null) {
-            call.left = true;
-            end(call);
+        PendingRequest pending = pendingRequests.get(requestId);
+        if (pending != null) {
+            pending.clientGone = true;
+            finish(pending);
         }
     }
 
-    /** Nothing is decided on probes; none is ever asked for. */
+    /** Ignores the result: decisions do not depend on probes, and none is requested. */
     @Override
     public void onProbe(long nowUs, String serverId, Result result, long latencyUs, double[] report) {}
 
     @Override
     public void onWake(long nowUs) {
         now = nowUs;
-        boolean paused = wakePending != Long.MAX_VALUE && now > wakePending + PAUSED_US;
-        wakePending = now >= wakePending ? Long.MAX_VALUE : wakePending;
-        if (now >= askListAt) {
-            askForList();
+        boolean paused = pendingWakeAt != Long.MAX_VALUE && now > pendingWakeAt + NODE_PAUSE_THRESHOLD_US;
+        pendingWakeAt = now >= pendingWakeAt ? Long.MAX_VALUE : pendingWakeAt;
+        if (now >= nextListRequestAt) {
+            requestList();
         }
         if (!paused) {
-            lookForSilence();
+            detectSilentAttempts();
         }
-        serveWaiting(KEYS_SWEPT);
+        serveQueue(KEYED_TRIES_PER_SWEEP_COUNT);
         scheduleWake();
     }
 
     private void scheduleWake() {
-        long at = waiting.isEmpty() ? askListAt : Math.min(askListAt, now + sweepUs);
-        for (int c = 0; c < watched.size(); c++) {
-            Try first = watched.get(c).peek();
-            at = first == null
-                    ? at
-                    : Math.min(at, Math.max(now + sweepUs, first.call.sentAt[first.attempt] + silentAfter(c)));
+        long wakeAt = queue.isEmpty() ? nextListRequestAt : Math.min(nextListRequestAt, now + sweepIntervalUs);
+        for (int classIndex = 0; classIndex < watchedAttempts.size(); classIndex++) {
+            WatchedAttempt oldest = watchedAttempts.get(classIndex).peek();
+            wakeAt = oldest == null
+                    ? wakeAt
+                    : Math.min(
+                            wakeAt,
+                            Math.max(
+                                    now + sweepIntervalUs,
+                                    oldest.pending.sentAt[oldest.attempt] + silenceTimeoutUs(classIndex)));
         }
-        if (at < wakePending) {
-            wakePending = Math.max(at, now + 1);
-            out.wakeAt(wakePending);
+        if (wakeAt < pendingWakeAt) {
+            pendingWakeAt = Math.max(wakeAt, now + 1);
+            actions.wakeAt(pendingWakeAt);
         }
     }
 
-    // ---------------------------------------------------------------- the mechanism
+    // ---------------------------------------------------------------- error counts
 
-    /** A failure adds one; failures that say something of health, not of crowding, may eject the server. */
-    private void failed(Server server, Health ofClass, boolean ill) {
-        server.errors++;
+    /** Adds one to the error count. A failure that concerns the server's health, and not its load, may eject it. */
+    private void recordFailure(Server server, Health classHealth, boolean unhealthy) {
+        server.errorCount++;
         weightsStale = true;
-        failing += ill && !server.overall.ejected ? COMMON_GAIN * (1 - failing) : 0;
-        for (Health health : ill ? new Health[] {server.overall, ofClass} : new Health[0]) {
-            health.history = health.history << 1 | 1;
-            health.trialsWon = 0;
+        commonFailureRatio += unhealthy && !server.overallHealth.ejected
+                ? COMMON_FAILURE_SMOOTHING_RATIO * (1 - commonFailureRatio)
+                : 0;
+        for (Health health : unhealthy ? new Health[] {server.overallHealth, classHealth} : new Health[0]) {
+            health.failureBits = health.failureBits << 1 | 1;
+            health.trialSuccesses = 0;
             if (health.ejected
-                    || health.recentFailures() >= EJECT_AT + IN_COMMON * REMEMBERED * failing
-                            && (health == ofClass || !servesOthers(server, ofClass))) {
+                    || health.recentFailureCount()
+                                    >= EJECTION_FAILURE_COUNT
+                                            + COMMON_FAILURE_ALLOWANCE_RATIO * HEALTH_HISTORY_COUNT * commonFailureRatio
+                            && (health == classHealth || !servesOtherClasses(server, classHealth))) {
                 eject(server, health);
             }
         }
     }
 
-    /** Whether another class has been served since this one was, without a failure among its last answers. */
-    private static boolean servesOthers(Server server, Health ofClass) {
-        for (Health other : server.byClass) {
-            if (other.servedAt > ofClass.servedAt && other.recentFailures() == 0) {
+    /** Returns whether another class was served after this one and has no failure among its last answers. */
+    private static boolean servesOtherClasses(Server server, Health classHealth) {
+        for (Health other : server.healthByClass) {
+            if (other.lastSucceededAt > classHealth.lastSucceededAt && other.recentFailureCount() == 0) {
                 return true;
             }
         }
         return false;
     }
 
-    /** A success clears the count; an ejected server has to succeed several times in a row. */
-    private void succeeded(Server server, Health ofClass, boolean slow) {
-        failing -= COMMON_GAIN * failing;
-        for (Health health : new Health[] {server.overall, ofClass}) {
-            health.history <<= 1;
-            health.servedAt = now;
-            health.trialAt = now;
-            if (health.ejected && ++health.trialsWon >= TRIALS) {
-                log("restored server " + server.id + (health == ofClass ? " for a class" : ""));
+    /** Clears the error count. An ejected server is restored after several consecutive successes. */
+    private void recordSuccess(Server server, Health classHealth, boolean slow) {
+        commonFailureRatio -= COMMON_FAILURE_SMOOTHING_RATIO * commonFailureRatio;
+        for (Health health : new Health[] {server.overallHealth, classHealth}) {
+            health.failureBits <<= 1;
+            health.lastSucceededAt = now;
+            health.nextTrialAt = now;
+            if (health.ejected && ++health.trialSuccesses >= RESTORING_SUCCESS_COUNT) {
+                log("restored server " + server.id + (health == classHealth ? " for a class" : ""));
                 restore(health);
-                if (health == server.overall) {
-                    startAnew(server);
+                if (health == server.overallHealth) {
+                    resetServer(server);
                 }
-                countReady();
+                recountUsedServers();
                 return;
             }
         }
-        if (!server.overall.ejected) {
-            // Exception, slow answers: at a node of many a slow answer adds an error and any other takes one
-            // off, so the weights settle where all servers are about equally quick.
-            int errors = !many
+        if (!server.overallHealth.ejected) {
+            // Exception, slow answers: with many nodes a slow answer adds one error and any other answer removes one,
+            // so that the weights settle where all servers are about equally fast.
+            int errorCount = !manyNodes
                     ? 0
                     : slow
-                            ? Math.max(server.errors, Math.min(MOST_SLOW, server.errors + 1))
-                            : Math.max(0, server.errors - 1);
-            weightsStale |= errors != server.errors;
-            server.errors = errors;
+                            ? Math.max(server.errorCount, Math.min(MAX_SLOW_ANSWER_ERROR_COUNT, server.errorCount + 1))
+                            : Math.max(0, server.errorCount - 1);
+            weightsStale |= errorCount != server.errorCount;
+            server.errorCount = errorCount;
         }
     }
 
     // ---------------------------------------------------------------- ejection
 
     /**
-     * Exception, ejection: a server that failed {@link #EJECT_AT} of its last {@link #REMEMBERED} answers,
-     * of all or of one class, gets nothing of these but single trials, further apart each time one fails.
-     * Never more than half of the servers are out: when most fail, the trouble is not theirs, and the
-     * weights alone decide. By class, since a class that a server serves would else hide one that it fails.
+     * Exception, ejection: a server that failed {@link #EJECTION_FAILURE_COUNT} of its last {@link
+     * #HEALTH_HISTORY_COUNT} answers, of all classes or of one, receives no requests of these but single trials,
+     * whose distance grows with each failed trial. At most half of the servers are ejected: when most servers fail,
+     * the cause lies elsewhere, and the weights alone decide. Ejection is by class as well, since a class that a
+     * server serves would otherwise hide one that it fails.
      */
     private void eject(Server server, Health health) {
         if (!health.ejected) {
-            int c = Arrays.asList(server.byClass).indexOf(health);
-            long out = ejected.stream()
-                    .filter(s -> c < 0 ? s.overall.ejected : s.byClass[c].ejected)
+            int classIndex = Arrays.asList(server.healthByClass).indexOf(health);
+            long alreadyEjected = ejectedServers.stream()
+                    .filter(s -> classIndex < 0 ? s.overallHealth.ejected : s.healthByClass[classIndex].ejected)
                     .count();
-            if (2 * (out + 1) > ready.length) {
+            if (2 * (alreadyEjected + 1) > usedServers.length) {
                 return;
             }
             health.ejected = true;
-            health.ejectedForUs = EJECT_US / 2;
-            log("ejected server " + server.id + " after " + health.recentFailures() + " failures"
-                    + (c < 0 ? "" : " of class " + set.classes.get(c).name()));
+            health.ejectionUs = INITIAL_EJECTION_US / 2;
+            log("ejected server " + server.id + " after " + health.recentFailureCount() + " failures"
+                    + (classIndex < 0
+                            ? ""
+                            : " of class " + settings.classes.get(classIndex).name()));
         }
-        health.ejectedForUs = Math.min(MOST_EJECT_US, 2 * health.ejectedForUs);
-        health.trialAt = now + health.ejectedForUs / 2 + random.nextLong(health.ejectedForUs);
-        countReady();
+        health.ejectionUs = Math.min(MAX_EJECTION_US, 2 * health.ejectionUs);
+        health.nextTrialAt = now + health.ejectionUs / 2 + random.nextLong(health.ejectionUs);
+        recountUsedServers();
     }
 
     private static void restore(Health health) {
-        health.history = 0;
+        health.failureBits = 0;
         health.ejected = false;
-        health.trialsWon = 0;
-    }
-
-    private void startAnew(Server server) {
-        weightsStale |= server.errors > 0;
-        server.errors = 0;
-        restore(server.overall);
-        Arrays.stream(server.byClass).forEach(ServiceQBalancer::restore);
-        server.limit = firstLimit;
-    }
-
-    /** An ejected server that is due for a trial with this request, or null. */
-    private Server trial(Call call) {
-        for (Server server : ejected) {
-            Health ofClass = server.byClass[call.request.classIndex()];
-            // Unsafe requests are risked only where no other could tell: for a class of their own.
-            boolean due = call.cls.retrySafety() == RetrySafety.UNSAFE
-                    ? !server.overall.ejected
-                            && ofClass.ejected
-                            && now >= ofClass.trialAt + UNSAFE_TRIALS * ofClass.ejectedForUs
-                    : server.overall.ejected && now >= server.overall.trialAt
-                            || ofClass.ejected && now >= ofClass.trialAt;
-            if (due && server.inFlight == 0 && isAllowed(call, server)) {
+        health.trialSuccesses = 0;
+    }
+
+    private void resetServer(Server server) {
+        weightsStale |= server.errorCount > 0;
+        server.errorCount = 0;
+        restore(server.overallHealth);
+        Arrays.stream(server.healthByClass).forEach(ServiceQBalancer::restore);
+        server.limit = initialLimit;
+    }
+
+    /** Returns an ejected server that is due for a trial with this request, or null. */
+    private Server findServerDueForTrial(PendingRequest pending) {
+        for (Server server : ejectedServers) {
+            Health classHealth = server.healthByClass[pending.request.classIndex()];
+            // Unsafe requests are used for trials only if no other request could show a recovery: when the server is
+            // ejected for an unsafe class alone.
+            boolean due = pending.requestClass.retrySafety() == RetrySafety.UNSAFE
+                    ? !server.overallHealth.ejected
+                            && classHealth.ejected
+                            && now >= classHealth.nextTrialAt + UNSAFE_TRIAL_DELAY_RATIO * classHealth.ejectionUs
+                    : server.overallHealth.ejected && now >= server.overallHealth.nextTrialAt
+                            || classHealth.ejected && now >= classHealth.nextTrialAt;
+            if (due && server.inFlight == 0 && isAllowed(pending, server)) {
                 return server;
             }
         }
         return null;
     }
 
-    /** Counts the servers in use anew: what hangs at one ejected or gone must not hold back the others. */
-    private void countReady() {
+    /** Recounts the servers in use. Requests that hang at ejected or gone servers must not hold back the others. */
+    private void recountUsedServers() {
         weightsStale = true;
-        limits = 0;
-        inFlight = 0;
-        ejected.clear();
-        for (Server server : ready) {
-            if (isCounted(server)) {
-                limits += server.limit;
-                inFlight += server.inFlight - server.hung;
+        totalLimit = 0;
+        totalInFlight = 0;
+        ejectedServers.clear();
+        for (Server server : usedServers) {
+            if (countsTowardTotals(server)) {
+                totalLimit += server.limit;
+                totalInFlight += server.inFlight - server.silentInFlight;
             }
-            if (server.overall.ejected || Arrays.stream(server.byClass).anyMatch(h -> h.ejected)) {
-                ejected.add(server);
+            if (server.overallHealth.ejected
+                    || Arrays.stream(server.healthByClass).anyMatch(h -> h.ejected)) {
+                ejectedServers.add(server);
             }
         }
     }
 
     @Override
     public int ejectedServerCount() {
-        return (int) ejected.stream().filter(s -> s.overall.ejected).count();
+        return (int)
+                ejectedServers.stream().filter(s -> s.overallHealth.ejected).count();
     }
 
-    private static boolean isCounted(Server server) {
-        return server.inUse && !server.overall.ejected;
+    /** Returns whether the server counts in {@link #totalLimit} and {@link #totalInFlight}. */
+    private static boolean countsTowardTotals(Server server) {
+        return server.inUse && !server.overallHealth.ejected;
     }
 
     private void log(String line) {
-        if (now >= logFreeAt) {
-            logFreeAt = now + LOG_EVERY_US;
-            out.log(line);
+        if (now >= nextLogAt) {
+            nextLogAt = now + MIN_LOG_INTERVAL_US;
+            actions.log(line);
         }
     }
 
-    // ---------------------------------------------------------------- draws
+    // ---------------------------------------------------------------- server selection
 
-    /** Two draws by weight; the one with fewer own requests in flight, ties at random. Trials go first. */
-    private Server drawForFirstTry(Call call) {
-        Server due = trial(call);
-        Server server = due != null ? due : drawTwo(call, call.keySeed != 0 ? everywhere : nearby);
-        int spillAt = set.crossZonePrice == 0 ? 1 : SPILL_AT;
-        // Exception, zones and halves: both draws are of those that come first, and two more from all win
-        // only if that choice is busy or fails: if it has one more in flight, two where crossing costs.
-        if (due != null
-                || nearby == everywhere
-                || call.keySeed != 0
-                || server != null && server.inFlight < spillAt && server.errors == 0) {
+    /**
+     * Selects the server for a first try or a queued request, or returns null. A trial that is due comes first;
+     * otherwise the better of two draws by weight is taken.
+     */
+    private Server selectServer(PendingRequest pending) {
+        Server trialServer = findServerDueForTrial(pending);
+        Server server = trialServer != null
+                ? trialServer
+                : drawBetterOfTwo(pending, pending.keySeed != 0 ? fullPool : preferredPool);
+        int spilloverCount = settings.crossZonePrice == 0 ? 1 : ZONE_SPILLOVER_COUNT;
+        // Exception, zones and halves: both draws are among the preferred servers. Two more draws from all servers are
+        // taken only if that choice is busy or fails: if the alternative has fewer errors, or fewer requests in flight
+        // by one, or by two where crossing zones has a price.
+        if (trialServer != null
+                || preferredPool == fullPool
+                || pending.keySeed != 0
+                || server != null && server.inFlight < spilloverCount && server.errorCount == 0) {
             return server;
         }
-        Server other = drawTwo(call, everywhere);
+        Server other = drawBetterOfTwo(pending, fullPool);
         return server == null
                         || other != null
-                                && (other.inFlight + spillAt <= server.inFlight || other.errors < server.errors)
+                                && (other.inFlight + spilloverCount <= server.inFlight
+                                        || other.errorCount < server.errorCount)
                 ? other
                 : server;
     }
 
-    private Server drawTwo(Call call, Pool from) {
-        Server first = draw(call, from, null);
-        Server second = first == null ? null : draw(call, from, first);
+    /**
+     * Draws two servers by weight and returns the one with fewer own requests in flight; ties are broken at random.
+     */
+    private Server drawBetterOfTwo(PendingRequest pending, DrawPool pool) {
+        Server first = draw(pending, pool, null);
+        Server second = first == null ? null : draw(pending, pool, first);
         if (second == null || first.inFlight != second.inFlight) {
             return second == null || first.inFlight < second.inFlight ? first : second;
         }
-        // Draws are in random order, but by weight: a tie is broken by a toss of its own, or by the key.
-        return call.keySeed != 0 || random.nextInt(2) == 0 ? first : second;
+        // Draws are in random order, but by weight, so a tie needs a random choice of its own. With a key, the first
+        // draw wins.
+        return pending.keySeed != 0 || random.nextInt(2) == 0 ? first : second;
     }
 
-    /** One draw by weight among the servers that may be sent to, but for {@code except}; null if none may. */
-    private Server draw(Call call, Pool from, Server except) {
+    /**
+     * Draws a server by weight among those that may be sent to; returns null if none is found.
+     *
+     * @param excluded a server that must not be drawn, or null
+     */
+    private Server draw(PendingRequest pending, DrawPool pool, Server excluded) {
         if (weightsStale) {
-            weigh();
+            updateWeights();
         }
-        if (call.keySeed != 0) {
-            return drawByKey(call, from, Collections.singletonList(except));
+        if (pending.keySeed != 0) {
+            return drawByKey(pending, pool, Collections.singletonList(excluded));
         }
-        for (int i = 0; i <= REDRAWS && from.servers.length > 0; i++) {
-            Server server = from.servers[drawPosition(from)];
-            if (server != except && maySend(call, server)) {
+        for (int i = 0; i <= MAX_REDRAW_COUNT && pool.servers.length > 0; i++) {
+            Server server = pool.servers[drawPosition(pool)];
+            if (server != excluded && maySend(pending, server)) {
                 return server;
             }
         }
         return null;
     }
 
-    private int drawPosition(Pool from) {
-        int last = from.servers.length - 1;
-        if (largestEffect == 1) {
-            return random.nextInt(last + 1);
+    private int drawPosition(DrawPool pool) {
+        int lastPosition = pool.servers.length - 1;
+        if (maxWeight == 1) {
+            return random.nextInt(lastPosition + 1);
         }
-        int found = Arrays.binarySearch(from.weightsUpTo, random.nextLong(from.weightsUpTo[last]));
+        int found = Arrays.binarySearch(pool.cumulativeWeights, random.nextLong(pool.cumulativeWeights[lastPosition]));
         return found < 0 ? -1 - found : found + 1;
     }
 
     /**
-     * Exception, keys: acts where servers remember keys. The same weights, but the draws are fixed by the
-     * request's key, as in rendezvous hashing: every node draws the same servers for a key, and a server
-     * that gains errors loses keys to those drawn next, while the other keys stay where they are warm. When
-     * all draws are full the request waits: at just any server it would cost the work that memory saves, and
-     * a crowd would feed itself. Harm: a few hot keys may wait while other servers have room.
+     * Exception, keys: applies where servers remember keys. The weights are the same, but the key fixes the draws, as
+     * in rendezvous hashing. Every node draws the same servers for a key. A server that gains errors loses keys to
+     * the servers drawn next, and all other keys stay at the servers that know them. When all drawn servers are full,
+     * the request waits: at any other server it would cost the work that the remembered key saves, and overload would
+     * amplify itself. Drawback: a few hot keys may wait while other servers have capacity.
      */
-    private Server drawByKey(Call call, Pool from, List<Server> except) {
-        for (int i = 0; i < KEY_DRAWS && from.places.length > 0; i++) {
-            long hash = mix(call.keySeed + i * 0x9E3779B97F4A7C15L);
-            Server server = from.places[(int) ((hash >>> 32) % from.places.length)];
-            boolean drawn = (hash & 0xFFFFFFFFL) * largestEffect < weight(server) * 0x1p32;
-            if (drawn && !except.contains(server) && maySend(call, server)) {
+    private Server drawByKey(PendingRequest pending, DrawPool pool, List<Server> excluded) {
+        for (int i = 0; i < KEY_DRAW_COUNT && pool.keySlots.length > 0; i++) {
+            long hash = mixBits(pending.keySeed + i * 0x9E3779B97F4A7C15L);
+            Server server = pool.keySlots[(int) ((hash >>> 32) % pool.keySlots.length)];
+            boolean drawn = (hash & 0xFFFFFFFFL) * maxWeight < weightOf(server) * 0x1p32;
+            if (drawn && !excluded.contains(server) && maySend(pending, server)) {
                 return server;
             }
         }
         return null;
     }
 
-    private static long mix(long z) {
+    private static long mixBits(long z) {
         z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
         z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
         return z ^ z >>> 31;
     }
 
-    /** The paper's weights, worked out anew only when a count or the list has changed. */
-    private void weigh() {
-        int most = 0;
-        for (Server server : ready) {
-            most = Math.max(most, server.errors);
+    /** Computes the weights of the ServiceQ paper; needed only when an error count or the list has changed. */
+    private void updateWeights() {
+        int maxErrorCount = 0;
+        for (Server server : usedServers) {
+            maxErrorCount = Math.max(maxErrorCount, server.errorCount);
         }
-        largestEffect = Math.floor(Math.pow(1 + most, 1.5));
-        sumUp(everywhere);
-        sumUp(nearby);
+        maxWeight = Math.floor(Math.pow(1 + maxErrorCount, 1.5));
+        accumulateWeights(fullPool);
+        accumulateWeights(preferredPool);
         weightsStale = false;
     }
 
-    private void sumUp(Pool pool) {
+    private void accumulateWeights(DrawPool pool) {
         for (int i = 0; i < pool.servers.length; i++) {
-            pool.weightsUpTo[i] = weight(pool.servers[i]) + (i == 0 ? 0 : pool.weightsUpTo[i - 1]);
+            pool.cumulativeWeights[i] = weightOf(pool.servers[i]) + (i == 0 ? 0 : pool.cumulativeWeights[i - 1]);
         }
     }
 
-    private long weight(Server server) {
-        return server.overall.ejected ? 1 : (long) Math.ceil(largestEffect / (1 + server.errors));
+    private long weightOf(Server server) {
+        return server.overallHealth.ejected ? 1 : (long) Math.ceil(maxWeight / (1 + server.errorCount));
     }
 
-    /** A failed request goes to the next server in list order, or waits, or has its final answer. */
-    private void passOn(Call call, Server failed) {
-        Server next = mayTryAgain(call) ? nextInTurn(call, failed) : null;
+    /** Retries a failed request on the next server in list order, or queues it, or gives the final answer. */
+    private void retryOrFinish(PendingRequest pending, Server failedServer) {
+        Server next = mayRetry(pending) ? nextUntriedServer(pending, failedServer) : null;
         if (next != null) {
-            send(call, next);
-        } else if (mayTryAgain(call)) {
-            defer(call);
+            send(pending, next);
+        } else if (mayRetry(pending)) {
+            enqueue(pending);
         } else {
-            giveUp(call);
+            refuseOrFail(pending);
         }
     }
 
-    private Server nextInTurn(Call call, Server failed) {
-        List<Server> tried = Arrays.asList(call.servers);
-        if (call.keySeed != 0 && call.binding() < 0) {
-            return drawByKey(call, everywhere, tried);
-        }
-        for (int i = 1; i <= ready.length; i++) {
-            Server next = ready[(failed.position + i) % ready.length];
-            if (!tried.contains(next) && maySend(call, next)) {
+    /**
+     * Returns the next server in list order that the request has not tried and may be sent to, or null. The servers
+     * drawn by the key come instead if no attempt can have run.
+     */
+    private Server nextUntriedServer(PendingRequest pending, Server failedServer) {
+        List<Server> tried = Arrays.asList(pending.servers);
+        if (pending.keySeed != 0 && pending.firstPossiblyExecutedAttempt() < 0) {
+            return drawByKey(pending, fullPool, tried);
+        }
+        for (int i = 1; i <= usedServers.length; i++) {
+            Server next = usedServers[(failedServer.position + i) % usedServers.length];
+            if (!tried.contains(next) && maySend(pending, next)) {
                 return next;
             }
         }
@@ -972,373 +1314,421 @@
     // ---------------------------------------------------------------- silence
 
     /**
-     * Exception, silence: an attempt without an answer for {@link #SILENT_BY} times its class's usual time,
-     * at a server that has answered nothing of the class since, counts as a failure while it is still out,
-     * and a repeatable request passes on to a second server (a hedge, within a retry budget). Guards against
-     * whatever swallows requests or answers while clients leave before any time-out tells. Not after a
-     * pause of this node's own, when answers are still to be read. Harm: rare heavy requests run twice.
+     * Exception, silence: an attempt counts as failed while it is still in flight if it has no answer after {@link
+     * #SILENCE_LATENCY_RATIO} times the mean latency of its class and its server has answered nothing of the class
+     * since. A request that may be repeated is then sent to a second server as well (a hedge, within a budget). This
+     * guards against servers or networks that swallow requests or answers while clients leave before any time-out
+     * shows it. It is skipped after a pause of this node, when answers are still to be read. Drawback: rare heavy
+     * requests run twice.
      */
-    private void lookForSilence() {
-        for (int c = 0; c < watched.size(); c++) {
-            ArrayDeque<Try> line = watched.get(c);
-            while (!line.isEmpty()) {
-                Call call = line.peek().call;
-                int attempt = line.peek().attempt;
-                boolean known = call.ended || call.streaming || call.results[attempt] != null;
-                if (!known && now < call.sentAt[attempt] + silentAfter(c)) {
+    private void detectSilentAttempts() {
+        for (int classIndex = 0; classIndex < watchedAttempts.size(); classIndex++) {
+            ArrayDeque<WatchedAttempt> attempts = watchedAttempts.get(classIndex);
+            while (!attempts.isEmpty()) {
+                PendingRequest pending = attempts.peek().pending;
+                int attempt = attempts.peek().attempt;
+                boolean resolved = pending.ended || pending.streaming || pending.results[attempt] != null;
+                if (!resolved && now < pending.sentAt[attempt] + silenceTimeoutUs(classIndex)) {
                     break;
                 }
-                line.poll();
-                if (!known) {
-                    foundSilent(call, attempt);
+                attempts.poll();
+                if (!resolved) {
+                    handleSilentAttempt(pending, attempt);
                 }
             }
         }
     }
 
-    private long silentAfter(int classIndex) {
-        return !isUsualKnown(classIndex)
+    /** Returns the time after which an attempt of the class counts as silent. */
+    private long silenceTimeoutUs(int classIndex) {
+        return !isMeanLatencyKnown(classIndex)
                 ? Long.MAX_VALUE / 4
-                : (long) (SILENT_BY * latencyUs[classIndex]) + 2 * set.tickUs;
+                : (long) (SILENCE_LATENCY_RATIO * meanLatencyUs[classIndex]) + 2 * settings.tickUs;
     }
 
-    /** Whether a class has had answers enough for their mean to be more than chance. */
-    private boolean isUsualKnown(int classIndex) {
-        return answers[classIndex] * MEAN_GAIN >= 0.5;
+    /** Returns whether the class has had enough answers for their mean to be meaningful. */
+    private boolean isMeanLatencyKnown(int classIndex) {
+        return answerCounts[classIndex] * MEAN_SMOOTHING_RATIO >= 0.5;
     }
 
-    private void foundSilent(Call call, int attempt) {
-        Server server = call.servers[attempt];
-        Health ofClass = server.byClass[call.request.classIndex()];
-        if (ofClass.answeredAt < call.sentAt[attempt]) {
-            call.silent[attempt] = true;
-            server.hung++;
-            inFlight -= isCounted(server) ? 1 : 0;
-            failed(server, ofClass, true);
+    private void handleSilentAttempt(PendingRequest pending, int attempt) {
+        Server server = pending.servers[attempt];
+        Health classHealth = server.healthByClass[pending.request.classIndex()];
+        if (classHealth.lastAnsweredAt < pending.sentAt[attempt]) {
+            pending.silent[attempt] = true;
+            server.silentInFlight++;
+            totalInFlight -= countsTowardTotals(server) ? 1 : 0;
+            recordFailure(server, classHealth, true);
         }
-        if (set.hedgingAllowed && !call.waiting && hedgesLeft >= 1 && mayTryAgain(call) && call.outstanding == 1) {
-            Server next = nextInTurn(call, server);
+        if (settings.hedgingAllowed
+                && !pending.queued
+                && hedgeBudget >= 1
+                && mayRetry(pending)
+                && pending.outstandingCount == 1) {
+            Server next = nextUntriedServer(pending, server);
             if (next != null) {
-                hedgesLeft--;
-                send(call, next);
+                hedgeBudget--;
+                send(pending, next);
             }
         }
     }
 
-    // ---------------------------------------------------------------- the deferred queue
+    // ---------------------------------------------------------------- the queue
 
-    /** Puts a request into the deferred queue: first come first served among those of equal value. */
-    private void defer(Call call) {
-        call.waiting = true;
-        int at = waiting.size();
-        while (at > 0 && BY_VALUE.compare(waiting.get(at - 1), call) > 0) {
-            at--;
+    /** Inserts a request into the queue by value; requests of equal value keep the order of arrival. */
+    private void enqueue(PendingRequest pending) {
+        pending.queued = true;
+        int position = queue.size();
+        while (position > 0 && HIGHEST_VALUE_FIRST.compare(queue.get(position - 1), pending) > 0) {
+            position--;
         }
-        waiting.add(at, call);
+        queue.add(position, pending);
     }
 
-    /** Sends what waits as far as servers allow and ends what has run out of time. */
-    private void serveWaiting(int keysToTry) {
-        int kept = 0;
-        boolean full = false;
+    /**
+     * Sends queued requests as far as servers allow, and ends those that are too late.
+     *
+     * @param keyedTriesLeft maximum number of keyed requests that may fail to find a server
+     */
+    private void serveQueue(int keyedTriesLeft) {
+        int keptCount = 0;
+        boolean fullForAll = false;
         boolean fullForUnsafe = false;
-        boolean fullForOver = false;
+        boolean fullForOverShare = false;
         boolean unsorted = false;
-        for (int i = 0; i < waiting.size(); i++) {
-            Call call = waiting.get(i);
-            if (!call.waiting) {
+        for (int i = 0; i < queue.size(); i++) {
+            PendingRequest pending = queue.get(i);
+            if (!pending.queued) {
                 continue;
             }
-            boolean late = isTooLate(call);
-            if (call.deadlineAt - now <= sweepUs + set.tickUs
-                    || late && call.cls.lateWorth() == 0
-                    || !mayTryAgain(call)) {
-                giveUp(call);
+            boolean late = isTooLate(pending);
+            if (pending.deadlineAt - now <= sweepIntervalUs + settings.tickUs
+                    || late && pending.requestClass.lateWorth() == 0
+                    || !mayRetry(pending)) {
+                refuseOrFail(pending);
                 continue;
             }
-            if (late && !call.late) {
-                call.late = true;
-                call.value *= call.cls.lateWorth();
+            if (late && !pending.late) {
+                pending.late = true;
+                pending.value *= pending.requestClass.lateWorth();
                 unsorted = true;
-                waiting.set(kept++, call);
+                queue.set(keptCount++, pending);
                 continue;
             }
-            boolean unsafe = call.cls.retrySafety() == RetrySafety.UNSAFE;
-            boolean barred = full || unsafe && fullForUnsafe || call.overShare && fullForOver;
-            Server server = barred ? null : drawForFirstTry(call);
+            boolean unsafe = pending.requestClass.retrySafety() == RetrySafety.UNSAFE;
+            boolean blocked = fullForAll || unsafe && fullForUnsafe || pending.overShare && fullForOverShare;
+            Server server = blocked ? null : selectServer(pending);
             if (server != null) {
-                call.waiting = false;
-                send(call, server);
+                pending.queued = false;
+                send(pending, server);
             } else {
-                // What has not been sent may go anywhere, but for unsafe requests and ejected servers: if it
-                // finds no server, nor does the next one. With a key it may go to few.
-                fullForOver |= call.overShare;
-                boolean last = !call.overShare && call.attempts == 0 && (call.keySeed == 0 || --keysToTry <= 0);
-                fullForUnsafe |= last;
-                full |= last && (!unsafe || call.keySeed != 0);
-                waiting.set(kept++, call);
+                // A request that has not been sent may go to any server, except for unsafe requests and ejected
+                // servers. If it finds no server, neither will the next request. A keyed request may go to few servers
+                // only.
+                fullForOverShare |= pending.overShare;
+                boolean exhausted = !pending.overShare
+                        && pending.attemptCount == 0
+                        && (pending.keySeed == 0 || --keyedTriesLeft <= 0);
+                fullForUnsafe |= exhausted;
+                fullForAll |= exhausted && (!unsafe || pending.keySeed != 0);
+                queue.set(keptCount++, pending);
             }
         }
-        waiting.subList(kept, waiting.size()).clear();
+        queue.subList(keptCount, queue.size()).clear();
         if (unsorted) {
-            waiting.sort(BY_VALUE);
+            queue.sort(HIGHEST_VALUE_FIRST);
         }
     }
 
-    private boolean isTooLate(Call call) {
-        int c = call.request.classIndex();
-        double first = many ? rank(call) * Math.max(0, 1 - IN_VAIN_BY * inVain[c]) : 0;
-        return call.aimAt - now
-                < Math.min(MOST_LATE_AT * (call.aimAt - call.arrivedAt), (TOO_LATE_AT - first) * latencyUs[c]);
+    /** Returns whether too little time is left to the target latency for the request to be served in time. */
+    private boolean isTooLate(PendingRequest pending) {
+        int classIndex = pending.request.classIndex();
+        double priority = manyNodes
+                ? relativeValue(pending) * Math.max(0, 1 - UNSERVED_PENALTY_RATIO * unservedRatios[classIndex])
+                : 0;
+        return pending.targetAt - now
+                < Math.min(
+                        MAX_REMAINING_TARGET_RATIO * (pending.targetAt - pending.arrivedAt),
+                        (MIN_REMAINING_LATENCY_RATIO - priority) * meanLatencyUs[classIndex]);
     }
 
     /**
-     * What a request earns for the work it takes, by which the queue is ordered: its class's worth, less
-     * if its tenant is beyond this node's part of its share, over the usual latency of its class as the
+     * Returns the worth of a request for the work it takes, by which the queue is ordered: the worth of its class,
+     * reduced if the tenant is beyond this node's part of its share, divided by the mean latency of the class as the
      * measure of work.
      */
-    private double value(Call call) {
-        double worth = call.cls.worth();
-        int tenant = call.request.tenant();
-        double quota = tenant < 0 ? 0 : set.tenants.get(tenant).quotaPerS() / set.nodes;
+    private double computeValue(PendingRequest pending) {
+        double worth = pending.requestClass.worth();
+        int tenant = pending.request.tenant();
+        double quota = tenant < 0 ? 0 : settings.tenants.get(tenant).quotaPerS() / settings.nodes;
         if (quota > 0) {
-            double most = Math.max(LEAST_SHARE_BURST, quota * SHARE_BURST_S);
-            double since = shareSeenAt[tenant] == 0 ? SHARE_BURST_S : (now - shareSeenAt[tenant]) / 1e6;
-            shareSeenAt[tenant] = now;
-            shareLeft[tenant] = Math.min(most, shareLeft[tenant] + quota * since);
-            if (shareLeft[tenant] >= 1) {
-                shareLeft[tenant]--;
+            double maxTokens = Math.max(MIN_QUOTA_BURST_COUNT, quota * QUOTA_BURST_S);
+            double elapsedS = quotaRefilledAt[tenant] == 0 ? QUOTA_BURST_S : (now - quotaRefilledAt[tenant]) / 1e6;
+            quotaRefilledAt[tenant] = now;
+            quotaTokens[tenant] = Math.min(maxTokens, quotaTokens[tenant] + quota * elapsedS);
+            if (quotaTokens[tenant] >= 1) {
+                quotaTokens[tenant]--;
             } else {
-                worth *= set.overShareWorth;
-                call.overShare = !set.warmKeys;
+                worth *= settings.overShareWorth;
+                pending.overShare = !settings.warmKeys;
             }
         }
-        return forItsWork(worth, call.request.classIndex());
+        return perUnitOfWork(worth, pending.request.classIndex());
     }
 
-    private double forItsWork(double worth, int classIndex) {
-        return set.worthByWork ? worth : worth / Math.max(1, latencyUs[classIndex]);
+    private double perUnitOfWork(double worth, int classIndex) {
+        return settings.worthByWork ? worth : worth / Math.max(1, meanLatencyUs[classIndex]);
     }
 
     // ---------------------------------------------------------------- concurrency limits
 
     /**
-     * Exception, concurrency limits: each server's limit grows when it was met while a request was out
-     * that was answered well inside the aim, and falls when answers are slow or requests are turned away.
-     * Acts only when a draw would exceed a server's limit, or the node the sum of all limits (with many
-     * nodes a server's part is under one).
+     * Exception, concurrency limits: the limit of a server grows when it was reached while a request was in flight
+     * that was answered well within the target, and falls when answers are slow or requests are rejected. It takes
+     * effect only when a draw would exceed a server's limit or the sum of all limits of the node (with many nodes a
+     * server's limit may be below one).
      */
-    private void adaptLimit(Call call, int attempt, Outcome outcome) {
-        Server server = call.servers[attempt];
+    private void adaptLimit(PendingRequest pending, int attempt, Outcome outcome) {
+        Server server = pending.servers[attempt];
         Result result = outcome.result();
-        double before = server.limit;
-        int c = call.request.classIndex();
-        // A client that leaves hides how long its answer would have taken, so that only quick ones stay in
-        // sight: after more than the usual time, what it has waited counts like an answer no quicker.
-        boolean left = result == Result.CANCELLED && call.left && outcome.latencyUs() > SLOW_BY * latencyUs[c];
-        if (result == Result.OK || result == Result.TIMEOUT || result == Result.FULL || left) {
-            timely += TIMELY_GAIN * ((result == Result.OK && now <= call.aimAt ? 1 : 0) - timely);
+        double limitBefore = server.limit;
+        int classIndex = pending.request.classIndex();
+        // The latency of an abandoned attempt is unknown, so that only fast answers would be observed. An attempt
+        // abandoned after more than the usual time counts like an answer that took at least that long.
+        boolean abandoned = result == Result.CANCELLED
+                && pending.clientGone
+                && outcome.latencyUs() > SLOW_LATENCY_RATIO * meanLatencyUs[classIndex];
+        if (result == Result.OK || result == Result.TIMEOUT || result == Result.FULL || abandoned) {
+            timelyRatio +=
+                    TIMELY_SMOOTHING_RATIO * ((result == Result.OK && now <= pending.targetAt ? 1 : 0) - timelyRatio);
         }
         if (result == Result.OK) {
-            latencyUs[c] += Math.max(MEAN_GAIN, 1.0 / ++answers[c]) * (outcome.latencyUs() - latencyUs[c]);
-            // The first answers' mean is chance; until then the aim alone tells.
-            leastLatencyUs[c] =
-                    !isUsualKnown(c) ? Double.MAX_VALUE : Math.min(leastLatencyUs[c] * LEAST_DRIFT, latencyUs[c]);
-            evenGapUs += MEAN_GAIN * ((now - lastServedAt) * Math.max(1, ready.length) - evenGapUs);
-            leastGapUs = Math.min(leastGapUs * LEAST_DRIFT, evenGapUs);
+            meanLatencyUs[classIndex] += Math.max(MEAN_SMOOTHING_RATIO, 1.0 / ++answerCounts[classIndex])
+                    * (outcome.latencyUs() - meanLatencyUs[classIndex]);
+            // The mean of the first answers is mostly chance; until it is known, only the target counts.
+            minMeanLatencyUs[classIndex] = !isMeanLatencyKnown(classIndex)
+                    ? Double.MAX_VALUE
+                    : Math.min(minMeanLatencyUs[classIndex] * MINIMUM_DRIFT_RATIO, meanLatencyUs[classIndex]);
+            meanAnswerGapUs +=
+                    MEAN_SMOOTHING_RATIO * ((now - lastServedAt) * Math.max(1, usedServers.length) - meanAnswerGapUs);
+            minAnswerGapUs = Math.min(minAnswerGapUs * MINIMUM_DRIFT_RATIO, meanAnswerGapUs);
             lastServedAt = now;
         }
-        if (result == Result.OK || left) {
-            double aim = call.aimAt - call.arrivedAt;
-            boolean patient = set.warmKeys || sparse && leastLatencyUs[c] < Double.MAX_VALUE;
-            double crowdedAt = patient ? SPARSE_CROWDED_AT : many ? MANY_CROWDED_AT : CROWDED_AT;
-            double crowded = Math.min(
-                    crowdedAt * aim,
-                    set.warmKeys ? Double.MAX_VALUE : (sparse ? 2 : 1) * CROWDED_BY * leastLatencyUs[c]);
-            double rank = sparse ? rank(call) : 1;
-            if (outcome.latencyUs() > crowded) {
-                cutLimit(call, attempt, limitCut * rank);
-            } else if (!left) {
-                // A cold server gets little and is quick with it: were its limit to pass the others', all
-                // nodes together would choke it as soon as slow start lets go.
-                // While answers come late everywhere, one in time says little: growth would hold the jam.
-                double ease = set.warmKeys ? 1 : Math.max(LEAST_GROWTH, 2 * timely - 1);
-                server.limit += server.wantedAt >= call.sentAt[attempt]
-                                && (!isCold(server) || server.limit * ready.length < limits)
-                        ? limitStep * rank * ease
+        if (result == Result.OK || abandoned) {
+            double targetUs = pending.targetAt - pending.arrivedAt;
+            boolean tolerant = settings.warmKeys || sparse && minMeanLatencyUs[classIndex] < Double.MAX_VALUE;
+            double crowdedTargetRatio = tolerant
+                    ? SPARSE_CROWDED_TARGET_RATIO
+                    : manyNodes ? MANY_NODES_CROWDED_TARGET_RATIO : CROWDED_TARGET_RATIO;
+            double crowdedLatencyUs = Math.min(
+                    crowdedTargetRatio * targetUs,
+                    settings.warmKeys
+                            ? Double.MAX_VALUE
+                            : (sparse ? 2 : 1) * CROWDED_LATENCY_RATIO * minMeanLatencyUs[classIndex]);
+            double relativeValue = sparse ? relativeValue(pending) : 1;
+            if (outcome.latencyUs() > crowdedLatencyUs) {
+                decreaseLimit(pending, attempt, limitDecreaseRatio * relativeValue);
+            } else if (!abandoned) {
+                // A cold server receives few requests and answers them fast. If its limit exceeded the limits of the
+                // others, all nodes together would overload it as soon as slow start ends. While answers are late
+                // everywhere, a timely one says little, and growth would sustain the congestion.
+                double growthRatio = settings.warmKeys ? 1 : Math.max(MIN_LIMIT_GROWTH_RATIO, 2 * timelyRatio - 1);
+                server.limit += server.limitReachedAt >= pending.sentAt[attempt]
+                                && (!isCold(server) || server.limit * usedServers.length < totalLimit)
+                        ? limitIncrease * relativeValue * growthRatio
                         : 0;
             }
         } else if (result == Result.TIMEOUT || result == Result.FULL) {
-            // Where keys are warm a full server is cut to what it held: less would send its keys elsewhere.
-            boolean toHeld = set.warmKeys && result == Result.FULL;
-            cutLimit(call, attempt, toHeld ? 0 : LIMIT_HARD_CUT);
+            // Where servers remember keys, a full server's limit falls to what it held: a lower limit would send its
+            // keys elsewhere.
+            boolean cutsToHeld = settings.warmKeys && result == Result.FULL;
+            decreaseLimit(pending, attempt, cutsToHeld ? 0 : LIMIT_OVERLOAD_DECREASE_RATIO);
         }
         if (server.limit < 1) {
-            // A part of a place is kept by time: in flight for that part of it only.
-            server.restUs = Math.min(MOST_REST_US, (long) (outcome.latencyUs() / server.limit));
-            server.restUntil = Math.max(server.restUntil, call.sentAt[attempt]) + server.restUs;
-        }
-        if (isCounted(server)) {
-            limits += server.limit - before;
-        }
-    }
-
-    /** One cut for all that was sent before the last one. */
-    private void cutLimit(Call call, int attempt, double cut) {
-        Server server = call.servers[attempt];
-        if (call.sentAt[attempt] >= server.limitCutAt) {
-            // A limit that was never met says nothing of what the server held.
-            double from = set.warmKeys ? Math.min(server.limit, server.inFlight + 1) : server.limit;
-            server.limit = Math.max(1.0 / sharers, from * (1 - cut));
-            server.limitCutAt = now;
-        }
-    }
-
-    private boolean isCrowded(Call call, Server server) {
-        // The sum guards against a stall: what many nodes may each have at every server is then out at once.
-        // Lent by how timely answers are: in a jam it would keep choked servers choked.
-        double ease = sparse ? Math.max(0, call.overShare ? 4 * timely - 3 : 2 * timely - 1) : 0;
-        double ahead = sparse ? BURST * rank(call) : 0;
-        // Exception, shares: what is beyond its tenant's share gets a part of each limit and is lent less, so
-        // that bursts inside a share find room; it does not raise limits either. Not where keys are warm,
-        // since limits are no measure of room there.
-        double part = call.overShare ? OVER_SHARE_PART : 1;
-        boolean atLimit = server.inFlight + 1 > part * server.limit
-                && (server.inFlight > ease * ahead || now < server.restUntil - ease * ahead * server.restUs);
-        if (atLimit || inFlight > ease * (1 + ahead) && inFlight + 1 > part * limits) {
-            server.wantedAt = call.overShare ? server.wantedAt : now;
+            // A limit below one is kept by pacing: a request is in flight for that share of the time only.
+            server.pacingIntervalUs = Math.min(MAX_PACING_INTERVAL_US, (long) (outcome.latencyUs() / server.limit));
+            server.pacedUntil = Math.max(server.pacedUntil, pending.sentAt[attempt]) + server.pacingIntervalUs;
+        }
+        if (countsTowardTotals(server)) {
+            totalLimit += server.limit - limitBefore;
+        }
+    }
+
+    /** Decreases the limit of a server, once for all attempts sent before the last decrease. */
+    private void decreaseLimit(PendingRequest pending, int attempt, double decreaseRatio) {
+        Server server = pending.servers[attempt];
+        if (pending.sentAt[attempt] >= server.limitDecreasedAt) {
+            // A limit that was never reached says nothing about what the server held.
+            double base = settings.warmKeys ? Math.min(server.limit, server.inFlight + 1) : server.limit;
+            server.limit = Math.max(1.0 / effectiveNodesPerServer, base * (1 - decreaseRatio));
+            server.limitDecreasedAt = now;
+        }
+    }
+
+    /** Returns whether the limit of a server, or the sum of all limits, leaves no room for the request. */
+    private boolean isAtConcurrencyLimit(PendingRequest pending, Server server) {
+        // The sum prevents a stall in which all that many nodes may send to every server is in flight at once. Leniency
+        // depends on the ratio of timely answers: during congestion it would keep overloaded servers overloaded.
+        double leniencyRatio = sparse ? Math.max(0, pending.overShare ? 4 * timelyRatio - 3 : 2 * timelyRatio - 1) : 0;
+        double burstCount = sparse ? SPARSE_BURST_COUNT * relativeValue(pending) : 0;
+        // Exception, shares: requests beyond their tenant's share may use only a part of each limit, and get less
+        // leniency, so that bursts within a share find capacity. They do not raise limits either. This does not apply
+        // where servers remember keys, since limits do not measure capacity there.
+        double limitRatio = pending.overShare ? OVER_SHARE_LIMIT_RATIO : 1;
+        boolean atLimit = server.inFlight + 1 > limitRatio * server.limit
+                && (server.inFlight > leniencyRatio * burstCount
+                        || now < server.pacedUntil - leniencyRatio * burstCount * server.pacingIntervalUs);
+        if (atLimit
+                || totalInFlight > leniencyRatio * (1 + burstCount) && totalInFlight + 1 > limitRatio * totalLimit) {
+            server.limitReachedAt = pending.overShare ? server.limitReachedAt : now;
             return true;
         }
         return false;
     }
 
     /**
-     * Exception, throttling: the chance with which a sparse node takes up a request; it falls as its answers
-     * come late, first for what is worth little. All nodes hold back alike, so that servers that have
-     * choked come to the rest that they need.
+     * Exception, throttling: returns the probability with which a sparse node admits a request. It falls when answers
+     * are late, first for requests of little value. All nodes throttle alike, so that overloaded servers can recover.
      */
-    private double admitted(Call call) {
-        double part = timely / THROTTLED_AT;
-        return Math.max(LEAST_ADMITTED, part * part * (0.75 + rank(call) / 2));
+    private double admissionProbability(PendingRequest pending) {
+        double timeliness = timelyRatio / THROTTLING_TIMELY_RATIO;
+        return Math.max(MIN_ADMISSION_RATIO, timeliness * timeliness * (0.75 + relativeValue(pending) / 2));
     }
 
-    /** The value of a request against that of the most valuable class, 1 at most. */
-    private double rank(Call call) {
-        double top = call.value;
-        for (int c = 0; c < latencyUs.length; c++) {
-            // A class that has not been answered yet has no measure of work; it must not outrank all others.
-            double worth = answers[c] > 0 ? set.classes.get(c).worth() : 0;
-            top = Math.max(top, forItsWork(worth, c));
+    /** Returns the value of a request relative to that of the most valuable class, at most 1. */
+    private double relativeValue(PendingRequest pending) {
+        double maxValue = pending.value;
+        for (int classIndex = 0; classIndex < meanLatencyUs.length; classIndex++) {
+            // A class without answers has no measure of work yet and must not outrank all others.
+            double worth = answerCounts[classIndex] > 0
+                    ? settings.classes.get(classIndex).worth()
+                    : 0;
+            maxValue = Math.max(maxValue, perUnitOfWork(worth, classIndex));
         }
-        return top > 0 ? call.value / top : 0;
+        return maxValue > 0 ? pending.value / maxValue : 0;
     }
 
     // ---------------------------------------------------------------- sending
 
-    private void send(Call call, Server server) {
-        int attempt = call.attempts++;
-        call.servers[attempt] = server;
-        call.sentAt[attempt] = now;
-        call.outstanding++;
-        hedgesLeft = Math.min(MOST_HEDGES, hedgesLeft + (attempt == 0 ? HEDGE_SHARE : 0));
-        watched.get(call.request.classIndex()).add(new Try(call, attempt));
+    private void send(PendingRequest pending, Server server) {
+        int attempt = pending.attemptCount++;
+        pending.servers[attempt] = server;
+        pending.sentAt[attempt] = now;
+        pending.outstandingCount++;
+        hedgeBudget = Math.min(MAX_HEDGE_BUDGET_COUNT, hedgeBudget + (attempt == 0 ? HEDGE_BUDGET_RATIO : 0));
+        watchedAttempts.get(pending.request.classIndex()).add(new WatchedAttempt(pending, attempt));
         server.inFlight++;
-        inFlight += isCounted(server) ? 1 : 0;
-        // Gaps are counted from the first request on, not from the start of the clock.
+        totalInFlight += countsTowardTotals(server) ? 1 : 0;
+        // Gaps are measured from the first request on, not from the start of the clock.
         lastServedAt = lastServedAt == 0 ? now : lastServedAt;
         if (isCold(server)) {
-            server.nextColdSendAt = Math.max(now, server.nextColdSendAt) + coldGap(server, call.request.classIndex());
+            server.nextColdSendAt =
+                    Math.max(now, server.nextColdSendAt) + coldSendGapUs(server, pending.request.classIndex());
         }
-        out.send(call.request.id(), server.id, call.deadlineAt);
+        actions.send(pending.request.id(), server.id, pending.deadlineAt);
     }
 
     // ---------------------------------------------------------------- the four rules
 
-    /** Rule 1: the one final answer, a refusal wherever that is known to be harmless. */
-    private void giveUp(Call call) {
-        boolean harmless = call.binding() < 0
-                || call.cls.retrySafety() == RetrySafety.SAFE
-                || call.cls.retrySafety() == RetrySafety.KEYED && call.cls.dedupScope() == DedupScope.ALL;
+    /** Rule 1: gives the final answer, which is a refusal wherever that is known to be harmless. */
+    private void refuseOrFail(PendingRequest pending) {
+        boolean harmless = pending.firstPossiblyExecutedAttempt() < 0
+                || pending.requestClass.retrySafety() == RetrySafety.SAFE
+                || pending.requestClass.retrySafety() == RetrySafety.KEYED
+                        && pending.requestClass.dedupScope() == DedupScope.ALL;
         if (harmless) {
-            out.refuse(call.request.id(), set.maxRetryAfterUs);
+            actions.refuse(pending.request.id(), settings.maxRetryAfterUs);
         } else {
-            out.fail(call.request.id());
+            actions.fail(pending.request.id());
         }
-        end(call);
+        finish(pending);
     }
 
-    private void end(Call call) {
-        int c = call.request.classIndex();
-        inVain[c] += TIMELY_GAIN * ((call.attempts == 0 ? 1 : 0) - inVain[c]);
-        call.ended = true;
-        call.waiting = false;
-        for (int i = 0; i < call.attempts && call.outstanding > 0 && set.cancellationAllowed; i++) {
-            if (call.results[i] == null) {
-                out.cancel(call.request.id(), i);
+    private void finish(PendingRequest pending) {
+        int classIndex = pending.request.classIndex();
+        unservedRatios[classIndex] +=
+                TIMELY_SMOOTHING_RATIO * ((pending.attemptCount == 0 ? 1 : 0) - unservedRatios[classIndex]);
+        pending.ended = true;
+        pending.queued = false;
+        for (int i = 0; i < pending.attemptCount && pending.outstandingCount > 0 && settings.cancellationAllowed; i++) {
+            if (pending.results[i] == null) {
+                actions.cancel(pending.request.id(), i);
             }
         }
-        forgetIfOver(call);
+        removeIfFinished(pending);
     }
 
-    private void forgetIfOver(Call call) {
-        if (call.ended && call.outstanding == 0) {
-            calls.remove(call.request.id());
+    private void removeIfFinished(PendingRequest pending) {
+        if (pending.ended && pending.outstandingCount == 0) {
+            pendingRequests.remove(pending.request.id());
         }
     }
 
-    /** Rule 2: whether any further attempt could be lawful, wherever it goes. */
-    private boolean mayTryAgain(Call call) {
-        if (call.attempts >= set.maxAttempts || now >= call.deadlineAt || call.streaming) {
+    /** Rule 2: returns whether any further attempt is permitted, at any server. */
+    private boolean mayRetry(PendingRequest pending) {
+        if (pending.attemptCount >= settings.maxAttempts || now >= pending.deadlineAt || pending.streaming) {
             return false;
         }
-        int binding = call.binding();
-        return binding < 0
-                || switch (call.cls.retrySafety()) {
+        int executedAttempt = pending.firstPossiblyExecutedAttempt();
+        return executedAttempt < 0
+                || switch (pending.requestClass.retrySafety()) {
                     case SAFE -> true;
-                    case KEYED -> now <= call.sentAt[binding] + call.cls.dedupWindowUs();
+                    case KEYED -> now <= pending.sentAt[executedAttempt] + pending.requestClass.dedupWindowUs();
                     case UNSAFE -> false;
                 };
     }
 
-    /** Rules 2 to 4 for one server: the keyed group, the list's word, and a cold server's budget. */
-    private boolean maySend(Call call, Server server) {
-        return !server.isEjectedFor(call.request.classIndex()) && !isCrowded(call, server) && isAllowed(call, server);
+    /**
+     * Rules 2 to 4 for one server: the group that drops repeats, the state in the list, and the budget of a cold
+     * server. Ejection and limits are checked as well.
+     */
+    private boolean maySend(PendingRequest pending, Server server) {
+        return !server.isEjectedFor(pending.request.classIndex())
+                && !isAtConcurrencyLimit(pending, server)
+                && isAllowed(pending, server);
     }
 
-    private boolean isAllowed(Call call, Server server) {
+    /** Rules 2 to 4 for one server, without ejection and limits. */
+    private boolean isAllowed(PendingRequest pending, Server server) {
         if (server.state != ServerState.READY || isCold(server) && now < server.nextColdSendAt) {
             return false;
         }
-        int binding = call.cls.retrySafety() == RetrySafety.KEYED ? call.binding() : -1;
-        return binding < 0
-                || switch (call.cls.dedupScope()) {
+        int executedAttempt =
+                pending.requestClass.retrySafety() == RetrySafety.KEYED ? pending.firstPossiblyExecutedAttempt() : -1;
+        return executedAttempt < 0
+                || switch (pending.requestClass.dedupScope()) {
                     case ALL -> true;
-                    case ZONE -> server.zone == call.servers[binding].zone;
-                    case CELL -> server.cell == call.servers[binding].cell;
+                    case ZONE -> server.zone == pending.servers[executedAttempt].zone;
+                    case CELL -> server.cell == pending.servers[executedAttempt].cell;
                 };
     }
 
     private boolean isCold(Server server) {
-        return server.startedAt > 0 && now < server.startedAt + set.warmUpUs;
+        return server.startedAt > 0 && now < server.startedAt + settings.warmUpUs;
     }
 
     /**
-     * Exception, slow start (rule 4): the unit is an even part of what this node gets answered, times the
-     * share of its capacity that a cold server has at least. All nodes together may send so many units as
-     * the rule's multiple; each spends half of that, spaced so that no burst spends it at once. Its limit
-     * keeps a server that is slow besides below even that. Arrivals would not do as the measure, as clients'
-     * retries multiply them in a jam, nor what is answered now alone, which would hold the jam: it counts by
-     * half, and the best that was, which may have been more than servers can do now, by the other half. At a
-     * node of many it is no less than one core does of such work: half of a fleet may be replaced at once.
+     * Exception, slow start (rule 4): returns the time between two requests to a cold server. The unit rate is an
+     * even share of the answers that this node receives, times the share of its capacity that a cold server has at
+     * least. All nodes together may send as many units as the overload ratio of the rule allows. Each node uses half
+     * of that, spaced so that no burst uses it at once. The concurrency limit keeps a server that is also slow below
+     * even that.
+     *
+     * <p>Arrivals are no suitable measure, since retries of clients multiply them during congestion. The current gap
+     * between answers alone would sustain the congestion. The unit gap is therefore the geometric mean of the current
+     * gap and the minimum gap, which may have been shorter than servers can reach now. With many nodes the rate is at
+     * least what one core serves of the class, since half of a fleet may be replaced at once.
+     *
+     * @param classIndex class of the request, or -1
      */
-    private long coldGap(Server server, int classIndex) {
-        double age = Math.max(0, now - server.startedAt) / (double) set.warmUpUs;
-        double share = set.coldCapacityRatio + (1 - set.coldCapacityRatio) * Math.min(1, age);
-        double units = Math.max(1, set.overloadRatio / 2) / (set.warmKeys ? UNKNOWN_KEY_COST : 1);
-        double unitUs = Math.sqrt(Math.min(leastGapUs, evenGapUs) * evenGapUs);
-        if (many && !set.warmKeys && classIndex >= 0 && isUsualKnown(classIndex)) {
-            unitUs = Math.min(unitUs, leastLatencyUs[classIndex] * senders);
-        }
-        return (long) (unitUs / (share * units));
+    private long coldSendGapUs(Server server, int classIndex) {
+        double ageRatio = Math.max(0, now - server.startedAt) / (double) settings.warmUpUs;
+        double capacityRatio = settings.coldCapacityRatio + (1 - settings.coldCapacityRatio) * Math.min(1, ageRatio);
+        double units = Math.max(1, settings.overloadRatio / 2) / (settings.warmKeys ? UNKNOWN_KEY_COST_RATIO : 1);
+        double unitUs = Math.sqrt(Math.min(minAnswerGapUs, meanAnswerGapUs) * meanAnswerGapUs);
+        if (manyNodes && !settings.warmKeys && classIndex >= 0 && isMeanLatencyKnown(classIndex)) {
+            unitUs = Math.min(unitUs, minMeanLatencyUs[classIndex] * nodesPerServer);
+        }
+        return (long) (unitUs / (capacityRatio * units));
     }
 }
--- a/src/main/java/kitemux/mysql/ClientLogin.java
+++ b/src/main/java/kitemux/mysql/ClientLogin.java
@@ -63,7 +63,12 @@
      * @param decoder stands in front of it
      */
     ClientLogin(
-            Users users, long connectionId, AuthPlugin greeted, long loginMs, PacketDecoder decoder, LoginHandler entrance) {
+            Users users,
+            long connectionId,
+            AuthPlugin greeted,
+            long loginMs,
+            PacketDecoder decoder,
+            LoginHandler entrance) {
         this.users = users;
         this.connectionId = connectionId;
         this.greeted = greeted;
--- a/src/main/java/kitemux/peers/MembershipConfig.java
+++ b/src/main/java/kitemux/peers/MembershipConfig.java
@@ -14,7 +14,14 @@
  * @param suspicionMultiplier so many times the period, and the more the larger the fleet, a suspect has to answer
  * @param maxDatagramBytes of a datagram
  */
-public record MembershipConfig(int nodeCount, int self, long probePeriodUs, long probeTimeoutUs, int indirectProbes, double suspicionMultiplier, int maxDatagramBytes) {
+public record MembershipConfig(
+        int nodeCount,
+        int self,
+        long probePeriodUs,
+        long probeTimeoutUs,
+        int indirectProbes,
+        double suspicionMultiplier,
+        int maxDatagramBytes) {
     /** Itself, whom it speaks of, and room for news. */
     private static final int LEAST_BYTES = Datagram.HEAD + 4 * Datagram.BELIEF;
 
@@ -26,10 +33,16 @@
     /** All that cannot be, one line each with field and reason; empty where there is nothing. */
     public List<String> violations() {
         List<String> found = new ArrayList<>();
-        require(found, nodeCount >= 1 && nodeCount <= Datagram.MAX_NODE_COUNT, "nodes: is not from 1 to " + Datagram.MAX_NODE_COUNT);
+        require(
+                found,
+                nodeCount >= 1 && nodeCount <= Datagram.MAX_NODE_COUNT,
+                "nodes: is not from 1 to " + Datagram.MAX_NODE_COUNT);
         require(found, self >= 0 && self < nodeCount, "me: is not from 0 to nodes - 1");
         require(found, probePeriodUs >= 10_000, "period: is under 10ms");
-        require(found, probeTimeoutUs >= 1_000 && 2 * probeTimeoutUs <= probePeriodUs, "answer: is not from 1ms to half a period");
+        require(
+                found,
+                probeTimeoutUs >= 1_000 && 2 * probeTimeoutUs <= probePeriodUs,
+                "answer: is not from 1ms to half a period");
         require(found, indirectProbes >= 0 && indirectProbes <= 16, "helpers: is not from 0 to 16");
         require(found, suspicionMultiplier >= 1 && suspicionMultiplier <= 100, "suspicion: is not from 1 to 100");
         require(
--- a/src/main/java/kitemux/peers/Message.java
+++ b/src/main/java/kitemux/peers/Message.java
@@ -12,7 +12,14 @@
  * @param members what the sender believes of nodes, itself first
  * @param updates what nodes tell all others
  */
-public record Message(Kind kind, int sender, long generation, int sequence, int target, List<MemberRecord> members, List<Update> updates) {
+public record Message(
+        Kind kind,
+        int sender,
+        long generation,
+        int sequence,
+        int target,
+        List<MemberRecord> members,
+        List<Update> updates) {
 
     /** What it wants. */
     public enum Kind {
--- a/src/main/java/kitemux/rollout/KeeperStateMachine.java
+++ b/src/main/java/kitemux/rollout/KeeperStateMachine.java
@@ -9,363 +9,381 @@
 import java.util.function.Supplier;
 
 /**
- * A keeper: history, vote, proposals, watches and reports, and what it asks of the others to catch up. Events
- * come with the time; what is to be done comes out as effects, to be carried out in their order.
+ * The state machine of a keeper: its history, vote, proposals, watches and reports, and its requests to
+ * other keepers to catch up. Each event method takes the current time and returns the effects to carry out
+ * in their order.
  */
 public final class KeeperStateMachine {
     private static final String NOT_CAUGHT_UP = "this keeper has not caught up yet";
 
-    private final ProtocolParameters terms;
-    private final Voter me;
-    private final int keepers;
+    private final ProtocolParameters parameters;
+    private final Voter self;
+    private final int keeperCount;
     private final History history;
     private final Acceptor acceptor;
     private final Proposer proposer;
     private final Inventory inventory = new Inventory();
-    private final Watch.Wholes wholes;
+    private final Watch.SnapshotCache snapshotCache;
     private final Map<Long, Watch> openWatches = new LinkedHashMap<>();
-    private final Map<Long, Long> watchAtUs = new HashMap<>();
-    private final SplittableRandom draws;
-    /** When each keeper last answered, in this life. */
-    private final Map<Integer, Long> heardUs = new HashMap<>();
-    /** The newest version that another keeper has told of. */
-    private long newestHeard;
+    private final Map<Long, Long> nextSendAtUsByWatch = new HashMap<>();
+    private final SplittableRandom random;
+    /** When each keeper last responded to this process. */
+    private final Map<Integer, Long> lastResponseAtUsByKeeper = new HashMap<>();
+    /** The newest version that any other keeper has reported. */
+    private long newestKnownRev;
 
     private boolean caughtUp;
-    private long pulseAtUs;
-    private long finishAtUs = Long.MAX_VALUE;
+    private long nextFetchAtUs;
+    private long recoverAtUs = Long.MAX_VALUE;
     private long rejectedWatches;
-    private long deafUntilUs;
+    private long discardReportsUntilUs;
     private long discardedReports;
-    private List<Effect> out = new ArrayList<>();
+    private List<Effect> effects = new ArrayList<>();
     private long nowUs;
 
     /**
-     * Begins from what its folder holds.
+     * Restores the state from the log of the keeper.
      *
-     * @param me its number and the identity of its folder
-     * @param keepers how many keepers there are, numbered from 0
-     * @param founding the voters as long as no version names others
-     * @param kept what was written, in order; what {@link #toRecords} gives will do as well
-     * @param seed of what it draws
+     * @param self number of this keeper and the identity of its folder
+     * @param keeperCount number of keepers, which are numbered from 0
+     * @param initialVoters the voters until a version names others
+     * @param records the records in the order in which they were written, or those of {@link #toRecords}
+     * @param seed seed of the random delays
      */
     public KeeperStateMachine(
-            ProtocolParameters terms,
-            Voter me,
-            int keepers,
-            List<Voter> founding,
+            ProtocolParameters parameters,
+            Voter self,
+            int keeperCount,
+            List<Voter> initialVoters,
             Rules rules,
-            List<LogRecord> kept,
+            List<LogRecord> records,
             long seed,
             long nowUs) {
-        this.terms = terms;
-        this.me = me;
-        this.keepers = keepers;
+        this.parameters = parameters;
+        this.self = self;
+        this.keeperCount = keeperCount;
         this.nowUs = nowUs;
-        draws = new SplittableRandom(seed);
-        history = new History(founding);
+        random = new SplittableRandom(seed);
+        history = new History(initialVoters);
         Vote vote = Vote.empty(1);
-        for (LogRecord each : kept) {
-            if (each instanceof LogRecord.Chosen chosen) {
+        for (LogRecord entry : records) {
+            if (entry instanceof LogRecord.Chosen chosen) {
                 history.append(chosen.version());
-            } else if (each instanceof LogRecord.Snapshot whole) {
-                history.installSnapshot(whole.rev(), whole.values());
-            } else if (each instanceof LogRecord.Voted voted) {
+            } else if (entry instanceof LogRecord.Snapshot snapshot) {
+                history.installSnapshot(snapshot.rev(), snapshot.values());
+            } else if (entry instanceof LogRecord.Voted voted) {
                 vote = voted.vote();
             }
         }
         acceptor = new Acceptor(vote);
         acceptor.advanceTo(history.rev());
-        proposer = new Proposer(terms, me.keeper(), history, rules, draws.nextLong(), this::chosen);
-        wholes = new Watch.Wholes(terms.snapshotPartBytes());
-        pulseAtUs = nowUs;
-        settle();
+        proposer =
+                new Proposer(parameters, self.keeper(), history, rules, random.nextLong(), this::onOwnProposalChosen);
+        snapshotCache = new Watch.SnapshotCache(parameters.snapshotPartBytes());
+        nextFetchAtUs = nowUs;
+        updateCaughtUpAndRecovery();
     }
 
-    /** Its part in decisions, whole but for times and draws. */
+    /** Returns the state of the consensus protocol without times and random values. */
     @Override
     public String toString() {
         Vote vote = acceptor.vote();
         return history.versionsAfter(0, ProtocolParameters.MAX_HISTORY_VERSION_COUNT).stream()
-                        .map(v -> v.change().id())
+                        .map(version -> version.change().id())
                         .toList()
                 + " "
                 + vote.rev() + " " + vote.promised() + " " + vote.acceptedAt() + " "
                 + (vote.accepted() == null ? "" : vote.accepted().id()) + " " + proposer;
     }
 
-    /** What is known; to be read only. */
+    /** Returns the known versions. The caller must not modify them. */
     public History history() {
         return history;
     }
 
-    /** Who reported what here; to be read only. */
+    /** Returns the reports received by this keeper. The caller must not modify them. */
     public Inventory inventory() {
         return inventory;
     }
 
-    /** Watches that are open. */
+    /** Returns the number of open watches. */
     public int openWatches() {
         return openWatches.size();
     }
 
-    /** Watches that found no room. */
+    /** Returns the number of rejected watches. */
     public long rejectedWatches() {
         return rejectedWatches;
     }
 
-    /** Changes that found no room. */
+    /** Returns the number of changes rejected because the queue was full. */
     public long rejectedChanges() {
         return proposer.rejectedChanges();
     }
 
     /**
-     * Whether it has heard a majority since its start, and knew all that they knew; until then it serves
-     * nobody.
+     * Returns whether this keeper has reached a majority of the voters since its start and knows all
+     * versions that they knew. It serves nobody until then.
      */
     public boolean isCaughtUp() {
         return caughtUp;
     }
 
-    /** Whether it hears no majority of the voters: there may be versions that it does not know. */
+    /**
+     * Returns whether this keeper currently reaches no majority of the voters, so that there may be
+     * versions that it does not know.
+     */
     public boolean lacksQuorum() {
-        return heard(terms.voterTimeoutUs()) <= history.voters().size() / 2;
+        return countReachableVoters(parameters.voterTimeoutUs())
+                <= history.voters().size() / 2;
     }
 
-    /** What a folder that is written anew has to hold, in order. */
+    /** Returns the records that a rewritten log must contain, in order. */
     public List<LogRecord> toRecords() {
-        List<LogRecord> all = history.toRecords();
-        all.add(new LogRecord.Voted(acceptor.vote()));
-        return all;
+        List<LogRecord> records = history.toRecords();
+        records.add(new LogRecord.Voted(acceptor.vote()));
+        return records;
     }
 
-    /** When {@link #tick} is to be called, in microseconds. */
+    /** Returns when {@link #tick} must be called, in microseconds. */
     public long nextAtUs() {
-        long next = Math.min(Math.min(pulseAtUs, finishAtUs), proposer.nextAtUs());
-        for (long at : watchAtUs.values()) {
-            next = Math.min(next, at);
+        long next = Math.min(Math.min(nextFetchAtUs, recoverAtUs), proposer.nextAtUs());
+        for (long sendAtUs : nextSendAtUsByWatch.values()) {
+            next = Math.min(next, sendAtUs);
         }
         return next;
     }
 
     /**
-     * Whoever stood still finds reports that lay unread; how long nobody knows. They are let pass for a
-     * while: nodes report again.
+     * Advances the clock. After a stall, reports of unknown age may be waiting to be read, so reports are
+     * discarded for a short time. Nodes repeat their reports.
      */
-    private void arrives(long now) {
-        if (now - nowUs > 2 * terms.fetchIntervalUs()) {
-            deafUntilUs = now + terms.fetchIntervalUs();
+    private void advanceClock(long now) {
+        if (now - nowUs > 2 * parameters.fetchIntervalUs()) {
+            discardReportsUntilUs = now + parameters.fetchIntervalUs();
         }
         nowUs = now;
     }
 
-    private List<Effect> events(long now, Runnable event) {
-        arrives(now);
-        out = new ArrayList<>();
+    private List<Effect> handle(long now, Runnable event) {
+        advanceClock(now);
+        effects = new ArrayList<>();
         event.run();
-        settle();
-        List<Effect> done = out;
-        out = new ArrayList<>();
-        return done;
+        updateCaughtUpAndRecovery();
+        List<Effect> result = effects;
+        effects = new ArrayList<>();
+        return result;
     }
 
-    /** Time has passed. */
+    /** Handles all timeouts that have passed. */
     public List<Effect> tick(long now) {
-        return events(now, () -> {
-            proposer.tick(now, out);
-            if (now >= pulseAtUs) {
-                pulseAtUs = now + terms.fetchIntervalUs();
-                toOthers(new Request.Fetch(history.rev()));
+        return handle(now, () -> {
+            proposer.tick(now, effects);
+            if (now >= nextFetchAtUs) {
+                nextFetchAtUs = now + parameters.fetchIntervalUs();
+                broadcast(new Request.Fetch(history.rev()));
             }
-            if (now >= finishAtUs) {
-                finishAtUs = Long.MAX_VALUE;
-                proposer.recoverAccepted(now, out);
+            if (now >= recoverAtUs) {
+                recoverAtUs = Long.MAX_VALUE;
+                proposer.recoverAccepted(now, effects);
             }
-            watchAtUs.replaceAll((id, at) -> now >= at ? send(id) : at);
+            nextSendAtUsByWatch.replaceAll((id, at) -> now >= at ? sendPending(id) : at);
         });
     }
 
-    /** Another keeper asks; the effects hold its answer, once, under this number of the call. */
-    public List<Effect> handleRequest(long now, long call, Request request) {
-        return events(now, () -> {
-            if (request instanceof Request.Prepare asked) {
-                vote(call, asked.rev(), () -> acceptor.prepare(asked));
-            } else if (request instanceof Request.Accept asked) {
-                vote(call, asked.rev(), () -> acceptor.accept(asked));
-            } else if (request instanceof Request.Chosen asked) {
-                if (asked.version().rev() == history.rev() + 1) {
-                    learn(asked.version());
-                    proposer.historyAdvanced(nowUs, out);
+    /**
+     * Handles a request of a keeper. The effects contain exactly one response with the number of this call.
+     */
+    public List<Effect> handleRequest(long now, long callId, Request request) {
+        return handle(now, () -> {
+            if (request instanceof Request.Prepare message) {
+                voteOn(callId, message.rev(), () -> acceptor.prepare(message));
+            } else if (request instanceof Request.Accept message) {
+                voteOn(callId, message.rev(), () -> acceptor.accept(message));
+            } else if (request instanceof Request.Chosen message) {
+                if (message.version().rev() == history.rev() + 1) {
+                    learn(message.version());
+                    proposer.historyAdvanced(nowUs, effects);
                 }
-                out.add(new Effect.Reply(call, since(history.rev())));
-            } else if (request instanceof Request.Fetch asked) {
-                newestHeard = Math.max(newestHeard, asked.afterRev());
-                out.add(new Effect.Reply(call, since(asked.afterRev())));
+                effects.add(new Effect.Reply(callId, versionsSince(history.rev())));
+            } else if (request instanceof Request.Fetch message) {
+                newestKnownRev = Math.max(newestKnownRev, message.afterRev());
+                effects.add(new Effect.Reply(callId, versionsSince(message.afterRev())));
             }
         });
     }
 
-    private boolean votes() {
-        return history.voters().contains(me);
+    private boolean isVoter() {
+        return history.voters().contains(self);
     }
 
-    private void vote(long call, long rev, Supplier<Response> open) {
+    private void voteOn(long callId, long rev, Supplier<Response> decide) {
         if (rev <= history.rev()) {
-            out.add(new Effect.Reply(call, since(rev - 1)));
-        } else if (rev > history.rev() + 1 || !votes()) {
-            out.add(new Effect.Reply(call, new Response.Behind(rev, history.rev())));
+            effects.add(new Effect.Reply(callId, versionsSince(rev - 1)));
+        } else if (rev > history.rev() + 1 || !isVoter()) {
+            effects.add(new Effect.Reply(callId, new Response.Behind(rev, history.rev())));
         } else {
             Vote before = acceptor.vote();
-            Effect reply = new Effect.Reply(call, open.get());
+            Effect reply = new Effect.Reply(callId, decide.get());
             if (acceptor.vote().equals(before)) {
-                out.add(reply);
+                effects.add(reply);
             } else {
-                out.add(new Effect.Persist(new LogRecord.Voted(acceptor.vote()), List.of(reply)));
+                effects.add(new Effect.Persist(new LogRecord.Voted(acceptor.vote()), List.of(reply)));
             }
         }
     }
 
-    private Response since(long after) {
-        return history.covers(after) || after >= history.rev()
+    private Response versionsSince(long afterRev) {
+        return history.covers(afterRev) || afterRev >= history.rev()
                 ? new Response.Versions(
-                        after,
+                        afterRev,
                         history.rev(),
-                        history.versionsAfter(after, ProtocolParameters.MAX_RESPONSE_VERSION_COUNT))
+                        history.versionsAfter(afterRev, ProtocolParameters.MAX_RESPONSE_VERSION_COUNT))
                 : new Response.Snapshot(history.rev(), history.values());
     }
 
-    /** Another keeper has answered what was sent to it. */
-    public List<Effect> handleResponse(long now, int from, Response answer) {
-        return events(now, () -> {
-            heardUs.put(from, now);
-            long before = history.rev();
-            if (answer instanceof Response.Versions known) {
-                known.versions().forEach(this::learn);
-                newestHeard = Math.max(newestHeard, known.newestRev());
-                if (history.rev() > before && known.newestRev() > history.rev()) {
-                    out.add(new Effect.Send(from, new Request.Fetch(history.rev())));
+    /** Handles a keeper's response to a request of this one. */
+    public List<Effect> handleResponse(long now, int from, Response response) {
+        return handle(now, () -> {
+            lastResponseAtUsByKeeper.put(from, now);
+            long previousRev = history.rev();
+            if (response instanceof Response.Versions versions) {
+                versions.versions().forEach(this::learn);
+                newestKnownRev = Math.max(newestKnownRev, versions.newestRev());
+                if (history.rev() > previousRev && versions.newestRev() > history.rev()) {
+                    effects.add(new Effect.Send(from, new Request.Fetch(history.rev())));
                 }
-            } else if (answer instanceof Response.Snapshot whole) {
-                newestHeard = Math.max(newestHeard, whole.rev());
-                if (history.installSnapshot(whole.rev(), whole.values())) {
-                    learned(new LogRecord.Snapshot(whole.rev(), whole.values()));
+            } else if (response instanceof Response.Snapshot snapshot) {
+                newestKnownRev = Math.max(newestKnownRev, snapshot.rev());
+                if (history.installSnapshot(snapshot.rev(), snapshot.values())) {
+                    onHistoryAdvanced(new LogRecord.Snapshot(snapshot.rev(), snapshot.values()));
                 }
-            } else if (answer instanceof Response.Behind behind) {
-                tellWhatItLacks(from, behind);
+            } else if (response instanceof Response.Behind behind) {
+                sendMissingVersions(from, behind);
             }
-            if (history.rev() > before) {
-                proposer.historyAdvanced(now, out);
+            if (history.rev() > previousRev) {
+                proposer.historyAdvanced(now, effects);
             }
-            proposer.handleResponse(now, from, answer, out);
+            proposer.handleResponse(now, from, response, effects);
         });
     }
 
-    private void tellWhatItLacks(int to, Response.Behind behind) {
+    private void sendMissingVersions(int to, Response.Behind behind) {
         for (Version version :
                 history.versionsAfter(behind.newestRev(), ProtocolParameters.MAX_RESPONSE_VERSION_COUNT)) {
-            out.add(new Effect.Send(to, new Request.Chosen(version)));
+            effects.add(new Effect.Send(to, new Request.Chosen(version)));
         }
     }
 
-    /** A version is known to be chosen. Need not be synced before it is told: a majority has it on disk. */
+    /** Appends a chosen version. It may be passed on before it is synced, since a majority has it on disk. */
     private void learn(Version version) {
         if (history.append(version)) {
-            learned(new LogRecord.Chosen(version));
+            onHistoryAdvanced(new LogRecord.Chosen(version));
         }
     }
 
-    /** A version was chosen by its own proposal. */
-    private void chosen(Version version) {
+    /** Appends a version that was chosen by a proposal of this keeper, and sends it to the other keepers. */
+    private void onOwnProposalChosen(Version version) {
         learn(version);
-        toOthers(new Request.Chosen(version));
+        broadcast(new Request.Chosen(version));
     }
 
-    private void toOthers(Request request) {
-        for (int to = 0; to < keepers; to++) {
-            if (to != me.keeper()) {
-                out.add(new Effect.Send(to, request));
+    private void broadcast(Request request) {
+        for (int to = 0; to < keeperCount; to++) {
+            if (to != self.keeper()) {
+                effects.add(new Effect.Send(to, request));
             }
         }
     }
 
-    private void learned(LogRecord kept) {
+    private void onHistoryAdvanced(LogRecord entry) {
         acceptor.advanceTo(history.rev());
-        out.add(new Effect.Persist(kept, List.of()));
-        watchAtUs.replaceAll((id, at) -> send(id));
+        effects.add(new Effect.Persist(entry, List.of()));
+        nextSendAtUsByWatch.replaceAll((id, at) -> sendPending(id));
     }
 
-    /** An operator's change; {@link Effect.Conclude} follows once, at once or later. */
-    public List<Effect> proposeChange(long now, long call, Change change) {
-        return events(now, () -> {
+    /**
+     * Handles an operator's change. It is answered by exactly one {@link Effect.CompleteChange}, at once or
+     * later.
+     */
+    public List<Effect> proposeChange(long now, long callId, Change change) {
+        return handle(now, () -> {
             if (caughtUp) {
-                proposer.propose(now, call, change, out);
+                proposer.propose(now, callId, change, effects);
             } else {
-                out.add(new Effect.CompleteChange(call, new Outcome.Unavailable(NOT_CAUGHT_UP)));
+                effects.add(new Effect.CompleteChange(callId, new Outcome.Unavailable(NOT_CAUGHT_UP)));
             }
         });
     }
 
-    /** A node wants to be told what comes after a version; lines follow, or the watch is refused. */
-    public List<Effect> openWatch(long now, long watch, long after) {
-        return events(now, () -> {
+    /** Opens a node's watch for all versions after {@code afterRev}, or rejects it. */
+    public List<Effect> openWatch(long now, long watchId, long afterRev) {
+        return handle(now, () -> {
             String reason = !caughtUp
                     ? NOT_CAUGHT_UP
-                    : after > history.rev()
-                            ? "version " + after + " is not known here yet"
+                    : afterRev > history.rev()
+                            ? "version " + afterRev + " is not known here yet"
                             : openWatches.size() >= ProtocolParameters.MAX_WATCH_COUNT
                                     ? ProtocolParameters.MAX_WATCH_COUNT + " watches are open"
                                     : null;
             if (reason != null) {
                 rejectedWatches++;
-                out.add(new Effect.RejectWatch(watch, reason));
+                effects.add(new Effect.RejectWatch(watchId, reason));
                 return;
             }
-            openWatches.put(watch, new Watch(now, terms, after));
-            watchAtUs.put(watch, send(watch));
+            openWatches.put(watchId, new Watch(now, parameters, afterRev));
+            nextSendAtUsByWatch.put(watchId, sendPending(watchId));
         });
     }
 
-    /** A watch has ended, from either side. */
-    public void watchEnded(long watch) {
-        openWatches.remove(watch);
-        watchAtUs.remove(watch);
+    /** Removes a watch that has ended, whichever side closed it. */
+    public void watchEnded(long watchId) {
+        openWatches.remove(watchId);
+        nextSendAtUsByWatch.remove(watchId);
     }
 
-    /** A node's report. */
+    /** Handles a node's report. */
     public void handleReport(long now, Report report) {
-        arrives(now);
-        if (now < deafUntilUs) {
+        advanceClock(now);
+        if (now < discardReportsUntilUs) {
             discardedReports++;
         } else {
             inventory.addReport(now, report);
         }
     }
 
-    /** Reports that were let pass, since it stood still before. */
+    /** Returns the number of reports discarded because this process had stalled before. */
     public long discardedReports() {
         return discardedReports;
     }
 
-    private long send(long watch) {
-        return openWatches.get(watch).send(nowUs, watch, terms, history, wholes, lacksQuorum(), out);
+    private long sendPending(long watchId) {
+        return openWatches
+                .get(watchId)
+                .sendPending(nowUs, watchId, parameters, history, snapshotCache, lacksQuorum(), effects);
     }
 
-    /** Voters that were heard within a time, itself among them if it votes. */
-    private long heard(long withinUs) {
+    /** Counts the voters that responded within the given time, including this keeper if it votes. */
+    private long countReachableVoters(long windowUs) {
         return history.voters().stream()
-                .filter(voter -> voter.equals(me)
-                        || heardUs.getOrDefault(voter.keeper(), Long.MIN_VALUE / 2) >= nowUs - withinUs)
+                .filter(voter -> voter.equals(self)
+                        || lastResponseAtUsByKeeper.getOrDefault(voter.keeper(), Long.MIN_VALUE / 2)
+                                >= nowUs - windowUs)
                 .count();
     }
 
-    /** What follows from any event: whether it has caught up, and whether something waits to be finished. */
-    private void settle() {
-        caughtUp |= heard(Long.MAX_VALUE / 2) > history.voters().size() / 2 && newestHeard <= history.rev();
-        boolean isOpen = acceptor.vote().accepted() != null && votes();
+    /**
+     * Updates after each event whether this keeper has caught up, and when an accepted value that is not
+     * known to be chosen has to be proposed again.
+     */
+    private void updateCaughtUpAndRecovery() {
+        caughtUp |= countReachableVoters(Long.MAX_VALUE / 2) > history.voters().size() / 2
+                && newestKnownRev <= history.rev();
+        boolean isOpen = acceptor.vote().accepted() != null && isVoter();
         if (!isOpen) {
-            finishAtUs = Long.MAX_VALUE;
-        } else if (finishAtUs == Long.MAX_VALUE) {
-            finishAtUs = nowUs + draws.nextLong(terms.recoveryDelayUs(), 2 * terms.recoveryDelayUs());
+            recoverAtUs = Long.MAX_VALUE;
+        } else if (recoverAtUs == Long.MAX_VALUE) {
+            recoverAtUs = nowUs + random.nextLong(parameters.recoveryDelayUs(), 2 * parameters.recoveryDelayUs());
         }
     }
 }
--- a/src/main/java/kitemux/scale/HollowNode.java
+++ b/src/main/java/kitemux/scale/HollowNode.java
@@ -40,8 +40,8 @@
 import kitemux.net.SocketBudget;
 import kitemux.peers.Datagram;
 import kitemux.peers.Membership;
-import kitemux.peers.Message;
 import kitemux.peers.MembershipConfig;
+import kitemux.peers.Message;
 
 /**
  * A node without a request path, on a loop and a thread of its own: the watch, the reader of lists, the
--- a/src/test/java/kitemux/members/MembershipTest.java
+++ b/src/test/java/kitemux/members/MembershipTest.java
@@ -33,7 +33,9 @@
     }
 
     private static List<Member> from(int first, int last) {
-        return IntStream.rangeClosed(first, last).mapToObj(MembershipTest::member).toList();
+        return IntStream.rangeClosed(first, last)
+                .mapToObj(MembershipTest::member)
+                .toList();
     }
 
     /** Names of those that get something new, of all that are served. */
@@ -69,7 +71,8 @@
         Membership.Decision sure = members.tick(NOW + 31 * S);
         assertEquals(List.of("web-1", "web-2"), ready());
         assertTrue(
-                sure.messages().get(0).startsWith("7 servers that the list has lacked for 30 s are gone"), sure::toString);
+                sure.messages().get(0).startsWith("7 servers that the list has lacked for 30 s are gone"),
+                sure::toString);
         assertEquals(Long.MAX_VALUE, members.nextTickUs());
     }
 
@@ -126,7 +129,9 @@
         members.updateFromSource(NOW + S, List.of(member(1), new Member("web-2", "10.0.0.99:80", 0, false), member(3)));
         assertEquals(
                 List.of(0L, NOW + S, NOW + S),
-                members.servers().stream().map(Membership.MemberStatus::startedUs).toList());
+                members.servers().stream()
+                        .map(Membership.MemberStatus::startedUs)
+                        .toList());
     }
 
     // ---------------------------------------------------------------- checks
@@ -224,7 +229,9 @@
         assertEquals(4, ready().size());
         assertEquals(
                 List.of(NOW + 6 * S, 0L, 0L, 0L),
-                members.servers().stream().map(Membership.MemberStatus::startedUs).toList());
+                members.servers().stream()
+                        .map(Membership.MemberStatus::startedUs)
+                        .toList());
     }
 
     @Test
@@ -301,7 +308,8 @@
         RefreshSchedule most = new RefreshSchedule(5 * S, 60 * S, () -> 1);
         assertEquals(4_500_000, least.recordSuccess());
         assertEquals(5_500_000, most.recordSuccess(), 1);
-        List<Long> pauses = IntStream.range(0, 6).mapToObj(i -> most.recordFailure()).toList();
+        List<Long> pauses =
+                IntStream.range(0, 6).mapToObj(i -> most.recordFailure()).toList();
         assertEquals(List.of(5 * S, 10 * S, 20 * S, 40 * S, 60 * S, 60 * S), pauses);
         assertEquals(2_500_000, least.recordFailure());
         IntStream.range(0, 100).forEach(i -> least.recordFailure());
--- a/src/test/java/kitemux/mysql/AnswerTrackerTest.java
+++ b/src/test/java/kitemux/mysql/AnswerTrackerTest.java
@@ -134,7 +134,8 @@
                 answer.add(eof(STATUS));
             }
         }
-        ResponseTracker tracker = new ResponseTracker(ResponseType.PREPARED_STATEMENT, eofs ? 0 : Capabilities.DEPRECATE_EOF);
+        ResponseTracker tracker =
+                new ResponseTracker(ResponseType.PREPARED_STATEMENT, eofs ? 0 : Capabilities.DEPRECATE_EOF);
         for (byte[] payload : answer) {
             assertEquals(null, tracker.end());
             play(tracker, payload);
@@ -167,9 +168,13 @@
                 ProtocolException.class,
                 () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(0xfb, 'f')),
                 "a server that asks for a file of the client's");
-        assertThrows(ProtocolException.class, () -> play(new ResponseTracker(ResponseType.STATUS_ONLY, 0), bytes(1)), "rows of a ping");
+        assertThrows(
+                ProtocolException.class,
+                () -> play(new ResponseTracker(ResponseType.STATUS_ONLY, 0), bytes(1)),
+                "rows of a ping");
         assertThrows(ProtocolException.class, () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes()));
-        assertThrows(ProtocolException.class, () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(1, 1)));
+        assertThrows(
+                ProtocolException.class, () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(1, 1)));
         assertThrows(
                 ProtocolException.class,
                 () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(0xfe, 0, 0, 0, 0, 1, 0, 0, 0)),
@@ -182,7 +187,9 @@
 
     @Property(seed = SEED, tries = 5_000)
     void garbageEndsOrIsAFault(
-            @ForAll @Size(max = 12) List<@Size(max = 14) byte[]> payloads, @ForAll ResponseType form, @ForAll boolean eofs) {
+            @ForAll @Size(max = 12) List<@Size(max = 14) byte[]> payloads,
+            @ForAll ResponseType form,
+            @ForAll boolean eofs) {
         ResponseTracker tracker = new ResponseTracker(form, eofs ? 0 : Capabilities.DEPRECATE_EOF);
         try {
             for (byte[] payload : payloads) {
--- a/src/test/java/kitemux/mysql/CodecTest.java
+++ b/src/test/java/kitemux/mysql/CodecTest.java
@@ -138,7 +138,8 @@
 
     @Property(seed = SEED)
     void aPacketOutOfTurnIsAFaultThatSaysSo(@ForAll @IntRange(min = 1, max = 255) int sequence) {
-        ProtocolException fault = assertThrows(ProtocolException.class, () -> read(packets(new byte[] {1}, sequence), List.of(9), 9));
+        ProtocolException fault =
+                assertThrows(ProtocolException.class, () -> read(packets(new byte[] {1}, sequence), List.of(9), 9));
         assertEquals(ProtocolException.Kind.OUT_OF_ORDER, fault.kind());
         assertEquals(1156, fault.toErrPacket().code());
     }
@@ -146,7 +147,8 @@
     @Property(seed = SEED)
     void aPayloadBeyondTheBoundIsAFaultAndHoldsNothing(
             @ForAll @IntRange(min = 1, max = 500) int bound, @ForAll @IntRange(min = 1, max = 300) int piece) {
-        ProtocolException fault = assertThrows(ProtocolException.class, () -> read(packets(new byte[bound + 1], 0), List.of(piece), bound));
+        ProtocolException fault = assertThrows(
+                ProtocolException.class, () -> read(packets(new byte[bound + 1], 0), List.of(piece), bound));
         assertEquals(ProtocolException.Kind.TOO_LARGE, fault.kind());
         assertEquals(1, read(packets(new byte[bound], 0), List.of(piece), bound).size());
     }
@@ -178,7 +180,8 @@
             @ForAll @IntRange(max = 255) int charset,
             @ForAll @IntRange(max = 65_535) int status,
             @ForAll @AlphaChars String plugin) {
-        InitialHandshake greeting = new InitialHandshake(version, id & 0xffffffffL, nonce, ALL, charset, status, plugin);
+        InitialHandshake greeting =
+                new InitialHandshake(version, id & 0xffffffffL, nonce, ALL, charset, status, plugin);
         byte[] bytes = written(greeting::write);
         InitialHandshake back = InitialHandshake.read(Unpooled.wrappedBuffer(bytes));
         assertArrayEquals(nonce, back.nonce());
@@ -224,7 +227,8 @@
 
     @Example
     void aWishForTlsHasNoUser() {
-        HandshakeResponse wish = new HandshakeResponse(ALL | Capabilities.SSL, 1, 45, null, new byte[0], "", "", Map.of());
+        HandshakeResponse wish =
+                new HandshakeResponse(ALL | Capabilities.SSL, 1, 45, null, new byte[0], "", "", Map.of());
         byte[] bytes = written(wish::write);
         assertEquals(32, bytes.length);
         HandshakeResponse back = HandshakeResponse.read(Unpooled.wrappedBuffer(bytes), ALL | Capabilities.SSL);
--- a/src/test/java/kitemux/mysql/MysqlServersTest.java
+++ b/src/test/java/kitemux/mysql/MysqlServersTest.java
@@ -149,7 +149,8 @@
                 time,
                 settings.connectTimeoutUs,
                 60_000_000,
-                new MysqlServerProtocol(new BackendConnection.Account(OrderDatabase.USER, OrderDatabase.PASSWORD, ""), log));
+                new MysqlServerProtocol(
+                        new BackendConnection.Account(OrderDatabase.USER, OrderDatabase.PASSWORD, ""), log));
         engine = new Engine<>(
                 settings.maxAttempts,
                 time,
--- a/src/test/java/kitemux/node/DiscoveryTest.java
+++ b/src/test/java/kitemux/node/DiscoveryTest.java
@@ -304,7 +304,8 @@
             site.loop.execute(() -> discovery.setAddress(to));
             ScriptedServer.next(site.discovery.disconnectedPeers);
             assertEquals(
-                    "/discovery/hosts?watch=1", ScriptedServer.next(there.requests).path());
+                    "/discovery/hosts?watch=1",
+                    ScriptedServer.next(there.requests).path());
             assertEquals("7 all 1", ScriptedServer.next(told));
             // Told of the same place again the watch stays; a later call goes to the new place too.
             site.loop.execute(() -> discovery.setAddress(to));
@@ -335,7 +336,8 @@
             ScriptedServer.next(site.discovery.disconnectedPeers);
             site.loop.execute(discovery::subscribe);
             assertEquals(
-                    "/discovery/hosts?watch=1", ScriptedServer.next(there.requests).path());
+                    "/discovery/hosts?watch=1",
+                    ScriptedServer.next(there.requests).path());
             assertEquals(
                     "/discovery/hosts?watch=1&after=7",
                     ScriptedServer.next(there.requests).path());
