--- a/src/main/java/kitemux/app/App.java
+++ b/src/main/java/kitemux/app/App.java
@@ -119,7 +119,7 @@
      * process.
      */
     public boolean isServerAddressAllowed(String address) {
-        return !address.equals(listenAddress) && AppValidator.isAllowed(address, networks);
+        return !address.equals(listenAddress) && AppValidator.isAddressAllowed(address, networks);
     }
 
     /** Where lists of servers come from besides this description: a file or an address; empty for nowhere. */
--- a/src/main/java/kitemux/app/AppParser.java
+++ b/src/main/java/kitemux/app/AppParser.java
@@ -15,24 +15,24 @@
 /** Reads an application's description in HCL; {@code docs/operate/config.md} has all fields. */
 public final class AppParser {
     /** More is a mistake, or a file that was mixed up. */
-    private static final int MOST_BYTES = 5 << 20;
+    private static final int MAX_LENGTH_CHARS = 5 << 20;
     /** Fields of these names hold secrets, wherever they stand. */
-    private static final String SECRETS = "(?i).*(password|passwd|secret|token|api_?key|private_?key).*";
+    private static final String SECRET_FIELD_PATTERN = "(?i).*(password|passwd|secret|token|api_?key|private_?key).*";
 
     private AppParser() {}
 
-    private enum Again {
+    private enum RetrySafetyWord {
         SAFE,
         KEYED,
         NEVER_TWICE
     }
 
-    private enum Shared {
+    private enum DedupScopeWord {
         ALL,
         RACK
     }
 
-    private enum Form {
+    private enum LogFormat {
         TEXT,
         JSON
     }
@@ -46,15 +46,15 @@
     public record Result(App app, List<Finding> findings, Places places) {}
 
     /** Reads a description and holds it against all rules: shape first, then meaning. */
-    public static Result parse(String given) {
-        String text = given.startsWith("\uFEFF") ? given.substring(1) : given;
+    public static Result parse(String source) {
+        String text = source.startsWith("\uFEFF") ? source.substring(1) : source;
         Places places = Places.of(text);
         List<Finding> findings = new ArrayList<>();
-        if (text.length() > MOST_BYTES) {
+        if (text.length() > MAX_LENGTH_CHARS) {
             findings.add(new Finding(
                     Rule.SHAPE,
                     "",
-                    "the file has " + text.length() + " characters; at most " + MOST_BYTES + " are read"));
+                    "the file has " + text.length() + " characters; at most " + MAX_LENGTH_CHARS + " are read"));
             return new Result(null, findings, places);
         }
         for (String fault : places.faults()) {
@@ -69,39 +69,45 @@
             return new Result(null, findings, places);
         }
         List<String> faults = new ArrayList<>();
-        List<Finding> beyond = new ArrayList<>();
-        App app = app(new Section("", parsed, faults), beyond);
+        List<Finding> rangeFindings = new ArrayList<>();
+        App app = readApp(new Section("", parsed, faults), rangeFindings);
         for (String fault : faults) {
             int colon = fault.indexOf(": ");
             findings.add(new Finding(Rule.SHAPE, fault.substring(0, colon), fault.substring(colon + 2)));
         }
-        secrets("", parsed).forEach(at -> findings.add(new Finding(Rule.SECRET, at, "whoever reads the file has it")));
+        findSecrets("", parsed)
+                .forEach(location -> findings.add(new Finding(Rule.SECRET, location, "whoever reads the file has it")));
         if (findings.isEmpty()) {
             findings.addAll(AppValidator.validate(app));
         }
         return new Result(app, findings, places);
     }
 
-    private static App app(Section all, List<Finding> beyond) {
-        BlockReader top = new BlockReader("", all, beyond);
-        String name = top.text("name");
-        String listen = top.text("listen");
-        String operators = top.text("operators");
-        String discovery = top.text("discovery");
-        List<String> networks = top.texts("networks");
-        List<String> neverTwice = top.texts("never_twice");
-        boolean journaled = top.yes("journaled");
-        List<App.Server> servers = labelled(
-                all,
+    private static App readApp(Section root, List<Finding> rangeFindings) {
+        BlockReader top = new BlockReader("", root, rangeFindings);
+        String name = top.readText("name");
+        String listen = top.readText("listen");
+        String operators = top.readText("operators");
+        String discovery = top.readText("discovery");
+        List<String> networks = top.readTextList("networks");
+        List<String> neverTwice = top.readTextList("never_twice");
+        boolean journaled = top.readBoolean("journaled");
+        List<App.Server> servers = readLabelledBlocks(
+                root,
                 "server",
-                beyond,
-                (id, of) ->
-                        new App.Server(id, of.text("address"), of.whole("rack"), of.word("state", App.State.class)));
-        List<App.Pool> pools = labelled(all, "pool", beyond, (id, of) -> new App.Pool(id, of.texts("servers")));
-        List<App.RequestClass> classes = labelled(all, "class", beyond, AppParser::work);
-        List<App.Tenant> tenants = labelled(all, "tenant", beyond, (id, of) -> new App.Tenant(id, of.number("share")));
-        double quota = top.number("quota");
-        App.Health health = all.has("health") ? part(all, "health", beyond, AppParser::health) : null;
+                rangeFindings,
+                (label, block) -> new App.Server(
+                        label,
+                        block.readText("address"),
+                        block.readInteger("rack"),
+                        block.readEnum("state", App.State.class)));
+        List<App.Pool> pools = readLabelledBlocks(
+                root, "pool", rangeFindings, (label, block) -> new App.Pool(label, block.readTextList("servers")));
+        List<App.RequestClass> classes = readLabelledBlocks(root, "class", rangeFindings, AppParser::readRequestClass);
+        List<App.Tenant> tenants = readLabelledBlocks(
+                root, "tenant", rangeFindings, (label, block) -> new App.Tenant(label, block.readNumber("share")));
+        double quota = top.readNumber("quota");
+        App.Health health = root.has("health") ? readBlock(root, "health", rangeFindings, AppParser::readHealth) : null;
         App app = new App(
                 name,
                 listen,
@@ -115,110 +121,127 @@
                 classes,
                 tenants,
                 quota,
-                part(all, "keys", beyond, of -> new App.Keys(of.time("kept"), group(of.word("shared", Shared.class)))),
-                part(all, "members", beyond, AppParser::members),
+                readBlock(
+                        root,
+                        "keys",
+                        rangeFindings,
+                        block -> new App.Keys(
+                                block.readDurationUs("kept"),
+                                toDedupScope(block.readEnum("shared", DedupScopeWord.class)))),
+                readBlock(root, "members", rangeFindings, AppParser::readMembers),
                 health,
-                part(all, "limits", beyond, AppParser::limits),
-                part(all, "rules", beyond, AppParser::rules),
-                part(all, "orders", beyond, of -> new App.Journal(of.text("folder"), of.time("late"))),
-                part(
-                        all,
+                readBlock(root, "limits", rangeFindings, AppParser::readLimits),
+                readBlock(root, "rules", rangeFindings, AppParser::readRules),
+                readBlock(
+                        root,
+                        "orders",
+                        rangeFindings,
+                        block -> new App.Journal(block.readText("folder"), block.readDurationUs("late"))),
+                readBlock(
+                        root,
                         "logs",
-                        beyond,
-                        of -> new App.Logs(of.word("form", Form.class) == Form.JSON, of.whole("queue"))),
-                beyond);
-        top.end();
+                        rangeFindings,
+                        block -> new App.Logs(
+                                block.readEnum("form", LogFormat.class) == LogFormat.JSON, block.readInteger("queue"))),
+                rangeFindings);
+        top.finish();
         return app;
     }
 
-    private static <T> List<T> labelled(
-            Section all, String type, List<Finding> beyond, BiFunction<String, BlockReader, T> read) {
-        List<T> found = new ArrayList<>();
-        all.labelled(type, type.equals("class")).forEach((label, of) -> {
-            BlockReader block = new BlockReader(type, of, beyond);
-            found.add(read.apply(label, block));
-            block.end();
+    private static <T> List<T> readLabelledBlocks(
+            Section root, String type, List<Finding> rangeFindings, BiFunction<String, BlockReader, T> reader) {
+        List<T> blocks = new ArrayList<>();
+        root.labelled(type, type.equals("class")).forEach((label, section) -> {
+            BlockReader block = new BlockReader(type, section, rangeFindings);
+            blocks.add(reader.apply(label, block));
+            block.finish();
         });
-        return found;
+        return blocks;
     }
 
-    private static <T> T part(Section all, String type, List<Finding> beyond, Function<BlockReader, T> read) {
-        BlockReader block = new BlockReader(type, all.part(type), beyond);
-        T part = read.apply(block);
-        block.end();
-        return part;
+    private static <T> T readBlock(
+            Section root, String type, List<Finding> rangeFindings, Function<BlockReader, T> reader) {
+        BlockReader block = new BlockReader(type, root.part(type), rangeFindings);
+        T result = reader.apply(block);
+        block.finish();
+        return result;
     }
 
-    private static App.RequestClass work(String name, BlockReader of) {
+    private static App.RequestClass readRequestClass(String name, BlockReader block) {
         return new App.RequestClass(
                 name,
-                switch (of.word("again", Again.class)) {
+                switch (block.readEnum("again", RetrySafetyWord.class)) {
                     case SAFE -> RetrySafety.SAFE;
                     case KEYED -> RetrySafety.KEYED;
                     case NEVER_TWICE -> RetrySafety.UNSAFE;
                 },
-                group(of.word("group", Shared.class)),
-                of.time("window"),
-                of.time("aim"),
-                of.time("deadline"),
-                of.number("worth"),
-                of.number("late_worth"),
-                of.text("pool"),
-                of.whole("attempts"),
-                of.yes("second_copies"));
+                toDedupScope(block.readEnum("group", DedupScopeWord.class)),
+                block.readDurationUs("window"),
+                block.readDurationUs("aim"),
+                block.readDurationUs("deadline"),
+                block.readNumber("worth"),
+                block.readNumber("late_worth"),
+                block.readText("pool"),
+                block.readInteger("attempts"),
+                block.readBoolean("second_copies"));
     }
 
-    private static DedupScope group(Shared shared) {
-        return shared == Shared.ALL ? DedupScope.ALL : DedupScope.CELL;
+    private static DedupScope toDedupScope(DedupScopeWord word) {
+        return word == DedupScopeWord.ALL ? DedupScope.ALL : DedupScope.CELL;
     }
 
-    private static App.Members members(BlockReader of) {
+    private static App.Members readMembers(BlockReader block) {
         return new App.Members(
-                of.text("file"),
-                of.text("list"),
-                of.time("refresh"),
-                of.time("back_off"),
-                of.number("most_lost"),
-                of.time("sure"),
-                of.text("state"));
+                block.readText("file"),
+                block.readText("list"),
+                block.readDurationUs("refresh"),
+                block.readDurationUs("back_off"),
+                block.readNumber("most_lost"),
+                block.readDurationUs("sure"),
+                block.readText("state"));
     }
 
-    private static App.Health health(BlockReader of) {
+    private static App.Health readHealth(BlockReader block) {
         return new App.Health(
-                of.text("path"),
-                of.time("every"),
-                of.time("timeout"),
-                of.whole("fall"),
-                of.whole("rise"),
-                of.number("most_out"),
-                of.time("hold"),
-                of.time("most_hold"));
+                block.readText("path"),
+                block.readDurationUs("every"),
+                block.readDurationUs("timeout"),
+                block.readInteger("fall"),
+                block.readInteger("rise"),
+                block.readNumber("most_out"),
+                block.readDurationUs("hold"),
+                block.readDurationUs("most_hold"));
     }
 
-    private static App.Limits limits(BlockReader of) {
+    private static App.Limits readLimits(BlockReader block) {
         return new App.Limits(
-                of.whole("attempts"),
-                of.yes("second_copies"),
-                of.time("connect"),
-                of.time("idle"),
-                of.time("retry_after"),
-                of.whole("sockets"),
-                of.whole("memory_mib"));
+                block.readInteger("attempts"),
+                block.readBoolean("second_copies"),
+                block.readDurationUs("connect"),
+                block.readDurationUs("idle"),
+                block.readDurationUs("retry_after"),
+                block.readInteger("sockets"),
+                block.readInteger("memory_mib"));
     }
 
-    private static App.Rules rules(BlockReader of) {
+    private static App.Rules readRules(BlockReader block) {
         return new App.Rules(
-                of.time("drain"), of.number("cold_from"), of.time("cold"), of.number("overload"), of.time("fall"));
+                block.readDurationUs("drain"),
+                block.readNumber("cold_from"),
+                block.readDurationUs("cold"),
+                block.readNumber("overload"),
+                block.readDurationUs("fall"));
     }
 
-    private static List<String> secrets(String path, Map<?, ?> fields) {
+    private static List<String> findSecrets(String path, Map<?, ?> fields) {
         List<String> found = new ArrayList<>();
         fields.forEach((key, value) -> {
-            String at = path.isEmpty() ? key.toString() : path + "." + key;
+            String location = path.isEmpty() ? key.toString() : path + "." + key;
             if (value instanceof Map<?, ?> map) {
-                found.addAll(secrets(at, map));
-            } else if (key.toString().matches(SECRETS) && !key.toString().endsWith("_file")) {
-                found.add(at);
+                found.addAll(findSecrets(location, map));
+            } else if (key.toString().matches(SECRET_FIELD_PATTERN)
+                    && !key.toString().endsWith("_file")) {
+                found.add(location);
             }
         });
         return found;
--- a/src/main/java/kitemux/app/AppValidator.java
+++ b/src/main/java/kitemux/app/AppValidator.java
@@ -16,201 +16,217 @@
 /** What a description that can be read means, held against all rules at once. Pure. */
 final class AppValidator {
     /** Buffers of a connection that is in use, and as much again for what it carries. */
-    private static final int KIB_A_SOCKET = 32;
+    private static final int SOCKET_BUFFER_KIB = 32;
 
-    private static final double EPSILON = 1e-9;
+    private static final double SHARE_SUM_TOLERANCE = 1e-9;
 
     private final App app;
-    private final List<Finding> found = new ArrayList<>();
+    private final List<Finding> findings = new ArrayList<>();
 
     private AppValidator(App app) {
         this.app = app;
     }
 
     static List<Finding> validate(App app) {
-        AppValidator checks = new AppValidator(app);
-        checks.found.addAll(app.rangeFindings());
-        checks.classes();
-        checks.servers();
-        checks.sources();
-        checks.health();
-        checks.pools();
-        checks.addresses();
-        checks.shares();
-        checks.limits();
-        return checks.found;
+        AppValidator validator = new AppValidator(app);
+        validator.findings.addAll(app.rangeFindings());
+        validator.checkClasses();
+        validator.checkServers();
+        validator.checkServerSources();
+        validator.checkHealth();
+        validator.checkPools();
+        validator.checkAddresses();
+        validator.checkShares();
+        validator.checkLimits();
+        return validator.findings;
     }
 
-    private void tell(Rule rule, String at, String what) {
-        found.add(new Finding(rule, at, what));
+    private void addFinding(Rule rule, String location, String message) {
+        findings.add(new Finding(rule, location, message));
     }
 
-    private static String at(String type, String name) {
+    private static String locationOf(String type, String name) {
         return type + " \"" + name + "\"";
     }
 
     // ---------------------------------------------------------------- what may run again
 
-    private void classes() {
+    private void checkClasses() {
         Set<String> names = new HashSet<>();
-        app.classes().forEach(work -> names.add(work.name()));
+        app.classes().forEach(requestClass -> names.add(requestClass.name()));
         for (String name : app.neverTwiceClasses()) {
             if (!names.contains(name)) {
-                tell(Rule.UNKNOWN, "never_twice", "there is no class \"" + name + "\"");
+                addFinding(Rule.UNKNOWN, "never_twice", "there is no class \"" + name + "\"");
             }
         }
-        boolean orders = false;
-        for (App.RequestClass work : app.classes()) {
-            String at = at("class", work.name());
-            orders |= work.retrySafety() == RetrySafety.UNSAFE;
-            if (app.neverTwiceClasses().contains(work.name()) && work.retrySafety() != RetrySafety.UNSAFE) {
-                tell(
+        boolean hasNeverTwiceClass = false;
+        for (App.RequestClass requestClass : app.classes()) {
+            String location = locationOf("class", requestClass.name());
+            hasNeverTwiceClass |= requestClass.retrySafety() == RetrySafety.UNSAFE;
+            if (app.neverTwiceClasses().contains(requestClass.name())
+                    && requestClass.retrySafety() != RetrySafety.UNSAFE) {
+                addFinding(
                         Rule.NEVER_TWICE,
-                        at + ".again",
+                        location + ".again",
                         "never_twice names it, and here it may be sent again after a"
                                 + " failure: its effect could happen twice");
             }
-            if (work.retrySafety() == RetrySafety.UNSAFE) {
-                unsafe(work, at);
+            if (requestClass.retrySafety() == RetrySafety.UNSAFE) {
+                checkNeverTwiceClass(requestClass, location);
             }
-            if (work.retrySafety() == RetrySafety.KEYED) {
-                keyed(work, at);
+            if (requestClass.retrySafety() == RetrySafety.KEYED) {
+                checkKeyedClass(requestClass, location);
             }
-            times(work, at);
+            checkTimesAndAttempts(requestClass, location);
         }
-        if (app.journalRequired() && orders && app.journal().folder().isEmpty()) {
-            tell(Rule.JOURNAL, "journaled", "after a crash nobody could say whether an order was sent");
+        if (app.journalRequired()
+                && hasNeverTwiceClass
+                && app.journal().folder().isEmpty()) {
+            addFinding(Rule.JOURNAL, "journaled", "after a crash nobody could say whether an order was sent");
         }
     }
 
-    private void unsafe(App.RequestClass work, String at) {
-        if (work.maxAttempts() > 1) {
-            tell(
+    private void checkNeverTwiceClass(App.RequestClass requestClass, String location) {
+        if (requestClass.maxAttempts() > 1) {
+            addFinding(
                     Rule.NEVER_TWICE,
-                    at + ".attempts",
-                    work.maxAttempts() + " attempts let it be sent again where the" + " first may have run");
+                    location + ".attempts",
+                    requestClass.maxAttempts() + " attempts let it be sent again where the" + " first may have run");
         }
-        if (work.hedgingAllowed()) {
-            tell(Rule.COPIES, at + ".second_copies", "two servers could each take the order");
+        if (requestClass.hedgingAllowed()) {
+            addFinding(Rule.COPIES, location + ".second_copies", "two servers could each take the order");
         }
-        if (work.dedupWindowUs() > 0) {
-            tell(Rule.NEVER_TWICE, at + ".window", "a window says how long it may be sent again, and it may never");
+        if (requestClass.dedupWindowUs() > 0) {
+            addFinding(
+                    Rule.NEVER_TWICE,
+                    location + ".window",
+                    "a window says how long it may be sent again, and it may never");
         }
     }
 
-    private void keyed(App.RequestClass work, String at) {
-        if (work.dedupWindowUs() == 0) {
-            tell(
+    private void checkKeyedClass(App.RequestClass requestClass, String location) {
+        if (requestClass.dedupWindowUs() == 0) {
+            addFinding(
                     Rule.WINDOW,
-                    at + ".window",
+                    location + ".window",
                     "it is keyed and has no window: nothing says how long its key is good" + " for");
-        } else if (work.dedupWindowUs() > app.keys().keptUs()) {
-            tell(
+        } else if (requestClass.dedupWindowUs() > app.keys().keptUs()) {
+            addFinding(
                     Rule.WINDOW,
-                    at + ".window",
+                    location + ".window",
                     app.keys().keptUs() == 0
                             ? "nothing says that servers remember keys at all: keys.kept is not given"
-                            : "it is sent again for " + work.dedupWindowUs() / 1_000
+                            : "it is sent again for " + requestClass.dedupWindowUs() / 1_000
                                     + " ms, and servers forget its key after "
                                     + app.keys().keptUs() / 1_000 + " ms: what comes later runs a second time");
         }
-        if (work.dedupScope() == DedupScope.ALL && app.keys().shared() == DedupScope.CELL) {
-            tell(
+        if (requestClass.dedupScope() == DedupScope.ALL && app.keys().shared() == DedupScope.CELL) {
+            addFinding(
                     Rule.GROUP,
-                    at + ".group",
+                    location + ".group",
                     "a repeat may go to another rack, where its key is not known: it would run" + " a second time");
         }
     }
 
-    private void times(App.RequestClass work, String at) {
-        if (work.targetLatencyUs() > work.deadlineUs()) {
-            tell(Rule.TIMES, at + ".aim", "its aim lies beyond its deadline: nothing could be in time");
+    private void checkTimesAndAttempts(App.RequestClass requestClass, String location) {
+        if (requestClass.targetLatencyUs() > requestClass.deadlineUs()) {
+            addFinding(Rule.TIMES, location + ".aim", "its aim lies beyond its deadline: nothing could be in time");
         }
-        if (app.limits().connectUs() >= work.deadlineUs()) {
-            tell(
+        if (app.limits().connectUs() >= requestClass.deadlineUs()) {
+            addFinding(
                     Rule.ATTEMPTS,
-                    at + ".deadline",
+                    location + ".deadline",
                     "opening one connection may take as long: a server that is gone" + " would use up all of it");
         }
-        if (work.maxAttempts() > 0
-                && work.maxAttempts() < app.limits().attempts()
-                && work.retrySafety() != RetrySafety.UNSAFE) {
-            tell(Rule.NOT_YET, at + ".attempts", "attempts are bounded for all classes together, by limits.attempts");
+        if (requestClass.maxAttempts() > 0
+                && requestClass.maxAttempts() < app.limits().attempts()
+                && requestClass.retrySafety() != RetrySafety.UNSAFE) {
+            addFinding(
+                    Rule.NOT_YET,
+                    location + ".attempts",
+                    "attempts are bounded for all classes together, by limits.attempts");
         }
-        if (work.hedgingAllowed() && !app.limits().secondCopies() && work.retrySafety() != RetrySafety.UNSAFE) {
-            tell(
+        if (requestClass.hedgingAllowed()
+                && !app.limits().secondCopies()
+                && requestClass.retrySafety() != RetrySafety.UNSAFE) {
+            addFinding(
                     Rule.NOT_YET,
-                    at + ".second_copies",
+                    location + ".second_copies",
                     "copies are turned on for all classes that may have them, by" + " limits.second_copies");
         }
-        if (work.maxAttempts() > app.limits().attempts()) {
-            tell(
+        if (requestClass.maxAttempts() > app.limits().attempts()) {
+            addFinding(
                     Rule.LIMITS,
-                    at + ".attempts",
+                    location + ".attempts",
                     "is beyond limits.attempts, " + app.limits().attempts());
         }
     }
 
     // ---------------------------------------------------------------- servers and pools
 
-    private void servers() {
+    private void checkServers() {
         Map<String, String> byAddress = new HashMap<>();
         for (App.Server server : app.servers()) {
-            String at = at("server", server.name());
-            String other = byAddress.putIfAbsent(server.address(), server.name());
-            if (other != null) {
-                tell(Rule.TWICE, at + ".address", "\"" + other + "\" has it too: it would get twice its share");
+            String location = locationOf("server", server.name());
+            String existing = byAddress.putIfAbsent(server.address(), server.name());
+            if (existing != null) {
+                addFinding(
+                        Rule.TWICE,
+                        location + ".address",
+                        "\"" + existing + "\" has it too: it would get twice its share");
             }
             if (server.address().equals(app.listenAddress())) {
-                tell(Rule.TWICE, at + ".address", "the program listens there itself: requests would go round");
+                addFinding(
+                        Rule.TWICE, location + ".address", "the program listens there itself: requests would go round");
             }
         }
-        boolean toldElsewhere =
+        boolean hasServerSource =
                 !app.discoveryAddress().isEmpty() || !app.serverSource().isEmpty();
-        if (app.servers().isEmpty() && !toldElsewhere) {
-            tell(Rule.EMPTY, "discovery", "no server is described, and nothing says where their list is");
+        if (app.servers().isEmpty() && !hasServerSource) {
+            addFinding(Rule.EMPTY, "discovery", "no server is described, and nothing says where their list is");
         } else if (!app.servers().isEmpty()
                 && app.servers().stream().noneMatch(AppValidator::isReady)
-                && !toldElsewhere) {
-            tell(Rule.EMPTY, "server", "every server drains or is gone: all requests would be refused");
+                && !hasServerSource) {
+            addFinding(Rule.EMPTY, "server", "every server drains or is gone: all requests would be refused");
         }
     }
 
-    private void sources() {
+    private void checkServerSources() {
         App.Members members = app.members();
-        List<String> told = new ArrayList<>();
-        told.addAll(app.discoveryAddress().isEmpty() ? List.of() : List.of("discovery"));
-        told.addAll(members.file().isEmpty() ? List.of() : List.of("members.file"));
-        told.addAll(members.list().isEmpty() ? List.of() : List.of("members.list"));
-        told.addAll(app.servers().isEmpty() || told.isEmpty() ? List.of() : List.of("server"));
+        List<String> sources = new ArrayList<>();
+        sources.addAll(app.discoveryAddress().isEmpty() ? List.of() : List.of("discovery"));
+        sources.addAll(members.file().isEmpty() ? List.of() : List.of("members.file"));
+        sources.addAll(members.list().isEmpty() ? List.of() : List.of("members.list"));
+        sources.addAll(app.servers().isEmpty() || sources.isEmpty() ? List.of() : List.of("server"));
         // Servers beside the platform's discovery are what a node begins with.
-        if (told.size() > 1 && !told.equals(List.of("discovery", "server"))) {
-            tell(
+        if (sources.size() > 1 && !sources.equals(List.of("discovery", "server"))) {
+            addFinding(
                     Rule.SOURCES,
-                    told.get(1),
-                    "servers come from " + String.join(" and ", told)
+                    sources.get(1),
+                    "servers come from " + String.join(" and ", sources)
                             + ": when these differ nobody can say where requests go");
         }
         if (!app.serverSource().isEmpty() && !app.pools().isEmpty()) {
-            tell(Rule.NOT_YET, "pool", "a pool names servers, and which there are is told by " + app.serverSource());
+            addFinding(
+                    Rule.NOT_YET, "pool", "a pool names servers, and which there are is told by " + app.serverSource());
         }
         if (!members.list().isEmpty()) {
             try {
-                URI list = new URI(members.list());
-                if (!"http".equals(list.getScheme()) || list.getHost() == null || list.getPort() < 1) {
-                    tell(
+                URI uri = new URI(members.list());
+                if (!"http".equals(uri.getScheme()) || uri.getHost() == null || uri.getPort() < 1) {
+                    addFinding(
                             Rule.ADDRESS,
                             "members.list",
                             "\"" + members.list() + "\" is not like" + " http://10.0.0.9:8500/servers");
                 } else {
-                    address("members.list", list.getHost() + ":" + list.getPort(), List.of());
+                    checkAddress("members.list", uri.getHost() + ":" + uri.getPort(), List.of());
                 }
             } catch (URISyntaxException e) {
-                tell(Rule.ADDRESS, "members.list", "\"" + members.list() + "\" cannot be read: " + e.getReason());
+                addFinding(Rule.ADDRESS, "members.list", "\"" + members.list() + "\" cannot be read: " + e.getReason());
             }
         }
         if (members.backOffUs() < members.refreshUs()) {
-            tell(
+            addFinding(
                     Rule.TIMES,
                     "members.back_off",
                     "is shorter than members.refresh: a list that fails would be asked"
@@ -218,25 +234,26 @@
         }
     }
 
-    private void health() {
+    private void checkHealth() {
         App.Health health = app.health();
         if (health == null) {
             return;
         }
         if (!app.discoveryAddress().isEmpty()) {
-            tell(Rule.NOT_YET, "health", "the node watches discovery by itself, and nobody checks what that tells");
+            addFinding(
+                    Rule.NOT_YET, "health", "the node watches discovery by itself, and nobody checks what that tells");
         }
         if (health.timeoutUs() > health.everyUs()) {
-            tell(
+            addFinding(
                     Rule.TIMES,
                     "health.timeout",
                     "is longer than health.every: checks of a server that hangs would pile" + " up at it");
         }
         if (health.mostHoldUs() < health.holdUs()) {
-            tell(Rule.TIMES, "health.most_hold", "is shorter than health.hold");
+            addFinding(Rule.TIMES, "health.most_hold", "is shorter than health.hold");
         }
         if (!health.path().startsWith("/") || !health.path().matches("[\\x21-\\x7e]+")) {
-            tell(Rule.ADDRESS, "health.path", "\"" + health.path() + "\" is no path such as /healthz");
+            addFinding(Rule.ADDRESS, "health.path", "\"" + health.path() + "\" is no path such as /healthz");
         }
     }
 
@@ -244,130 +261,133 @@
         return server.state() == App.State.READY;
     }
 
-    private void pools() {
-        Map<String, App.Server> servers = new HashMap<>();
-        app.servers().forEach(server -> servers.put(server.name(), server));
-        Set<String> pools = new HashSet<>();
+    private void checkPools() {
+        Map<String, App.Server> serversByName = new HashMap<>();
+        app.servers().forEach(server -> serversByName.put(server.name(), server));
+        Set<String> poolNames = new HashSet<>();
         for (App.Pool pool : app.pools()) {
-            pools.add(pool.name());
-            String at = at("pool", pool.name()) + ".servers";
-            Set<String> named = new HashSet<>();
-            boolean ready = false;
+            poolNames.add(pool.name());
+            String location = locationOf("pool", pool.name()) + ".servers";
+            Set<String> seen = new HashSet<>();
+            boolean hasReadyServer = false;
             for (String name : pool.servers()) {
-                App.Server server = servers.get(name);
+                App.Server server = serversByName.get(name);
                 if (server == null) {
-                    tell(Rule.UNKNOWN, at, "there is no server \"" + name + "\"");
+                    addFinding(Rule.UNKNOWN, location, "there is no server \"" + name + "\"");
                 } else if (!isReady(server)) {
-                    tell(
+                    addFinding(
                             Rule.DRAINED,
-                            at,
+                            location,
                             "\"" + name + "\" is "
                                     + (server.state() == App.State.DRAINING ? "draining" : "gone")
                                     + " and would be sent new work");
                 }
-                if (!named.add(name)) {
-                    tell(Rule.TWICE, at, "\"" + name + "\" is there twice: it would get twice its share");
+                if (!seen.add(name)) {
+                    addFinding(Rule.TWICE, location, "\"" + name + "\" is there twice: it would get twice its share");
                 }
-                ready |= server != null && isReady(server);
+                hasReadyServer |= server != null && isReady(server);
             }
-            if (!ready) {
-                tell(Rule.EMPTY, at, "all that it serves would be refused");
+            if (!hasReadyServer) {
+                addFinding(Rule.EMPTY, location, "all that it serves would be refused");
             }
         }
-        if (pools.size() > 1) {
-            tell(Rule.NOT_YET, "pool", "one process serves one pool: " + pools.size() + " are described");
+        if (poolNames.size() > 1) {
+            addFinding(Rule.NOT_YET, "pool", "one process serves one pool: " + poolNames.size() + " are described");
         }
-        for (App.RequestClass work : app.classes()) {
-            String at = at("class", work.name()) + ".pool";
-            if (!work.pool().isEmpty() && !pools.contains(work.pool())) {
-                tell(Rule.UNKNOWN, at, "there is no pool \"" + work.pool() + "\"");
-            } else if (work.pool().isEmpty() && pools.size() > 1) {
-                tell(Rule.UNSERVED, at, "there are " + pools.size() + " pools, and it names none");
+        for (App.RequestClass requestClass : app.classes()) {
+            String location = locationOf("class", requestClass.name()) + ".pool";
+            if (!requestClass.pool().isEmpty() && !poolNames.contains(requestClass.pool())) {
+                addFinding(Rule.UNKNOWN, location, "there is no pool \"" + requestClass.pool() + "\"");
+            } else if (requestClass.pool().isEmpty() && poolNames.size() > 1) {
+                addFinding(Rule.UNSERVED, location, "there are " + poolNames.size() + " pools, and it names none");
             }
         }
     }
 
-    private void addresses() {
+    private void checkAddresses() {
         List<IPAddress> networks = new ArrayList<>();
         for (String network : app.networks()) {
-            IPAddress read = new IPAddressString(network).getAddress();
-            if (read == null || !read.isPrefixed()) {
-                tell(Rule.ADDRESS, "networks", "\"" + network + "\" is no network such as 10.0.0.0/8");
+            IPAddress parsed = new IPAddressString(network).getAddress();
+            if (parsed == null || !parsed.isPrefixed()) {
+                addFinding(Rule.ADDRESS, "networks", "\"" + network + "\" is no network such as 10.0.0.0/8");
             } else {
-                networks.add(read.toPrefixBlock());
+                networks.add(parsed.toPrefixBlock());
             }
         }
-        address("listen", app.listenAddress(), List.of());
+        checkAddress("listen", app.listenAddress(), List.of());
         if (!app.operatorAddress().isEmpty()) {
-            address("operators", app.operatorAddress(), List.of());
+            checkAddress("operators", app.operatorAddress(), List.of());
             if (app.operatorAddress().equals(app.listenAddress())) {
-                tell(Rule.TWICE, "operators", "clients connect there");
+                addFinding(Rule.TWICE, "operators", "clients connect there");
             }
         }
         if (!app.discoveryAddress().isEmpty()) {
-            address("discovery", app.discoveryAddress(), List.of());
+            checkAddress("discovery", app.discoveryAddress(), List.of());
             if (app.discoveryAddress().equals(app.listenAddress())) {
-                tell(Rule.TWICE, "discovery", "the program listens there itself");
+                addFinding(Rule.TWICE, "discovery", "the program listens there itself");
             }
         }
-        app.servers().forEach(server -> address(at("server", server.name()) + ".address", server.address(), networks));
+        app.servers()
+                .forEach(server ->
+                        checkAddress(locationOf("server", server.name()) + ".address", server.address(), networks));
     }
 
     /**
      * Whether a server may have this address: one that can be read and lies in the networks that there are.
      *
      */
-    static boolean isAllowed(String address, List<String> networks) {
-        AppValidator none = new AppValidator(null);
-        none.address(
+    static boolean isAddressAllowed(String address, List<String> networks) {
+        AppValidator validator = new AppValidator(null);
+        validator.checkAddress(
                 "",
                 address,
                 networks.stream()
-                        .map(one -> new IPAddressString(one).getAddress().toPrefixBlock())
+                        .map(network ->
+                                new IPAddressString(network).getAddress().toPrefixBlock())
                         .toList());
-        return none.found.isEmpty();
+        return validator.findings.isEmpty();
     }
 
-    private void address(String at, String text, List<IPAddress> networks) {
+    private void checkAddress(String location, String text, List<IPAddress> networks) {
         int colon = text.lastIndexOf(':');
         IPAddress host = colon <= 0 ? null : new IPAddressString(text.substring(0, colon)).getAddress();
-        boolean port = colon > 0
+        boolean validPort = colon > 0
                 && text.substring(colon + 1).matches("[1-9]\\d{0,4}")
                 && Integer.parseInt(text.substring(colon + 1)) <= 65_535;
         // The library reads 127.1 and 0x7f.0.0.1 as well, which other readers take for something else.
         if (host == null
                 || !host.isIPv4()
                 || host.isMultiple()
-                || !port
+                || !validPort
                 || !host.toCanonicalString().equals(text.substring(0, colon))) {
-            tell(
+            addFinding(
                     Rule.ADDRESS,
-                    at,
+                    location,
                     "\"" + text + "\" is no IPv4 address with a port from 1 to 65535; names are not" + " looked up");
         } else if (!networks.isEmpty() && networks.stream().noneMatch(network -> network.contains(host))) {
-            tell(Rule.ADDRESS, at, "\"" + text + "\" lies in none of networks");
+            addFinding(Rule.ADDRESS, location, "\"" + text + "\" lies in none of networks");
         }
     }
 
     // ---------------------------------------------------------------- shares and limits
 
-    private void shares() {
+    private void checkShares() {
         double sum = 0;
         for (App.Tenant tenant : app.tenants()) {
             sum += tenant.share();
         }
-        if (sum > 1 + EPSILON) {
-            tell(Rule.SHARES, "tenant", "shares sum to " + sum);
+        if (sum > 1 + SHARE_SUM_TOLERANCE) {
+            addFinding(Rule.SHARES, "tenant", "shares sum to " + sum);
         }
         if (!app.tenants().isEmpty() && app.quotaPerS() == 0) {
-            tell(Rule.SHARES, "quota", "shares are parts of a quota, and it is not above 0");
+            addFinding(Rule.SHARES, "quota", "shares are parts of a quota, and it is not above 0");
         }
     }
 
-    private void limits() {
+    private void checkLimits() {
         App.Limits limits = app.limits();
-        if ((long) limits.sockets() * KIB_A_SOCKET > (long) limits.memoryMiB() << 9) {
-            tell(
+        if ((long) limits.sockets() * SOCKET_BUFFER_KIB > (long) limits.memoryMiB() << 9) {
+            addFinding(
                     Rule.LIMITS,
                     "limits.sockets",
                     "with all of them in use their buffers alone take more than half of " + limits.memoryMiB()
@@ -375,7 +395,7 @@
         }
         App.Rules rules = app.rules();
         if (rules.coldFrom() < 1 && rules.coldUs() == 0) {
-            tell(Rule.TIMES, "rules.cold", "servers start cold, and nothing says for how long");
+            addFinding(Rule.TIMES, "rules.cold", "servers start cold, and nothing says for how long");
         }
     }
 }
--- a/src/main/java/kitemux/app/BlockReader.java
+++ b/src/main/java/kitemux/app/BlockReader.java
@@ -12,73 +12,75 @@
 final class BlockReader {
     private final String type;
     private final Section section;
-    private final List<Finding> beyond;
+    private final List<Finding> rangeFindings;
 
     /**
      * @param beyond gets a finding for each number that lies beyond its range
      */
-    BlockReader(String type, Section section, List<Finding> beyond) {
+    BlockReader(String type, Section section, List<Finding> rangeFindings) {
         this.type = type;
         this.section = section;
-        this.beyond = beyond;
+        this.rangeFindings = rangeFindings;
     }
 
     private Field field(String name) {
         return Fields.get(type.isEmpty() ? name : type + "." + name);
     }
 
-    private double within(String name, double value) {
+    private double checkRange(String name, double value) {
         Field field = field(name);
         // Not a number where the table's least is smaller than any: written so that it is told as well.
         if (!(value >= field.min() && value <= field.max())) {
-            beyond.add(new Finding(
+            rangeFindings.add(new Finding(
                     field.rangeRule(), section.at(name), "is not " + field.range() + ": " + field.description()));
         }
         return value;
     }
 
-    String text(String name) {
-        String otherwise = field(name).defaultValue();
-        return otherwise == null ? section.text(name) : section.text(name, otherwise);
+    String readText(String name) {
+        String defaultValue = field(name).defaultValue();
+        return defaultValue == null ? section.text(name) : section.text(name, defaultValue);
     }
 
-    List<String> texts(String name) {
+    List<String> readTextList(String name) {
         field(name);
         return section.texts(name, List.of());
     }
 
-    boolean yes(String name) {
+    boolean readBoolean(String name) {
         return section.yes(name, Boolean.parseBoolean(field(name).defaultValue()));
     }
 
-    double number(String name) {
-        String otherwise = field(name).defaultValue();
-        return within(name, section.number(name, otherwise == null ? Double.NaN : Double.parseDouble(otherwise)));
+    double readNumber(String name) {
+        String defaultValue = field(name).defaultValue();
+        return checkRange(
+                name, section.number(name, defaultValue == null ? Double.NaN : Double.parseDouble(defaultValue)));
     }
 
-    int whole(String name) {
-        return (int)
-                within(name, section.whole(name, Double.parseDouble(field(name).defaultValue())));
+    int readInteger(String name) {
+        return (int) checkRange(
+                name, section.whole(name, Double.parseDouble(field(name).defaultValue())));
     }
 
     /** Microseconds. */
-    long time(String name) {
-        String otherwise = field(name).defaultValue();
-        return (long) within(name, section.time(name, otherwise == null ? -1 : Section.us(otherwise)));
+    long readDurationUs(String name) {
+        String defaultValue = field(name).defaultValue();
+        return (long) checkRange(name, section.time(name, defaultValue == null ? -1 : Section.us(defaultValue)));
     }
 
-    <E extends Enum<E>> E word(String name, Class<E> of) {
-        String otherwise = field(name).defaultValue();
+    <E extends Enum<E>> E readEnum(String name, Class<E> enumType) {
+        String defaultValue = field(name).defaultValue();
         return section.word(
                 name,
-                of,
-                otherwise == null
+                enumType,
+                defaultValue == null
                         ? null
-                        : Enum.valueOf(of, otherwise.toUpperCase(Locale.ROOT).replace('-', '_')));
+                        : Enum.valueOf(
+                                enumType, defaultValue.toUpperCase(Locale.ROOT).replace('-', '_')));
     }
 
     /** To be called once all is read. */
-    void end() {
+    void finish() {
         section.end();
     }
 }
--- a/src/main/java/kitemux/app/ConfigMigration.java
+++ b/src/main/java/kitemux/app/ConfigMigration.java
@@ -12,7 +12,7 @@
  */
 public final class ConfigMigration {
     private final StringBuilder text = new StringBuilder();
-    private final List<String> left = new ArrayList<>();
+    private final List<String> omitted = new ArrayList<>();
     private final Json json;
 
     private ConfigMigration(Json json) {
@@ -35,14 +35,14 @@
         if (!json.path("settings").isObject()) {
             throw new IOException("settings is missing or not an object");
         }
-        ConfigMigration one = new ConfigMigration(json);
-        one.all();
-        return new Result(one.text.toString(), one.left);
+        ConfigMigration migration = new ConfigMigration(json);
+        migration.migrateAll();
+        return new Result(migration.text.toString(), migration.omitted);
     }
 
-    private void all() {
-        Json set = json.path("settings");
-        line("# From a node's configuration.");
+    private void migrateAll() {
+        Json settings = json.path("settings");
+        appendLine("# From a node's configuration.");
         text(
                 "name",
                 json.path("name").text().isEmpty()
@@ -52,132 +52,134 @@
         if (!json.path("mgmt").text().isEmpty()) {
             text("operators", json.path("mgmt").text());
         }
-        if (set.path("membershipMode").text().equals("on_request")) {
+        if (settings.path("membershipMode").text().equals("on_request")) {
             text("discovery", json.path("discovery").text());
         } else if (!json.path("discovery").text().equals(json.path("listen").text())) {
-            left.add("discovery: lists are pushed there; servers are those that the file names");
-        }
-        classes(set.path("classes"));
-        tenants(set.path("realms"));
-        servers(json.path("known").path("targets"));
-        limits(set);
-        rules(set.path("rules"));
-        notCarried(set);
+            omitted.add("discovery: lists are pushed there; servers are those that the file names");
+        }
+        migrateClasses(settings.path("classes"));
+        migrateTenants(settings.path("realms"));
+        migrateServers(json.path("known").path("targets"));
+        migrateLimits(settings);
+        migrateRules(settings.path("rules"));
+        reportUnsupported(settings);
     }
 
-    private void line(String line) {
+    private void appendLine(String line) {
         text.append(line).append('\n');
     }
 
     private void text(String field, String value) {
-        line(field + " = \"" + value + "\"");
+        appendLine(field + " = \"" + value + "\"");
     }
 
     private static String time(long us) {
         return us % 1_000_000 == 0 ? us / 1_000_000 + "s" : us % 1_000 == 0 ? us / 1_000 + "ms" : us + "us";
     }
 
-    private void time(String field, Json from, String name) {
-        if (!from.path(name).isMissing()) {
-            text("  " + field, time(from.path(name).whole(0)));
+    private void time(String field, Json source, String name) {
+        if (!source.path(name).isMissing()) {
+            text("  " + field, time(source.path(name).whole(0)));
         }
     }
 
-    private void number(String field, Json from, String name) {
-        if (!from.path(name).isMissing()) {
-            line("  " + field + " = " + shown(from.path(name).decimal(0)));
+    private void appendNumber(String field, Json source, String name) {
+        if (!source.path(name).isMissing()) {
+            appendLine("  " + field + " = " + formatNumber(source.path(name).decimal(0)));
         }
     }
 
-    private static String shown(double value) {
+    private static String formatNumber(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15
                 ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
-    private void classes(Json classes) {
-        List<String> never = new ArrayList<>();
-        long kept = 0;
-        boolean rack = false;
-        for (Json of : classes) {
-            String repeat = of.path("repeat").text();
-            String group = of.path("group").text();
+    private void migrateClasses(Json classes) {
+        List<String> neverTwiceNames = new ArrayList<>();
+        long longestWindowUs = 0;
+        boolean rackScoped = false;
+        for (Json requestClass : classes) {
+            String repeat = requestClass.path("repeat").text();
+            String group = requestClass.path("group").text();
             if (repeat.equals("unsafe")) {
-                never.add("\"" + of.path("name").text() + "\"");
+                neverTwiceNames.add("\"" + requestClass.path("name").text() + "\"");
             }
-            line("\nclass \"" + of.path("name").text() + "\" {");
+            appendLine("\nclass \"" + requestClass.path("name").text() + "\" {");
             text("  again", repeat.equals("unsafe") ? "never-twice" : repeat);
             if (repeat.equals("keyed")) {
-                kept = Math.max(kept, of.path("windowUs").whole(0));
-                rack |= group.equals("cell");
+                longestWindowUs =
+                        Math.max(longestWindowUs, requestClass.path("windowUs").whole(0));
+                rackScoped |= group.equals("cell");
                 text("  group", group.equals("cell") ? "rack" : "all");
-                time("window", of, "windowUs");
+                time("window", requestClass, "windowUs");
             }
             if (group.equals("zone")) {
-                left.add(
-                        "class " + of.path("name").text() + ": its group is a zone; a description knows racks and all");
+                omitted.add("class " + requestClass.path("name").text()
+                        + ": its group is a zone; a description knows racks and all");
             }
-            time("aim", of, "onTimeUs");
-            time("deadline", of, "giveUpUs");
-            number("worth", of, "importance");
-            number("late_worth", of, "lateWorth");
-            line("}");
-            if (of.path("stream").flag() || of.path("aimStretch").decimal(0) != 0) {
-                left.add("class " + of.path("name").text() + ": stream and aimStretch");
+            time("aim", requestClass, "onTimeUs");
+            time("deadline", requestClass, "giveUpUs");
+            appendNumber("worth", requestClass, "importance");
+            appendNumber("late_worth", requestClass, "lateWorth");
+            appendLine("}");
+            if (requestClass.path("stream").flag()
+                    || requestClass.path("aimStretch").decimal(0) != 0) {
+                omitted.add("class " + requestClass.path("name").text() + ": stream and aimStretch");
             }
         }
-        if (!never.isEmpty()) {
-            line("\nnever_twice = [" + String.join(", ", never) + "]");
+        if (!neverTwiceNames.isEmpty()) {
+            appendLine("\nnever_twice = [" + String.join(", ", neverTwiceNames) + "]");
         }
-        if (kept > 0) {
+        if (longestWindowUs > 0) {
             // What servers remember is not in a configuration: the longest window was relied on.
-            line("\nkeys {");
-            text("  kept", time(kept));
-            text("  shared", rack ? "rack" : "all");
-            line("}");
-            left.add("keys: how long servers remember them and which know of them is what was relied on;"
+            appendLine("\nkeys {");
+            text("  kept", time(longestWindowUs));
+            text("  shared", rackScoped ? "rack" : "all");
+            appendLine("}");
+            omitted.add("keys: how long servers remember them and which know of them is what was relied on;"
                     + " ask who"
                     + " runs them");
         }
     }
 
-    private void tenants(Json realms) {
-        double all = 0;
+    private void migrateTenants(Json realms) {
+        double totalQuotaPerS = 0;
         for (Json realm : realms) {
-            all += realm.path("quotaPerS").decimal(0);
+            totalQuotaPerS += realm.path("quotaPerS").decimal(0);
         }
-        if (all > 0) {
-            line("\nquota = " + shown(all));
+        if (totalQuotaPerS > 0) {
+            appendLine("\nquota = " + formatNumber(totalQuotaPerS));
             for (Json realm : realms) {
-                line("\ntenant \"" + realm.path("name").text() + "\" {\n  share = "
-                        + shown(realm.path("quotaPerS").decimal(0) / all) + "\n}");
+                appendLine("\ntenant \"" + realm.path("name").text() + "\" {\n  share = "
+                        + formatNumber(realm.path("quotaPerS").decimal(0) / totalQuotaPerS) + "\n}");
             }
         } else if (!realms.values().isEmpty()) {
-            left.add("realms: none has a quota, and tenants are described by their shares of one");
+            omitted.add("realms: none has a quota, and tenants are described by their shares of one");
         }
     }
 
-    private void servers(Json targets) {
+    private void migrateServers(Json targets) {
         for (Json target : targets) {
             String state = target.path("state").text();
             if (state.equals("Gone")) {
                 continue;
             }
-            line("\nserver \"" + target.path("uid").text() + "\" {");
+            appendLine("\nserver \"" + target.path("uid").text() + "\" {");
             text("  address", target.path("endpoint").text());
-            line("  rack = " + target.path("pod_group").whole(0));
+            appendLine("  rack = " + target.path("pod_group").whole(0));
             if (state.equals("Terminating")) {
                 text("  state", "draining");
             }
-            line("}");
+            appendLine("}");
         }
     }
 
-    private void limits(Json set) {
-        Json limits = set.path("limits");
-        line("\nlimits {");
-        number("attempts", limits, "attemptsCap");
-        line("  second_copies = " + limits.path("parallelTries").flag());
+    private void migrateLimits(Json settings) {
+        Json limits = settings.path("limits");
+        appendLine("\nlimits {");
+        appendNumber("attempts", limits, "attemptsCap");
+        appendLine("  second_copies = " + limits.path("parallelTries").flag());
         time("connect", limits, "dialTimeoutUs");
         time("idle", limits, "connIdleUs");
         text(
@@ -186,39 +188,40 @@
                         limits.path("retryAfter").flag()
                                 ? limits.path("maxRetryAfterUs").whole(0)
                                 : 0));
-        number("sockets", json.path("limits"), "sockets");
-        number("memory_mib", json.path("limits"), "memory_mb");
-        line("}");
+        appendNumber("sockets", json.path("limits"), "sockets");
+        appendNumber("memory_mib", json.path("limits"), "memory_mb");
+        appendLine("}");
     }
 
-    private void rules(Json rules) {
-        line("\nrules {");
+    private void migrateRules(Json rules) {
+        appendLine("\nrules {");
         time("drain", rules, "drainGraceUs");
-        number("cold_from", rules, "coldFrom");
+        appendNumber("cold_from", rules, "coldFrom");
         if (rules.path("coldFrom").decimal(1) < 1) {
             time("cold", rules, "coldUs");
         }
-        number("overload", rules, "overloadFactor");
+        appendNumber("overload", rules, "overloadFactor");
         time("fall", rules, "fallUs");
-        line("}");
+        appendLine("}");
     }
 
-    private void notCarried(Json set) {
-        if (set.path("balancers").whole(1) > 1) {
-            left.add("balancers: this was one of " + set.path("balancers").whole(1)
-                    + " nodes; a described one takes itself for the only one, and its limits for all "
-                    + "that there are");
+    private void reportUnsupported(Json settings) {
+        if (settings.path("balancers").whole(1) > 1) {
+            omitted.add(
+                    "balancers: this was one of " + settings.path("balancers").whole(1)
+                            + " nodes; a described one takes itself for the only one, and its limits for all "
+                            + "that there are");
         }
-        if (set.path("zones").values().size() > 1) {
-            left.add("zones: a description has one");
+        if (settings.path("zones").values().size() > 1) {
+            omitted.add("zones: a description has one");
         }
         for (String field : List.of("costs", "extra", "report")) {
-            if (!set.path(field).isMissing()) {
-                left.add(field + ": a description has no words for it");
+            if (!settings.path(field).isMissing()) {
+                omitted.add(field + ": a description has no words for it");
             }
         }
-        if (set.path("countedBy").text().equals("work")) {
-            left.add("countedBy: worth counts for each request");
+        if (settings.path("countedBy").text().equals("work")) {
+            omitted.add("countedBy: worth counts for each request");
         }
     }
 }
--- a/src/main/java/kitemux/app/ConfigWriter.java
+++ b/src/main/java/kitemux/app/ConfigWriter.java
@@ -12,7 +12,7 @@
 
 /** What a described application's node is told. */
 public final class ConfigWriter {
-    private static final String ZONE = "here";
+    private static final String ZONE_NAME = "here";
 
     private ConfigWriter() {}
 
@@ -23,7 +23,7 @@
      * @throws IllegalArgumentException if the description breaks a rule: what is wrong is not written
      */
     public static String toJson(App app, String seed) {
-        return toJson(app, servers(app), seed);
+        return toJson(app, describedServers(app), seed);
     }
 
     /**
@@ -51,9 +51,9 @@
     }
 
     /** Those that are described and get anything at all, as a node is told of them. */
-    private static List<ConfigText.Server> servers(App app) {
+    private static List<ConfigText.Server> describedServers(App app) {
         return describedMembers(app).stream()
-                .map(one -> toServer(one, one.draining(), 0))
+                .map(member -> toServer(member, member.draining(), 0))
                 .toList();
     }
 
@@ -77,41 +77,47 @@
      * @param draining whether it gets nothing new
      * @param startedUs Unix time in microseconds; 0 for long ago
      */
-    public static ConfigText.Server toServer(Member one, boolean draining, long startedUs) {
+    public static ConfigText.Server toServer(Member member, boolean draining, long startedUs) {
         return new ConfigText.Server(
                 new ServerEntry(
-                        one.name(), 0, one.rack(), draining ? ServerState.DRAINING : ServerState.READY, 1, startedUs),
-                one.address());
+                        member.name(),
+                        0,
+                        member.rack(),
+                        draining ? ServerState.DRAINING : ServerState.READY,
+                        1,
+                        startedUs),
+                member.address());
     }
 
     /** What the decision module is told. */
     public static Settings toSettings(App app) {
-        Settings set = new Settings();
-        set.zones.add(ZONE);
-        set.listOnRequest = !app.discoveryAddress().isEmpty();
-        set.maxAttempts = app.limits().attempts();
-        set.cancellationAllowed = true;
-        set.hedgingAllowed = app.limits().secondCopies();
-        set.maxRetryAfterUs = app.limits().retryAfterUs();
-        set.connectTimeoutUs = app.limits().connectUs();
-        set.drainGraceUs = app.rules().drainUs();
-        set.coldCapacityRatio = app.rules().coldFrom();
-        set.warmUpUs = app.rules().coldFrom() < 1 ? app.rules().coldUs() : 0;
-        set.overloadRatio = app.rules().overload();
-        set.overloadWindowUs = app.rules().fallUs();
-        app.tenants().forEach(tenant -> set.tenants.add(new Tenant(tenant.name(), app.quotaPerS() * tenant.share())));
+        Settings settings = new Settings();
+        settings.zones.add(ZONE_NAME);
+        settings.listOnRequest = !app.discoveryAddress().isEmpty();
+        settings.maxAttempts = app.limits().attempts();
+        settings.cancellationAllowed = true;
+        settings.hedgingAllowed = app.limits().secondCopies();
+        settings.maxRetryAfterUs = app.limits().retryAfterUs();
+        settings.connectTimeoutUs = app.limits().connectUs();
+        settings.drainGraceUs = app.rules().drainUs();
+        settings.coldCapacityRatio = app.rules().coldFrom();
+        settings.warmUpUs = app.rules().coldFrom() < 1 ? app.rules().coldUs() : 0;
+        settings.overloadRatio = app.rules().overload();
+        settings.overloadWindowUs = app.rules().fallUs();
+        app.tenants()
+                .forEach(tenant -> settings.tenants.add(new Tenant(tenant.name(), app.quotaPerS() * tenant.share())));
         app.classes()
-                .forEach(work -> set.classes.add(new RequestClass(
-                        work.name(),
-                        work.targetLatencyUs(),
+                .forEach(requestClass -> settings.classes.add(new RequestClass(
+                        requestClass.name(),
+                        requestClass.targetLatencyUs(),
                         0,
-                        work.deadlineUs(),
-                        work.worth(),
-                        work.lateWorth(),
-                        work.retrySafety(),
-                        work.dedupScope(),
-                        work.dedupWindowUs(),
+                        requestClass.deadlineUs(),
+                        requestClass.worth(),
+                        requestClass.lateWorth(),
+                        requestClass.retrySafety(),
+                        requestClass.dedupScope(),
+                        requestClass.dedupWindowUs(),
                         false)));
-        return set;
+        return settings;
     }
 }
--- a/src/main/java/kitemux/app/DescriptionWatcher.java
+++ b/src/main/java/kitemux/app/DescriptionWatcher.java
@@ -12,9 +12,9 @@
  * Pure: who looks, and how often, is not its affair.
  */
 public final class DescriptionWatcher {
-    private App holds;
-    private String heldText;
-    private String lastText;
+    private App current;
+    private String lastHandledText;
+    private String lastObservedText;
 
     /**
      * What a look leads to.
@@ -23,7 +23,7 @@
      * @param messages lines for the operators; empty where nothing is new
      */
     public record Decision(App newApp, List<String> messages) {
-        private static final Decision NOTHING = new Decision(null, List.of());
+        private static final Decision NO_CHANGE = new Decision(null, List.of());
     }
 
     /**
@@ -32,68 +32,69 @@
      * @param text that it was read from
      */
     public DescriptionWatcher(App app, String text) {
-        holds = app;
-        heldText = text;
-        lastText = text;
+        current = app;
+        lastHandledText = text;
+        lastObservedText = text;
     }
 
     /** A look at the description: its text, or null where it cannot be read. */
     public Decision observe(String text) {
-        boolean settled = Objects.equals(text, lastText);
-        lastText = text;
-        if (!settled || Objects.equals(text, heldText)) {
-            return Decision.NOTHING;
+        boolean settled = Objects.equals(text, lastObservedText);
+        lastObservedText = text;
+        if (!settled || Objects.equals(text, lastHandledText)) {
+            return Decision.NO_CHANGE;
         }
         // Told once, and not at each look.
-        heldText = text;
+        lastHandledText = text;
         if (text == null) {
             return new Decision(null, List.of("the description cannot be read any more; what it said holds"));
         }
-        AppParser.Result reading = AppParser.parse(text);
-        if (!reading.findings().isEmpty()) {
-            List<String> say = new ArrayList<>();
-            reading.findings().forEach(f -> say.add(reading.places().with("the description", f.format())));
-            say.add("the description has changed and is not sound; what it said before holds");
-            return new Decision(null, say);
+        AppParser.Result result = AppParser.parse(text);
+        if (!result.findings().isEmpty()) {
+            List<String> messages = new ArrayList<>();
+            result.findings()
+                    .forEach(finding -> messages.add(result.places().with("the description", finding.format())));
+            messages.add("the description has changed and is not sound; what it said before holds");
+            return new Decision(null, messages);
         }
-        App next = reading.app();
-        List<String> fixed = needsANewProcess(holds, next);
-        if (!fixed.isEmpty()) {
+        App next = result.app();
+        List<String> changedFields = changesRequiringRestart(current, next);
+        if (!changedFields.isEmpty()) {
             return new Decision(
                     null,
-                    List.of("the description has changed in " + String.join(", ", fixed)
+                    List.of("the description has changed in " + String.join(", ", changedFields)
                             + ", which needs a new process; all of what it said before holds"));
         }
-        if (next.equals(holds)) {
+        if (next.equals(current)) {
             return new Decision(null, List.of("the description reads differently and means the same"));
         }
-        List<String> say = Differences.between(holds, next);
-        holds = next;
-        return new Decision(next, say);
+        List<String> messages = Differences.between(current, next);
+        current = next;
+        return new Decision(next, messages);
     }
 
     /** What differs besides servers and the pool that they are in. */
-    private static List<String> needsANewProcess(App before, App next) {
-        List<String> fixed = new ArrayList<>();
-        differs(fixed, "name", before.name(), next.name());
-        differs(fixed, "listen", before.listenAddress(), next.listenAddress());
-        differs(fixed, "operators", before.operatorAddress(), next.operatorAddress());
-        differs(fixed, "discovery", before.discoveryAddress(), next.discoveryAddress());
-        differs(fixed, "members", before.members(), next.members());
-        differs(fixed, "health", before.health(), next.health());
-        differs(fixed, "logs", before.logs(), next.logs());
-        differs(fixed, "class", before.classes(), next.classes());
-        differs(fixed, "tenant", before.tenants(), next.tenants());
-        differs(fixed, "quota", before.quotaPerS(), next.quotaPerS());
-        differs(fixed, "limits", before.limits(), next.limits());
-        differs(fixed, "rules", before.rules(), next.rules());
-        differs(fixed, "orders", before.journal(), next.journal());
-        return fixed;
+    private static List<String> changesRequiringRestart(App before, App next) {
+        List<String> changedFields = new ArrayList<>();
+        addIfChanged(changedFields, "name", before.name(), next.name());
+        addIfChanged(changedFields, "listen", before.listenAddress(), next.listenAddress());
+        addIfChanged(changedFields, "operators", before.operatorAddress(), next.operatorAddress());
+        addIfChanged(changedFields, "discovery", before.discoveryAddress(), next.discoveryAddress());
+        addIfChanged(changedFields, "members", before.members(), next.members());
+        addIfChanged(changedFields, "health", before.health(), next.health());
+        addIfChanged(changedFields, "logs", before.logs(), next.logs());
+        addIfChanged(changedFields, "class", before.classes(), next.classes());
+        addIfChanged(changedFields, "tenant", before.tenants(), next.tenants());
+        addIfChanged(changedFields, "quota", before.quotaPerS(), next.quotaPerS());
+        addIfChanged(changedFields, "limits", before.limits(), next.limits());
+        addIfChanged(changedFields, "rules", before.rules(), next.rules());
+        addIfChanged(changedFields, "orders", before.journal(), next.journal());
+        return changedFields;
     }
 
-    private static void differs(List<String> fixed, String what, Object before, Object next) {
+    private static void addIfChanged(List<String> changedFields, String field, Object before, Object next) {
         if (!Objects.equals(before, next)) {
-            fixed.add(what);
+            changedFields.add(field);
         }
     }
 }
--- a/src/main/java/kitemux/app/Differences.java
+++ b/src/main/java/kitemux/app/Differences.java
@@ -17,114 +17,119 @@
 
     /** One line for each difference; empty where both mean the same. */
     public static List<String> between(App before, App next) {
-        Differences all = new Differences();
-        all.plain("name", before.name(), next.name());
-        all.plain("clients connect at", before.listenAddress(), next.listenAddress());
-        all.plain("operators call at", before.operatorAddress(), next.operatorAddress());
-        all.plain("the list of servers is at", before.discoveryAddress(), next.discoveryAddress());
-        all.plain("servers are told by", before.members(), next.members());
-        all.plain("checks of servers", before.health(), next.health());
-        all.plain("logs", before.logs(), next.logs());
-        all.plain("servers must lie in", before.networks(), next.networks());
-        all.plain("never twice, whatever else is said:", before.neverTwiceClasses(), next.neverTwiceClasses());
-        all.plain("orders must be journaled:", before.journalRequired(), next.journalRequired());
-        all.each("class", before.classes(), next.classes(), App.RequestClass::name, all::work);
-        all.each("server", before.servers(), next.servers(), App.Server::name, all::server);
-        all.each(
+        Differences differences = new Differences();
+        differences.addIfChanged("name", before.name(), next.name());
+        differences.addIfChanged("clients connect at", before.listenAddress(), next.listenAddress());
+        differences.addIfChanged("operators call at", before.operatorAddress(), next.operatorAddress());
+        differences.addIfChanged("the list of servers is at", before.discoveryAddress(), next.discoveryAddress());
+        differences.addIfChanged("servers are told by", before.members(), next.members());
+        differences.addIfChanged("checks of servers", before.health(), next.health());
+        differences.addIfChanged("logs", before.logs(), next.logs());
+        differences.addIfChanged("servers must lie in", before.networks(), next.networks());
+        differences.addIfChanged(
+                "never twice, whatever else is said:", before.neverTwiceClasses(), next.neverTwiceClasses());
+        differences.addIfChanged("orders must be journaled:", before.journalRequired(), next.journalRequired());
+        differences.compareByName(
+                "class", before.classes(), next.classes(), App.RequestClass::name, differences::compareClasses);
+        differences.compareByName(
+                "server", before.servers(), next.servers(), App.Server::name, differences::compareServers);
+        differences.compareByName(
                 "pool",
                 before.pools(),
                 next.pools(),
                 App.Pool::name,
-                (was, now) -> all.lines.add(
+                (was, now) -> differences.lines.add(
                         "pool " + now.name() + ": served by " + now.servers() + ", before by " + was.servers()));
-        all.each(
+        differences.compareByName(
                 "tenant",
                 before.tenants(),
                 next.tenants(),
                 App.Tenant::name,
-                (was, now) -> all.lines.add(
+                (was, now) -> differences.lines.add(
                         "tenant " + now.name() + ": " + now.share() + " of the quota, before " + was.share()));
-        all.plain("requests a second of all tenants", before.quotaPerS(), next.quotaPerS());
-        all.plain("what servers know of keys", before.keys(), next.keys());
-        all.plain("limits", before.limits(), next.limits());
-        all.plain("what servers need", before.rules(), next.rules());
-        all.plain("journal", before.journal(), next.journal());
-        return all.lines;
+        differences.addIfChanged("requests a second of all tenants", before.quotaPerS(), next.quotaPerS());
+        differences.addIfChanged("what servers know of keys", before.keys(), next.keys());
+        differences.addIfChanged("limits", before.limits(), next.limits());
+        differences.addIfChanged("what servers need", before.rules(), next.rules());
+        differences.addIfChanged("journal", before.journal(), next.journal());
+        return differences.lines;
     }
 
-    private void plain(String what, Object before, Object next) {
+    private void addIfChanged(String label, Object before, Object next) {
         if (!Objects.equals(before, next)) {
-            lines.add(what + " " + shown(next) + ", before " + shown(before));
+            lines.add(label + " " + display(next) + ", before " + display(before));
         }
     }
 
-    private static String shown(Object of) {
-        return String.valueOf(of).isEmpty() ? "nowhere" : String.valueOf(of);
+    private static String display(Object value) {
+        return String.valueOf(value).isEmpty() ? "nowhere" : String.valueOf(value);
     }
 
     /** What differs between two of the same name. */
-    private interface Pair<T> {
-        void tell(T before, T next);
+    private interface Comparison<T> {
+        void compare(T before, T next);
     }
 
-    private <T> void each(String type, List<T> before, List<T> next, Function<T, String> name, Pair<T> pair) {
-        Map<String, T> was = new LinkedHashMap<>();
-        before.forEach(one -> was.put(name.apply(one), one));
-        for (T one : next) {
-            T old = was.remove(name.apply(one));
-            if (old == null) {
-                lines.add(type + " " + name.apply(one) + " is new");
-            } else if (!old.equals(one)) {
-                pair.tell(old, one);
+    private <T> void compareByName(
+            String type, List<T> before, List<T> next, Function<T, String> name, Comparison<T> comparison) {
+        Map<String, T> remaining = new LinkedHashMap<>();
+        before.forEach(item -> remaining.put(name.apply(item), item));
+        for (T item : next) {
+            T previous = remaining.remove(name.apply(item));
+            if (previous == null) {
+                lines.add(type + " " + name.apply(item) + " is new");
+            } else if (!previous.equals(item)) {
+                comparison.compare(previous, item);
             }
         }
-        was.keySet().forEach(gone -> lines.add(type + " " + gone + " is described no more"));
+        remaining.keySet().forEach(removed -> lines.add(type + " " + removed + " is described no more"));
     }
 
-    private void server(App.Server before, App.Server next) {
-        String of = "server " + next.name();
+    private void compareServers(App.Server before, App.Server next) {
+        String prefix = "server " + next.name();
         if (before.state() != next.state()) {
-            lines.add(of + " is " + word(next.state()) + ", before " + word(before.state())
+            lines.add(prefix + " is " + displayName(next.state()) + ", before " + displayName(before.state())
                     + switch (next.state()) {
                         case READY -> ": it gets its part of all that comes";
                         case DRAINING -> ": it gets nothing new and finishes what it has";
                         case GONE -> ": it gets nothing";
                     });
         }
-        plain(of + " is at", before.address(), next.address());
-        plain(of + " is in rack", before.rack(), next.rack());
+        addIfChanged(prefix + " is at", before.address(), next.address());
+        addIfChanged(prefix + " is in rack", before.rack(), next.rack());
     }
 
-    private void work(App.RequestClass before, App.RequestClass next) {
-        String of = "class " + next.name();
+    private void compareClasses(App.RequestClass before, App.RequestClass next) {
+        String prefix = "class " + next.name();
         if (before.retrySafety() != next.retrySafety()) {
-            lines.add(of + " is " + word(next.retrySafety()) + ", before " + word(before.retrySafety())
-                    + (before.retrySafety() == RetrySafety.UNSAFE
-                            ? ": it MAY BE SENT AGAIN after a failure from now on"
-                            : next.retrySafety() == RetrySafety.UNSAFE
-                                    ? ": it fails where it was sent again before"
-                                    : ""));
+            lines.add(
+                    prefix + " is " + displayName(next.retrySafety()) + ", before " + displayName(before.retrySafety())
+                            + (before.retrySafety() == RetrySafety.UNSAFE
+                                    ? ": it MAY BE SENT AGAIN after a failure from now on"
+                                    : next.retrySafety() == RetrySafety.UNSAFE
+                                            ? ": it fails where it was sent again before"
+                                            : ""));
         }
-        plain(of + ": a repeat may reach", before.dedupScope(), next.dedupScope());
-        micros(of + ": it may be sent again for", before.dedupWindowUs(), next.dedupWindowUs());
-        micros(of + ": in time within", before.targetLatencyUs(), next.targetLatencyUs());
-        micros(of + ": given up after", before.deadlineUs(), next.deadlineUs());
-        plain(of + ": worth", before.worth(), next.worth());
-        plain(of + ": worth when late", before.lateWorth(), next.lateWorth());
-        plain(of + ": served by pool", before.pool(), next.pool());
-        plain(of + ": attempts", before.maxAttempts(), next.maxAttempts());
-        plain(of + ": second copies", before.hedgingAllowed(), next.hedgingAllowed());
+        addIfChanged(prefix + ": a repeat may reach", before.dedupScope(), next.dedupScope());
+        addDurationIfChanged(prefix + ": it may be sent again for", before.dedupWindowUs(), next.dedupWindowUs());
+        addDurationIfChanged(prefix + ": in time within", before.targetLatencyUs(), next.targetLatencyUs());
+        addDurationIfChanged(prefix + ": given up after", before.deadlineUs(), next.deadlineUs());
+        addIfChanged(prefix + ": worth", before.worth(), next.worth());
+        addIfChanged(prefix + ": worth when late", before.lateWorth(), next.lateWorth());
+        addIfChanged(prefix + ": served by pool", before.pool(), next.pool());
+        addIfChanged(prefix + ": attempts", before.maxAttempts(), next.maxAttempts());
+        addIfChanged(prefix + ": second copies", before.hedgingAllowed(), next.hedgingAllowed());
     }
 
-    private void micros(String what, long before, long next) {
+    private void addDurationIfChanged(String label, long before, long next) {
         if (before != next) {
-            lines.add(what + " " + next / 1_000.0 + " ms, before " + before / 1_000.0 + " ms");
+            lines.add(label + " " + next / 1_000.0 + " ms, before " + before / 1_000.0 + " ms");
         }
     }
 
-    private static String word(Enum<?> of) {
-        return of == RetrySafety.UNSAFE
+    private static String displayName(Enum<?> constant) {
+        return constant == RetrySafety.UNSAFE
                 ? "never-twice"
-                : of.name().toLowerCase(Locale.ROOT).replace('_', '-');
+                : constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/src/main/java/kitemux/app/Field.java
+++ b/src/main/java/kitemux/app/Field.java
@@ -44,8 +44,8 @@
 
         private final String displayName;
 
-        Kind(String shown) {
-            this.displayName = shown;
+        Kind(String displayName) {
+            this.displayName = displayName;
         }
 
         /** In words. */
@@ -69,8 +69,8 @@
         }
         String from = min == Double.MIN_NORMAL
                 ? "above 0"
-                : Double.isInfinite(max) ? shown(min) + " or more" : "from " + shown(min);
-        return Double.isInfinite(max) ? from : from + (min == Double.MIN_NORMAL ? " and up to " : " to ") + shown(max);
+                : Double.isInfinite(max) ? format(min) + " or more" : "from " + format(min);
+        return Double.isInfinite(max) ? from : from + (min == Double.MIN_NORMAL ? " and up to " : " to ") + format(max);
     }
 
     /** The rule that is broken where it lies beyond its range. */
@@ -81,7 +81,7 @@
         return kind == Kind.DURATION ? Rule.TIMES : Rule.LIMITS;
     }
 
-    private String shown(double value) {
+    private String format(double value) {
         if (kind != Kind.DURATION) {
             return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
         }
--- a/src/main/java/kitemux/app/FieldReference.java
+++ b/src/main/java/kitemux/app/FieldReference.java
@@ -12,8 +12,8 @@
 
 /** The table of fields as people and editors read it: a page, and a JSON schema of descriptions. */
 public final class FieldReference {
-    private static final String TIME = "^\\d+(\\.\\d+)?(us|ms|s|m|h)$";
-    private static final String ADDRESS = "^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$";
+    private static final String DURATION_PATTERN = "^\\d+(\\.\\d+)?(us|ms|s|m|h)$";
+    private static final String ADDRESS_PATTERN = "^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$";
 
     private FieldReference() {}
 
@@ -21,11 +21,11 @@
     public static String describe(Field field) {
         String range = field.range();
         return field.key() + ": " + field.kind().displayName() + (range.isEmpty() ? "" : ", " + range) + ", "
-                + (field.defaultValue() == null ? "must be given" : "default " + otherwise(field)) + ". "
+                + (field.defaultValue() == null ? "must be given" : "default " + displayDefault(field)) + ". "
                 + field.description();
     }
 
-    private static String otherwise(Field field) {
+    private static String displayDefault(Field field) {
         return field.defaultValue().isEmpty() ? "none" : field.defaultValue();
     }
 
@@ -34,15 +34,15 @@
         StringBuilder page = new StringBuilder("# All fields of a description\n\nMade by `config "
                 + "reference` from the"
                 + " table that descriptions are read by. Times carry a unit: `us`, `ms`, `s`, `m`, `h`.\n");
-        Fields.blocks().forEach((block, about) -> {
+        Fields.blocks().forEach((block, description) -> {
             page.append("\n## ")
                     .append(
                             block.isEmpty()
                                     ? "Top"
                                     : Fields.isLabelled(block) ? "`" + block + " \"NAME\"`" : "`" + block + "`")
                     .append("\n\n")
-                    .append(Character.toUpperCase(about.charAt(0)))
-                    .append(about.substring(1))
+                    .append(Character.toUpperCase(description.charAt(0)))
+                    .append(description.substring(1))
                     .append(".\n\n| field | kind | range | default | |\n| --- | --- | --- |" + " --- | --- |\n");
             for (Field field : Fields.inBlock(block)) {
                 page.append("| `")
@@ -52,7 +52,7 @@
                         .append(" | ")
                         .append(field.range())
                         .append(" | ")
-                        .append(field.defaultValue() == null ? "must be given" : otherwise(field))
+                        .append(field.defaultValue() == null ? "must be given" : displayDefault(field))
                         .append(" | ")
                         .append(field.description())
                         .append(" |\n");
@@ -63,109 +63,110 @@
 
     /** A JSON schema (draft 2020-12) of what a description says, for editors that know HCL's JSON form. */
     public static String toJsonSchema() {
-        StringWriter text = new StringWriter();
-        try (JsonGenerator to = new JsonFactory().createGenerator(text)) {
-            to.setPrettyPrinter(new DefaultPrettyPrinter()
+        StringWriter output = new StringWriter();
+        try (JsonGenerator generator = new JsonFactory().createGenerator(output)) {
+            generator.setPrettyPrinter(new DefaultPrettyPrinter()
                     .withObjectIndenter(new DefaultIndenter("  ", "\n"))
                     .withArrayIndenter(new DefaultIndenter("  ", "\n")));
-            to.writeStartObject();
-            to.writeStringField("$schema", "https://json-schema.org/draft/2020-12/schema");
-            to.writeStringField("title", "An application and the servers behind it");
-            block(to, "");
-            to.writeEndObject();
+            generator.writeStartObject();
+            generator.writeStringField("$schema", "https://json-schema.org/draft/2020-12/schema");
+            generator.writeStringField("title", "An application and the servers behind it");
+            writeBlock(generator, "");
+            generator.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return text + "\n";
+        return output + "\n";
     }
 
-    private static void block(JsonGenerator to, String name) throws IOException {
+    private static void writeBlock(JsonGenerator generator, String name) throws IOException {
         List<Field> fields = Fields.inBlock(name);
-        to.writeStringField("type", "object");
-        to.writeBooleanField("additionalProperties", false);
-        to.writeArrayFieldStart("required");
+        generator.writeStringField("type", "object");
+        generator.writeBooleanField("additionalProperties", false);
+        generator.writeArrayFieldStart("required");
         for (Field field : fields) {
             if (field.defaultValue() == null) {
-                to.writeString(field.name());
+                generator.writeString(field.name());
             }
         }
         if (name.isEmpty()) {
-            to.writeString("class");
+            generator.writeString("class");
         }
-        to.writeEndArray();
-        to.writeObjectFieldStart("properties");
+        generator.writeEndArray();
+        generator.writeObjectFieldStart("properties");
         for (Field field : fields) {
-            to.writeObjectFieldStart(field.name());
-            field(to, field);
-            to.writeEndObject();
+            generator.writeObjectFieldStart(field.name());
+            writeField(generator, field);
+            generator.writeEndObject();
         }
         if (name.isEmpty()) {
-            for (Map.Entry<String, String> inner : Fields.blocks().entrySet()) {
-                if (!inner.getKey().isEmpty()) {
-                    inner(to, inner.getKey(), inner.getValue());
+            for (Map.Entry<String, String> block : Fields.blocks().entrySet()) {
+                if (!block.getKey().isEmpty()) {
+                    writeBlockProperty(generator, block.getKey(), block.getValue());
                 }
             }
         }
-        to.writeEndObject();
+        generator.writeEndObject();
     }
 
-    private static void inner(JsonGenerator to, String block, String about) throws IOException {
-        to.writeObjectFieldStart(block);
-        to.writeStringField("description", about);
+    private static void writeBlockProperty(JsonGenerator generator, String block, String description)
+            throws IOException {
+        generator.writeObjectFieldStart(block);
+        generator.writeStringField("description", description);
         if (Fields.isLabelled(block)) {
-            to.writeStringField("type", "object");
-            to.writeObjectFieldStart("additionalProperties");
-            block(to, block);
-            to.writeEndObject();
+            generator.writeStringField("type", "object");
+            generator.writeObjectFieldStart("additionalProperties");
+            writeBlock(generator, block);
+            generator.writeEndObject();
         } else {
-            block(to, block);
+            writeBlock(generator, block);
         }
-        to.writeEndObject();
+        generator.writeEndObject();
     }
 
-    private static void field(JsonGenerator to, Field field) throws IOException {
-        to.writeStringField("description", field.description());
+    private static void writeField(JsonGenerator generator, Field field) throws IOException {
+        generator.writeStringField("description", field.description());
         switch (field.kind()) {
-            case TEXT -> to.writeStringField("type", "string");
-            case ADDRESS -> pattern(to, ADDRESS);
-            case DURATION -> pattern(to, TIME);
-            case BOOLEAN -> to.writeStringField("type", "boolean");
+            case TEXT -> generator.writeStringField("type", "string");
+            case ADDRESS -> writePattern(generator, ADDRESS_PATTERN);
+            case DURATION -> writePattern(generator, DURATION_PATTERN);
+            case BOOLEAN -> generator.writeStringField("type", "boolean");
             case TEXT_LIST -> {
-                to.writeStringField("type", "array");
-                to.writeObjectFieldStart("items");
-                to.writeStringField("type", "string");
-                to.writeEndObject();
+                generator.writeStringField("type", "array");
+                generator.writeObjectFieldStart("items");
+                generator.writeStringField("type", "string");
+                generator.writeEndObject();
             }
             case ENUM -> {
-                to.writeArrayFieldStart("enum");
+                generator.writeArrayFieldStart("enum");
                 for (String word : field.allowedValues()) {
-                    to.writeString(word);
+                    generator.writeString(word);
                 }
-                to.writeEndArray();
+                generator.writeEndArray();
             }
             case NUMBER, INTEGER -> {
-                to.writeStringField("type", field.kind() == Field.Kind.INTEGER ? "integer" : "number");
+                generator.writeStringField("type", field.kind() == Field.Kind.INTEGER ? "integer" : "number");
                 if (field.min() == Double.MIN_NORMAL) {
-                    to.writeNumberField("exclusiveMinimum", 0);
+                    generator.writeNumberField("exclusiveMinimum", 0);
                 } else {
-                    to.writeNumberField("minimum", field.min());
+                    generator.writeNumberField("minimum", field.min());
                 }
                 if (!Double.isInfinite(field.max())) {
-                    to.writeNumberField("maximum", field.max());
+                    generator.writeNumberField("maximum", field.max());
                 }
             }
         }
         if (field.defaultValue() != null && !field.defaultValue().isEmpty()) {
             switch (field.kind()) {
-                case BOOLEAN -> to.writeBooleanField("default", Boolean.parseBoolean(field.defaultValue()));
-                case NUMBER, INTEGER -> to.writeNumberField("default", Double.parseDouble(field.defaultValue()));
-                default -> to.writeStringField("default", field.defaultValue());
+                case BOOLEAN -> generator.writeBooleanField("default", Boolean.parseBoolean(field.defaultValue()));
+                case NUMBER, INTEGER -> generator.writeNumberField("default", Double.parseDouble(field.defaultValue()));
+                default -> generator.writeStringField("default", field.defaultValue());
             }
         }
     }
 
-    private static void pattern(JsonGenerator to, String pattern) throws IOException {
-        to.writeStringField("type", "string");
-        to.writeStringField("pattern", pattern);
+    private static void writePattern(JsonGenerator generator, String pattern) throws IOException {
+        generator.writeStringField("type", "string");
+        generator.writeStringField("pattern", pattern);
     }
 }
--- a/src/main/java/kitemux/app/FindingReport.java
+++ b/src/main/java/kitemux/app/FindingReport.java
@@ -14,7 +14,7 @@
  * show.
  */
 public final class FindingReport {
-    private static final Pattern PLACE = Pattern.compile("(?s)(.*):(\\d+):(\\d+): (.*)");
+    private static final Pattern POSITION_PATTERN = Pattern.compile("(?s)(.*):(\\d+):(\\d+): (.*)");
 
     /**
      * A finding in a file.
@@ -26,123 +26,124 @@
     private FindingReport() {}
 
     /** What was found in a file, with the places that are known. */
-    public static List<LocatedFinding> locate(String file, AppParser.Result reading) {
-        return reading.findings().stream()
+    public static List<LocatedFinding> locate(String file, AppParser.Result result) {
+        return result.findings().stream()
                 .map(finding -> {
                     String line = finding.location().matches("\\d+:\\d+")
                             ? file + ":" + finding.format()
-                            : reading.places().with(file, finding.format());
-                    Matcher place = PLACE.matcher(line);
-                    boolean known = place.matches() && place.group(1).equals(file);
+                            : result.places().with(file, finding.format());
+                    Matcher position = POSITION_PATTERN.matcher(line);
+                    boolean hasPosition =
+                            position.matches() && position.group(1).equals(file);
                     return new LocatedFinding(
                             file,
-                            known ? Integer.parseInt(place.group(2)) : 0,
-                            known ? Integer.parseInt(place.group(3)) : 0,
+                            hasPosition ? Integer.parseInt(position.group(2)) : 0,
+                            hasPosition ? Integer.parseInt(position.group(3)) : 0,
                             finding);
                 })
                 .toList();
     }
 
-    private interface Body {
-        void write(JsonGenerator to) throws IOException;
+    private interface JsonBody {
+        void write(JsonGenerator generator) throws IOException;
     }
 
-    private static String text(Body body) {
-        StringWriter text = new StringWriter();
-        try (JsonGenerator to = new JsonFactory().createGenerator(text)) {
-            to.useDefaultPrettyPrinter();
-            body.write(to);
+    private static String writeJson(JsonBody body) {
+        StringWriter output = new StringWriter();
+        try (JsonGenerator generator = new JsonFactory().createGenerator(output)) {
+            generator.useDefaultPrettyPrinter();
+            body.write(generator);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return text.toString();
+        return output.toString();
     }
 
     /** A list of objects. */
-    public static String toJson(List<LocatedFinding> all) {
-        return text(to -> {
-            to.writeStartArray();
-            for (LocatedFinding found : all) {
-                Finding finding = found.finding;
-                to.writeStartObject();
-                to.writeStringField("code", finding.rule().code());
-                to.writeStringField("file", found.file);
-                to.writeNumberField("line", found.line);
-                to.writeNumberField("column", found.column);
-                to.writeStringField("field", finding.location());
-                to.writeStringField("what", finding.message());
-                to.writeStringField("cure", finding.rule().remedy());
-                to.writeEndObject();
+    public static String toJson(List<LocatedFinding> findings) {
+        return writeJson(generator -> {
+            generator.writeStartArray();
+            for (LocatedFinding located : findings) {
+                Finding finding = located.finding;
+                generator.writeStartObject();
+                generator.writeStringField("code", finding.rule().code());
+                generator.writeStringField("file", located.file);
+                generator.writeNumberField("line", located.line);
+                generator.writeNumberField("column", located.column);
+                generator.writeStringField("field", finding.location());
+                generator.writeStringField("what", finding.message());
+                generator.writeStringField("cure", finding.rule().remedy());
+                generator.writeEndObject();
             }
-            to.writeEndArray();
+            generator.writeEndArray();
         });
     }
 
     /** A log of one run. */
-    public static String toSarif(List<LocatedFinding> all) {
-        return text(to -> {
-            to.writeStartObject();
-            to.writeStringField("$schema", "https://json.schemastore.org/sarif-2.1.0.json");
-            to.writeStringField("version", "2.1.0");
-            to.writeArrayFieldStart("runs");
-            to.writeStartObject();
-            to.writeObjectFieldStart("tool");
-            to.writeObjectFieldStart("driver");
-            to.writeStringField("name", "kitemux config");
-            to.writeArrayFieldStart("rules");
+    public static String toSarif(List<LocatedFinding> findings) {
+        return writeJson(generator -> {
+            generator.writeStartObject();
+            generator.writeStringField("$schema", "https://json.schemastore.org/sarif-2.1.0.json");
+            generator.writeStringField("version", "2.1.0");
+            generator.writeArrayFieldStart("runs");
+            generator.writeStartObject();
+            generator.writeObjectFieldStart("tool");
+            generator.writeObjectFieldStart("driver");
+            generator.writeStringField("name", "kitemux config");
+            generator.writeArrayFieldStart("rules");
             for (Rule rule : Rule.values()) {
-                to.writeStartObject();
-                to.writeStringField("id", rule.code());
-                message(to, "shortDescription", rule.description());
-                message(to, "help", rule.remedy());
-                to.writeEndObject();
+                generator.writeStartObject();
+                generator.writeStringField("id", rule.code());
+                writeMessage(generator, "shortDescription", rule.description());
+                writeMessage(generator, "help", rule.remedy());
+                generator.writeEndObject();
             }
-            to.writeEndArray();
-            to.writeEndObject();
-            to.writeEndObject();
-            to.writeArrayFieldStart("results");
-            for (LocatedFinding found : all) {
-                result(to, found);
+            generator.writeEndArray();
+            generator.writeEndObject();
+            generator.writeEndObject();
+            generator.writeArrayFieldStart("results");
+            for (LocatedFinding located : findings) {
+                writeResult(generator, located);
             }
-            to.writeEndArray();
-            to.writeEndObject();
-            to.writeEndArray();
-            to.writeEndObject();
+            generator.writeEndArray();
+            generator.writeEndObject();
+            generator.writeEndArray();
+            generator.writeEndObject();
         });
     }
 
-    private static void message(JsonGenerator to, String field, String text) throws IOException {
-        to.writeObjectFieldStart(field);
-        to.writeStringField("text", text);
-        to.writeEndObject();
+    private static void writeMessage(JsonGenerator generator, String field, String text) throws IOException {
+        generator.writeObjectFieldStart(field);
+        generator.writeStringField("text", text);
+        generator.writeEndObject();
     }
 
-    private static void result(JsonGenerator to, LocatedFinding found) throws IOException {
-        Finding finding = found.finding;
-        to.writeStartObject();
-        to.writeStringField("ruleId", finding.rule().code());
-        to.writeNumberField("ruleIndex", finding.rule().ordinal());
-        to.writeStringField("level", "error");
-        message(
-                to,
+    private static void writeResult(JsonGenerator generator, LocatedFinding located) throws IOException {
+        Finding finding = located.finding;
+        generator.writeStartObject();
+        generator.writeStringField("ruleId", finding.rule().code());
+        generator.writeNumberField("ruleIndex", finding.rule().ordinal());
+        generator.writeStringField("level", "error");
+        writeMessage(
+                generator,
                 "message",
                 (finding.location().isEmpty() ? "" : finding.location() + ": ") + finding.message() + "; "
                         + finding.rule().remedy());
-        to.writeArrayFieldStart("locations");
-        to.writeStartObject();
-        to.writeObjectFieldStart("physicalLocation");
-        to.writeObjectFieldStart("artifactLocation");
-        to.writeStringField("uri", found.file);
-        to.writeEndObject();
-        if (found.line > 0) {
-            to.writeObjectFieldStart("region");
-            to.writeNumberField("startLine", found.line);
-            to.writeNumberField("startColumn", found.column);
-            to.writeEndObject();
+        generator.writeArrayFieldStart("locations");
+        generator.writeStartObject();
+        generator.writeObjectFieldStart("physicalLocation");
+        generator.writeObjectFieldStart("artifactLocation");
+        generator.writeStringField("uri", located.file);
+        generator.writeEndObject();
+        if (located.line > 0) {
+            generator.writeObjectFieldStart("region");
+            generator.writeNumberField("startLine", located.line);
+            generator.writeNumberField("startColumn", located.column);
+            generator.writeEndObject();
         }
-        to.writeEndObject();
-        to.writeEndObject();
-        to.writeEndArray();
-        to.writeEndObject();
+        generator.writeEndObject();
+        generator.writeEndObject();
+        generator.writeEndArray();
+        generator.writeEndObject();
     }
 }
--- a/src/main/java/kitemux/app/StarterTemplates.java
+++ b/src/main/java/kitemux/app/StarterTemplates.java
@@ -7,7 +7,7 @@
     /** The kinds that there are. */
     public static final List<String> KINDS = List.of("web", "orders");
 
-    private static final String HEAD = """
+    private static final String BASE_TEMPLATE = """
             # %s
             # config check FILE holds it against all rules; config explain KEY tells what a field is for.
             name     = "%s"
@@ -37,7 +37,7 @@
             }
             """;
 
-    private static final String ORDERS = """
+    private static final String ORDER_BLOCKS = """
 
             # Sent again only where servers that remember its key drop a second run.
             class "change-cart" {
@@ -72,10 +72,14 @@
      */
     public static String render(String kind, String name) {
         return switch (kind) {
-            case "web" -> String.format(HEAD, "An application whose requests may all run again.", name, "");
+            case "web" -> String.format(BASE_TEMPLATE, "An application whose requests may all run again.", name, "");
             case "orders" ->
-                String.format(HEAD, "An application that takes orders.", name, "never_twice = [\"place-order\"]\n")
-                        + ORDERS;
+                String.format(
+                                BASE_TEMPLATE,
+                                "An application that takes orders.",
+                                name,
+                                "never_twice = [\"place-order\"]\n")
+                        + ORDER_BLOCKS;
             default -> throw new IllegalArgumentException("there is no kind " + kind);
         };
     }
--- a/src/test/java/kitemux/app/FieldsTest.java
+++ b/src/test/java/kitemux/app/FieldsTest.java
@@ -20,36 +20,37 @@
 /** The one table of fields: what is read, told and drawn from it. */
 class FieldsTest {
     /** A description in which each block stands, with what must be given. */
-    private static final String LEAST = "name = \"a\"\nlisten = \"127.0.0.1:8080\"\nquota = 10\n"
+    private static final String MINIMAL_DESCRIPTION = "name = \"a\"\nlisten = \"127.0.0.1:8080\"\nquota = 10\n"
             + "server \"server-0\" {\n  address = \"127.0.0.1:9001\"\n}\n"
             + "pool \"pool-0\" {\n  servers = [\"server-0\"]\n}\n"
             + "class \"class-0\" {\n  again = \"safe\"\n  aim = \"200ms\"\n  deadline = \"1s\"\n}\n"
             + "tenant \"tenant-0\" {\n  share = 1\n}\n";
 
     /** The same with one field as it is given. */
-    private static String with(Field field, String value) {
+    private static String withField(Field field, String value) {
         String line = field.name() + " = " + value + "\n";
-        String given = "(?m)^ *" + field.name() + " = .*\n";
+        String linePattern = "(?m)^ *" + field.name() + " = .*\n";
         if (field.block().isEmpty()) {
-            return LEAST.replaceFirst(given, "") + line;
+            return MINIMAL_DESCRIPTION.replaceFirst(linePattern, "") + line;
         }
         if (!Fields.isLabelled(field.block())) {
-            return LEAST + field.block() + " {\n  " + line + "}\n";
+            return MINIMAL_DESCRIPTION + field.block() + " {\n  " + line + "}\n";
         }
-        String begins = field.block() + " \"" + field.block() + "-0\" {\n";
-        int from = LEAST.indexOf(begins) + begins.length();
-        int to = LEAST.indexOf("}\n", from);
-        return LEAST.substring(0, from) + LEAST.substring(from, to).replaceFirst(given, "") + "  " + line
-                + LEAST.substring(to);
+        String header = field.block() + " \"" + field.block() + "-0\" {\n";
+        int from = MINIMAL_DESCRIPTION.indexOf(header) + header.length();
+        int to = MINIMAL_DESCRIPTION.indexOf("}\n", from);
+        return MINIMAL_DESCRIPTION.substring(0, from)
+                + MINIMAL_DESCRIPTION.substring(from, to).replaceFirst(linePattern, "") + "  " + line
+                + MINIMAL_DESCRIPTION.substring(to);
     }
 
-    private static String number(Field field, double value) {
+    private static String format(Field field, double value) {
         return field.kind() == Field.Kind.DURATION
                 ? "\"" + Math.round(value) + "us\""
                 : value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
 
-    static Stream<Field> bounded() {
+    static Stream<Field> boundedFields() {
         return Fields.all().stream().filter(field -> !Double.isInfinite(field.min()));
     }
 
@@ -57,53 +58,57 @@
         return AppParser.parse(text).findings().stream().map(Finding::format).toList();
     }
 
-    private static boolean isTold(Field field, String text) {
+    private static boolean reportsRangeFinding(Field field, String text) {
         return findings(text).stream()
                 .anyMatch(line ->
                         line.contains(field.name() + ": " + field.rangeRule().code() + " is not " + field.range()));
     }
 
     @ParameterizedTest
-    @MethodSource("bounded")
-    void whatLiesBeyondARangeIsToldAndItsEndsAreNot(Field field) {
+    @MethodSource("boundedFields")
+    void valuesOutsideTheRangeAreReportedAndItsBoundsAreNot(Field field) {
         double step = field.kind() == Field.Kind.NUMBER ? 0.001 : 1;
-        double least = field.min() == Double.MIN_NORMAL ? 0.001 : field.min();
-        assertFalse(isTold(field, with(field, number(field, least))), () -> "least of " + field);
+        double min = field.min() == Double.MIN_NORMAL ? 0.001 : field.min();
+        assertFalse(reportsRangeFinding(field, withField(field, format(field, min))), () -> "least of " + field);
         // A time cannot be written that is under 0.
         if (field.kind() != Field.Kind.DURATION || field.min() > 0) {
-            assertTrue(isTold(field, with(field, number(field, least - step))), () -> "under the least of " + field);
+            assertTrue(
+                    reportsRangeFinding(field, withField(field, format(field, min - step))),
+                    () -> "under the least of " + field);
         }
         if (!Double.isInfinite(field.max())) {
-            assertFalse(isTold(field, with(field, number(field, field.max()))), () -> "most of " + field);
+            assertFalse(
+                    reportsRangeFinding(field, withField(field, format(field, field.max()))), () -> "most of " + field);
             assertTrue(
-                    isTold(field, with(field, number(field, field.max() + step))), () -> "over the most of " + field);
+                    reportsRangeFinding(field, withField(field, format(field, field.max() + step))),
+                    () -> "over the most of " + field);
         }
     }
 
     @Test
-    void defaultsLieInTheirRangesAndWhatMustBeGivenIsAskedFor() {
-        assertEquals(List.of(), findings(LEAST));
+    void defaultsAreInRangeAndMissingOrMistypedFieldsAreReported() {
+        assertEquals(List.of(), findings(MINIMAL_DESCRIPTION));
         for (Field field : Fields.all()) {
             if (field.defaultValue() == null && field.block().isEmpty()) {
-                String without = LEAST.replaceFirst("(?m)^" + field.name() + " = .*\n", "");
+                String without = MINIMAL_DESCRIPTION.replaceFirst("(?m)^" + field.name() + " = .*\n", "");
                 assertTrue(
                         findings(without).contains(field.name() + ": KX001 must be given; " + Rule.SHAPE.remedy()),
                         findings(without)::toString);
             }
-            String unlike =
+            String mistyped =
                     switch (field.kind()) {
                         case TEXT, ADDRESS, DURATION, ENUM, TEXT_LIST -> "7";
                         case NUMBER, INTEGER, BOOLEAN -> "\"seven\"";
                     };
             assertTrue(
-                    findings(with(field, unlike)).stream()
+                    findings(withField(field, mistyped)).stream()
                             .anyMatch(line -> line.contains(field.name()) && line.contains("KX001 must be")),
-                    () -> field + ": " + findings(with(field, unlike)));
+                    () -> field + ": " + findings(withField(field, mistyped)));
         }
     }
 
     @Test
-    void thePageAndTheSchemaInTheRepositoryAreOfThisTable() throws IOException {
+    void referencePageAndSchemaInTheRepositoryAreUpToDate() throws IOException {
         assertEquals(
                 Files.readString(Path.of("docs", "operate", "fields.md")),
                 FieldReference.toMarkdown(),
@@ -128,7 +133,7 @@
     }
 
     @Test
-    void aFieldIsExplainedByItsKeyItsNameOrItsBlock() {
+    void fieldsAreFoundByKeyNameOrBlock() {
         assertEquals(
                 "limits.attempts: whole number, from 1 to 16, default 4. of one request; more " + "would feed a storm",
                 FieldReference.describe(Fields.get("limits.attempts")));
@@ -141,7 +146,7 @@
     }
 
     @Test
-    void whatIsBegunWithIsSoundForEachKind() {
+    void starterTemplatesHaveNoFindings() {
         for (String kind : StarterTemplates.KINDS) {
             assertEquals(List.of(), findings(StarterTemplates.render(kind, "desk")), kind);
         }
@@ -149,23 +154,23 @@
     }
 
     @Test
-    void whatIsFoundIsToldAsJsonAndAsSarifWithItsPlace() throws IOException {
-        String text = LEAST.replace("\"200ms\"", "\"2s\"").replace("\"127.0.0.1:9001\"", "\"web:9001\"");
+    void jsonAndSarifReportsContainFindingsWithPositions() throws IOException {
+        String text = MINIMAL_DESCRIPTION.replace("\"200ms\"", "\"2s\"").replace("\"127.0.0.1:9001\"", "\"web:9001\"");
         List<FindingReport.LocatedFinding> found =
                 new ArrayList<>(FindingReport.locate("a.hcl", AppParser.parse(text)));
         Json json = Json.read(FindingReport.toJson(found).getBytes(StandardCharsets.UTF_8));
         assertEquals(
                 List.of("KX301", "KX401"),
                 json.values().stream()
-                        .map(one -> one.path("code").text())
+                        .map(entry -> entry.path("code").text())
                         .sorted()
                         .toList());
-        for (Json one : json) {
-            assertEquals("a.hcl", one.path("file").text());
-            String line = text.lines().toList().get((int) one.path("line").whole(0) - 1);
-            assertTrue(line.contains(one.path("code").text().equals("KX301") ? "aim" : "address"), line);
-            assertTrue(!one.path("cure").text().isEmpty()
-                    && !one.path("what").text().isEmpty());
+        for (Json entry : json) {
+            assertEquals("a.hcl", entry.path("file").text());
+            String line = text.lines().toList().get((int) entry.path("line").whole(0) - 1);
+            assertTrue(line.contains(entry.path("code").text().equals("KX301") ? "aim" : "address"), line);
+            assertTrue(!entry.path("cure").text().isEmpty()
+                    && !entry.path("what").text().isEmpty());
         }
         Json run = Json.read(FindingReport.toSarif(found).getBytes(StandardCharsets.UTF_8))
                 .path("runs")
--- a/src/test/java/kitemux/app/MigrateTest.java
+++ b/src/test/java/kitemux/app/MigrateTest.java
@@ -21,22 +21,22 @@
 
     /** What was written from a description and made a description again is written the same, to the byte. */
     @ParameterizedTest(name = "{0}")
-    @MethodSource("kitemux.app.SoundAppsTest#all")
-    void whatWasWrittenComesBack(String what, List<String> changes) throws IOException {
+    @MethodSource("kitemux.app.SoundAppsTest#validDescriptions")
+    void migratedConfigIsWrittenBackIdentically(String scenario, List<String> changes) throws IOException {
         String text = Files.readString(Path.of("examples", "app", "ordering-desk.hcl"));
         for (int i = 0; i < changes.size(); i += 2) {
             text = text.replace(changes.get(i), changes.get(i + 1));
         }
         App app = AppParser.parse(text).app();
         String written = ConfigWriter.toJson(app, "5");
-        ConfigMigration.Result back = ConfigMigration.migrate(bytes(written));
-        AppParser.Result read = AppParser.parse(back.text());
-        assertEquals(List.of(), read.findings().stream().map(Finding::format).toList(), back.text());
-        assertEquals(written, ConfigWriter.toJson(read.app(), "5"), back.text());
+        ConfigMigration.Result migrated = ConfigMigration.migrate(bytes(written));
+        AppParser.Result result = AppParser.parse(migrated.text());
+        assertEquals(List.of(), result.findings().stream().map(Finding::format).toList(), migrated.text());
+        assertEquals(written, ConfigWriter.toJson(result.app(), "5"), migrated.text());
     }
 
     @Test
-    void whatHasNoWordsIsToldAndWhatBreaksARuleIsFound() throws IOException {
+    void unsupportedSettingsAreListedAndInvalidOnesAreReported() throws IOException {
         ConfigMigration.Result result =
                 ConfigMigration.migrate(bytes("{\"name\":\"n\",\"listen\":\"127.0.0.1:80\",\"discovery\":"
                         + "\"10.0.0.9:1\",\"limits\":{\"sockets\":256},\"known\":{\"rev\":1,\"targets\":[{"
