--- a/src/main/java/kitemux/app/AppParser.java
+++ b/src/main/java/kitemux/app/AppParser.java
@@ -12,11 +12,12 @@
 import kitemux.hcl.Section;
 import kitemux.hcl.Text;
 
-/** Reads an application's description in HCL; {@code docs/operate/config.md} has all fields. */
+/** Parses and validates an application's description in HCL; {@code docs/operate/config.md} lists all fields. */
 public final class AppParser {
-    /** More is a mistake, or a file that was mixed up. */
+    /** A longer text is a mistake, such as a wrong file name. */
     private static final int MAX_LENGTH_CHARS = 5 << 20;
-    /** Fields of these names hold secrets, wherever they stand. */
+
+    /** Names of fields that hold secrets, in any block. */
     private static final String SECRET_FIELD_PATTERN = "(?i).*(password|passwd|secret|token|api_?key|private_?key).*";
 
     private AppParser() {}
@@ -38,14 +39,20 @@
     }
 
     /**
-     * What was read and what is wrong.
+     * A parsed description with its findings.
      *
-     * @param app null where the text is no HCL at all
-     * @param places where things stand in the text
+     * @param app the description; null if the text is too long or not HCL. It is valid only if there are no findings
+     * @param findings everything that is wrong; empty if the description is valid
+     * @param places positions of the fields and blocks in the text
      */
     public record Result(App app, List<Finding> findings, Places places) {}
 
-    /** Reads a description and holds it against all rules: shape first, then meaning. */
+    /**
+     * Parses a description and checks it against all rules. The rules on its meaning are checked only if the text is
+     * well formed.
+     *
+     * @param source the text, with or without a byte order mark
+     */
     public static Result parse(String source) {
         String text = source.startsWith("\uFEFF") ? source.substring(1) : source;
         Places places = Places.of(text);
@@ -54,7 +61,8 @@
             findings.add(new Finding(
                     Rule.SHAPE,
                     "",
-                    "the file has " + text.length() + " characters; at most " + MAX_LENGTH_CHARS + " are read"));
+                    "the file is too long: it has " + text.length() + " characters; at most " + MAX_LENGTH_CHARS
+                            + " are read"));
             return new Result(null, findings, places);
         }
         for (String fault : places.faults()) {
@@ -65,7 +73,7 @@
         try {
             parsed = Text.parse(text, places);
         } catch (IOException e) {
-            findings.add(new Finding(Rule.SHAPE, "", "this is not HCL: " + e.getMessage()));
+            findings.add(new Finding(Rule.SHAPE, "", "the text is not valid HCL: " + e.getMessage()));
             return new Result(null, findings, places);
         }
         List<String> faults = new ArrayList<>();
@@ -76,7 +84,8 @@
             findings.add(new Finding(Rule.SHAPE, fault.substring(0, colon), fault.substring(colon + 2)));
         }
         findSecrets("", parsed)
-                .forEach(location -> findings.add(new Finding(Rule.SECRET, location, "whoever reads the file has it")));
+                .forEach(location -> findings.add(
+                        new Finding(Rule.SECRET, location, "everyone who can read the file can read the secret")));
         if (findings.isEmpty()) {
             findings.addAll(AppValidator.validate(app));
         }
--- a/src/main/java/kitemux/app/AppValidator.java
+++ b/src/main/java/kitemux/app/AppValidator.java
@@ -13,11 +13,15 @@
 import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RetrySafety;
 
-/** What a description that can be read means, held against all rules at once. Pure. */
+/**
+ * Checks the meaning of a well-formed description against all rules and collects every violation. Does no I/O: host
+ * names are not resolved.
+ */
 final class AppValidator {
-    /** Buffers of a connection that is in use, and as much again for what it carries. */
+    /** Memory of a connection in use: its buffers, and the same amount for the data in transit. */
     private static final int SOCKET_BUFFER_KIB = 32;
 
+    /** Allows for rounding errors in the sum of the shares. */
     private static final double SHARE_SUM_TOLERANCE = 1e-9;
 
     private final App app;
@@ -27,6 +31,7 @@
         this.app = app;
     }
 
+    /** Returns all violations, beginning with the numbers outside their ranges; empty if the description is valid. */
     static List<Finding> validate(App app) {
         AppValidator validator = new AppValidator(app);
         validator.findings.addAll(app.rangeFindings());
@@ -49,7 +54,7 @@
         return type + " \"" + name + "\"";
     }
 
-    // ---------------------------------------------------------------- what may run again
+    // ---------------------------------------------------------------- retries and repeated execution
 
     private void checkClasses() {
         Set<String> names = new HashSet<>();
@@ -68,7 +73,7 @@
                 addFinding(
                         Rule.NEVER_TWICE,
                         location + ".again",
-                        "never_twice names it, and here it may be sent again after a"
+                        "the class is listed in never_twice but may be retried after a"
                                 + " failure: its effect could happen twice");
             }
             if (requestClass.retrySafety() == RetrySafety.UNSAFE) {
@@ -82,7 +87,10 @@
         if (app.journalRequired()
                 && hasNeverTwiceClass
                 && app.journal().folder().isEmpty()) {
-            addFinding(Rule.JOURNAL, "journaled", "after a crash nobody could say whether an order was sent");
+            addFinding(
+                    Rule.JOURNAL,
+                    "journaled",
+                    "without a journal it is unknown after a crash whether an order was sent");
         }
     }
 
@@ -91,16 +99,17 @@
             addFinding(
                     Rule.NEVER_TWICE,
                     location + ".attempts",
-                    requestClass.maxAttempts() + " attempts let it be sent again where the" + " first may have run");
+                    requestClass.maxAttempts() + " attempts allow a retry although the"
+                            + " first attempt may have run");
         }
         if (requestClass.hedgingAllowed()) {
-            addFinding(Rule.COPIES, location + ".second_copies", "two servers could each take the order");
+            addFinding(Rule.COPIES, location + ".second_copies", "two servers could both execute the request");
         }
         if (requestClass.dedupWindowUs() > 0) {
             addFinding(
                     Rule.NEVER_TWICE,
                     location + ".window",
-                    "a window says how long it may be sent again, and it may never");
+                    "a window bounds the time for retries, and the class must not be retried");
         }
     }
 
@@ -109,34 +118,37 @@
             addFinding(
                     Rule.WINDOW,
                     location + ".window",
-                    "it is keyed and has no window: nothing says how long its key is good" + " for");
+                    "the class is keyed but has no window: the time for which its key is valid is" + " unknown");
         } else if (requestClass.dedupWindowUs() > app.keys().keptUs()) {
             addFinding(
                     Rule.WINDOW,
                     location + ".window",
                     app.keys().keptUs() == 0
-                            ? "nothing says that servers remember keys at all: keys.kept is not given"
-                            : "it is sent again for " + requestClass.dedupWindowUs() / 1_000
-                                    + " ms, and servers forget its key after "
-                                    + app.keys().keptUs() / 1_000 + " ms: what comes later runs a second time");
+                            ? "keys.kept is 0 or not set: servers are not known to remember keys at all"
+                            : "requests are retried for " + requestClass.dedupWindowUs() / 1_000
+                                    + " ms but servers forget their keys after "
+                                    + app.keys().keptUs() / 1_000 + " ms: a later retry runs a second time");
         }
         if (requestClass.dedupScope() == DedupScope.ALL && app.keys().shared() == DedupScope.CELL) {
             addFinding(
                     Rule.GROUP,
                     location + ".group",
-                    "a repeat may go to another rack, where its key is not known: it would run" + " a second time");
+                    "a retry may reach another rack, which does not know its key: it would run" + " a second time");
         }
     }
 
     private void checkTimesAndAttempts(App.RequestClass requestClass, String location) {
         if (requestClass.targetLatencyUs() > requestClass.deadlineUs()) {
-            addFinding(Rule.TIMES, location + ".aim", "its aim lies beyond its deadline: nothing could be in time");
+            addFinding(
+                    Rule.TIMES,
+                    location + ".aim",
+                    "the aim is longer than the deadline: a request is abandoned before the aim has passed");
         }
         if (app.limits().connectUs() >= requestClass.deadlineUs()) {
             addFinding(
                     Rule.ATTEMPTS,
                     location + ".deadline",
-                    "opening one connection may take as long: a server that is gone" + " would use up all of it");
+                    "limits.connect is not shorter: one unreachable server" + " would use up the whole deadline");
         }
         if (requestClass.maxAttempts() > 0
                 && requestClass.maxAttempts() < app.limits().attempts()
@@ -144,7 +156,7 @@
             addFinding(
                     Rule.NOT_YET,
                     location + ".attempts",
-                    "attempts are bounded for all classes together, by limits.attempts");
+                    "attempts can be limited only for all classes together, by limits.attempts");
         }
         if (requestClass.hedgingAllowed()
                 && !app.limits().secondCopies()
@@ -152,13 +164,13 @@
             addFinding(
                     Rule.NOT_YET,
                     location + ".second_copies",
-                    "copies are turned on for all classes that may have them, by" + " limits.second_copies");
+                    "second copies are enabled for all classes that allow them, by" + " limits.second_copies");
         }
         if (requestClass.maxAttempts() > app.limits().attempts()) {
             addFinding(
                     Rule.LIMITS,
                     location + ".attempts",
-                    "is beyond limits.attempts, " + app.limits().attempts());
+                    "exceeds limits.attempts, " + app.limits().attempts());
         }
     }
 
@@ -173,21 +185,21 @@
                 addFinding(
                         Rule.TWICE,
                         location + ".address",
-                        "\"" + existing + "\" has it too: it would get twice its share");
+                        "\"" + existing + "\" has the same address: the server would receive twice its share");
             }
             if (server.address().equals(app.listenAddress())) {
                 addFinding(
-                        Rule.TWICE, location + ".address", "the program listens there itself: requests would go round");
+                        Rule.TWICE, location + ".address", "is the program's own listen address: requests would loop");
             }
         }
         boolean hasServerSource =
                 !app.discoveryAddress().isEmpty() || !app.serverSource().isEmpty();
         if (app.servers().isEmpty() && !hasServerSource) {
-            addFinding(Rule.EMPTY, "discovery", "no server is described, and nothing says where their list is");
+            addFinding(Rule.EMPTY, "discovery", "no servers are described and no list of servers is named");
         } else if (!app.servers().isEmpty()
                 && app.servers().stream().noneMatch(AppValidator::isReady)
                 && !hasServerSource) {
-            addFinding(Rule.EMPTY, "server", "every server drains or is gone: all requests would be refused");
+            addFinding(Rule.EMPTY, "server", "every server is draining or gone: all requests would be refused");
         }
     }
 
@@ -198,17 +210,17 @@
         sources.addAll(members.file().isEmpty() ? List.of() : List.of("members.file"));
         sources.addAll(members.list().isEmpty() ? List.of() : List.of("members.list"));
         sources.addAll(app.servers().isEmpty() || sources.isEmpty() ? List.of() : List.of("server"));
-        // Servers beside the platform's discovery are what a node begins with.
+        // Servers may be described in addition to discovery: the node starts with them.
         if (sources.size() > 1 && !sources.equals(List.of("discovery", "server"))) {
             addFinding(
                     Rule.SOURCES,
                     sources.get(1),
                     "servers come from " + String.join(" and ", sources)
-                            + ": when these differ nobody can say where requests go");
+                            + ": if these differ, it is undefined which servers receive requests");
         }
         if (!app.serverSource().isEmpty() && !app.pools().isEmpty()) {
             addFinding(
-                    Rule.NOT_YET, "pool", "a pool names servers, and which there are is told by " + app.serverSource());
+                    Rule.NOT_YET, "pool", "a pool names servers, but the servers are listed by " + app.serverSource());
         }
         if (!members.list().isEmpty()) {
             try {
@@ -217,20 +229,23 @@
                     addFinding(
                             Rule.ADDRESS,
                             "members.list",
-                            "\"" + members.list() + "\" is not like" + " http://10.0.0.9:8500/servers");
+                            "\"" + members.list() + "\" is not a URL such as" + " http://10.0.0.9:8500/servers");
                 } else {
                     checkAddress("members.list", uri.getHost() + ":" + uri.getPort(), List.of());
                 }
             } catch (URISyntaxException e) {
-                addFinding(Rule.ADDRESS, "members.list", "\"" + members.list() + "\" cannot be read: " + e.getReason());
+                addFinding(
+                        Rule.ADDRESS,
+                        "members.list",
+                        "\"" + members.list() + "\" is not a valid URL: " + e.getReason());
             }
         }
         if (members.backOffUs() < members.refreshUs()) {
             addFinding(
                     Rule.TIMES,
                     "members.back_off",
-                    "is shorter than members.refresh: a list that fails would be asked"
-                            + " for more often than one that answers");
+                    "is shorter than members.refresh: a failing list would be requested"
+                            + " more often than a working one");
         }
     }
 
@@ -241,19 +256,21 @@
         }
         if (!app.discoveryAddress().isEmpty()) {
             addFinding(
-                    Rule.NOT_YET, "health", "the node watches discovery by itself, and nobody checks what that tells");
+                    Rule.NOT_YET,
+                    "health",
+                    "servers from discovery are not health-checked: the node watches discovery itself");
         }
         if (health.timeoutUs() > health.everyUs()) {
             addFinding(
                     Rule.TIMES,
                     "health.timeout",
-                    "is longer than health.every: checks of a server that hangs would pile" + " up at it");
+                    "is longer than health.every: checks would pile up at a server that does not" + " answer");
         }
         if (health.mostHoldUs() < health.holdUs()) {
             addFinding(Rule.TIMES, "health.most_hold", "is shorter than health.hold");
         }
         if (!health.path().startsWith("/") || !health.path().matches("[\\x21-\\x7e]+")) {
-            addFinding(Rule.ADDRESS, "health.path", "\"" + health.path() + "\" is no path such as /healthz");
+            addFinding(Rule.ADDRESS, "health.path", "\"" + health.path() + "\" is not a path such as /healthz");
         }
     }
 
@@ -280,26 +297,31 @@
                             location,
                             "\"" + name + "\" is "
                                     + (server.state() == App.State.DRAINING ? "draining" : "gone")
-                                    + " and would be sent new work");
+                                    + " and would receive new requests");
                 }
                 if (!seen.add(name)) {
-                    addFinding(Rule.TWICE, location, "\"" + name + "\" is there twice: it would get twice its share");
+                    addFinding(
+                            Rule.TWICE, location, "\"" + name + "\" is listed twice: it would receive twice its share");
                 }
                 hasReadyServer |= server != null && isReady(server);
             }
             if (!hasReadyServer) {
-                addFinding(Rule.EMPTY, location, "all that it serves would be refused");
+                addFinding(Rule.EMPTY, location, "no server is ready: all requests to the pool would be refused");
             }
         }
         if (poolNames.size() > 1) {
-            addFinding(Rule.NOT_YET, "pool", "one process serves one pool: " + poolNames.size() + " are described");
+            addFinding(
+                    Rule.NOT_YET, "pool", "a process serves only one pool, but " + poolNames.size() + " are described");
         }
         for (App.RequestClass requestClass : app.classes()) {
             String location = locationOf("class", requestClass.name()) + ".pool";
             if (!requestClass.pool().isEmpty() && !poolNames.contains(requestClass.pool())) {
                 addFinding(Rule.UNKNOWN, location, "there is no pool \"" + requestClass.pool() + "\"");
             } else if (requestClass.pool().isEmpty() && poolNames.size() > 1) {
-                addFinding(Rule.UNSERVED, location, "there are " + poolNames.size() + " pools, and it names none");
+                addFinding(
+                        Rule.UNSERVED,
+                        location,
+                        "there are " + poolNames.size() + " pools, and the class names none of them");
             }
         }
     }
@@ -309,7 +331,7 @@
         for (String network : app.networks()) {
             IPAddress parsed = new IPAddressString(network).getAddress();
             if (parsed == null || !parsed.isPrefixed()) {
-                addFinding(Rule.ADDRESS, "networks", "\"" + network + "\" is no network such as 10.0.0.0/8");
+                addFinding(Rule.ADDRESS, "networks", "\"" + network + "\" is not a network such as 10.0.0.0/8");
             } else {
                 networks.add(parsed.toPrefixBlock());
             }
@@ -318,13 +340,13 @@
         if (!app.operatorAddress().isEmpty()) {
             checkAddress("operators", app.operatorAddress(), List.of());
             if (app.operatorAddress().equals(app.listenAddress())) {
-                addFinding(Rule.TWICE, "operators", "clients connect there");
+                addFinding(Rule.TWICE, "operators", "is the same address as listen, which clients connect to");
             }
         }
         if (!app.discoveryAddress().isEmpty()) {
             checkAddress("discovery", app.discoveryAddress(), List.of());
             if (app.discoveryAddress().equals(app.listenAddress())) {
-                addFinding(Rule.TWICE, "discovery", "the program listens there itself");
+                addFinding(Rule.TWICE, "discovery", "is the program's own listen address");
             }
         }
         app.servers()
@@ -333,8 +355,8 @@
     }
 
     /**
-     * Whether a server may have this address: one that can be read and lies in the networks that there are.
-     *
+     * Whether a server may have this address: it must be valid and, if any networks are given, belong to one of
+     * them.
      */
     static boolean isAddressAllowed(String address, List<String> networks) {
         AppValidator validator = new AppValidator(null);
@@ -354,7 +376,7 @@
         boolean validPort = colon > 0
                 && text.substring(colon + 1).matches("[1-9]\\d{0,4}")
                 && Integer.parseInt(text.substring(colon + 1)) <= 65_535;
-        // The library reads 127.1 and 0x7f.0.0.1 as well, which other readers take for something else.
+        // The library also accepts forms such as 127.1 and 0x7f.0.0.1, which other programs parse differently.
         if (host == null
                 || !host.isIPv4()
                 || host.isMultiple()
@@ -363,9 +385,10 @@
             addFinding(
                     Rule.ADDRESS,
                     location,
-                    "\"" + text + "\" is no IPv4 address with a port from 1 to 65535; names are not" + " looked up");
+                    "\"" + text + "\" is not an IPv4 address with a port from 1 to 65535; host names are not"
+                            + " resolved");
         } else if (!networks.isEmpty() && networks.stream().noneMatch(network -> network.contains(host))) {
-            addFinding(Rule.ADDRESS, location, "\"" + text + "\" lies in none of networks");
+            addFinding(Rule.ADDRESS, location, "\"" + text + "\" belongs to none of networks");
         }
     }
 
@@ -377,10 +400,10 @@
             sum += tenant.share();
         }
         if (sum > 1 + SHARE_SUM_TOLERANCE) {
-            addFinding(Rule.SHARES, "tenant", "shares sum to " + sum);
+            addFinding(Rule.SHARES, "tenant", "the sum of the shares is " + sum);
         }
         if (!app.tenants().isEmpty() && app.quotaPerS() == 0) {
-            addFinding(Rule.SHARES, "quota", "shares are parts of a quota, and it is not above 0");
+            addFinding(Rule.SHARES, "quota", "tenants have shares of the quota, but the quota is 0");
         }
     }
 
@@ -390,12 +413,14 @@
             addFinding(
                     Rule.LIMITS,
                     "limits.sockets",
-                    "with all of them in use their buffers alone take more than half of " + limits.memoryMiB()
-                            + " MiB");
+                    "the buffers of all sockets in use would take more than half of " + limits.memoryMiB() + " MiB");
         }
         App.Rules rules = app.rules();
         if (rules.coldFrom() < 1 && rules.coldUs() == 0) {
-            addFinding(Rule.TIMES, "rules.cold", "servers start cold, and nothing says for how long");
+            addFinding(
+                    Rule.TIMES,
+                    "rules.cold",
+                    "is 0 although rules.cold_from is below 1: servers start cold but have no warm-up time");
         }
     }
 }
--- a/src/main/java/kitemux/app/BlockReader.java
+++ b/src/main/java/kitemux/app/BlockReader.java
@@ -5,9 +5,8 @@
 import kitemux.hcl.Section;
 
 /**
- * A block of a description, read by the table of fields: what is not given is as the table says, and what
- * lies beyond
- * its range is told.
+ * Reads the fields of a block as {@link Fields} defines them: a missing field gets its default value, and a number
+ * outside its range is reported.
  */
 final class BlockReader {
     private final String type;
@@ -15,7 +14,11 @@
     private final List<Finding> rangeFindings;
 
     /**
-     * @param beyond gets a finding for each number that lies beyond its range
+     * Creates a reader.
+     *
+     * @param type type of the block; empty for the top level
+     * @param section content of the block
+     * @param rangeFindings receives a finding for each number outside its range
      */
     BlockReader(String type, Section section, List<Finding> rangeFindings) {
         this.type = type;
@@ -29,7 +32,7 @@
 
     private double checkRange(String name, double value) {
         Field field = field(name);
-        // Not a number where the table's least is smaller than any: written so that it is told as well.
+        // Negated so that NaN is reported as well.
         if (!(value >= field.min() && value <= field.max())) {
             rangeFindings.add(new Finding(
                     field.rangeRule(), section.at(name), "is not " + field.range() + ": " + field.description()));
@@ -62,7 +65,7 @@
                 name, section.whole(name, Double.parseDouble(field(name).defaultValue())));
     }
 
-    /** Microseconds. */
+    /** Reads a duration in microseconds. */
     long readDurationUs(String name) {
         String defaultValue = field(name).defaultValue();
         return (long) checkRange(name, section.time(name, defaultValue == null ? -1 : Section.us(defaultValue)));
@@ -79,7 +82,7 @@
                                 enumType, defaultValue.toUpperCase(Locale.ROOT).replace('-', '_')));
     }
 
-    /** To be called once all is read. */
+    /** Reports the fields that have not been read as unknown; called after the last read. */
     void finish() {
         section.end();
     }
--- a/src/main/java/kitemux/app/ConfigMigration.java
+++ b/src/main/java/kitemux/app/ConfigMigration.java
@@ -6,9 +6,8 @@
 import kitemux.config.Json;
 
 /**
- * Makes a description of a node's configuration in the platform's form, such as one that was edited by hand.
- * What a
- * description has no words for is told, never left out in silence.
+ * Converts a node's configuration in the platform's JSON format, such as one that was edited by hand, to a
+ * description in HCL. Every setting that a description cannot express is listed in the result.
  */
 public final class ConfigMigration {
     private final StringBuilder text = new StringBuilder();
@@ -20,20 +19,23 @@
     }
 
     /**
-     * @param text a description, to be checked as any other
-     * @param omitted what was not carried over, a line each
+     * Result of a migration.
+     *
+     * @param text the description; it has not been checked and may be invalid
+     * @param omitted a line for each setting that could not be converted exactly
      */
     public record Result(String text, List<String> omitted) {}
 
     /**
-     * Reads a configuration.
+     * Converts a configuration.
      *
-     * @throws IOException if it is no JSON, or has no settings
+     * @param config the JSON text in UTF-8
+     * @throws IOException if the configuration is not JSON or has no settings
      */
     public static Result migrate(byte[] config) throws IOException {
         Json json = Json.read(config);
         if (!json.path("settings").isObject()) {
-            throw new IOException("settings is missing or not an object");
+            throw new IOException("the configuration has no object \"settings\"");
         }
         ConfigMigration migration = new ConfigMigration(json);
         migration.migrateAll();
@@ -42,7 +44,7 @@
 
     private void migrateAll() {
         Json settings = json.path("settings");
-        appendLine("# From a node's configuration.");
+        appendLine("# Migrated from a node's configuration.");
         text(
                 "name",
                 json.path("name").text().isEmpty()
@@ -55,7 +57,7 @@
         if (settings.path("membershipMode").text().equals("on_request")) {
             text("discovery", json.path("discovery").text());
         } else if (!json.path("discovery").text().equals(json.path("listen").text())) {
-            omitted.add("discovery: lists are pushed there; servers are those that the file names");
+            omitted.add("discovery: its lists are pushed to the node; the servers are taken from the configuration");
         }
         migrateClasses(settings.path("classes"));
         migrateTenants(settings.path("realms"));
@@ -116,7 +118,7 @@
             }
             if (group.equals("zone")) {
                 omitted.add("class " + requestClass.path("name").text()
-                        + ": its group is a zone; a description knows racks and all");
+                        + ": its group is a zone; a description supports only rack and all");
             }
             time("aim", requestClass, "onTimeUs");
             time("deadline", requestClass, "giveUpUs");
@@ -125,21 +127,22 @@
             appendLine("}");
             if (requestClass.path("stream").flag()
                     || requestClass.path("aimStretch").decimal(0) != 0) {
-                omitted.add("class " + requestClass.path("name").text() + ": stream and aimStretch");
+                omitted.add("class " + requestClass.path("name").text()
+                        + ": stream and aimStretch have no equivalent in a description");
             }
         }
         if (!neverTwiceNames.isEmpty()) {
             appendLine("\nnever_twice = [" + String.join(", ", neverTwiceNames) + "]");
         }
         if (longestWindowUs > 0) {
-            // What servers remember is not in a configuration: the longest window was relied on.
+            // A configuration does not say how long servers remember keys: they must keep them for the longest window.
             appendLine("\nkeys {");
             text("  kept", time(longestWindowUs));
             text("  shared", rackScoped ? "rack" : "all");
             appendLine("}");
-            omitted.add("keys: how long servers remember them and which know of them is what was relied on;"
-                    + " ask who"
-                    + " runs them");
+            omitted.add("keys: kept and shared are only what the classes rely on;"
+                    + " confirm"
+                    + " both with the operators of the servers");
         }
     }
 
@@ -155,7 +158,7 @@
                         + formatNumber(realm.path("quotaPerS").decimal(0) / totalQuotaPerS) + "\n}");
             }
         } else if (!realms.values().isEmpty()) {
-            omitted.add("realms: none has a quota, and tenants are described by their shares of one");
+            omitted.add("realms: none has a quota, and a description needs one to give tenants their shares");
         }
     }
 
@@ -209,19 +212,19 @@
         if (settings.path("balancers").whole(1) > 1) {
             omitted.add(
                     "balancers: this was one of " + settings.path("balancers").whole(1)
-                            + " nodes; a described one takes itself for the only one, and its limits for all "
-                            + "that there are");
+                            + " nodes; a described node assumes that it is the only one and applies its limits to "
+                            + "all traffic");
         }
         if (settings.path("zones").values().size() > 1) {
-            omitted.add("zones: a description has one");
+            omitted.add("zones: a description supports only one");
         }
         for (String field : List.of("costs", "extra", "report")) {
             if (!settings.path(field).isMissing()) {
-                omitted.add(field + ": a description has no words for it");
+                omitted.add(field + ": has no equivalent in a description");
             }
         }
         if (settings.path("countedBy").text().equals("work")) {
-            omitted.add("countedBy: worth counts for each request");
+            omitted.add("countedBy: a description values each request, not each unit of work");
         }
     }
 }
--- a/src/main/java/kitemux/app/ConfigWriter.java
+++ b/src/main/java/kitemux/app/ConfigWriter.java
@@ -10,32 +10,34 @@
 import kitemux.config.ConfigText;
 import kitemux.members.Member;
 
-/** What a described application's node is told. */
+/** Writes the configuration of a node from an application's description. */
 public final class ConfigWriter {
     private static final String ZONE_NAME = "here";
 
     private ConfigWriter() {}
 
     /**
-     * A configuration in the platform's form. The same description gives the same bytes.
+     * Returns a configuration in the platform's JSON format, with the servers of the description. The same arguments
+     * give the same text.
      *
-     * @param seed for random numbers, 1 to 16 hex digits
-     * @throws IllegalArgumentException if the description breaks a rule: what is wrong is not written
+     * @param seed seed for random numbers, 1 to 16 hex digits
+     * @throws IllegalArgumentException if the description is invalid
      */
     public static String toJson(App app, String seed) {
         return toJson(app, describedServers(app), seed);
     }
 
     /**
-     * The same of an application whose servers are told by somebody else than the description.
+     * Returns a configuration in the platform's JSON format, with servers from another source than the description.
      *
+     * @param seed seed for random numbers, 1 to 16 hex digits
      * @throws IllegalArgumentException as {@link #toJson(App, String)}
      */
     public static String toJson(App app, List<ConfigText.Server> servers, String seed) {
         if (!AppValidator.validate(app).isEmpty()) {
-            throw new IllegalArgumentException("a description that breaks a rule is not written");
+            throw new IllegalArgumentException("cannot write the configuration: the description is invalid");
         }
-        // Without a list elsewhere nobody asks for one: the node is its own discovery, and does not call it.
+        // A node without discovery is configured with its own address as a placeholder, which it does not call.
         String discovery = app.discoveryAddress().isEmpty() ? app.listenAddress() : app.discoveryAddress();
         return ConfigText.node(
                 new ConfigText.Node(
@@ -50,14 +52,14 @@
                 servers);
     }
 
-    /** Those that are described and get anything at all, as a node is told of them. */
+    /** Returns the described servers that receive requests, in the form of the configuration. */
     private static List<ConfigText.Server> describedServers(App app) {
         return describedMembers(app).stream()
                 .map(member -> toServer(member, member.draining(), 0))
                 .toList();
     }
 
-    /** Those that are described and get anything at all. */
+    /** Returns the described servers that are in the first pool, if there are pools, and that are not gone. */
     public static List<Member> describedMembers(App app) {
         List<Member> members = new ArrayList<>();
         for (App.Server server : app.servers()) {
@@ -72,10 +74,10 @@
     }
 
     /**
-     * A server as a node is told of it.
+     * Returns the configuration entry of a server.
      *
-     * @param draining whether it gets nothing new
-     * @param startedUs Unix time in microseconds; 0 for long ago
+     * @param draining whether the server receives no new requests
+     * @param startedUs start time of the server as Unix time in microseconds; 0 if it started long ago
      */
     public static ConfigText.Server toServer(Member member, boolean draining, long startedUs) {
         return new ConfigText.Server(
@@ -89,7 +91,7 @@
                 member.address());
     }
 
-    /** What the decision module is told. */
+    /** Returns the settings of the decision module. */
     public static Settings toSettings(App app) {
         Settings settings = new Settings();
         settings.zones.add(ZONE_NAME);
--- a/src/main/java/kitemux/app/DescriptionWatcher.java
+++ b/src/main/java/kitemux/app/DescriptionWatcher.java
@@ -5,11 +5,12 @@
 import java.util.Objects;
 
 /**
- * What becomes of a description that changes while a process runs by it. A text counts once it was the
- * same at
- * two looks, so that one which is just being written is not read; one that is gone or broken changes nothing.
- * Servers may change, all else needs a new process: half a change would be a description that nobody wrote.
- * Pure: who looks, and how often, is not its affair.
+ * Decides how a process reacts when its description changes.
+ *
+ * <p>A new text is parsed only after two consecutive observations of the same text, so that a file that is still being
+ * written is not read. A missing or invalid description changes nothing. Only servers and pools can change at run time;
+ * a change that also affects anything else is rejected as a whole, because a partial change would be a description that
+ * nobody wrote. The class does no I/O: the caller reads the file at its own interval.
  */
 public final class DescriptionWatcher {
     private App current;
@@ -17,19 +18,20 @@
     private String lastObservedText;
 
     /**
-     * What a look leads to.
+     * Reaction to an observation.
      *
-     * @param newApp the description to go on by, or null to go on as it is
-     * @param messages lines for the operators; empty where nothing is new
+     * @param newApp the description to apply; null to keep the current one
+     * @param messages messages for the operators; empty if there is nothing new
      */
     public record Decision(App newApp, List<String> messages) {
         private static final Decision NO_CHANGE = new Decision(null, List.of());
     }
 
     /**
-     * Begins with a description that holds.
+     * Creates a watcher.
      *
-     * @param text that it was read from
+     * @param app the description in force
+     * @param text the text it was parsed from
      */
     public DescriptionWatcher(App app, String text) {
         current = app;
@@ -37,24 +39,29 @@
         lastObservedText = text;
     }
 
-    /** A look at the description: its text, or null where it cannot be read. */
+    /**
+     * Handles an observation of the description.
+     *
+     * @param text the current text; null if it cannot be read
+     */
     public Decision observe(String text) {
         boolean settled = Objects.equals(text, lastObservedText);
         lastObservedText = text;
         if (!settled || Objects.equals(text, lastHandledText)) {
             return Decision.NO_CHANGE;
         }
-        // Told once, and not at each look.
+        // Recorded before parsing, so that a problem is reported once and not at every observation.
         lastHandledText = text;
         if (text == null) {
-            return new Decision(null, List.of("the description cannot be read any more; what it said holds"));
+            return new Decision(
+                    null, List.of("the description cannot be read any more; its last valid version remains in use"));
         }
         AppParser.Result result = AppParser.parse(text);
         if (!result.findings().isEmpty()) {
             List<String> messages = new ArrayList<>();
             result.findings()
                     .forEach(finding -> messages.add(result.places().with("the description", finding.format())));
-            messages.add("the description has changed and is not sound; what it said before holds");
+            messages.add("the changed description is invalid; what it said before holds");
             return new Decision(null, messages);
         }
         App next = result.app();
@@ -63,17 +70,20 @@
             return new Decision(
                     null,
                     List.of("the description has changed in " + String.join(", ", changedFields)
-                            + ", which needs a new process; all of what it said before holds"));
+                            + ", which requires a restart; no part of the change is applied"));
         }
         if (next.equals(current)) {
-            return new Decision(null, List.of("the description reads differently and means the same"));
+            return new Decision(null, List.of("the description has changed only in form; there is nothing to apply"));
         }
         List<String> messages = Differences.between(current, next);
         current = next;
         return new Decision(next, messages);
     }
 
-    /** What differs besides servers and the pool that they are in. */
+    /**
+     * Returns the names of the changed fields and blocks that cannot change at run time: all but servers, pools,
+     * networks, never_twice, journaled and keys.
+     */
     private static List<String> changesRequiringRestart(App before, App next) {
         List<String> changedFields = new ArrayList<>();
         addIfChanged(changedFields, "name", before.name(), next.name());
--- a/src/main/java/kitemux/app/Differences.java
+++ b/src/main/java/kitemux/app/Differences.java
@@ -9,26 +9,26 @@
 import java.util.function.Function;
 import kitemux.Balancer.RetrySafety;
 
-/** What one description says otherwise than another, in words: whose traffic, and how. */
+/** Describes the differences between two descriptions: which traffic is affected, and how. */
 public final class Differences {
     private final List<String> lines = new ArrayList<>();
 
     private Differences() {}
 
-    /** One line for each difference; empty where both mean the same. */
+    /** Returns a line for each difference; empty if both descriptions have the same meaning. */
     public static List<String> between(App before, App next) {
         Differences differences = new Differences();
         differences.addIfChanged("name", before.name(), next.name());
-        differences.addIfChanged("clients connect at", before.listenAddress(), next.listenAddress());
-        differences.addIfChanged("operators call at", before.operatorAddress(), next.operatorAddress());
-        differences.addIfChanged("the list of servers is at", before.discoveryAddress(), next.discoveryAddress());
-        differences.addIfChanged("servers are told by", before.members(), next.members());
-        differences.addIfChanged("checks of servers", before.health(), next.health());
+        differences.addIfChanged("listen address", before.listenAddress(), next.listenAddress());
+        differences.addIfChanged("operators' address", before.operatorAddress(), next.operatorAddress());
+        differences.addIfChanged("discovery address", before.discoveryAddress(), next.discoveryAddress());
+        differences.addIfChanged("sources of servers", before.members(), next.members());
+        differences.addIfChanged("health checks", before.health(), next.health());
         differences.addIfChanged("logs", before.logs(), next.logs());
-        differences.addIfChanged("servers must lie in", before.networks(), next.networks());
+        differences.addIfChanged("networks of servers", before.networks(), next.networks());
         differences.addIfChanged(
-                "never twice, whatever else is said:", before.neverTwiceClasses(), next.neverTwiceClasses());
-        differences.addIfChanged("orders must be journaled:", before.journalRequired(), next.journalRequired());
+                "classes that must never run twice:", before.neverTwiceClasses(), next.neverTwiceClasses());
+        differences.addIfChanged("journal required:", before.journalRequired(), next.journalRequired());
         differences.compareByName(
                 "class", before.classes(), next.classes(), App.RequestClass::name, differences::compareClasses);
         differences.compareByName(
@@ -48,9 +48,9 @@
                 (was, now) -> differences.lines.add(
                         "tenant " + now.name() + ": " + now.share() + " of the quota, before " + was.share()));
         differences.addIfChanged("requests a second of all tenants", before.quotaPerS(), next.quotaPerS());
-        differences.addIfChanged("what servers know of keys", before.keys(), next.keys());
+        differences.addIfChanged("idempotency keys on servers", before.keys(), next.keys());
         differences.addIfChanged("limits", before.limits(), next.limits());
-        differences.addIfChanged("what servers need", before.rules(), next.rules());
+        differences.addIfChanged("requirements of servers", before.rules(), next.rules());
         differences.addIfChanged("journal", before.journal(), next.journal());
         return differences.lines;
     }
@@ -65,7 +65,7 @@
         return String.valueOf(value).isEmpty() ? "nowhere" : String.valueOf(value);
     }
 
-    /** What differs between two of the same name. */
+    /** Adds the differences between two items of the same name. */
     private interface Comparison<T> {
         void compare(T before, T next);
     }
@@ -82,7 +82,7 @@
                 comparison.compare(previous, item);
             }
         }
-        remaining.keySet().forEach(removed -> lines.add(type + " " + removed + " is described no more"));
+        remaining.keySet().forEach(removed -> lines.add(type + " " + removed + " is no longer described"));
     }
 
     private void compareServers(App.Server before, App.Server next) {
@@ -90,9 +90,9 @@
         if (before.state() != next.state()) {
             lines.add(prefix + " is " + displayName(next.state()) + ", before " + displayName(before.state())
                     + switch (next.state()) {
-                        case READY -> ": it gets its part of all that comes";
-                        case DRAINING -> ": it gets nothing new and finishes what it has";
-                        case GONE -> ": it gets nothing";
+                        case READY -> ": it receives its share of the requests";
+                        case DRAINING -> ": it receives no new requests and completes those in flight";
+                        case GONE -> ": it receives no requests";
                     });
         }
         addIfChanged(prefix + " is at", before.address(), next.address());
@@ -105,19 +105,19 @@
             lines.add(
                     prefix + " is " + displayName(next.retrySafety()) + ", before " + displayName(before.retrySafety())
                             + (before.retrySafety() == RetrySafety.UNSAFE
-                                    ? ": it MAY BE SENT AGAIN after a failure from now on"
+                                    ? ": requests MAY BE SENT AGAIN after a failure from now on"
                                     : next.retrySafety() == RetrySafety.UNSAFE
-                                            ? ": it fails where it was sent again before"
+                                            ? ": requests fail where they were retried before"
                                             : ""));
         }
-        addIfChanged(prefix + ": a repeat may reach", before.dedupScope(), next.dedupScope());
-        addDurationIfChanged(prefix + ": it may be sent again for", before.dedupWindowUs(), next.dedupWindowUs());
+        addIfChanged(prefix + ": retries may reach", before.dedupScope(), next.dedupScope());
+        addDurationIfChanged(prefix + ": may be retried for", before.dedupWindowUs(), next.dedupWindowUs());
         addDurationIfChanged(prefix + ": in time within", before.targetLatencyUs(), next.targetLatencyUs());
         addDurationIfChanged(prefix + ": given up after", before.deadlineUs(), next.deadlineUs());
         addIfChanged(prefix + ": worth", before.worth(), next.worth());
-        addIfChanged(prefix + ": worth when late", before.lateWorth(), next.lateWorth());
+        addIfChanged(prefix + ": share of the worth when late", before.lateWorth(), next.lateWorth());
         addIfChanged(prefix + ": served by pool", before.pool(), next.pool());
-        addIfChanged(prefix + ": attempts", before.maxAttempts(), next.maxAttempts());
+        addIfChanged(prefix + ": maximum attempts", before.maxAttempts(), next.maxAttempts());
         addIfChanged(prefix + ": second copies", before.hedgingAllowed(), next.hedgingAllowed());
     }
 
--- a/src/main/java/kitemux/app/Field.java
+++ b/src/main/java/kitemux/app/Field.java
@@ -3,15 +3,17 @@
 import java.util.List;
 
 /**
- * A field of a description: what reading, checking, the reference, the schema and {@code explain} are made
- * from.
+ * Definition of a field of a description. Parsing, range checks, the reference page, the JSON schema and
+ * {@code config explain} are all based on it.
  *
- * @param block where it stands; empty for the top
- * @param kind what it holds
- * @param defaultValue what holds where it is not given; null where it must be
- * @param min and {@code most}: within which a number must lie; times are microseconds
- * @param allowedValues that it may be, where its kind is a word
- * @param description what it is for and, where that is no matter of course, why it is bounded
+ * @param block type of the block that contains the field; empty for the top level
+ * @param kind type of the value
+ * @param defaultValue value, as text, if the field is not given; empty for none, null if the field is required
+ * @param min smallest allowed number, with durations in microseconds; {@link Double#MIN_NORMAL} for any number above
+ *     0, negative infinity for no bound
+ * @param max largest allowed number, with durations in microseconds; infinity for no bound
+ * @param allowedValues the allowed words of a field of the kind {@link Kind#ENUM}; otherwise empty
+ * @param description purpose of the field and, where it is not obvious, the reason for its range
  */
 public record Field(
         String block,
@@ -23,7 +25,7 @@
         List<String> allowedValues,
         String description) {
 
-    /** What a field holds. */
+    /** Type of a field's value. */
     public enum Kind {
         /** A text. */
         TEXT("text"),
@@ -31,15 +33,15 @@
         TEXT_LIST("list of texts"),
         /** An IPv4 address and a port. */
         ADDRESS("address:port"),
-        /** A time with its unit. */
+        /** A duration with its unit. */
         DURATION("time"),
         /** A number. */
         NUMBER("number"),
         /** A whole number. */
         INTEGER("whole number"),
-        /** True or false. */
+        /** Either true or false. */
         BOOLEAN("true or false"),
-        /** One of some words. */
+        /** One of a fixed set of words. */
         ENUM("word");
 
         private final String displayName;
@@ -48,18 +50,18 @@
             this.displayName = displayName;
         }
 
-        /** In words. */
+        /** The name of the kind in the reference page and in {@code config explain}. */
         public String displayName() {
             return displayName;
         }
     }
 
-    /** How {@code explain} and faults name it, such as {@code limits.attempts}. */
+    /** The block and the name of the field, such as {@code limits.attempts}. */
     public String key() {
         return block.isEmpty() ? name : block + "." + name;
     }
 
-    /** Its range in words; empty where it has none. */
+    /** The range or the allowed values in words; empty if there is no restriction. */
     public String range() {
         if (kind == Kind.ENUM) {
             return String.join(", ", allowedValues);
@@ -73,7 +75,7 @@
         return Double.isInfinite(max) ? from : from + (min == Double.MIN_NORMAL ? " and up to " : " to ") + format(max);
     }
 
-    /** The rule that is broken where it lies beyond its range. */
+    /** The rule that a value outside the range violates. */
     Rule rangeRule() {
         if (key().equals("quota") || key().equals("tenant.share")) {
             return Rule.SHARES;
--- a/src/main/java/kitemux/app/Fields.java
+++ b/src/main/java/kitemux/app/Fields.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import kitemux.app.Field.Kind;
 
-/** All fields of a description, in the order of the reference. Nothing of them is written anywhere else. */
+/** Defines all fields of a description, in the order of the reference page. This table is the only definition. */
 public final class Fields {
     private static final double UNBOUNDED = Double.POSITIVE_INFINITY;
     private static final double MILLISECOND_US = 1e3;
@@ -14,181 +14,229 @@
     private static final double HOUR_US = 3_600e6;
 
     private static final Map<String, Field> FIELDS_BY_KEY = new LinkedHashMap<>();
-    /** Blocks, with what each is; those of {@link #LABELLED_BLOCKS} have a name and may be there several times. */
+
+    /** Descriptions of the blocks; those in {@link #LABELLED_BLOCKS} have a label and may occur several times. */
     private static final Map<String, String> BLOCK_DESCRIPTIONS = new LinkedHashMap<>();
 
     private static final List<String> LABELLED_BLOCKS = List.of("server", "pool", "class", "tenant");
 
     static {
         addBlock("", "the application itself");
-        addText("", "name", null, "what it is called; what a sidecar leaves for the next one is found by it");
-        addField("", "listen", Kind.ADDRESS, null, "where its clients connect");
+        addText(
+                "",
+                "name",
+                null,
+                "name of the application; a sidecar finds the state that its predecessor stored under this name");
+        addField("", "listen", Kind.ADDRESS, null, "address that clients connect to");
         addField(
                 "",
                 "operators",
                 Kind.ADDRESS,
                 "",
-                "where operators call (operations.md); nowhere where it is not given");
+                "address of the operators' interface (operations.md); without it there is none");
         addField(
                 "",
                 "discovery",
                 Kind.ADDRESS,
                 "",
-                "where the platform's list of servers is, watched by the node itself");
-        addTextList("", "networks", "in which servers must lie; any where it is not given");
-        addTextList("", "never_twice", "classes that must never run twice, whatever else is said of them");
-        addBoolean("", "journaled", false, "whether never-twice work must be journaled before it is sent");
-        addNumber("", "quota", "0", 0, UNBOUNDED, "requests a second of all tenants together; 0 for no bound");
+                "address of the platform's list of servers, which the node watches itself");
+        addTextList("", "networks", "networks that server addresses must belong to; without it any address is allowed");
+        addTextList(
+                "",
+                "never_twice",
+                "classes that must never run twice; describing one of them as retryable is an error");
+        addBoolean("", "journaled", false, "whether never-twice requests must be journaled before they are sent");
+        addNumber("", "quota", "0", 0, UNBOUNDED, "requests per second of all tenants together; 0 for no limit");
 
         addBlock("server", "a server");
-        addField("server", "address", Kind.ADDRESS, null, "where it listens");
-        addInteger("server", "rack", "0", 0, 1_000_000, "the group of servers that knows the same keys");
+        addField("server", "address", Kind.ADDRESS, null, "address that it listens on");
+        addInteger(
+                "server",
+                "rack",
+                "0",
+                0,
+                1_000_000,
+                "rack of the server; servers in a rack recognise the same idempotency keys");
         addEnum(
                 "server",
                 "state",
                 "ready",
-                "what it is up to: ready takes its part, draining finishes what it has," + " gone is left out",
+                "ready receives requests, draining only completes those in flight," + " gone is left out",
                 "ready",
                 "draining",
                 "gone");
 
-        addBlock("pool", "servers that serve the same classes; without one all do");
-        addTextList("pool", "servers", "by their names");
+        addBlock("pool", "servers that serve the same classes; without a pool all servers serve all classes");
+        addTextList("pool", "servers", "names of the servers");
 
         addBlock("class", "a class of requests");
         addEnum(
                 "class",
                 "again",
                 null,
-                "whether it may run again: as often as wanted, within a window where servers drop"
-                        + " repeats by a key, or never",
+                "whether requests may run more than once: safe always, keyed within a window in which servers"
+                        + " drop repeats of a key, never-twice not at all",
                 "safe",
                 "keyed",
                 "never-twice");
-        addEnum("class", "group", "all", "which servers drop repeats of a keyed one", "all", "rack");
-        addDuration("class", "window", "0ms", 0, HOUR_US, "how long a keyed one may be sent again");
+        addEnum("class", "group", "all", "which servers drop repeats of a keyed request", "all", "rack");
+        addDuration("class", "window", "0ms", 0, HOUR_US, "how long a keyed request may be retried");
         addDuration(
                 "class",
                 "aim",
                 null,
                 MILLISECOND_US,
                 HOUR_US,
-                "answers within it are in time; under 1 ms it is over before a request is read");
-        addDuration("class", "deadline", null, MILLISECOND_US, HOUR_US, "after it a request is given up");
+                "answers within this time are in time; less than 1 ms would pass before a request is read");
+        addDuration("class", "deadline", null, MILLISECOND_US, HOUR_US, "time after which a request is abandoned");
         addNumber(
                 "class",
                 "worth",
                 "1",
                 Double.MIN_NORMAL,
                 UNBOUNDED,
-                "what one is worth against others, where not all can be" + " served");
-        addNumber("class", "late_worth", "0", 0, 1, "share of it for an answer after the aim");
-        addText("class", "pool", "", "that serves it; not needed where there is one");
-        addInteger("class", "attempts", "0", 0, 16, "attempts at most; 0 for limits.attempts");
-        addBoolean("class", "second_copies", false, "whether two attempts may be out at once");
-
-        addBlock("tenant", "who asks");
-        addNumber("tenant", "share", null, Double.MIN_NORMAL, 1, "its part of the quota");
-
-        addBlock("keys", "what servers know of the keys of keyed work");
-        addDuration("keys", "kept", "0ms", 0, 24 * HOUR_US, "how long they remember one");
-        addEnum("keys", "shared", "all", "by which servers it is known", "all", "rack");
-
-        addBlock("members", "where servers come from, besides those described here");
-        addText("members", "file", "", "a file of servers as JSON, looked at as the description is");
-        addText("members", "list", "", "the same by HTTP, such as http://10.0.0.9:8500/servers");
+                "value of a request relative to other classes, if not all can be" + " served");
+        addNumber("class", "late_worth", "0", 0, 1, "share of the worth of an answer that is later than the aim");
+        addText("class", "pool", "", "pool that serves the class; not needed if there is only one");
+        addInteger("class", "attempts", "0", 0, 16, "maximum number of attempts; 0 for limits.attempts");
+        addBoolean("class", "second_copies", false, "whether a request may have two attempts in flight at once");
+
+        addBlock("tenant", "a tenant");
+        addNumber("tenant", "share", null, Double.MIN_NORMAL, 1, "share of the quota");
+
+        addBlock("keys", "how servers store the keys of keyed requests");
+        addDuration("keys", "kept", "0ms", 0, 24 * HOUR_US, "how long servers remember a key");
+        addEnum("keys", "shared", "all", "which servers share a key", "all", "rack");
+
+        addBlock("members", "sources of servers other than this description");
+        addText("members", "file", "", "JSON file that lists the servers; watched for changes as the description is");
+        addText("members", "list", "", "URL of such a list, such as http://10.0.0.9:8500/servers");
         addDuration(
                 "members",
                 "refresh",
                 "5s",
                 SECOND_US / 10,
                 HOUR_US,
-                "between two looks at the list; more often is a load on who keeps it");
+                "interval between two requests for the list; a shorter one would load its server");
         addDuration(
-                "members",
-                "back_off",
-                "60s",
-                SECOND_US / 10,
-                HOUR_US,
-                "longest pause after it has failed several times in a row");
+                "members", "back_off", "60s", SECOND_US / 10, HOUR_US, "maximum interval after consecutive failures");
         addNumber(
                 "members",
                 "most_lost",
                 "0.5",
                 0,
                 1,
-                "share of the servers that may be missing from it at once; more is" + " doubted");
-        addDuration("members", "sure", "30s", 0, HOUR_US, "what is doubted counts once it has been told for so long");
-        addText("members", "state", "", "a folder in which the sidecar leaves what it knows for the next one");
+                "share of the servers that may be missing from a list at once; if more are"
+                        + " missing, they are kept until members.sure has passed");
+        addDuration(
+                "members", "sure", "30s", 0, HOUR_US, "how long such servers must be missing before they are removed");
+        addText("members", "state", "", "folder in which the sidecar stores the known servers for its successor");
 
-        addBlock("health", "how servers are checked; not at all without it");
-        addText("health", "path", "/", "asked of each server; an answer of 200 to 299 passes");
+        addBlock("health", "health checks of servers; without this block there are none");
+        addText("health", "path", "/", "path that is requested from each server; a status from 200 to 299 passes");
         addDuration(
                 "health",
                 "every",
                 "2s",
                 SECOND_US / 10,
                 HOUR_US,
-                "between two checks of a server; each costs it a request");
-        addDuration("health", "timeout", "500ms", MILLISECOND_US, 60 * SECOND_US, "a check that takes longer fails");
-        addInteger("health", "fall", "3", 1, 100, "failures in a row that take a server out");
-        addInteger("health", "rise", "2", 1, 100, "passes in a row that bring it back");
-        addNumber("health", "most_out", "0.5", 0, 0.9, "share of the servers that checks may take out together");
+                "interval between two checks of a server; each check costs the server a request");
+        addDuration("health", "timeout", "500ms", MILLISECOND_US, 60 * SECOND_US, "time after which a check fails");
+        addInteger("health", "fall", "3", 1, 100, "number of consecutive failures after which a server is ejected");
+        addInteger(
+                "health",
+                "rise",
+                "2",
+                1,
+                100,
+                "number of consecutive passes after which an ejected server is restored");
+        addNumber("health", "most_out", "0.5", 0, 0.9, "share of the servers that may be ejected at once");
         addDuration(
                 "health",
                 "hold",
                 "5s",
                 0,
                 HOUR_US,
-                "out for so long at least; doubled each time that it is taken out again");
-        addDuration("health", "most_hold", "5m", 0, 24 * HOUR_US, "but no longer than this");
+                "minimum duration of an ejection; doubled each time the server is ejected again");
+        addDuration("health", "most_hold", "5m", 0, 24 * HOUR_US, "upper bound of the minimum duration of an ejection");
 
-        addBlock("limits", "bounds of the process");
-        addInteger("limits", "attempts", "4", 1, 16, "of one request; more would feed a storm");
+        addBlock("limits", "limits of the process");
+        addInteger(
+                "limits",
+                "attempts",
+                "4",
+                1,
+                16,
+                "maximum number of attempts for a request; more would amplify overload");
         addBoolean(
                 "limits",
                 "second_copies",
                 true,
-                "whether a request may have two attempts out at once, where its class may");
+                "whether a request may have two attempts in flight at once, if its class allows it");
         addDuration(
                 "limits",
                 "connect",
                 "250ms",
                 MILLISECOND_US,
                 60 * SECOND_US,
-                "for a connection to come up; none does in under 1 ms");
+                "timeout for opening a connection; less than 1 ms is never enough");
         addDuration(
                 "limits",
                 "idle",
                 "15s",
                 SECOND_US / 10,
                 24 * HOUR_US,
-                "after which servers close idle connections; under 100 ms nearly" + " each request needs a new one");
-        addDuration("limits", "retry_after", "1s", 0, HOUR_US, "longest advice to a client on when to come back");
-        addInteger("limits", "sockets", "1024", 64, 65_535, "descriptors that the process may hold");
-        addInteger("limits", "memory_mib", "128", 64, 1 << 20, "of the process");
+                "time after which servers close idle connections; below 100 ms nearly"
+                        + " every request would need a new connection");
+        addDuration("limits", "retry_after", "1s", 0, HOUR_US, "maximum retry delay that a client is advised");
+        addInteger("limits", "sockets", "1024", 64, 65_535, "maximum number of file descriptors of the process");
+        addInteger("limits", "memory_mib", "128", 64, 1 << 20, "memory of the process in MiB");
 
-        addBlock("rules", "what servers need of those who send to them");
-        addDuration("rules", "drain", "500ms", 0, HOUR_US, "nothing new reaches a server that drains after this");
+        addBlock("rules", "what servers require of their clients");
+        addDuration(
+                "rules",
+                "drain",
+                "500ms",
+                0,
+                HOUR_US,
+                "time after which a draining server must not receive new requests");
         addNumber("rules", "cold_from", "1", Double.MIN_NORMAL, 1, "share of its capacity with which a server starts");
-        addDuration("rules", "cold", "0ms", 0, 24 * HOUR_US, "after which it is warm");
-        addNumber("rules", "overload", "4", 1, 1_000, "times what it can do while cold that a server bears");
-        addDuration("rules", "fall", "2s", MILLISECOND_US, HOUR_US, "for so long");
+        addDuration("rules", "cold", "0ms", 0, 24 * HOUR_US, "time until a started server has its full capacity");
+        addNumber(
+                "rules",
+                "overload",
+                "4",
+                1,
+                1_000,
+                "multiple of its current capacity that a cold server can receive without failing");
+        addDuration(
+                "rules",
+                "fall",
+                "2s",
+                MILLISECOND_US,
+                HOUR_US,
+                "period over which the load of a cold server is measured");
 
-        addBlock("orders", "the journal of never-twice work (orders.md)");
-        addText("orders", "folder", "", "where it is kept");
-        addDuration("orders", "late", "100ms", MILLISECOND_US, 60 * SECOND_US, "a send waits for its record no longer");
+        addBlock("orders", "the journal of never-twice requests (orders.md)");
+        addText("orders", "folder", "", "folder of the journal");
+        addDuration(
+                "orders",
+                "late",
+                "100ms",
+                MILLISECOND_US,
+                60 * SECOND_US,
+                "how long a send waits for its journal entry");
 
-        addBlock("logs", "what the sidecar says");
-        addEnum("logs", "form", "text", "a line of text, or of JSON with time, level and who says it", "text", "json");
+        addBlock("logs", "log output of the sidecar");
+        addEnum("logs", "form", "text", "text lines, or JSON objects with time, level and source", "text", "json");
         addInteger(
                 "logs",
                 "queue",
                 "4096",
                 16,
                 1 << 20,
-                "lines that wait to be written; further ones are counted and left"
-                        + " out, as nobody may wait for them");
+                "maximum number of lines that wait to be written; further lines are dropped"
+                        + " and counted, so that logging never blocks");
     }
 
     private Fields() {}
@@ -238,22 +286,22 @@
                 block, name, Kind.ENUM, defaultValue, -UNBOUNDED, UNBOUNDED, List.of(allowedValues), description));
     }
 
-    /** All of them, in order. */
+    /** Returns all fields, in the order of the reference page. */
     public static List<Field> all() {
         return List.copyOf(FIELDS_BY_KEY.values());
     }
 
-    /** The names of blocks, in order, the top first, with what each is. */
+    /** Returns the types of blocks with their descriptions, in order; the top level, an empty type, comes first. */
     public static Map<String, String> blocks() {
         return new LinkedHashMap<>(BLOCK_DESCRIPTIONS);
     }
 
-    /** Whether blocks of this name carry a label and may be there several times. */
+    /** Whether blocks of this type have a label and may occur several times. */
     public static boolean isLabelled(String block) {
         return LABELLED_BLOCKS.contains(block);
     }
 
-    /** The fields of a block, in order. */
+    /** Returns the fields of a type of block, in order. */
     public static List<Field> inBlock(String block) {
         return FIELDS_BY_KEY.values().stream()
                 .filter(field -> field.block().equals(block))
@@ -261,21 +309,21 @@
     }
 
     /**
-     * A field by its key.
+     * Returns the field with a key, such as {@code limits.attempts}.
      *
-     * @throws IllegalArgumentException if there is none
+     * @throws IllegalArgumentException if there is no such field
      */
     public static Field get(String key) {
         Field found = FIELDS_BY_KEY.get(key);
         if (found == null) {
-            throw new IllegalArgumentException("there is no field " + key);
+            throw new IllegalArgumentException("unknown field: " + key);
         }
         return found;
     }
 
     /**
-     * Keys that somebody may have meant who wrote this one: all of a block, all that end with it, or the
-     * nearest.
+     * Returns the fields that a user may mean: the field with this key, or else all fields in a block or with a name
+     * that equals it; empty if there are none.
      */
     public static List<Field> findSimilar(String key) {
         List<Field> found = new ArrayList<>();
--- a/src/main/java/kitemux/app/Finding.java
+++ b/src/main/java/kitemux/app/Finding.java
@@ -1,15 +1,15 @@
 package kitemux.app;
 
 /**
- * Something wrong with a description.
+ * A violation of a rule in a description.
  *
- * @param rule what was broken
- * @param location path of the field or block, as {@link kitemux.hcl.Section} names them; or line and column; or
- * empty
- * @param message is wrong there, and what would come of it
+ * @param rule the violated rule
+ * @param location path of the field or block in the form of {@link kitemux.hcl.Section}, or {@code line:column}, or
+ *     empty for the whole file
+ * @param message what is wrong and what the consequence would be
  */
 public record Finding(Rule rule, String location, String message) {
-    /** As a line: code, path, what is wrong and how to mend it. */
+    /** Formats the finding as a line with its location, code, message and remedy. */
     public String format() {
         return location + ": " + rule.code() + " " + message + "; " + rule.remedy();
     }
--- a/src/main/java/kitemux/app/FindingReport.java
+++ b/src/main/java/kitemux/app/FindingReport.java
@@ -10,22 +10,23 @@
 import java.util.regex.Pattern;
 
 /**
- * What was found in descriptions, for programs: as JSON, or as SARIF 2.1.0, which code hosts and editors
- * show.
+ * Reports findings in machine-readable formats: JSON, or SARIF 2.1.0, which code hosts and editors display.
  */
 public final class FindingReport {
     private static final Pattern POSITION_PATTERN = Pattern.compile("(?s)(.*):(\\d+):(\\d+): (.*)");
 
     /**
-     * A finding in a file.
+     * A finding with its position in a file.
      *
-     * @param line and {@code column}: from 1; 0 where they are not known
+     * @param file path of the file
+     * @param line line, from 1; 0 if it is unknown
+     * @param column column, from 1; 0 if it is unknown
      */
     public record LocatedFinding(String file, int line, int column, Finding finding) {}
 
     private FindingReport() {}
 
-    /** What was found in a file, with the places that are known. */
+    /** Returns the findings in a file with their positions, where they are known. */
     public static List<LocatedFinding> locate(String file, AppParser.Result result) {
         return result.findings().stream()
                 .map(finding -> {
@@ -44,6 +45,7 @@
                 .toList();
     }
 
+    /** Writes the content of a JSON document. */
     private interface JsonBody {
         void write(JsonGenerator generator) throws IOException;
     }
@@ -59,7 +61,7 @@
         return output.toString();
     }
 
-    /** A list of objects. */
+    /** Formats findings as a JSON array of objects. */
     public static String toJson(List<LocatedFinding> findings) {
         return writeJson(generator -> {
             generator.writeStartArray();
@@ -79,7 +81,7 @@
         });
     }
 
-    /** A log of one run. */
+    /** Formats findings as a SARIF log of one run. */
     public static String toSarif(List<LocatedFinding> findings) {
         return writeJson(generator -> {
             generator.writeStartObject();
--- a/src/main/java/kitemux/app/Rule.java
+++ b/src/main/java/kitemux/app/Rule.java
@@ -1,75 +1,93 @@
 package kitemux.app;
 
-/** What a description is held against. Codes stay what they are; what they stand for is in {@link #description}. */
+/**
+ * The rules that descriptions are checked against. The code of a rule never changes; {@link #description} tells what
+ * the rule is about.
+ */
 public enum Rule {
-    /** A field or block that cannot be read. */
-    SHAPE("KX001", "a field is missing, unknown, or not of its kind", "see the field's line in the reference"),
-    /** Twice the same name or address. */
-    TWICE("KX002", "a name or an address is there twice", "give each its own"),
-    /** A name that stands for nothing. */
-    UNKNOWN("KX003", "something is named that is not described", "describe it, or take its name away"),
+    /** A field or block cannot be read. */
+    SHAPE("KX001", "a field is missing, unknown, or of the wrong kind", "see the field in the reference"),
+    /** A name or an address is used twice. */
+    TWICE("KX002", "a name or an address is used twice", "make it unique"),
+    /** A name refers to nothing. */
+    UNKNOWN("KX003", "a name refers to something that is not described", "describe it, or remove the name"),
 
-    /** Work that must never run twice is described so that it could. */
-    NEVER_TWICE("KX101", "work that must never run twice could run twice", "say never-twice wherever it is named"),
-    /** A keyed class that may be sent again for longer than servers remember its key. */
-    WINDOW("KX102", "a key is used for longer than servers remember it", "make the window no longer than keys.kept"),
-    /** A keyed class that may go where its key is not known. */
-    GROUP("KX103", "a repeat may reach servers that do not know its key", "make the group what keys.shared says"),
-    /** Never-twice work without a journal that was asked for. */
-    JOURNAL("KX104", "orders must be journaled and no journal is described", "describe the block orders"),
-    /** A second copy of what must not have one. */
-    COPIES("KX105", "copies are asked for where one might run beside the other", "take second_copies away"),
+    /** A class that must never run twice is described as if it could be retried. */
+    NEVER_TWICE(
+            "KX101",
+            "work that must never run twice could run twice",
+            "say never-twice in its class, and set no window or attempts there"),
+    /** A keyed class may be retried for longer than servers remember its keys. */
+    WINDOW(
+            "KX102",
+            "a key is used for longer than servers remember it",
+            "make the window at most as long as keys.kept"),
+    /** A keyed class may be retried on servers that do not know its keys. */
+    GROUP("KX103", "a retry may reach servers that do not know its key", "set the group to the value of keys.shared"),
+    /** The description requires a journal for never-twice classes but describes none. */
+    JOURNAL("KX104", "a journal is required but not described", "add the block orders with a folder"),
+    /** A class that must never run twice allows a second copy. */
+    COPIES("KX105", "second copies are allowed for a class that must never run twice", "remove second_copies"),
 
-    /** Traffic for a server that drains or is gone. */
-    DRAINED("KX201", "a server that drains or is gone would get traffic", "take it out of the pool, or make it ready"),
-    /** A pool in which no server is ready. */
-    EMPTY("KX202", "a pool has no server that is ready", "add one, or let the pool go"),
-    /** Several places that tell which servers there are. */
-    SOURCES("KX204", "which servers there are is told in several places", "keep one of them"),
-    /** A class that nothing serves. */
-    UNSERVED("KX203", "a class has no pool", "name a pool in the class, or describe one for all"),
+    /** A pool names a server that is draining or gone. */
+    DRAINED(
+            "KX201",
+            "a server that is draining or gone would receive requests",
+            "remove it from the pool, or make it ready"),
+    /** No server is ready. */
+    EMPTY("KX202", "no server is ready", "add a ready server, or remove the pool"),
+    /** Several sources list the servers. */
+    SOURCES("KX204", "several sources list the servers", "keep one of them"),
+    /** A class has no pool. */
+    UNSERVED("KX203", "a class has no pool", "name a pool in the class, or describe a single pool"),
 
-    /** Times that cannot be kept. */
-    TIMES("KX301", "times contradict one another", "see what each bounds, and make them agree"),
-    /** Not enough time for the attempts that are allowed. */
+    /** Times contradict one another or are out of range. */
+    TIMES(
+            "KX301",
+            "times contradict one another or are out of range",
+            "see the meaning and range of each in the reference"),
+    /** A deadline is too short for the allowed attempts. */
     ATTEMPTS(
             "KX302",
-            "a deadline leaves no time for the attempts that are allowed",
-            "fewer attempts, or a later deadline"),
+            "a deadline is too short for the allowed attempts",
+            "allow fewer attempts, or set a longer deadline"),
 
-    /** An address that must not be used. */
-    ADDRESS("KX401", "an address cannot be read or is not allowed", "give an IP address and a port within networks"),
+    /** An address is malformed or not allowed. */
+    ADDRESS("KX401", "an address is malformed or not allowed", "give an IP address in one of networks, and a port"),
 
-    /** Shares that do not add up. */
-    SHARES("KX501", "shares do not add up", "make them sum to 1 at most"),
-    /** Limits that the process cannot hold. */
-    LIMITS("KX601", "a limit is out of its range, or more than the memory holds", "see the range in the reference"),
-    /** What the description can say and this build cannot do. */
-    NOT_YET("KX901", "this build cannot do it", "take it away"),
-    /** A secret that anyone who reads the file has. */
-    SECRET("KX701", "a secret stands in plain sight", "name a file that holds it");
+    /** The shares of tenants, or the quota, are inconsistent or out of range. */
+    SHARES(
+            "KX501",
+            "the shares of the quota are inconsistent",
+            "set a quota above 0 and shares whose sum is at most 1"),
+    /** A limit is out of range or exceeds the memory of the process. */
+    LIMITS("KX601", "a limit is out of range, or exceeds the memory", "see the range in the reference"),
+    /** The description is valid but this version does not support it. */
+    NOT_YET("KX901", "this version does not support it", "remove it"),
+    /** A field holds a secret in plain text. */
+    SECRET("KX701", "a secret is given in plain text", "name a file that contains it");
 
     private final String code;
     private final String description;
     private final String remedy;
 
-    Rule(String code, String about, String cure) {
+    Rule(String code, String description, String remedy) {
         this.code = code;
-        this.description = about;
-        this.remedy = cure;
+        this.description = description;
+        this.remedy = remedy;
     }
 
-    /** Its code, such as KX101. */
+    /** The code of the rule, such as KX101. */
     public String code() {
         return code;
     }
 
-    /** What it is about, in a few words. */
+    /** What is wrong if the rule is violated, in a few words. */
     public String description() {
         return description;
     }
 
-    /** How what it finds is mended. */
+    /** How to correct a violation. */
     public String remedy() {
         return remedy;
     }
--- a/src/main/java/kitemux/app/StarterTemplates.java
+++ b/src/main/java/kitemux/app/StarterTemplates.java
@@ -2,19 +2,19 @@
 
 import java.util.List;
 
-/** Descriptions to begin with, for applications of some kinds: sound as they are, and to be changed. */
+/** Valid descriptions of some kinds of applications, which users adapt to their needs. */
 public final class StarterTemplates {
-    /** The kinds that there are. */
+    /** The kinds of applications that have a template. */
     public static final List<String> KINDS = List.of("web", "orders");
 
     private static final String BASE_TEMPLATE = """
             # %s
-            # config check FILE holds it against all rules; config explain KEY tells what a field is for.
+            # config check FILE checks it against all rules; config explain KEY explains a field.
             name     = "%s"
             listen   = "127.0.0.1:8080"
             networks = ["127.0.0.0/8", "10.0.0.0/8"]
             %s
-            # Put your servers here; or leave the blocks out and name a list of them in members.
+            # Describe your servers here, or remove these blocks and name a list of servers in members.
             server "web-1" {
               address = "127.0.0.1:9001"
               rack    = 0
@@ -25,7 +25,7 @@
               rack    = 1
             }
 
-            # Asked of each server; one that fails three times in a row gets nothing new.
+            # Requested from each server; a server that fails three times in a row receives no new requests.
             health {
               path = "/"
             }
@@ -39,7 +39,7 @@
 
     private static final String ORDER_BLOCKS = """
 
-            # Sent again only where servers that remember its key drop a second run.
+            # Retried only on servers that remember the key of a request and drop a second run.
             class "change-cart" {
               again    = "keyed"
               group    = "rack"
@@ -49,7 +49,7 @@
               worth    = 3
             }
 
-            # Sent once. Where nobody can say whether it ran, the client hears that.
+            # Sent only once. If it is unknown whether a request ran, the client is told so.
             class "place-order" {
               again    = "never-twice"
               aim      = "500ms"
@@ -57,7 +57,7 @@
               worth    = 5
             }
 
-            # How long servers remember a key, and which of them know of it.
+            # How long servers remember a key, and which servers share it.
             keys {
               kept   = "5s"
               shared = "rack"
@@ -67,12 +67,15 @@
     private StarterTemplates() {}
 
     /**
+     * Returns a description of an application.
+     *
      * @param kind one of {@link #KINDS}
-     * @throws IllegalArgumentException if it is none of these
+     * @param name name of the application
+     * @throws IllegalArgumentException if there is no such kind
      */
     public static String render(String kind, String name) {
         return switch (kind) {
-            case "web" -> String.format(BASE_TEMPLATE, "An application whose requests may all run again.", name, "");
+            case "web" -> String.format(BASE_TEMPLATE, "An application whose requests can all be retried.", name, "");
             case "orders" ->
                 String.format(
                                 BASE_TEMPLATE,
@@ -80,7 +83,7 @@
                                 name,
                                 "never_twice = [\"place-order\"]\n")
                         + ORDER_BLOCKS;
-            default -> throw new IllegalArgumentException("there is no kind " + kind);
+            default -> throw new IllegalArgumentException("unknown kind of application: " + kind);
         };
     }
 }
--- a/src/test/java/kitemux/app/BrokenAppsTest.java
+++ b/src/test/java/kitemux/app/BrokenAppsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Descriptions broken on purpose: each is caught, with the code of the rule that it breaks and no other. */
+/** Checks that every invalid description is reported, under the rule that it violates and under no other rule. */
 class BrokenAppsTest {
 
     private static String validDescription() {
@@ -29,7 +29,10 @@
         }
     }
 
-    /** The rule that is broken, and what takes the place of what in the sound description. */
+    /**
+     * An invalid description: the violated rule, a text that its finding contains, and the changes to the valid
+     * description, as pairs of an old and a new text.
+     */
     private static Arguments invalid(Rule rule, String field, String... changes) {
         return Arguments.of(rule, field, List.of(changes));
     }
@@ -58,7 +61,7 @@
                 + extraLines + "}\n";
     }
 
-    /** A class more, with more lines. */
+    /** A class block with additional lines. */
     private static String classBlock(String name, String retrySafety, String extraLines) {
         return "class \"" + name + "\" {\n  aim = \"200ms\"\n  deadline = \"600ms\"\n  again = \"" + retrySafety
                 + "\"\n  "
@@ -67,7 +70,7 @@
 
     static Stream<Arguments> invalidDescriptions() {
         return Stream.of(
-                // Work that must never run twice.
+                // Classes that must never run twice, and keyed classes.
                 invalid(Rule.NEVER_TWICE, "place-order", NEVER_TWICE_LINE, "again = \"safe\""),
                 invalid(
                         Rule.NEVER_TWICE,
@@ -139,7 +142,7 @@
                         "comment",
                         "class \"place-order\"",
                         classBlock("comment", "keyed", "window = \"1s\"") + "class \"place-order\""),
-                // Servers that drain or are gone.
+                // Servers that are draining or gone, and pools.
                 invalid(Rule.DRAINED, "pool \"all\"", "quota = 300", poolBlock("\"web-1\", \"web-3\"")),
                 invalid(
                         Rule.DRAINED,
@@ -259,7 +262,7 @@
                         "127.0.0.1:9002",
                         "127.0.0.2:9002"),
                 invalid(Rule.TWICE, "web-3", "127.0.0.1:9003", "127.0.0.1:9001"),
-                // Times.
+                // Times and deadlines.
                 invalid(Rule.TIMES, "aim", "aim      = \"100ms\"", "aim = \"501ms\""),
                 invalid(Rule.TIMES, "deadline", "deadline = \"1s\"", "deadline = \"2h\""),
                 invalid(Rule.TIMES, "cold", "  cold      = \"18s\"\n", ""),
@@ -306,7 +309,7 @@
                 invalid(Rule.LIMITS, "attempts", NEVER_TWICE_LINE, NEVER_TWICE_LINE + "\n  attempts = -1"),
                 invalid(Rule.SECRET, "password", "quota = 300", "quota = 300\npassword = \"hunter2\""),
                 invalid(Rule.SECRET, "token", "  kept   = \"1500ms\"", "  kept = \"1500ms\"\n  token = \"t\""),
-                // Shape.
+                // Syntax and types; then sources of servers, health checks, operators and logs.
                 invalid(Rule.SHAPE, "name", "name        = \"ordering-desk\"\n", ""),
                 invalid(Rule.SHAPE, "name", "\"ordering-desk\"", "\" \""),
                 invalid(Rule.SHAPE, "class", "again    = \"safe\"\n  aim      = \"100ms\"\n", "agian = \"safe\"\n"),
@@ -367,7 +370,7 @@
     private static String applyChanges(List<String> changes) {
         String text = validDescription();
         for (int i = 0; i < changes.size(); i += 2) {
-            assertTrue(text.contains(changes.get(i)), "nothing to change: " + changes.get(i));
+            assertTrue(text.contains(changes.get(i)), "text to replace not found: " + changes.get(i));
             text = text.replace(changes.get(i), changes.get(i + 1));
         }
         return text;
@@ -381,11 +384,13 @@
                 result.findings().stream()
                         .anyMatch(finding ->
                                 finding.rule() == rule && finding.format().contains(field)),
-                () -> "found " + result.findings().stream().map(Finding::format).toList());
+                () -> "findings: "
+                        + result.findings().stream().map(Finding::format).toList());
         if (rule != Rule.SHAPE && rule != Rule.SECRET) {
             Set<Rule> reportedRules = EnumSet.noneOf(Rule.class);
             result.findings().forEach(finding -> reportedRules.add(finding.rule()));
-            // A pool without a ready server has one that drains, or none.
+            // A pool without a ready server names only draining or gone servers, which violates DRAINED as well, or
+            // none.
             reportedRules.remove(rule == Rule.EMPTY ? Rule.DRAINED : Rule.EMPTY);
             assertEquals(
                     EnumSet.of(rule), reportedRules, () -> result.findings().toString());
@@ -404,11 +409,11 @@
                         .findings());
         assertTrue(
                 invalidDescriptions().count() >= 120,
-                "broken ones: " + invalidDescriptions().count());
+                "number of invalid descriptions: " + invalidDescriptions().count());
         Set<Rule> coveredRules = new HashSet<>();
         invalidDescriptions()
                 .forEach(arguments -> coveredRules.add((Rule) arguments.get()[0]));
-        // Several pools are told before it is asked which of them a class has.
+        // A description with several pools also violates NOT_YET, so it is checked separately below.
         coveredRules.add(Rule.UNSERVED);
         assertEquals(Set.of(Rule.values()), coveredRules);
         AppParser.Result pools = AppParser.parse(applyChanges(
--- a/src/test/java/kitemux/app/MigrateTest.java
+++ b/src/test/java/kitemux/app/ConfigMigrationTest.java
@@ -13,13 +13,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-class MigrateTest {
+/** Checks the migration of a node's configuration to a description. */
+class ConfigMigrationTest {
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** What was written from a description and made a description again is written the same, to the byte. */
+    /** A configuration that is migrated to a description and written again must be identical to the byte. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("kitemux.app.SoundAppsTest#validDescriptions")
     void migratedConfigIsWrittenBackIdentically(String scenario, List<String> changes) throws IOException {
--- a/src/test/java/kitemux/app/DifferencesTest.java
+++ b/src/test/java/kitemux/app/DifferencesTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Checks the lines that describe the differences between two descriptions. */
 class DifferencesTest {
 
     private static String validDescription() throws IOException {
@@ -29,9 +30,9 @@
         assertEquals(
                 List.of(
                         "class view-page: in time within 150.0 ms, before 100.0 ms",
-                        "server web-2 is draining, before ready: it gets nothing new and finishes what it has",
+                        "server web-2 is draining, before ready: it receives no new requests and completes those in flight",
                         "server web-4 is new",
-                        "server web-3 is described no more",
+                        "server web-3 is no longer described",
                         "tenant school-b: 0.3 of the quota, before 0.4"),
                 differencesTo(validDescription()
                         .replace("aim      = \"100ms\"", "aim = \"150ms\"")
@@ -44,8 +45,8 @@
     void classThatBecomesRetryableIsHighlighted() throws IOException {
         assertEquals(
                 List.of(
-                        "never twice, whatever else is said: [], before [place-order]",
-                        "class place-order is safe, before never-twice: it MAY BE SENT AGAIN after a failure from"
+                        "classes that must never run twice: [], before [place-order]",
+                        "class place-order is safe, before never-twice: requests MAY BE SENT AGAIN after a failure from"
                                 + " now on"),
                 differencesTo(validDescription()
                         .replace("[\"place-order\"]", "[]")
--- a/src/test/java/kitemux/app/FieldsTest.java
+++ b/src/test/java/kitemux/app/FieldsTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The one table of fields: what is read, told and drawn from it. */
+/** Checks the field definitions, and the parsing, findings, reference page and schema that are based on them. */
 class FieldsTest {
-    /** A description in which each block stands, with what must be given. */
+    /** A description with every labelled block and only the required fields. */
     private static final String MINIMAL_DESCRIPTION = "name = \"a\"\nlisten = \"127.0.0.1:8080\"\nquota = 10\n"
             + "server \"server-0\" {\n  address = \"127.0.0.1:9001\"\n}\n"
             + "pool \"pool-0\" {\n  servers = [\"server-0\"]\n}\n"
             + "class \"class-0\" {\n  again = \"safe\"\n  aim = \"200ms\"\n  deadline = \"1s\"\n}\n"
             + "tenant \"tenant-0\" {\n  share = 1\n}\n";
 
-    /** The same with one field as it is given. */
+    /** Returns the minimal description with a field set to a value. */
     private static String withField(Field field, String value) {
         String line = field.name() + " = " + value + "\n";
         String linePattern = "(?m)^ *" + field.name() + " = .*\n";
@@ -69,19 +69,20 @@
     void valuesOutsideTheRangeAreReportedAndItsBoundsAreNot(Field field) {
         double step = field.kind() == Field.Kind.NUMBER ? 0.001 : 1;
         double min = field.min() == Double.MIN_NORMAL ? 0.001 : field.min();
-        assertFalse(reportsRangeFinding(field, withField(field, format(field, min))), () -> "least of " + field);
-        // A time cannot be written that is under 0.
+        assertFalse(reportsRangeFinding(field, withField(field, format(field, min))), () -> "minimum of " + field);
+        // A negative duration cannot be written.
         if (field.kind() != Field.Kind.DURATION || field.min() > 0) {
             assertTrue(
                     reportsRangeFinding(field, withField(field, format(field, min - step))),
-                    () -> "under the least of " + field);
+                    () -> "below the minimum of " + field);
         }
         if (!Double.isInfinite(field.max())) {
             assertFalse(
-                    reportsRangeFinding(field, withField(field, format(field, field.max()))), () -> "most of " + field);
+                    reportsRangeFinding(field, withField(field, format(field, field.max()))),
+                    () -> "maximum of " + field);
             assertTrue(
                     reportsRangeFinding(field, withField(field, format(field, field.max() + step))),
-                    () -> "over the most of " + field);
+                    () -> "above the maximum of " + field);
         }
     }
 
@@ -112,11 +113,11 @@
         assertEquals(
                 Files.readString(Path.of("docs", "operate", "fields.md")),
                 FieldReference.toMarkdown(),
-                "make it anew: config reference > docs/operate/fields.md");
+                "regenerate it with: config reference > docs/operate/fields.md");
         assertEquals(
                 Files.readString(Path.of("docs", "schema", "application.schema.json")),
                 FieldReference.toJsonSchema(),
-                "make it anew: config schema > docs/schema/application.schema.json");
+                "regenerate it with: config schema > docs/schema/application.schema.json");
         Json schema = Json.read(FieldReference.toJsonSchema().getBytes(StandardCharsets.UTF_8));
         for (Field field : Fields.all()) {
             Json properties = schema.path("properties");
@@ -135,7 +136,8 @@
     @Test
     void fieldsAreFoundByKeyNameOrBlock() {
         assertEquals(
-                "limits.attempts: whole number, from 1 to 16, default 4. of one request; more " + "would feed a storm",
+                "limits.attempts: whole number, from 1 to 16, default 4. maximum number of attempts for a request; "
+                        + "more would amplify overload",
                 FieldReference.describe(Fields.get("limits.attempts")));
         assertEquals(
                 List.of("class.attempts", "limits.attempts"),
--- a/src/test/java/kitemux/app/SoundAppsTest.java
+++ b/src/test/java/kitemux/app/SoundAppsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Descriptions as careful owners write them: nothing is found in any. */
+/** Checks that valid descriptions have no findings. */
 class SoundAppsTest {
     private static final String QUOTA_LINE = "quota = 300";
     private static final String SERVER_WEB_2 =
@@ -31,78 +31,75 @@
         return QUOTA_LINE + "\n" + lines;
     }
 
-    /** What it is for, and what takes the place of what in the example. */
+    /** A scenario, and the changes to the example as pairs of an old and a new text. */
     private static Arguments valid(String scenario, String... changes) {
         return Arguments.of(scenario, List.of(changes));
     }
 
     static Stream<Arguments> validDescriptions() {
         return Stream.of(
-                valid("as it stands"),
-                valid("one server alone", SERVER_WEB_2, ""),
+                valid("unchanged example"),
+                valid("a single server", SERVER_WEB_2, ""),
                 valid(
-                        "all classes safe but the orders",
+                        "all classes safe except the orders",
                         "again    = \"keyed\"\n  group    = \"rack\"\n  window   = \"1200ms\"",
                         "again    = \"safe\""),
                 valid(
-                        "photos never twice as well",
+                        "photos never twice too",
                         "again    = \"keyed\"\n  group    = \"rack\"\n  window   = \"1200ms\"",
                         "again    = \"never-twice\"",
                         "[\"place-order\"]",
                         "[\"place-order\", \"add-photo\"]"),
                 valid(
-                        "a key that all servers know",
+                        "keys shared by all servers",
                         "group    = \"rack\"",
                         "group    = \"all\"",
                         "shared = \"rack\"",
                         "shared = \"all\""),
-                valid("a key that all know, used in a rack", "shared = \"rack\"", "shared = \"all\""),
-                valid("a window as long as keys are kept", "\"1200ms\"", "\"1500ms\""),
-                valid("a window far shorter", "\"1200ms\"", "\"50ms\""),
+                valid("keys shared by all servers but used within a rack", "shared = \"rack\"", "shared = \"all\""),
+                valid("window as long as keys are kept", "\"1200ms\"", "\"1500ms\""),
+                valid("much shorter window", "\"1200ms\"", "\"50ms\""),
                 valid(
-                        "no keys where nothing is keyed",
+                        "no keys block without keyed classes",
                         "again    = \"keyed\"\n  group    = \"rack\"\n  window   = \"1200ms\"",
                         "again    = \"safe\"",
                         "keys {\n  kept   = \"1500ms\"\n  shared = \"rack\"\n}",
                         ""),
                 valid(
-                        "one attempt of an order said outright",
+                        "one attempt for orders set explicitly",
                         "again    = \"never-twice\"",
                         "again    = \"never-twice\"\n  attempts = 1"),
-                valid("one attempt of everything", "attempts      = 4", "attempts      = 1"),
-                valid("most attempts", "attempts      = 4", "attempts      = 16"),
+                valid("one attempt for all requests", "attempts      = 4", "attempts      = 1"),
+                valid("maximum number of attempts", "attempts      = 4", "attempts      = 16"),
                 valid("no second copies", "second_copies = true", "second_copies = false"),
                 valid(
-                        "second copies named where they are on",
+                        "second copies also allowed in a class",
                         "again    = \"safe\"",
                         "again    = \"safe\"\n  second_copies = true"),
-                valid("an aim that is the deadline", "aim      = \"300ms\"", "aim      = \"1s\""),
+                valid("aim equal to the deadline", "aim      = \"300ms\"", "aim      = \"1s\""),
                 valid("late answers worth half", "deadline = \"1s\"", "deadline = \"1s\"\n  late_worth = 0.5"),
                 valid(
-                        "a journal of orders",
+                        "required order journal",
                         QUOTA_LINE,
                         afterQuota("journaled = true\norders {\n  folder = \"/var/lib/desk\"\n}")),
                 valid(
-                        "a journal that nobody asked for",
+                        "order journal that is not required",
                         QUOTA_LINE,
                         afterQuota("orders {\n  folder = \"/var/lib/desk\"\n}")),
                 valid(
-                        "all servers of one pool",
+                        "one pool with all ready servers",
                         QUOTA_LINE,
                         afterQuota("pool \"all\" {\n  servers = [\"web-1\", \"web-2\"]\n}")),
                 valid(
-                        "a pool that classes name",
+                        "pool named by a class",
                         QUOTA_LINE,
                         afterQuota("pool \"all\" {\n  servers = [\"web-2\"]\n}"),
                         "again    = \"safe\"",
                         "again    = \"safe\"\n  pool = \"all\""),
-                valid("a server that has gone", "\"draining\"", "\"gone\""),
-                valid("all ready", "\"draining\"", "\"ready\""),
-                valid(
-                        "the platform's list, and servers to begin with",
-                        QUOTA_LINE,
-                        afterQuota("discovery = \"10.1.0.9:8500\"")),
-                valid("any network", "networks    = [\"127.0.0.0/8\", \"10.1.0.0/16\"]\n", ""),
+                valid("gone server", "\"draining\"", "\"gone\""),
+                valid("all servers ready", "\"draining\"", "\"ready\""),
+                valid("discovery and initial servers", QUOTA_LINE, afterQuota("discovery = \"10.1.0.9:8500\"")),
+                valid("no restriction of networks", "networks    = [\"127.0.0.0/8\", \"10.1.0.0/16\"]\n", ""),
                 valid(
                         "no tenants and no quota",
                         QUOTA_LINE + "\n",
@@ -111,45 +108,39 @@
                         "",
                         "tenant \"school-b\" {\n  share = 0.4\n}\n",
                         ""),
-                valid("shares that leave some to others", "share = 0.4", "share = 0.1"),
-                valid("a fraction of a request a second", QUOTA_LINE, "quota = 0.5"),
-                valid("no word on cold servers", "rules {\n  cold_from = 0.2\n  cold      = \"18s\"\n}\n", ""),
+                valid("shares with a sum below 1", "share = 0.4", "share = 0.1"),
+                valid("quota below one request per second", QUOTA_LINE, "quota = 0.5"),
+                valid("no rules for cold servers", "rules {\n  cold_from = 0.2\n  cold      = \"18s\"\n}\n", ""),
                 valid(
-                        "least sockets and memory",
+                        "minimum sockets and memory",
                         "sockets       = 1024",
                         "sockets       = 64",
                         "memory_mib    = 128",
                         "memory_mib    = 64"),
                 valid(
-                        "many sockets and the memory for them",
+                        "many sockets with enough memory",
                         "sockets       = 1024",
                         "sockets       = 65535",
                         "memory_mib    = 128",
                         "memory_mib    = 8192"),
-                valid("checks as they come", QUOTA_LINE, afterQuota("health {\n}")),
+                valid("default health checks", QUOTA_LINE, afterQuota("health {\n}")),
                 valid(
-                        "checks that are quick and strict",
+                        "frequent and strict health checks",
                         QUOTA_LINE,
                         afterQuota("health {\n  path = \"/ready?deep=1\"\n"
                                 + "  every = \"200ms\"\n  timeout = \"200ms\"\n  fall = 1\n  rise = 1\n  "
                                 + "most_out = 0.9\n}")),
-                valid("checks that take none out", QUOTA_LINE, afterQuota("health {\n  most_out = 0\n}")),
+                valid("health checks without ejection", QUOTA_LINE, afterQuota("health {\n  most_out = 0\n}")),
+                valid("state folder", QUOTA_LINE, afterQuota("members {\n  state = \"/var/lib/desk\"\n}")),
+                valid("operators' address", QUOTA_LINE, afterQuota("operators = \"127.0.0.1:9090\"")),
+                valid("log lines as JSON", QUOTA_LINE, afterQuota("logs {\n  form = \"json\"\n  queue = 100000\n}")),
                 valid(
-                        "state for the next process",
-                        QUOTA_LINE,
-                        afterQuota("members {\n  state = \"/var/lib/desk\"\n}")),
-                valid("operators' calls", QUOTA_LINE, afterQuota("operators = \"127.0.0.1:9090\"")),
-                valid("lines as JSON", QUOTA_LINE, afterQuota("logs {\n  form = \"json\"\n  queue = 100000\n}")),
-                valid(
-                        "no advice on when to come back",
+                        "no advised retry delay",
                         "connect       = \"100ms\"",
                         "connect       = \"100ms\"\n  retry_after = \"0s\""),
+                valid("no grace period for drains", "cold_from = 0.2", "drain = \"0ms\"\n  cold_from = 0.2"),
                 valid(
-                        "nothing new from the moment of the word",
-                        "cold_from = 0.2",
-                        "drain = \"0ms\"\n  cold_from = 0.2"),
-                valid(
-                        "a comment that looks like a field",
+                        "comment that looks like a field",
                         "# The ordering desk",
                         "# again = \"safe\" {{{ The ordering desk"),
                 valid(
@@ -165,7 +156,7 @@
     void validDescriptionHasNoFindings(String scenario, List<String> changes) {
         String text = exampleDescription();
         for (int i = 0; i < changes.size(); i += 2) {
-            assertTrue(text.contains(changes.get(i)), "nothing to change: " + changes.get(i));
+            assertTrue(text.contains(changes.get(i)), "text to replace not found: " + changes.get(i));
             text = text.replace(changes.get(i), changes.get(i + 1));
         }
         AppParser.Result result = AppParser.parse(text);
@@ -175,7 +166,7 @@
                 ConfigWriter.toJson(AppParser.parse(text).app(), "1"));
     }
 
-    /** Servers from a list or a file, without one that is described. */
+    /** Servers may come only from a list or a file, without any server in the description. */
     @Test
     void serversMayComeFromAListOrFileOnly() {
         for (String source : List.of("list = \"http://10.1.0.9:8500/servers\"", "file = \"servers.json\"")) {
@@ -186,6 +177,6 @@
         }
         assertTrue(
                 validDescriptions().count() >= 40,
-                "sound ones: " + validDescriptions().count());
+                "number of valid descriptions: " + validDescriptions().count());
     }
 }
--- a/src/test/java/kitemux/app/WatchTest.java
+++ b/src/test/java/kitemux/app/WatchTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A description that changes under a process: half written, broken, gone, flapping, and sound. */
+/** Checks the reaction to changes of the description: incomplete, invalid, missing, flapping and valid texts. */
 class WatchTest {
     private String text;
     private DescriptionWatcher watcher;
@@ -22,7 +22,7 @@
         watcher = new DescriptionWatcher(AppParser.parse(text).app(), text);
     }
 
-    /** Two looks at the same text: what the second leads to; the first leads to nothing. */
+    /** Observes a text twice and returns the second decision; the first must be empty. */
     private DescriptionWatcher.Decision observeTwice(String next) {
         DescriptionWatcher.Decision first = watcher.observe(next);
         assertNull(first.newApp());
@@ -33,7 +33,7 @@
     private void assertNothingReported(String next) {
         DescriptionWatcher.Decision repeated = watcher.observe(next);
         assertNull(repeated.newApp());
-        assertEquals(List.of(), repeated.messages(), "it is told at each look");
+        assertEquals(List.of(), repeated.messages(), "messages must not be repeated at every observation");
     }
 
     @Test
@@ -50,10 +50,11 @@
                 accepted.toString());
         assertEquals(
                 List.of(
-                        "server web-2 is draining, before ready: it gets nothing new and finishes what" + " it has",
+                        "server web-2 is draining, before ready: it receives no new requests and completes those in"
+                                + " flight",
                         "server web-4 is new",
                         "server web-5 is new",
-                        "server web-3 is described no more"),
+                        "server web-3 is no longer described"),
                 accepted.messages());
         assertNothingReported(next);
     }
@@ -76,13 +77,15 @@
         assertNull(broken.newApp());
         assertTrue(broken.messages().get(0).contains("KX101"), broken.messages()::toString);
         assertEquals(
-                "the description has changed and is not sound; what it said before holds",
+                "the changed description is invalid; what it said before holds",
                 broken.messages().get(broken.messages().size() - 1));
         DescriptionWatcher.Decision gone = observeTwice(null);
         assertNull(gone.newApp());
-        assertEquals(List.of("the description cannot be read any more; what it said holds"), gone.messages());
+        assertEquals(
+                List.of("the description cannot be read any more; its last valid version remains in use"),
+                gone.messages());
         assertNothingReported(null);
-        // It comes back as it was, and then with a change.
+        // The text reappears unchanged, and then changes.
         assertNull(observeTwice(text).newApp());
         assertTrue(observeTwice(text.replace("127.0.0.1:9002", "127.0.0.1:9012"))
                 .newApp()
@@ -97,8 +100,8 @@
                 .replace("127.0.0.1:9002", "127.0.0.1:9012"));
         assertNull(both.newApp());
         assertEquals(
-                List.of("the description has changed in class, quota, which needs a new process; all of"
-                        + " what it said before holds"),
+                List.of("the description has changed in class, quota, which requires a restart; no part of"
+                        + " the change is applied"),
                 both.messages());
     }
 
@@ -106,6 +109,6 @@
     void equivalentDescriptionChangesNothing() {
         DescriptionWatcher.Decision same = observeTwice("# a word to the next reader\n" + text);
         assertNull(same.newApp());
-        assertEquals(List.of("the description reads differently and means the same"), same.messages());
+        assertEquals(List.of("the description has changed only in form; there is nothing to apply"), same.messages());
     }
 }
