--- a/src/main/java/kitemux/app/AppParser.java
+++ b/src/main/java/kitemux/app/AppParser.java
@@ -22,17 +22,20 @@
 
     private AppParser() {}
 
+    /** Values of the field {@code again} of a class. */
     private enum RetrySafetyWord {
         SAFE,
         KEYED,
         NEVER_TWICE
     }
 
+    /** Values of the fields {@code group} of a class and {@code shared} of the keys. */
     private enum DedupScopeWord {
         ALL,
         RACK
     }
 
+    /** Values of the field {@code form} of the logs. */
     private enum LogFormat {
         TEXT,
         JSON
--- a/src/main/java/kitemux/app/ConfigMigration.java
+++ b/src/main/java/kitemux/app/ConfigMigration.java
@@ -75,8 +75,10 @@
         appendLine(field + " = \"" + value + "\"");
     }
 
-    private static String time(long us) {
-        return us % 1_000_000 == 0 ? us / 1_000_000 + "s" : us % 1_000 == 0 ? us / 1_000 + "ms" : us + "us";
+    private static String time(long durationUs) {
+        return durationUs % 1_000_000 == 0
+                ? durationUs / 1_000_000 + "s"
+                : durationUs % 1_000 == 0 ? durationUs / 1_000 + "ms" : durationUs + "us";
     }
 
     private void time(String field, Json source, String name) {
--- a/src/main/java/kitemux/app/DescriptionWatcher.java
+++ b/src/main/java/kitemux/app/DescriptionWatcher.java
@@ -8,9 +8,9 @@
  * Decides how a process reacts when its description changes.
  *
  * <p>A new text is parsed only after two consecutive observations of the same text, so that a file that is still being
- * written is not read. A missing or invalid description changes nothing. Only servers and pools can change at run time;
- * a change that also affects anything else is rejected as a whole, because a partial change would be a description that
- * nobody wrote. The class does no I/O: the caller reads the file at its own interval.
+ * written is not read. A missing or invalid description changes nothing. Servers, pools and
+ * the fields that only checks use (networks, never_twice, journaled, keys) can change at run time. A change that also
+ * affects anything else is rejected as a whole, because a partial change would be a description that nobody wrote. The class does no I/O: the caller reads the file at its own interval.
  */
 public final class DescriptionWatcher {
     private App current;
