--- a/src/main/java/kitemux/app/AppParser.java
+++ b/src/main/java/kitemux/app/AppParser.java
@@ -8,9 +8,9 @@
 import java.util.function.Function;
 import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RetrySafety;
-import kitemux.hcl.Places;
+import kitemux.hcl.SourceLocations;
 import kitemux.hcl.Section;
-import kitemux.hcl.Text;
+import kitemux.hcl.HclReader;
 
 /** Parses and validates an application's description in HCL; {@code docs/operate/config.md} lists all fields. */
 public final class AppParser {
@@ -48,7 +48,7 @@
      * @param findings everything that is wrong; empty if the description is valid
      * @param places positions of the fields and blocks in the text
      */
-    public record Result(App app, List<Finding> findings, Places places) {}
+    public record Result(App app, List<Finding> findings, SourceLocations places) {}
 
     /**
      * Parses a description and checks it against all rules. The rules on its meaning are checked only if the text is
@@ -58,7 +58,7 @@
      */
     public static Result parse(String source) {
         String text = source.startsWith("\uFEFF") ? source.substring(1) : source;
-        Places places = Places.of(text);
+        SourceLocations places = SourceLocations.of(text);
         List<Finding> findings = new ArrayList<>();
         if (text.length() > MAX_LENGTH_CHARS) {
             findings.add(new Finding(
@@ -74,7 +74,7 @@
         }
         Map<String, Object> parsed;
         try {
-            parsed = Text.parse(text, places);
+            parsed = HclReader.parse(text, places);
         } catch (IOException e) {
             findings.add(new Finding(Rule.SHAPE, "", "the text is not valid HCL: " + e.getMessage()));
             return new Result(null, findings, places);
@@ -163,7 +163,7 @@
     private static <T> List<T> readLabelledBlocks(
             Section root, String type, List<Finding> rangeFindings, BiFunction<String, BlockReader, T> reader) {
         List<T> blocks = new ArrayList<>();
-        root.labelled(type, type.equals("class")).forEach((label, section) -> {
+        root.labelledBlocks(type, type.equals("class")).forEach((label, section) -> {
             BlockReader block = new BlockReader(type, section, rangeFindings);
             blocks.add(reader.apply(label, block));
             block.finish();
@@ -173,7 +173,7 @@
 
     private static <T> T readBlock(
             Section root, String type, List<Finding> rangeFindings, Function<BlockReader, T> reader) {
-        BlockReader block = new BlockReader(type, root.part(type), rangeFindings);
+        BlockReader block = new BlockReader(type, root.blockOrEmpty(type), rangeFindings);
         T result = reader.apply(block);
         block.finish();
         return result;
--- a/src/main/java/kitemux/app/BlockReader.java
+++ b/src/main/java/kitemux/app/BlockReader.java
@@ -35,7 +35,7 @@
         // Negated so that NaN is reported as well.
         if (!(value >= field.min() && value <= field.max())) {
             rangeFindings.add(new Finding(
-                    field.rangeRule(), section.at(name), "is not " + field.range() + ": " + field.description()));
+                    field.rangeRule(), section.pathOf(name), "is not " + field.range() + ": " + field.description()));
         }
         return value;
     }
@@ -51,7 +51,7 @@
     }
 
     boolean readBoolean(String name) {
-        return section.yes(name, Boolean.parseBoolean(field(name).defaultValue()));
+        return section.bool(name, Boolean.parseBoolean(field(name).defaultValue()));
     }
 
     double readNumber(String name) {
@@ -62,18 +62,18 @@
 
     int readInteger(String name) {
         return (int) checkRange(
-                name, section.whole(name, Double.parseDouble(field(name).defaultValue())));
+                name, section.integer(name, Double.parseDouble(field(name).defaultValue())));
     }
 
     /** Reads a duration in microseconds. */
     long readDurationUs(String name) {
         String defaultValue = field(name).defaultValue();
-        return (long) checkRange(name, section.time(name, defaultValue == null ? -1 : Section.us(defaultValue)));
+        return (long) checkRange(name, section.durationUs(name, defaultValue == null ? -1 : Section.parseDurationUs(defaultValue)));
     }
 
     <E extends Enum<E>> E readEnum(String name, Class<E> enumType) {
         String defaultValue = field(name).defaultValue();
-        return section.word(
+        return section.enumValue(
                 name,
                 enumType,
                 defaultValue == null
@@ -84,6 +84,6 @@
 
     /** Reports the fields that have not been read as unknown; called after the last read. */
     void finish() {
-        section.end();
+        section.reportUnknownFields();
     }
 }
--- a/src/main/java/kitemux/app/ConfigMigration.java
+++ b/src/main/java/kitemux/app/ConfigMigration.java
@@ -47,16 +47,16 @@
         appendLine("# Migrated from a node's configuration.");
         text(
                 "name",
-                json.path("name").text().isEmpty()
+                json.path("name").asText().isEmpty()
                         ? "migrated"
-                        : json.path("name").text());
-        text("listen", json.path("listen").text());
-        if (!json.path("mgmt").text().isEmpty()) {
-            text("operators", json.path("mgmt").text());
-        }
-        if (settings.path("membershipMode").text().equals("on_request")) {
-            text("discovery", json.path("discovery").text());
-        } else if (!json.path("discovery").text().equals(json.path("listen").text())) {
+                        : json.path("name").asText());
+        text("listen", json.path("listen").asText());
+        if (!json.path("mgmt").asText().isEmpty()) {
+            text("operators", json.path("mgmt").asText());
+        }
+        if (settings.path("membershipMode").asText().equals("on_request")) {
+            text("discovery", json.path("discovery").asText());
+        } else if (!json.path("discovery").asText().equals(json.path("listen").asText())) {
             omitted.add("discovery: its lists are pushed to the node; the servers are taken from the configuration");
         }
         migrateClasses(settings.path("classes"));
@@ -83,13 +83,13 @@
 
     private void time(String field, Json source, String name) {
         if (!source.path(name).isMissing()) {
-            text("  " + field, time(source.path(name).whole(0)));
+            text("  " + field, time(source.path(name).asLong(0)));
         }
     }
 
     private void appendNumber(String field, Json source, String name) {
         if (!source.path(name).isMissing()) {
-            appendLine("  " + field + " = " + formatNumber(source.path(name).decimal(0)));
+            appendLine("  " + field + " = " + formatNumber(source.path(name).asDouble(0)));
         }
     }
 
@@ -104,22 +104,22 @@
         long longestWindowUs = 0;
         boolean rackScoped = false;
         for (Json requestClass : classes) {
-            String repeat = requestClass.path("repeat").text();
-            String group = requestClass.path("group").text();
+            String repeat = requestClass.path("repeat").asText();
+            String group = requestClass.path("group").asText();
             if (repeat.equals("unsafe")) {
-                neverTwiceNames.add("\"" + requestClass.path("name").text() + "\"");
+                neverTwiceNames.add("\"" + requestClass.path("name").asText() + "\"");
             }
-            appendLine("\nclass \"" + requestClass.path("name").text() + "\" {");
+            appendLine("\nclass \"" + requestClass.path("name").asText() + "\" {");
             text("  again", repeat.equals("unsafe") ? "never-twice" : repeat);
             if (repeat.equals("keyed")) {
                 longestWindowUs =
-                        Math.max(longestWindowUs, requestClass.path("windowUs").whole(0));
+                        Math.max(longestWindowUs, requestClass.path("windowUs").asLong(0));
                 rackScoped |= group.equals("cell");
                 text("  group", group.equals("cell") ? "rack" : "all");
                 time("window", requestClass, "windowUs");
             }
             if (group.equals("zone")) {
-                omitted.add("class " + requestClass.path("name").text()
+                omitted.add("class " + requestClass.path("name").asText()
                         + ": its group is a zone; a description supports only rack and all");
             }
             time("aim", requestClass, "onTimeUs");
@@ -127,9 +127,9 @@
             appendNumber("worth", requestClass, "importance");
             appendNumber("late_worth", requestClass, "lateWorth");
             appendLine("}");
-            if (requestClass.path("stream").flag()
-                    || requestClass.path("aimStretch").decimal(0) != 0) {
-                omitted.add("class " + requestClass.path("name").text()
+            if (requestClass.path("stream").asBoolean()
+                    || requestClass.path("aimStretch").asDouble(0) != 0) {
+                omitted.add("class " + requestClass.path("name").asText()
                         + ": stream and aimStretch have no equivalent in a description");
             }
         }
@@ -151,13 +151,13 @@
     private void migrateTenants(Json realms) {
         double totalQuotaPerS = 0;
         for (Json realm : realms) {
-            totalQuotaPerS += realm.path("quotaPerS").decimal(0);
+            totalQuotaPerS += realm.path("quotaPerS").asDouble(0);
         }
         if (totalQuotaPerS > 0) {
             appendLine("\nquota = " + formatNumber(totalQuotaPerS));
             for (Json realm : realms) {
-                appendLine("\ntenant \"" + realm.path("name").text() + "\" {\n  share = "
-                        + formatNumber(realm.path("quotaPerS").decimal(0) / totalQuotaPerS) + "\n}");
+                appendLine("\ntenant \"" + realm.path("name").asText() + "\" {\n  share = "
+                        + formatNumber(realm.path("quotaPerS").asDouble(0) / totalQuotaPerS) + "\n}");
             }
         } else if (!realms.values().isEmpty()) {
             omitted.add("realms: none has a quota, and a description needs one to give tenants their shares");
@@ -166,13 +166,13 @@
 
     private void migrateServers(Json targets) {
         for (Json target : targets) {
-            String state = target.path("state").text();
+            String state = target.path("state").asText();
             if (state.equals("Gone")) {
                 continue;
             }
-            appendLine("\nserver \"" + target.path("uid").text() + "\" {");
-            text("  address", target.path("endpoint").text());
-            appendLine("  rack = " + target.path("pod_group").whole(0));
+            appendLine("\nserver \"" + target.path("uid").asText() + "\" {");
+            text("  address", target.path("endpoint").asText());
+            appendLine("  rack = " + target.path("pod_group").asLong(0));
             if (state.equals("Terminating")) {
                 text("  state", "draining");
             }
@@ -184,14 +184,14 @@
         Json limits = settings.path("limits");
         appendLine("\nlimits {");
         appendNumber("attempts", limits, "attemptsCap");
-        appendLine("  second_copies = " + limits.path("parallelTries").flag());
+        appendLine("  second_copies = " + limits.path("parallelTries").asBoolean());
         time("connect", limits, "dialTimeoutUs");
         time("idle", limits, "connIdleUs");
         text(
                 "  retry_after",
                 time(
-                        limits.path("retryAfter").flag()
-                                ? limits.path("maxRetryAfterUs").whole(0)
+                        limits.path("retryAfter").asBoolean()
+                                ? limits.path("maxRetryAfterUs").asLong(0)
                                 : 0));
         appendNumber("sockets", json.path("limits"), "sockets");
         appendNumber("memory_mib", json.path("limits"), "memory_mb");
@@ -202,7 +202,7 @@
         appendLine("\nrules {");
         time("drain", rules, "drainGraceUs");
         appendNumber("cold_from", rules, "coldFrom");
-        if (rules.path("coldFrom").decimal(1) < 1) {
+        if (rules.path("coldFrom").asDouble(1) < 1) {
             time("cold", rules, "coldUs");
         }
         appendNumber("overload", rules, "overloadFactor");
@@ -211,9 +211,9 @@
     }
 
     private void reportUnsupported(Json settings) {
-        if (settings.path("balancers").whole(1) > 1) {
+        if (settings.path("balancers").asLong(1) > 1) {
             omitted.add(
-                    "balancers: this was one of " + settings.path("balancers").whole(1)
+                    "balancers: this was one of " + settings.path("balancers").asLong(1)
                             + " nodes; a described node assumes that it is the only one and applies its limits to "
                             + "all traffic");
         }
@@ -225,7 +225,7 @@
                 omitted.add(field + ": has no equivalent in a description");
             }
         }
-        if (settings.path("countedBy").text().equals("work")) {
+        if (settings.path("countedBy").asText().equals("work")) {
             omitted.add("countedBy: a description values each request, not each unit of work");
         }
     }
--- a/src/main/java/kitemux/app/ConfigWriter.java
+++ b/src/main/java/kitemux/app/ConfigWriter.java
@@ -7,7 +7,7 @@
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
-import kitemux.config.ConfigText;
+import kitemux.config.ConfigFormatter;
 import kitemux.members.Member;
 
 /** Writes the configuration of a node from an application's description. */
@@ -33,14 +33,14 @@
      * @param seed seed for random numbers, 1 to 16 hex digits
      * @throws IllegalArgumentException as {@link #toJson(App, String)}
      */
-    public static String toJson(App app, List<ConfigText.Server> servers, String seed) {
+    public static String toJson(App app, List<ConfigFormatter.Server> servers, String seed) {
         if (!AppValidator.validate(app).isEmpty()) {
             throw new IllegalArgumentException("cannot write the configuration: the description is invalid");
         }
         // A node without discovery is configured with its own address as a placeholder, which it does not call.
         String discovery = app.discoveryAddress().isEmpty() ? app.listenAddress() : app.discoveryAddress();
-        return ConfigText.node(
-                new ConfigText.Node(
+        return ConfigFormatter.formatNode(
+                new ConfigFormatter.NodeDescription(
                         app.name(),
                         app.listenAddress(),
                         discovery,
@@ -53,7 +53,7 @@
     }
 
     /** Returns the described servers that receive requests, in the form of the configuration. */
-    private static List<ConfigText.Server> describedServers(App app) {
+    private static List<ConfigFormatter.Server> describedServers(App app) {
         return describedMembers(app).stream()
                 .map(member -> toServer(member, member.draining(), 0))
                 .toList();
@@ -79,8 +79,8 @@
      * @param draining whether the server receives no new requests
      * @param startedUs start time of the server as Unix time in microseconds; 0 if it started long ago
      */
-    public static ConfigText.Server toServer(Member member, boolean draining, long startedUs) {
-        return new ConfigText.Server(
+    public static ConfigFormatter.Server toServer(Member member, boolean draining, long startedUs) {
+        return new ConfigFormatter.Server(
                 new ServerEntry(
                         member.name(),
                         0,
--- a/src/main/java/kitemux/app/DescriptionWatcher.java
+++ b/src/main/java/kitemux/app/DescriptionWatcher.java
@@ -60,7 +60,7 @@
         if (!result.findings().isEmpty()) {
             List<String> messages = new ArrayList<>();
             result.findings()
-                    .forEach(finding -> messages.add(result.places().with("the description", finding.format())));
+                    .forEach(finding -> messages.add(result.places().withLocation("the description", finding.format())));
             messages.add("the changed description is invalid; what it said before holds");
             return new Decision(null, messages);
         }
--- a/src/main/java/kitemux/app/FindingReport.java
+++ b/src/main/java/kitemux/app/FindingReport.java
@@ -32,7 +32,7 @@
                 .map(finding -> {
                     String line = finding.location().matches("\\d+:\\d+")
                             ? file + ":" + finding.format()
-                            : result.places().with(file, finding.format());
+                            : result.places().withLocation(file, finding.format());
                     Matcher position = POSITION_PATTERN.matcher(line);
                     boolean hasPosition =
                             position.matches() && position.group(1).equals(file);
--- a/src/main/java/kitemux/cli/ConfigCommand.java
+++ b/src/main/java/kitemux/cli/ConfigCommand.java
@@ -75,7 +75,7 @@
                             ? file + finding.format()
                             : isPlace
                                     ? file + ":" + finding.format()
-                                    : reading.places().with(file.toString(), finding.format()));
+                                    : reading.places().withLocation(file.toString(), finding.format()));
         }
         return reading.findings().isEmpty();
     }
--- a/src/test/java/kitemux/app/FieldsTest.java
+++ b/src/test/java/kitemux/app/FieldsTest.java
@@ -128,7 +128,7 @@
             }
             assertEquals(
                     field.description(),
-                    properties.path(field.name()).path("description").text(),
+                    properties.path(field.name()).path("description").asText(),
                     field.key());
         }
     }
@@ -164,15 +164,15 @@
         assertEquals(
                 List.of("KX301", "KX401"),
                 json.values().stream()
-                        .map(entry -> entry.path("code").text())
+                        .map(entry -> entry.path("code").asText())
                         .sorted()
                         .toList());
         for (Json entry : json) {
-            assertEquals("a.hcl", entry.path("file").text());
-            String line = text.lines().toList().get((int) entry.path("line").whole(0) - 1);
-            assertTrue(line.contains(entry.path("code").text().equals("KX301") ? "aim" : "address"), line);
-            assertTrue(!entry.path("cure").text().isEmpty()
-                    && !entry.path("what").text().isEmpty());
+            assertEquals("a.hcl", entry.path("file").asText());
+            String line = text.lines().toList().get((int) entry.path("line").asLong(0) - 1);
+            assertTrue(line.contains(entry.path("code").asText().equals("KX301") ? "aim" : "address"), line);
+            assertTrue(!entry.path("cure").asText().isEmpty()
+                    && !entry.path("what").asText().isEmpty());
         }
         Json run = Json.read(FindingReport.toSarif(found).getBytes(StandardCharsets.UTF_8))
                 .path("runs")
@@ -182,13 +182,13 @@
         assertEquals(2, run.path("results").values().size());
         for (Json result : run.path("results")) {
             assertEquals(
-                    result.path("ruleId").text(),
-                    rules.get((int) result.path("ruleIndex").whole(-1))
+                    result.path("ruleId").asText(),
+                    rules.get((int) result.path("ruleIndex").asLong(-1))
                             .path("id")
-                            .text());
+                            .asText());
             Json place = result.path("locations").values().get(0).path("physicalLocation");
-            assertEquals("a.hcl", place.path("artifactLocation").path("uri").text());
-            assertTrue(place.path("region").path("startLine").whole(0) > 3);
+            assertEquals("a.hcl", place.path("artifactLocation").path("uri").asText());
+            assertTrue(place.path("region").path("startLine").asLong(0) > 3);
         }
     }
 }
