--- a/src/main/java/kitemux/hcl/HclReader.java
+++ b/src/main/java/kitemux/hcl/HclReader.java
@@ -8,44 +8,45 @@
 import java.util.Map;
 
 /**
- * Reads descriptions in HCL. The library's time grows with the square of a text's length: 35 s for 10,000
- * servers. So
- * blocks with labels, of which there may be many, are read some at a time, and put together.
+ * Parses HCL files. The library's parsing time grows with the square of the text's length and reaches 35 s for
+ * 10,000 servers. Labelled top-level blocks, of which there may be many, are therefore parsed in batches whose
+ * results are merged.
  */
 public final class HclReader {
-    /** Blocks that are read at a time. */
-    private static final int AT_A_TIME = 50;
+    /** Number of labelled blocks in one call of the library. */
+    private static final int BATCH_BLOCK_COUNT = 50;
 
     private HclReader() {}
 
     /**
-     * What a text says, by names.
+     * Parses a text into values by field name or block type.
      *
-     * @param places of the same text
-     * @throws IOException if it is no HCL; the message says what the library found
+     * @param locations locations of the same text
+     * @throws IOException if the text is not valid HCL; the message is that of the library
      */
-    public static Map<String, Object> parse(String text, SourceLocations places) throws IOException {
-        StringBuilder rest = new StringBuilder();
-        int at = 0;
-        for (SourceLocations.LabelledBlock block : places.labelledBlocks()) {
-            rest.append(text, at, block.start());
-            at = block.end();
+    public static Map<String, Object> parse(String text, SourceLocations locations) throws IOException {
+        StringBuilder remainder = new StringBuilder();
+        int position = 0;
+        for (SourceLocations.LabelledBlock block : locations.labelledBlocks()) {
+            remainder.append(text, position, block.start());
+            position = block.end();
         }
-        rest.append(text, at, text.length());
-        Map<String, Object> all = new LinkedHashMap<>();
-        List<SourceLocations.LabelledBlock> blocks = places.labelledBlocks();
-        for (int i = 0; i < blocks.size(); i += AT_A_TIME) {
-            StringBuilder some = new StringBuilder();
-            for (SourceLocations.LabelledBlock block : blocks.subList(i, Math.min(blocks.size(), i + AT_A_TIME))) {
-                some.append(text, block.start(), block.end()).append('\n');
+        remainder.append(text, position, text.length());
+        Map<String, Object> parsed = new LinkedHashMap<>();
+        List<SourceLocations.LabelledBlock> blocks = locations.labelledBlocks();
+        for (int i = 0; i < blocks.size(); i += BATCH_BLOCK_COUNT) {
+            StringBuilder batch = new StringBuilder();
+            for (SourceLocations.LabelledBlock block :
+                    blocks.subList(i, Math.min(blocks.size(), i + BATCH_BLOCK_COUNT))) {
+                batch.append(text, block.start(), block.end()).append('\n');
             }
-            merge(all, read(some.toString()));
+            merge(parsed, parseBatch(batch.toString()));
         }
-        merge(all, read(rest.toString()));
-        return all;
+        merge(parsed, parseBatch(remainder.toString()));
+        return parsed;
     }
 
-    private static Map<String, Object> read(String text) throws IOException {
+    private static Map<String, Object> parseBatch(String text) throws IOException {
         try {
             return new HCLParser().parse(text);
         } catch (HCLParserException | RuntimeException e) {
@@ -53,17 +54,20 @@
         }
     }
 
-    /** Blocks of one type are told by their labels; what is told twice is found by {@link SourceLocations}. */
-    private static void merge(Map<String, Object> into, Map<?, ?> more) {
-        more.forEach((key, value) -> {
+    /**
+     * Merges parsed fields into the target. Blocks of one type are merged by label; {@link SourceLocations} detects
+     * duplicate labels.
+     */
+    private static void merge(Map<String, Object> target, Map<?, ?> additions) {
+        additions.forEach((key, value) -> {
             String name = key.toString();
-            if (into.get(name) instanceof Map<?, ?> before && value instanceof Map<?, ?> next) {
-                Map<String, Object> both = new LinkedHashMap<>();
-                before.forEach((label, of) -> both.put(label.toString(), of));
-                next.forEach((label, of) -> both.put(label.toString(), of));
-                into.put(name, both);
+            if (target.get(name) instanceof Map<?, ?> existing && value instanceof Map<?, ?> added) {
+                Map<String, Object> merged = new LinkedHashMap<>();
+                existing.forEach((label, body) -> merged.put(label.toString(), body));
+                added.forEach((label, body) -> merged.put(label.toString(), body));
+                target.put(name, merged);
             } else {
-                into.put(name, value);
+                target.put(name, value);
             }
         });
     }
--- a/src/main/java/kitemux/hcl/Section.java
+++ b/src/main/java/kitemux/hcl/Section.java
@@ -12,226 +12,256 @@
 import java.util.regex.Pattern;
 
 /**
- * A block of a description, read field by field. What is missing, unknown or cannot be read is added to a
- * list of faults, one line each with the field's path and the reason, and reading goes on: all are told at
- * once.
+ * Typed access to the fields of one block of an HCL file. Missing, unknown and invalid fields are added to a list
+ * of faults, one line each with the field's path and the reason. Reading then continues with a substitute value, so
+ * that all faults are reported at once.
  */
 public final class Section {
-    private static final Pattern TIME = Pattern.compile("(\\d+(?:\\.\\d+)?)(us|ms|s|m|h)");
+    private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)(us|ms|s|m|h)");
 
     private final String path;
     private final Map<String, Object> fields;
     private final List<String> faults;
-    private final Set<String> read = new TreeSet<>();
+    private final Set<String> readFields = new TreeSet<>();
 
-    /** A block, of the path by which faults name it; empty for a whole description. */
+    /**
+     * Creates a reader for one block.
+     *
+     * @param path path of the block in fault messages; empty for the whole file
+     * @param fields parsed values by field name or block type
+     * @param faults list that receives the faults
+     */
     public Section(String path, Map<String, Object> fields, List<String> faults) {
         this.path = path;
         this.fields = fields;
         this.faults = faults;
     }
 
-    /** Whether a field or a block of this name is there. */
+    /** Whether the block contains a field or block of this name. */
     public boolean has(String field) {
         return fields.containsKey(field);
     }
 
-    /** The path by which faults name a field. */
+    /** Returns the path of a field in fault messages. */
     public String pathOf(String field) {
         return path.isEmpty() ? field : path + "." + field;
     }
 
-    private Object get(String field, boolean must) {
-        read.add(field);
+    private Object get(String field, boolean required) {
+        readFields.add(field);
         Object value = fields.get(field);
-        if (value == null && must) {
+        if (value == null && required) {
             faults.add(pathOf(field) + ": must be given");
         }
         return value;
     }
 
-    /** A number; {@code otherwise} where it is not given, which is NaN where it must be. */
-    public double number(String field, double otherwise) {
-        Object value = get(field, Double.isNaN(otherwise));
+    /**
+     * Reads a number.
+     *
+     * @param defaultValue value of a missing field; NaN makes the field required
+     */
+    public double number(String field, double defaultValue) {
+        Object value = get(field, Double.isNaN(defaultValue));
         if (value instanceof Number number) {
             return number.doubleValue();
         }
         if (value != null) {
-            faults.add(pathOf(field) + ": must be a number, not " + shown(value));
+            faults.add(pathOf(field) + ": must be a number, not " + format(value));
         }
-        return Double.isNaN(otherwise) ? 1 : otherwise;
+        return Double.isNaN(defaultValue) ? 1 : defaultValue;
     }
 
-    /** A whole number, as {@link #number}. */
-    public int integer(String field, double otherwise) {
-        double number = number(field, otherwise);
+    /**
+     * Reads a whole number whose absolute value fits in an {@code int}.
+     *
+     * @param defaultValue value of a missing field; NaN makes the field required
+     */
+    public int integer(String field, double defaultValue) {
+        double number = number(field, defaultValue);
         if (number != Math.rint(number) || Math.abs(number) > Integer.MAX_VALUE) {
             faults.add(pathOf(field) + ": must be a whole number, not " + number);
         }
         return (int) number;
     }
 
-    /** A length of time with its unit, in microseconds; must be given where {@code otherwise} is under 0. */
-    public long durationUs(String field, long otherwise) {
-        Object value = get(field, otherwise < 0);
+    /**
+     * Reads a duration such as {@code "300ms"}.
+     *
+     * @param defaultValue microseconds for a missing field; a negative value makes the field required
+     * @return the duration in microseconds
+     */
+    public long durationUs(String field, long defaultValue) {
+        Object value = get(field, defaultValue < 0);
         if (value == null) {
-            return otherwise < 0 ? 1 : otherwise;
+            return defaultValue < 0 ? 1 : defaultValue;
         }
         long us = parseDurationUs(value.toString());
         if (us < 0) {
-            faults.add(pathOf(field) + ": must be a time with its unit, such as \"300ms\", not " + shown(value));
+            faults.add(pathOf(field) + ": must be a time with its unit, such as \"300ms\", not " + format(value));
             return 1;
         }
         return us;
     }
 
-    /** A time with its unit, in microseconds; -1 where it is none. */
+    /**
+     * Parses a non-negative decimal number followed by {@code us}, {@code ms}, {@code s}, {@code m} or {@code h}.
+     *
+     * @return the duration in microseconds, or -1 if the text is not a duration
+     */
     public static long parseDurationUs(String text) {
-        Matcher read = TIME.matcher(text);
-        if (!read.matches()) {
+        Matcher matcher = DURATION.matcher(text);
+        if (!matcher.matches()) {
             return -1;
         }
-        double unit =
-                switch (read.group(2)) {
+        double unitUs =
+                switch (matcher.group(2)) {
                     case "us" -> 1;
                     case "ms" -> 1e3;
                     case "s" -> 1e6;
                     case "m" -> 60e6;
                     default -> 3_600e6;
                 };
-        return Math.round(Double.parseDouble(read.group(1)) * unit);
+        return Math.round(Double.parseDouble(matcher.group(1)) * unitUs);
     }
 
-    /** True or false. */
-    public boolean bool(String field, boolean otherwise) {
+    /** Reads an optional boolean. */
+    public boolean bool(String field, boolean defaultValue) {
         Object value = get(field, false);
         if (value != null && !(value instanceof Boolean)) {
-            faults.add(pathOf(field) + ": must be true or false, not " + shown(value));
+            faults.add(pathOf(field) + ": must be true or false, not " + format(value));
         }
-        return value instanceof Boolean given ? given : otherwise;
+        return value instanceof Boolean given ? given : defaultValue;
     }
 
-    /** One of the words that an enum has; must be given where {@code otherwise} is null. */
-    public <E extends Enum<E>> E enumValue(String field, Class<E> of, E otherwise) {
-        Object value = get(field, otherwise == null);
-        E[] all = of.getEnumConstants();
+    /**
+     * Reads an enum constant, written in lower case with hyphens in place of underscores.
+     *
+     * @param defaultValue value of a missing field; null makes the field required
+     */
+    public <E extends Enum<E>> E enumValue(String field, Class<E> type, E defaultValue) {
+        Object value = get(field, defaultValue == null);
+        E[] constants = type.getEnumConstants();
         if (value == null) {
-            return otherwise == null ? all[0] : otherwise;
+            return defaultValue == null ? constants[0] : defaultValue;
         }
-        List<String> words = new ArrayList<>();
-        for (E one : all) {
-            String word = one.name().toLowerCase(Locale.ROOT).replace('_', '-');
-            words.add(word);
+        List<String> allowedWords = new ArrayList<>();
+        for (E constant : constants) {
+            String word = constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
+            allowedWords.add(word);
             if (word.equals(value)) {
-                return one;
+                return constant;
             }
         }
-        faults.add(pathOf(field) + ": must be one of " + String.join(", ", words) + ", not " + shown(value));
-        return all[0];
+        faults.add(pathOf(field) + ": must be one of " + String.join(", ", allowedWords) + ", not " + format(value));
+        return constants[0];
     }
 
-    /** A text that must be given; empty where it is not. */
+    /** Reads a required string that must not be blank; returns an empty string if it is missing or has another type. */
     public String text(String field) {
         Object value = get(field, true);
         if (value != null && (!(value instanceof String text) || text.isBlank())) {
-            faults.add(pathOf(field) + ": must be a text, not " + shown(value));
+            faults.add(pathOf(field) + ": must be a non-blank string, not " + format(value));
         }
         return value instanceof String text ? text : "";
     }
 
-    /** A text; {@code otherwise} where it is not given. */
-    public String text(String field, String otherwise) {
-        return get(field, false) == null ? otherwise : text(field);
+    /** Reads an optional string that must not be blank. */
+    public String text(String field, String defaultValue) {
+        return get(field, false) == null ? defaultValue : text(field);
     }
 
-    /** The block of this name, or one without fields where it is not there. */
+    /** Returns the block of this name, or a block without fields if it is missing. */
     public Section blockOrEmpty(String name) {
-        Section of = block(name, false);
-        return of == null ? new Section(pathOf(name), Map.of(), faults) : of;
+        Section block = block(name, false);
+        return block == null ? new Section(pathOf(name), Map.of(), faults) : block;
     }
 
-    /** A list of texts. */
-    public List<String> texts(String field, List<String> otherwise) {
-        return values(field)
-                .map(all -> all.stream().map(String::valueOf).toList())
-                .orElse(otherwise);
+    /** Reads an optional list of strings; elements of other types are converted to strings. */
+    public List<String> texts(String field, List<String> defaultValue) {
+        return list(field)
+                .map(values -> values.stream().map(String::valueOf).toList())
+                .orElse(defaultValue);
     }
 
-    /** A list of numbers; empty where it is not given. */
+    /** Reads a list of numbers; returns an empty list if the field is missing. */
     public List<Double> numbers(String field) {
-        List<Double> found = new ArrayList<>();
-        for (Object value : values(field).orElse(List.of())) {
+        List<Double> numbers = new ArrayList<>();
+        for (Object value : list(field).orElse(List.of())) {
             if (value instanceof Number number) {
-                found.add(number.doubleValue());
+                numbers.add(number.doubleValue());
             } else {
-                faults.add(pathOf(field) + ": must hold numbers, not " + shown(value));
+                faults.add(pathOf(field) + ": must contain only numbers, not " + format(value));
             }
         }
-        return found;
+        return numbers;
     }
 
-    private Optional<List<?>> values(String field) {
+    private Optional<List<?>> list(String field) {
         Object value = get(field, false);
         if (value != null && !(value instanceof List<?>)) {
-            faults.add(pathOf(field) + ": must be a list, not " + shown(value));
+            faults.add(pathOf(field) + ": must be a list, not " + format(value));
         }
         return value instanceof List<?> list ? Optional.of(list) : Optional.empty();
     }
 
-    /** The block of this name, or an empty one where it is not there; null where it need not be. */
-    public Section block(String name, boolean must) {
-        Object value = get(name, must);
-        if (value == null && !must) {
+    /**
+     * Returns the block of this name. If it is missing, returns null for an optional block and a block without fields
+     * for a required one.
+     */
+    public Section block(String name, boolean required) {
+        Object value = get(name, required);
+        if (value == null && !required) {
             return null;
         }
-        return new Section(pathOf(name), map(name, value), faults);
+        return new Section(pathOf(name), blockFields(name, value), faults);
     }
 
-    /** All blocks of this type, by their labels, in order. */
-    public Map<String, Section> labelledBlocks(String type, boolean must) {
-        Map<String, Section> found = new LinkedHashMap<>();
-        Object value = get(type, must);
+    /** Returns all blocks of this type by label, in the order of the file. */
+    public Map<String, Section> labelledBlocks(String type, boolean required) {
+        Map<String, Section> blocks = new LinkedHashMap<>();
+        Object value = get(type, required);
         if (value != null) {
-            map(type, value).forEach((label, fieldsOf) -> {
-                String of = type + " \"" + label + "\"";
-                found.put(label, new Section(pathOf(of), map(of, fieldsOf), faults));
+            blockFields(type, value).forEach((label, block) -> {
+                String blockName = type + " \"" + label + "\"";
+                blocks.put(label, new Section(pathOf(blockName), blockFields(blockName, block), faults));
             });
         }
-        return found;
+        return blocks;
     }
 
-    /** All blocks of this type, which have no label, in order. */
+    /** Returns all blocks of this type, which carry no label, in the order of the file. */
     public List<Section> repeatedBlocks(String type) {
         Object value = get(type, false);
-        List<Section> found = new ArrayList<>();
-        List<?> all = value == null ? List.of() : value instanceof List<?> list ? list : List.of(value);
-        for (Object one : all) {
-            String of = type + "[" + found.size() + "]";
-            found.add(new Section(pathOf(of), map(of, one), faults));
+        List<Section> blocks = new ArrayList<>();
+        List<?> values = value == null ? List.of() : value instanceof List<?> list ? list : List.of(value);
+        for (Object block : values) {
+            String blockName = type + "[" + blocks.size() + "]";
+            blocks.add(new Section(pathOf(blockName), blockFields(blockName, block), faults));
         }
-        return found;
+        return blocks;
     }
 
-    private Map<String, Object> map(String of, Object value) {
-        Map<String, Object> found = new LinkedHashMap<>();
+    private Map<String, Object> blockFields(String name, Object value) {
+        Map<String, Object> entries = new LinkedHashMap<>();
         if (value instanceof Map<?, ?> map) {
-            map.forEach((key, entry) -> found.put(key.toString(), entry));
+            map.forEach((key, entry) -> entries.put(key.toString(), entry));
         } else if (value != null) {
-            faults.add(pathOf(of) + ": must be a block, not " + shown(value));
+            faults.add(pathOf(name) + ": must be a block, not " + format(value));
         }
-        return found;
+        return entries;
     }
 
-    /** To be called once all is read: what is left over is not known. */
+    /** Adds a fault for each field that has not been read. Must be called after all known fields have been read. */
     public void reportUnknownFields() {
         for (String field : fields.keySet()) {
-            if (!read.contains(field)) {
-                faults.add(pathOf(field) + ": is not known here; known are " + String.join(", ", read));
+            if (!readFields.contains(field)) {
+                faults.add(pathOf(field) + ": is not known here; known are " + String.join(", ", readFields));
             }
         }
     }
 
-    private static String shown(Object value) {
+    private static String format(Object value) {
         return value instanceof String ? "\"" + value + "\"" : String.valueOf(value);
     }
 }
--- a/src/main/java/kitemux/hcl/SourceLocations.java
+++ b/src/main/java/kitemux/hcl/SourceLocations.java
@@ -10,266 +10,288 @@
 import java.util.Set;
 
 /**
- * Where in a description each field and block stands. The library that reads descriptions says nothing of
- * places, and forgives brackets that are left open; this looks at names and brackets alone, and leaves values
- * to it.
+ * Line and column of each field and block in an HCL file. The HCL library reports no locations and accepts
+ * unclosed brackets. This scanner therefore examines names and brackets only and leaves values to the library.
  */
 public final class SourceLocations {
-    private static final String FIRST = "[0]";
+    private static final String FIRST_INDEX = "[0]";
 
     private final String text;
-    private final Map<String, int[]> places = new HashMap<>();
+    private final Map<String, int[]> locations = new HashMap<>();
     private final List<String> faults = new ArrayList<>();
     private final List<LabelledBlock> labelledBlocks = new ArrayList<>();
-    /** Where the statement began that is being read. */
-    private int statement;
+    /** Text offset of the first word of the current statement. */
+    private int statementStart;
 
-    private final Set<String> once = new HashSet<>();
-    private int at;
+    private final Set<String> seenPaths = new HashSet<>();
+    private int position;
     private int line = 1;
-    private int lineBegan;
+    private int lineStart;
 
     private SourceLocations(String text) {
         this.text = text;
     }
 
     /**
-     * A block at the top that has a label, such as {@code server "web-1" { ... }}.
+     * A top-level block that has a label, such as {@code server "web-1" { ... }}.
      *
-     * @param start and {@code to}: where it stands in the text, the latter behind its bracket
+     * @param start text offset of the block's first character
+     * @param end text offset after the closing bracket
      */
     record LabelledBlock(int start, int end) {}
 
-    /** Blocks at the top that have a label, in order; those that are never closed are not among them. */
+    /** Returns the labelled top-level blocks in the order of the text, without those that are never closed. */
     List<LabelledBlock> labelledBlocks() {
         return List.copyOf(labelledBlocks);
     }
 
-    /** Looks through a description. */
+    /** Scans the text of an HCL file. */
     public static SourceLocations of(String text) {
-        SourceLocations places = new SourceLocations(text);
-        places.scan();
-        return places;
+        SourceLocations locations = new SourceLocations(text);
+        locations.scan();
+        return locations;
     }
 
     /**
-     * Brackets that are left open or close nothing, and names that are there twice, of which a reader takes
-     * one: one line each with its place; empty if there are none.
+     * Returns the unbalanced brackets and the duplicate names, of which the library keeps only one. Each entry has
+     * the form {@code LINE:COLUMN: FAULT}.
      */
     public List<String> faults() {
         return List.copyOf(faults);
     }
 
     /**
-     * Faults of a description with their places, each beginning with the file. Brackets left open and
-     * names that
-     * are there twice come first, as others may follow from them.
+     * Prefixes each fault with its file, line and column. Unbalanced brackets and duplicate names come first
+     * because they may cause the other faults.
      *
-     * @param faults each begins with a field or a block, as {@link Section} names them
+     * @param faults faults that each begin with the path of a field or block, in the notation of {@link Section}
      */
     public static List<String> faultsWithLocations(String file, String text, List<String> faults) {
-        SourceLocations places = of(text);
-        List<String> all = new ArrayList<>();
-        places.faults().forEach(fault -> all.add(file + ":" + fault));
-        faults.forEach(fault -> all.add(places.withLocation(file, fault)));
-        return all;
+        SourceLocations locations = of(text);
+        List<String> lines = new ArrayList<>();
+        locations.faults().forEach(fault -> lines.add(file + ":" + fault));
+        faults.forEach(fault -> lines.add(locations.withLocation(file, fault)));
+        return lines;
     }
 
     /**
-     * A fault with its place in front: {@code FILE:LINE:COLUMN: FAULT}. Where what it begins with is not
-     * there,
-     * as it must be given and is not, the place is that of what it should stand in; without one it is the
-     * file.
+     * Returns a fault prefixed with its location: {@code FILE:LINE:COLUMN: FAULT}. A missing field or block gets
+     * the location of the nearest enclosing block that exists. Without such a block, the prefix is the file alone.
      *
-     * @param fault begins with a field or a block, as {@link Section} names them
+     * @param fault fault that begins with the path of a field or block, in the notation of {@link Section}
      */
     public String withLocation(String file, String fault) {
-        int[] best = null;
-        int length = -1;
-        for (Map.Entry<String, int[]> place : places.entrySet()) {
-            String path = place.getKey();
-            boolean begins = fault.startsWith(path)
+        int[] bestLocation = null;
+        int bestLength = -1;
+        for (Map.Entry<String, int[]> entry : locations.entrySet()) {
+            String path = entry.getKey();
+            boolean matches = fault.startsWith(path)
                     && (fault.length() == path.length() || ":.[ ".indexOf(fault.charAt(path.length())) >= 0);
-            if (begins && path.length() > length) {
-                best = place.getValue();
-                length = path.length();
+            if (matches && path.length() > bestLength) {
+                bestLocation = entry.getValue();
+                bestLength = path.length();
             }
         }
-        return best == null ? file + ": " + fault : file + ":" + best[0] + ":" + best[1] + ": " + fault;
+        return bestLocation == null
+                ? file + ": " + fault
+                : file + ":" + bestLocation[0] + ":" + bestLocation[1] + ": " + fault;
     }
 
-    // ---------------------------------------------------------------- the text
+    // ---------------------------------------------------------------- scanner
 
     /**
-     * @param start where a labelled block at the top begins; -1 for all others
+     * A bracket that has not been closed yet; the bottom entry of the stack, a space, stands for the whole text.
+     *
+     * @param bracket the opening character
+     * @param path path of the innermost named block or object around the bracket's contents; empty at the top level
+     * @param line line of the bracket, from 1
+     * @param column column of the bracket, from 1
+     * @param blockCounts number of unlabelled blocks directly inside, by type
+     * @param labelledStart text offset of a labelled top-level block; -1 for all other brackets
      */
-    private record Open(char bracket, String path, int line, int column, Map<String, Integer> counts, int from) {}
+    private record OpenBracket(
+            char bracket, String path, int line, int column, Map<String, Integer> blockCounts, int labelledStart) {}
 
     private void scan() {
-        Deque<Open> open = new ArrayDeque<>();
-        open.push(new Open(' ', "", 1, 1, new HashMap<>(), -1));
+        Deque<OpenBracket> openBrackets = new ArrayDeque<>();
+        openBrackets.push(new OpenBracket(' ', "", 1, 1, new HashMap<>(), -1));
         List<String> words = new ArrayList<>();
-        int[] first = null;
-        boolean value = false;
-        while (at < text.length()) {
-            char c = text.charAt(at);
+        int[] firstWordLocation = null;
+        boolean inValue = false;
+        while (position < text.length()) {
+            char c = text.charAt(position);
             if (c == '\n') {
-                // A list goes on over lines; a value does not.
-                value = value && open.peek().bracket == '[';
+                // A list may continue on the next line; any other value ends with its line.
+                inValue = inValue && openBrackets.peek().bracket == '[';
                 words.clear();
-                next();
-            } else if (isComment()) {
+                advance();
+            } else if (startsComment()) {
                 skipComment();
-            } else if (c == '"' || isName(c)) {
-                int[] here = {line, column()};
-                int begins = at;
-                String word = c == '"' ? string() : name();
-                if (!value && open.peek().bracket != '[') {
-                    first = words.isEmpty() ? here : first;
-                    statement = words.isEmpty() ? begins : statement;
+            } else if (c == '"' || isNameCharacter(c)) {
+                int[] location = {line, column()};
+                int wordStart = position;
+                String word = c == '"' ? readString() : readName();
+                if (!inValue && openBrackets.peek().bracket != '[') {
+                    firstWordLocation = words.isEmpty() ? location : firstWordLocation;
+                    statementStart = words.isEmpty() ? wordStart : statementStart;
                     words.add(word);
                 }
-            } else if (c == '=' && !value) {
-                String path = within(open.peek().path, words.isEmpty() ? "" : words.get(0));
-                int[] here = first == null ? new int[] {line, column()} : first;
-                put(path, here);
-                once(path, here);
-                value = true;
-                next();
-            } else if (c == '<' && text.startsWith("<<", at)) {
-                heredoc();
+            } else if (c == '=' && !inValue) {
+                String path = childPath(openBrackets.peek().path, words.isEmpty() ? "" : words.get(0));
+                int[] location = firstWordLocation == null ? new int[] {line, column()} : firstWordLocation;
+                putLocation(path, location);
+                requireUnique(path, location);
+                inValue = true;
+                advance();
+            } else if (c == '<' && text.startsWith("<<", position)) {
+                skipHeredoc();
             } else if (c == '{' || c == '[') {
-                boolean isLabelled = c == '{' && open.size() == 1 && words.size() > 1 && !value;
-                open.push(opened(c, open.peek(), words, first, value, isLabelled ? statement : -1));
+                boolean startsLabelledBlock = c == '{' && openBrackets.size() == 1 && words.size() > 1 && !inValue;
+                openBrackets.push(openBracket(
+                        c,
+                        openBrackets.peek(),
+                        words,
+                        firstWordLocation,
+                        inValue,
+                        startsLabelledBlock ? statementStart : -1));
                 words.clear();
-                value = c == '[';
-                next();
+                inValue = c == '[';
+                advance();
             } else if (c == '}' || c == ']') {
-                close(open, c);
+                closeBracket(openBrackets, c);
                 words.clear();
-                value = open.peek().bracket == '[';
-                next();
+                inValue = openBrackets.peek().bracket == '[';
+                advance();
             } else {
-                next();
+                advance();
             }
         }
-        while (open.size() > 1) {
-            Open left = open.pop();
-            faults.add(left.line + ":" + left.column + ": the bracket " + left.bracket + " is never closed");
+        while (openBrackets.size() > 1) {
+            OpenBracket unclosed = openBrackets.pop();
+            faults.add(
+                    unclosed.line + ":" + unclosed.column + ": the bracket " + unclosed.bracket + " is never closed");
         }
     }
 
-    /** What a bracket begins: a block or an object by its name and label, or a list. */
-    private Open opened(char bracket, Open within, List<String> words, int[] first, boolean value, int from) {
-        String path = within.path;
+    /** Records a named block or object that a bracket opens; all other brackets keep the path of their parent. */
+    private OpenBracket openBracket(
+            char bracket,
+            OpenBracket parent,
+            List<String> words,
+            int[] firstWordLocation,
+            boolean inValue,
+            int labelledStart) {
+        String path = parent.path;
         if (bracket == '{' && !words.isEmpty()) {
             String type = words.get(0);
-            int[] here = first == null ? new int[] {line, column()} : first;
-            String own = within(within.path, words.size() > 1 ? type + " \"" + words.get(1) + "\"" : type);
-            if (words.size() == 1 && !value) {
-                // It may be the only one of its name or one of several, and is asked for by either name.
-                own += "[" + (within.counts.merge(type, 1, Integer::sum) - 1) + "]";
+            int[] location = firstWordLocation == null ? new int[] {line, column()} : firstWordLocation;
+            String blockPath = childPath(parent.path, words.size() > 1 ? type + " \"" + words.get(1) + "\"" : type);
+            if (words.size() == 1 && !inValue) {
+                // A single block is looked up without an index and one of several with it, so both paths are stored.
+                blockPath += "[" + (parent.blockCounts.merge(type, 1, Integer::sum) - 1) + "]";
             }
-            put(own, here);
-            put(within(within.path, type), here);
-            if (!value) {
-                once(own, here);
+            putLocation(blockPath, location);
+            putLocation(childPath(parent.path, type), location);
+            if (!inValue) {
+                requireUnique(blockPath, location);
             }
-            path = own;
+            path = blockPath;
         }
-        return new Open(bracket, path, line, column(), new HashMap<>(), from);
+        return new OpenBracket(bracket, path, line, column(), new HashMap<>(), labelledStart);
     }
 
-    private void once(String path, int[] here) {
-        if (!path.isEmpty() && !once.add(path)) {
-            faults.add(here[0] + ":" + here[1] + ": " + path + " is there twice");
+    /** Adds a fault if the path has occurred before. */
+    private void requireUnique(String path, int[] location) {
+        if (!path.isEmpty() && !seenPaths.add(path)) {
+            faults.add(location[0] + ":" + location[1] + ": " + path + " is there twice");
         }
     }
 
-    private void close(Deque<Open> open, char bracket) {
-        char opens = bracket == '}' ? '{' : '[';
-        if (open.size() == 1 || open.peek().bracket != opens) {
+    private void closeBracket(Deque<OpenBracket> openBrackets, char bracket) {
+        char openingBracket = bracket == '}' ? '{' : '[';
+        if (openBrackets.size() == 1 || openBrackets.peek().bracket != openingBracket) {
             faults.add(line + ":" + column() + ": the bracket " + bracket + " closes nothing");
         }
-        if (open.size() > 1) {
-            Open closed = open.pop();
-            if (closed.from >= 0) {
-                labelledBlocks.add(new LabelledBlock(closed.from, at + 1));
+        if (openBrackets.size() > 1) {
+            OpenBracket closed = openBrackets.pop();
+            if (closed.labelledStart >= 0) {
+                labelledBlocks.add(new LabelledBlock(closed.labelledStart, position + 1));
             }
         }
     }
 
-    /** Under its path, and under those in which a first block of its name goes without a number. */
-    private void put(String path, int[] place) {
-        places.putIfAbsent(path, place);
-        for (int i = path.indexOf(FIRST); i >= 0; i = path.indexOf(FIRST, i + 1)) {
-            put(path.substring(0, i) + path.substring(i + FIRST.length()), place);
+    /** Stores a location under its path and under every variant of the path that omits a first block's index. */
+    private void putLocation(String path, int[] location) {
+        locations.putIfAbsent(path, location);
+        for (int i = path.indexOf(FIRST_INDEX); i >= 0; i = path.indexOf(FIRST_INDEX, i + 1)) {
+            putLocation(path.substring(0, i) + path.substring(i + FIRST_INDEX.length()), location);
         }
     }
 
-    private static String within(String path, String name) {
+    private static String childPath(String path, String name) {
         return path.isEmpty() ? name : path + "." + name;
     }
 
     private int column() {
-        return at - lineBegan + 1;
+        return position - lineStart + 1;
     }
 
-    private void next() {
-        if (text.charAt(at++) == '\n') {
+    private void advance() {
+        if (text.charAt(position++) == '\n') {
             line++;
-            lineBegan = at;
+            lineStart = position;
         }
     }
 
-    private static boolean isName(char c) {
+    private static boolean isNameCharacter(char c) {
         return Character.isLetterOrDigit(c) || c == '_' || c == '-' || c == '.';
     }
 
-    private String name() {
-        int from = at;
-        while (at < text.length() && isName(text.charAt(at))) {
-            at++;
+    private String readName() {
+        int start = position;
+        while (position < text.length() && isNameCharacter(text.charAt(position))) {
+            position++;
         }
-        return text.substring(from, at);
+        return text.substring(start, position);
     }
 
-    private String string() {
-        int from = ++at;
-        while (at < text.length() && text.charAt(at) != '"' && text.charAt(at) != '\n') {
-            at += text.charAt(at) == '\\' && at + 1 < text.length() ? 2 : 1;
+    private String readString() {
+        int start = ++position;
+        while (position < text.length() && text.charAt(position) != '"' && text.charAt(position) != '\n') {
+            position += text.charAt(position) == '\\' && position + 1 < text.length() ? 2 : 1;
         }
-        String found = text.substring(from, Math.min(at, text.length()));
-        if (at < text.length() && text.charAt(at) == '"') {
-            at++;
+        String content = text.substring(start, Math.min(position, text.length()));
+        if (position < text.length() && text.charAt(position) == '"') {
+            position++;
         }
-        return found;
+        return content;
     }
 
-    private boolean isComment() {
-        return text.charAt(at) == '#' || text.startsWith("//", at) || text.startsWith("/*", at);
+    private boolean startsComment() {
+        return text.charAt(position) == '#' || text.startsWith("//", position) || text.startsWith("/*", position);
     }
 
     private void skipComment() {
-        boolean block = text.startsWith("/*", at);
-        while (at < text.length() && (block ? !text.startsWith("*/", at) : text.charAt(at) != '\n')) {
-            next();
+        boolean isBlockComment = text.startsWith("/*", position);
+        while (position < text.length()
+                && (isBlockComment ? !text.startsWith("*/", position) : text.charAt(position) != '\n')) {
+            advance();
         }
-        at = block ? Math.min(text.length(), at + 2) : at;
+        position = isBlockComment ? Math.min(text.length(), position + 2) : position;
     }
 
-    private void heredoc() {
-        at += 2;
-        if (at < text.length() && text.charAt(at) == '-') {
-            at++;
+    private void skipHeredoc() {
+        position += 2;
+        if (position < text.length() && text.charAt(position) == '-') {
+            position++;
         }
-        String end = name();
-        while (at < text.length()) {
-            next();
-            int lineEnd = text.indexOf('\n', at);
-            String whole = text.substring(at, lineEnd < 0 ? text.length() : lineEnd);
-            if (whole.strip().equals(end)) {
-                at += whole.length();
+        String endMarker = readName();
+        while (position < text.length()) {
+            advance();
+            int lineEnd = text.indexOf('\n', position);
+            String currentLine = text.substring(position, lineEnd < 0 ? text.length() : lineEnd);
+            if (currentLine.strip().equals(endMarker)) {
+                position += currentLine.length();
                 return;
             }
         }
--- a/src/main/java/kitemux/sidecar/ApplicationProcess.java
+++ b/src/main/java/kitemux/sidecar/ApplicationProcess.java
@@ -6,14 +6,13 @@
 import kitemux.node.Signals;
 
 /**
- * The application that a sidecar was started with. It begins once clients can connect, and the sidecar ends
- * with it. On
- * SIGTERM it is told first and served until it has ended, as what it still has to ask goes through the
- * sidecar.
+ * The application as a child process of the sidecar. It is started once clients can connect, and the sidecar ends
+ * when it exits. SIGTERM is passed on to the application first. The sidecar keeps serving until the application has
+ * exited, because the application's remaining requests go through the sidecar.
  */
 final class ApplicationProcess {
-    /** After which an application that was told to end is ended. */
-    private static final long MOST_END_S = 10;
+    /** Time that the application has to exit after SIGTERM before it is killed. */
+    private static final long STOP_TIMEOUT_S = 10;
 
     private final List<String> command;
     private final LineLog log;
@@ -24,21 +23,21 @@
         this.log = log;
     }
 
-    /** Runs it to its end; its exit code, or 127 where it could not be started. */
+    /** Starts the application, waits until it exits and returns its exit code, or 127 if it could not be started. */
     int run() throws InterruptedException {
-        // Before it is started, so that no SIGTERM ends this process and leaves it behind.
-        Signals.handle("TERM", this::end, log);
+        // Installed before the start, so that a SIGTERM cannot end this process and leave the application running.
+        Signals.handle("TERM", this::stop, log);
         Runtime.getRuntime().addShutdownHook(new Thread(this::kill, "application"));
-        Process started;
+        Process child;
         try {
-            started = start();
+            child = start();
         } catch (IOException e) {
-            log.info("the application cannot be started: " + e.getMessage());
+            log.info("cannot start the application: " + e.getMessage());
             return 127;
         }
-        int code = started.waitFor();
-        log.info("the application has ended with exit code " + code);
-        return code;
+        int exitCode = child.waitFor();
+        log.info("the application exited with code " + exitCode);
+        return exitCode;
     }
 
     private synchronized Process start() throws IOException {
@@ -46,32 +45,35 @@
         return process;
     }
 
-    private synchronized Process started() {
+    private synchronized Process process() {
         return process;
     }
 
-    /** It is told to end, and {@link #run} comes back once it has. */
-    private void end() {
-        Process told = started();
-        if (told == null) {
+    /**
+     * Asks the application to exit, which lets {@link #run} return, and kills it after {@link #STOP_TIMEOUT_S}. If the
+     * application has not been started yet, this process exits at once.
+     */
+    private void stop() {
+        Process child = process();
+        if (child == null) {
             System.exit(0);
         }
-        told.destroy();
+        child.destroy();
         try {
-            if (!told.waitFor(MOST_END_S, TimeUnit.SECONDS)) {
-                log.info("the application did not end within " + MOST_END_S + " s and is ended");
-                told.destroyForcibly();
+            if (!child.waitFor(STOP_TIMEOUT_S, TimeUnit.SECONDS)) {
+                log.info("the application did not exit within " + STOP_TIMEOUT_S + " s of SIGTERM; killing it");
+                child.destroyForcibly();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Whatever ends this process, the application does not outlive it. */
+    /** Kills the application when this process exits, so that it never outlives the sidecar. */
     private void kill() {
-        Process left = started();
-        if (left != null) {
-            left.destroyForcibly();
+        Process child = process();
+        if (child != null) {
+            child.destroyForcibly();
         }
     }
 }
--- a/src/main/java/kitemux/sidecar/HttpFetcher.java
+++ b/src/main/java/kitemux/sidecar/HttpFetcher.java
@@ -14,9 +14,10 @@
 import java.util.concurrent.Flow;
 import java.util.concurrent.TimeUnit;
 
-/** Asks by HTTP for lists and for servers' health, bounded in time and in length. */
+/** HTTP client for server lists and health checks, with limits on the response time and the body's length. */
 final class HttpFetcher {
-    private static final int MOST_BYTES = 8 << 20;
+    /** Maximum length of a body; no server list is this long. */
+    private static final int MAX_BODY_BYTES = 8 << 20;
 
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
@@ -24,44 +25,47 @@
             .build();
 
     /**
-     * The answer's body. Fails with the reason where there is none within the time, where it is no 200, or
-     * where it is
-     * longer than any list.
+     * Fetches the response body. The future fails if the complete response does not arrive within the timeout, if its
+     * status is not 200 or if the body is longer than {@link #MAX_BODY_BYTES}.
      */
-    CompletableFuture<byte[]> get(URI uri, long withinMs) {
-        HttpRequest ask =
-                HttpRequest.newBuilder(uri).timeout(Duration.ofMillis(withinMs)).build();
-        CompletableFuture<HttpResponse<byte[]>> answer = client.sendAsync(ask, head -> new Bounded(head.statusCode()));
-        // A request's own time covers the way to the answer's head alone.
-        return within(answer, withinMs).thenApply(HttpResponse::body);
+    CompletableFuture<byte[]> get(URI uri, long timeoutMs) {
+        HttpRequest request = HttpRequest.newBuilder(uri)
+                .timeout(Duration.ofMillis(timeoutMs))
+                .build();
+        CompletableFuture<HttpResponse<byte[]>> response =
+                client.sendAsync(request, responseInfo -> new BoundedBodySubscriber(responseInfo.statusCode()));
+        // The request's own timeout ends with the response headers and does not cover the body.
+        return withTimeout(response, timeoutMs).thenApply(HttpResponse::body);
     }
 
-    /** Whether it answers 200 to 299 within the time; never fails. */
-    CompletableFuture<Boolean> isHealthy(URI uri, long withinMs) {
-        HttpRequest ask =
-                HttpRequest.newBuilder(uri).timeout(Duration.ofMillis(withinMs)).build();
-        return within(client.sendAsync(ask, HttpResponse.BodyHandlers.discarding()), withinMs)
-                .handle((answer, failed) -> failed == null && answer.statusCode() / 100 == 2);
+    /** Tells whether the server answers with a status from 200 to 299 within the timeout. The future never fails. */
+    CompletableFuture<Boolean> isHealthy(URI uri, long timeoutMs) {
+        HttpRequest request = HttpRequest.newBuilder(uri)
+                .timeout(Duration.ofMillis(timeoutMs))
+                .build();
+        return withTimeout(client.sendAsync(request, HttpResponse.BodyHandlers.discarding()), timeoutMs)
+                .handle((response, failure) -> failure == null && response.statusCode() / 100 == 2);
     }
 
-    private static <T> CompletableFuture<T> within(CompletableFuture<T> asked, long withinMs) {
-        CompletableFuture<T> bounded = asked.copy().orTimeout(withinMs, TimeUnit.MILLISECONDS);
-        bounded.whenComplete((answer, failed) -> {
-            if (failed != null) {
-                asked.cancel(true);
+    /** Bounds a call in time and cancels it on failure. */
+    private static <T> CompletableFuture<T> withTimeout(CompletableFuture<T> call, long timeoutMs) {
+        CompletableFuture<T> bounded = call.copy().orTimeout(timeoutMs, TimeUnit.MILLISECONDS);
+        bounded.whenComplete((response, failure) -> {
+            if (failure != null) {
+                call.cancel(true);
             }
         });
         return bounded;
     }
 
-    /** A body that is given up once it is longer than any list. */
-    private static final class Bounded implements HttpResponse.BodySubscriber<byte[]> {
+    /** Collects a body and aborts if the status is not 200 or the body is longer than {@link #MAX_BODY_BYTES}. */
+    private static final class BoundedBodySubscriber implements HttpResponse.BodySubscriber<byte[]> {
         private final int status;
-        private final ByteArrayOutputStream read = new ByteArrayOutputStream();
+        private final ByteArrayOutputStream received = new ByteArrayOutputStream();
         private final CompletableFuture<byte[]> body = new CompletableFuture<>();
-        private Flow.Subscription from;
+        private Flow.Subscription upstream;
 
-        Bounded(int status) {
+        BoundedBodySubscriber(int status) {
             this.status = status;
         }
 
@@ -72,41 +76,41 @@
 
         @Override
         public void onSubscribe(Flow.Subscription subscription) {
-            from = subscription;
+            upstream = subscription;
             if (status != 200) {
-                giveUp("status " + status);
+                abort("status " + status);
             } else {
-                from.request(1);
+                upstream.request(1);
             }
         }
 
-        private void giveUp(String why) {
-            from.cancel();
-            body.completeExceptionally(new IOException(why));
+        private void abort(String reason) {
+            upstream.cancel();
+            body.completeExceptionally(new IOException(reason));
         }
 
         @Override
-        public void onNext(List<ByteBuffer> parts) {
-            for (ByteBuffer part : parts) {
-                byte[] bytes = new byte[part.remaining()];
-                part.get(bytes);
-                read.writeBytes(bytes);
+        public void onNext(List<ByteBuffer> buffers) {
+            for (ByteBuffer buffer : buffers) {
+                byte[] bytes = new byte[buffer.remaining()];
+                buffer.get(bytes);
+                received.writeBytes(bytes);
             }
-            if (read.size() > MOST_BYTES) {
-                giveUp("more than " + MOST_BYTES + " bytes");
+            if (received.size() > MAX_BODY_BYTES) {
+                abort("more than " + MAX_BODY_BYTES + " bytes");
             } else {
-                from.request(1);
+                upstream.request(1);
             }
         }
 
         @Override
-        public void onError(Throwable failed) {
-            body.completeExceptionally(failed);
+        public void onError(Throwable failure) {
+            body.completeExceptionally(failure);
         }
 
         @Override
         public void onComplete() {
-            body.complete(read.toByteArray());
+            body.complete(received.toByteArray());
         }
     }
 }
--- a/src/main/java/kitemux/sidecar/LineLog.java
+++ b/src/main/java/kitemux/sidecar/LineLog.java
@@ -15,120 +15,120 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * Lines for the operators, as text or as JSON, written by a thread of its own. Whoever has something to say
- * never
- * waits: what a full queue does not take is left out, counted, and told with the next line that is written.
+ * Asynchronous log for the operators, in text or JSON lines. A dedicated thread writes the lines, so that callers
+ * never block. Lines that do not fit into the queue are dropped and counted; the count is logged with the next line.
  */
 final class LineLog implements Log {
     private static final JsonFactory JSON = new JsonFactory();
-    /** The writer looks again after so long though nobody woke it. */
-    private static final long LOOK_NS = 100_000_000;
+    /** Interval at which the writer checks the queue even if nobody has woken it. */
+    private static final long WRITER_POLL_NS = 100_000_000;
 
-    private static final long MOST_FLUSH_NS = 1_000_000_000;
-    /** Frames of a defect that are told. */
-    private static final int MOST_FRAMES = 20;
+    /** Time limit of {@link #flush}. */
+    private static final long FLUSH_TIMEOUT_NS = 1_000_000_000;
+    /** Maximum number of stack frames logged with an error. */
+    private static final int MAX_STACK_FRAME_COUNT = 20;
 
     private final PrintStream out;
     private final boolean json;
     private final Supplier<Instant> clock;
-    private final MpscArrayQueue<Entry> waiting;
-    private final AtomicLong leftOut = new AtomicLong();
+    private final MpscArrayQueue<Entry> pending;
+    private final AtomicLong droppedCount = new AtomicLong();
     private final Thread writer;
-    /** Whether nothing waits and nothing is being written. */
-    private volatile boolean written = true;
+    /** Whether the queue is empty and all its lines have been written. */
+    private volatile boolean idle = true;
 
-    private record Entry(Instant at, String level, String text, String cause) {}
+    private record Entry(Instant time, String level, String text, String cause) {}
 
     /**
-     * @param queue lines that wait to be written, at most
+     * Creates the log and starts its writer thread.
+     *
+     * @param json whether lines are written as JSON objects
+     * @param queueCapacity maximum number of lines that wait to be written
      */
-    LineLog(PrintStream out, boolean json, int queue, Supplier<Instant> clock) {
+    LineLog(PrintStream out, boolean json, int queueCapacity, Supplier<Instant> clock) {
         this.out = out;
         this.json = json;
         this.clock = clock;
-        waiting = new MpscArrayQueue<>(queue);
-        writer = new Thread(this::write, "log");
+        pending = new MpscArrayQueue<>(queueCapacity);
+        writer = new Thread(this::writeLoop, "log");
         writer.setDaemon(true);
         writer.start();
     }
 
     @Override
     public void info(String text) {
-        say("info", text, "");
+        enqueue("info", text, "");
     }
 
     @Override
-    public void error(String what, Throwable cause) {
+    public void error(String context, Throwable cause) {
         StringBuilder frames = new StringBuilder(String.valueOf(cause));
-        StackTraceElement[] all = cause.getStackTrace();
-        for (int i = 0; i < Math.min(MOST_FRAMES, all.length); i++) {
-            frames.append(" at ").append(all[i]);
+        StackTraceElement[] stackTrace = cause.getStackTrace();
+        for (int i = 0; i < Math.min(MAX_STACK_FRAME_COUNT, stackTrace.length); i++) {
+            frames.append(" at ").append(stackTrace[i]);
         }
-        say("error", what, frames.toString());
+        enqueue("error", context, frames.toString());
     }
 
-    private void say(String level, String text, String cause) {
-        written = false;
-        if (waiting.offer(new Entry(clock.get(), level, text, cause))) {
+    private void enqueue(String level, String text, String cause) {
+        idle = false;
+        if (pending.offer(new Entry(clock.get(), level, text, cause))) {
             LockSupport.unpark(writer);
         } else {
-            leftOut.incrementAndGet();
+            droppedCount.incrementAndGet();
         }
     }
 
-    /**
-     * Waits until all that was said is written, a second at most; what others say meanwhile is written as
-     * well.
-     */
+    /** Waits, for at most one second, until all lines have been written, including those added meanwhile. */
     void flush() throws InterruptedException {
-        long until = System.nanoTime() + MOST_FLUSH_NS;
-        while (!written && System.nanoTime() < until) {
+        long deadlineNs = System.nanoTime() + FLUSH_TIMEOUT_NS;
+        while (!idle && System.nanoTime() < deadlineNs) {
             LockSupport.unpark(writer);
             Thread.sleep(1);
         }
     }
 
-    private void write() {
+    private void writeLoop() {
         while (true) {
-            Entry next = waiting.poll();
+            Entry next = pending.poll();
             if (next == null) {
                 out.flush();
-                written = waiting.isEmpty();
-                LockSupport.parkNanos(this, LOOK_NS);
+                idle = pending.isEmpty();
+                LockSupport.parkNanos(this, WRITER_POLL_NS);
                 continue;
             }
-            long lost = leftOut.getAndSet(0);
-            if (lost > 0) {
-                out.println(shown(new Entry(
-                        next.at,
+            long dropped = droppedCount.getAndSet(0);
+            if (dropped > 0) {
+                out.println(format(new Entry(
+                        next.time,
                         "warning",
-                        lost + " lines were left out: they came faster than they" + " could be written",
+                        dropped + " lines were dropped because they arrived faster than they" + " could be written",
                         "")));
             }
-            out.println(shown(next));
+            out.println(format(next));
         }
     }
 
-    private String shown(Entry entry) {
-        String at = entry.at.truncatedTo(ChronoUnit.MILLIS).toString();
+    private String format(Entry entry) {
+        String time = entry.time.truncatedTo(ChronoUnit.MILLIS).toString();
         if (!json) {
-            return at + " " + entry.level + " "
+            return time + " " + entry.level + " "
                     + oneLine(entry.text + (entry.cause.isEmpty() ? "" : ": " + entry.cause));
         }
-        StringWriter text = new StringWriter();
-        try (JsonGenerator to = JSON.createGenerator(text)) {
-            to.writeStartObject();
-            to.writeStringField("time", at);
-            to.writeStringField("level", entry.level);
-            to.writeStringField("text", entry.text);
+        StringWriter buffer = new StringWriter();
+        try (JsonGenerator generator = JSON.createGenerator(buffer)) {
+            generator.writeStartObject();
+            generator.writeStringField("time", time);
+            generator.writeStringField("level", entry.level);
+            generator.writeStringField("text", entry.text);
             if (!entry.cause.isEmpty()) {
-                to.writeStringField("cause", entry.cause);
+                generator.writeStringField("cause", entry.cause);
             }
-            to.writeEndObject();
+            generator.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return text.toString();
+        return buffer.toString();
     }
 
     private static String oneLine(String text) {
--- a/src/main/java/kitemux/sidecar/Sidecar.java
+++ b/src/main/java/kitemux/sidecar/Sidecar.java
@@ -31,193 +31,196 @@
 import kitemux.node.Node;
 
 /**
- * A node beside an application, by its description: reads the sources of membership, checks servers, keeps
- * what it
- * knows for the next process, and tells the node. All of this is done by one thread beside the node's loop,
- * which
- * decides nothing itself: {@link Membership} does.
+ * A node that runs next to an application and is configured by the application's description. It reads the server
+ * list, checks the servers' health, saves the membership for the next process and reconfigures the node. One thread
+ * does all of this, separately from the node's event loop, and leaves all decisions to {@link Membership}.
  */
 public final class Sidecar {
-    /** A list that takes longer is no list. */
-    private static final long LIST_WITHIN_MS = 5_000;
-    /** The first look at a list, for which the start waits. */
-    private static final long FIRST_WITHIN_MS = 2_000;
-    /** What has changed is left for the next process so often at most. */
-    private static final long STATE_EVERY_MS = 1_000;
-    /** Lines of one list's faults that are told. */
-    private static final int MOST_FAULTS = 5;
+    /** Timeout for fetching the server list while the sidecar runs. */
+    private static final long LIST_TIMEOUT_MS = 5_000;
+    /** Timeout for the first fetch of the server list; shorter because the start waits for it. */
+    private static final long INITIAL_LIST_TIMEOUT_MS = 2_000;
+    /** Minimum interval between two saves of the membership snapshot. */
+    private static final long STATE_SAVE_INTERVAL_MS = 1_000;
+    /** Maximum number of faults that are logged for one invalid server list. */
+    private static final int MAX_LOGGED_FAULT_COUNT = 5;
 
     private final Options options;
     private final LineLog log;
-    private final Membership members;
-    private final Watch watch;
-    private final SnapshotStore state;
-    private final Path config;
-    private final HttpFetcher fetch = new HttpFetcher();
-    private final RefreshSchedule refresh;
-    private final ScheduledExecutorService keeper;
-    private final Set<String> checking = new HashSet<>();
-    private final Instant beganAt = Instant.now();
-    private final long beganNs = System.nanoTime();
+    private final Membership membership;
+    private final Watch descriptionWatch;
+    private final SnapshotStore snapshotStore;
+    private final Path configFile;
+    private final HttpFetcher fetcher = new HttpFetcher();
+    private final RefreshSchedule refreshSchedule;
+    private final ScheduledExecutorService executor;
+    private final Set<String> serversBeingChecked = new HashSet<>();
+    private final Instant startTime = Instant.now();
+    private final long startNs = System.nanoTime();
     private App app;
-    private Runnable reload = () -> {};
-    private byte[] fileSeen;
-    private byte[] fileTaken;
-    private boolean unsaved;
-    /** What is wrong with the source of servers, as it was told last; empty where nothing is. */
-    private String trouble = "";
+    private Runnable reloadNode = () -> {};
+    private byte[] lastReadList;
+    private byte[] lastProcessedList;
+    private boolean hasUnsavedState;
+    /** The problem with the source of servers that was logged last; empty if the source works. */
+    private String sourceProblem = "";
 
     /**
-     * How it was called.
+     * Command-line options of the sidecar.
      *
-     * @param descriptionFile the description
-     * @param filePollMs between two looks at files
-     * @param seed for the node's random numbers, 1 to 16 hex digits
-     * @param command of the application, which is started once clients can connect; empty for none
+     * @param descriptionFile file with the application's description
+     * @param filePollMs milliseconds between two checks of the watched files for changes
+     * @param seed seed of the node's random numbers, 1 to 16 hexadecimal digits
+     * @param command command line of the application, which is started once clients can connect; empty for none
      */
     public record Options(Path descriptionFile, long filePollMs, String seed, List<String> command) {}
 
     /**
-     * @param app a description that is sound
-     * @param text that it was read from
+     * Creates a sidecar without starting it.
+     *
+     * @param app valid description of the application
+     * @param text text from which the description was read
+     * @throws IOException if the temporary directory for the node's configuration cannot be created
      */
     public Sidecar(App app, String text, Options options) throws IOException {
         this.app = app;
         this.options = options;
         log = new LineLog(System.err, app.logs().json(), app.logs().queue(), Instant::now);
-        App.Members from = app.members();
-        App.Health how = app.health();
-        members = new Membership(new MemberSettings(
-                from.mostLost(),
-                from.sureUs(),
-                how == null
+        App.Members memberSource = app.members();
+        App.Health health = app.health();
+        membership = new Membership(new MemberSettings(
+                memberSource.mostLost(),
+                memberSource.sureUs(),
+                health == null
                         ? null
                         : new MemberSettings.HealthCheck(
-                                how.fall(), how.rise(), how.mostOut(), how.holdUs(), how.mostHoldUs())));
-        refresh = new RefreshSchedule(
-                from.refreshUs(),
-                from.backOffUs(),
+                                health.fall(), health.rise(), health.mostOut(), health.holdUs(), health.mostHoldUs())));
+        refreshSchedule = new RefreshSchedule(
+                memberSource.refreshUs(),
+                memberSource.backOffUs(),
                 () -> ThreadLocalRandom.current().nextDouble());
-        watch = new Watch(app, text);
-        state = from.state().isEmpty() ? null : new SnapshotStore(Path.of(from.state()), app.name());
+        descriptionWatch = new Watch(app, text);
+        snapshotStore =
+                memberSource.state().isEmpty() ? null : new SnapshotStore(Path.of(memberSource.state()), app.name());
         Path folder = Files.createTempDirectory("kitemux-sidecar");
         folder.toFile().deleteOnExit();
-        config = folder.resolve("config.json");
-        config.toFile().deleteOnExit();
-        keeper = Executors.newSingleThreadScheduledExecutor(task -> {
+        configFile = folder.resolve("config.json");
+        configFile.toFile().deleteOnExit();
+        executor = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread thread = new Thread(task, "members");
             thread.setDaemon(true);
             return thread;
         });
     }
 
-    /** Unix time in microseconds that never goes backwards. */
+    /** Returns the Unix time in microseconds, which never goes backwards. */
     private long nowUs() {
-        return ChronoUnit.MICROS.between(Instant.EPOCH, beganAt) + (System.nanoTime() - beganNs) / 1_000;
+        return ChronoUnit.MICROS.between(Instant.EPOCH, startTime) + (System.nanoTime() - startNs) / 1_000;
     }
 
     /**
-     * Serves until SIGTERM, or until the application that it was started with has ended.
+     * Serves until SIGTERM or, if there is an application command, until the application exits.
      *
-     * @return the application's exit code
+     * @return the application's exit code, or 127 if it could not be started
      */
     public int run() throws IOException, InterruptedException {
-        firstMembers();
-        Map<String, String> env = new HashMap<>(System.getenv());
-        // What a platform would say; here the description does.
-        env.keySet().removeIf(name -> name.startsWith("PROXY_"));
-        env.put("PROXY_CONFIG", config.toString());
+        loadInitialMembers();
+        Map<String, String> environment = new HashMap<>(System.getenv());
+        // The description takes the place of the settings that a platform would pass in the environment.
+        environment.keySet().removeIf(name -> name.startsWith("PROXY_"));
+        environment.put("PROXY_CONFIG", configFile.toString());
         if (!app.operators().isEmpty()) {
-            env.put("PROXY_MGMT", app.operators());
+            environment.put("PROXY_MGMT", app.operators());
         }
-        reload = Node.run(env, log);
-        Runtime.getRuntime().addShutdownHook(new Thread(this::end, "end"));
-        every(options.filePollMs(), this::look);
-        every(STATE_EVERY_MS, this::save);
+        reloadNode = Node.run(environment, log);
+        Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "end"));
+        scheduleRepeatedly(options.filePollMs(), this::pollFiles);
+        scheduleRepeatedly(STATE_SAVE_INTERVAL_MS, this::saveState);
         if (!app.members().list().isEmpty()) {
-            keeper.schedule(this::askForList, refresh.recordSuccess() / 1_000, TimeUnit.MILLISECONDS);
+            executor.schedule(this::fetchList, refreshSchedule.recordSuccess() / 1_000, TimeUnit.MILLISECONDS);
         }
         if (app.health() != null) {
-            every(app.health().everyUs() / 1_000, this::checkAll);
+            scheduleRepeatedly(app.health().everyUs() / 1_000, this::scheduleChecks);
         }
         if (options.command().isEmpty()) {
-            // Until SIGTERM, by which the node drains and ends the process.
+            // Waits until SIGTERM, on which the node drains and ends the process.
             Thread.currentThread().join();
         }
         return new ApplicationProcess(options.command(), log).run();
     }
 
-    private void every(long ms, Runnable what) {
-        keeper.scheduleWithFixedDelay(() -> guarded(what), ms, ms, TimeUnit.MILLISECONDS);
+    private void scheduleRepeatedly(long ms, Runnable task) {
+        executor.scheduleWithFixedDelay(() -> runGuarded(task), ms, ms, TimeUnit.MILLISECONDS);
     }
 
-    /** A task that throws would not be run again: what it does is told and the next one tries anew. */
-    private void guarded(Runnable what) {
+    /** Runs a task and logs its exception, because the executor would not repeat a task that throws. */
+    private void runGuarded(Runnable task) {
         try {
-            what.run();
+            task.run();
         } catch (RuntimeException e) {
             log.error("members", e);
         }
     }
 
-    private void end() {
-        keeper.shutdown();
+    private void shutDown() {
+        executor.shutdown();
         try {
-            // What it is at is soon over; what it would write is written here, by one thread at a time.
-            keeper.awaitTermination(1, TimeUnit.SECONDS);
-            save();
-            // The node may have a word to say still, as it drains beside this: the log goes on.
+            // The running task ends soon. Saving after it has ended keeps two threads from writing the snapshot.
+            executor.awaitTermination(1, TimeUnit.SECONDS);
+            saveState();
+            // The log stays open, because the node drains concurrently and may log further lines.
             log.flush();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    // ---------------------------------------------------------------- which servers there are
+    // ---------------------------------------------------------------- membership
 
-    private void firstMembers() throws IOException {
-        MembershipSnapshot left = state == null ? null : state.read(log).orElse(null);
-        if (left != null) {
-            take(members.restore(nowUs(), left));
+    private void loadInitialMembers() throws IOException {
+        MembershipSnapshot snapshot =
+                snapshotStore == null ? null : snapshotStore.read(log).orElse(null);
+        if (snapshot != null) {
+            applyDecision(membership.restore(nowUs(), snapshot));
         }
         if (!app.discovery().isEmpty()) {
-            // The node asks for its servers itself.
-            write(ConfigWriter.json(app, options.seed()));
+            // The node fetches its servers from discovery itself.
+            writeConfig(ConfigWriter.json(app, options.seed()));
             return;
         }
         if (app.source().isEmpty()) {
-            take(members.replaceAll(nowUs(), ConfigWriter.members(app)));
+            applyDecision(membership.replaceAll(nowUs(), ConfigWriter.members(app)));
         } else if (!app.members().file().isEmpty()) {
-            fileSeen = file();
-            fileTaken = fileSeen;
-            list(fileSeen, app.members().file());
+            lastReadList = readListFile();
+            lastProcessedList = lastReadList;
+            applyList(lastReadList, app.members().file());
         } else {
             try {
-                list(
-                        fetch.get(URI.create(app.members().list()), FIRST_WITHIN_MS)
+                applyList(
+                        fetcher.get(URI.create(app.members().list()), INITIAL_LIST_TIMEOUT_MS)
                                 .join(),
                         app.members().list());
             } catch (CompletionException e) {
-                trouble(app.members().list(), reason(e));
+                reportSourceProblem(app.members().list(), failureReason(e));
             }
         }
-        if (members.isEmpty()) {
-            log.info("no server is known yet: all requests are refused until one is");
-        } else if (left != null) {
+        if (membership.isEmpty()) {
+            log.info("no server is known yet: all requests are refused until one is known");
+        } else if (snapshot != null) {
             log.info("began with what the process before this one knew, "
-                    + (nowUs() - left.savedUs()) / 1_000_000
+                    + (nowUs() - snapshot.savedUs()) / 1_000_000
                     + " s ago");
         }
-        tell(members.servers());
+        updateNode(membership.servers());
     }
 
-    private static String reason(Throwable failed) {
+    private static String failureReason(Throwable failure) {
         Throwable cause =
-                failed instanceof CompletionException && failed.getCause() != null ? failed.getCause() : failed;
+                failure instanceof CompletionException && failure.getCause() != null ? failure.getCause() : failure;
         return cause.getMessage() == null ? cause.getClass().getSimpleName() : cause.getMessage();
     }
 
-    private byte[] file() {
+    private byte[] readListFile() {
         try {
             return Files.readAllBytes(Path.of(app.members().file()));
         } catch (IOException e) {
@@ -225,153 +228,164 @@
         }
     }
 
-    /** A list has come, by file or by HTTP: whole and sound, or it changes nothing. */
-    private boolean list(byte[] text, String from) {
+    /**
+     * Applies a server list from a file or from HTTP. A list with faults changes nothing.
+     *
+     * @param text the list, or null if it cannot be read
+     * @param source file or URL of the list, for the log
+     * @return whether the list was valid
+     */
+    private boolean applyList(byte[] text, String source) {
         List<String> faults = new ArrayList<>();
-        List<Member> all = text == null ? List.of() : MemberListParser.parse(text, app::allows, faults);
+        List<Member> listed = text == null ? List.of() : MemberListParser.parse(text, app::allows, faults);
         if (text == null) {
             faults.add("cannot be read");
         }
         if (!faults.isEmpty()) {
-            trouble(from, String.join("; ", faults.subList(0, Math.min(MOST_FAULTS, faults.size()))));
+            reportSourceProblem(
+                    source, String.join("; ", faults.subList(0, Math.min(MAX_LOGGED_FAULT_COUNT, faults.size()))));
             return false;
         }
-        if (!trouble.isEmpty()) {
-            trouble = "";
-            log.info(from + ": can be read again");
+        if (!sourceProblem.isEmpty()) {
+            sourceProblem = "";
+            log.info(source + ": can be read again");
         }
-        take(members.updateFromSource(nowUs(), all));
+        applyDecision(membership.updateFromSource(nowUs(), listed));
         return true;
     }
 
-    /** Told as it begins and as it changes, and not at each look. */
-    private void trouble(String from, String what) {
-        if (!what.equals(trouble)) {
-            trouble = what;
-            log.info(from + ": " + what + "; what it said before holds");
+    /** Logs a problem when it first occurs and when it changes, but not on every poll. */
+    private void reportSourceProblem(String source, String problem) {
+        if (!problem.equals(sourceProblem)) {
+            sourceProblem = problem;
+            log.info(source + ": " + problem + "; what it said before holds");
         }
     }
 
-    private void take(Membership.Decision decision) {
+    private void applyDecision(Membership.Decision decision) {
         if (decision.servers() != null) {
-            unsaved = true;
-            tell(decision.servers());
+            hasUnsavedState = true;
+            updateNode(decision.servers());
         }
-        // Whoever reads that a server drains may rely on it.
+        // Logged after the node has been updated, so that operators can rely on a line saying that a server drains.
         decision.messages().forEach(log::info);
     }
 
-    private void tell(List<Membership.MemberStatus> serving) {
+    private void updateNode(List<Membership.MemberStatus> servers) {
         try {
-            write(ConfigWriter.json(
+            writeConfig(ConfigWriter.json(
                     app,
-                    serving.stream()
-                            .map(one -> ConfigWriter.server(one.member(), one.draining(), one.startedUs()))
+                    servers.stream()
+                            .map(server -> ConfigWriter.server(server.member(), server.draining(), server.startedUs()))
                             .toList(),
                     options.seed()));
-            reload.run();
+            reloadNode.run();
         } catch (IOException e) {
             log.info("the configuration cannot be written: " + e);
         }
     }
 
-    private void write(String json) throws IOException {
-        Path whole = Files.writeString(config.resolveSibling("config.json.new"), json);
-        Files.move(whole, config, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+    private void writeConfig(String json) throws IOException {
+        Path temporaryFile = Files.writeString(configFile.resolveSibling("config.json.new"), json);
+        Files.move(temporaryFile, configFile, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    // ---------------------------------------------------------------- what is done again and again
+    // ---------------------------------------------------------------- periodic tasks
 
-    private void look() {
+    private void pollFiles() {
         String text;
         try {
             text = Files.readString(options.descriptionFile());
         } catch (IOException e) {
             text = null;
         }
-        Watch.Decision decision = watch.look(text);
+        Watch.Decision decision = descriptionWatch.look(text);
         if (decision.app() != null) {
             app = decision.app();
             if (app.source().isEmpty() && app.discovery().isEmpty()) {
-                take(members.replaceAll(nowUs(), ConfigWriter.members(app)));
+                applyDecision(membership.replaceAll(nowUs(), ConfigWriter.members(app)));
             }
         }
         decision.say().forEach(log::info);
         if (!app.members().file().isEmpty()) {
-            lookAtList();
+            pollListFile();
         }
-        if (members.nextTickUs() <= nowUs()) {
-            take(members.tick(nowUs()));
+        if (membership.nextTickUs() <= nowUs()) {
+            applyDecision(membership.tick(nowUs()));
         }
     }
 
     /**
-     * As the description, a list counts once it was the same at two looks: one that is being written looks
-     * broken.
+     * Applies the list file once two successive polls have read the same content, as for the description. A file that
+     * is still being written would look invalid.
      */
-    private void lookAtList() {
-        byte[] now = file();
-        boolean settled = Arrays.equals(now, fileSeen);
-        fileSeen = now;
-        if (settled && !Arrays.equals(now, fileTaken)) {
-            fileTaken = now;
-            list(now, app.members().file());
+    private void pollListFile() {
+        byte[] current = readListFile();
+        boolean unchanged = Arrays.equals(current, lastReadList);
+        lastReadList = current;
+        if (unchanged && !Arrays.equals(current, lastProcessedList)) {
+            lastProcessedList = current;
+            applyList(current, app.members().file());
         }
     }
 
-    private void askForList() {
-        String from = app.members().list();
-        fetch.get(URI.create(from), LIST_WITHIN_MS)
+    private void fetchList() {
+        String source = app.members().list();
+        fetcher.get(URI.create(source), LIST_TIMEOUT_MS)
                 .whenCompleteAsync(
-                        (text, failed) -> guarded(() -> {
-                            long pauseUs;
-                            if (failed == null && list(text, from)) {
-                                pauseUs = refresh.recordSuccess();
+                        (text, failure) -> runGuarded(() -> {
+                            long delayUs;
+                            if (failure == null && applyList(text, source)) {
+                                delayUs = refreshSchedule.recordSuccess();
                             } else {
-                                pauseUs = refresh.recordFailure();
-                                if (failed != null) {
-                                    trouble(from, reason(failed));
+                                delayUs = refreshSchedule.recordFailure();
+                                if (failure != null) {
+                                    reportSourceProblem(source, failureReason(failure));
                                 }
                             }
-                            keeper.schedule(this::askForList, pauseUs / 1_000, TimeUnit.MILLISECONDS);
+                            executor.schedule(this::fetchList, delayUs / 1_000, TimeUnit.MILLISECONDS);
                         }),
-                        keeper);
+                        executor);
     }
 
-    /** Each server once, spread over the pause, and none that is being asked still. */
-    private void checkAll() {
-        List<Member> all = members.serversToCheck();
-        long pauseMs = app.health().everyUs() / 1_000;
-        for (int i = 0; i < all.size(); i++) {
-            Member one = all.get(i);
-            keeper.schedule(() -> guarded(() -> check(one)), pauseMs * i / all.size(), TimeUnit.MILLISECONDS);
+    /** Schedules one check of each server, spread evenly over the check interval. */
+    private void scheduleChecks() {
+        List<Member> servers = membership.serversToCheck();
+        long intervalMs = app.health().everyUs() / 1_000;
+        for (int i = 0; i < servers.size(); i++) {
+            Member server = servers.get(i);
+            executor.schedule(
+                    () -> runGuarded(() -> checkServer(server)),
+                    intervalMs * i / servers.size(),
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    private void check(Member one) {
-        if (!checking.add(one.name())) {
+    /** Checks a server unless its previous check is still in flight. */
+    private void checkServer(Member server) {
+        if (!serversBeingChecked.add(server.name())) {
             return;
         }
-        fetch.isHealthy(
-                        URI.create("http://" + one.address() + app.health().path()),
+        fetcher.isHealthy(
+                        URI.create("http://" + server.address() + app.health().path()),
                         app.health().timeoutUs() / 1_000)
                 .whenCompleteAsync(
-                        (well, failed) -> guarded(() -> {
-                            checking.remove(one.name());
-                            take(members.recordCheck(nowUs(), one.name(), Boolean.TRUE.equals(well)));
+                        (healthy, failure) -> runGuarded(() -> {
+                            serversBeingChecked.remove(server.name());
+                            applyDecision(membership.recordCheck(nowUs(), server.name(), Boolean.TRUE.equals(healthy)));
                         }),
-                        keeper);
+                        executor);
     }
 
-    private void save() {
-        if (state == null || !unsaved) {
+    private void saveState() {
+        if (snapshotStore == null || !hasUnsavedState) {
             return;
         }
-        unsaved = false;
+        hasUnsavedState = false;
         try {
-            state.write(members.snapshot(app.name(), nowUs()));
+            snapshotStore.write(membership.snapshot(app.name(), nowUs()));
         } catch (IOException e) {
-            log.info("state: cannot be written, and the next process begins without it: " + e);
+            log.info("state: cannot be written; the next process starts without it: " + e);
         }
     }
 }
--- a/src/main/java/kitemux/sidecar/SnapshotStore.java
+++ b/src/main/java/kitemux/sidecar/SnapshotStore.java
@@ -9,41 +9,43 @@
 import kitemux.members.MembershipSnapshot;
 
 /**
- * Where a sidecar leaves for the next one which servers it believed in. A file is there whole or not at all;
- * one that
- * cannot be used is passed over with a word, as a process that starts with less is better than none.
+ * Stores a sidecar's membership snapshot for the next process. The file is replaced atomically, so that readers never
+ * see a partial one. An unusable file is logged and ignored, because starting without a snapshot is better than not
+ * starting.
  */
 final class SnapshotStore {
     private final Path file;
-    private final String app;
+    private final String applicationName;
 
     /**
-     * @param app the application's name, by which its file is found
+     * Creates a store for one application.
+     *
+     * @param applicationName name of the application, from which the file name is derived
      */
-    SnapshotStore(Path folder, String app) {
-        this.app = app;
-        // A name may hold what a file's may not.
-        file = folder.resolve(app.replaceAll("[^A-Za-z0-9._-]", "_") + ".members");
+    SnapshotStore(Path folder, String applicationName) {
+        this.applicationName = applicationName;
+        // An application's name may contain characters that are not allowed in file names.
+        file = folder.resolve(applicationName.replaceAll("[^A-Za-z0-9._-]", "_") + ".members");
     }
 
-    /** What was left, where there is anything that can be used. */
+    /** Reads the snapshot; returns empty if there is none or it cannot be used. */
     Optional<MembershipSnapshot> read(LineLog log) {
         try {
-            return Optional.of(MembershipSnapshot.decode(Files.readAllBytes(file), app));
+            return Optional.of(MembershipSnapshot.decode(Files.readAllBytes(file), applicationName));
         } catch (NoSuchFileException e) {
             return Optional.empty();
         } catch (IOException e) {
             log.info("state: " + file + " cannot be read: " + e);
         } catch (MembershipSnapshot.InvalidSnapshotException e) {
-            log.info("state: " + file + " " + e.getMessage() + "; beginning without it");
+            log.info("state: " + file + " " + e.getMessage() + "; starting without it");
         }
         return Optional.empty();
     }
 
-    /** Leaves this in place of what was left before. */
-    void write(MembershipSnapshot saved) throws IOException {
+    /** Replaces the stored snapshot. */
+    void write(MembershipSnapshot snapshot) throws IOException {
         Files.createDirectories(file.toAbsolutePath().getParent());
-        Path whole = Files.write(file.resolveSibling(file.getFileName() + ".new"), saved.encode());
-        Files.move(whole, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        Path temporaryFile = Files.write(file.resolveSibling(file.getFileName() + ".new"), snapshot.encode());
+        Files.move(temporaryFile, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 }
--- a/src/test/java/kitemux/hcl/HclReaderTest.java
+++ b/src/test/java/kitemux/hcl/HclReaderTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Texts that are read in pieces say what they say as a whole. */
+/** Guards against batched parsing that yields other values than parsing the whole text in one call of the library. */
 class HclReaderTest {
 
     private static Map<String, Object> parse(String text) throws IOException {
@@ -32,15 +32,15 @@
 
     @ParameterizedTest
     @MethodSource("examples")
-    void eachExampleSaysTheSame(Path file) throws Exception {
+    void exampleParsesAsTheLibraryParsesIt(Path file) throws Exception {
         String text = Files.readString(file);
         assertEquals(new HCLParser().parse(text), parse(text));
-        String lines = text.replace("\n", "\r\n");
-        assertEquals(new HCLParser().parse(lines), parse(lines));
+        String withCarriageReturns = text.replace("\n", "\r\n");
+        assertEquals(new HCLParser().parse(withCarriageReturns), parse(withCarriageReturns));
     }
 
     @Test
-    void manyBlocksAmongOtherFieldsAreAllThereInOrder() throws Exception {
+    void manyBlocksBetweenOtherFieldsAreReadInOrder() throws Exception {
         StringBuilder text = new StringBuilder("name = \"a\" # server \"no\" {\n");
         for (int i = 0; i < 333; i++) {
             text.append("server \"s")
@@ -51,16 +51,16 @@
                     .append(i % 100 == 0 ? "field" + i + " = " + i + "\n" : "");
         }
         text.append("limits {\n  sockets = 7\n}\n");
-        Map<String, Object> read = parse(text.toString());
-        assertEquals(new HCLParser().parse(text.toString()), read);
-        Map<?, ?> servers = (Map<?, ?>) read.get("server");
+        Map<String, Object> parsed = parse(text.toString());
+        assertEquals(new HCLParser().parse(text.toString()), parsed);
+        Map<?, ?> servers = (Map<?, ?>) parsed.get("server");
         assertEquals(333, servers.size());
         assertEquals("s0", servers.keySet().iterator().next());
-        assertTrue(read.containsKey("field300") && read.containsKey("limits"), read.keySet()::toString);
+        assertTrue(parsed.containsKey("field300") && parsed.containsKey("limits"), parsed.keySet()::toString);
     }
 
     @Test
-    void whatIsNoHclIsSaid() {
+    void invalidHclIsRejected() {
         assertThrows(IOException.class, () -> parse("server \"a\" {\n  = 5\n}\n"));
     }
 }
--- a/src/test/java/kitemux/sidecar/LineLogTest.java
+++ b/src/test/java/kitemux/sidecar/LineLogTest.java
@@ -14,6 +14,7 @@
 import kitemux.config.Json;
 import org.junit.jupiter.api.Test;
 
+/** Checks the format of log lines and that a slow output stream never blocks callers. */
 class LineLogTest {
     private static final Instant NOW = Instant.parse("2026-12-01T10:00:00.123456Z");
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -23,7 +24,7 @@
     }
 
     @Test
-    void aLineIsALineWhateverIsSaid() throws InterruptedException {
+    void lineBreaksInMessagesAreRemoved() throws InterruptedException {
         LineLog log = new LineLog(new PrintStream(bytes, true, StandardCharsets.UTF_8), false, 16, () -> NOW);
         log.info("server web-1 is\ndraining\r");
         log.error("a defect", new IllegalStateException("why"));
@@ -38,7 +39,7 @@
     }
 
     @Test
-    void asJsonEachIsAnObjectWithTimeLevelAndText() throws IOException, InterruptedException {
+    void jsonEntryHoldsTimeLevelAndText() throws IOException, InterruptedException {
         LineLog log = new LineLog(new PrintStream(bytes, true, StandardCharsets.UTF_8), true, 16, () -> NOW);
         log.info("a \"quoted\"\nword");
         log.error("a defect", new IllegalStateException("why"));
@@ -55,36 +56,38 @@
     }
 
     /**
-     * Whoever says something goes on at once though nothing can be written; what is left out is counted and
-     * told.
+     * Guards against request threads that wait for the log. The output stream blocks during the first line, so the
+     * queue fills up; later lines must be dropped, counted and reported.
      */
     @Test
-    void aStreamThatHangsHoldsNobodyUpAndWhatIsLeftOutIsTold() throws InterruptedException {
-        CountDownLatch writing = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
-        OutputStream hangs = new OutputStream() {
+    void blockedStreamNeverBlocksCallersAndDroppedLinesAreReported() throws InterruptedException {
+        CountDownLatch writeStarted = new CountDownLatch(1);
+        CountDownLatch writeAllowed = new CountDownLatch(1);
+        OutputStream blockedStream = new OutputStream() {
             @Override
             public void write(int b) throws IOException {
-                writing.countDown();
+                writeStarted.countDown();
                 try {
-                    goOn.await();
+                    writeAllowed.await();
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
                 bytes.write(b);
             }
         };
-        LineLog log = new LineLog(new PrintStream(hangs, true, StandardCharsets.UTF_8), false, 16, () -> NOW);
+        LineLog log = new LineLog(new PrintStream(blockedStream, true, StandardCharsets.UTF_8), false, 16, () -> NOW);
         log.info("first");
-        writing.await();
+        writeStarted.await();
         for (int i = 0; i < 100; i++) {
             log.info("line " + i);
         }
-        goOn.countDown();
+        writeAllowed.countDown();
         log.flush();
         assertEquals(1 + 16 + 1, lines().size(), lines()::toString);
         assertTrue(
-                lines().get(1).endsWith("warning 84 lines were left out: they came faster than they could be written"),
+                lines().get(1)
+                        .endsWith(
+                                "warning 84 lines were dropped because they arrived faster than they could be written"),
                 lines().get(1));
         assertTrue(lines().get(17).endsWith("line 15"), lines().get(17));
     }
