--- a/src/main/java/kitemux/sidecar/ApplicationProcess.java
+++ b/src/main/java/kitemux/sidecar/ApplicationProcess.java
@@ -36,7 +36,7 @@
             return 127;
         }
         int exitCode = child.waitFor();
-        log.info("the application exited with code " + exitCode);
+        log.info("the application has ended with exit code " + exitCode);
         return exitCode;
     }
 
