--- a/src/main/java/kitemux/sidecar/Sidecar.java
+++ b/src/main/java/kitemux/sidecar/Sidecar.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import kitemux.app.App;
 import kitemux.app.ConfigWriter;
-import kitemux.app.Watch;
+import kitemux.app.DescriptionWatcher;
 import kitemux.members.Member;
 import kitemux.members.MemberListParser;
 import kitemux.members.MemberSettings;
@@ -48,7 +48,7 @@
     private final Options options;
     private final LineLog log;
     private final Membership membership;
-    private final Watch descriptionWatch;
+    private final DescriptionWatcher descriptionWatch;
     private final SnapshotStore snapshotStore;
     private final Path configFile;
     private final HttpFetcher fetcher = new HttpFetcher();
@@ -99,7 +99,7 @@
                 memberSource.refreshUs(),
                 memberSource.backOffUs(),
                 () -> ThreadLocalRandom.current().nextDouble());
-        descriptionWatch = new Watch(app, text);
+        descriptionWatch = new DescriptionWatcher(app, text);
         snapshotStore =
                 memberSource.state().isEmpty() ? null : new SnapshotStore(Path.of(memberSource.state()), app.name());
         Path folder = Files.createTempDirectory("kitemux-sidecar");
@@ -129,8 +129,8 @@
         // The description takes the place of the settings that a platform would pass in the environment.
         environment.keySet().removeIf(name -> name.startsWith("PROXY_"));
         environment.put("PROXY_CONFIG", configFile.toString());
-        if (!app.operators().isEmpty()) {
-            environment.put("PROXY_MGMT", app.operators());
+        if (!app.operatorAddress().isEmpty()) {
+            environment.put("PROXY_MGMT", app.operatorAddress());
         }
         reloadNode = Node.run(environment, log);
         Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "end"));
@@ -183,13 +183,13 @@
         if (snapshot != null) {
             applyDecision(membership.restore(nowUs(), snapshot));
         }
-        if (!app.discovery().isEmpty()) {
+        if (!app.discoveryAddress().isEmpty()) {
             // The node fetches its servers from discovery itself.
-            writeConfig(ConfigWriter.json(app, options.seed()));
+            writeConfig(ConfigWriter.toJson(app, options.seed()));
             return;
         }
-        if (app.source().isEmpty()) {
-            applyDecision(membership.replaceAll(nowUs(), ConfigWriter.members(app)));
+        if (app.serverSource().isEmpty()) {
+            applyDecision(membership.replaceAll(nowUs(), ConfigWriter.describedMembers(app)));
         } else if (!app.members().file().isEmpty()) {
             lastReadList = readListFile();
             lastProcessedList = lastReadList;
@@ -237,7 +237,7 @@
      */
     private boolean applyList(byte[] text, String source) {
         List<String> faults = new ArrayList<>();
-        List<Member> listed = text == null ? List.of() : MemberListParser.parse(text, app::allows, faults);
+        List<Member> listed = text == null ? List.of() : MemberListParser.parse(text, app::isServerAddressAllowed, faults);
         if (text == null) {
             faults.add("cannot be read");
         }
@@ -273,10 +273,10 @@
 
     private void updateNode(List<Membership.MemberStatus> servers) {
         try {
-            writeConfig(ConfigWriter.json(
+            writeConfig(ConfigWriter.toJson(
                     app,
                     servers.stream()
-                            .map(server -> ConfigWriter.server(server.member(), server.draining(), server.startedUs()))
+                            .map(server -> ConfigWriter.toServer(server.member(), server.draining(), server.startedUs()))
                             .toList(),
                     options.seed()));
             reloadNode.run();
@@ -299,14 +299,14 @@
         } catch (IOException e) {
             text = null;
         }
-        Watch.Decision decision = descriptionWatch.look(text);
-        if (decision.app() != null) {
-            app = decision.app();
-            if (app.source().isEmpty() && app.discovery().isEmpty()) {
-                applyDecision(membership.replaceAll(nowUs(), ConfigWriter.members(app)));
+        DescriptionWatcher.Decision decision = descriptionWatch.observe(text);
+        if (decision.newApp() != null) {
+            app = decision.newApp();
+            if (app.serverSource().isEmpty() && app.discoveryAddress().isEmpty()) {
+                applyDecision(membership.replaceAll(nowUs(), ConfigWriter.describedMembers(app)));
             }
         }
-        decision.say().forEach(log::info);
+        decision.messages().forEach(log::info);
         if (!app.members().file().isEmpty()) {
             pollListFile();
         }
