--- a/src/main/java/kitemux/lab/DiscoveryStub.java
+++ b/src/main/java/kitemux/lab/DiscoveryStub.java
@@ -36,7 +36,7 @@
 import java.util.function.Consumer;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
-import kitemux.config.ConfigText;
+import kitemux.config.ConfigFormatter;
 
 /**
  * A discovery on loopback: the whole list, and a watch that tells changes as they are told here. All but
@@ -142,15 +142,16 @@
     }
 
     /** Servers with their addresses. */
-    public static List<ConfigText.Server> withAddresses(
+    public static List<ConfigFormatter.Server> withAddresses(
             Collection<ServerEntry> entries, Map<String, InetSocketAddress> addresses) {
         return entries.stream()
-                .map(entry -> new ConfigText.Server(entry, NetUtil.toSocketAddressString(addresses.get(entry.id()))))
+                .map(entry ->
+                        new ConfigFormatter.Server(entry, NetUtil.toSocketAddressString(addresses.get(entry.id()))))
                 .toList();
     }
 
     private byte[] text(boolean all, Collection<ServerEntry> servers) {
-        return (ConfigText.list(rev, all, zones, withAddresses(servers, addresses)) + "\n")
+        return (ConfigFormatter.formatServerList(rev, all, zones, withAddresses(servers, addresses)) + "\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
--- a/src/main/java/kitemux/lab/LoopbackRun.java
+++ b/src/main/java/kitemux/lab/LoopbackRun.java
@@ -27,7 +27,7 @@
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
-import kitemux.config.ConfigText;
+import kitemux.config.ConfigFormatter;
 import kitemux.fleet.Box;
 import kitemux.fleet.ClientTry;
 import kitemux.fleet.Emulation;
@@ -290,7 +290,7 @@
         Settings set = of.settings(number);
         // A list that is pushed comes from an agent, of which there is none here.
         set.listOnRequest = true;
-        ConfigText.Node node = new ConfigText.Node(
+        ConfigFormatter.NodeDescription node = new ConfigFormatter.NodeDescription(
                 "n" + number,
                 NetUtil.toSocketAddressString(at),
                 NetUtil.toSocketAddressString(between.discoveryAddress(number, listAt)),
@@ -299,7 +299,7 @@
                 0,
                 fleet.links().idleTimeoutUs());
         try {
-            Files.writeString(config, ConfigText.node(node, set, DiscoveryStub.withAddresses(all, seen)));
+            Files.writeString(config, ConfigFormatter.formatNode(node, set, DiscoveryStub.withAddresses(all, seen)));
             return new NodeProcess(
                     number,
                     between.nodeAddress(number, at),
