--- a/src/main/java/kitemux/config/ClassArchive.java
+++ b/src/main/java/kitemux/config/ClassArchive.java
@@ -7,35 +7,36 @@
 import java.util.Optional;
 
 /**
- * Whether a JVM runs with the class archive that it was told of. One that is missing, made from another jar
- * or by another JVM is passed over without a word, and a start takes half as long again.
+ * Checks whether a JVM uses the class archive it was configured with. A JVM silently ignores an archive that is missing
+ * or was created from another jar or by another JVM, and its start takes half as long again.
  */
 public final class ClassArchive {
-    private static final String FLAG = "-XX:SharedArchiveFile=";
+    private static final String ARCHIVE_FLAG = "-XX:SharedArchiveFile=";
 
     private ClassArchive() {}
 
     /**
-     * The archive that a process was told of and does not use; empty if it uses it or was told of none.
+     * Returns the archive that a process was configured with and does not use; empty if it uses the archive or has
+     * none.
      *
-     * @param process its folder in proc(5)
-     * @throws IOException if that cannot be read, as where there is no such file system
+     * @param process the process's folder in proc(5)
+     * @throws IOException if the folder cannot be read, for instance on a system without /proc
      */
     public static Optional<Path> findUnused(Path process) throws IOException {
-        Path told = null;
+        Path configured = null;
         for (String argument : read(process.resolve("cmdline")).split("\0")) {
-            if (argument.startsWith(FLAG)) {
-                told = Path.of(argument.substring(FLAG.length()));
+            if (argument.startsWith(ARCHIVE_FLAG)) {
+                configured = Path.of(argument.substring(ARCHIVE_FLAG.length()));
             }
         }
-        if (told == null) {
+        if (configured == null) {
             return Optional.empty();
         }
-        String mapped = "/" + told.getFileName() + "\n";
-        return read(process.resolve("maps")).contains(mapped) ? Optional.empty() : Optional.of(told);
+        String mappingSuffix = "/" + configured.getFileName() + "\n";
+        return read(process.resolve("maps")).contains(mappingSuffix) ? Optional.empty() : Optional.of(configured);
     }
 
-    /** Byte by byte, as paths need not be in any encoding. */
+    /** Maps each byte to one character, as paths may be in any encoding. */
     private static String read(Path file) throws IOException {
         return new String(Files.readAllBytes(file), StandardCharsets.ISO_8859_1);
     }
--- a/src/main/java/kitemux/config/ConfigException.java
+++ b/src/main/java/kitemux/config/ConfigException.java
@@ -1,14 +1,14 @@
 package kitemux.config;
 
-/** The configuration is missing or bad; the message is one line that names the field. */
+/** Reports a missing or invalid configuration. The message is one line that names the field. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
     /**
-     * A fault.
+     * Creates an exception for one field.
      *
-     * @param field its dotted name
-     * @param reason what is wrong with it, to stand behind the name
+     * @param field dotted name of the field
+     * @param reason what is wrong with the field; follows its name in the message
      */
     public ConfigException(String field, String reason) {
         super(field + " " + reason);
--- a/src/main/java/kitemux/config/ConfigFormatter.java
+++ b/src/main/java/kitemux/config/ConfigFormatter.java
@@ -16,9 +16,8 @@
 import kitemux.Balancer.Tenant;
 
 /**
- * Writes what a node is told, in the platform's form, and lists of servers in discovery's. What is written
- * is read
- * again as it was; the same gives the same bytes.
+ * Formats node configurations in the platform's format and server lists in discovery's. Reading the output gives the
+ * same values again, and equal input gives equal bytes.
  */
 public final class ConfigFormatter {
     private static final JsonFactory JSON = new JsonFactory();
@@ -26,25 +25,27 @@
     private ConfigFormatter() {}
 
     /**
-     * A node, besides its settings.
+     * A node's own values besides its settings.
      *
-     * @param listen address and port, as {@code discovery}
+     * @param name name of the node
+     * @param listen address and port for clients
+     * @param discovery address and port of discovery
      * @param seed 1 to 16 hex digits
-     * @param sockets descriptors that it may hold
-     * @param memoryMiB of its process; 0 for no word of it
-     * @param connIdleUs after which servers close idle connections
+     * @param sockets limit of open descriptors
+     * @param memoryMiB memory limit of the process; omitted if 0
+     * @param connIdleUs idle time after which servers close connections, in microseconds
      */
     public record NodeDescription(
             String name, String listen, String discovery, String seed, int sockets, int memoryMiB, long connIdleUs) {}
 
-    /** A server and where it listens. */
+    /** A server and its address. */
     public record Server(ServerEntry entry, String endpoint) {}
 
-    /** A configuration of a node that begins with these servers. */
-    public static String formatNode(NodeDescription node, Settings set, List<Server> known) {
+    /** Formats the configuration of a node that starts with these servers. */
+    public static String formatNode(NodeDescription node, Settings settings, List<Server> known) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
-            // Else lines would end as the system's do, and bytes differ.
+            // The platform's line separator would make the bytes differ between systems.
             json.setPrettyPrinter(new DefaultPrettyPrinter().withObjectIndenter(new DefaultIndenter("  ", "\n")));
             json.writeStartObject();
             json.writeStringField("name", node.name);
@@ -58,9 +59,9 @@
             }
             json.writeEndObject();
             json.writeFieldName("known");
-            formatServerList(json, 1, true, set.zones, known);
+            formatServerList(json, 1, true, settings.zones, known);
             json.writeObjectFieldStart("settings");
-            settings(json, set, node.connIdleUs);
+            writeSettings(json, settings, node.connIdleUs);
             json.writeEndObject();
             json.writeEndObject();
         } catch (IOException e) {
@@ -69,11 +70,11 @@
         return text + "\n";
     }
 
-    /** A list of servers, or changes of one, as a line without its end. */
-    public static String formatServerList(long rev, boolean all, List<String> zones, List<Server> servers) {
+    /** Formats a server list, or changes of one, as one line without a line end. */
+    public static String formatServerList(long revision, boolean full, List<String> zones, List<Server> servers) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
-            formatServerList(json, rev, all, zones, servers);
+            formatServerList(json, revision, full, zones, servers);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -81,10 +82,11 @@
     }
 
     private static void formatServerList(
-            JsonGenerator json, long rev, boolean all, List<String> zones, List<Server> servers) throws IOException {
+            JsonGenerator json, long revision, boolean full, List<String> zones, List<Server> servers)
+            throws IOException {
         json.writeStartObject();
-        json.writeNumberField("rev", rev);
-        json.writeBooleanField("all", all);
+        json.writeNumberField("rev", revision);
+        json.writeBooleanField("all", full);
         json.writeArrayFieldStart("targets");
         for (Server server : servers) {
             ServerEntry entry = server.entry;
@@ -109,35 +111,35 @@
         json.writeEndObject();
     }
 
-    private static void settings(JsonGenerator json, Settings set, long connIdleUs) throws IOException {
-        json.writeNumberField("balancers", set.nodes);
-        json.writeNumberField("me", set.nodeIndex);
+    private static void writeSettings(JsonGenerator json, Settings settings, long connIdleUs) throws IOException {
+        json.writeNumberField("balancers", settings.nodes);
+        json.writeNumberField("me", settings.nodeIndex);
         json.writeArrayFieldStart("zones");
-        for (String zone : set.zones) {
+        for (String zone : settings.zones) {
             json.writeString(zone);
         }
         json.writeEndArray();
-        json.writeStringField("myZone", set.zones.get(set.myZone));
-        json.writeStringField("membershipMode", set.listOnRequest ? "on_request" : "pushed");
-        json.writeNumberField("overShareWorth", set.overShareWorth);
+        json.writeStringField("myZone", settings.zones.get(settings.myZone));
+        json.writeStringField("membershipMode", settings.listOnRequest ? "on_request" : "pushed");
+        json.writeNumberField("overShareWorth", settings.overShareWorth);
         json.writeObjectFieldStart("limits");
-        json.writeNumberField("attemptsCap", set.maxAttempts);
-        json.writeBooleanField("cancelling", set.cancellationAllowed);
-        json.writeBooleanField("parallelTries", set.hedgingAllowed);
-        json.writeBooleanField("retryAfter", set.maxRetryAfterUs > 0);
-        json.writeNumberField("maxRetryAfterUs", set.maxRetryAfterUs);
-        json.writeNumberField("dialTimeoutUs", set.connectTimeoutUs);
+        json.writeNumberField("attemptsCap", settings.maxAttempts);
+        json.writeBooleanField("cancelling", settings.cancellationAllowed);
+        json.writeBooleanField("parallelTries", settings.hedgingAllowed);
+        json.writeBooleanField("retryAfter", settings.maxRetryAfterUs > 0);
+        json.writeNumberField("maxRetryAfterUs", settings.maxRetryAfterUs);
+        json.writeNumberField("dialTimeoutUs", settings.connectTimeoutUs);
         json.writeNumberField("connIdleUs", connIdleUs);
         json.writeEndObject();
         json.writeObjectFieldStart("rules");
-        json.writeNumberField("drainGraceUs", set.drainGraceUs);
-        json.writeNumberField("coldFrom", set.coldCapacityRatio);
-        json.writeNumberField("coldUs", set.warmUpUs);
-        json.writeNumberField("overloadFactor", set.overloadRatio);
-        json.writeNumberField("fallUs", set.overloadWindowUs);
+        json.writeNumberField("drainGraceUs", settings.drainGraceUs);
+        json.writeNumberField("coldFrom", settings.coldCapacityRatio);
+        json.writeNumberField("coldUs", settings.warmUpUs);
+        json.writeNumberField("overloadFactor", settings.overloadRatio);
+        json.writeNumberField("fallUs", settings.overloadWindowUs);
         json.writeEndObject();
         json.writeArrayFieldStart("realms");
-        for (Tenant tenant : set.tenants) {
+        for (Tenant tenant : settings.tenants) {
             json.writeStartObject();
             json.writeStringField("name", tenant.name());
             json.writeNumberField("quotaPerS", tenant.quotaPerS());
@@ -145,17 +147,17 @@
         }
         json.writeEndArray();
         json.writeArrayFieldStart("classes");
-        for (RequestClass of : set.classes) {
+        for (RequestClass requestClass : settings.classes) {
             json.writeStartObject();
-            json.writeStringField("name", of.name());
-            json.writeNumberField("onTimeUs", of.targetLatencyUs());
-            json.writeNumberField("giveUpUs", of.deadlineUs());
-            json.writeNumberField("importance", of.worth());
-            json.writeNumberField("lateWorth", of.lateWorth());
-            json.writeStringField("repeat", of.retrySafety().name().toLowerCase(Locale.ROOT));
-            if (of.retrySafety() == RetrySafety.KEYED) {
-                json.writeStringField("group", of.dedupScope().name().toLowerCase(Locale.ROOT));
-                json.writeNumberField("windowUs", of.dedupWindowUs());
+            json.writeStringField("name", requestClass.name());
+            json.writeNumberField("onTimeUs", requestClass.targetLatencyUs());
+            json.writeNumberField("giveUpUs", requestClass.deadlineUs());
+            json.writeNumberField("importance", requestClass.worth());
+            json.writeNumberField("lateWorth", requestClass.lateWorth());
+            json.writeStringField("repeat", requestClass.retrySafety().name().toLowerCase(Locale.ROOT));
+            if (requestClass.retrySafety() == RetrySafety.KEYED) {
+                json.writeStringField("group", requestClass.dedupScope().name().toLowerCase(Locale.ROOT));
+                json.writeNumberField("windowUs", requestClass.dedupWindowUs());
             }
             json.writeEndObject();
         }
--- a/src/main/java/kitemux/config/FileSection.java
+++ b/src/main/java/kitemux/config/FileSection.java
@@ -6,23 +6,22 @@
 import java.util.List;
 
 /**
- * A section of the operator's own file, read field by field. What is wrong is added to a list of faults,
- * one line
- * each with field and reason, and reading goes on.
+ * Reads the fields of one section of the operator's settings file. Each fault is added to a list as one line with field
+ * and reason, and reading continues.
  */
 public final class FileSection {
     private final Json json;
     private final String name;
     private final List<String> faults;
 
-    /** A section of this name, by which faults call its fields. */
+    /** Creates a reader of the section with this name, which prefixes its fields in faults. */
     public FileSection(Json json, String name, List<String> faults) {
         this.json = json;
         this.name = name;
         this.faults = faults;
     }
 
-    /** All fields besides these are faults. */
+    /** Reports each field that is not in the given collection as a fault. */
     public void rejectUnknownFields(Collection<String> known) {
         json.fields().keySet().stream()
                 .filter(field -> !known.contains(field))
@@ -31,7 +30,7 @@
                         + String.join(", ", known.stream().sorted().toList())));
     }
 
-    /** The field {@code folder}, which must be there; null where it is not, or is no path. */
+    /** Returns the required field {@code folder}; null if it is missing or not a valid path, which is a fault. */
     public Path readFolder() {
         try {
             if (!json.path("folder").asText().isEmpty()) {
@@ -39,17 +38,20 @@
             }
             faults.add(name + ".folder is missing");
         } catch (InvalidPathException e) {
-            faults.add(name + ".folder is no path: " + e.getMessage());
+            faults.add(name + ".folder is not a valid path: " + e.getMessage());
         }
         return null;
     }
 
-    /** A whole number within a range; {@code otherwise} where it is not given. */
-    public long readLong(String field, long otherwise, long least, long most) {
+    /**
+     * Returns a whole number, or {@code defaultValue} if the field is missing. A value outside {@code min} to {@code
+     * max} is a fault.
+     */
+    public long readLong(String field, long defaultValue, long min, long max) {
         Json given = json.path(field);
-        long value = given.isMissing() ? otherwise : given.isLong() ? given.asLong(-1) : -1;
-        if (value < least || value > most) {
-            faults.add(name + "." + field + " is not a whole number from " + least + " to " + most);
+        long value = given.isMissing() ? defaultValue : given.isLong() ? given.asLong(-1) : -1;
+        if (value < min || value > max) {
+            faults.add(name + "." + field + " is not a whole number from " + min + " to " + max);
         }
         return value;
     }
--- a/src/main/java/kitemux/config/Json.java
+++ b/src/main/java/kitemux/config/Json.java
@@ -14,14 +14,17 @@
 import java.util.Map;
 
 /**
- * A JSON value (RFC 8259) as it was read. What is asked of a value that has no such thing is missing, and so
- * on down, so that a reader names the field once and need not look at each step. The library's own trees cost
- * a start a tenth of a second of processor in set-up; its tokens cost none to speak of.
+ * An immutable JSON value (RFC 8259). Accessors of absent fields return a missing value, so a reader can follow a path
+ * and need not check each step. The library's tree model costs each start a tenth of a second of CPU time for its
+ * set-up; its token parser costs next to nothing.
  */
 public final class Json implements Iterable<Json> {
-    /** Deeper than any configuration; else a line of brackets could use up a thread's stack. */
+    /**
+     * Largest depth of nested values, deeper than any configuration. Without a limit, a line of brackets could exhaust
+     * the thread's stack.
+     */
     static final int MAX_NESTING_DEPTH = 64;
-    /** What was not there, and null. */
+    /** The value of absent fields and of null. */
     private static final Json MISSING = new Json("", false, false);
 
     private static final JsonFactory FACTORY = JsonFactory.builder()
@@ -30,7 +33,7 @@
                     .build())
             .build();
 
-    /** A map, a list or the text of a plain value. */
+    /** A map, a list, or the text of a scalar. */
     private final Object value;
 
     private final boolean isLong;
@@ -43,22 +46,25 @@
     }
 
     /**
-     * Reads the first value of a text in UTF-8; what stands behind it is not looked at.
+     * Reads the first value of a UTF-8 text; anything after it is ignored.
      *
-     * @throws IOException if it is not JSON, nested too deeply or empty; the message says what and where
+     * @throws IOException if the text is empty, not JSON or nested too deeply; the message gives the fault and its
+     *     place
      */
     public static Json read(byte[] text) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() == null) {
-                throw new IOException("nothing is there");
+                throw new IOException("the input is empty");
             }
             return value(parser);
         } catch (JsonProcessingException e) {
-            // What is too much of a thing is told without its place.
-            JsonLocation at = e.getLocation();
+            // Exceptions about exceeded limits carry no location.
+            JsonLocation location = e.getLocation();
             throw new IOException(
                     e.getOriginalMessage()
-                            + (at == null ? "" : " at line " + at.getLineNr() + ", column " + at.getColumnNr()),
+                            + (location == null
+                                    ? ""
+                                    : " at line " + location.getLineNr() + ", column " + location.getColumnNr()),
                     e);
         }
     }
@@ -89,18 +95,18 @@
         };
     }
 
-    /** A field of an object; missing if there is none, or this is no object. */
+    /** Returns a field of an object; missing if the field is absent or this is not an object. */
     public Json path(String name) {
         return fields().getOrDefault(name, MISSING);
     }
 
-    /** Fields in their order; none if this is no object. */
+    /** Returns the fields in their order; empty if this is not an object. */
     @SuppressWarnings("unchecked")
     public Map<String, Json> fields() {
         return isObject() ? (Map<String, Json>) value : Map.of();
     }
 
-    /** Values of a list; none if this is no list. */
+    /** Returns the values of a list; empty if this is not a list. */
     @SuppressWarnings("unchecked")
     public List<Json> values() {
         return isList() ? (List<Json>) value : List.of();
@@ -111,55 +117,57 @@
         return values().iterator();
     }
 
-    /** Whether it was not there, or null. */
+    /** Returns whether the value is absent or null. */
     public boolean isMissing() {
         return this == MISSING;
     }
 
-    /** Whether it has fields. */
+    /** Returns whether this is an object. */
     public boolean isObject() {
         return value instanceof Map;
     }
 
-    /** Whether it is a list. */
+    /** Returns whether this is a list. */
     public boolean isList() {
         return value instanceof List;
     }
 
-    /** Whether it is a number written without a fraction, and a long can hold it. */
+    /** Returns whether this is a number written without a fraction that fits into a long. */
     public boolean isLong() {
         return isLong;
     }
 
-    /** Whether it is a string; other plain values are numbers, true and false. */
+    /** Returns whether this is a string; the other scalars are numbers, true and false. */
     public boolean isString() {
         return isString;
     }
 
-    /** A plain value as it is written; empty for all others. */
+    /** Returns a scalar as it is written; empty for all other values. */
     public String asText() {
         return value instanceof String text ? text : "";
     }
 
-    /** A number less its fraction, also one that is written as a string. */
-    public long asLong(long otherwise) {
+    /**
+     * Returns a number, also one written as a string, without its fraction; {@code defaultValue} if this is no number.
+     */
+    public long asLong(long defaultValue) {
         try {
-            return isLong ? Long.parseLong(asText()) : (long) finite(asText());
+            return isLong ? Long.parseLong(asText()) : (long) parseFinite(asText());
         } catch (NumberFormatException e) {
-            return otherwise;
+            return defaultValue;
         }
     }
 
-    /** A number, also one that is written as a string. */
-    public double asDouble(double otherwise) {
+    /** Returns a number, also one written as a string; {@code defaultValue} if this is no number. */
+    public double asDouble(double defaultValue) {
         try {
-            return finite(asText());
+            return parseFinite(asText());
         } catch (NumberFormatException e) {
-            return otherwise;
+            return defaultValue;
         }
     }
 
-    private static double finite(String text) {
+    private static double parseFinite(String text) {
         double number = Double.parseDouble(text);
         if (!Double.isFinite(number)) {
             throw new NumberFormatException(text);
@@ -167,7 +175,7 @@
         return number;
     }
 
-    /** Whether it is true; all else is not. */
+    /** Returns whether the value is true; false for all other values. */
     public boolean asBoolean() {
         return asText().equals("true");
     }
--- a/src/main/java/kitemux/config/SettingsReader.java
+++ b/src/main/java/kitemux/config/SettingsReader.java
@@ -9,19 +9,19 @@
 import kitemux.Balancer.Tenant;
 
 /**
- * Turns settings by dotted names into the module's: the wire's, and the node's configuration once it is
- * flattened, so that the two cannot drift apart. Missing settings take the module's documented defaults,
- * but for the classes and their main figures, which are named as missing.
+ * Reads the balancer's settings from dotted names. The simulator's protocol and the node's flattened configuration both
+ * use it, so that the two cannot diverge. Missing settings get the balancer's documented defaults, except for the
+ * required fields of classes, which are reported as missing.
  */
 public final class SettingsReader {
     private final Map<String, String> values;
 
-    /** A setting that is missing or not as it must be. */
+    /** Reports a setting that is missing or invalid. */
     public static final class BadSettingException extends Exception {
         private static final long serialVersionUID = 1;
-        /** Its dotted name. */
+        /** Dotted name of the setting. */
         public final String field;
-        /** What is wrong with it, to stand behind the name. */
+        /** What is wrong with the setting; follows its name in the message. */
         public final String reason;
 
         BadSettingException(String field, String reason) {
@@ -35,48 +35,50 @@
         this.values = values;
     }
 
-    /** Reads settings by dotted names; lists of objects have a {@code count}, lists of values commas. */
+    /**
+     * Reads settings by dotted names. Lists of objects have a {@code count}; lists of values are separated by commas.
+     */
     public static Settings read(Map<String, String> values) throws BadSettingException {
         return new SettingsReader(values).settings();
     }
 
     private Settings settings() throws BadSettingException {
-        Settings set = new Settings();
-        set.nodes = (int) whole("balancers", set.nodes);
-        set.nodeIndex = (int) whole("me", set.nodeIndex);
-        for (String zone : list("zones")) {
-            set.zones.add(zone);
+        Settings settings = new Settings();
+        settings.nodes = (int) longValue("balancers", settings.nodes);
+        settings.nodeIndex = (int) longValue("me", settings.nodeIndex);
+        for (String zone : listValue("zones")) {
+            settings.zones.add(zone);
         }
-        set.myZone = Math.max(0, set.zones.indexOf(values.getOrDefault("myZone", "")));
-        int classes = (int) whole("classes.count", 0);
+        settings.myZone = Math.max(0, settings.zones.indexOf(values.getOrDefault("myZone", "")));
+        int classes = (int) longValue("classes.count", 0);
         for (int i = 0; i < classes; i++) {
-            set.classes.add(requestClass("classes." + i + "."));
+            settings.classes.add(requestClass("classes." + i + "."));
         }
-        int tenants = (int) whole("realms.count", 0);
+        int tenants = (int) longValue("realms.count", 0);
         for (int i = 0; i < tenants; i++) {
             String prefix = "realms." + i + ".";
-            set.tenants.add(new Tenant(need(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
+            settings.tenants.add(new Tenant(requiredValue(prefix + "name"), doubleValue(prefix + "quotaPerS", 0)));
         }
-        set.overShareWorth = decimal("overShareWorth", set.overShareWorth);
-        set.worthByWork = "work".equals(values.get("countedBy"));
-        set.maxAttempts = (int) whole("limits.attemptsCap", set.maxAttempts);
-        set.hedgingAllowed = flag("limits.parallelTries");
-        set.cancellationAllowed = flag("limits.cancelling");
-        set.probes = flag("limits.probes");
-        set.maxRetryAfterUs = flag("limits.retryAfter") ? whole("limits.maxRetryAfterUs", 0) : 0;
-        set.tickUs = whole("quantumUs", set.tickUs);
-        set.connectTimeoutUs = whole("limits.dialTimeoutUs", set.connectTimeoutUs);
-        set.listOnRequest = "on_request".equals(values.get("membershipMode"));
-        set.askWithinUs = whole("rules.askWithinUs", set.askWithinUs);
-        set.drainGraceUs = whole("rules.drainGraceUs", set.drainGraceUs);
-        set.coldCapacityRatio = decimal("rules.coldFrom", set.coldCapacityRatio);
-        set.warmUpUs = whole("rules.coldUs", set.warmUpUs);
-        set.overloadRatio = decimal("rules.overloadFactor", set.overloadRatio);
-        set.overloadWindowUs = whole("rules.fallUs", set.overloadWindowUs);
-        set.crossZonePrice = decimal("costs.crossZone", set.crossZonePrice);
-        set.warmKeys = flag("extra.warmKeys");
-        for (String field : list("report.fields")) {
-            set.reportFields.add(
+        settings.overShareWorth = doubleValue("overShareWorth", settings.overShareWorth);
+        settings.worthByWork = "work".equals(values.get("countedBy"));
+        settings.maxAttempts = (int) longValue("limits.attemptsCap", settings.maxAttempts);
+        settings.hedgingAllowed = booleanValue("limits.parallelTries");
+        settings.cancellationAllowed = booleanValue("limits.cancelling");
+        settings.probes = booleanValue("limits.probes");
+        settings.maxRetryAfterUs = booleanValue("limits.retryAfter") ? longValue("limits.maxRetryAfterUs", 0) : 0;
+        settings.tickUs = longValue("quantumUs", settings.tickUs);
+        settings.connectTimeoutUs = longValue("limits.dialTimeoutUs", settings.connectTimeoutUs);
+        settings.listOnRequest = "on_request".equals(values.get("membershipMode"));
+        settings.askWithinUs = longValue("rules.askWithinUs", settings.askWithinUs);
+        settings.drainGraceUs = longValue("rules.drainGraceUs", settings.drainGraceUs);
+        settings.coldCapacityRatio = doubleValue("rules.coldFrom", settings.coldCapacityRatio);
+        settings.warmUpUs = longValue("rules.coldUs", settings.warmUpUs);
+        settings.overloadRatio = doubleValue("rules.overloadFactor", settings.overloadRatio);
+        settings.overloadWindowUs = longValue("rules.fallUs", settings.overloadWindowUs);
+        settings.crossZonePrice = doubleValue("costs.crossZone", settings.crossZonePrice);
+        settings.warmKeys = booleanValue("extra.warmKeys");
+        for (String field : listValue("report.fields")) {
+            settings.reportFields.add(
                     switch (field) {
                         case "concurrent" -> ReportField.IN_FLIGHT;
                         case "depth" -> ReportField.QUEUED;
@@ -87,19 +89,19 @@
                         default -> ReportField.OTHER;
                     });
         }
-        return set;
+        return settings;
     }
 
     private RequestClass requestClass(String prefix) throws BadSettingException {
-        String repeat = need(prefix + "repeat");
+        String repeat = requiredValue(prefix + "repeat");
         String group = values.getOrDefault(prefix + "group", "all");
         return new RequestClass(
-                need(prefix + "name"),
-                whole(prefix + "onTimeUs"),
-                decimal(prefix + "aimStretch", 0),
-                whole(prefix + "giveUpUs"),
-                decimal(prefix + "importance", 1),
-                decimal(prefix + "lateWorth", 0),
+                requiredValue(prefix + "name"),
+                longValue(prefix + "onTimeUs"),
+                doubleValue(prefix + "aimStretch", 0),
+                longValue(prefix + "giveUpUs"),
+                doubleValue(prefix + "importance", 1),
+                doubleValue(prefix + "lateWorth", 0),
                 switch (repeat) {
                     case "safe" -> RetrySafety.SAFE;
                     case "keyed" -> RetrySafety.KEYED;
@@ -112,11 +114,11 @@
                     case "cell" -> DedupScope.CELL;
                     default -> throw new BadSettingException(prefix + "group", "is unknown: " + group);
                 },
-                whole(prefix + "windowUs", 0),
-                flag(prefix + "stream"));
+                longValue(prefix + "windowUs", 0),
+                booleanValue(prefix + "stream"));
     }
 
-    private String need(String path) throws BadSettingException {
+    private String requiredValue(String path) throws BadSettingException {
         String value = values.get(path);
         if (value == null) {
             throw new BadSettingException(path, "is missing");
@@ -124,12 +126,12 @@
         return value;
     }
 
-    private String[] list(String path) {
+    private String[] listValue(String path) {
         String value = values.getOrDefault(path, "");
         return value.isEmpty() ? new String[0] : value.split(",");
     }
 
-    private boolean flag(String path) throws BadSettingException {
+    private boolean booleanValue(String path) throws BadSettingException {
         String value = values.getOrDefault(path, "false");
         return switch (value) {
             case "1", "true" -> true;
@@ -138,26 +140,26 @@
         };
     }
 
-    private long whole(String path) throws BadSettingException {
-        return (long) decimal(path, need(path));
+    private long longValue(String path) throws BadSettingException {
+        return (long) doubleValue(path, requiredValue(path));
     }
 
-    private long whole(String path, long otherwise) throws BadSettingException {
-        return values.containsKey(path) ? whole(path) : otherwise;
+    private long longValue(String path, long defaultValue) throws BadSettingException {
+        return values.containsKey(path) ? longValue(path) : defaultValue;
     }
 
-    private double decimal(String path, double otherwise) throws BadSettingException {
-        return values.containsKey(path) ? decimal(path, need(path)) : otherwise;
+    private double doubleValue(String path, double defaultValue) throws BadSettingException {
+        return values.containsKey(path) ? doubleValue(path, requiredValue(path)) : defaultValue;
     }
 
-    private double decimal(String path, String text) throws BadSettingException {
+    private double doubleValue(String path, String text) throws BadSettingException {
         try {
             double value = Double.parseDouble(text);
             if (Double.isFinite(value)) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Named below.
+            // Reported below.
         }
         throw new BadSettingException(path, "is not a number");
     }
--- a/src/main/java/kitemux/node/LiveSettings.java
+++ b/src/main/java/kitemux/node/LiveSettings.java
@@ -21,42 +21,49 @@
 import kitemux.rollout.ValidationError;
 
 /**
- * What a node takes of a configuration that it is told while it runs. What that does not name stays as the
- * node's own file has it. The module and the reader of requests look at settings for each request, so a new
- * record in its place is in force with the next one. On the loop alone.
+ * Applies the settings of a pushed configuration that can change at run time. Settings that it does not name keep the
+ * value of the node's own file. The balancer and the request reader look settings up for each request, so a replaced
+ * record is in force from the next request on. Used on the event loop only.
  *
- * <p>Live are a tenant's quota, a class's aim, deadline, worth and late worth, {@code overShareWorth}, and
- * where discovery is. A class or tenant that the file does not have waits for a restart with a file that has
- * it: the module counts by their places, which it took from the file.
+ * <p>The live settings are a tenant's quota, a class's target latency, deadline, worth and late worth, {@code
+ * overShareWorth}, and the address of discovery. A class or tenant that the file lacks needs a restart with a file that
+ * has it, as the balancer addresses classes and tenants by their index in the file.
  */
 final class LiveSettings implements Rules {
     private final ConfigRules rules = new ConfigRules();
     private final Settings settings;
-    private final Consumer<String> discovery;
-    /** As the file has them. */
+    private final Consumer<String> onDiscoveryMoved;
+    /** Classes as the file defines them. */
     private final List<RequestClass> classes;
 
+    /** Tenants as the file defines them. */
     private final List<Tenant> tenants;
+
     private final double overShareWorth;
-    private final Set<String> live = new HashSet<>();
-    /** Live values as they were read, by path: of thousands a version changes a few. */
-    private final Map<String, Known> known = new HashMap<>();
+    private final Set<String> livePaths = new HashSet<>();
+    /**
+     * Parsed live values by path. A version changes only a few of thousands of values, so the others are not parsed
+     * again.
+     */
+    private final Map<String, ParsedValue> parsedValues = new HashMap<>();
 
-    private String told;
+    private String discoveryAddress;
 
     /**
-     * @param settings the module's, as the file has them; changed in place
-     * @param discovery told where it is from now on, where a configuration says so
+     * Creates the live settings of a node.
+     *
+     * @param settings the balancer's settings as the file defines them; changed in place
+     * @param onDiscoveryMoved receives the new address of discovery when a configuration changes it
      */
     LiveSettings(Settings settings, Consumer<String> discovery) {
         this.settings = settings;
-        this.discovery = discovery;
+        this.onDiscoveryMoved = discovery;
         classes = List.copyOf(settings.classes);
         tenants = List.copyOf(settings.tenants);
         overShareWorth = settings.overShareWorth;
-        classes.forEach(one -> live.add("classes/" + one.name()));
-        tenants.forEach(one -> live.add("realms/" + one.name()));
-        live.addAll(List.of("overShareWorth", "discovery", History.VOTERS_PATH));
+        classes.forEach(one -> livePaths.add("classes/" + one.name()));
+        tenants.forEach(one -> livePaths.add("realms/" + one.name()));
+        livePaths.addAll(List.of("overShareWorth", "discovery", History.VOTERS_PATH));
     }
 
     @Override
@@ -64,75 +71,84 @@
         return rules.validate(whole);
     }
 
-    /** By what the file says: the first is what the node started with besides, which is nothing. */
+    /**
+     * Returns the paths of {@code next} that cannot be applied at run time. They are compared with the file; {@code
+     * first}, the rollout's initial version, is empty and not used.
+     */
     @Override
     public Set<String> pathsNeedingRestart(Map<String, String> first, Map<String, String> next) {
-        Set<String> waits = new TreeSet<>();
+        Set<String> needingRestart = new TreeSet<>();
         next.forEach((path, value) -> {
-            if (!live.contains(path) || path.startsWith("classes/") && !isLive(path, read(value))) {
-                waits.add(path);
+            if (!livePaths.contains(path) || path.startsWith("classes/") && !isLive(path, parse(value))) {
+                needingRestart.add(path);
             }
         });
-        return waits;
+        return needingRestart;
     }
 
-    /** Whether all that a class has beside its live fields is as the file has it. */
+    /** Returns whether all fields of a class that are not live equal the file's. */
     private boolean isLive(String path, Json value) {
         String name = path.substring("classes/".length());
-        RequestClass of = classes.stream()
+        RequestClass requestClass = classes.stream()
                 .filter(one -> one.name().equals(name))
                 .findFirst()
                 .orElseThrow();
-        return of.targetLatencyPerWork() == value.path("aimStretch").asDouble(0)
-                && of.retrySafety().name().equalsIgnoreCase(value.path("repeat").asText())
-                && of.dedupScope()
+        return requestClass.targetLatencyPerWork() == value.path("aimStretch").asDouble(0)
+                && requestClass
+                        .retrySafety()
+                        .name()
+                        .equalsIgnoreCase(value.path("repeat").asText())
+                && requestClass
+                        .dedupScope()
                         .name()
                         .equalsIgnoreCase(
                                 value.path("group").isMissing()
                                         ? "all"
                                         : value.path("group").asText())
-                && of.dedupWindowUs() == value.path("windowUs").asLong(0)
-                && of.stream() == value.path("stream").asBoolean();
+                && requestClass.dedupWindowUs() == value.path("windowUs").asLong(0)
+                && requestClass.stream() == value.path("stream").asBoolean();
     }
 
-    private record Known(String text, Json json) {}
+    private record ParsedValue(String text, Json json) {}
 
-    /** These are in force from now on. */
+    /** Puts the live values of a configuration in force. */
     void apply(Map<String, String> values) {
-        Map<String, Json> now = new HashMap<>();
+        Map<String, Json> liveValues = new HashMap<>();
         values.forEach((path, value) -> {
-            if (live.contains(path)) {
-                Known before = known.get(path);
-                Known one = before != null && before.text.equals(value) ? before : new Known(value, read(value));
-                known.put(path, one);
-                now.put(path, one.json);
+            if (livePaths.contains(path)) {
+                ParsedValue previous = parsedValues.get(path);
+                ParsedValue parsed = previous != null && previous.text.equals(value)
+                        ? previous
+                        : new ParsedValue(value, parse(value));
+                parsedValues.put(path, parsed);
+                liveValues.put(path, parsed.json);
             }
         });
         List<RequestClass> nextClasses = new ArrayList<>();
-        for (RequestClass of : classes) {
-            Json value = now.get("classes/" + of.name());
+        for (RequestClass current : classes) {
+            Json value = liveValues.get("classes/" + current.name());
             nextClasses.add(
                     value == null
-                            ? of
+                            ? current
                             : new RequestClass(
-                                    of.name(),
+                                    current.name(),
                                     value.path("onTimeUs").asLong(0),
-                                    of.targetLatencyPerWork(),
+                                    current.targetLatencyPerWork(),
                                     value.path("giveUpUs").asLong(0),
                                     value.path("importance").asDouble(1),
                                     value.path("lateWorth").asDouble(0),
-                                    of.retrySafety(),
-                                    of.dedupScope(),
-                                    of.dedupWindowUs(),
-                                    of.stream()));
+                                    current.retrySafety(),
+                                    current.dedupScope(),
+                                    current.dedupWindowUs(),
+                                    current.stream()));
         }
         List<Tenant> nextTenants = new ArrayList<>();
-        for (Tenant of : tenants) {
-            Json value = now.get("realms/" + of.name());
+        for (Tenant current : tenants) {
+            Json value = liveValues.get("realms/" + current.name());
             nextTenants.add(
                     value == null
-                            ? of
-                            : new Tenant(of.name(), value.path("quotaPerS").asDouble(0)));
+                            ? current
+                            : new Tenant(current.name(), value.path("quotaPerS").asDouble(0)));
         }
         for (int i = 0; i < nextClasses.size(); i++) {
             settings.classes.set(i, nextClasses.get(i));
@@ -140,17 +156,20 @@
         for (int i = 0; i < nextTenants.size(); i++) {
             settings.tenants.set(i, nextTenants.get(i));
         }
-        settings.overShareWorth =
-                now.containsKey("overShareWorth") ? now.get("overShareWorth").asDouble(1) : overShareWorth;
-        String at = now.containsKey("discovery") ? now.get("discovery").asText() : null;
-        if (at != null && !at.equals(told)) {
-            discovery.accept(at);
+        settings.overShareWorth = liveValues.containsKey("overShareWorth")
+                ? liveValues.get("overShareWorth").asDouble(1)
+                : overShareWorth;
+        String address = liveValues.containsKey("discovery")
+                ? liveValues.get("discovery").asText()
+                : null;
+        if (address != null && !address.equals(discoveryAddress)) {
+            onDiscoveryMoved.accept(address);
         }
-        told = at;
+        discoveryAddress = address;
     }
 
-    /** What {@link #validate} found nothing wrong with. */
-    private static Json read(String value) {
+    /** Parses a value that {@link #validate} has accepted. */
+    private static Json parse(String value) {
         try {
             return Json.read(value.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
--- a/src/main/java/kitemux/node/Node.java
+++ b/src/main/java/kitemux/node/Node.java
@@ -54,54 +54,59 @@
 import kitemux.telemetry.TraceSettings;
 
 /**
- * A real node: clients' and servers' connections, the watch on the list, the engine between them and its
- * module, all on one event loop. It only wires them together, and owns their start, reload and end.
+ * A load-balancing proxy node. It connects the client and server connections, the discovery watch, the engine and the
+ * balancer, all of which run on one event loop, and it owns their start, reload and shutdown.
  */
 public final class Node {
-    /** Between two looks at what is too old. */
-    private static final long HOUSEKEEPING_MS = 200;
-    /** A loop that was held up for so long is told of: half of the time after which an answer that was due
-     * meanwhile counts as none. */
-    private static final long HELD_UP_US = 250_000;
-    /** For an agent to tell what it has, which it does at once unless discovery is down. */
-    private static final long FIRST_LIST_MS = 1_000;
-    /** The exit code of a process that could not start for another reason than its configuration. */
-    private static final int START_FAILED = 1;
+    /** Interval at which expired connections and requests are closed. */
+    private static final long HOUSEKEEPING_INTERVAL_MS = 200;
+    /**
+     * Delay of the event loop from which a warning is logged. It is half of the time after which a response that was
+     * due during the delay counts as missing.
+     */
+    private static final long LOOP_STALL_WARNING_US = 250_000;
+    /**
+     * Longest wait at startup for the first pushed server list. The agent sends its list at once unless discovery is
+     * down.
+     */
+    private static final long FIRST_LIST_TIMEOUT_MS = 1_000;
+    /** Exit code of a process that could not start for a reason other than its configuration. */
+    private static final int START_FAILED_EXIT_CODE = 1;
 
     private final NodeConfig config;
     private final EventLoop loop;
     private final SocketBudget sockets;
-    private final ServerPool<ClientRequest, ServerResponse> pool;
-    private final ClientServer clients;
+    private final ServerPool<ClientRequest, ServerResponse> serverPool;
+    private final ClientServer clientServer;
     private final Discovery discovery;
-    /** Where lists are pushed; null where the module asks for them, or the file names all servers. */
-    private final PushedListWatcher pushed;
+    /** Watches pushed server lists; null if the balancer requests lists or the configuration names all servers. */
+    private final PushedListWatcher pushedListWatcher;
 
     private final Engine<ClientRequest, ServerResponse> engine;
-    private final EventLoopClock time;
+    private final EventLoopClock clock;
     private final Log log;
-    /** What operators may do while it runs; null where no address is given for it. */
+    /** The management interface; null if no management address is configured. */
     private final Operations operations;
 
     private boolean listening;
-    /** Open until discovery has told something. */
-    private final CountDownLatch firstList = new CountDownLatch(1);
+    /** Released when discovery has delivered its first server list. */
+    private final CountDownLatch firstListReceived = new CountDownLatch(1);
 
-    private boolean begun;
-    private Future<?> housekeeping;
-    private Future<?> beating;
+    private boolean isBootstrapped;
+    private Future<?> housekeepingTask;
+    private Future<?> tickTask;
 
     /**
-     * What a node stands on and may be given anew.
+     * The collaborators of a node; tests and simulations may replace them.
      *
-     * @param network where channels come from
-     * @param time the loop's
-     * @param log for the operators
-     * @param observer told what becomes of requests
-     * @param connectionObserver told what becomes of clients' connections
-     * @param sendGate stands before each attempt
-     * @param balancerFactory makes the decision module
-     * @param transportDecorator stands before the servers' connections, or is those themselves
+     * @param network source of channels
+     * @param time clock of the event loop
+     * @param log log for the operators
+     * @param observer receives request events
+     * @param connectionObserver receives events of client connections
+     * @param sendGate admits each attempt before it is sent
+     * @param balancerFactory creates the balancer
+     * @param transportDecorator wraps the server pool's transport, or returns it unchanged
      */
     public record Dependencies(
             Network network,
@@ -113,7 +118,7 @@
             Function<Balancer.Actions, Balancer> balancerFactory,
             UnaryOperator<Transport<ClientRequest, ServerResponse>> transportDecorator) {
 
-        /** The system's sockets and clock, and nothing in between. */
+        /** Returns the system's sockets and clock, without observers, gate or transport wrapper. */
         static Dependencies system(PollingLoop loop, Log log, Function<Balancer.Actions, Balancer> module) {
             return new Dependencies(
                     NioNetwork.SYSTEM,
@@ -126,7 +131,7 @@
                     UnaryOperator.identity());
         }
 
-        /** The same with a keeper of orders, or with none where that is null. */
+        /** Returns a copy that records orders; returns this if the recorder is null. */
         Dependencies withOrderRecorder(EventLoopClock keepersTime, OrderRecorder<ClientRequest> keeper) {
             return keeper == null
                     ? this
@@ -141,7 +146,7 @@
                             transportDecorator);
         }
 
-        /** The same with one more who is told of requests, or with none where that is null. */
+        /** Returns a copy with an additional request observer; returns this if the observer is null. */
         Dependencies withObserver(Observer also) {
             return also == null
                     ? this
@@ -156,7 +161,7 @@
                             transportDecorator);
         }
 
-        /** The same with a trace of requests and connections, or with none where that is null. */
+        /** Returns a copy that traces requests and connections; returns this if the trace is null. */
         Dependencies withTrace(RequestTrace trace) {
             return trace == null
                     ? this
@@ -173,32 +178,36 @@
     }
 
     Node(NodeConfig config, PollingLoop loop, Log log) {
-        this(config, loop, Dependencies.system(loop, log, module(config)));
+        this(config, loop, Dependencies.system(loop, log, balancerFactory(config)));
     }
 
-    private static Function<Balancer.Actions, Balancer> module(NodeConfig config) {
+    private static Function<Balancer.Actions, Balancer> balancerFactory(NodeConfig config) {
         return actions -> new ServiceQBalancer(config.settings(), config.seed(), actions);
     }
 
-    /** A node that is not started; the loop is the thread that owns it from then on. */
-    public Node(NodeConfig config, EventLoop loop, Dependencies parts) {
+    /** Creates a node without starting it. From then on only the thread of {@code loop} may access its state. */
+    public Node(NodeConfig config, EventLoop loop, Dependencies dependencies) {
         this.config = config;
         this.loop = loop;
-        log = parts.log();
-        time = parts.time();
+        log = dependencies.log();
+        clock = dependencies.time();
         sockets = new SocketBudget(config.maxSockets());
-        operations = config.managementAddress() == null ? null : operations(parts);
-        pool = new ServerPool<>(
+        operations = config.managementAddress() == null ? null : operations(dependencies);
+        serverPool = new ServerPool<>(
                 loop,
-                parts.network(),
+                dependencies.network(),
                 sockets,
-                parts.time(),
+                dependencies.time(),
                 config.settings().connectTimeoutUs,
                 config.connIdleUs(),
-                new HttpServers(parts.time(), config.settings(), parts.network().allocator(), log));
+                new HttpServers(
+                        dependencies.time(),
+                        config.settings(),
+                        dependencies.network().allocator(),
+                        log));
         discovery = new Discovery(
                 loop,
-                parts.network(),
+                dependencies.network(),
                 config.discovery(),
                 config.settings().zones,
                 config.initialServers().revision(),
@@ -207,20 +216,20 @@
                 new Discovery.Listener() {
                     @Override
                     public void onList(HostList list) {
-                        if (pushed != null) {
-                            pushed.onUpdate();
+                        if (pushedListWatcher != null) {
+                            pushedListWatcher.onUpdate();
                         }
-                        list(list, list.isFull() ? ListKind.FULL : ListKind.CHANGES);
-                        firstList.countDown();
+                        updateServerList(list, list.isFull() ? ListKind.FULL : ListKind.CHANGES);
+                        firstListReceived.countDown();
                     }
 
                     @Override
                     public void onMoved() {
-                        if (pushed != null) {
-                            pushed.onUpdate();
+                        if (pushedListWatcher != null) {
+                            pushedListWatcher.onUpdate();
                         }
-                        // The module waits longer with each call that fails, and these were to another place:
-                        // that nothing has changed is what lets it begin anew.
+                        // The balancer backs off after each failed call, but those calls went to the previous address.
+                        // An empty update resets its backoff.
                         engine.updateServers(ListKind.CHANGES, List.of(), () -> {});
                     }
 
@@ -228,60 +237,62 @@
                     public void onFailure(String reason) {
                         log.info("discovery: " + reason);
                         engine.reportListFailure();
-                        if (pushed != null) {
-                            pushed.onFailure();
+                        if (pushedListWatcher != null) {
+                            pushedListWatcher.onFailure();
                         }
                     }
                 },
                 log);
-        pushed = config.settings().listOnRequest || config.namesAllServers()
+        pushedListWatcher = config.settings().listOnRequest || config.namesAllServers()
                 ? null
-                : new PushedListWatcher(time, discovery::subscribe, config.seed());
+                : new PushedListWatcher(clock, discovery::subscribe, config.seed());
         engine = new Engine<>(
                 config.settings().maxAttempts,
-                parts.time(),
-                parts.transportDecorator().apply(pool),
+                dependencies.time(),
+                dependencies.transportDecorator().apply(serverPool),
                 discovery,
-                operations == null ? parts.observer() : parts.observer().andThen(operations.observer()),
-                parts.sendGate(),
+                operations == null
+                        ? dependencies.observer()
+                        : dependencies.observer().andThen(operations.observer()),
+                dependencies.sendGate(),
                 log,
-                parts.balancerFactory());
-        clients = new ClientServer(
+                dependencies.balancerFactory());
+        clientServer = new ClientServer(
                 loop,
-                parts.network(),
+                dependencies.network(),
                 new RequestReader(config.settings()),
                 sockets,
                 engine,
-                parts.time(),
-                ofClass -> {
+                dependencies.time(),
+                classIndex -> {
                     if (operations != null) {
-                        operations.recordRejectedRequest(ofClass);
+                        operations.recordRejectedRequest(classIndex);
                     }
                 },
-                parts.connectionObserver(),
+                dependencies.connectionObserver(),
                 log);
     }
 
-    private Operations operations(Dependencies parts) {
-        Operations.NodeControl served = new Operations.NodeControl() {
+    private Operations operations(Dependencies dependencies) {
+        Operations.NodeControl nodeControl = new Operations.NodeControl() {
             @Override
             public void updateServers(List<HostList.Host> hosts) {
-                put(new HostList(0, false, hosts), ListKind.CHANGES);
+                applyServerList(new HostList(0, false, hosts), ListKind.CHANGES);
             }
 
             @Override
-            public void setDraining(boolean away) {
-                clients.setDraining(away);
+            public void setDraining(boolean draining) {
+                clientServer.setDraining(draining);
             }
 
             @Override
             public boolean isAcceptingClients() {
-                return listening && clients.isUp();
+                return listening && clientServer.isUp();
             }
 
             @Override
             public long dispatchCount() {
-                return pool.writtenRequestCount();
+                return serverPool.writtenRequestCount();
             }
 
             @Override
@@ -291,46 +302,46 @@
         };
         try {
             return new Operations(
-                    served,
+                    nodeControl,
                     loop,
                     loop,
-                    time,
+                    clock,
                     sockets,
                     config.settings().classes,
                     config.stateFolder(),
                     config.listen(),
-                    parts.log());
+                    dependencies.log());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    // ---------------------------------------------------------------- start and end
+    // ---------------------------------------------------------------- start and shutdown
 
     /**
-     * Runs a node until SIGTERM; a bad configuration ends it with one line and exit code 2.
+     * Runs a node until SIGTERM. A bad configuration ends the process with one line on standard error and exit code 2.
      *
-     * @return reads the configuration again, as SIGHUP does, from any thread
+     * @return an action that reads the configuration again, as SIGHUP does; it may be called from any thread
      */
     public static Runnable run(Map<String, String> env) {
         return run(env, new StderrLog());
     }
 
-    /** The same; lines for the operators go to this log once the configuration has been read. */
+    /** Runs a node as {@link #run(Map)} does and writes to the given log once the configuration has been read. */
     public static Runnable run(Map<String, String> env, Log log) {
         try {
-            return begin(env, log);
+            return bootstrap(env, log);
         } catch (Exception | LinkageError e) {
-            // The loop's thread would keep a process alive that never listens. The network library throws
-            // what its futures fail with, also checked exceptions.
+            // The event loop's thread would keep alive a process that never listens. Netty futures rethrow their cause,
+            // which may be a checked exception.
             System.err.println("kitemux: the start failed: " + e);
-            System.exit(START_FAILED);
+            System.exit(START_FAILED_EXIT_CODE);
             throw new IllegalStateException("the process has ended", e);
         }
     }
 
-    private static Runnable begin(Map<String, String> env, Log log) {
-        // Else the network library looks for loggers that only other commands bring, and loads them.
+    private static Runnable bootstrap(Map<String, String> env, Log log) {
+        // Without this, Netty searches for logging libraries that only other commands bring, and loads them.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         NodeConfig config;
         try {
@@ -340,45 +351,48 @@
             System.exit(2);
             throw new IllegalStateException("the process has ended");
         }
-        List<String> faults = new ArrayList<>();
-        OperatorSettings operator = OperatorSettings.read(env, config.settings(), faults);
-        if (!faults.isEmpty()) {
-            faults.forEach(fault -> System.err.println("kitemux: " + fault));
+        List<String> errors = new ArrayList<>();
+        OperatorSettings operatorSettings = OperatorSettings.read(env, config.settings(), errors);
+        if (!errors.isEmpty()) {
+            errors.forEach(error -> System.err.println("kitemux: " + error));
             System.exit(2);
         }
         PollingLoop loop = newLoop();
-        EventLoopClock time = EventLoopClock.of(loop);
+        EventLoopClock clock = EventLoopClock.of(loop);
         OrderJournal orders = null;
-        if (operator.orders() != null) {
+        if (operatorSettings.orders() != null) {
             try {
-                orders = OrderJournal.open(operator.orders(), time, loop, log::info);
+                orders = OrderJournal.open(operatorSettings.orders(), clock, loop, log::info);
             } catch (IOException e) {
                 System.err.println("kitemux: orders.folder cannot be used: " + e.getMessage());
                 System.exit(2);
             }
         }
         Observer recorder = null;
-        Runnable endOfCapture = () -> {};
-        if (operator.load() != null) {
+        Runnable closeCapture = () -> {};
+        if (operatorSettings.load() != null) {
             try {
-                CaptureWriter capture = capture(operator.load(), config, log);
-                recorder = capture.recorder(time);
-                endOfCapture = capture::close;
+                CaptureWriter capture = openCapture(operatorSettings.load(), config, log);
+                recorder = capture.recorder(clock);
+                closeCapture = capture::close;
             } catch (IOException e) {
                 System.err.println("kitemux: load.folder cannot be used: " + e.getMessage());
                 System.exit(2);
             }
         }
-        RequestTrace trace = operator.trace() == null ? null : trace(operator.trace(), config, time, log);
+        RequestTrace trace =
+                operatorSettings.trace() == null ? null : openTrace(operatorSettings.trace(), config, clock, log);
         Node node;
         try {
             node = new Node(
                     config,
                     loop,
-                    Dependencies.system(loop, log, module(config))
+                    Dependencies.system(loop, log, balancerFactory(config))
                             .withOrderRecorder(
-                                    time,
-                                    orders == null ? null : orders.recorder(operator.orders(), config.settings(), time))
+                                    clock,
+                                    orders == null
+                                            ? null
+                                            : orders.recorder(operatorSettings.orders(), config.settings(), clock))
                             .withObserver(recorder)
                             .withTrace(trace));
         } catch (UncheckedIOException e) {
@@ -386,39 +400,41 @@
             System.exit(2);
             throw new IllegalStateException("the process has ended");
         }
-        Runnable reload = Reload.onHangUp(env, node, log);
+        Runnable reload = ConfigReloader.installSighupHandler(env, node, log);
         if (config.managementAddress() != null) {
-            // Before it warms up, so that who asks hears that it takes no clients yet.
-            orEnd("mgmt " + config.managementAddress(), node.listenForOperators());
+            // The management interface opens before the warm-up, so that readiness checks are answered (not ready) from
+            // then on.
+            awaitOrExit("mgmt " + config.managementAddress(), node.listenForOperators());
         }
         log.info("warming up");
-        node.begin();
+        node.bootstrap();
         WarmUp.run(config, loop, log);
         node.awaitFirstList();
-        OrderJournal journal = orders;
-        Runnable captureEnds = endOfCapture;
-        // Before clients can connect: one that comes before it stands would be left without an answer.
-        StartupGate opening = new StartupGate(node::start);
+        OrderJournal journalToClose = orders;
+        Runnable closeCaptureAtShutdown = closeCapture;
+        // The shutdown hook is installed before clients can connect. A SIGTERM before that would leave clients without
+        // a response.
+        StartupGate startupGate = new StartupGate(node::start);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
                             try {
-                                long signalUs = time.nowUs();
-                                if (opening.close()) {
-                                    CountDownLatch empty = new CountDownLatch(1);
+                                long signalUs = clock.nowUs();
+                                if (startupGate.close()) {
+                                    CountDownLatch drained = new CountDownLatch(1);
                                     node.drain(
                                             signalUs,
                                             node.operations != null && node.operations.isReplaced(),
-                                            empty::countDown);
-                                    empty.await();
+                                            drained::countDown);
+                                    drained.await();
                                 }
-                                captureEnds.run();
+                                closeCaptureAtShutdown.run();
                                 if (trace != null) {
                                     trace.close();
                                 }
-                                if (journal != null) {
-                                    // What the last answers told is still on its way to the disk.
-                                    journal.close();
+                                if (journalToClose != null) {
+                                    // Records of the last responses may still be on their way to the disk.
+                                    journalToClose.close();
                                 }
                             } catch (IOException e) {
                                 log.info("orders: the journal could not be closed: " + e);
@@ -427,22 +443,29 @@
                             }
                         },
                         "drain"));
-        ChannelFuture listens = opening.open();
-        if (listens != null) {
-            orEnd("listen " + config.listen(), listens);
-            tellOfUnusedArchive(log);
+        ChannelFuture bindFuture = startupGate.open();
+        if (bindFuture != null) {
+            awaitOrExit("listen " + config.listen(), bindFuture);
+            logUnusedClassArchive(log);
             log.info("listening on " + config.listen());
         }
-        if (operator.rollout() != null) {
-            RolloutLink.start(operator.rollout().keepers(), config, loop, time, node.sockets, node::discoveryIs, log);
+        if (operatorSettings.rollout() != null) {
+            RolloutLink.start(
+                    operatorSettings.rollout().keepers(),
+                    config,
+                    loop,
+                    clock,
+                    node.sockets,
+                    node::setDiscoveryAddress,
+                    log);
         }
         return reload;
     }
 
-    /** Begins the trace; where its folder cannot be used the program ends. */
-    private static RequestTrace trace(TraceSettings settings, NodeConfig config, EventLoopClock time, Log log) {
+    /** Opens the request trace, or exits the process if its folder cannot be used. */
+    private static RequestTrace openTrace(TraceSettings settings, NodeConfig config, EventLoopClock clock, Log log) {
         try {
-            return RequestTrace.open(settings, "node-" + config.listen().getPort(), time, log::info);
+            return RequestTrace.open(settings, "node-" + config.listen().getPort(), clock, log::info);
         } catch (IOException e) {
             System.err.println("kitemux: trace.folder cannot be used: " + e.getMessage());
             System.exit(2);
@@ -450,7 +473,7 @@
         }
     }
 
-    private static CaptureWriter capture(LoadSettings settings, NodeConfig config, Log log) throws IOException {
+    private static CaptureWriter openCapture(LoadSettings settings, NodeConfig config, Log log) throws IOException {
         return new CaptureWriter(
                 settings,
                 config.listen().getHostString() + ":" + config.listen().getPort(),
@@ -462,23 +485,26 @@
                 log::info);
     }
 
-    /** Waits until an address is listened at; where it cannot be, the program ends. */
-    private static void orEnd(String what, ChannelFuture opening) {
-        if (!opening.awaitUninterruptibly().isSuccess()) {
-            System.err.println("kitemux: " + what + ": " + opening.cause().getMessage());
+    /** Waits until a listener is bound, or exits the process if it cannot be. */
+    private static void awaitOrExit(String setting, ChannelFuture bindFuture) {
+        if (!bindFuture.awaitUninterruptibly().isSuccess()) {
+            System.err.println("kitemux: " + setting + ": " + bindFuture.cause().getMessage());
             System.exit(2);
         }
     }
 
-    /** To be called once clients can connect: the start that was slow by it is over. */
-    private static void tellOfUnusedArchive(Log log) {
+    /**
+     * Logs a configured class archive that the JVM did not load. It runs once clients can connect, so that it does not
+     * delay the start.
+     */
+    private static void logUnusedClassArchive(Log log) {
         try {
             ClassArchive.findUnused(Path.of("/proc/self"))
                     .ifPresent(archive -> log.info("the class archive "
-                            + archive + " is missing, or was made from another jar or by another JVM: starts take "
-                            + "more than need be until it is made anew"));
+                            + archive + " is missing, or was made from another jar or by another JVM: starts are "
+                            + "slower until it is created again"));
         } catch (IOException e) {
-            // Not on this system: nothing is known of it, and nothing but the word is lost.
+            // The system has no /proc: the check is not possible, and only the log line is lost.
         }
     }
 
@@ -486,133 +512,137 @@
         return SelectorLoop.open();
     }
 
-    /** Listens for operators, where an address is given for them; the future is done once they can call. */
+    /**
+     * Starts the management listener; a management address must be configured. The future completes when it is bound.
+     */
     ChannelFuture listenForOperators() {
         return operations.listen(config.managementAddress());
     }
 
-    /** Follows the list from now on, without serving yet. */
-    private void begin() {
-        begun = true;
+    /** Starts to follow the server list, without serving clients yet. */
+    private void bootstrap() {
+        isBootstrapped = true;
         loop.execute(() -> {
-            list(config.initialServers(), ListKind.CACHED);
-            if (pushed != null) {
-                pushed.start();
+            updateServerList(config.initialServers(), ListKind.CACHED);
+            if (pushedListWatcher != null) {
+                pushedListWatcher.start();
             }
         });
     }
 
     /**
-     * Where lists are pushed, what the agent has counts as told from the first moment of this process: it
-     * waits for that, but not for an agent that has nothing to say.
+     * Waits for the first pushed server list, so that no request is served by an outdated one. The wait is bounded, as
+     * an agent without a list sends nothing.
      */
     private void awaitFirstList() {
-        if (pushed != null) {
+        if (pushedListWatcher != null) {
             try {
-                firstList.await(FIRST_LIST_MS, TimeUnit.MILLISECONDS);
+                firstListReceived.await(FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
     }
 
-    /** Begins to serve; the future is done once clients can connect. */
+    /** Starts to serve clients. The future completes when clients can connect. */
     public ChannelFuture start() {
-        if (!begun) {
-            begin();
+        if (!isBootstrapped) {
+            bootstrap();
         }
-        // What it did before it serves, such as its rehearsal, held nobody up.
-        loop.execute(time::tick);
-        housekeeping = loop.scheduleAtFixedRate(
+        // Work before this point, such as the warm-up, delayed no client and must not be reported as a stall.
+        loop.execute(clock::tick);
+        housekeepingTask = loop.scheduleAtFixedRate(
                 () -> {
-                    pool.closeExpiredConnections();
-                    clients.closeExpired();
+                    serverPool.closeExpiredConnections();
+                    clientServer.closeExpired();
                 },
-                HOUSEKEEPING_MS,
-                HOUSEKEEPING_MS,
+                HOUSEKEEPING_INTERVAL_MS,
+                HOUSEKEEPING_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
-        beating = loop.scheduleWithFixedDelay(this::beat, 0, EventLoopClock.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
-        return clients.listen(config.listen(), operations != null).addListener(opened -> {
-            listening = opened.isSuccess();
+        tickTask = loop.scheduleWithFixedDelay(this::tick, 0, EventLoopClock.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        return clientServer.listen(config.listen(), operations != null).addListener(bound -> {
+            listening = bound.isSuccess();
             if (listening && operations != null) {
                 operations.markServing();
             }
         });
     }
 
-    private void beat() {
-        long lateUs = time.tick();
-        if (lateUs >= HELD_UP_US) {
-            log.info("loop held up for " + lateUs / 1_000 + " ms with " + engine.pendingCount()
-                    + " requests open: this process had no processor, or one turn took so long");
+    private void tick() {
+        long delayUs = clock.tick();
+        if (delayUs >= LOOP_STALL_WARNING_US) {
+            log.info("loop held up for " + delayUs / 1_000 + " ms with " + engine.pendingCount()
+                    + " requests open: this process got no CPU time, or one loop iteration took that long");
         }
     }
 
     /**
-     * Takes over what may change while a node runs: where discovery is, or servers where nobody else
-     * tells.
+     * Applies the settings that may change at run time: the address of discovery, or the servers if the configuration
+     * names all of them.
      */
-    public void reload(NodeConfig changed) {
+    public void reload(NodeConfig changedConfig) {
         loop.execute(() -> {
-            if (changed.namesAllServers()) {
-                list(changed.initialServers(), ListKind.FULL);
+            if (changedConfig.namesAllServers()) {
+                updateServerList(changedConfig.initialServers(), ListKind.FULL);
             } else {
-                discovery.setAddress(changed.discovery());
+                discovery.setAddress(changedConfig.discovery());
             }
-            tellOfReload(true);
+            recordReload(true);
         });
     }
 
-    /** Discovery is elsewhere from now on, unless the file names all servers; on the loop. */
-    private void discoveryIs(InetSocketAddress at) {
+    /** Changes the address of discovery, unless the configuration names all servers. Called on the event loop. */
+    private void setDiscoveryAddress(InetSocketAddress address) {
         if (!config.namesAllServers()) {
-            discovery.setAddress(at);
+            discovery.setAddress(address);
         }
     }
 
-    /** The configuration cannot be read: what holds stays. */
+    /** Records that the configuration could not be read; the current one stays in force. */
     void reloadFailed() {
-        loop.execute(() -> tellOfReload(false));
+        loop.execute(() -> recordReload(false));
     }
 
-    private void tellOfReload(boolean taken) {
+    private void recordReload(boolean accepted) {
         if (operations != null) {
-            operations.recordReload(taken);
+            operations.recordReload(accepted);
         }
     }
 
     /**
-     * Says no to the front, serves what still comes, and calls back once nothing is held.
+     * Fails the health check, serves requests that still arrive, and calls back once no request or client connection is
+     * left.
      *
-     * @param replaced whether another process takes clients at the same address
+     * @param replaced whether another process accepts clients at the same address
+     * @param whenEmpty called when the drain is complete
      */
     public void drain(boolean replaced, Runnable whenEmpty) {
-        drain(time.nowUs(), replaced, whenEmpty);
+        drain(clock.nowUs(), replaced, whenEmpty);
     }
 
     /**
-     * The same.
+     * Drains as {@link #drain(boolean, Runnable)} does.
      *
-     * @param signalUs when the process learned that it has to end
+     * @param signalUs when the process received the signal to end, in microseconds
      */
     private void drain(long signalUs, boolean replaced, Runnable whenEmpty) {
-        long longestUs = config.settings().classes.stream()
+        long longestDeadlineUs = config.settings().classes.stream()
                 .mapToLong(Balancer.RequestClass::deadlineUs)
                 .max()
                 .orElse(0);
-        ShutdownSchedule schedule = ShutdownSchedule.of(signalUs, longestUs, replaced);
-        loop.execute(() -> clients.shutDown(schedule, replaced, whenEmpty));
+        ShutdownSchedule schedule = ShutdownSchedule.of(signalUs, longestDeadlineUs, replaced);
+        loop.execute(() -> clientServer.shutDown(schedule, replaced, whenEmpty));
     }
 
-    /** Lets go of all sockets and timers at once. */
+    /** Closes all sockets and cancels all timers at once. */
     public void close() {
         loop.execute(() -> {
-            housekeeping.cancel(false);
-            beating.cancel(false);
-            clients.close();
-            pool.close();
-            if (pushed != null) {
-                pushed.stop();
+            housekeepingTask.cancel(false);
+            tickTask.cancel(false);
+            clientServer.close();
+            serverPool.close();
+            if (pushedListWatcher != null) {
+                pushedListWatcher.stop();
             }
             discovery.close();
             engine.close();
@@ -622,22 +652,22 @@
         });
     }
 
-    private void list(HostList list, ListKind kind) {
-        put(operations == null ? list : operations.applyOverrides(list), kind);
+    private void updateServerList(HostList list, ListKind kind) {
+        applyServerList(operations == null ? list : operations.applyOverrides(list), kind);
     }
 
-    private void put(HostList list, ListKind kind) {
-        engine.updateServers(kind, list.entries(), () -> pool.update(list));
+    private void applyServerList(HostList list, ListKind kind) {
+        engine.updateServers(kind, list.entries(), () -> serverPool.update(list));
     }
 
-    // ---------------------------------------------------------------- what stands, for whoever checks
+    // ---------------------------------------------------------------- state for tests and checks
 
-    /** The engine; to be looked at on the loop alone. */
+    /** Returns the engine. Only the event loop may access it. */
     public Engine<ClientRequest, ServerResponse> engine() {
         return engine;
     }
 
-    /** Descriptors that the node believes to be open; to be looked at on the loop alone. */
+    /** Returns the number of descriptors that the node counts as open. Called on the event loop. */
     public int openSockets() {
         return sockets.openCount();
     }
--- a/src/main/java/kitemux/node/NodeConfig.java
+++ b/src/main/java/kitemux/node/NodeConfig.java
@@ -17,17 +17,17 @@
 import kitemux.net.HostList;
 
 /**
- * What a node is told at its start, by the environment and the configuration file.
+ * The configuration of a node at its start, from the environment and the configuration file.
  *
- * @param listen where clients connect
- * @param managementAddress where operators call, or null
- * @param discovery where the server list is had
- * @param seed for random numbers, new with each start
- * @param maxSockets how many descriptors the process may hold
- * @param connIdleUs after so long servers close idle connections
- * @param stateFolder where a process of the node leaves word for the next one, {@code $TMPDIR}
- * @param initialServers the server list as this node last had it
- * @param settings the module's
+ * @param listen the address for clients
+ * @param managementAddress the address for operators, or null
+ * @param discovery the address of discovery
+ * @param seed seed of the random number generators, new with each start
+ * @param maxSockets the number of descriptors that the process may hold
+ * @param connIdleUs idle time after which servers close connections, in microseconds
+ * @param stateFolder folder in which a process of the node leaves state for the next one, {@code $TMPDIR}
+ * @param initialServers the last server list that this node had
+ * @param settings the balancer's settings
  */
 public record NodeConfig(
         InetSocketAddress listen,
@@ -40,10 +40,10 @@
         HostList initialServers,
         Settings settings) {
 
-    private static final int LEAST_SOCKETS = 64;
+    private static final int MIN_SOCKET_COUNT = 64;
     private static final long DEFAULT_CONN_IDLE_US = 15_000_000;
 
-    /** The environment's addresses hold where they are set; all else is in the file that it names. */
+    /** Reads the configuration file that the environment names. Addresses in the environment override the file's. */
     static NodeConfig read(Map<String, String> env) throws ConfigException {
         String path = env.getOrDefault("PROXY_CONFIG", "");
         if (path.isEmpty()) {
@@ -65,40 +65,47 @@
             throw new ConfigException("settings", "is missing or not an object");
         }
         Settings settings = settings(json.path("settings"));
-        long sockets = json.path("limits").path("sockets").asLong(0);
-        if (sockets < LEAST_SOCKETS || sockets > Integer.MAX_VALUE) {
-            throw new ConfigException("limits.sockets", "is missing or under " + LEAST_SOCKETS);
+        long maxSockets = json.path("limits").path("sockets").asLong(0);
+        if (maxSockets < MIN_SOCKET_COUNT || maxSockets > Integer.MAX_VALUE) {
+            throw new ConfigException("limits.sockets", "is missing or under " + MIN_SOCKET_COUNT);
         }
-        long idle = json.path("settings").path("limits").path("connIdleUs").asLong(DEFAULT_CONN_IDLE_US);
-        if (idle <= 0) {
+        long connIdleUs =
+                json.path("settings").path("limits").path("connIdleUs").asLong(DEFAULT_CONN_IDLE_US);
+        if (connIdleUs <= 0) {
             throw new ConfigException("settings.limits.connIdleUs", "is not above 0");
         }
         String listen = env.getOrDefault("PROXY_LISTEN", json.path("listen").asText());
         String discovery =
                 env.getOrDefault("PROXY_DISCOVERY", json.path("discovery").asText());
-        String operators = env.getOrDefault("PROXY_MGMT", json.path("mgmt").asText());
+        String managementAddress =
+                env.getOrDefault("PROXY_MGMT", json.path("mgmt").asText());
         return new NodeConfig(
                 Addresses.parse("listen", listen),
-                operators.isEmpty() ? null : Addresses.parse("mgmt", operators),
+                managementAddress.isEmpty() ? null : Addresses.parse("mgmt", managementAddress),
                 Addresses.parse("discovery", discovery),
                 seed(json.path("seed").asText()),
-                (int) sockets,
-                idle,
+                (int) maxSockets,
+                connIdleUs,
                 Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))),
                 initialServers(json, settings.zones),
                 settings);
     }
 
-    /** Whether discovery is this node itself: its servers are those that the file names, and no others. */
+    /**
+     * Returns whether the node has no discovery: it names itself as discovery, and its servers are those of the file.
+     */
     boolean namesAllServers() {
         return discovery.equals(listen) && !settings.listOnRequest;
     }
 
-    /** As the file has it now: where discovery is, it says since the start, and no longer the environment. */
+    /**
+     * Reads the configuration for a reload. The address of discovery comes from the file, as the environment's is from
+     * the start of the process.
+     */
     static NodeConfig readForReload(Map<String, String> env) throws ConfigException {
-        Map<String, String> now = new HashMap<>(env);
-        now.remove("PROXY_DISCOVERY");
-        return read(now);
+        Map<String, String> environment = new HashMap<>(env);
+        environment.remove("PROXY_DISCOVERY");
+        return read(environment);
     }
 
     private static Settings settings(Json json) throws ConfigException {
@@ -115,7 +122,10 @@
         }
     }
 
-    /** Dotted names as on the simulator's wire: objects in a list are numbered and counted. */
+    /**
+     * Flattens a JSON value into dotted names as in the simulator's protocol: objects in a list are numbered and
+     * counted.
+     */
     private static void flatten(String path, Json json, Map<String, String> flat) {
         String prefix = path.isEmpty() ? "" : path + ".";
         if (json.isObject()) {
@@ -140,17 +150,21 @@
         }
     }
 
-    /** The same for a node that keeps to itself: on any port, with these servers and no discovery. */
+    /**
+     * Returns a copy for a node that is isolated from the fleet: it listens on any free port, uses these servers and
+     * calls no discovery.
+     */
     NodeConfig isolatedCopy(HostList servers) {
-        Settings apart = new Settings();
-        apart.zones.addAll(settings.zones);
-        apart.classes.addAll(settings.classes);
-        apart.tenants.addAll(settings.tenants);
-        apart.maxAttempts = settings.maxAttempts;
-        apart.cancellationAllowed = settings.cancellationAllowed;
-        // It is its own discovery, so that it calls none: each start would cost the fleet's a call more.
-        InetSocketAddress own = new InetSocketAddress(listen.getAddress(), 0);
-        return new NodeConfig(own, null, own, seed, maxSockets, connIdleUs, stateFolder, servers, apart);
+        Settings isolatedSettings = new Settings();
+        isolatedSettings.zones.addAll(settings.zones);
+        isolatedSettings.classes.addAll(settings.classes);
+        isolatedSettings.tenants.addAll(settings.tenants);
+        isolatedSettings.maxAttempts = settings.maxAttempts;
+        isolatedSettings.cancellationAllowed = settings.cancellationAllowed;
+        // The node is its own discovery, so that a start costs the fleet's discovery no additional call.
+        InetSocketAddress anyPort = new InetSocketAddress(listen.getAddress(), 0);
+        return new NodeConfig(
+                anyPort, null, anyPort, seed, maxSockets, connIdleUs, stateFolder, servers, isolatedSettings);
     }
 
     private static HostList initialServers(Json json, List<String> zones) throws ConfigException {
--- a/src/main/java/kitemux/node/OperatorSettings.java
+++ b/src/main/java/kitemux/node/OperatorSettings.java
@@ -14,22 +14,22 @@
 import kitemux.telemetry.TraceSettings;
 
 /**
- * The operator's own file, which turns on what an installation has room for; without one all of it is off.
+ * The operator's own settings file, which enables optional features. Without the file all of them are off.
  *
- * @param orders how a journal of orders is kept; null for none
- * @param load how load is captured; null for not at all
- * @param rollout which keepers tell it of its configuration; null for none
- * @param trace where connections, requests and attempts are traced; null for not at all
+ * @param orders settings of the order journal, or null if it is off
+ * @param load settings of the load capture, or null if it is off
+ * @param rollout the keepers that push configuration, or null if it is off
+ * @param trace settings of the request trace, or null if it is off
  */
 record OperatorSettings(OrderSettings orders, LoadSettings load, RolloutSettings rollout, TraceSettings trace) {
-    /** Names the file. */
+    /** Environment variable with the path of the file. */
     static final String ENVIRONMENT_VARIABLE = "KITEMUX_SETTINGS";
 
     /**
-     * Reads the file that the environment names, if it names one.
+     * Reads the file that the environment names, if there is one.
      *
-     * @param settings what the platform says
-     * @param faults one line is added for each that is found, with field and reason
+     * @param settings the platform's settings
+     * @param faults receives one line for each fault, with field and reason
      */
     static OperatorSettings read(Map<String, String> env, Settings settings, List<String> faults) {
         String path = env.getOrDefault(ENVIRONMENT_VARIABLE, "");
--- a/src/main/java/kitemux/node/RolloutLink.java
+++ b/src/main/java/kitemux/node/RolloutLink.java
@@ -15,56 +15,59 @@
 import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Subscriber;
 
-/** A node's tie to keepers; the only class of the node that names what carries configuration. */
+/**
+ * Connects a node to the keepers that push configuration. It is the only class of the node that refers to the rollout
+ * classes, so that they are loaded only when a rollout is configured.
+ */
 final class RolloutLink {
     private RolloutLink() {}
 
     /**
-     * Watches keepers from now on.
+     * Starts to watch the keepers.
      *
-     * @param config the node's; its settings are changed in place, on the loop
-     * @param sockets counts those that are open
-     * @param discovery told, on the loop, where discovery is from now on
+     * @param config the node's configuration; its settings are changed in place, on the event loop
+     * @param socketBudget counts open sockets
+     * @param onDiscoveryMoved receives the new address of discovery, on the event loop
      */
     static void start(
             List<InetSocketAddress> keepers,
             NodeConfig config,
             EventLoop loop,
-            Clock time,
-            SocketBudget sockets,
-            Consumer<InetSocketAddress> discovery,
+            Clock clock,
+            SocketBudget socketBudget,
+            Consumer<InetSocketAddress> onDiscoveryMoved,
             Log log) {
-        LiveSettings live = new LiveSettings(config.settings(), at -> {
+        LiveSettings liveSettings = new LiveSettings(config.settings(), address -> {
             try {
-                discovery.accept(Addresses.parse("discovery", at));
+                onDiscoveryMoved.accept(Addresses.parse("discovery", address));
             } catch (ConfigException e) {
                 throw new IllegalStateException(e);
             }
         });
-        int node = config.settings().nodeIndex;
-        long life = time.nowUs() / 1_000;
+        int nodeIndex = config.settings().nodeIndex;
+        long incarnation = clock.nowUs() / 1_000;
         Subscriber subscriber = new Subscriber(
                 ProtocolParameters.defaults(),
-                live,
-                node,
-                life,
+                liveSettings,
+                nodeIndex,
+                incarnation,
                 keepers.size(),
                 0,
                 new TreeMap<>(),
                 config.seed(),
-                time.nowUs());
+                clock.nowUs());
         new RolloutWatch(
                         loop,
                         NioNetwork.SYSTEM,
-                        time,
+                        clock,
                         keepers,
                         subscriber,
-                        node,
-                        life,
-                        sockets,
-                        (rev, values) -> {
-                            live.apply(values);
-                            log.info("rollout: version " + rev + " is taken in");
+                        nodeIndex,
+                        incarnation,
+                        socketBudget,
+                        (revision, values) -> {
+                            liveSettings.apply(values);
+                            log.info("rollout: version " + revision + " is taken in");
                         },
                         log)
                 .start();
--- a/src/main/java/kitemux/node/RolloutSettings.java
+++ b/src/main/java/kitemux/node/RolloutSettings.java
@@ -10,20 +10,20 @@
 import kitemux.net.Addresses;
 
 /**
- * Which keepers tell a node of its configuration. Nothing of what carries it is named here: without this
- * section none of that is loaded.
+ * The keepers that push configuration to a node. This record refers to no rollout classes, so that none is loaded
+ * without this section.
  *
- * @param keepers their addresses, by number
+ * @param keepers addresses of the keepers, by index
  */
 record RolloutSettings(List<InetSocketAddress> keepers) {
-    /** As many as keepers themselves allow. */
-    private static final int MOST = 32;
+    /** Largest number of keepers, which is the limit of the keepers themselves. */
+    private static final int MAX_KEEPER_COUNT = 32;
 
     /**
-     * Reads the section of the operator's file.
+     * Reads this section of the operator's file.
      *
-     * @param faults one line is added for each that is found, with field and reason
-     * @return null where there is no section
+     * @param faults receives one line for each fault, with field and reason
+     * @return null if there is no section
      */
     static RolloutSettings read(Json json, List<String> faults) {
         if (json.isMissing()) {
@@ -31,16 +31,16 @@
         }
         new FileSection(json, "rollout", faults).rejectUnknownFields(Set.of("keepers"));
         List<InetSocketAddress> keepers = new ArrayList<>();
-        for (Json one : json.path("keepers")) {
+        for (Json keeper : json.path("keepers")) {
             try {
-                keepers.add(Addresses.parse("rollout.keepers[" + keepers.size() + "]", one.asText()));
+                keepers.add(Addresses.parse("rollout.keepers[" + keepers.size() + "]", keeper.asText()));
             } catch (ConfigException e) {
                 keepers.add(null);
                 faults.add(e.getMessage());
             }
         }
-        if (keepers.isEmpty() || keepers.size() > MOST) {
-            faults.add("rollout.keepers is not a list of 1 to " + MOST + " addresses");
+        if (keepers.isEmpty() || keepers.size() > MAX_KEEPER_COUNT) {
+            faults.add("rollout.keepers is not a list of 1 to " + MAX_KEEPER_COUNT + " addresses");
         }
         return new RolloutSettings(keepers);
     }
--- a/src/main/java/kitemux/node/Signals.java
+++ b/src/main/java/kitemux/node/Signals.java
@@ -3,28 +3,30 @@
 import java.lang.reflect.Proxy;
 import kitemux.engine.Log;
 
-/** Signals to this process. By name, as the compiler's warning about sun.misc.Signal, which is the only way
- * to have
- * them, cannot be turned off for one class. */
+/**
+ * Handles POSIX signals. sun.misc.Signal, the only interface to them, is used by reflection because the compiler's
+ * warning about it cannot be suppressed for one class.
+ */
 public final class Signals {
     private Signals() {}
 
     /**
-     * Does something whenever a signal comes, on a thread of its own, in place of what the JVM would do.
+     * Runs an action on its own thread whenever a signal arrives, in place of the JVM's default.
      *
-     * @param name without SIG, such as HUP
+     * @param name name of the signal without SIG, such as HUP
      */
-    public static void handle(String name, Runnable what, Log log) {
+    public static void handle(String name, Runnable action, Log log) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object told = Proxy.newProxyInstance(
-                    Signals.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
-                        what.run();
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            Object handlerProxy = Proxy.newProxyInstance(
+                    Signals.class.getClassLoader(), new Class<?>[] {handlerClass}, (proxy, method, args) -> {
+                        action.run();
                         return null;
                     });
-            signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance(name), told);
+            signalClass
+                    .getMethod("handle", signalClass, handlerClass)
+                    .invoke(null, signalClass.getConstructor(String.class).newInstance(name), handlerProxy);
         } catch (ReflectiveOperationException e) {
             log.error("SIG" + name + " cannot be handled", e);
         }
--- a/src/main/java/kitemux/node/StartupGate.java
+++ b/src/main/java/kitemux/node/StartupGate.java
@@ -4,35 +4,42 @@
 import java.util.function.Supplier;
 
 /**
- * Whether a process takes clients or ends, of which two threads decide: the one that starts it, and the one
- * that runs as it is told to end. Once it ends it opens no more, and whoever ends it knows whether there may
- * be clients to serve.
+ * Orders the start and the shutdown of a process, which run on two threads. Once the gate is closed the process does
+ * not begin to listen, and the closing thread learns whether there may be clients to serve.
  */
 final class StartupGate {
     private final Supplier<ChannelFuture> start;
-    private ChannelFuture opened;
-    private boolean ended;
+    private ChannelFuture bindFuture;
+    private boolean isClosed;
 
-    /** Nothing is open yet; {@code start} opens it, at most once. */
+    /** Creates an open gate; {@code start} is called at most once. */
     StartupGate(Supplier<ChannelFuture> start) {
         this.start = start;
     }
 
-    /** Opens, and gives when that is done; null if it has been told to end before. */
+    /**
+     * Begins to listen.
+     *
+     * @return a future that completes when the listener is bound; null if the gate was closed before
+     */
     synchronized ChannelFuture open() {
-        if (!ended) {
-            opened = start.get();
+        if (!isClosed) {
+            bindFuture = start.get();
         }
-        return opened;
+        return bindFuture;
     }
 
-    /** Opens no more from now on; waits for what was begun. True if clients can connect. */
+    /**
+     * Prevents a later start and waits for one that has begun.
+     *
+     * @return whether clients can connect
+     */
     boolean close() {
-        ChannelFuture begun;
+        ChannelFuture pending;
         synchronized (this) {
-            ended = true;
-            begun = opened;
+            isClosed = true;
+            pending = bindFuture;
         }
-        return begun != null && begun.awaitUninterruptibly().isSuccess();
+        return pending != null && pending.awaitUninterruptibly().isSuccess();
     }
 }
--- a/src/main/java/kitemux/node/StderrLog.java
+++ b/src/main/java/kitemux/node/StderrLog.java
@@ -2,23 +2,26 @@
 
 import kitemux.engine.Log;
 
-/** Lines for the operators on standard error: few, so that a flood of failures cannot stall the loop. */
+/**
+ * A log on standard error. The number of entries per second is limited, so that a flood of failures cannot stall the
+ * event loop.
+ */
 public final class StderrLog implements Log {
-    private static final int MOST_PER_S = 20;
+    private static final int MAX_LINES_PER_SECOND = 20;
 
-    private long second;
-    private int lines;
+    private long currentSecond;
+    private int entriesThisSecond;
 
     @Override
     public void info(String text) {
-        if (hasRoom()) {
+        if (tryAcquire()) {
             System.err.println(text.replace('\n', ' ').replace('\r', ' '));
         }
     }
 
     @Override
     public void error(String what, Throwable cause) {
-        if (hasRoom()) {
+        if (tryAcquire()) {
             System.err.println(what + ": " + cause);
             for (StackTraceElement frame : cause.getStackTrace()) {
                 System.err.println("    at " + frame);
@@ -26,12 +29,12 @@
         }
     }
 
-    private synchronized boolean hasRoom() {
+    private synchronized boolean tryAcquire() {
         long now = System.nanoTime() / 1_000_000_000L;
-        if (now != second) {
-            second = now;
-            lines = 0;
+        if (now != currentSecond) {
+            currentSecond = now;
+            entriesThisSecond = 0;
         }
-        return ++lines <= MOST_PER_S;
+        return ++entriesThisSecond <= MAX_LINES_PER_SECOND;
     }
 }
--- a/src/main/java/kitemux/node/WarmUp.java
+++ b/src/main/java/kitemux/node/WarmUp.java
@@ -27,33 +27,37 @@
 import kitemux.net.PollingLoop;
 
 /**
- * Warms a starting process before it listens: a node apart serves requests between a client and a server of
- * its own, on the address that it may listen on. Cold code under full load stood still for up to 90 ms at a
- * time in the first second, and requests ran out of time unanswered.
+ * Warms up a starting process before it listens. A separate node serves requests between a client and a server of this
+ * class, on the interface that the node will listen on. Without it, cold code under full load stalled for up to 90 ms
+ * at a time in the first second, and requests timed out unanswered.
  */
 final class WarmUp {
-    /** So many that what serves a request is compiled and not only loaded, by the thresholds that
-     * deploy/compile-commands sets (50 calls for this program and its library), and the compiler is through
-     * with what it was given. A node that begins cold under full load uses up its share of the core: its
-     * turns last 100 ms and more, and clients that give up and ask again make it more work. With 64 a node
-     * was ready sooner by a tenth of its CPU, the compiler still behind, and lost more than that by it. */
+    /**
+     * Number of requests served. By the thresholds that deploy/compile-commands sets (50 calls for this program and its
+     * libraries) it is enough for the request path to be compiled, not only loaded, and for the compiler to finish its
+     * queue. A node that starts cold under full load uses up its CPU share: loop iterations last 100 ms and more, and
+     * clients that time out and retry add load. With 64 requests a node was ready sooner by a tenth of its CPU time,
+     * but the compiler was still behind, which cost more than that.
+     */
     static final int REQUEST_COUNT = 128;
 
-    private static final int CLIENTS = 4;
-    /** Bytes of each body, and where a status begins in an answer. */
-    private static final int BODY = 64;
+    private static final int CLIENT_COUNT = 4;
+    /** Length of each request and response body. */
+    private static final int BODY_BYTES = 64;
 
-    private static final int STATUS_AT = "HTTP/1.1 ".length();
-    /** A start must not wait for longer, however little CPU there is. On half a core that another node shares
-     * 500 ms were over after 60 requests. Harm: a restart takes so much longer. */
-    private static final long MOST_MS = 2_000;
+    private static final int STATUS_OFFSET_BYTES = "HTTP/1.1 ".length();
+    /**
+     * Upper bound of the warm-up, so that a start is not delayed longer when there is little CPU. On half a core shared
+     * with another node, 500 ms were over after 60 requests. The cost is that a restart takes up to this much longer.
+     */
+    private static final long TIMEOUT_MS = 2_000;
 
     private final PollingLoop loop;
     private final List<RequestClass> classes;
-    private final CountDownLatch left = new CountDownLatch(REQUEST_COUNT);
+    private final CountDownLatch remainingResponses = new CountDownLatch(REQUEST_COUNT);
 
-    private long asked;
-    private volatile boolean turnedDown;
+    private long sentRequestCount;
+    private volatile boolean anyRejected;
 
     private WarmUp(PollingLoop loop, List<RequestClass> classes) {
         this.loop = loop;
@@ -61,9 +65,10 @@
     }
 
     /**
-     * Plays until enough has been served or the time is up; it leaves nothing open.
+     * Runs until {@link #REQUEST_COUNT} requests are served or the time limit is reached, and closes all that it
+     * opened.
      *
-     * @return how many were served; 0 if any was turned down, as then it was something else that got warm
+     * @return the number of requests served; 0 if any was rejected, as another code path was warmed up then
      */
     static long run(NodeConfig config, PollingLoop loop, Log log) {
         return new WarmUp(loop, config.settings().classes).run(config, log);
@@ -87,20 +92,23 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, NioNetwork.SYSTEM.allocator())
                 .handler(pipeline(false));
-        for (int i = 0; i < CLIENTS; i++) {
+        for (int i = 0; i < CLIENT_COUNT; i++) {
             client.connect(listening.localAddress());
         }
         try {
-            left.await(MOST_MS, TimeUnit.MILLISECONDS);
+            remainingResponses.await(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         node.close();
         server.close();
-        return turnedDown ? 0 : REQUEST_COUNT - left.getCount();
+        return anyRejected ? 0 : REQUEST_COUNT - remainingResponses.getCount();
     }
 
-    /** The far sides read and write bytes by hand: what they cost is paid at each start and warms nothing. */
+    /**
+     * Both peers read and write raw bytes: an HTTP codec would cost time at each start and warm up nothing that the
+     * node uses.
+     */
     private ChannelInitializer<SocketChannel> pipeline(boolean server) {
         return new ChannelInitializer<>() {
             @Override
@@ -110,100 +118,109 @@
         };
     }
 
-    /** Tells when a message has come whole. */
-    private abstract static class Far extends ChannelInboundHandlerAdapter {
-        private ByteBuf come = Unpooled.EMPTY_BUFFER;
+    /** Collects bytes until an HTTP message is complete. */
+    private abstract static class FarPeer extends ChannelInboundHandlerAdapter {
+        private ByteBuf received = Unpooled.EMPTY_BUFFER;
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf bytes = (ByteBuf) message;
-            come = come.isReadable() ? Unpooled.wrappedBuffer(come, bytes) : bytes;
-            if (!endsHead(come.writerIndex() - bodyLength(come))) {
+            received = received.isReadable() ? Unpooled.wrappedBuffer(received, bytes) : bytes;
+            if (!endsWithBlankLine(received.writerIndex() - bodyLength(received))) {
                 return;
             }
-            ByteBuf whole = come;
-            come = Unpooled.EMPTY_BUFFER;
-            came(context, whole);
-            whole.release();
+            ByteBuf complete = received;
+            received = Unpooled.EMPTY_BUFFER;
+            onMessage(context, complete);
+            complete.release();
         }
 
-        /** Whether a blank line ends here. Only there is it looked for: cold code searches slowly. */
-        private boolean endsHead(int at) {
-            return at >= come.readerIndex() + 4 && come.getByte(at - 1) == '\n' && come.getByte(at - 3) == '\n';
+        /**
+         * Returns whether the head of the message ends at this index. Only this place is checked, as a search is slow
+         * in cold code.
+         */
+        private boolean endsWithBlankLine(int endIndex) {
+            return endIndex >= received.readerIndex() + 4
+                    && received.getByte(endIndex - 1) == '\n'
+                    && received.getByte(endIndex - 3) == '\n';
         }
 
-        /** Of a message of which the first bytes have come. */
+        /** Returns the body length of a message whose first bytes have been received. */
         abstract int bodyLength(ByteBuf message);
 
-        abstract void came(ChannelHandlerContext context, ByteBuf message);
+        /** Handles a complete message. */
+        abstract void onMessage(ChannelHandlerContext context, ByteBuf message);
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            come.release();
-            come = Unpooled.EMPTY_BUFFER;
+            received.release();
+            received = Unpooled.EMPTY_BUFFER;
         }
 
-        /** The node closes on what is under way, which resets it. Left to the network library that cost the
-         * node's first turn 300 ms: it loads what writes logs, and writes 22 lines. */
+        /**
+         * Closes the channel. The node resets requests that are in flight when it closes. Netty's default handler would
+         * load its logging classes and write 22 lines, which cost the node's first loop iteration 300 ms.
+         */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
         }
     }
 
-    /** Answers all that it is asked. */
-    static final class FarServer extends Far {
-        private static final byte[] ANSWER = ("HTTP/1.1 200 OK\r\nContent-Length: " + BODY + "\r\n\r\n"
-                        + "r".repeat(BODY))
+    /** Responds to each request with status 200. */
+    static final class FarServer extends FarPeer {
+        private static final byte[] RESPONSE = ("HTTP/1.1 200 OK\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n"
+                        + "r".repeat(BODY_BYTES))
                 .getBytes(StandardCharsets.US_ASCII);
 
         @Override
         int bodyLength(ByteBuf request) {
-            return request.getByte(request.readerIndex()) == 'P' ? BODY : 0;
+            return request.getByte(request.readerIndex()) == 'P' ? BODY_BYTES : 0;
         }
 
         @Override
-        void came(ChannelHandlerContext context, ByteBuf request) {
-            context.writeAndFlush(Unpooled.wrappedBuffer(ANSWER));
+        void onMessage(ChannelHandlerContext context, ByteBuf request) {
+            context.writeAndFlush(Unpooled.wrappedBuffer(RESPONSE));
         }
     }
 
-    /** Asks for each class in turn, the next once the last is answered, until the node closes. */
-    private final class FarClient extends Far {
+    /** Sends a request of each class in turn, the next one after each response, until the node closes. */
+    private final class FarClient extends FarPeer {
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            ask(context);
+            sendRequest(context);
         }
 
         @Override
-        int bodyLength(ByteBuf answer) {
-            return isServed(answer) ? BODY : 0;
+        int bodyLength(ByteBuf response) {
+            return isServed(response) ? BODY_BYTES : 0;
         }
 
-        private boolean isServed(ByteBuf answer) {
-            return answer.readableBytes() > STATUS_AT && answer.getByte(answer.readerIndex() + STATUS_AT) == '2';
+        private boolean isServed(ByteBuf response) {
+            return response.readableBytes() > STATUS_OFFSET_BYTES
+                    && response.getByte(response.readerIndex() + STATUS_OFFSET_BYTES) == '2';
         }
 
         @Override
-        void came(ChannelHandlerContext context, ByteBuf answer) {
-            if (!isServed(answer)) {
-                turnedDown = true;
+        void onMessage(ChannelHandlerContext context, ByteBuf response) {
+            if (!isServed(response)) {
+                anyRejected = true;
                 return;
             }
-            left.countDown();
-            if (left.getCount() > 0) {
-                ask(context);
+            remainingResponses.countDown();
+            if (remainingResponses.getCount() > 0) {
+                sendRequest(context);
             }
         }
 
-        private void ask(ChannelHandlerContext context) {
-            RequestClass next = classes.get((int) (left.getCount() % classes.size()));
-            boolean safe = next.retrySafety() == RetrySafety.SAFE;
-            String request = (safe ? "GET" : "POST")
+        private void sendRequest(ChannelHandlerContext context) {
+            RequestClass requestClass = classes.get((int) (remainingResponses.getCount() % classes.size()));
+            boolean isSafe = requestClass.retrySafety() == RetrySafety.SAFE;
+            String request = (isSafe ? "GET" : "POST")
                     + " /api/rehearsal HTTP/1.1\r\nHost: rehearsal\r\nX-Txn: "
-                    + ++asked + "\r\nX-Lane: " + next.name() + "\r\nX-Remaining: 1000m\r\n"
-                    + (next.retrySafety() == RetrySafety.KEYED ? "Idempotency-Key: rehearsal\r\n" : "")
-                    + (safe ? "\r\n" : "Content-Length: " + BODY + "\r\n\r\n" + "r".repeat(BODY));
+                    + ++sentRequestCount + "\r\nX-Lane: " + requestClass.name() + "\r\nX-Remaining: 1000m\r\n"
+                    + (requestClass.retrySafety() == RetrySafety.KEYED ? "Idempotency-Key: rehearsal\r\n" : "")
+                    + (isSafe ? "\r\n" : "Content-Length: " + BODY_BYTES + "\r\n\r\n" + "r".repeat(BODY_BYTES));
             context.writeAndFlush(Unpooled.wrappedBuffer(request.getBytes(StandardCharsets.US_ASCII)));
         }
     }
--- a/src/main/java/kitemux/ops/Operations.java
+++ b/src/main/java/kitemux/ops/Operations.java
@@ -18,172 +18,179 @@
 import kitemux.net.SocketBudget;
 
 /**
- * What operators do to a node while it runs: take servers out and back, send its clients away, ask whether it
- * takes clients, and for its figures. All but {@link #isReplaced} is called on the loop, or before it runs.
+ * The management interface of a running node: it drains and restores servers, drains clients, and reports readiness and
+ * metrics. All methods but {@link #isReplaced} are called on the event loop, or before it runs.
  */
 public final class Operations implements OperatorServer.CallHandler {
-    private static final String PREFIX = "/ops/";
-    private static final String DOWN = PREFIX + "servers/down/";
-    private static final String UP = PREFIX + "servers/up/";
+    private static final String PATH_PREFIX = "/ops/";
+    private static final String SERVER_DOWN_PREFIX = PATH_PREFIX + "servers/down/";
+    private static final String SERVER_UP_PREFIX = PATH_PREFIX + "servers/up/";
 
-    private final NodeControl node;
-    private final Executor onLoop;
-    private final Clock time;
+    private final NodeControl nodeControl;
+    private final Executor loopExecutor;
+    private final Clock clock;
     private final Log log;
-    private final ServerOverrides servers = new ServerOverrides();
-    private final RequestMetrics figures;
-    private final SharedFolder folder;
+    private final ServerOverrides serverOverrides = new ServerOverrides();
+    private final RequestMetrics metrics;
+    private final SharedFolder sharedFolder;
     private final OperatorServer server;
 
-    /** The node, as operators act on it. */
+    /** The node as the management interface uses it. */
     public interface NodeControl {
-        /** These entries of the list hold from now on. */
+        /** Applies changed entries of the server list. */
         void updateServers(List<HostList.Host> hosts);
 
-        /** Clients are to be sent away, or no more. */
-        void setDraining(boolean away);
+        /** Starts or stops draining clients. */
+        void setDraining(boolean draining);
 
-        /** Whether clients can come. */
+        /** Returns whether clients can connect and are not being drained. */
         boolean isAcceptingClients();
 
-        /** Attempts written whole to servers so far. */
+        /** Returns the number of attempts written in full to servers. */
         long dispatchCount();
 
-        /** Servers that the module avoids of its own choice. */
+        /** Returns the number of servers that the balancer has ejected. */
         int ejectedServerCount();
     }
 
     /**
-     * Calls are not heard before {@link #listen}.
+     * Creates the management interface. It accepts no calls before {@link #listen}.
      *
-     * @param tmp where one process of the node leaves another which servers are out
-     * @throws IOException if that cannot be used
+     * @param stateFolder folder in which processes of the node share which servers are drained
+     * @throws IOException if the folder cannot be used
      */
     public Operations(
-            NodeControl node,
+            NodeControl nodeControl,
             EventLoopGroup loop,
-            Executor onLoop,
-            Clock time,
+            Executor loopExecutor,
+            Clock clock,
             SocketBudget sockets,
             List<RequestClass> classes,
-            Path tmp,
-            InetSocketAddress clientsAt,
+            Path stateFolder,
+            InetSocketAddress clientAddress,
             Log log)
             throws IOException {
-        this.node = node;
-        this.onLoop = onLoop;
-        this.time = time;
+        this.nodeControl = nodeControl;
+        this.loopExecutor = loopExecutor;
+        this.clock = clock;
         this.log = log;
-        figures = new RequestMetrics(classes);
-        folder = new SharedFolder(tmp, clientsAt, out -> onLoop.execute(() -> takeOut(out)));
-        servers.takeOut(folder.atFirst(), 0);
+        metrics = new RequestMetrics(classes);
+        sharedFolder = new SharedFolder(
+                stateFolder,
+                clientAddress,
+                drainedSinceUs -> loopExecutor.execute(() -> setDrainedServers(drainedSinceUs)));
+        serverOverrides.setDrained(sharedFolder.initiallyDrained(), 0);
         server = new OperatorServer(loop, sockets, this);
     }
 
-    /** Counts what becomes of requests. */
+    /** Returns the observer that counts requests and their outcomes. */
     public Observer observer() {
-        return figures;
+        return metrics;
     }
 
-    /** Listens for operators. */
+    /** Starts to listen for operators. The future completes when the listener is bound. */
     public ChannelFuture listen(InetSocketAddress address) {
-        folder.watch();
+        sharedFolder.startPolling();
         return server.listen(address);
     }
 
-    /** The list that holds, given one of discovery's. */
+    /** Applies the operators' overrides to a server list from discovery. */
     public HostList applyOverrides(HostList list) {
-        return servers.told(list);
+        return serverOverrides.apply(list);
     }
 
-    private void takeOut(Map<String, Long> ids) {
-        List<HostList.Host> changes = servers.takeOut(ids, time.nowUs());
-        log.info("out by hand: " + ids.keySet());
+    private void setDrainedServers(Map<String, Long> drainedSinceUs) {
+        List<HostList.Host> changes = serverOverrides.setDrained(drainedSinceUs, clock.nowUs());
+        log.info("out by hand: " + drainedSinceUs.keySet());
         if (!changes.isEmpty()) {
-            node.updateServers(changes);
+            nodeControl.updateServers(changes);
         }
     }
 
-    /** A request was refused before the engine had it. */
+    /** Counts a request that was rejected before it reached the engine. */
     public void recordRejectedRequest(int classIndex) {
-        figures.turnedAway(classIndex);
+        metrics.recordRejectedRequest(classIndex);
     }
 
-    /** The configuration was read again, and taken or not. */
-    public void recordReload(boolean taken) {
-        figures.reloaded(taken);
+    /** Counts a reload of the configuration, accepted or not. */
+    public void recordReload(boolean accepted) {
+        metrics.recordReload(accepted);
     }
 
-    /** Clients can connect to this process now; it takes the place of any that did before. */
+    /** Records that clients can connect to this process, which replaces any earlier process of the node. */
     public void markServing() {
-        folder.serves(e -> log.info("a process before this one cannot be told that it is replaced: " + e));
+        sharedFolder.markServing(e -> log.info("the previous process cannot be notified that it is replaced: " + e));
     }
 
-    /** Whether another process of this node takes clients in place of this one. From any thread. */
+    /**
+     * Returns whether another process of this node accepts clients in place of this one. May be called from any thread.
+     */
     public boolean isReplaced() {
-        return folder.isReplaced();
+        return sharedFolder.isReplaced();
     }
 
-    /** Lets go of all sockets and the thread. */
+    /** Closes all sockets and stops the folder's thread. */
     public void close() {
         server.close();
-        folder.close();
+        sharedFolder.close();
     }
 
     // ---------------------------------------------------------------- calls
 
     @Override
-    public void handle(String method, String path, OperatorServer.Responder answer) {
-        boolean reads = path.equals(PREFIX + "readiness") || path.equals(PREFIX + "stats");
-        boolean acts = path.equals(PREFIX + "drain/start")
-                || path.equals(PREFIX + "drain/stop")
-                || path.startsWith(DOWN)
-                || path.startsWith(UP);
-        if (!reads && !acts) {
-            answer.respond(404, "no such call\n");
-        } else if (!method.equals(reads ? "GET" : "POST")) {
-            answer.respond(405, "to be called with " + (reads ? "GET" : "POST") + "\n");
+    public void handle(String method, String path, OperatorServer.Responder responder) {
+        boolean isQuery = path.equals(PATH_PREFIX + "readiness") || path.equals(PATH_PREFIX + "stats");
+        boolean isCommand = path.equals(PATH_PREFIX + "drain/start")
+                || path.equals(PATH_PREFIX + "drain/stop")
+                || path.startsWith(SERVER_DOWN_PREFIX)
+                || path.startsWith(SERVER_UP_PREFIX);
+        if (!isQuery && !isCommand) {
+            responder.respond(404, "no such call\n");
+        } else if (!method.equals(isQuery ? "GET" : "POST")) {
+            responder.respond(405, "to be called with " + (isQuery ? "GET" : "POST") + "\n");
         } else if (path.endsWith("/readiness")) {
-            boolean ready = node.isAcceptingClients();
-            answer.respond(ready ? 200 : 503, ready ? "takes clients\n" : "takes no clients\n");
+            boolean ready = nodeControl.isAcceptingClients();
+            responder.respond(ready ? 200 : 503, ready ? "takes clients\n" : "takes no clients\n");
         } else if (path.endsWith("/stats")) {
-            answer.respond(
+            responder.respond(
                     200,
-                    figures.text(
-                            node.dispatchCount(), servers.listed(), servers.drained() + node.ejectedServerCount()));
-        } else if (path.startsWith(DOWN) || path.startsWith(UP)) {
-            boolean down = path.startsWith(DOWN);
-            set(path.substring((down ? DOWN : UP).length()), down, answer);
+                    metrics.format(
+                            nodeControl.dispatchCount(),
+                            serverOverrides.listed(),
+                            serverOverrides.unavailableCount() + nodeControl.ejectedServerCount()));
+        } else if (path.startsWith(SERVER_DOWN_PREFIX) || path.startsWith(SERVER_UP_PREFIX)) {
+            boolean down = path.startsWith(SERVER_DOWN_PREFIX);
+            setServerDrained(path.substring((down ? SERVER_DOWN_PREFIX : SERVER_UP_PREFIX).length()), down, responder);
         } else {
-            boolean away = path.endsWith("/start");
-            log.info(away ? "clients are sent away" : "clients are sent away no more");
-            node.setDraining(away);
-            answer.respond(200, away ? "sending clients away\n" : "taking clients\n");
+            boolean draining = path.endsWith("/start");
+            log.info(draining ? "draining clients" : "clients are no longer drained");
+            nodeControl.setDraining(draining);
+            responder.respond(200, draining ? "sending clients away\n" : "taking clients\n");
         }
     }
 
-    private void set(String written, boolean out, OperatorServer.Responder answer) {
+    private void setServerDrained(String encodedId, boolean drained, OperatorServer.Responder responder) {
         String id;
         try {
-            id = QueryStringDecoder.decodeComponent(written);
+            id = QueryStringDecoder.decodeComponent(encodedId);
         } catch (IllegalArgumentException e) {
-            answer.respond(400, "the id cannot be read: " + e.getMessage() + "\n");
+            responder.respond(400, "the id cannot be read: " + e.getMessage() + "\n");
             return;
         }
-        if (!servers.isKnown(id)) {
-            answer.respond(404, "no server has this id\n");
-        } else if (id.getBytes(StandardCharsets.UTF_8).length > SharedFolder.MOST_ID) {
-            answer.respond(400, "the id has more than " + SharedFolder.MOST_ID + " bytes\n");
+        if (!serverOverrides.isKnown(id)) {
+            responder.respond(404, "no server has this id\n");
+        } else if (id.getBytes(StandardCharsets.UTF_8).length > SharedFolder.MAX_ID_BYTES) {
+            responder.respond(400, "the id has more than " + SharedFolder.MAX_ID_BYTES + " bytes\n");
         } else {
-            folder.set(
+            sharedFolder.setDrained(
                     id,
-                    out,
-                    fault -> onLoop.execute(() -> {
-                        if (fault == null) {
-                            answer.respond(200, out ? "out\n" : "back\n");
+                    drained,
+                    error -> loopExecutor.execute(() -> {
+                        if (error == null) {
+                            responder.respond(200, drained ? "out\n" : "back\n");
                         } else {
-                            log.info("what operators asked of server " + id + " cannot be kept: " + fault);
-                            answer.respond(500, "cannot be kept, nothing has changed: " + fault + "\n");
+                            log.info("the operators' change to server " + id + " cannot be kept: " + error);
+                            responder.respond(500, "cannot be kept, nothing has changed: " + error + "\n");
                         }
                     }));
         }
--- a/src/main/java/kitemux/ops/OperatorServer.java
+++ b/src/main/java/kitemux/ops/OperatorServer.java
@@ -30,44 +30,49 @@
 import kitemux.net.SocketBudget;
 
 /**
- * Where operators call: HTTP/1.1, one call a connection. It knows framing and callers that are slow; what a
- * call means is the {@link CallHandler}'.
+ * HTTP/1.1 server for operators, with one call per connection. It handles framing and slow callers; a {@link
+ * CallHandler} carries out the calls.
  */
 final class OperatorServer {
-    /** Callers at once: few call, and a flood of silent ones must take no descriptor that clients need. */
-    static final int MOST_CALLERS = 24;
-    /** From connecting to the end of the answer: a caller that completes no call holds a descriptor. */
-    static final long MOST_MS = 5_000;
+    /**
+     * Limit of concurrent connections. Operators make few calls, and a flood of silent connections must not take
+     * descriptors that clients need.
+     */
+    static final int MAX_CONNECTION_COUNT = 24;
+    /**
+     * Time from the connect to the end of the response. A caller that never completes its call would hold a descriptor.
+     */
+    static final long CALL_TIMEOUT_MS = 5_000;
 
     private final EventLoopGroup loop;
     private final SocketBudget sockets;
-    private final CallHandler calls;
-    /** Those that are open, the oldest first. */
-    private final Set<Channel> callers = new LinkedHashSet<>();
+    private final CallHandler callHandler;
+    /** Open connections, the oldest first. */
+    private final Set<Channel> openConnections = new LinkedHashSet<>();
 
-    private Channel listening;
+    private Channel listeningChannel;
 
-    /** What can be called. */
+    /** Carries out the operators' calls. */
     interface CallHandler {
-        /** A call has come; its one answer may be given later, on the loop's thread. */
-        void handle(String method, String path, Responder answer);
+        /** Handles a call. The one response may be given later, on the event loop. */
+        void handle(String method, String path, Responder responder);
     }
 
-    /** Takes the answer to a call. */
+    /** Sends the response to a call. */
     interface Responder {
-        /** A status of HTTP's, and a text for whoever called. */
+        /** Sends an HTTP status and a text body. */
         void respond(int status, String text);
     }
 
-    OperatorServer(EventLoopGroup loop, SocketBudget sockets, CallHandler calls) {
+    OperatorServer(EventLoopGroup loop, SocketBudget sockets, CallHandler callHandler) {
         this.loop = loop;
         this.sockets = sockets;
-        this.calls = calls;
+        this.callHandler = callHandler;
     }
 
-    /** Listens; the future is done once operators can call. */
+    /** Starts to listen. The future completes when the listener is bound. */
     ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture opening = new ServerBootstrap()
+        ChannelFuture bindFuture = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -75,66 +80,68 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted(channel);
+                        onAccepted(channel);
                     }
                 })
                 .bind(address);
-        listening = opening.channel();
-        return opening;
+        listeningChannel = bindFuture.channel();
+        return bindFuture;
     }
 
-    private void accepted(Channel channel) {
+    private void onAccepted(Channel channel) {
         sockets.serverConnectionOpened();
-        callers.add(channel);
+        openConnections.add(channel);
         channel.closeFuture().addListener(done -> {
             sockets.serverConnectionClosed();
-            callers.remove(channel);
+            openConnections.remove(channel);
         });
-        if (callers.size() > MOST_CALLERS) {
-            // The oldest is the likeliest to be one that completes no call.
-            callers.iterator().next().close();
+        if (openConnections.size() > MAX_CONNECTION_COUNT) {
+            // The oldest connection is the one most likely to belong to a caller that never completes its call.
+            openConnections.iterator().next().close();
         }
-        loop.schedule(() -> channel.close(), MOST_MS, TimeUnit.MILLISECONDS);
-        channel.pipeline().addLast(new HttpServerCodec(), new Caller());
+        loop.schedule(() -> channel.close(), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        channel.pipeline().addLast(new HttpServerCodec(), new CallReader());
     }
 
+    /** Closes the listener and all connections. */
     void close() {
-        if (listening != null) {
-            listening.close();
-            Set.copyOf(callers).forEach(Channel::close);
+        if (listeningChannel != null) {
+            listeningChannel.close();
+            Set.copyOf(openConnections).forEach(Channel::close);
         }
     }
 
-    private final class Caller extends SimpleChannelInboundHandler<HttpObject> {
-        private HttpRequest head;
-        private boolean answered;
+    /** Reads one call from a connection and writes its response. */
+    private final class CallReader extends SimpleChannelInboundHandler<HttpObject> {
+        private HttpRequest request;
+        private boolean hasResponded;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (answered) {
+            if (hasResponded) {
                 return;
             }
             if (part.decoderResult().isFailure()) {
-                answer(context, 400, "cannot be read\n");
+                sendResponse(context, 400, "cannot be read\n");
                 return;
             }
             if (part instanceof HttpRequest begun) {
-                head = begun;
+                request = begun;
             }
             if (part instanceof LastHttpContent) {
-                int end = head.uri().indexOf('?');
-                calls.handle(
-                        head.method().name(),
-                        end < 0 ? head.uri() : head.uri().substring(0, end),
-                        (status, text) -> answer(context, status, text));
+                int queryStart = request.uri().indexOf('?');
+                callHandler.handle(
+                        request.method().name(),
+                        queryStart < 0 ? request.uri() : request.uri().substring(0, queryStart),
+                        (status, text) -> sendResponse(context, status, text));
             }
         }
 
-        private void answer(ChannelHandlerContext context, int status, String text) {
-            if (answered) {
+        private void sendResponse(ChannelHandlerContext context, int status, String text) {
+            if (hasResponded) {
                 return;
             }
-            answered = true;
+            hasResponded = true;
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
--- a/src/main/java/kitemux/ops/RequestMetrics.java
+++ b/src/main/java/kitemux/ops/RequestMetrics.java
@@ -7,7 +7,7 @@
 import kitemux.engine.Observer;
 import kitemux.engine.RequestInfo;
 
-/** Counts what became of requests, from the start of the process. Memory: a number for each that is held. */
+/** Counts the outcomes of requests since the start of the process. It keeps one map entry for each open request. */
 final class RequestMetrics implements Observer {
     private static final int SUCCESS = 0;
     private static final int OVERLOAD = 1;
@@ -15,72 +15,75 @@
     private static final List<String> OUTCOMES = List.of("success", "overload", "error");
 
     private final List<RequestClass> classes;
-    private final long[][] replies;
-    /** The class of each request that has had no answer yet. */
-    private final Map<Long, Integer> open = new HashMap<>();
+    private final long[][] replyCounts;
+    /** The class index of each request that has not been answered yet. */
+    private final Map<Long, Integer> openRequestClasses = new HashMap<>();
 
-    private long reloads;
+    private long successfulReloads;
     private long failedReloads;
 
     RequestMetrics(List<RequestClass> classes) {
         this.classes = classes;
-        replies = new long[classes.size()][OUTCOMES.size()];
+        replyCounts = new long[classes.size()][OUTCOMES.size()];
     }
 
     @Override
     public void onRequestAccepted(long id, RequestInfo request) {
-        open.put(id, request.classIndex());
+        openRequestClasses.put(id, request.classIndex());
     }
 
     @Override
     public void onRequestAnswered(long id, RequestOutcome answer) {
-        int of = open.remove(id);
+        int classIndex = openRequestClasses.remove(id);
         switch (answer) {
-            case SERVED -> replies[of][SUCCESS]++;
-            case REFUSED -> replies[of][OVERLOAD]++;
-            case FAILED, BROKEN -> replies[of][ERROR]++;
+            case SERVED -> replyCounts[classIndex][SUCCESS]++;
+            case REFUSED -> replyCounts[classIndex][OVERLOAD]++;
+            case FAILED, BROKEN -> replyCounts[classIndex][ERROR]++;
             case LEFT -> {}
         }
     }
 
-    /** A request of this class was refused before anything else was done with it. */
-    void turnedAway(int classIndex) {
-        replies[classIndex][OVERLOAD]++;
+    /** Counts a request of this class that was rejected before it was processed. */
+    void recordRejectedRequest(int classIndex) {
+        replyCounts[classIndex][OVERLOAD]++;
     }
 
-    /** The configuration was read again, and taken or not. */
-    void reloaded(boolean taken) {
-        if (taken) {
-            reloads++;
+    /** Counts a reload of the configuration, accepted or not. */
+    void recordReload(boolean accepted) {
+        if (accepted) {
+            successfulReloads++;
         } else {
             failedReloads++;
         }
     }
 
     /**
-     * One figure a line, as name=value.
+     * Formats the metrics, one per line, as name=value.
      *
-     * @param dispatches attempts written whole to servers
+     * @param dispatches attempts written in full to servers
      * @param targets servers on the list
-     * @param disabled of these, how many the node avoids
+     * @param disabled servers on the list that the node does not use
      */
-    String text(long dispatches, int targets, int disabled) {
+    String format(long dispatches, int targets, int disabled) {
         StringBuilder text = new StringBuilder();
-        for (int c = 0; c < replies.length; c++) {
+        for (int classIndex = 0; classIndex < replyCounts.length; classIndex++) {
             for (int outcome = 0; outcome < OUTCOMES.size(); outcome++) {
-                line(text, "replies." + classes.get(c).name() + "." + OUTCOMES.get(outcome), replies[c][outcome]);
+                appendLine(
+                        text,
+                        "replies." + classes.get(classIndex).name() + "." + OUTCOMES.get(outcome),
+                        replyCounts[classIndex][outcome]);
             }
         }
-        line(text, "dispatches", dispatches);
-        line(text, "concurrent", open.size());
-        line(text, "targets", targets);
-        line(text, "targets_disabled", disabled);
-        line(text, "reload_success", reloads);
-        line(text, "reload_failure", failedReloads);
+        appendLine(text, "dispatches", dispatches);
+        appendLine(text, "concurrent", openRequestClasses.size());
+        appendLine(text, "targets", targets);
+        appendLine(text, "targets_disabled", disabled);
+        appendLine(text, "reload_success", successfulReloads);
+        appendLine(text, "reload_failure", failedReloads);
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void appendLine(StringBuilder text, String name, long value) {
         text.append("node.").append(name).append('=').append(value).append('\n');
     }
 }
--- a/src/main/java/kitemux/ops/ServerOverrides.java
+++ b/src/main/java/kitemux/ops/ServerOverrides.java
@@ -11,22 +11,22 @@
 import kitemux.net.HostList;
 
 /**
- * Which servers operators have taken out by hand, laid over what discovery says of them: one that is out
- * drains, whatever the list says. It does no input or output and has no clock; one thread calls it.
+ * The servers that operators have drained by hand, applied on top of discovery's list: such a server drains whatever
+ * discovery reports. The class does no I/O and has no clock; it is confined to one thread.
  */
 final class ServerOverrides {
-    /** What discovery last told of each server that it lists. */
+    /** The last entry from discovery for each listed server. */
     private final Map<String, HostList.Host> listed = new HashMap<>();
-    /** Since when each is out, in microseconds of Unix time. */
-    private final Map<String, Long> out = new HashMap<>();
-    /** What is known of those that were out and came back; forgotten as they leave the list. */
-    private final Map<String, Away> back = new HashMap<>();
+    /** The start of each current drain, in microseconds of Unix time. */
+    private final Map<String, Long> drainedSinceUs = new HashMap<>();
+    /** Finished drains, by server; an entry is removed when its server leaves the list. */
+    private final Map<String, DrainPeriod> pastDrains = new HashMap<>();
 
-    /** A time without work, in microseconds of Unix time. */
-    private record Away(long sinceUs, long untilUs) {}
+    /** A finished drain, in microseconds of Unix time. */
+    private record DrainPeriod(long sinceUs, long untilUs) {}
 
-    /** The list that holds, given one of discovery's, in its order. */
-    HostList told(HostList list) {
+    /** Applies the overrides to a list from discovery and keeps its order. */
+    HostList apply(HostList list) {
         if (list.isFull()) {
             listed.clear();
         }
@@ -34,85 +34,87 @@
             String id = host.entry().id();
             if (host.entry().state() == ServerState.GONE) {
                 listed.remove(id);
-                back.remove(id);
+                pastDrains.remove(id);
             } else {
                 listed.put(id, host);
             }
         }
         if (list.isFull()) {
-            back.keySet().retainAll(listed.keySet());
+            pastDrains.keySet().retainAll(listed.keySet());
         }
-        return out.isEmpty() && back.isEmpty()
+        return drainedSinceUs.isEmpty() && pastDrains.isEmpty()
                 ? list
                 : new HostList(
                         list.revision(),
                         list.isFull(),
-                        list.hosts().stream().map(this::holds).toList());
+                        list.hosts().stream().map(this::withOverride).toList());
     }
 
     /**
-     * Takes out just these servers; those that were out before and are not among them come back.
+     * Replaces the set of drained servers. Servers that were drained before and are not in the new set are restored.
      *
-     * @param ids each with the time since when it is out, in microseconds of Unix time
-     * @return what changes by it for servers on the list
+     * @param ids the start of each drain by server, in microseconds of Unix time
+     * @param nowUs current time, in microseconds of Unix time
+     * @return changed entries of servers on the list
      */
-    List<HostList.Host> takeOut(Map<String, Long> ids, long nowUs) {
-        Set<String> changed = new HashSet<>(out.keySet());
+    List<HostList.Host> setDrained(Map<String, Long> ids, long nowUs) {
+        Set<String> changed = new HashSet<>(drainedSinceUs.keySet());
         changed.removeAll(ids.keySet());
-        changed.forEach(id -> back.put(id, new Away(out.get(id), nowUs)));
+        changed.forEach(id -> pastDrains.put(id, new DrainPeriod(drainedSinceUs.get(id), nowUs)));
         for (String id : ids.keySet()) {
-            if (!out.containsKey(id)) {
+            if (!drainedSinceUs.containsKey(id)) {
                 changed.add(id);
             }
         }
-        out.clear();
-        out.putAll(ids);
-        back.keySet().retainAll(listed.keySet());
+        drainedSinceUs.clear();
+        drainedSinceUs.putAll(ids);
+        pastDrains.keySet().retainAll(listed.keySet());
         List<HostList.Host> changes = new ArrayList<>();
         for (String id : changed) {
             if (listed.containsKey(id)) {
-                changes.add(holds(listed.get(id)));
+                changes.add(withOverride(listed.get(id)));
             }
         }
         return changes;
     }
 
-    private HostList.Host holds(HostList.Host host) {
+    private HostList.Host withOverride(HostList.Host host) {
         ServerEntry entry = host.entry();
-        boolean drains = entry.state() == ServerState.READY && out.containsKey(entry.id());
+        boolean isDrained = entry.state() == ServerState.READY && drainedSinceUs.containsKey(entry.id());
         long startedAtUs = entry.startedAtUs();
-        Away away = back.get(entry.id());
-        if (away != null && startedAtUs < away.sinceUs) {
-            // Operators restart what they take out, and discovery may tell of it seconds later, or never
-            // where only the machine was worked on. Until it does, who comes back is taken for just started:
-            // full load would push it over. Harm: one that was not restarted has less than its share.
-            startedAtUs = away.untilUs;
+        DrainPeriod drainPeriod = pastDrains.get(entry.id());
+        if (drainPeriod != null && startedAtUs < drainPeriod.sinceUs) {
+            // Operators restart servers that they drain. Discovery may report the restart seconds later, or never if
+            // only the machine was serviced. Until then a restored server counts as just started, as full load could
+            // overload a cold server. The cost is that a server that was not restarted gets less than its share for a
+            // while.
+            startedAtUs = drainPeriod.untilUs;
         }
         return new HostList.Host(
                 new ServerEntry(
                         entry.id(),
                         entry.zone(),
                         entry.cell(),
-                        drains ? ServerState.DRAINING : entry.state(),
+                        isDrained ? ServerState.DRAINING : entry.state(),
                         entry.weight(),
                         startedAtUs),
                 host.endpoint());
     }
 
-    /** Whether discovery lists it, or operators have taken it out. */
+    /** Returns whether discovery lists the server or operators have drained it. */
     boolean isKnown(String id) {
-        return listed.containsKey(id) || out.containsKey(id);
+        return listed.containsKey(id) || drainedSinceUs.containsKey(id);
     }
 
-    /** How many servers the list holds. */
+    /** Returns the number of servers on the list. */
     int listed() {
         return listed.size();
     }
 
-    /** How many of these take nothing new, by hand or by discovery's word. */
-    int drained() {
+    /** Returns the number of listed servers that accept no new requests, by an override or by discovery's state. */
+    int unavailableCount() {
         return (int) listed.values().stream()
-                .filter(h -> holds(h).entry().state() != ServerState.READY)
+                .filter(h -> withOverride(h).entry().state() != ServerState.READY)
                 .count();
     }
 }
--- a/src/main/java/kitemux/ops/SharedFolder.java
+++ b/src/main/java/kitemux/ops/SharedFolder.java
@@ -19,141 +19,149 @@
 import java.util.function.Consumer;
 
 /**
- * What one process of a node leaves its successor: which servers are out by hand, a file for each, so that
- * two that overlap take nothing of each other's back; and which process serves clients. The folder lives as
- * long as the node's {@code $TMPDIR}; nothing is synced, as it need not outlive the machine.
+ * State that the processes of a node share through files: which servers are drained by hand, and which process serves
+ * clients. Each drained server has its own file, so that two overlapping processes do not undo each other's changes.
+ * The folder lives as long as the node's {@code $TMPDIR}; nothing is synced, as the state need not outlive the machine.
  *
- * <p>One thread of its own does all reading and writing and tells what stands in the order of its doing. What
- * waits for it is bounded by the operators' connections, one call each.
+ * <p>One thread does all reads and writes and notifies the listener in their order. Its queue is bounded by the
+ * operators' connections, which make one call each.
  */
 final class SharedFolder implements AutoCloseable {
-    /** Names of files may have 255 bytes, and four of the name say three of an id. */
-    static final int MOST_ID = 180;
-    /** Between two looks at what another process has changed. Operators are owed a change within 1 s. */
-    private static final long LOOK_MS = 250;
+    /** Longest server id in UTF-8. File names are limited to 255 bytes, and Base64 turns 3 bytes into 4 characters. */
+    static final int MAX_ID_BYTES = 180;
+    /** Interval at which changes of other processes are read. They must be in force within 1 s. */
+    private static final long POLL_INTERVAL_MS = 250;
 
-    private static final String OUT = "out-";
-    private static final String SERVING = "serving";
+    private static final String DRAINED_FILE_PREFIX = "out-";
+    private static final String SERVING_FILE_NAME = "serving";
 
     private final Path folder;
     private final Consumer<Map<String, Long>> listener;
-    private final String self = UUID.randomUUID().toString();
+    private final String processToken = UUID.randomUUID().toString();
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread named = new Thread(task, "operators' folder");
         named.setDaemon(true);
         return named;
     });
-    /** Each server that is out, with the time since when, in microseconds of Unix time. */
-    private Map<String, Long> told;
+    /** The start of each drain by server, in microseconds of Unix time, as last read. */
+    private Map<String, Long> lastDrained;
 
     /**
-     * The folder of the node that listens there, made if it is not there yet.
+     * Opens the folder of the node that listens at this address and creates it if needed.
      *
-     * @param tmp the node's folder for what it needs while it runs
-     * @param listener told on the folder's thread, whenever that changes, of all servers that are out, each
-     *     with the time since when, in microseconds of Unix time
-     * @throws IOException if it cannot be made or read
+     * @param stateFolder the node's folder for state of running processes
+     * @param listen the node's address for clients
+     * @param listener receives all drained servers on each change, with the start of each drain in microseconds of Unix
+     *     time; called on the folder's thread
+     * @throws IOException if the folder cannot be created or read
      */
-    SharedFolder(Path tmp, InetSocketAddress listen, Consumer<Map<String, Long>> listener) throws IOException {
-        folder = Files.createDirectories(tmp.resolve(
+    SharedFolder(Path stateFolder, InetSocketAddress listen, Consumer<Map<String, Long>> listener) throws IOException {
+        folder = Files.createDirectories(stateFolder.resolve(
                 "kitemux-" + listen.getAddress().getHostAddress().replace(':', '_') + "-" + listen.getPort()));
         this.listener = listener;
-        told = read();
+        lastDrained = readDrained();
     }
 
-    /** What was out as it was opened; to be asked before {@link #watch}. */
-    Map<String, Long> atFirst() {
-        return told;
+    /**
+     * Returns the servers that were drained when the folder was opened. Must be called before {@link #startPolling}.
+     */
+    Map<String, Long> initiallyDrained() {
+        return lastDrained;
     }
 
-    /** From now on the listener is told. */
-    void watch() {
-        thread.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+    /** Starts to notify the listener of changes. */
+    void startPolling() {
+        thread.scheduleWithFixedDelay(this::poll, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Takes a server out or back; the listener has been told before {@code done} is, on the folder's thread.
+     * Drains or restores a server. The listener is notified before {@code onDone} is called; both run on the folder's
+     * thread.
      *
-     * @param done null, or why it could not be done: nothing has changed then
+     * @param onDone receives null, or the reason of a failure, in which case nothing has changed
      */
-    void set(String id, boolean out, Consumer<String> done) {
+    void setDrained(String id, boolean drained, Consumer<String> onDone) {
         thread.execute(() -> {
-            Path file = folder.resolve(
-                    OUT + Base64.getUrlEncoder().withoutPadding().encodeToString(id.getBytes(StandardCharsets.UTF_8)));
+            Path file = folder.resolve(DRAINED_FILE_PREFIX
+                    + Base64.getUrlEncoder().withoutPadding().encodeToString(id.getBytes(StandardCharsets.UTF_8)));
             try {
-                if (out) {
-                    create(file);
+                if (drained) {
+                    createIfAbsent(file);
                 } else {
                     Files.deleteIfExists(file);
                 }
             } catch (IOException e) {
-                done.accept(e.toString());
+                onDone.accept(e.toString());
                 return;
             }
-            look();
-            done.accept(null);
+            poll();
+            onDone.accept(null);
         });
     }
 
-    private static void create(Path file) throws IOException {
+    private static void createIfAbsent(Path file) throws IOException {
         try {
             Files.createFile(file);
         } catch (FileAlreadyExistsException e) {
-            // Out already: a second call changes nothing.
+            // The server is already drained, and a second call changes nothing.
         }
     }
 
-    private void look() {
-        Map<String, Long> now;
+    private void poll() {
+        Map<String, Long> current;
         try {
-            now = read();
+            current = readDrained();
         } catch (IOException | IllegalArgumentException e) {
-            // What was known last stands; the next look may succeed.
+            // The last known state stays in force until a later read succeeds.
             return;
         }
-        if (!now.equals(told)) {
-            told = now;
-            listener.accept(now);
+        if (!current.equals(lastDrained)) {
+            lastDrained = current;
+            listener.accept(current);
         }
     }
 
-    private Map<String, Long> read() throws IOException {
-        Map<String, Long> out = new TreeMap<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, OUT + "*")) {
+    private Map<String, Long> readDrained() throws IOException {
+        Map<String, Long> drained = new TreeMap<>();
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, DRAINED_FILE_PREFIX + "*")) {
             for (Path file : files) {
                 String id = new String(
                         Base64.getUrlDecoder()
-                                .decode(file.getFileName().toString().substring(OUT.length())),
+                                .decode(file.getFileName().toString().substring(DRAINED_FILE_PREFIX.length())),
                         StandardCharsets.UTF_8);
-                out.put(id, Files.getLastModifiedTime(file).to(TimeUnit.MICROSECONDS));
+                drained.put(id, Files.getLastModifiedTime(file).to(TimeUnit.MICROSECONDS));
             }
         } catch (DirectoryIteratorException e) {
             throw e.getCause();
         }
-        return out;
+        return drained;
     }
 
-    /** This process serves clients now; what keeps that from being written is told on the folder's thread. */
-    void serves(Consumer<IOException> failed) {
+    /**
+     * Records that this process serves clients.
+     *
+     * @param onFailure receives the reason if that cannot be written; called on the folder's thread
+     */
+    void markServing(Consumer<IOException> onFailure) {
         thread.execute(() -> {
             try {
-                Path next = folder.resolve(SERVING + "-" + self);
-                Files.writeString(next, self);
+                Path newFile = folder.resolve(SERVING_FILE_NAME + "-" + processToken);
+                Files.writeString(newFile, processToken);
                 Files.move(
-                        next,
-                        folder.resolve(SERVING),
+                        newFile,
+                        folder.resolve(SERVING_FILE_NAME),
                         StandardCopyOption.REPLACE_EXISTING,
                         StandardCopyOption.ATOMIC_MOVE);
             } catch (IOException e) {
-                failed.accept(e);
+                onFailure.accept(e);
             }
         });
     }
 
-    /** Whether another process has begun to serve clients since this one did. */
+    /** Returns whether another process has begun to serve clients after this one did. */
     boolean isReplaced() {
         try {
-            return !Files.readString(folder.resolve(SERVING)).equals(self);
+            return !Files.readString(folder.resolve(SERVING_FILE_NAME)).equals(processToken);
         } catch (IOException e) {
             return false;
         }
--- a/src/main/java/kitemux/telemetry/RequestTrace.java
+++ b/src/main/java/kitemux/telemetry/RequestTrace.java
@@ -16,92 +16,92 @@
 import kitemux.http.ShutdownPhase;
 
 /**
- * Writes a line for each step of each request and connection: accepted, requested, attempts with their servers
- * and results, the answer, and the reason of each close. Lines begin with the loop's time in microseconds and
- * name requests by the client's id and connections by their number. Called on the loop's thread, except for
- * {@link #close}.
+ * Writes a line for each step of each request and connection: acceptance, attempts with their servers and results, the
+ * response, and the reason of each close. Each line begins with the event loop's time in microseconds. Requests are
+ * named by the client's id, connections by their number. All methods but {@link #close} are called on the event loop's
+ * thread.
  */
 public final class RequestTrace implements Observer, ConnectionObserver, AutoCloseable {
-    private final Clock time;
+    private final Clock clock;
     private final TraceFile file;
-    /** The client's id of each request that is held, by the engine's. */
-    private final Map<Long, String> txns = new HashMap<>();
+    /** The client's id of each open request, by the engine's id. */
+    private final Map<Long, String> clientIds = new HashMap<>();
 
-    private RequestTrace(Clock time, TraceFile file) {
-        this.time = time;
+    private RequestTrace(Clock clock, TraceFile file) {
+        this.clock = clock;
         this.file = file;
     }
 
     /**
-     * Begins a trace in a file of its own in the settings' folder.
+     * Opens a trace in a new file in the configured folder.
      *
-     * @param name begins the file's name
-     * @param say told once that lines cannot be written
-     * @throws IOException if the file cannot be made
+     * @param name prefix of the file name
+     * @param onWarning called once if lines can no longer be written
+     * @throws IOException if the file cannot be created
      */
-    public static RequestTrace open(TraceSettings settings, String name, Clock time, Consumer<String> say)
+    public static RequestTrace open(TraceSettings settings, String name, Clock clock, Consumer<String> onWarning)
             throws IOException {
         Files.createDirectories(settings.folder());
         Path path =
                 settings.folder().resolve(name + "-" + ProcessHandle.current().pid() + ".trace");
-        return new RequestTrace(time, new TraceFile(path, settings.queueCapacity(), say));
+        return new RequestTrace(clock, new TraceFile(path, settings.queueCapacity(), onWarning));
     }
 
-    private void line(String text) {
-        file.add(time.nowUs() + " " + text);
+    private void writeLine(String text) {
+        file.add(clock.nowUs() + " " + text);
     }
 
-    private void request(long id, String text) {
-        line("request " + txns.get(id) + " " + text);
+    private void writeRequestLine(long id, String text) {
+        writeLine("request " + clientIds.get(id) + " " + text);
     }
 
     @Override
     public void connectionAccepted(long connection, SocketAddress client) {
-        line("connection " + connection + " accepted from " + client);
+        writeLine("connection " + connection + " accepted from " + client);
     }
 
     @Override
     public void requestReceived(long connection, String txn) {
-        line("request " + txn + " on connection " + connection);
+        writeLine("request " + txn + " on connection " + connection);
     }
 
     @Override
     public void connectionClosed(long connection, CloseReason reason) {
-        line("connection " + connection + " closed " + reason);
+        writeLine("connection " + connection + " closed " + reason);
     }
 
     @Override
     public void shutdownPhaseEntered(ShutdownPhase phase) {
-        line("shutdown " + phase);
+        writeLine("shutdown " + phase);
     }
 
     @Override
     public void onRequestAccepted(long id, RequestInfo request) {
-        txns.put(id, request.txn());
-        request(id, "taken, " + request.remainingUs() + " us left");
+        clientIds.put(id, request.txn());
+        writeRequestLine(id, "taken, " + request.remainingUs() + " us left");
     }
 
     @Override
     public void onAttemptStarted(long id, int attempt, String serverId, long untilUs) {
-        request(id, "attempt " + attempt + " to " + serverId + ", " + (untilUs - time.nowUs()) + " us left");
+        writeRequestLine(id, "attempt " + attempt + " to " + serverId + ", " + (untilUs - clock.nowUs()) + " us left");
     }
 
     @Override
     public void onAttemptEnded(long id, int attempt, Result result) {
-        request(id, "attempt " + attempt + " ended " + result);
+        writeRequestLine(id, "attempt " + attempt + " ended " + result);
     }
 
     @Override
     public void onRequestAnswered(long id, RequestOutcome answer) {
-        request(id, "answered " + answer);
+        writeRequestLine(id, "answered " + answer);
     }
 
     @Override
     public void onRequestReleased(long id) {
-        txns.remove(id);
+        clientIds.remove(id);
     }
 
-    /** Writes what waits and ends the file; from any thread but the loop's. */
+    /** Writes the queued lines and closes the file. Must not be called on the event loop's thread. */
     @Override
     public void close() {
         file.close();
--- a/src/main/java/kitemux/telemetry/TraceFile.java
+++ b/src/main/java/kitemux/telemetry/TraceFile.java
@@ -11,77 +11,77 @@
 import org.jctools.queues.SpscArrayQueue;
 
 /**
- * A text file that one thread adds lines to without waiting: a thread of its own writes them. What finds the
- * queue full, and what cannot be written, is left out; the next line that is written says how many were.
+ * A text file to which one thread adds lines without blocking; a separate thread writes them. Lines that find the queue
+ * full are dropped, and the next write reports their number.
  */
 final class TraceFile implements AutoCloseable {
-    private static final long POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+    private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
-    private final SpscArrayQueue<String> lines;
-    private final AtomicLong leftOut = new AtomicLong();
+    private final SpscArrayQueue<String> queuedLines;
+    private final AtomicLong droppedLines = new AtomicLong();
     private final Writer file;
-    private final Consumer<String> say;
-    private final Thread writer = new Thread(this::run, "trace");
-    private volatile boolean closing;
+    private final Consumer<String> onWarning;
+    private final Thread writer = new Thread(this::writeUntilClosed, "trace");
+    private volatile boolean isClosing;
 
     /**
-     * Begins a file and the thread that writes it.
+     * Creates a file and starts its writer thread.
      *
-     * @param most lines that may wait to be written
-     * @param say told once that the file cannot be written
-     * @throws IOException if the file cannot be made
+     * @param queueCapacity limit of queued lines
+     * @param onWarning called once if the file cannot be written
+     * @throws IOException if the file cannot be created
      */
-    TraceFile(Path path, int most, Consumer<String> say) throws IOException {
-        lines = new SpscArrayQueue<>(most);
-        this.say = say;
+    TraceFile(Path path, int queueCapacity, Consumer<String> onWarning) throws IOException {
+        queuedLines = new SpscArrayQueue<>(queueCapacity);
+        this.onWarning = onWarning;
         file = Files.newBufferedWriter(path);
         writer.setDaemon(true);
         writer.start();
     }
 
-    /** Adds a line, from one thread only. */
+    /** Queues a line. Must always be called by the same thread. */
     void add(String line) {
-        if (!lines.offer(line)) {
-            leftOut.incrementAndGet();
+        if (!queuedLines.offer(line)) {
+            droppedLines.incrementAndGet();
         }
     }
 
-    private void run() {
+    private void writeUntilClosed() {
         try (file) {
             while (true) {
-                boolean last = closing;
-                writeAll();
-                if (last) {
+                boolean isLastPass = isClosing;
+                writeQueuedLines();
+                if (isLastPass) {
                     return;
                 }
-                LockSupport.parkNanos(POLL_NANOS);
+                LockSupport.parkNanos(POLL_INTERVAL_NANOS);
             }
         } catch (IOException e) {
-            say.accept("trace: nothing more is written: " + e.getMessage());
+            onWarning.accept("trace: nothing more is written: " + e.getMessage());
         }
     }
 
-    private void writeAll() throws IOException {
-        long missing = leftOut.getAndSet(0);
-        if (missing > 0) {
-            file.write(missing + " lines left out\n");
+    private void writeQueuedLines() throws IOException {
+        long dropped = droppedLines.getAndSet(0);
+        if (dropped > 0) {
+            file.write(dropped + " lines left out\n");
         }
         String line;
-        boolean any = missing > 0;
-        while ((line = lines.poll()) != null) {
+        boolean needsFlush = dropped > 0;
+        while ((line = queuedLines.poll()) != null) {
             file.write(line);
             file.write('\n');
-            any = true;
+            needsFlush = true;
         }
-        if (any) {
+        if (needsFlush) {
             file.flush();
         }
     }
 
-    /** Writes what waits and ends the file. */
+    /** Writes the queued lines and closes the file. */
     @Override
     public void close() {
-        closing = true;
+        isClosing = true;
         LockSupport.unpark(writer);
         try {
             writer.join();
--- a/src/main/java/kitemux/telemetry/TraceSettings.java
+++ b/src/main/java/kitemux/telemetry/TraceSettings.java
@@ -7,31 +7,32 @@
 import kitemux.config.Json;
 
 /**
- * Where a trace of connections, requests and attempts is written.
+ * Settings of the trace of connections, requests and attempts.
  *
- * @param folder made where it is not there; each process writes a file of its own
- * @param queueCapacity lines that wait to be written, at most; further ones are counted and left out
+ * @param folder folder of the trace files, created if missing; each process writes its own file
+ * @param queueCapacity limit of lines that wait to be written; further lines are counted and dropped
  */
 public record TraceSettings(Path folder, int queueCapacity) {
     private static final Set<String> FIELDS = Set.of("folder", "ring");
-    private static final int DEFAULT_RING = 8_192;
-    private static final int LEAST_RING = 64;
-    private static final int MOST_RING = 1 << 16;
+    private static final int DEFAULT_QUEUE_CAPACITY = 8_192;
+    private static final int MIN_QUEUE_CAPACITY = 64;
+    private static final int MAX_QUEUE_CAPACITY = 1 << 16;
 
     /**
-     * Reads them, or null where there are none: nothing is traced then.
+     * Reads the section; a missing section turns the trace off.
      *
-     * @param faults one line is added for each that is found, with field and reason
+     * @param faults receives one line for each fault, with field and reason
+     * @return null if the section is missing or faulty
      */
     public static TraceSettings read(Json json, List<String> faults) {
         if (json.isMissing()) {
             return null;
         }
-        int before = faults.size();
+        int faultsBefore = faults.size();
         FileSection section = new FileSection(json, "trace", faults);
         section.rejectUnknownFields(FIELDS);
         Path folder = section.readFolder();
-        long ring = section.readLong("ring", DEFAULT_RING, LEAST_RING, MOST_RING);
-        return faults.size() > before ? null : new TraceSettings(folder, (int) ring);
+        long queueCapacity = section.readLong("ring", DEFAULT_QUEUE_CAPACITY, MIN_QUEUE_CAPACITY, MAX_QUEUE_CAPACITY);
+        return faults.size() > faultsBefore ? null : new TraceSettings(folder, (int) queueCapacity);
     }
 }
--- a/src/test/java/kitemux/config/ClassArchiveTest.java
+++ b/src/test/java/kitemux/config/ClassArchiveTest.java
@@ -17,33 +17,33 @@
     @TempDir
     private Path process;
 
-    private Optional<Path> unused(String command, String mapped) throws IOException {
+    private Optional<Path> findUnused(String command, String mappedFile) throws IOException {
         Files.writeString(process.resolve("cmdline"), command);
         Files.writeString(
                 process.resolve("maps"),
-                "7f0000000000-7f0000001000 r--p 00000000 08:01 7     " + mapped
+                "7f0000000000-7f0000001000 r--p 00000000 08:01 7     " + mappedFile
                         + "\n7f0000002000-7f0000003000 rw-p 00000000 00:00 0 \n");
         return ClassArchive.findUnused(process);
     }
 
     @Test
-    void oneThatIsMappedIsInUse() throws IOException {
-        assertEquals(Optional.empty(), unused(COMMAND, "/srv/node/target/a.jsa"));
+    void mappedArchiveIsInUse() throws IOException {
+        assertEquals(Optional.empty(), findUnused(COMMAND, "/srv/node/target/a.jsa"));
     }
 
     @Test
-    void oneThatIsNotMappedIsNotInUse() throws IOException {
-        assertEquals(Optional.of(Path.of("target/a.jsa")), unused(COMMAND, "/usr/lib/jvm/lib/libjvm.so"));
-        assertEquals(Optional.of(Path.of("target/a.jsa")), unused(COMMAND, "/srv/node/target/other-a.jsa"));
+    void unmappedArchiveIsUnused() throws IOException {
+        assertEquals(Optional.of(Path.of("target/a.jsa")), findUnused(COMMAND, "/usr/lib/jvm/lib/libjvm.so"));
+        assertEquals(Optional.of(Path.of("target/a.jsa")), findUnused(COMMAND, "/srv/node/target/other-a.jsa"));
     }
 
     @Test
-    void aProcessThatWasToldOfNoneMissesNone() throws IOException {
-        assertEquals(Optional.empty(), unused("java\0-jar\0x.jar\0", "/usr/lib/jvm/lib/libjvm.so"));
+    void processWithoutConfiguredArchiveMissesNone() throws IOException {
+        assertEquals(Optional.empty(), findUnused("java\0-jar\0x.jar\0", "/usr/lib/jvm/lib/libjvm.so"));
     }
 
     @Test
-    void whereThereIsNoSuchFolderNothingIsKnown() {
+    void missingProcessFolderIsAnError() {
         assertThrows(IOException.class, () -> ClassArchive.findUnused(process.resolve("none")));
     }
 }
--- a/src/test/java/kitemux/config/JsonTest.java
+++ b/src/test/java/kitemux/config/JsonTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void valuesAreHadByTheirPath() throws IOException {
+    void valuesAreFoundByPath() throws IOException {
         Json json = read("""
                 {"a":{"b":[1,{"c":"\\u00e9"}],"d":true,"e":null},"f":1.5,"g":-7}""");
         assertEquals("1", json.path("a").path("b").values().get(0).asText());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void whatIsNotThereIsMissingAllTheWayDown() throws IOException {
+    void pathsBelowAMissingFieldAreMissing() throws IOException {
         Json missing = read("[1]").path("a").path("b");
         assertTrue(missing.isMissing());
         assertFalse(missing.isObject() || missing.isList() || missing.isLong() || missing.asBoolean());
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void numbersInStringsAreNumbers() throws IOException {
+    void numbersInStringsAreRead() throws IOException {
         Json json = read("{\"n\":\"12\",\"x\":\"1e400\",\"y\":\"NaN\",\"z\":\"twelve\"}");
         assertEquals(12, json.path("n").asLong(0));
         assertEquals(12, json.path("n").asDouble(0));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void onlyWhatALongHoldsIsWhole() throws IOException {
+    void onlyIntegersThatFitALongAreLong() throws IOException {
         Json json = read("[9223372036854775807,9223372036854775808,1.0,\"1\"]");
         assertEquals(
                 List.of(true, false, false, false),
@@ -63,22 +63,22 @@
     }
 
     @Test
-    void theLastOfTwoFieldsOfOneNameHolds() throws IOException {
+    void lastOfDuplicateFieldsWins() throws IOException {
         assertEquals("2", read("{\"a\":1,\"a\":2}").path("a").asText());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", " ", "{", "{\"a\"}", "[1,", "{\"a\":tru}", "nul", "{a:1}", "\"no end"})
-    void whatIsNotJsonIsSaidToBeSo(String text) {
-        String said = assertThrows(IOException.class, () -> read(text)).getMessage();
-        assertTrue(text.isBlank() || said.contains(" at line 1, column "), said);
-        assertFalse(said.contains("\n"), said);
+    void invalidJsonIsRejectedWithItsPlace(String text) {
+        String message = assertThrows(IOException.class, () -> read(text)).getMessage();
+        assertTrue(text.isBlank() || message.contains(" at line 1, column "), message);
+        assertFalse(message.contains("\n"), message);
     }
 
     @Test
-    void aLineOfBracketsEndsBeforeTheStackDoes() throws IOException {
-        String deepest = "[".repeat(Json.MAX_NESTING_DEPTH) + "]".repeat(Json.MAX_NESTING_DEPTH);
-        assertTrue(read(deepest).isList());
+    void deepNestingIsRejectedBeforeTheStackOverflows() throws IOException {
+        String deepestAllowed = "[".repeat(Json.MAX_NESTING_DEPTH) + "]".repeat(Json.MAX_NESTING_DEPTH);
+        assertTrue(read(deepestAllowed).isList());
         assertThrows(IOException.class, () -> read("[".repeat(1_000_000)));
     }
 }
--- a/src/test/java/kitemux/deploy/DeployLines.java
+++ b/src/test/java/kitemux/deploy/DeployLines.java
@@ -21,9 +21,9 @@
  */
 final class DeployLines {
     /** Where a shell takes more than the words of one command. */
-    private static final Pattern SHELL = Pattern.compile("[;&|<>`\\n(){}$]");
+    private static final Pattern SHELL_SYNTAX = Pattern.compile("[;&|<>`\\n(){}$]");
     /** The JVM starts a shell for these, or opens a listener or a socket of its own. */
-    private static final List<String> OTHERS = List.of(
+    private static final List<String> FORBIDDEN_OPTIONS = List.of(
             "-XX:OnError",
             "-XX:OnOutOfMemoryError",
             "-agentlib:",
@@ -31,9 +31,9 @@
             "-javaagent:",
             "-Dcom.sun.management.jmxremote");
 
-    private static final String IPV4 = "-Djava.net.preferIPv4Stack=true";
-    private static final int ELF = 0x7f454c46;
-    private static final int INTERPRETER = 3;
+    private static final String IPV4_OPTION = "-Djava.net.preferIPv4Stack=true";
+    private static final int ELF_MAGIC = 0x7f454c46;
+    private static final int INTERPRETER_SEGMENT = 3;
 
     private DeployLines() {}
 
@@ -43,7 +43,7 @@
      * @param path folders in which programs are looked for, as in the environment's PATH
      * @throws IOException if the file cannot be read or is no TOML
      */
-    static List<String> faults(String toml, List<Path> path) throws IOException {
+    static List<String> findFaults(String toml, List<Path> path) throws IOException {
         JsonNode file = new TomlMapper().readTree(toml);
         List<String> faults = new ArrayList<>();
         for (String field : List.of("build", "run", "sim")) {
@@ -51,7 +51,7 @@
             if (!line.isTextual() || line.asText().isBlank()) {
                 faults.add(field + ": missing, or no text");
             } else if (!field.equals("build")) {
-                command(field, line.asText(), path, faults);
+                checkCommand(field, line.asText(), path, faults);
             }
         }
         for (String field : List.of("policy", "node")) {
@@ -62,9 +62,10 @@
         return faults;
     }
 
-    private static void command(String field, String line, List<Path> path, List<String> faults) throws IOException {
+    private static void checkCommand(String field, String line, List<Path> path, List<String> faults)
+            throws IOException {
         String fault = field + " = \"" + line + "\": ";
-        Matcher shell = SHELL.matcher(line);
+        Matcher shell = SHELL_SYNTAX.matcher(line);
         if (shell.find()) {
             faults.add(fault + "holds '" + shell.group() + "': a shell would have more to do than exec");
             return;
@@ -79,13 +80,13 @@
             faults.add(fault + reason);
         }
         for (String word : words) {
-            OTHERS.stream()
+            FORBIDDEN_OPTIONS.stream()
                     .filter(word::startsWith)
                     .forEach(other -> faults.add(
                             fault + other + " starts another program, or opens a socket that nobody asked for"));
         }
-        if (field.equals("run") && !words.contains(IPV4)) {
-            faults.add(fault + "lacks " + IPV4 + ": the JVM's sockets would be of IPv6");
+        if (field.equals("run") && !words.contains(IPV4_OPTION)) {
+            faults.add(fault + "lacks " + IPV4_OPTION + ": the JVM's sockets would be of IPv6");
         }
     }
 
@@ -108,7 +109,7 @@
             }
         }
         bytes.flip();
-        if (bytes.remaining() < 64 || bytes.getInt(0) != ELF) {
+        if (bytes.remaining() < 64 || bytes.getInt(0) != ELF_MAGIC) {
             return program + " is no ELF program: what it starts may be a second process";
         }
         if (!hasInterpreter(bytes.order(ByteOrder.LITTLE_ENDIAN))) {
@@ -125,7 +126,7 @@
         int size = Short.toUnsignedInt(elf.getShort(54));
         int count = Short.toUnsignedInt(elf.getShort(56));
         for (int i = 0; i < count && first + (long) i * size + 4 <= elf.limit(); i++) {
-            if (elf.getInt((int) first + i * size) == INTERPRETER) {
+            if (elf.getInt((int) first + i * size) == INTERPRETER_SEGMENT) {
                 return true;
             }
         }
--- a/src/test/java/kitemux/deploy/DeployLinesTest.java
+++ b/src/test/java/kitemux/deploy/DeployLinesTest.java
@@ -28,10 +28,10 @@
 
 /** What the platform asks of the deploy file's lines, and of what a node calls. */
 class DeployLinesTest {
-    private static final List<Path> PATH =
+    private static final List<Path> SEARCH_PATH =
             Arrays.stream(System.getenv("PATH").split(":")).map(Path::of).toList();
     /** The folders that the deploy file names as the node's, and the decisions. */
-    private static final String[] NODE = {
+    private static final String[] NODE_PACKAGES = {
         "kitemux",
         "kitemux.config",
         "kitemux.discovery",
@@ -46,17 +46,17 @@
     @TempDir
     private Path folder;
 
-    private static List<String> faults(String run, List<Path> path) throws IOException {
-        return DeployLines.faults(
+    private static List<String> findFaults(String run, List<Path> path) throws IOException {
+        return DeployLines.findFaults(
                 "build = \"mvn package\"\nrun = \"" + run
                         + "\"\nsim = \"exec java -jar x.jar\"\npolicy = [\"a\"]\nnode = [\"b\"]\n",
                 path);
     }
 
     @Test
-    void theDeployFileKeepsToThem() throws IOException {
+    void deployFileHasNoFaults() throws IOException {
         String file = Files.readString(Path.of("deploy", "balancer.toml"));
-        assertEquals(List.of(), DeployLines.faults(file, PATH));
+        assertEquals(List.of(), DeployLines.findFaults(file, SEARCH_PATH));
     }
 
     @ParameterizedTest
@@ -73,14 +73,14 @@
                         + "| -XX:OnOutOfMemoryError starts another program",
                 "exec no-such-program-here -Djava.net.preferIPv4Stack=true | no-such-program-here is not found"
             })
-    void aLineThatThePlatformRefusesIsToldWithItsReason(String run, String reason) throws IOException {
-        List<String> faults = faults(run, PATH);
+    void refusedLineIsReportedWithItsReason(String run, String reason) throws IOException {
+        List<String> faults = findFaults(run, SEARCH_PATH);
         assertEquals(1, faults.size(), faults::toString);
         assertTrue(faults.get(0).startsWith("run = \"" + run) && faults.get(0).contains(reason), faults::toString);
     }
 
     @Test
-    void everyFaultIsToldAndNotTheFirstAlone() throws IOException {
+    void allFaultsAreReported() throws IOException {
         assertEquals(
                 List.of(
                         "build: missing, or no text",
@@ -88,11 +88,11 @@
                         "sim: missing, or no text",
                         "policy: missing, or no list of files",
                         "node: missing, or no list of files"),
-                DeployLines.faults("packages = []", PATH));
+                DeployLines.findFaults("packages = []", SEARCH_PATH));
     }
 
     @Test
-    void aStaticProgramAndAScriptAreTold() throws IOException {
+    void staticProgramAndScriptAreReported() throws IOException {
         ByteBuffer elf = ByteBuffer.allocate(256)
                 .putInt(0, 0x7f454c46)
                 .order(ByteOrder.LITTLE_ENDIAN)
@@ -100,17 +100,17 @@
                 .putShort(54, (short) 56)
                 .putShort(56, (short) 1)
                 .putInt(64, 1);
-        program("static", elf.array());
-        program("script", "#!/bin/sh\nexec java \"$@\"\n".repeat(4).getBytes());
-        program("java", elf.putInt(64, 3).array());
+        writeProgram("static", elf.array());
+        writeProgram("script", "#!/bin/sh\nexec java \"$@\"\n".repeat(4).getBytes());
+        writeProgram("java", elf.putInt(64, 3).array());
         String rest = " -Djava.net.preferIPv4Stack=true -jar x.jar";
         List<Path> here = List.of(folder);
-        assertTrue(faults("exec static" + rest, here).get(0).contains("static is linked statically"));
-        assertTrue(faults("exec script" + rest, here).get(0).contains("script is no ELF program"));
-        assertEquals(List.of(), faults("exec java" + rest, here));
+        assertTrue(findFaults("exec static" + rest, here).get(0).contains("static is linked statically"));
+        assertTrue(findFaults("exec script" + rest, here).get(0).contains("script is no ELF program"));
+        assertEquals(List.of(), findFaults("exec java" + rest, here));
     }
 
-    private void program(String name, byte[] bytes) throws IOException {
+    private void writeProgram(String name, byte[] bytes) throws IOException {
         Files.write(folder.resolve(name), bytes);
         Files.setPosixFilePermissions(folder.resolve(name), PosixFilePermissions.fromString("rwxr-xr-x"));
     }
@@ -118,7 +118,7 @@
     // ---------------------------------------------------------------- what a node calls
 
     /** Refused where a fleet is tried: other programs, sendfile and splice, Unix sockets, native loops. */
-    private static ArchRule asksNothingRefused(String... packages) {
+    private static ArchRule usesNoForbiddenCalls(String... packages) {
         return ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAnyPackage(packages)
@@ -145,12 +145,13 @@
     }
 
     @Test
-    void aNodeAsksForNothingThatIsRefused() {
+    void nodeUsesNoForbiddenCalls() {
         JavaClasses program = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("kitemux");
-        asksNothingRefused(NODE).check(program);
+        usesNoForbiddenCalls(NODE_PACKAGES).check(program);
         assertThrows(
-                AssertionError.class, () -> asksNothingRefused("kitemux.bench").check(program));
+                AssertionError.class,
+                () -> usesNoForbiddenCalls("kitemux.bench").check(program));
     }
 }
--- a/src/test/java/kitemux/node/ConfigFormatterTest.java
+++ b/src/test/java/kitemux/node/ConfigFormatterTest.java
@@ -28,7 +28,7 @@
 /** What is written for a node is what a node reads. */
 class ConfigFormatterTest {
     /** The simulator's alone. */
-    private static final Set<String> NOT_WRITTEN =
+    private static final Set<String> SIMULATOR_ONLY_FIELDS =
             Set.of("worthByWork", "probes", "tickUs", "askWithinUs", "crossZonePrice", "warmKeys", "reportFields");
 
     @TempDir
@@ -75,20 +75,20 @@
     }
 
     @Test
-    void aNodeReadsAllSettingsAsTheyWereWritten() throws IOException, ConfigException, IllegalAccessException {
+    void nodeReadsAllSettingsAsWritten() throws IOException, ConfigException, IllegalAccessException {
         Settings written = settings();
         Settings read = read(node(64), written, List.of()).settings();
-        Settings otherwise = new Settings();
+        Settings defaults = new Settings();
         for (Field field : Settings.class.getFields()) {
-            if (!NOT_WRITTEN.contains(field.getName())) {
+            if (!SIMULATOR_ONLY_FIELDS.contains(field.getName())) {
                 assertEquals(field.get(written), field.get(read), field.getName());
-                assertNotEquals(field.get(otherwise), field.get(written), field.getName() + " would pass unwritten");
+                assertNotEquals(field.get(defaults), field.get(written), field.getName() + " would pass unwritten");
             }
         }
     }
 
     @Test
-    void aNodeReadsItsAddressesSeedAndLimits() throws IOException, ConfigException {
+    void nodeReadsAddressesSeedAndLimits() throws IOException, ConfigException {
         NodeConfig read = read(node(0), settings(), List.of());
         assertEquals(new InetSocketAddress("127.0.0.1", 8080), read.listen());
         assertEquals(new InetSocketAddress("::1", 9090), read.discovery());
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aNodeReadsServersInEachState() throws IOException, ConfigException {
+    void nodeReadsServersInEachState() throws IOException, ConfigException {
         List<ServerEntry> entries = List.of(
                 new ServerEntry("b1", 0, 4, ServerState.READY, 2.5, 17_000),
                 new ServerEntry("b2", 1, 0, ServerState.DRAINING, 1, 0),
--- a/src/test/java/kitemux/node/Debuggee.java
+++ b/src/test/java/kitemux/node/Debuggee.java
@@ -33,18 +33,18 @@
  * on: so that a test forces an order between threads of another process, with nothing in the program for it.
  */
 final class Debuggee implements AutoCloseable {
-    private static final long MOST_MS = 30_000;
+    private static final long TIMEOUT_MS = 30_000;
     /** The opcodes ireturn to return, which end a method. */
-    private static final int FIRST_RETURN = 0xac;
+    private static final int FIRST_RETURN_OPCODE = 0xac;
 
-    private static final int LAST_RETURN = 0xb1;
+    private static final int LAST_RETURN_OPCODE = 0xb1;
 
     final Process process;
     private final VirtualMachine machine;
 
     /** A thread that stands still; the others run. */
-    record Stop(EventSet event, ThreadReference thread) {
-        void goOn() {
+    record SuspendedThread(EventSet event, ThreadReference thread) {
+        void resume() {
             event.resume();
         }
     }
@@ -64,7 +64,7 @@
         Map<String, Connector.Argument> arguments = connector.defaultArguments();
         arguments.get("localAddress").setValue("127.0.0.1");
         arguments.get("port").setValue("0");
-        arguments.get("timeout").setValue(Long.toString(MOST_MS));
+        arguments.get("timeout").setValue(Long.toString(TIMEOUT_MS));
         String port = connector.startListening(arguments).replaceAll(".*:", "");
         arguments.get("port").setValue(port);
         List<String> all = new ArrayList<>(command);
@@ -83,28 +83,28 @@
     }
 
     /** The next thread that comes to the begin of a method stands still there. */
-    void stopAtBegin(String type, String method) {
-        stopAt(type, method, false);
+    void suspendAtEntry(String type, String method) {
+        suspendAt(type, method, false);
     }
 
     /** The next thread that is about to return from a method stands still there. */
-    void stopAtEnd(String type, String method) {
-        stopAt(type, method, true);
+    void suspendAtReturn(String type, String method) {
+        suspendAt(type, method, true);
     }
 
-    private void stopAt(String type, String method, boolean end) {
+    private void suspendAt(String type, String method, boolean end) {
         ClassPrepareRequest loads = machine.eventRequestManager().createClassPrepareRequest();
         loads.addClassFilter(type);
         loads.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
-        loads.putProperty("then", (Consumer<ReferenceType>) loaded -> stopIn(loaded, method, end));
+        loads.putProperty("then", (Consumer<ReferenceType>) loaded -> setBreakpoint(loaded, method, end));
         loads.enable();
-        machine.classesByName(type).forEach(each -> stopIn(each, method, end));
+        machine.classesByName(type).forEach(each -> setBreakpoint(each, method, end));
     }
 
     /** Until a thread stands still that was called from a method of this class. */
     @SuppressWarnings("unchecked")
-    Stop awaitStop(String caller) throws InterruptedException, IncompatibleThreadStateException {
-        return next(event -> {
+    SuspendedThread awaitSuspended(String caller) throws InterruptedException, IncompatibleThreadStateException {
+        return awaitEvent(event -> {
             if (event instanceof ClassPrepareEvent loaded) {
                 ((Consumer<ReferenceType>) loaded.request().getProperty("then")).accept(loaded.referenceType());
             }
@@ -117,11 +117,11 @@
         });
     }
 
-    private void stopIn(ReferenceType type, String name, boolean end) {
+    private void setBreakpoint(ReferenceType type, String name, boolean end) {
         Method method = type.methodsByName(name).get(0);
         byte[] code = method.bytecodes();
         int last = code[code.length - 1] & 0xff;
-        assertTrue(!end || last >= FIRST_RETURN && last <= LAST_RETURN, method + " ends otherwise");
+        assertTrue(!end || last >= FIRST_RETURN_OPCODE && last <= LAST_RETURN_OPCODE, method + " ends otherwise");
         EventRequest request = machine.eventRequestManager()
                 .createBreakpointRequest(method.locationOfCodeIndex(end ? code.length - 1 : 0));
         request.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
@@ -129,31 +129,32 @@
     }
 
     /** A thread that stands still goes on to where its method was called, and stands still there. */
-    Stop stepOut(Stop from) throws InterruptedException, IncompatibleThreadStateException {
+    SuspendedThread stepOut(SuspendedThread from) throws InterruptedException, IncompatibleThreadStateException {
         StepRequest step = machine.eventRequestManager()
                 .createStepRequest(from.thread(), StepRequest.STEP_MIN, StepRequest.STEP_OUT);
         step.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
         step.enable();
-        from.goOn();
-        Stop stop = next(StepEvent.class::isInstance);
+        from.resume();
+        SuspendedThread stop = awaitEvent(StepEvent.class::isInstance);
         machine.eventRequestManager().deleteEventRequest(step);
         return stop;
     }
 
     /** What is asked of events. */
-    private interface Which {
-        boolean is(Event event) throws IncompatibleThreadStateException;
+    private interface EventCondition {
+        boolean matches(Event event) throws IncompatibleThreadStateException;
     }
 
-    private Stop next(Which which) throws InterruptedException, IncompatibleThreadStateException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MOST_MS);
+    private SuspendedThread awaitEvent(EventCondition condition)
+            throws InterruptedException, IncompatibleThreadStateException {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (true) {
-            EventSet events =
-                    machine.eventQueue().remove(Math.max(1, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())));
+            EventSet events = machine.eventQueue()
+                    .remove(Math.max(1, TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime())));
             assertTrue(events != null, "nothing comes to where it should stop");
             for (Event event : events) {
-                if (which.is(event)) {
-                    return new Stop(events, ((LocatableEvent) event).thread());
+                if (condition.matches(event)) {
+                    return new SuspendedThread(events, ((LocatableEvent) event).thread());
                 }
             }
             events.resume();
@@ -162,12 +163,12 @@
 
     /** Until a thread of this name waits for another; throws if the process ends before. */
     void awaitWaiting(String name) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MOST_MS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         try {
             while (machine.allThreads().stream()
                     .noneMatch(thread ->
                             thread.name().equals(name) && thread.status() == ThreadReference.THREAD_STATUS_WAIT)) {
-                assertTrue(System.nanoTime() < until, "no thread " + name + " waits");
+                assertTrue(System.nanoTime() < deadline, "no thread " + name + " waits");
             }
         } catch (VMDisconnectedException e) {
             throw new AssertionError("the process has ended, and no thread " + name + " waited", e);
--- a/src/test/java/kitemux/node/FailedStartTest.java
+++ b/src/test/java/kitemux/node/FailedStartTest.java
@@ -13,14 +13,14 @@
 
 /** A start whose system calls fail ends with a line and a code. */
 class FailedStartTest {
-    private static final int MOST_S = 25;
+    private static final int TIMEOUT_S = 25;
 
     @TempDir
     private Path folder;
 
     /** Guards against a process that lives on and never listens: the address fails as it warms up (EADDRNOTAVAIL). */
     @Test
-    void aProcessThatCannotWarmUpEndsWithALineAndACode() throws Exception {
+    void failedWarmUpEndsTheProcessWithMessageAndExitCode() throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), """
                 {"listen":"192.0.2.1:8000","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":256},
                  "known":{"rev":1,"all":true,"targets":[]},
@@ -37,7 +37,7 @@
         builder.environment().put("PROXY_CONFIG", config.toString());
         Process process = builder.redirectErrorStream(true).start();
         try {
-            assertTrue(process.waitFor(MOST_S, TimeUnit.SECONDS), "it lives and does not listen");
+            assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "it lives and does not listen");
             List<String> lines = process.inputReader().lines().toList();
             assertEquals(1, process.exitValue(), () -> "it said " + lines);
             assertTrue(
