--- a/src/test/java/kitemux/node/GrowthTest.java
+++ b/src/test/java/kitemux/node/GrowthTest.java
@@ -17,23 +17,24 @@
 
 /** What a node keeps after a long day of servers, clients and requests that are ever new. */
 class GrowthTest {
-    private static final int TURNS = 150;
+    private static final int ROUND_COUNT = 150;
     /** These hold what the configuration says, for good. */
-    private static final Set<String> FIXED = Set.of("Settings", "NodeConfig", "RequestReader", "HostList", "Discovery");
+    private static final Set<String> CONFIGURATION_TYPES =
+            Set.of("Settings", "NodeConfig", "RequestReader", "HostList", "Discovery");
 
     /** How much every table holds that can be reached from here through the node's own classes. */
-    private static Map<String, Integer> tables(Object root) throws IllegalAccessException {
+    private static Map<String, Integer> collectionSizes(Object root) throws IllegalAccessException {
         Map<String, Integer> sizes = new TreeMap<>();
-        walk(root, new IdentityHashMap<>(), sizes);
+        collectSizes(root, new IdentityHashMap<>(), sizes);
         sizes.values().removeIf(size -> size == 0);
         return sizes;
     }
 
-    private static void walk(Object at, Map<Object, Object> seen, Map<String, Integer> sizes)
+    private static void collectSizes(Object at, Map<Object, Object> seen, Map<String, Integer> sizes)
             throws IllegalAccessException {
         if (at == null
                 || !at.getClass().getName().startsWith("kitemux.")
-                || FIXED.contains(at.getClass().getSimpleName())
+                || CONFIGURATION_TYPES.contains(at.getClass().getSimpleName())
                 || seen.put(at, at) != null) {
             return;
         }
@@ -44,7 +45,7 @@
                 if (value instanceof Collection<?> || value instanceof Map<?, ?>) {
                     sizes.merge(at.getClass().getSimpleName() + "." + field.getName(), size(value), Integer::sum);
                 } else {
-                    walk(value, seen, sizes);
+                    collectSizes(value, seen, sizes);
                 }
             }
         }
@@ -62,7 +63,7 @@
 
     @Test
     @Timeout(60)
-    void nothingIsKeptOfServersClientsAndRequestsThatHaveGone() throws Exception {
+    void noStateRemainsOfGoneServersClientsAndRequests() throws Exception {
         String[] statuses = {"200 OK", "500 No", "200 OK", "200 OK", "503 Busy"};
         int[] count = {0};
         try (ScriptedServer server = new ScriptedServer((request, peer) -> {
@@ -73,7 +74,7 @@
             site.startKnowing(Site.list(1, true, "s0=" + server.endpoint() + "=Ready"));
             ScriptedServer.Peer watch = ScriptedServer.next(site.discovery.answeredPeers);
             Set<Integer> seen = new HashSet<>();
-            for (int i = 1; i <= TURNS; i++) {
+            for (int i = 1; i <= ROUND_COUNT; i++) {
                 // The next server comes under a new id to the address of the one that goes.
                 watch.write(Site.chunk(Site.list(
                                 i + 1,
@@ -88,12 +89,12 @@
                 }
             }
             assertTrue(seen.contains(200) && seen.size() > 1, "answers " + seen);
-            watch.write(
-                    Site.chunk(Site.list(TURNS + 2, false, "s" + TURNS + "=" + server.endpoint() + "=Gone") + "\n"));
+            watch.write(Site.chunk(
+                    Site.list(ROUND_COUNT + 2, false, "s" + ROUND_COUNT + "=" + server.endpoint() + "=Gone") + "\n"));
             Map<String, Integer> left;
             long until = System.nanoTime() + 20_000_000_000L;
             do {
-                left = site.loop.submit(() -> tables(site.node)).get();
+                left = site.loop.submit(() -> collectionSizes(site.node)).get();
             } while (!left.isEmpty() && System.nanoTime() < until);
             assertEquals(Map.of(), left);
         }
--- a/src/test/java/kitemux/node/LiveSettingsTest.java
+++ b/src/test/java/kitemux/node/LiveSettingsTest.java
@@ -24,18 +24,18 @@
 
     private final Settings settings = new Settings();
     private final List<String> moved = new ArrayList<>();
-    private final LiveSettings live;
+    private final LiveSettings liveSettings;
 
     LiveSettingsTest() {
         settings.classes.addAll(List.of(PAGE, ORDER));
         settings.tenants.addAll(List.of(new Tenant("a", 1), new Tenant("b", 2)));
         settings.overShareWorth = 0.5;
-        live = new LiveSettings(settings, moved::add);
+        liveSettings = new LiveSettings(settings, moved::add);
     }
 
     @Test
-    void whatIsLiveIsInForceAndTheRestStaysAsTheFileHasIt() {
-        live.apply(Map.of(
+    void liveValuesApplyAndOthersKeepTheFilesValues() {
+        liveSettings.apply(Map.of(
                 "realms/b",
                 "{\"quotaPerS\":9.5}",
                 "classes/page",
@@ -58,17 +58,17 @@
         assertEquals(0.75, settings.overShareWorth);
         assertEquals(3, settings.maxAttempts);
         // What a later version does not name any more is as the file has it again.
-        live.apply(Map.of());
+        liveSettings.apply(Map.of());
         assertEquals(List.of(new Tenant("a", 1), new Tenant("b", 2)), settings.tenants);
         assertEquals(List.of(PAGE, ORDER), settings.classes);
         assertEquals(0.5, settings.overShareWorth);
     }
 
     @Test
-    void whatIsNotLiveIsSaidToWait() {
+    void otherPathsNeedARestart() {
         assertEquals(
                 Set.of(),
-                live.pathsNeedingRestart(
+                liveSettings.pathsNeedingRestart(
                         Map.of(),
                         Map.of(
                                 "realms/a",
@@ -83,10 +83,10 @@
                                 "[]")));
         assertEquals(
                 Set.of("realms/new", "classes/new", "limits/attemptsCap"),
-                live.pathsNeedingRestart(
+                liveSettings.pathsNeedingRestart(
                         Map.of(), Map.of("realms/new", "{}", "classes/new", FAST, "limits/attemptsCap", "9")));
         String order = "{\"repeat\":\"unsafe\",\"group\":\"cell\",\"windowUs\":7,\"stream\":true}";
-        assertEquals(Set.of(), live.pathsNeedingRestart(Map.of(), Map.of("classes/order", order)));
+        assertEquals(Set.of(), liveSettings.pathsNeedingRestart(Map.of(), Map.of("classes/order", order)));
         for (String other : List.of(
                 order.replace("unsafe", "safe"),
                 order.replace("cell", "all"),
@@ -95,16 +95,18 @@
                 order.replace("\"repeat\"", "\"aimStretch\":1,\"repeat\""),
                 order.replace("\"group\":\"cell\",", ""))) {
             assertEquals(
-                    Set.of("classes/order"), live.pathsNeedingRestart(Map.of(), Map.of("classes/order", other)), other);
+                    Set.of("classes/order"),
+                    liveSettings.pathsNeedingRestart(Map.of(), Map.of("classes/order", other)),
+                    other);
         }
     }
 
     @Test
-    void discoveryMovesOnceForEachPlaceThatIsNamed() {
-        live.apply(Map.of("discovery", "\"127.0.0.1:1\""));
-        live.apply(Map.of("discovery", "\"127.0.0.1:1\"", "overShareWorth", "1"));
-        live.apply(Map.of("discovery", "\"127.0.0.1:2\""));
-        live.apply(Map.of());
+    void discoveryMovesOnceForEachNewAddress() {
+        liveSettings.apply(Map.of("discovery", "\"127.0.0.1:1\""));
+        liveSettings.apply(Map.of("discovery", "\"127.0.0.1:1\"", "overShareWorth", "1"));
+        liveSettings.apply(Map.of("discovery", "\"127.0.0.1:2\""));
+        liveSettings.apply(Map.of());
         assertEquals(List.of("127.0.0.1:1", "127.0.0.1:2"), moved);
     }
 }
--- a/src/test/java/kitemux/node/NodeConfigTest.java
+++ b/src/test/java/kitemux/node/NodeConfigTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void theFileIsReadWithTheWiresNames() throws Exception {
+    void fileIsReadWithTheProtocolsNames() throws Exception {
         NodeConfig config = read(CONFIG, Map.of());
         assertEquals(8000, config.listen().getPort());
         assertEquals(8500, config.discovery().getPort());
@@ -77,14 +77,14 @@
     }
 
     @Test
-    void theEnvironmentsAddressesHoldWhereTheyAreSet() throws Exception {
+    void environmentOverridesTheFilesAddresses() throws Exception {
         NodeConfig config = read(CONFIG, Map.of("PROXY_LISTEN", "127.0.0.7:81", "PROXY_DISCOVERY", "127.0.0.8:82"));
         assertEquals("127.0.0.7", config.listen().getHostString());
         assertEquals(82, config.discovery().getPort());
     }
 
     @Test
-    void operatorsCallWhereTheFileSaysOrTheEnvironmentAndElseNowhere() throws Exception {
+    void managementAddressIsOptionalAndComesFromFileOrEnvironment() throws Exception {
         assertEquals(null, read(CONFIG, Map.of()).managementAddress());
         String named = CONFIG.replace("\"listen\"", "\"mgmt\":\"127.0.0.1:9100\",\"listen\"");
         assertEquals(9100, read(named, Map.of()).managementAddress().getPort());
@@ -113,22 +113,22 @@
                 "Terminating | Asleep | known.targets[0].state",
                 "\"settings\":{ | \"sittings\":{ | settings",
             })
-    void aBadFieldIsNamed(String good, String bad, String field) {
+    void invalidFieldIsNamed(String good, String bad, String field) {
         ConfigException e = assertThrows(ConfigException.class, () -> read(CONFIG.replace(good, bad), Map.of()));
         assertTrue(e.getMessage().startsWith(field + " "), e.getMessage());
     }
 
     @Test
-    void aMissingFileEndsTheProgramWithOneLineAndCode2() throws Exception {
+    void missingFileEndsTheProcessWithOneLineAndExitCode2() throws Exception {
         String java = ProcessHandle.current().info().command().orElseThrow();
         ProcessBuilder builder =
                 new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), Main.class.getName(), "node");
         builder.environment().put("PROXY_CONFIG", folder.resolve("none.json").toString());
         Process process = builder.start();
-        String said = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
-        assertEquals(1, said.lines().count(), said);
-        assertTrue(said.contains("PROXY_CONFIG"), said);
+        assertEquals(1, output.lines().count(), output);
+        assertTrue(output.contains("PROXY_CONFIG"), output);
     }
 }
--- a/src/test/java/kitemux/node/NodeProcess.java
+++ b/src/test/java/kitemux/node/NodeProcess.java
@@ -22,7 +22,7 @@
 
 /** A process that runs {@code kitemux node}, with a trace of its requests and an address for operators. */
 final class NodeProcess implements AutoCloseable {
-    private static final int MOST_S = 25;
+    private static final int TIMEOUT_S = 25;
 
     final Process process;
     final Queue<String> lines = new ConcurrentLinkedQueue<>();
@@ -42,7 +42,7 @@
     }
 
     /** Keeps a port for processes that are yet to listen on it. */
-    static SocketChannel holder() throws IOException {
+    static SocketChannel reservePort() throws IOException {
         return SocketChannel.open()
                 .setOption(StandardSocketOptions.SO_REUSEADDR, true)
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -105,7 +105,7 @@
     }
 
     NodeProcess awaitListening() throws InterruptedException {
-        assertTrue(listening.await(MOST_S, TimeUnit.SECONDS), () -> "it never listens: " + lines);
+        assertTrue(listening.await(TIMEOUT_S, TimeUnit.SECONDS), () -> "it never listens: " + lines);
         return this;
     }
 
@@ -123,12 +123,12 @@
     Socket connect() throws IOException {
         Socket client = new Socket(clients.getAddress(), clients.getPort());
         client.setTcpNoDelay(true);
-        client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(MOST_S));
+        client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
         return client;
     }
 
     /** What this process has traced so far. */
-    List<String> trace() throws IOException {
+    List<String> readTrace() throws IOException {
         try (Stream<Path> files = Files.list(traces)) {
             Path file = files.filter(each -> each.toString().endsWith("-" + process.pid() + ".trace"))
                     .findFirst()
@@ -139,6 +139,9 @@
 
     @Override
     public void close() {
-        process.destroyForcibly().onExit().orTimeout(MOST_S, TimeUnit.SECONDS).join();
+        process.destroyForcibly()
+                .onExit()
+                .orTimeout(TIMEOUT_S, TimeUnit.SECONDS)
+                .join();
     }
 }
--- a/src/test/java/kitemux/node/NodeTest.java
+++ b/src/test/java/kitemux/node/NodeTest.java
@@ -56,7 +56,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"onRequest", "onOutcome"})
-    void anExceptionCostsOneRequestAndStillAnswersIt(String event) throws Exception {
+    void exceptionInTheBalancerFailsOneRequestOnly(String event) throws Exception {
         // Neither answer is a success, so that the node owes the client its own.
         try (ScriptedServer server = new ScriptedServer((request, peer) -> peer.write(Http.answer("500 No", "", "")));
                 Site site = Site.quiet()) {
@@ -77,7 +77,7 @@
     }
 
     /** A node as a process, which is told of discovery by the environment as well. */
-    private static Process program(Path config, String discovery, String... flags) throws Exception {
+    private static Process startWithDiscovery(Path config, String discovery, String... flags) throws Exception {
         return start(config, Map.of("PROXY_DISCOVERY", discovery), flags);
     }
 
@@ -99,13 +99,13 @@
         assertNotNull(line, "no line says " + part);
     }
 
-    private static void hangUp(Process process) throws Exception {
+    private static void sendSighup(Process process) throws Exception {
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
     @Test
-    void theProgramEndsOnSigtermOnceNothingIsHeld(@TempDir Path folder) throws Exception {
-        Process process = program(configure(folder, "127.0.0.1:9"), "127.0.0.1:9");
+    void sigtermEndsAnIdleNode(@TempDir Path folder) throws Exception {
+        Process process = startWithDiscovery(configure(folder, "127.0.0.1:9"), "127.0.0.1:9");
         try {
             awaitLine(process.inputReader(), "listening on ");
             process.destroy();
@@ -118,7 +118,7 @@
 
     /** What a JVM cannot read of them it only complains of, and goes on without. */
     @Test
-    void theDeploymentsFlagsAreAllUnderstood() throws Exception {
+    void jvmAcceptsTheDeploymentsFlags() throws Exception {
         Matcher run = Pattern.compile("^run = \"exec java (.*) -jar ", Pattern.MULTILINE)
                 .matcher(Files.readString(Path.of("deploy", "balancer.toml")));
         assertTrue(run.find());
@@ -134,8 +134,8 @@
     }
 
     @Test
-    void aNodeThatIsToldToEndWhileItWarmsUpEnds(@TempDir Path folder) throws Exception {
-        Process process = program(configure(folder, "127.0.0.1:9"), "127.0.0.1:9");
+    void sigtermDuringTheWarmUpEndsTheNode(@TempDir Path folder) throws Exception {
+        Process process = startWithDiscovery(configure(folder, "127.0.0.1:9"), "127.0.0.1:9");
         try {
             awaitLine(process.inputReader(), "warming up");
             process.destroy();
@@ -148,10 +148,10 @@
 
     /** A second word that it is to end changes nothing: who is served is served to the end. */
     @Test
-    void aNodeThatIsToldTwiceToEndServesWhatItHas(@TempDir Path folder) throws Exception {
+    void secondSigtermDoesNotCutRequestsOff(@TempDir Path folder) throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late")) {
-            Path config = knowing(folder, "s0=" + server.endpoint() + "=Ready", "on_request", "5000000");
+            Path config = configureWithServer(folder, "s0=" + server.endpoint() + "=Ready", "on_request", "5000000");
             Process process = start(config, Map.of("PROXY_DISCOVERY", "127.0.0.1:9"));
             try {
                 BufferedReader lines = process.inputReader();
@@ -181,7 +181,7 @@
 
     /** What the agent has counts as told from the first moment of a process: none is served before that. */
     @Test
-    void whereListsArePushedNoneIsServedByTheListThatAProcessBeganWith(@TempDir Path folder) throws Exception {
+    void noRequestIsServedBeforeTheFirstPushedList(@TempDir Path folder) throws Exception {
         CountDownLatch served = new CountDownLatch(1);
         try (ScriptedServer drains = ScriptedServer.serving("drains");
                 ScriptedServer ready = ScriptedServer.serving("ready");
@@ -201,7 +201,7 @@
                                     .replace("\"here\"", "\"\"")
                             + "\n"));
                 })) {
-            Path config = knowing(folder, "s0=" + drains.endpoint() + "=Ready", "pushed", "500000");
+            Path config = configureWithServer(folder, "s0=" + drains.endpoint() + "=Ready", "pushed", "500000");
             Process process = start(config, Map.of("PROXY_DISCOVERY", agent.endpoint()));
             try {
                 // The agent is called as the process warms up, which takes longer than that on some machines.
@@ -223,9 +223,9 @@
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).strip());
     }
 
-    private static Path knowing(Path folder, String entry, String mode, String giveUpUs) throws Exception {
+    private static Path configureWithServer(Path folder, String entry, String mode, String giveUpUs) throws Exception {
         Path config = configure(folder, "127.0.0.1:9");
-        try (SocketChannel holder = shared()) {
+        try (SocketChannel holder = reserveSharedPort()) {
             return Files.writeString(
                     config,
                     Files.readString(config)
@@ -241,15 +241,15 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"warming up", "listening on "})
-    void aReloadHoldsHoweverSoonItComes(String when, @TempDir Path folder) throws Exception {
+    void reloadIsAppliedHoweverEarlyItComes(String when, @TempDir Path folder) throws Exception {
         ScriptedServer.Script watch = (request, peer) -> peer.write(Site.watchHead());
         try (ScriptedServer before = new ScriptedServer(watch);
                 ScriptedServer after = new ScriptedServer(watch)) {
-            Process process = program(configure(folder, before.endpoint()), before.endpoint());
+            Process process = startWithDiscovery(configure(folder, before.endpoint()), before.endpoint());
             try {
                 awaitLine(process.inputReader(), when);
                 configure(folder, after.endpoint());
-                hangUp(process);
+                sendSighup(process);
                 ScriptedServer.next(after.requests);
                 assertTrue(process.isAlive());
             } finally {
@@ -259,7 +259,7 @@
     }
 
     /** Made by this JVM, of its own classes alone. */
-    private static Path archive(Path folder) throws Exception {
+    private static Path createArchive(Path folder) throws Exception {
         Path archive = folder.resolve("node.jsa");
         Process dump = new ProcessBuilder(JAVA, "-Xshare:dump", "-XX:SharedArchiveFile=" + archive)
                 .redirectErrorStream(true)
@@ -270,7 +270,7 @@
     }
 
     /** Another JVM's differs in the name that it puts at the front. */
-    private static void pretendAnotherJvmMadeIt(Path archive) throws Exception {
+    private static void changeJvmName(Path archive) throws Exception {
         byte[] bytes = Files.readAllBytes(archive);
         String head = new String(bytes, 0, 4096, StandardCharsets.ISO_8859_1);
         int name = head.indexOf("64-Bit Server VM");
@@ -282,15 +282,15 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"missing", "spoilt", "another JVM's", "sound"})
-    void aNodeStartsWhateverItsClassArchiveAndSaysIfThatIsOfNoUse(String what, @TempDir Path folder) throws Exception {
-        Path archive = what.equals("missing") ? folder.resolve("none.jsa") : archive(folder);
+    void nodeStartsWithAnyClassArchiveAndReportsAnUnusedOne(String what, @TempDir Path folder) throws Exception {
+        Path archive = what.equals("missing") ? folder.resolve("none.jsa") : createArchive(folder);
         if (what.equals("spoilt")) {
             Files.delete(archive);
             Files.writeString(archive, "no archive at all");
         } else if (what.equals("another JVM's")) {
-            pretendAnotherJvmMadeIt(archive);
+            changeJvmName(archive);
         }
-        Process process = program(
+        Process process = startWithDiscovery(
                 configure(folder, "127.0.0.1:9"), "127.0.0.1:9", "-Xshare:auto", "-XX:SharedArchiveFile=" + archive);
         try {
             List<String> before = process.inputReader()
@@ -306,18 +306,18 @@
         }
     }
 
-    private static Process keeping(Path folder, String operator) throws Exception {
+    private static Process startWithOperatorFile(Path folder, String operator) throws Exception {
         Path file = Files.writeString(folder.resolve("operator.json"), operator);
         return start(configure(folder, "127.0.0.1:9"), Map.of("KITEMUX_SETTINGS", file.toString()));
     }
 
     @Test
-    void twoNodesDoNotWriteToOneJournal(@TempDir Path folder) throws Exception {
+    void secondNodeCannotOpenTheSameJournal(@TempDir Path folder) throws Exception {
         String operator = "{\"orders\":{\"folder\":\"" + folder.resolve("orders") + "\"}}";
-        Process first = keeping(folder, operator);
+        Process first = startWithOperatorFile(folder, operator);
         try {
             awaitLine(first.inputReader(), "listening on ");
-            Process second = keeping(folder, operator);
+            Process second = startWithOperatorFile(folder, operator);
             awaitLine(second.inputReader(), "orders.folder cannot be used: another node writes");
             assertEquals(2, second.waitFor());
             assertTrue(first.isAlive());
@@ -329,8 +329,8 @@
     }
 
     @Test
-    void eachFaultOfTheOperatorsFileHasItsLine(@TempDir Path folder) throws Exception {
-        Process process = keeping(folder, "{\"orders\":{\"sync\":\"x\",\"lateMs\":0},\"color\":1}");
+    void eachFaultOfTheOperatorFileIsReportedOnItsOwnLine(@TempDir Path folder) throws Exception {
+        Process process = startWithOperatorFile(folder, "{\"orders\":{\"sync\":\"x\",\"lateMs\":0},\"color\":1}");
         List<String> lines = process.inputReader().lines().toList();
         assertEquals(2, process.waitFor());
         for (String field : List.of("color", "orders.folder", "orders.sync", "orders.lateMs")) {
@@ -339,28 +339,28 @@
     }
 
     @Test
-    void onSighupTheWatchMovesToWhereTheFileSaysAndABadFileChangesNothing(@TempDir Path folder) throws Exception {
+    void sighupMovesTheWatchAndABadFileChangesNothing(@TempDir Path folder) throws Exception {
         ScriptedServer.Script watch = (request, peer) -> peer.write(Site.watchHead());
         try (ScriptedServer before = new ScriptedServer(watch);
                 ScriptedServer after = new ScriptedServer(watch)) {
             Path config = configure(folder, before.endpoint());
-            Process process = program(config, before.endpoint());
+            Process process = startWithDiscovery(config, before.endpoint());
             try {
                 BufferedReader lines = process.inputReader();
                 ScriptedServer.next(before.requests);
                 configure(folder, after.endpoint());
-                hangUp(process);
+                sendSighup(process);
                 ScriptedServer.next(after.requests);
                 ScriptedServer.next(before.disconnectedPeers);
                 Files.writeString(config, "{");
-                hangUp(process);
+                sendSighup(process);
                 awaitLine(lines, "PROXY_CONFIG is not JSON");
                 configure(folder, before.endpoint());
-                hangUp(process);
-                hangUp(process);
+                sendSighup(process);
+                sendSighup(process);
                 ScriptedServer.next(before.requests);
                 process.destroy();
-                hangUp(process);
+                sendSighup(process);
                 assertTrue(process.waitFor(20, TimeUnit.SECONDS));
                 assertEquals(143, process.exitValue(), "still ended by SIGTERM in good order");
                 assertEquals(1, after.connections.get());
@@ -373,7 +373,7 @@
     // ---------------------------------------------------------------- a second process in place of the first
 
     /** Holds a port that processes are to share, without listening at it. */
-    private static SocketChannel shared() throws Exception {
+    private static SocketChannel reserveSharedPort() throws Exception {
         SocketChannel holder = SocketChannel.open();
         return holder.setOption(StandardSocketOptions.SO_REUSEADDR, true)
                 .setOption(StandardSocketOptions.SO_REUSEPORT, true)
@@ -396,12 +396,12 @@
     }
 
     @Test
-    void aSecondProcessTakesOverWithoutARequestLostAndKnowsWhatIsOut(@TempDir Path folder) throws Exception {
+    void secondProcessTakesOverWithoutLossAndKeepsServersDrained(@TempDir Path folder) throws Exception {
         try (ScriptedServer in = ScriptedServer.serving("in");
                 ScriptedServer out = ScriptedServer.serving("out");
-                SocketChannel clients = shared();
-                SocketChannel first = shared();
-                SocketChannel second = shared()) {
+                SocketChannel clients = reserveSharedPort();
+                SocketChannel first = reserveSharedPort();
+                SocketChannel second = reserveSharedPort()) {
             Path config = configure(folder, "127.0.0.1:9");
             Files.writeString(
                     config,
--- a/src/test/java/kitemux/node/OperatorsTest.java
+++ b/src/test/java/kitemux/node/OperatorsTest.java
@@ -35,22 +35,22 @@
         return site;
     }
 
-    private static Map<String, Long> figures(Site site) throws IOException {
-        Map<String, Long> figures = new HashMap<>();
+    private static Map<String, Long> metrics(Site site) throws IOException {
+        Map<String, Long> metrics = new HashMap<>();
         for (String line : site.call("GET", "/ops/stats").body().split("\n")) {
             assertNull(
-                    figures.put(
+                    metrics.put(
                             line.substring(0, line.indexOf('=')),
                             Long.parseLong(line.substring(line.indexOf('=') + 1))),
                     line);
         }
-        return figures;
+        return metrics;
     }
 
     // ---------------------------------------------------------------- servers out by hand
 
     @Test
-    void aServerThatIsOutGetsNothingNewUntilItIsCalledBack() throws Exception {
+    void drainedServerReceivesNoNewRequestsUntilRestored() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             assertEquals(200, site.ask(Http.page("before")).status());
@@ -58,9 +58,9 @@
             assertEquals(200, site.call("POST", "/ops/servers/down/s0").status());
             assertEquals(503, site.ask(Http.page("out")).status());
             assertEquals(1, server.requests.size());
-            assertEquals(1, figures(site).get("node.targets_disabled"));
+            assertEquals(1, metrics(site).get("node.targets_disabled"));
             assertEquals(200, site.call("POST", "/ops/servers/up/s0").status());
-            assertEquals(0, figures(site).get("node.targets_disabled"));
+            assertEquals(0, metrics(site).get("node.targets_disabled"));
             // Taken for cold, it has its turn a little later.
             assertEquals(200, site.ask(Http.page("/api/back", "back", "4000m")).status());
             assertEquals(2, server.requests.size());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void whatAwaitsAConnectionToAServerThatIsTakenOutGoesElsewhere() throws Exception {
+    void drainedServerAnswersInFlightRequestsAndNewOnesGoElsewhere() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer first = ScriptedServer.servingFrom(answer, "late");
                 ScriptedServer second = ScriptedServer.serving("other");
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aServerStaysOutForTheNextProcess() throws Exception {
+    void nextProcessKeepsServersDrained() throws Exception {
         try (ScriptedServer out = ScriptedServer.serving("out");
                 ScriptedServer in = ScriptedServer.serving("in")) {
             try (Site first = site().start(out, in)) {
@@ -116,7 +116,7 @@
         "POST,/ops/drain/pause,404",
         "GET,/up,404"
     })
-    void whatCannotBeDoneIsOwedANo(String method, String path, int status) throws Exception {
+    void invalidCallIsRejected(String method, String path, int status) throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             assertEquals(status, site.call(method, path).status());
@@ -127,7 +127,7 @@
     // ---------------------------------------------------------------- clients sent away
 
     @Test
-    void clientsAreSentAwayAndComeBack() throws Exception {
+    void clientsAreDrainedAndAcceptedAgain() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
                 Site site = site().start(server)) {
@@ -163,7 +163,7 @@
     // ---------------------------------------------------------------- figures
 
     @Test
-    void figuresTellOfRequestsByClassAndOutcome() throws Exception {
+    void metricsCountRequestsByClassAndOutcome() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     if (request.path().contains("held")) {
@@ -184,28 +184,28 @@
             for (int i = 0; i < 4; i++) {
                 ScriptedServer.next(server.requests);
             }
-            Map<String, Long> figures = figures(site);
-            assertEquals(2, figures.get("node.replies.page.success"));
-            assertEquals(0, figures.get("node.replies.page.overload"));
-            assertEquals(1, figures.get("node.replies.order.error"));
-            assertEquals(0, figures.get("node.replies.photo.success"));
-            assertEquals(4, figures.get("node.dispatches"));
-            assertEquals(1, figures.get("node.concurrent"));
-            assertEquals(1, figures.get("node.targets"));
-            assertEquals(0, figures.get("node.targets_disabled"));
+            Map<String, Long> metrics = metrics(site);
+            assertEquals(2, metrics.get("node.replies.page.success"));
+            assertEquals(0, metrics.get("node.replies.page.overload"));
+            assertEquals(1, metrics.get("node.replies.order.error"));
+            assertEquals(0, metrics.get("node.replies.photo.success"));
+            assertEquals(4, metrics.get("node.dispatches"));
+            assertEquals(1, metrics.get("node.concurrent"));
+            assertEquals(1, metrics.get("node.targets"));
+            assertEquals(0, metrics.get("node.targets_disabled"));
             answer.countDown();
             assertEquals("x", Http.read(held.getInputStream()).body());
             assertEquals(200, site.call("POST", "/ops/servers/down/s0").status());
             assertEquals(503, site.ask(Http.page("e")).status());
-            figures = figures(site);
-            assertEquals(1, figures.get("node.replies.page.overload"));
-            assertEquals(3, figures.get("node.replies.page.success"));
-            assertEquals(0, figures.get("node.concurrent"));
+            metrics = metrics(site);
+            assertEquals(1, metrics.get("node.replies.page.overload"));
+            assertEquals(3, metrics.get("node.replies.page.success"));
+            assertEquals(0, metrics.get("node.concurrent"));
         }
     }
 
     @Test
-    void whoIsTurnedAwayForWantOfDescriptorsCountsAsRefused() throws Exception {
+    void requestsRejectedForLackOfDescriptorsCountAsOverload() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "x");
                 Site site = site()) {
@@ -222,14 +222,14 @@
                 refused += Http.read(client.getInputStream()).status() == 503 ? 1 : 0;
             }
             assertTrue(refused > 0, "no room for all");
-            assertEquals(refused, figures(site).get("node.replies.page.overload"));
+            assertEquals(refused, metrics(site).get("node.replies.page.overload"));
         }
     }
 
     // ---------------------------------------------------------------- callers
 
     @Test
-    void callersThatCompleteNoCallKeepNobodyOut() throws Exception {
+    void incompleteCallsDoNotBlockOtherCallers() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             List<Socket> silent = new ArrayList<>();
@@ -244,7 +244,7 @@
     }
 
     @Test
-    void aCallComesInPiecesOrWithABodyAndGetsOneAnswer() throws Exception {
+    void fragmentedCallWithBodyGetsOneResponse() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             Socket caller = site.callers();
@@ -266,7 +266,7 @@
     }
 
     @Test
-    void whatIsNoHttpIsOwedANo() throws Exception {
+    void invalidHttpIsRejected() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             Socket caller = site.callers();
@@ -277,23 +277,23 @@
     }
 
     @Test
-    void aLoopThatStandsStillAnswersOnceItRuns() throws Exception {
+    void stalledLoopAnswersOnceItResumes() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
-            CountDownLatch go = new CountDownLatch(1);
-            CountDownLatch stands = new CountDownLatch(1);
+            CountDownLatch resume = new CountDownLatch(1);
+            CountDownLatch stalled = new CountDownLatch(1);
             site.loop.execute(() -> {
-                stands.countDown();
+                stalled.countDown();
                 try {
-                    go.await(20, TimeUnit.SECONDS);
+                    resume.await(20, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
-            assertTrue(stands.await(20, TimeUnit.SECONDS));
+            assertTrue(stalled.await(20, TimeUnit.SECONDS));
             Socket caller = site.callers();
             Site.write(caller, "POST /ops/servers/down/s0 HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n");
-            go.countDown();
+            resume.countDown();
             assertEquals(200, Http.read(caller.getInputStream()).status());
         }
     }
--- a/src/test/java/kitemux/node/ReadinessTest.java
+++ b/src/test/java/kitemux/node/ReadinessTest.java
@@ -24,29 +24,29 @@
 
 /** Processes that start at once are ready whatever discovery has for them. */
 class ReadinessTest {
-    private static final int NODES = 3;
-    private static final int MOST_S = 25;
+    private static final int NODE_COUNT = 3;
+    private static final int TIMEOUT_S = 25;
 
     @TempDir
     private Path folder;
 
     /** Discovery with more callers than it serves, until it is let. */
-    private static final class Crowded implements AutoCloseable {
-        private final CountDownLatch free = new CountDownLatch(1);
+    private static final class OverloadedDiscovery implements AutoCloseable {
+        private final CountDownLatch released = new CountDownLatch(1);
         private final ScriptedServer calls;
-        private final ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        private final ServerSocket fullBacklog = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<SocketChannel> filling = new ArrayList<>();
-        private final String how;
+        private final String behaviour;
 
-        Crowded(String how, String list) throws IOException {
-            this.how = how;
+        OverloadedDiscovery(String behaviour, String list) throws IOException {
+            this.behaviour = behaviour;
             calls = new ScriptedServer((request, peer) -> {
-                if (how.equals("refuses")) {
+                if (behaviour.equals("refuses")) {
                     peer.write(Http.answer("503 Busy", "", ""));
                     return;
                 }
                 try {
-                    free.await();
+                    released.await();
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
@@ -56,27 +56,27 @@
             for (int i = 0; i < 4; i++) {
                 SocketChannel one = SocketChannel.open();
                 one.configureBlocking(false);
-                one.connect(new InetSocketAddress(full.getInetAddress(), full.getLocalPort()));
+                one.connect(new InetSocketAddress(fullBacklog.getInetAddress(), fullBacklog.getLocalPort()));
                 filling.add(one);
             }
         }
 
         String endpoint() {
-            return how.equals("takes no call") ? "127.0.0.1:" + full.getLocalPort() : calls.endpoint();
+            return behaviour.equals("takes no call") ? "127.0.0.1:" + fullBacklog.getLocalPort() : calls.endpoint();
         }
 
         @Override
         public void close() throws IOException {
-            free.countDown();
+            released.countDown();
             calls.close();
-            full.close();
+            fullBacklog.close();
             for (SocketChannel one : filling) {
                 one.close();
             }
         }
     }
 
-    private Process node(String name, String mode, SocketChannel holder, String discovery, String known)
+    private Process startNode(String name, String mode, SocketChannel holder, String discovery, String known)
             throws IOException {
         Path config =
                 Files.writeString(folder.resolve(name + ".json"), """
@@ -95,7 +95,7 @@
         return builder.redirectErrorStream(true).start();
     }
 
-    private static SocketChannel holder() throws IOException {
+    private static SocketChannel reservePort() throws IOException {
         return SocketChannel.open()
                 .setOption(StandardSocketOptions.SO_REUSEADDR, true)
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -107,7 +107,7 @@
 
     private static Http.Message ask(int port, String request) throws IOException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(MOST_S));
+            client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
             Site.write(client, request);
             return Http.read(client.getInputStream());
         }
@@ -123,25 +123,25 @@
         "pushed, refuses",
         "pushed, takes no call"
     })
-    void processesThatStartAtOnceServeBeforeDiscoveryHasAnsweredAny(String mode, String how) throws Exception {
+    void processesServeBeforeDiscoveryAnswers(String mode, String behaviour) throws Exception {
         List<Process> nodes = new ArrayList<>();
         List<SocketChannel> holders = new ArrayList<>();
         try (ScriptedServer server = ScriptedServer.serving("served");
-                Crowded discovery = new Crowded(how, Site.list(2, true))) {
+                OverloadedDiscovery discovery = new OverloadedDiscovery(behaviour, Site.list(2, true))) {
             String known =
                     Site.list(1, true, "s0=" + server.endpoint() + "=Ready").replace("\"here\"", "\"\"");
-            for (int i = 0; i < NODES; i++) {
-                holders.add(holder());
-                nodes.add(node("n" + i, mode, holders.get(i), discovery.endpoint(), known));
+            for (int i = 0; i < NODE_COUNT; i++) {
+                holders.add(reservePort());
+                nodes.add(startNode("n" + i, mode, holders.get(i), discovery.endpoint(), known));
             }
-            for (int i = 0; i < NODES; i++) {
+            for (int i = 0; i < NODE_COUNT; i++) {
                 Process node = nodes.get(i);
                 String line = CompletableFuture.supplyAsync(() -> node.inputReader()
                                 .lines()
                                 .filter(each -> each.contains("listening on "))
                                 .findFirst()
                                 .orElse("none"))
-                        .get(MOST_S, TimeUnit.SECONDS);
+                        .get(TIMEOUT_S, TimeUnit.SECONDS);
                 assertTrue(line.endsWith("listening on /127.0.0.1:" + port(holders.get(i))), line);
                 assertEquals(
                         200,
--- a/src/test/java/kitemux/node/SignalAtStartupTest.java
+++ b/src/test/java/kitemux/node/SignalAtStartupTest.java
@@ -23,13 +23,13 @@
 
 /** SIGTERM in each of the moments in which a process begins to listen, forced by a debugger. */
 class SignalAtStartupTest {
-    private static final int MOST_MS = 20_000;
+    private static final int TIMEOUT_MS = 20_000;
 
     @TempDir
     private Path folder;
 
     /** A node that knows one server, and the port that it is to listen on. */
-    private Debuggee node(ScriptedServer server, SocketChannel holder) throws Exception {
+    private Debuggee startNode(ScriptedServer server, SocketChannel holder) throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), """
                 {"listen":"127.0.0.1:%d","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":256},
                  "known":%s,
@@ -50,7 +50,7 @@
     }
 
     /** Keeps a port for a process that is yet to listen. */
-    private static SocketChannel holder() throws IOException {
+    private static SocketChannel reservePort() throws IOException {
         return SocketChannel.open()
                 .setOption(StandardSocketOptions.SO_REUSEADDR, true)
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -62,34 +62,34 @@
 
     private static Socket connect(SocketChannel holder) throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port(holder));
-        client.setSoTimeout(MOST_MS);
+        client.setSoTimeout(TIMEOUT_MS);
         return client;
     }
 
     /** The same, once it listens. */
     private static Socket connectOnceItListens(SocketChannel holder) throws IOException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MOST_MS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (true) {
             try {
                 return connect(holder);
             } catch (ConnectException e) {
-                assertTrue(System.nanoTime() < until, "it never listens");
+                assertTrue(System.nanoTime() < deadline, "it never listens");
             }
         }
     }
 
     private static void assertEnds(Debuggee node) throws InterruptedException {
-        assertTrue(node.process.waitFor(MOST_MS, TimeUnit.MILLISECONDS), "it does not end");
+        assertTrue(node.process.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS), "it does not end");
         assertEquals(143, node.process.exitValue(), "ended by SIGTERM in good order");
     }
 
     @Test
-    void betweenTheHookAndTheListenerItEndsAndNeverListens() throws Exception {
+    void signalBeforeTheListenerOpensEndsTheNode() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
-                SocketChannel holder = holder();
-                Debuggee node = node(server, holder)) {
-            node.stopAtEnd("java.lang.Runtime", "addShutdownHook");
-            node.awaitStop(Node.class.getName());
+                SocketChannel holder = reservePort();
+                Debuggee node = startNode(server, holder)) {
+            node.suspendAtReturn("java.lang.Runtime", "addShutdownHook");
+            node.awaitSuspended(Node.class.getName());
             node.process.toHandle().destroy();
             assertEnds(node);
             assertThrows(ConnectException.class, () -> connect(holder));
@@ -99,21 +99,21 @@
 
     /** The system has its clients wait by then, and the process does not know yet that it listens. */
     @Test
-    void asTheListenerOpensWhoConnectsIsServed() throws Exception {
+    void clientIsServedWhenTheSignalComesAsTheListenerOpens() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
-                SocketChannel holder = holder();
-                Debuggee node = node(server, holder)) {
-            node.stopAtBegin(StartupGate.class.getName(), "open");
-            Debuggee.Stop opens = node.awaitStop(Node.class.getName());
-            node.stopAtEnd("sun.nio.ch.ServerSocketChannelImpl", "bind");
-            opens.goOn();
-            Debuggee.Stop bound = node.awaitStop("io.netty.channel.socket.nio.NioServerSocketChannel");
+                SocketChannel holder = reservePort();
+                Debuggee node = startNode(server, holder)) {
+            node.suspendAtEntry(StartupGate.class.getName(), "open");
+            Debuggee.SuspendedThread opens = node.awaitSuspended(Node.class.getName());
+            node.suspendAtReturn("sun.nio.ch.ServerSocketChannelImpl", "bind");
+            opens.resume();
+            Debuggee.SuspendedThread bound = node.awaitSuspended("io.netty.channel.socket.nio.NioServerSocketChannel");
             Socket client = connect(holder);
             Site.write(client, Http.page("/api/p", "t", "15000m"));
             node.process.toHandle().destroy();
             node.awaitWaiting("drain");
-            bound.goOn();
+            bound.resume();
             ScriptedServer.next(server.requests);
             answer.countDown();
             assertEquals("late", Http.read(client.getInputStream()).body());
@@ -123,13 +123,13 @@
 
     /** Clients are served by then, and the thread that starts the process has done nothing since. */
     @Test
-    void onceItListensAndHasDoneNothingElseWhoIsTakenIsServed() throws Exception {
+    void clientIsServedWhenTheSignalComesRightAfterTheListenerOpens() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
-                SocketChannel holder = holder();
-                Debuggee node = node(server, holder)) {
-            node.stopAtEnd(StartupGate.class.getName(), "open");
-            node.stepOut(node.awaitStop(Node.class.getName()));
+                SocketChannel holder = reservePort();
+                Debuggee node = startNode(server, holder)) {
+            node.suspendAtReturn(StartupGate.class.getName(), "open");
+            node.stepOut(node.awaitSuspended(Node.class.getName()));
             Socket client = connectOnceItListens(holder);
             Site.write(client, Http.page("/api/p", "t", "15000m"));
             ScriptedServer.next(server.requests);
--- a/src/test/java/kitemux/node/TermsTest.java
+++ b/src/test/java/kitemux/node/TermsTest.java
@@ -49,7 +49,7 @@
 
     /** What an attempt tells its server is at most what is left to the client, also a further one. */
     @Test
-    void aFurtherAttemptTellsWhatIsLeft() throws Exception {
+    void retrySendsTheRemainingTime() throws Exception {
         AtomicInteger failed = new AtomicInteger();
         try (ScriptedServer one = failingAfter(300, failed);
                 ScriptedServer two = failingAfter(300, failed);
@@ -58,22 +58,22 @@
             assertEquals(200, site.ask(Http.page("/api/p", "t", "2000m")).status());
             List<Http.Message> attempts = new ArrayList<>(one.requests);
             attempts.addAll(two.requests);
-            List<Long> told = new ArrayList<>();
+            List<Long> remainingUs = new ArrayList<>();
             for (Http.Message attempt : attempts) {
-                told.add(RequestReader.parseRemainingUs(attempt.headers().get("x-remaining")));
+                remainingUs.add(RequestReader.parseRemainingUs(attempt.headers().get("x-remaining")));
             }
-            told.sort(null);
-            assertEquals(2, told.size());
+            remainingUs.sort(null);
+            assertEquals(2, remainingUs.size());
             long usedUs = (System.nanoTime() - askedAt) / 1_000;
-            assertTrue(told.get(0) <= 2_000_000 - 300_000, "after 300 ms it told " + told);
-            assertTrue(told.get(0) >= 2_000_000 - usedUs, "and no less than there was: " + told);
+            assertTrue(remainingUs.get(0) <= 2_000_000 - 300_000, "after 300 ms it told " + remainingUs);
+            assertTrue(remainingUs.get(0) >= 2_000_000 - usedUs, "and no less than there was: " + remainingUs);
         }
     }
 
     /** A window for repeats that is shorter than the deadline: a server that fails after it is the last. */
     @ParameterizedTest
     @CsvSource({"50, 2, 200", "400, 1, 502"})
-    void aKeyedRequestIsRepeatedWithinItsWindowOnly(long failsAfterMs, int attempts, int status) throws Exception {
+    void keyedRequestIsRetriedWithinItsWindowOnly(long failsAfterMs, int attempts, int status) throws Exception {
         AtomicInteger failed = new AtomicInteger();
         try (ScriptedServer one = failingAfter(failsAfterMs, failed);
                 ScriptedServer two = failingAfter(failsAfterMs, failed);
@@ -100,7 +100,7 @@
 
     /** One that comes up as the system dials again, a second later, carries what waits for it. */
     @Test
-    void aConnectionThatComesUpLateIsUsed() throws Exception {
+    void lateConnectionIsUsed() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Site site = Site.quiet()) {
             Set<Integer> filling = new HashSet<>();
@@ -132,17 +132,17 @@
 
     /** What comes on a resting connection once the node has ended it is not sent on. */
     @Test
-    void whatComesAfterARestingConnectionWasEndedIsNotSentOn() throws Exception {
+    void requestOnAClosedIdleConnectionIsNotForwarded() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
-            Socket rests = site.connect();
-            assertEquals(200, Site.ask(rests, Http.page("before")).status());
+            Socket idle = site.connect();
+            assertEquals(200, Site.ask(idle, Http.page("before")).status());
             CountDownLatch done = new CountDownLatch(1);
             site.node.drain(false, done::countDown);
-            assertEquals(-1, rests.getInputStream().read());
+            assertEquals(-1, idle.getInputStream().read());
             assertThrows(IOException.class, () -> {
-                Site.write(rests, Http.page("late"));
-                Http.read(rests.getInputStream());
+                Site.write(idle, Http.page("late"));
+                Http.read(idle.getInputStream());
             });
             assertTrue(done.await(20, TimeUnit.SECONDS));
             assertEquals(
@@ -156,18 +156,18 @@
      * just taken, which get no answer: a change counts as told 6 s later all the same.
      */
     @Test
-    void whatDiscoveryHasIsHeardWithinSixSecondsOfItsReturn() throws Exception {
+    void changesAreReceivedWithinSixSecondsOfDiscoverysReturn() throws Exception {
         int nodes = 12;
         int refusals = 7;
         List<Site> sites = new ArrayList<>();
-        List<CountDownLatch> heard = new ArrayList<>();
+        List<CountDownLatch> received = new ArrayList<>();
         List<AtomicLong> tookMs = new ArrayList<>();
         try {
             for (int i = 0; i < nodes; i++) {
                 AtomicInteger calls = new AtomicInteger();
                 AtomicLong backAt = new AtomicLong();
                 AtomicLong took = new AtomicLong();
-                CountDownLatch hears = new CountDownLatch(1);
+                CountDownLatch receivesList = new CountDownLatch(1);
                 long seed = i;
                 Site site = new Site(new ScriptedServer((request, peer) -> {
                     int call = calls.getAndIncrement();
@@ -178,20 +178,20 @@
                     } else {
                         took.compareAndSet(0, (System.nanoTime() - backAt.get()) / 1_000_000);
                         peer.write(Site.watchHead() + Site.chunk(Site.list(2, true) + "\n"));
-                        hears.countDown();
+                        receivesList.countDown();
                     }
                 }));
                 site.module = actions -> new ServiceQBalancer(site.settings, seed, actions);
                 sites.add(site.startKnowing(Site.list(1, true)));
-                heard.add(hears);
+                received.add(receivesList);
                 tookMs.add(took);
             }
-            for (CountDownLatch each : heard) {
+            for (CountDownLatch each : received) {
                 assertTrue(each.await(40, TimeUnit.SECONDS), "a node never called again");
             }
-            long most = tookMs.stream().mapToLong(AtomicLong::get).max().orElseThrow();
+            long longestMs = tookMs.stream().mapToLong(AtomicLong::get).max().orElseThrow();
             System.out.println("discovery's return is heard of after " + tookMs + " ms");
-            assertTrue(most < 6_000, "a node heard after " + most + " ms of " + tookMs);
+            assertTrue(longestMs < 6_000, "a node heard after " + longestMs + " ms of " + tookMs);
         } finally {
             for (Site site : sites) {
                 site.close();
--- a/src/test/java/kitemux/node/UnsoundNode.java
+++ b/src/test/java/kitemux/node/UnsoundNode.java
@@ -35,8 +35,8 @@
         BUDGETS_BY_NODE
     }
 
-    private static final long LATE_MS = 200;
-    private static final int ONE_OF = 10;
+    private static final long SEND_DELAY_MS = 200;
+    private static final int DEFECT_INTERVAL = 10;
 
     private UnsoundNode() {}
 
@@ -50,10 +50,10 @@
         PollingLoop loop = Node.newLoop();
         Node.Dependencies sound = Node.Dependencies.system(
                 loop, new StderrLog(), actions -> new ServiceQBalancer(config.settings(), config.seed(), actions));
-        Node.Dependencies parts =
+        Node.Dependencies dependencies =
                 switch (Defect.valueOf(args[0])) {
-                    case SENDS_ON_LATE -> new LateSender(loop, true).in(sound);
-                    case NEVER_ANSWERS -> new LateSender(loop, false).in(sound);
+                    case SENDS_ON_LATE -> new LateSender(loop, true).installIn(sound);
+                    case NEVER_ANSWERS -> new LateSender(loop, false).installIn(sound);
                     case BUDGETS_BY_NODE ->
                         new Node.Dependencies(
                                 NioNetwork.SYSTEM,
@@ -66,7 +66,7 @@
                                         config.settings(), config.seed(), actions, Double.parseDouble(args[1])),
                                 sound.transportDecorator());
                 };
-        new Node(config, loop, parts).start().sync();
+        new Node(config, loop, dependencies).start().sync();
         System.err.println("listening on " + config.listen());
     }
 
@@ -74,8 +74,8 @@
     private static final class LateSender implements Observer {
         private final EventLoop loop;
         private final boolean sends;
-        private final Map<Long, RequestInfo> held = new HashMap<>();
-        private final Set<Long> kept = new HashSet<>();
+        private final Map<Long, RequestInfo> openRequests = new HashMap<>();
+        private final Set<Long> withheldIds = new HashSet<>();
         private String server;
         private Transport<ClientRequest, kitemux.net.ServerResponse> transport;
 
@@ -84,7 +84,7 @@
             this.sends = sends;
         }
 
-        Node.Dependencies in(Node.Dependencies sound) {
+        Node.Dependencies installIn(Node.Dependencies sound) {
             return new Node.Dependencies(
                     sound.network(),
                     sound.time(),
@@ -92,31 +92,31 @@
                     this,
                     sound.connectionObserver(),
                     sound.sendGate(),
-                    actions -> around(sound.balancerFactory().apply(actions)),
+                    actions -> wrap(sound.balancerFactory().apply(actions)),
                     to -> {
                         transport = to;
                         return to;
                     });
         }
 
-        private Balancer around(Balancer module) {
+        private Balancer wrap(Balancer module) {
             return (Balancer) Proxy.newProxyInstance(
                     Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                         switch (method.getName()) {
                             case "onRequest" -> {
                                 long id = ((Balancer.Request) args[1]).id();
-                                if (id % ONE_OF == 0) {
-                                    kept.add(id);
+                                if (id % DEFECT_INTERVAL == 0) {
+                                    withheldIds.add(id);
                                     return null;
                                 }
                             }
                             case "onClientGone" -> {
-                                if (kept.remove((Long) args[1]) && sends) {
-                                    later((ClientRequest) held.get((Long) args[1]));
+                                if (withheldIds.remove((Long) args[1]) && sends) {
+                                    sendLate((ClientRequest) openRequests.get((Long) args[1]));
                                     return null;
                                 }
                             }
-                            case "onServers" -> note((Iterable<?>) args[2]);
+                            case "onServers" -> noteReadyServer((Iterable<?>) args[2]);
                             default -> {
                                 // Passed on as it is.
                             }
@@ -129,7 +129,7 @@
                     });
         }
 
-        private void note(Iterable<?> entries) {
+        private void noteReadyServer(Iterable<?> entries) {
             for (Object entry : entries) {
                 if (entry instanceof ServerEntry one && one.state() == ServerState.READY) {
                     server = one.id();
@@ -137,7 +137,7 @@
             }
         }
 
-        private void later(ClientRequest request) {
+        private void sendLate(ClientRequest request) {
             loop.schedule(
                     () -> transport.start(server, new Transport.Exchange<>() {
                         @Override
@@ -153,18 +153,18 @@
                         @Override
                         public void onEnded(Balancer.Result result, kitemux.net.ServerResponse answer) {}
                     }),
-                    LATE_MS,
+                    SEND_DELAY_MS,
                     TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void onRequestAccepted(long id, RequestInfo request) {
-            held.put(id, request);
+            openRequests.put(id, request);
         }
 
         @Override
         public void onRequestReleased(long id) {
-            held.remove(id);
+            openRequests.remove(id);
         }
     }
 }
--- a/src/test/java/kitemux/node/UpgradeTest.java
+++ b/src/test/java/kitemux/node/UpgradeTest.java
@@ -24,9 +24,9 @@
     /** SIGKILL comes the longest deadline and so much after SIGTERM, at the earliest. */
     private static final long KILL_AFTER_DEADLINE_MS = 700;
     /** Between two requests on connections that rested since the start. */
-    private static final long STEP_MS = 25;
+    private static final long SEND_INTERVAL_MS = 25;
     /** Those that send at the same instant, beside those that send one after another. */
-    private static final int CROWD = 8;
+    private static final int BURST_SIZE = 8;
 
     @TempDir
     private Path folder;
@@ -38,36 +38,36 @@
         ENDED_WITH_NO_ANSWER
     }
 
-    private record Sent(String txn, long afterMs, Outcome outcome) {}
+    private record Attempt(String txn, long afterMs, Outcome outcome) {}
 
     private static String page(String path, String txn, long deadlineMs) {
         return Http.page(path, txn, deadlineMs + "m").replace("X-Org: org\r\n", "");
     }
 
     /** A client that rested on its connection uses it once more. */
-    private static Sent use(Socket client, String txn, long deadlineMs, long termNanos) {
+    private static Attempt sendOnIdleConnection(Socket client, String txn, long deadlineMs, long termNanos) {
         long afterMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - termNanos);
         try {
             client.setSoTimeout(1);
             if (client.getInputStream().read() < 0) {
-                return new Sent(txn, afterMs, Outcome.CLOSED_UNSENT);
+                return new Attempt(txn, afterMs, Outcome.CLOSED_UNSENT);
             }
         } catch (SocketTimeoutException e) {
             // Still open, and nothing has come.
         } catch (IOException e) {
-            return new Sent(txn, afterMs, Outcome.CLOSED_UNSENT);
+            return new Attempt(txn, afterMs, Outcome.CLOSED_UNSENT);
         }
         try {
             client.setSoTimeout(20_000);
             Site.write(client, page("/api/hangs", txn, deadlineMs));
             Http.read(client.getInputStream());
-            return new Sent(txn, afterMs, Outcome.ANSWERED);
+            return new Attempt(txn, afterMs, Outcome.ANSWERED);
         } catch (IOException e) {
-            return new Sent(txn, afterMs, Outcome.ENDED_WITH_NO_ANSWER);
+            return new Attempt(txn, afterMs, Outcome.ENDED_WITH_NO_ANSWER);
         }
     }
 
-    private static ScriptedServer hanging(CountDownLatch end) throws IOException {
+    private static ScriptedServer hangingServer(CountDownLatch end) throws IOException {
         return new ScriptedServer((request, peer) -> {
             if (request.path().equals("/api/hangs")) {
                 try {
@@ -86,61 +86,61 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {250, 1_000, 3_000})
-    void whatTheOldProcessReadIsAnsweredBeforeTheEarliestKill(long deadlineMs) throws Exception {
+    void oldProcessAnswersAllReadRequestsBeforeTheEarliestKill(long deadlineMs) throws Exception {
         CountDownLatch end = new CountDownLatch(1);
         ScheduledExecutorService clock = Executors.newScheduledThreadPool(64);
-        try (ScriptedServer first = hanging(end);
-                ScriptedServer second = hanging(end);
-                SocketChannel clientsAt = NodeProcess.holder();
-                SocketChannel firstOperators = NodeProcess.holder();
-                SocketChannel secondOperators = NodeProcess.holder();
+        try (ScriptedServer first = hangingServer(end);
+                ScriptedServer second = hangingServer(end);
+                SocketChannel clientsAt = NodeProcess.reservePort();
+                SocketChannel firstOperators = NodeProcess.reservePort();
+                SocketChannel secondOperators = NodeProcess.reservePort();
                 NodeProcess old = NodeProcess.start(folder, clientsAt, firstOperators, deadlineMs, first, second)
                         .awaitListening()) {
             long killMs = deadlineMs + KILL_AFTER_DEADLINE_MS;
             List<Long> instants = new ArrayList<>();
-            for (long at = 0; at < killMs; at += STEP_MS) {
+            for (long at = 0; at < killMs; at += SEND_INTERVAL_MS) {
                 instants.add(at);
             }
-            for (int i = 0; i < CROWD; i++) {
+            for (int i = 0; i < BURST_SIZE; i++) {
                 instants.add(killMs - 235);
                 instants.add(1_515L);
             }
-            List<Socket> resting = new ArrayList<>();
+            List<Socket> idleClients = new ArrayList<>();
             for (int i = 0; i < instants.size(); i++) {
                 Socket client = old.connect();
                 assertEquals(
                         200,
                         Site.ask(client, page("/api/p", "before" + i, deadlineMs))
                                 .status());
-                resting.add(client);
+                idleClients.add(client);
             }
             try (NodeProcess next = NodeProcess.start(folder, clientsAt, secondOperators, deadlineMs, first, second)
                     .awaitListening()) {
                 next.awaitReady();
                 long termNanos = System.nanoTime();
                 old.process.toHandle().destroy();
-                List<Future<Sent>> sending = new ArrayList<>();
+                List<Future<Attempt>> sending = new ArrayList<>();
                 for (int i = 0; i < instants.size(); i++) {
-                    Socket client = resting.get(i);
+                    Socket client = idleClients.get(i);
                     String txn = "late" + i;
                     long at = termNanos + instants.get(i) * 1_000_000 - System.nanoTime();
-                    sending.add(
-                            clock.schedule(() -> use(client, txn, deadlineMs, termNanos), at, TimeUnit.NANOSECONDS));
+                    sending.add(clock.schedule(
+                            () -> sendOnIdleConnection(client, txn, deadlineMs, termNanos), at, TimeUnit.NANOSECONDS));
                 }
                 clock.schedule(
                                 () -> old.process.destroyForcibly(),
                                 termNanos + killMs * 1_000_000 - System.nanoTime(),
                                 TimeUnit.NANOSECONDS)
                         .get();
-                List<Sent> ended = new ArrayList<>();
-                for (Future<Sent> one : sending) {
-                    Sent sent = one.get(30, TimeUnit.SECONDS);
+                List<Attempt> ended = new ArrayList<>();
+                for (Future<Attempt> one : sending) {
+                    Attempt sent = one.get(30, TimeUnit.SECONDS);
                     if (sent.outcome == Outcome.ENDED_WITH_NO_ANSWER) {
                         ended.add(sent);
                     }
                 }
-                List<String> trace = old.trace();
-                List<Sent> lost = ended.stream()
+                List<String> trace = old.readTrace();
+                List<Attempt> lost = ended.stream()
                         .filter(sent ->
                                 trace.stream().anyMatch(line -> line.contains("request " + sent.txn + " taken")))
                         .toList();
--- a/src/test/java/kitemux/node/WarmUpTest.java
+++ b/src/test/java/kitemux/node/WarmUpTest.java
@@ -13,7 +13,7 @@
 class WarmUpTest {
 
     @Test
-    void requestsAreServedWithNoWordToDiscovery() throws Exception {
+    void requestsAreServedWithoutCallingDiscovery() throws Exception {
         try (Site site = Site.quiet()) {
             assertTrue(WarmUp.run(site.config(Site.list(1, true)), site.loop, new StderrLog()) > 0);
             assertEquals(0, site.discovery.connections.get());
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void littleCpuDoesNotEndItBeforeItIsWarm() throws Exception {
+    void slowLoopStillServesAllRequests() throws Exception {
         try (Site site = Site.quiet()) {
             // As on a part of a core: every turn of the loop takes some time more.
             AtomicBoolean over = new AtomicBoolean();
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aNodeThatIsClosedLeavesNothingOpen() throws Exception {
+    void closedNodeLeavesNoConnectionOpen() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
--- a/src/test/java/kitemux/node/WrittenConfigTest.java
+++ b/src/test/java/kitemux/node/WrittenConfigTest.java
@@ -28,7 +28,7 @@
  * holds in what it read.
  */
 class WrittenConfigTest {
-    private static final int MUTANTS = 4_000;
+    private static final int MUTANT_COUNT = 4_000;
     private static final String[] VALUES = {
         "0",
         "-1",
@@ -55,7 +55,7 @@
     @TempDir
     private Path folder;
 
-    private static String mutant(List<String> sound, Random random) {
+    private static String mutate(List<String> sound, Random random) {
         List<String> lines = new ArrayList<>(sound);
         for (int i = 0; i <= random.nextInt(3); i++) {
             int at = random.nextInt(lines.size());
@@ -75,7 +75,7 @@
         return String.join("\n", lines);
     }
 
-    private void holds(App app, NodeConfig read, String text) {
+    private void assertInvariants(App app, NodeConfig read, String text) {
         Map<String, RetrySafety> classes = new java.util.HashMap<>();
         for (RequestClass of : read.settings().classes) {
             classes.put(of.name(), of.retrySafety());
@@ -90,7 +90,8 @@
                     text);
         }
         app.neverTwice().forEach(name -> assertEquals(RetrySafety.UNSAFE, classes.get(name), text));
-        app.classes().forEach(work -> assertEquals(work.again(), classes.get(work.name()), text));
+        app.classes()
+                .forEach(requestClass -> assertEquals(requestClass.again(), classes.get(requestClass.name()), text));
         boolean ready = false;
         for (HostList.Host host : read.initialServers().hosts()) {
             App.Server described = app.servers().stream()
@@ -107,27 +108,28 @@
     }
 
     @Test
-    void whateverIsFoundSoundIsReadByANodeAndKeepsWhatTheRulesAreFor() throws IOException, ConfigException {
+    void nodeReadsEveryValidMutantAndItsInvariantsHold() throws IOException, ConfigException {
         List<String> sound = Arrays.asList(Files.readString(Path.of("examples", "app", "ordering-desk.hcl"))
                 .split("\n"));
         Random random = new Random(20_261_201);
         Path file = folder.resolve("config.json");
         int passed = 0;
-        for (int i = 0; i < MUTANTS; i++) {
-            String text = mutant(sound, random);
+        for (int i = 0; i < MUTANT_COUNT; i++) {
+            String text = mutate(sound, random);
             AppFile.Reading reading = AppFile.read(text);
             if (reading.findings().isEmpty()) {
                 passed++;
                 Files.writeString(file, ConfigWriter.json(reading.app(), "1"));
                 try {
-                    holds(reading.app(), NodeConfig.read(Map.of("PROXY_CONFIG", file.toString())), text);
+                    assertInvariants(reading.app(), NodeConfig.read(Map.of("PROXY_CONFIG", file.toString())), text);
                 } catch (ConfigException e) {
                     throw new AssertionError(
                             "found sound, and a node does not read it: " + e.getMessage() + "\n" + text, e);
                 }
             }
         }
-        assertTrue(passed > MUTANTS / 20, "only " + passed + " were found sound: the mutants are too broken to tell");
-        assertTrue(passed < MUTANTS, "nothing was found in any");
+        assertTrue(
+                passed > MUTANT_COUNT / 20, "only " + passed + " were found sound: the mutants are too broken to tell");
+        assertTrue(passed < MUTANT_COUNT, "nothing was found in any");
     }
 }
--- a/src/test/java/kitemux/ops/SharedFolderTest.java
+++ b/src/test/java/kitemux/ops/SharedFolderTest.java
@@ -25,81 +25,83 @@
     private static final InetSocketAddress LISTEN = new InetSocketAddress(InetAddress.getLoopbackAddress(), 8000);
 
     @TempDir
-    Path tmp;
+    Path stateFolder;
 
-    private final BlockingQueue<Map<String, Long>> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Map<String, Long>> notifications = new LinkedBlockingQueue<>();
 
-    private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
+    private static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(20, TimeUnit.SECONDS);
         assertNotNull(next, "nothing was told");
         return next;
     }
 
     /** Why it could not be done, or null, and not before the listener has been told. */
-    private static String set(SharedFolder folder, String id, boolean out) throws InterruptedException {
-        BlockingQueue<Optional<String>> done = new LinkedBlockingQueue<>();
-        folder.set(id, out, fault -> done.add(Optional.ofNullable(fault)));
-        return next(done).orElse(null);
+    private static String setDrained(SharedFolder folder, String id, boolean drained) throws InterruptedException {
+        BlockingQueue<Optional<String>> results = new LinkedBlockingQueue<>();
+        folder.setDrained(id, drained, error -> results.add(Optional.ofNullable(error)));
+        return awaitNext(results).orElse(null);
     }
 
     @Test
-    void whatOneProcessTakesOutTheNextFinds() throws Exception {
-        String odd = "../a b/\u00e9%2f";
-        try (SharedFolder first = new SharedFolder(tmp, LISTEN, told::add)) {
-            assertNull(set(first, odd, true));
-            assertEquals(Set.of(odd), told.poll().keySet());
-            assertNull(set(first, "s1", true));
-            assertNull(set(first, "s1", true));
+    void nextProcessFindsDrainedServers() throws Exception {
+        String unusualId = "../a b/\u00e9%2f";
+        try (SharedFolder first = new SharedFolder(stateFolder, LISTEN, notifications::add)) {
+            assertNull(setDrained(first, unusualId, true));
+            assertEquals(Set.of(unusualId), notifications.poll().keySet());
+            assertNull(setDrained(first, "s1", true));
+            assertNull(setDrained(first, "s1", true));
         }
-        try (SharedFolder second = new SharedFolder(tmp, LISTEN, told::add)) {
-            assertEquals(Set.of(odd, "s1"), second.atFirst().keySet());
-            assertNull(set(second, odd, false));
-            assertNull(set(second, odd, false));
+        try (SharedFolder second = new SharedFolder(stateFolder, LISTEN, notifications::add)) {
+            assertEquals(Set.of(unusualId, "s1"), second.initiallyDrained().keySet());
+            assertNull(setDrained(second, unusualId, false));
+            assertNull(setDrained(second, unusualId, false));
         }
-        try (SharedFolder third = new SharedFolder(tmp, LISTEN, told::add)) {
-            assertEquals(Set.of("s1"), third.atFirst().keySet());
+        try (SharedFolder third = new SharedFolder(stateFolder, LISTEN, notifications::add)) {
+            assertEquals(Set.of("s1"), third.initiallyDrained().keySet());
         }
     }
 
     @Test
-    void twoThatOverlapHearOfEachOthersChangesAndTakeNoneBack() throws Exception {
+    void overlappingProcessesSeeAndKeepEachOthersChanges() throws Exception {
         BlockingQueue<Map<String, Long>> toSecond = new LinkedBlockingQueue<>();
-        try (SharedFolder first = new SharedFolder(tmp, LISTEN, told::add);
-                SharedFolder second = new SharedFolder(tmp, LISTEN, toSecond::add)) {
-            second.watch();
-            assertNull(set(first, "a", true));
-            assertEquals(Set.of("a"), next(toSecond).keySet());
-            assertNull(set(second, "b", true));
-            assertNull(set(first, "a", false));
-            Map<String, Long> last = next(toSecond);
+        try (SharedFolder first = new SharedFolder(stateFolder, LISTEN, notifications::add);
+                SharedFolder second = new SharedFolder(stateFolder, LISTEN, toSecond::add)) {
+            second.startPolling();
+            assertNull(setDrained(first, "a", true));
+            assertEquals(Set.of("a"), awaitNext(toSecond).keySet());
+            assertNull(setDrained(second, "b", true));
+            assertNull(setDrained(first, "a", false));
+            Map<String, Long> last = awaitNext(toSecond);
             while (!last.keySet().equals(Set.of("b"))) {
-                last = next(toSecond);
+                last = awaitNext(toSecond);
             }
         }
     }
 
     @Test
-    void nodesAtOtherAddressesKeepTheirOwn() throws Exception {
-        try (SharedFolder here = new SharedFolder(tmp, LISTEN, told::add);
+    void nodesAtDifferentAddressesHaveSeparateState() throws Exception {
+        try (SharedFolder here = new SharedFolder(stateFolder, LISTEN, notifications::add);
                 SharedFolder there = new SharedFolder(
-                        tmp, new InetSocketAddress(InetAddress.getByName("127.0.0.2"), 8000), told::add)) {
-            assertNull(set(here, "a", true));
-            assertNull(set(there, "b", true));
-            assertEquals(Set.of("a"), told.poll().keySet());
-            assertEquals(Set.of("b"), told.poll().keySet());
+                        stateFolder,
+                        new InetSocketAddress(InetAddress.getByName("127.0.0.2"), 8000),
+                        notifications::add)) {
+            assertNull(setDrained(here, "a", true));
+            assertNull(setDrained(there, "b", true));
+            assertEquals(Set.of("a"), notifications.poll().keySet());
+            assertEquals(Set.of("b"), notifications.poll().keySet());
         }
     }
 
     @Test
-    void whoServesLastHasReplacedAllOthers() throws Exception {
+    void lastServingProcessReplacesTheOthers() throws Exception {
         BlockingQueue<IOException> failed = new LinkedBlockingQueue<>();
-        try (SharedFolder first = new SharedFolder(tmp, LISTEN, told::add);
-                SharedFolder second = new SharedFolder(tmp, LISTEN, told::add)) {
-            first.serves(failed::add);
-            set(first, "a", true);
+        try (SharedFolder first = new SharedFolder(stateFolder, LISTEN, notifications::add);
+                SharedFolder second = new SharedFolder(stateFolder, LISTEN, notifications::add)) {
+            first.markServing(failed::add);
+            setDrained(first, "a", true);
             assertFalse(first.isReplaced());
-            second.serves(failed::add);
-            set(second, "a", false);
+            second.markServing(failed::add);
+            setDrained(second, "a", false);
             assertTrue(first.isReplaced());
             assertFalse(second.isReplaced());
         }
@@ -107,15 +109,15 @@
     }
 
     @Test
-    void whatCannotBeKeptIsSaidAndChangesNothing() throws Exception {
-        try (SharedFolder folder = new SharedFolder(tmp, LISTEN, told::add)) {
+    void failedWriteIsReportedAndChangesNothing() throws Exception {
+        try (SharedFolder folder = new SharedFolder(stateFolder, LISTEN, notifications::add)) {
             Path kept;
-            try (Stream<Path> all = Files.list(tmp)) {
+            try (Stream<Path> all = Files.list(stateFolder)) {
                 kept = all.findFirst().orElseThrow();
             }
             Files.delete(kept);
-            assertNotNull(set(folder, "a", true));
-            assertTrue(told.isEmpty());
+            assertNotNull(setDrained(folder, "a", true));
+            assertTrue(notifications.isEmpty());
         }
     }
 }
--- a/src/test/java/kitemux/telemetry/RequestTraceTest.java
+++ b/src/test/java/kitemux/telemetry/RequestTraceTest.java
@@ -22,7 +22,7 @@
     @TempDir
     private Path folder;
 
-    private static final class FixedTime implements Clock {
+    private static final class ManualClock implements Clock {
         private long nowUs = 1_000;
 
         @Override
@@ -36,7 +36,7 @@
         }
     }
 
-    private record Page(String txn) implements RequestInfo {
+    private record FakeRequest(String txn) implements RequestInfo {
         @Override
         public int classIndex() {
             return 0;
@@ -53,18 +53,18 @@
         }
     }
 
-    private List<String> written() throws Exception {
+    private List<String> readTrace() throws Exception {
         try (var files = Files.list(folder)) {
             return Files.readAllLines(files.findFirst().orElseThrow());
         }
     }
 
     @Test
-    void eachStepOfARequestIsALineWithItsTimeAndId() throws Exception {
-        FixedTime time = new FixedTime();
+    void eachStepIsOneLineWithTimeAndId() throws Exception {
+        ManualClock time = new ManualClock();
         RequestTrace trace = RequestTrace.open(new TraceSettings(folder, 64), "node", time, line -> {});
         trace.connectionAccepted(1, InetSocketAddress.createUnresolved("client", 7));
-        trace.onRequestAccepted(9, new Page("t1"));
+        trace.onRequestAccepted(9, new FakeRequest("t1"));
         trace.requestReceived(1, "t1");
         trace.onAttemptStarted(9, 0, "s0", 301_000);
         time.nowUs = 301_000;
@@ -82,29 +82,30 @@
                         "301000 request t1 attempt 0 ended TIMEOUT",
                         "301000 request t1 answered FAILED",
                         "301000 connection 1 closed LAST_ANSWER"),
-                written());
+                readTrace());
     }
 
     @Test
-    void whatFindsTheQueueFullIsCounted() throws Exception {
+    void droppedLinesAreCounted() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
-        RequestTrace trace =
-                RequestTrace.open(new TraceSettings(folder, 64), "node", new FixedTime(), line -> written.countDown());
+        RequestTrace trace = RequestTrace.open(
+                new TraceSettings(folder, 64), "node", new ManualClock(), line -> written.countDown());
         for (int i = 0; i < 100_000; i++) {
             trace.connectionClosed(i, CloseReason.IDLE);
         }
         trace.close();
-        long leftOut = written().stream()
+        long droppedLines = readTrace().stream()
                 .filter(line -> line.endsWith("lines left out"))
                 .mapToLong(line -> Long.parseLong(line.split(" ")[0]))
                 .sum();
-        long told =
-                written().stream().filter(line -> line.endsWith("closed IDLE")).count();
-        assertEquals(100_000, leftOut + told);
+        long writtenLines = readTrace().stream()
+                .filter(line -> line.endsWith("closed IDLE"))
+                .count();
+        assertEquals(100_000, droppedLines + writtenLines);
     }
 
     @Test
-    void aFieldThatIsNotKnownIsAFault() throws Exception {
+    void unknownFieldAndRingOutOfRangeAreFaults() throws Exception {
         List<String> faults = new ArrayList<>();
         TraceSettings.read(Json.read("{\"folder\":\"x\",\"ring\":1,\"file\":\"y\"}".getBytes()), faults);
         assertEquals(
