--- a/src/test/java/kitemux/config/ClassArchiveTest.java
+++ b/src/test/java/kitemux/config/ClassArchiveTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whether a JVM runs with its class archive, by what proc(5) says of it. */
+/** Tests the detection of an unused class archive from the files of proc(5). */
 class ClassArchiveTest {
     private static final String COMMAND = "java\0-Xshare:auto\0-XX:SharedArchiveFile=target/a.jsa\0-jar\0x.jar\0";
 
--- a/src/test/java/kitemux/config/JsonTest.java
+++ b/src/test/java/kitemux/config/JsonTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** JSON values as they are read. */
+/** Tests how JSON values are read. */
 class JsonTest {
     private static Json read(String text) throws IOException {
         return Json.read(text.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/kitemux/deploy/DeployLines.java
+++ b/src/test/java/kitemux/deploy/DeployLines.java
@@ -15,14 +15,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Holds a deploy file against what the platform asks of its lines where a fleet is tried: a node is one
- * process that the shell has become, linked dynamically against the C library, with sockets of IPv4 alone,
- * and it starts no other program.
+ * Checks a deploy file against the rules of the platform that runs a fleet. A node must be a single process that
+ * replaces the shell, is dynamically linked against the C library, uses IPv4 sockets only and starts no other program.
  */
 final class DeployLines {
-    /** Where a shell takes more than the words of one command. */
+    /** Shell syntax beyond the words of a single command. */
     private static final Pattern SHELL_SYNTAX = Pattern.compile("[;&|<>`\\n(){}$]");
-    /** The JVM starts a shell for these, or opens a listener or a socket of its own. */
+    /** JVM options that start a shell, or that open a listener or another socket. */
     private static final List<String> FORBIDDEN_OPTIONS = List.of(
             "-XX:OnError",
             "-XX:OnOutOfMemoryError",
@@ -38,10 +37,10 @@
     private DeployLines() {}
 
     /**
-     * Every fault of a deploy file, one line each with the field, what it holds and the reason.
+     * Returns all faults of a deploy file, one line each with the field, its value and the reason.
      *
-     * @param path folders in which programs are looked for, as in the environment's PATH
-     * @throws IOException if the file cannot be read or is no TOML
+     * @param path folders in which programs are searched, as in the environment variable PATH
+     * @throws IOException if the file cannot be read or is not TOML
      */
     static List<String> findFaults(String toml, List<Path> path) throws IOException {
         JsonNode file = new TomlMapper().readTree(toml);
@@ -90,7 +89,7 @@
         }
     }
 
-    /** What is wrong with a program, or null. */
+    /** Returns what is wrong with a program, or null. */
     private static String programFault(String program, List<Path> path) throws IOException {
         Path found = program.contains("/")
                 ? Path.of(program)
@@ -105,7 +104,7 @@
         ByteBuffer bytes = ByteBuffer.allocate(64 << 10);
         try (FileChannel file = FileChannel.open(found, StandardOpenOption.READ)) {
             while (bytes.hasRemaining() && file.read(bytes) >= 0) {
-                // Until the buffer is full or the file at its end.
+                // Reads until the buffer is full or the file ends.
             }
         }
         bytes.flip();
@@ -120,7 +119,7 @@
                 : program + " is not the JVM: a wrapper may start the node as a second process";
     }
 
-    /** Whether one of the program headers of a 64-bit ELF file names a dynamic linker. */
+    /** Returns whether a program header of a 64-bit ELF file names a dynamic linker. */
     private static boolean hasInterpreter(ByteBuffer elf) {
         long first = elf.getLong(32);
         int size = Short.toUnsignedInt(elf.getShort(54));
--- a/src/test/java/kitemux/deploy/DeployLinesTest.java
+++ b/src/test/java/kitemux/deploy/DeployLinesTest.java
@@ -26,11 +26,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the platform asks of the deploy file's lines, and of what a node calls. */
+/** Tests the platform's rules for the lines of the deploy file and for the calls that a node makes. */
 class DeployLinesTest {
     private static final List<Path> SEARCH_PATH =
             Arrays.stream(System.getenv("PATH").split(":")).map(Path::of).toList();
-    /** The folders that the deploy file names as the node's, and the decisions. */
+    /** The packages that the deploy file lists as the node's, and the balancer's package. */
     private static final String[] NODE_PACKAGES = {
         "kitemux",
         "kitemux.config",
@@ -115,9 +115,12 @@
         Files.setPosixFilePermissions(folder.resolve(name), PosixFilePermissions.fromString("rwxr-xr-x"));
     }
 
-    // ---------------------------------------------------------------- what a node calls
+    // ---------------------------------------------------------------- calls that a node makes
 
-    /** Refused where a fleet is tried: other programs, sendfile and splice, Unix sockets, native loops. */
+    /**
+     * Rejects calls that the platform refuses: starting programs, sendfile and splice, Unix sockets, and native event
+     * loops.
+     */
     private static ArchRule usesNoForbiddenCalls(String... packages) {
         return ArchRuleDefinition.noClasses()
                 .that()
--- a/src/test/java/kitemux/node/ConfigFormatterTest.java
+++ b/src/test/java/kitemux/node/ConfigFormatterTest.java
@@ -25,16 +25,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is written for a node is what a node reads. */
+/** Tests that a node reads a formatted configuration back with the same values. */
 class ConfigFormatterTest {
-    /** The simulator's alone. */
+    /** Fields that only the simulator uses, which are not written. */
     private static final Set<String> SIMULATOR_ONLY_FIELDS =
             Set.of("worthByWork", "probes", "tickUs", "askWithinUs", "crossZonePrice", "warmKeys", "reportFields");
 
     @TempDir
     private Path folder;
 
-    /** No field is as it is where nothing is written. */
+    /** Returns settings in which every written field differs from its default. */
     private static Settings settings() {
         Settings set = new Settings();
         set.nodes = 7;
@@ -82,7 +82,8 @@
         for (Field field : Settings.class.getFields()) {
             if (!SIMULATOR_ONLY_FIELDS.contains(field.getName())) {
                 assertEquals(field.get(written), field.get(read), field.getName());
-                assertNotEquals(field.get(defaults), field.get(written), field.getName() + " would pass unwritten");
+                assertNotEquals(
+                        field.get(defaults), field.get(written), field.getName() + " would pass without being written");
             }
         }
     }
--- a/src/test/java/kitemux/node/Debuggee.java
+++ b/src/test/java/kitemux/node/Debuggee.java
@@ -29,12 +29,12 @@
 import java.util.function.Consumer;
 
 /**
- * A process under a debugger, which stops single threads of it at points of their code while the others run
- * on: so that a test forces an order between threads of another process, with nothing in the program for it.
+ * A process under a debugger that suspends single threads at points of their code while the others run. Tests use it to
+ * force an order between the threads of another process without hooks in the program.
  */
 final class Debuggee implements AutoCloseable {
     private static final long TIMEOUT_MS = 30_000;
-    /** The opcodes ireturn to return, which end a method. */
+    /** The first and last of the opcodes ireturn to return, which end a method. */
     private static final int FIRST_RETURN_OPCODE = 0xac;
 
     private static final int LAST_RETURN_OPCODE = 0xb1;
@@ -42,7 +42,7 @@
     final Process process;
     private final VirtualMachine machine;
 
-    /** A thread that stands still; the others run. */
+    /** A suspended thread; the other threads run. */
     record SuspendedThread(EventSet event, ThreadReference thread) {
         void resume() {
             event.resume();
@@ -54,7 +54,11 @@
         this.machine = machine;
     }
 
-    /** Starts it; it runs once a stop is awaited. The command's first word is the JVM. */
+    /**
+     * Starts a process, which is suspended until {@link #awaitSuspended} is called.
+     *
+     * @param command the command line; its first word is the JVM
+     */
     static Debuggee start(List<String> command, Map<String, String> env)
             throws IOException, IllegalConnectorArgumentsException {
         ListeningConnector connector = Bootstrap.virtualMachineManager().listeningConnectors().stream()
@@ -82,12 +86,12 @@
         }
     }
 
-    /** The next thread that comes to the begin of a method stands still there. */
+    /** Suspends the next thread that enters a method. */
     void suspendAtEntry(String type, String method) {
         suspendAt(type, method, false);
     }
 
-    /** The next thread that is about to return from a method stands still there. */
+    /** Suspends the next thread that is about to return from a method. */
     void suspendAtReturn(String type, String method) {
         suspendAt(type, method, true);
     }
@@ -101,7 +105,7 @@
         machine.classesByName(type).forEach(each -> setBreakpoint(each, method, end));
     }
 
-    /** Until a thread stands still that was called from a method of this class. */
+    /** Waits until a thread is suspended in a method that a method of this class called. */
     @SuppressWarnings("unchecked")
     SuspendedThread awaitSuspended(String caller) throws InterruptedException, IncompatibleThreadStateException {
         return awaitEvent(event -> {
@@ -121,14 +125,16 @@
         Method method = type.methodsByName(name).get(0);
         byte[] code = method.bytecodes();
         int last = code[code.length - 1] & 0xff;
-        assertTrue(!end || last >= FIRST_RETURN_OPCODE && last <= LAST_RETURN_OPCODE, method + " ends otherwise");
+        assertTrue(
+                !end || last >= FIRST_RETURN_OPCODE && last <= LAST_RETURN_OPCODE,
+                method + " does not end with a return instruction");
         EventRequest request = machine.eventRequestManager()
                 .createBreakpointRequest(method.locationOfCodeIndex(end ? code.length - 1 : 0));
         request.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
         request.enable();
     }
 
-    /** A thread that stands still goes on to where its method was called, and stands still there. */
+    /** Resumes a suspended thread and suspends it again when its method has returned to the caller. */
     SuspendedThread stepOut(SuspendedThread from) throws InterruptedException, IncompatibleThreadStateException {
         StepRequest step = machine.eventRequestManager()
                 .createStepRequest(from.thread(), StepRequest.STEP_MIN, StepRequest.STEP_OUT);
@@ -140,7 +146,7 @@
         return stop;
     }
 
-    /** What is asked of events. */
+    /** A condition on debugger events. */
     private interface EventCondition {
         boolean matches(Event event) throws IncompatibleThreadStateException;
     }
@@ -151,7 +157,7 @@
         while (true) {
             EventSet events = machine.eventQueue()
                     .remove(Math.max(1, TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime())));
-            assertTrue(events != null, "nothing comes to where it should stop");
+            assertTrue(events != null, "no thread reached the breakpoint");
             for (Event event : events) {
                 if (condition.matches(event)) {
                     return new SuspendedThread(events, ((LocatableEvent) event).thread());
@@ -161,7 +167,7 @@
         }
     }
 
-    /** Until a thread of this name waits for another; throws if the process ends before. */
+    /** Waits until a thread of this name waits on a monitor. Fails if the process ends before. */
     void awaitWaiting(String name) {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         try {
--- a/src/test/java/kitemux/node/FailedStartTest.java
+++ b/src/test/java/kitemux/node/FailedStartTest.java
@@ -11,14 +11,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A start whose system calls fail ends with a line and a code. */
+/** Tests that a start whose system calls fail ends the process with a message and an exit code. */
 class FailedStartTest {
     private static final int TIMEOUT_S = 25;
 
     @TempDir
     private Path folder;
 
-    /** Guards against a process that lives on and never listens: the address fails as it warms up (EADDRNOTAVAIL). */
+    /**
+     * Guards against a process that stays alive without listening because binding its address fails during the warm-up
+     * (EADDRNOTAVAIL).
+     */
     @Test
     void failedWarmUpEndsTheProcessWithMessageAndExitCode() throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), """
@@ -37,12 +40,12 @@
         builder.environment().put("PROXY_CONFIG", config.toString());
         Process process = builder.redirectErrorStream(true).start();
         try {
-            assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "it lives and does not listen");
+            assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "the process is alive and does not listen");
             List<String> lines = process.inputReader().lines().toList();
-            assertEquals(1, process.exitValue(), () -> "it said " + lines);
+            assertEquals(1, process.exitValue(), () -> "output: " + lines);
             assertTrue(
                     lines.stream().anyMatch(line -> line.startsWith("kitemux: the start failed: ")),
-                    () -> "it said " + lines);
+                    () -> "output: " + lines);
         } finally {
             process.destroyForcibly();
         }
--- a/src/test/java/kitemux/node/GrowthTest.java
+++ b/src/test/java/kitemux/node/GrowthTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a node keeps after a long day of servers, clients and requests that are ever new. */
+/** Guards against memory growth: the node must keep nothing of servers, clients and requests that are gone. */
 class GrowthTest {
     private static final int ROUND_COUNT = 150;
-    /** These hold what the configuration says, for good. */
+    /** Types whose collections hold the configuration for the life of the node. */
     private static final Set<String> CONFIGURATION_TYPES =
             Set.of("Settings", "NodeConfig", "RequestReader", "HostList", "Discovery");
 
-    /** How much every table holds that can be reached from here through the node's own classes. */
+    /** Returns the sizes of all collections that are reachable through the node's own classes. */
     private static Map<String, Integer> collectionSizes(Object root) throws IllegalAccessException {
         Map<String, Integer> sizes = new TreeMap<>();
         collectSizes(root, new IdentityHashMap<>(), sizes);
@@ -51,7 +51,7 @@
         }
     }
 
-    /** The elements; of a list of tables, those of all together. */
+    /** Returns the number of elements, counted through nested collections. */
     private static int size(Object table) {
         Collection<?> all = table instanceof Map<?, ?> map ? map.values() : (Collection<?>) table;
         int size = 0;
@@ -75,7 +75,7 @@
             ScriptedServer.Peer watch = ScriptedServer.next(site.discovery.answeredPeers);
             Set<Integer> seen = new HashSet<>();
             for (int i = 1; i <= ROUND_COUNT; i++) {
-                // The next server comes under a new id to the address of the one that goes.
+                // The next server has a new id at the address of the one that is removed.
                 watch.write(Site.chunk(Site.list(
                                 i + 1,
                                 false,
--- a/src/test/java/kitemux/node/LiveSettingsTest.java
+++ b/src/test/java/kitemux/node/LiveSettingsTest.java
@@ -14,6 +14,7 @@
 import kitemux.Balancer.Tenant;
 import org.junit.jupiter.api.Test;
 
+/** Tests which settings of a pushed configuration a running node applies. */
 class LiveSettingsTest {
     private static final RequestClass PAGE =
             new RequestClass("page", 100, 0, 500, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 0, false);
@@ -57,7 +58,7 @@
         assertSame(ORDER, settings.classes.get(1));
         assertEquals(0.75, settings.overShareWorth);
         assertEquals(3, settings.maxAttempts);
-        // What a later version does not name any more is as the file has it again.
+        // Values that a later version does not name return to the file's.
         liveSettings.apply(Map.of());
         assertEquals(List.of(new Tenant("a", 1), new Tenant("b", 2)), settings.tenants);
         assertEquals(List.of(PAGE, ORDER), settings.classes);
--- a/src/test/java/kitemux/node/NodeConfigTest.java
+++ b/src/test/java/kitemux/node/NodeConfigTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a node is told at its start. */
+/** Tests how a node reads its configuration at its start. */
 class NodeConfigTest {
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
--- a/src/test/java/kitemux/node/NodeProcess.java
+++ b/src/test/java/kitemux/node/NodeProcess.java
@@ -20,7 +20,7 @@
 import java.util.stream.Stream;
 import kitemux.cli.Main;
 
-/** A process that runs {@code kitemux node}, with a trace of its requests and an address for operators. */
+/** A process that runs {@code kitemux node} with a request trace and a management address. */
 final class NodeProcess implements AutoCloseable {
     private static final int TIMEOUT_S = 25;
 
@@ -41,7 +41,7 @@
         reader.start();
     }
 
-    /** Keeps a port for processes that are yet to listen on it. */
+    /** Reserves a port for processes that will listen on it later. */
     static SocketChannel reservePort() throws IOException {
         return SocketChannel.open()
                 .setOption(StandardSocketOptions.SO_REUSEADDR, true)
@@ -49,11 +49,11 @@
     }
 
     /**
-     * Starts a process; it does not listen yet.
+     * Starts a process and returns before it listens.
      *
-     * @param folder shared by all processes of one node
-     * @param deadlineMs the longest deadline of any class
-     * @param servers the servers that it knows, s0, s1, ...
+     * @param folder folder shared by all processes of one node
+     * @param deadlineMs the longest deadline of any class, in milliseconds
+     * @param servers the initial servers, named s0, s1, ...
      */
     static NodeProcess start(
             Path folder, SocketChannel clientsAt, SocketChannel operatorsAt, long deadlineMs, ScriptedServer... servers)
@@ -100,16 +100,16 @@
                 }
             });
         } catch (IOException | UncheckedIOException e) {
-            lines.add("its output broke: " + e);
+            lines.add("its output could not be read: " + e);
         }
     }
 
     NodeProcess awaitListening() throws InterruptedException {
-        assertTrue(listening.await(TIMEOUT_S, TimeUnit.SECONDS), () -> "it never listens: " + lines);
+        assertTrue(listening.await(TIMEOUT_S, TimeUnit.SECONDS), () -> "the process did not listen: " + lines);
         return this;
     }
 
-    /** Returns once operators are told that it takes clients. */
+    /** Waits until the readiness call reports that the process accepts clients. */
     void awaitReady() throws IOException {
         int status;
         do {
@@ -127,7 +127,7 @@
         return client;
     }
 
-    /** What this process has traced so far. */
+    /** Returns the lines that this process has traced so far. */
     List<String> readTrace() throws IOException {
         try (Stream<Path> files = Files.list(traces)) {
             Path file = files.filter(each -> each.toString().endsWith("-" + process.pid() + ".trace"))
--- a/src/test/java/kitemux/node/NodeTest.java
+++ b/src/test/java/kitemux/node/NodeTest.java
@@ -33,11 +33,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A node as a whole. */
+/** Tests a whole node, in this process or as a process of its own. */
 class NodeTest {
     private static final String JAVA = ProcessHandle.current().info().command().orElseThrow();
 
-    /** A module that breaks the first time that it is told of this event. */
+    /** Returns a balancer that throws an exception on the first call of one method. */
     static Balancer breaking(Balancer sound, String event) {
         boolean[] broken = {false};
         return (Balancer) Proxy.newProxyInstance(
@@ -57,7 +57,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"onRequest", "onOutcome"})
     void exceptionInTheBalancerFailsOneRequestOnly(String event) throws Exception {
-        // Neither answer is a success, so that the node owes the client its own.
+        // Neither response is a success, so the client receives the node's own.
         try (ScriptedServer server = new ScriptedServer((request, peer) -> peer.write(Http.answer("500 No", "", "")));
                 Site site = Site.quiet()) {
             site.module = actions -> breaking(new ServiceQBalancer(site.settings, 7, actions), event);
@@ -76,7 +76,7 @@
         return Files.move(next, folder.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** A node as a process, which is told of discovery by the environment as well. */
+    /** Starts a node process whose environment names the address of discovery too. */
     private static Process startWithDiscovery(Path config, String discovery, String... flags) throws Exception {
         return start(config, Map.of("PROXY_DISCOVERY", discovery), flags);
     }
@@ -96,7 +96,7 @@
         while (line != null && !line.contains(part)) {
             line = lines.readLine();
         }
-        assertNotNull(line, "no line says " + part);
+        assertNotNull(line, "no line contains " + part);
     }
 
     private static void sendSighup(Process process) throws Exception {
@@ -116,7 +116,9 @@
         }
     }
 
-    /** What a JVM cannot read of them it only complains of, and goes on without. */
+    /**
+     * Guards against flags that a JVM does not understand: it reports some of them with a warning only and continues.
+     */
     @Test
     void jvmAcceptsTheDeploymentsFlags() throws Exception {
         Matcher run = Pattern.compile("^run = \"exec java (.*) -jar ", Pattern.MULTILINE)
@@ -146,7 +148,7 @@
         }
     }
 
-    /** A second word that it is to end changes nothing: who is served is served to the end. */
+    /** Guards against requests cut off by a second SIGTERM: requests in flight are still answered. */
     @Test
     void secondSigtermDoesNotCutRequestsOff(@TempDir Path folder) throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -165,7 +167,7 @@
                     status = ask(client.getPort(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")
                             .status();
                 }
-                assertEquals(503, status, "it has heard the first time");
+                assertEquals(503, status, "the first signal must be in force");
                 new ProcessBuilder("kill", "-TERM", Long.toString(process.pid()))
                         .start()
                         .waitFor();
@@ -179,7 +181,9 @@
         }
     }
 
-    /** What the agent has counts as told from the first moment of a process: none is served before that. */
+    /**
+     * Guards against serving by an outdated list: a change counts as received from the first moment of a process on.
+     */
     @Test
     void noRequestIsServedBeforeTheFirstPushedList(@TempDir Path folder) throws Exception {
         CountDownLatch served = new CountDownLatch(1);
@@ -188,7 +192,7 @@
                 ScriptedServer agent = new ScriptedServer((request, peer) -> {
                     peer.write(Site.watchHead());
                     try {
-                        // A node that serves before it has heard is given the time to do so.
+                        // Gives a node that wrongly serves before the list arrives the time to do so.
                         served.await(500, TimeUnit.MILLISECONDS);
                     } catch (InterruptedException e) {
                         throw new IOException(e);
@@ -204,7 +208,7 @@
             Path config = configureWithServer(folder, "s0=" + drains.endpoint() + "=Ready", "pushed", "500000");
             Process process = start(config, Map.of("PROXY_DISCOVERY", agent.endpoint()));
             try {
-                // The agent is called as the process warms up, which takes longer than that on some machines.
+                // The process calls the agent during its warm-up, which takes longer than that delay on some machines.
                 int port = listeningPort(process, process.inputReader());
                 assertEquals("ready", ask(port, Http.page("t")).body());
                 served.countDown();
@@ -258,7 +262,7 @@
         }
     }
 
-    /** Made by this JVM, of its own classes alone. */
+    /** Creates an archive with this JVM, of the JDK's classes only. */
     private static Path createArchive(Path folder) throws Exception {
         Path archive = folder.resolve("node.jsa");
         Process dump = new ProcessBuilder(JAVA, "-Xshare:dump", "-XX:SharedArchiveFile=" + archive)
@@ -269,12 +273,12 @@
         return archive;
     }
 
-    /** Another JVM's differs in the name that it puts at the front. */
+    /** Changes the JVM's name in the archive's header, as in an archive of another JVM. */
     private static void changeJvmName(Path archive) throws Exception {
         byte[] bytes = Files.readAllBytes(archive);
         String head = new String(bytes, 0, 4096, StandardCharsets.ISO_8859_1);
         int name = head.indexOf("64-Bit Server VM");
-        assertTrue(name > 0, "an archive names its JVM");
+        assertTrue(name > 0, "the archive's header must name its JVM");
         bytes[name] = '9';
         Files.delete(archive);
         Files.write(archive, bytes);
@@ -370,9 +374,9 @@
         }
     }
 
-    // ---------------------------------------------------------------- a second process in place of the first
+    // ---------------------------------------------------------------- a second process that replaces the first
 
-    /** Holds a port that processes are to share, without listening at it. */
+    /** Reserves a port that several processes share, without listening on it. */
     private static SocketChannel reserveSharedPort() throws Exception {
         SocketChannel holder = SocketChannel.open();
         return holder.setOption(StandardSocketOptions.SO_REUSEADDR, true)
@@ -450,7 +454,8 @@
                                 "in",
                                 ask(port(clients), Http.page("t" + asked++)).body());
                     } catch (IOException e) {
-                        // The system resets what waits at a listener that closes: a client asks once more.
+                        // The system resets connections in the backlog of a listener that closes, so the client
+                        // retries.
                         crossed++;
                     }
                 }
@@ -465,7 +470,7 @@
             } finally {
                 processes.forEach(Process::destroyForcibly);
             }
-            assertEquals(0, out.requests.size(), "out for both");
+            assertEquals(0, out.requests.size(), "the drained server must receive nothing from either process");
         }
     }
 }
--- a/src/test/java/kitemux/node/OperatorsTest.java
+++ b/src/test/java/kitemux/node/OperatorsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What operators do to a node over its second address. */
+/** Tests the operators' calls to a node's management address. */
 class OperatorsTest {
     private static final String UP = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
 
@@ -47,7 +47,7 @@
         return metrics;
     }
 
-    // ---------------------------------------------------------------- servers out by hand
+    // ---------------------------------------------------------------- servers drained by hand
 
     @Test
     void drainedServerReceivesNoNewRequestsUntilRestored() throws Exception {
@@ -61,7 +61,7 @@
             assertEquals(1, metrics(site).get("node.targets_disabled"));
             assertEquals(200, site.call("POST", "/ops/servers/up/s0").status());
             assertEquals(0, metrics(site).get("node.targets_disabled"));
-            // Taken for cold, it has its turn a little later.
+            // The restored server counts as cold, so the request waits a little.
             assertEquals(200, site.ask(Http.page("/api/back", "back", "4000m")).status());
             assertEquals(2, server.requests.size());
         }
@@ -79,7 +79,7 @@
             ScriptedServer.next(first.requests);
             assertEquals(200, site.call("POST", "/ops/servers/down/s0").status());
             answer.countDown();
-            // What it has is still answered: out means that nothing new goes there.
+            // Requests in flight are still answered: a drained server only receives no new ones.
             assertEquals("late", Http.read(client.getInputStream()).body());
             assertEquals(200, site.call("POST", "/ops/servers/up/s1").status());
             assertEquals(
@@ -120,11 +120,11 @@
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             assertEquals(status, site.call(method, path).status());
-            assertEquals(200, site.ask(Http.page("t")).status(), "and changes nothing");
+            assertEquals(200, site.ask(Http.page("t")).status(), "the call must change nothing");
         }
     }
 
-    // ---------------------------------------------------------------- clients sent away
+    // ---------------------------------------------------------------- clients drained
 
     @Test
     void clientsAreDrainedAndAcceptedAgain() throws Exception {
@@ -143,13 +143,13 @@
             Http.Message up = site.ask(UP);
             assertEquals(503, up.status());
             assertEquals("close", up.headers().get("connection"));
-            assertEquals(-1, idle.getInputStream().read(), "what is idle ends");
-            assertEquals(-1, silent.getInputStream().read(), "also where nothing was ever asked");
+            assertEquals(-1, idle.getInputStream().read(), "idle connections are closed");
+            assertEquals(-1, silent.getInputStream().read(), "also connections without any request");
             answer.countDown();
             Http.Message last = Http.read(held.getInputStream());
             assertEquals("late", last.body());
             assertEquals("close", last.headers().get("connection"));
-            // Whoever still comes is served.
+            // Requests that still arrive are served.
             assertEquals("late", site.ask(Http.page("stray")).body());
             assertEquals(200, site.call("POST", "/ops/drain/stop").status());
             Socket client = site.connect();
@@ -160,7 +160,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- figures
+    // ---------------------------------------------------------------- metrics
 
     @Test
     void metricsCountRequestsByClassAndOutcome() throws Exception {
@@ -221,7 +221,7 @@
             for (Socket client : clients) {
                 refused += Http.read(client.getInputStream()).status() == 503 ? 1 : 0;
             }
-            assertTrue(refused > 0, "no room for all");
+            assertTrue(refused > 0, "some requests must be rejected");
             assertEquals(refused, metrics(site).get("node.replies.page.overload"));
         }
     }
@@ -238,8 +238,8 @@
                 Site.write(silent.get(i), "POST /ops/drain/start HTTP/1.1\r\nHost: ops\r\n");
             }
             assertEquals(200, site.call("GET", "/ops/readiness").status());
-            assertEquals(-1, silent.get(0).getInputStream().read(), "the oldest makes room");
-            assertEquals(200, site.ask(UP).status(), "what is not complete is not done");
+            assertEquals(-1, silent.get(0).getInputStream().read(), "the oldest connection is closed");
+            assertEquals(200, site.ask(UP).status(), "an incomplete call has no effect");
         }
     }
 
@@ -257,10 +257,10 @@
                     "ab")) {
                 Site.write(caller, piece);
             }
-            assertEquals(200, site.ask(UP).status(), "not before its last byte");
+            assertEquals(200, site.ask(UP).status(), "the call must not run before its last byte");
             Site.write(caller, "cPOST /ops/drain/stop HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n");
             assertEquals(200, Http.read(caller.getInputStream()).status());
-            assertEquals(-1, caller.getInputStream().read(), "one call a connection");
+            assertEquals(-1, caller.getInputStream().read(), "a connection serves one call");
             assertEquals(503, site.ask(UP).status());
         }
     }
--- a/src/test/java/kitemux/node/ReadinessTest.java
+++ b/src/test/java/kitemux/node/ReadinessTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Processes that start at once are ready whatever discovery has for them. */
+/** Tests that processes that start at the same time become ready whatever the state of discovery. */
 class ReadinessTest {
     private static final int NODE_COUNT = 3;
     private static final int TIMEOUT_S = 25;
@@ -30,7 +30,7 @@
     @TempDir
     private Path folder;
 
-    /** Discovery with more callers than it serves, until it is let. */
+    /** Discovery with more callers than it can serve, until it is released. */
     private static final class OverloadedDiscovery implements AutoCloseable {
         private final CountDownLatch released = new CountDownLatch(1);
         private final ScriptedServer calls;
@@ -52,7 +52,7 @@
                 }
                 peer.write(Site.watchHead() + Site.chunk(list + "\n"));
             });
-            // One more than is given is taken, and the next ones get no answer.
+            // The system accepts one connection more than the backlog; further ones get no response.
             for (int i = 0; i < 4; i++) {
                 SocketChannel one = SocketChannel.open();
                 one.configureBlocking(false);
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Until then discovery has answered none: what they serve by is the list that they began with. */
+    /** Discovery answers no call during the test, so the processes serve by their initial list. */
     @ParameterizedTest
     @CsvSource({
         "on_request, answers none",
--- a/src/test/java/kitemux/node/SignalAtStartupTest.java
+++ b/src/test/java/kitemux/node/SignalAtStartupTest.java
@@ -21,14 +21,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** SIGTERM in each of the moments in which a process begins to listen, forced by a debugger. */
+/** Tests SIGTERM at each step of the start of the listener; a debugger forces the order of the threads. */
 class SignalAtStartupTest {
     private static final int TIMEOUT_MS = 20_000;
 
     @TempDir
     private Path folder;
 
-    /** A node that knows one server, and the port that it is to listen on. */
+    /** Starts a node that has one server and listens on the reserved port. */
     private Debuggee startNode(ScriptedServer server, SocketChannel holder) throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), """
                 {"listen":"127.0.0.1:%d","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":256},
@@ -49,7 +49,7 @@
                 Map.of("PROXY_CONFIG", config.toString()));
     }
 
-    /** Keeps a port for a process that is yet to listen. */
+    /** Reserves a port for a process that will listen on it later. */
     private static SocketChannel reservePort() throws IOException {
         return SocketChannel.open()
                 .setOption(StandardSocketOptions.SO_REUSEADDR, true)
@@ -66,20 +66,20 @@
         return client;
     }
 
-    /** The same, once it listens. */
+    /** Connects once the process listens. */
     private static Socket connectOnceItListens(SocketChannel holder) throws IOException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (true) {
             try {
                 return connect(holder);
             } catch (ConnectException e) {
-                assertTrue(System.nanoTime() < deadline, "it never listens");
+                assertTrue(System.nanoTime() < deadline, "the process did not listen");
             }
         }
     }
 
     private static void assertEnds(Debuggee node) throws InterruptedException {
-        assertTrue(node.process.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS), "it does not end");
+        assertTrue(node.process.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS), "the process did not end");
         assertEquals(143, node.process.exitValue(), "ended by SIGTERM in good order");
     }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    /** The system has its clients wait by then, and the process does not know yet that it listens. */
+    /** The system already accepts connections, and the process does not know yet that it listens. */
     @Test
     void clientIsServedWhenTheSignalComesAsTheListenerOpens() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Clients are served by then, and the thread that starts the process has done nothing since. */
+    /** Clients are already served, and the thread that starts the process has not continued since. */
     @Test
     void clientIsServedWhenTheSignalComesRightAfterTheListenerOpens() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
--- a/src/test/java/kitemux/node/Site.java
+++ b/src/test/java/kitemux/node/Site.java
@@ -26,20 +26,20 @@
 import kitemux.net.Addresses;
 import kitemux.net.PollingLoop;
 
-/** A node on loopback sockets with the servers that its list names and a discovery that a test plays. */
+/** A node on loopback sockets, with the servers of its list and a discovery that the test scripts. */
 final class Site implements AutoCloseable {
     final Settings settings = new Settings();
     final ScriptedServer discovery;
     final PollingLoop loop = Node.newLoop();
     int sockets = 256;
     long connIdleUs = 60_000_000;
-    /** Where a process of the node leaves word for the next one. */
+    /** Folder for the state that processes of one node share. */
     Path folder = Path.of("");
-    /** Where operators call; null for nowhere. */
+    /** The management address; null for none. */
     InetSocketAddress operators;
-    /** The decision module; a test may put a faulty one in its place. */
+    /** Creates the balancer; a test may replace it with a faulty one. */
     Function<Balancer.Actions, Balancer> module;
-    /** Where the node says what operators are to know. */
+    /** Receives the node's log. */
     Log log = new StderrLog();
 
     Node node;
@@ -65,7 +65,7 @@
         return new RequestClass(name, 1_000_000, 0, 5_000_000, 1, 0, repeat, group, 1_200_000, false);
     }
 
-    /** A site whose discovery opens a watch and says nothing on it. */
+    /** Creates a site whose discovery opens a watch and sends nothing on it. */
     static Site quiet() throws IOException {
         return new Site(new ScriptedServer((request, peer) -> peer.write(watchHead())));
     }
@@ -78,7 +78,7 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** A list whose entries are id=endpoint=state. */
+    /** Formats a server list; each entry is id=endpoint=state. */
     static String list(int rev, boolean all, String... entries) {
         StringBuilder targets = new StringBuilder();
         for (String entry : entries) {
@@ -134,7 +134,9 @@
         return client;
     }
 
-    /** Waits until no connection is taken: the system closes the listener a moment after the loop has. */
+    /**
+     * Waits until no connection is accepted. The system closes the listener slightly later than the event loop does.
+     */
     void awaitNoneTaken() {
         assertTimeoutPreemptively(
                 Duration.ofSeconds(20),
@@ -155,12 +157,12 @@
         client.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A call of an operator's, on a connection of its own. */
+    /** Makes a management call on a new connection. */
     Http.Message call(String method, String path) throws IOException {
         return ask(callers(), method + " " + path + " HTTP/1.1\r\nHost: ops\r\nContent-Length: 0\r\n\r\n");
     }
 
-    /** A connection to where operators call. */
+    /** Opens a connection to the management address. */
     Socket callers() throws IOException {
         Socket caller = new Socket(operators.getAddress(), operators.getPort());
         caller.setSoTimeout(20_000);
@@ -168,7 +170,7 @@
         return caller;
     }
 
-    /** One request on a connection of its own. */
+    /** Sends one request on a new connection and returns the response. */
     Http.Message ask(String request) throws IOException {
         return ask(connect(), request);
     }
--- a/src/test/java/kitemux/node/TermsTest.java
+++ b/src/test/java/kitemux/node/TermsTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Single sentences of the operators' page that no other test forces over real sockets. */
+/** Tests guarantees of the operators' page over real sockets that no other test covers. */
 @Timeout(60)
 class TermsTest {
 
@@ -47,7 +47,7 @@
         });
     }
 
-    /** What an attempt tells its server is at most what is left to the client, also a further one. */
+    /** Guards against retries that grant the server more time than the client has left. */
     @Test
     void retrySendsTheRemainingTime() throws Exception {
         AtomicInteger failed = new AtomicInteger();
@@ -65,12 +65,14 @@
             remainingUs.sort(null);
             assertEquals(2, remainingUs.size());
             long usedUs = (System.nanoTime() - askedAt) / 1_000;
-            assertTrue(remainingUs.get(0) <= 2_000_000 - 300_000, "after 300 ms it told " + remainingUs);
-            assertTrue(remainingUs.get(0) >= 2_000_000 - usedUs, "and no less than there was: " + remainingUs);
+            assertTrue(remainingUs.get(0) <= 2_000_000 - 300_000, "after 300 ms it sent " + remainingUs);
+            assertTrue(
+                    remainingUs.get(0) >= 2_000_000 - usedUs,
+                    "and no less than the time that was left: " + remainingUs);
         }
     }
 
-    /** A window for repeats that is shorter than the deadline: a server that fails after it is the last. */
+    /** The retry window is shorter than the deadline: after it has passed, a failed attempt is not retried. */
     @ParameterizedTest
     @CsvSource({"50, 2, 200", "400, 1, 502"})
     void keyedRequestIsRetriedWithinItsWindowOnly(long failsAfterMs, int attempts, int status) throws Exception {
@@ -98,7 +100,9 @@
         }
     }
 
-    /** One that comes up as the system dials again, a second later, carries what waits for it. */
+    /**
+     * A connection that is established by the system's next SYN, a second later, carries the request that waits for it.
+     */
     @Test
     void lateConnectionIsUsed() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -116,7 +120,7 @@
             site.startKnowing(Site.list(1, true, "s0=127.0.0.1:" + full.getLocalPort() + "=Ready"));
             Socket client = site.connect();
             Site.write(client, Http.page("/api/p", "t", "5000m"));
-            assertEquals(404, site.ask(Http.page("/nothing", "u", "1m")).status(), "it has been read");
+            assertEquals(404, site.ask(Http.page("/nothing", "u", "1m")).status(), "the request must have been read");
             for (SocketChannel filler : fillers) {
                 filler.close();
             }
@@ -130,7 +134,7 @@
         }
     }
 
-    /** What comes on a resting connection once the node has ended it is not sent on. */
+    /** Guards against forwarding a request that arrives on an idle connection after the node has closed it. */
     @Test
     void requestOnAClosedIdleConnectionIsNotForwarded() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
@@ -152,8 +156,8 @@
     }
 
     /**
-     * Discovery refuses until nodes wait long between calls. Then it is back, but for the calls that it has
-     * just taken, which get no answer: a change counts as told 6 s later all the same.
+     * Discovery refuses calls until the nodes' backoff is long. Then it returns, but leaves the calls it has just
+     * accepted unanswered. A change must still be received within 6 s.
      */
     @Test
     void changesAreReceivedWithinSixSecondsOfDiscoverysReturn() throws Exception {
@@ -190,8 +194,8 @@
                 assertTrue(each.await(40, TimeUnit.SECONDS), "a node never called again");
             }
             long longestMs = tookMs.stream().mapToLong(AtomicLong::get).max().orElseThrow();
-            System.out.println("discovery's return is heard of after " + tookMs + " ms");
-            assertTrue(longestMs < 6_000, "a node heard after " + longestMs + " ms of " + tookMs);
+            System.out.println("lists received after discovery's return: " + tookMs + " ms");
+            assertTrue(longestMs < 6_000, "a node received its list after " + longestMs + " ms of " + tookMs);
         } finally {
             for (Site site : sites) {
                 site.close();
--- a/src/test/java/kitemux/node/UnsoundNode.java
+++ b/src/test/java/kitemux/node/UnsoundNode.java
@@ -23,15 +23,15 @@
 import kitemux.net.NioNetwork;
 import kitemux.net.PollingLoop;
 
-/** A process of a node with a deliberate defect, which the drill's judge has to find. */
+/** A node process with a deliberate defect that the drill's checks must detect. */
 public final class UnsoundNode {
-    /** Its defects, by what they are called on the command line. */
+    /** The defects, by their names on the command line. */
     public enum Defect {
-        /** Some requests are sent 0.2 s after their clients have left, and not before. */
+        /** Some requests are sent 0.2 s after their clients have disconnected, and not before. */
         SENDS_ON_LATE,
-        /** Some requests get no answer. */
+        /** Some requests get no response. */
         NEVER_ANSWERS,
-        /** Cold servers get all that may come to them from this node alone. */
+        /** Cold servers may receive from this node alone all requests that they may receive in total. */
         BUDGETS_BY_NODE
     }
 
@@ -41,7 +41,7 @@
     private UnsoundNode() {}
 
     /**
-     * Runs until it is killed.
+     * Runs until the process is killed.
      *
      * @param args the defect, and the mean work of a request in microseconds
      */
@@ -70,7 +70,7 @@
         System.err.println("listening on " + config.listen());
     }
 
-    /** Keeps some requests from the module, and sends them when their clients have left, or never. */
+    /** Withholds some requests from the balancer and sends them after their clients have disconnected, or never. */
     private static final class LateSender implements Observer {
         private final EventLoop loop;
         private final boolean sends;
@@ -118,7 +118,7 @@
                             }
                             case "onServers" -> noteReadyServer((Iterable<?>) args[2]);
                             default -> {
-                                // Passed on as it is.
+                                // Other events are passed on unchanged.
                             }
                         }
                         try {
--- a/src/test/java/kitemux/node/UpgradeTest.java
+++ b/src/test/java/kitemux/node/UpgradeTest.java
@@ -19,19 +19,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** An upgrade of real processes: the old one ends by SIGTERM, then SIGKILL at the earliest that is allowed. */
+/** Tests an upgrade of real processes: the old process receives SIGTERM, and SIGKILL at the earliest allowed time. */
 class UpgradeTest {
-    /** SIGKILL comes the longest deadline and so much after SIGTERM, at the earliest. */
+    /** Shortest time between SIGTERM and SIGKILL beyond the longest deadline. */
     private static final long KILL_AFTER_DEADLINE_MS = 700;
-    /** Between two requests on connections that rested since the start. */
+    /** Interval between requests on connections that have been idle since the start. */
     private static final long SEND_INTERVAL_MS = 25;
-    /** Those that send at the same instant, beside those that send one after another. */
+    /** Number of requests sent at the same instant, besides those at regular intervals. */
     private static final int BURST_SIZE = 8;
 
     @TempDir
     private Path folder;
 
-    /** What a request got that was sent on a connection of the old process. */
+    /** The outcome of a request that was sent on a connection of the old process. */
     private enum Outcome {
         ANSWERED,
         CLOSED_UNSENT,
@@ -44,7 +44,7 @@
         return Http.page(path, txn, deadlineMs + "m").replace("X-Org: org\r\n", "");
     }
 
-    /** A client that rested on its connection uses it once more. */
+    /** Sends a request on an idle connection. */
     private static Attempt sendOnIdleConnection(Socket client, String txn, long deadlineMs, long termNanos) {
         long afterMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - termNanos);
         try {
@@ -53,7 +53,7 @@
                 return new Attempt(txn, afterMs, Outcome.CLOSED_UNSENT);
             }
         } catch (SocketTimeoutException e) {
-            // Still open, and nothing has come.
+            // The connection is still open, and nothing was received.
         } catch (IOException e) {
             return new Attempt(txn, afterMs, Outcome.CLOSED_UNSENT);
         }
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Guards against requests that an old process reads after SIGTERM on open connections and still holds when
-     * SIGKILL comes, whatever their clients' own deadlines allow.
+     * Guards against lost requests: an old process reads them after SIGTERM on open connections and still holds them at
+     * SIGKILL, whatever deadlines their clients set.
      */
     @ParameterizedTest
     @ValueSource(longs = {250, 1_000, 3_000})
@@ -146,8 +146,8 @@
                         .toList();
                 assertTrue(
                         trace.stream().anyMatch(line -> line.matches(".*request late\\d+ taken.*")),
-                        "no request was read after SIGTERM: nothing was tried");
-                assertEquals(List.of(), lost, () -> "lost; the node said " + old.lines);
+                        "no request was read after SIGTERM, so the test shows nothing");
+                assertEquals(List.of(), lost, () -> "requests were lost; output of the node: " + old.lines);
             }
         } finally {
             end.countDown();
--- a/src/test/java/kitemux/node/WarmUpTest.java
+++ b/src/test/java/kitemux/node/WarmUpTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.Test;
 
-/** What a starting process does before it listens. */
+/** Tests the warm-up of a starting process. */
 class WarmUpTest {
 
     @Test
@@ -23,7 +23,7 @@
     @Test
     void slowLoopStillServesAllRequests() throws Exception {
         try (Site site = Site.quiet()) {
-            // As on a part of a core: every turn of the loop takes some time more.
+            // Slows each iteration of the event loop, as on a fraction of a core.
             AtomicBoolean over = new AtomicBoolean();
             site.loop.execute(new Runnable() {
                 @Override
--- a/src/test/java/kitemux/node/WrittenConfigTest.java
+++ b/src/test/java/kitemux/node/WrittenConfigTest.java
@@ -23,9 +23,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Descriptions that something has happened to: lines dropped, doubled, swapped, values scaled or taken from
- * elsewhere. Whatever of it is found sound must be: a node reads what is written, and what the rules are for
- * holds in what it read.
+ * Mutates descriptions: lines are dropped, duplicated or swapped, values scaled or replaced. A node must read the
+ * configuration written from each mutant that is found valid, and the guarantees of the rules must hold for it.
  */
 class WrittenConfigTest {
     private static final int MUTANT_COUNT = 4_000;
@@ -124,12 +123,11 @@
                     assertInvariants(reading.app(), NodeConfig.read(Map.of("PROXY_CONFIG", file.toString())), text);
                 } catch (ConfigException e) {
                     throw new AssertionError(
-                            "found sound, and a node does not read it: " + e.getMessage() + "\n" + text, e);
+                            "found valid, but a node does not read it: " + e.getMessage() + "\n" + text, e);
                 }
             }
         }
-        assertTrue(
-                passed > MUTANT_COUNT / 20, "only " + passed + " were found sound: the mutants are too broken to tell");
-        assertTrue(passed < MUTANT_COUNT, "nothing was found in any");
+        assertTrue(passed > MUTANT_COUNT / 20, "only " + passed + " were found valid: too few for a meaningful test");
+        assertTrue(passed < MUTANT_COUNT, "no mutant was found invalid");
     }
 }
--- a/src/test/java/kitemux/ops/ServerOverridesTest.java
+++ b/src/test/java/kitemux/ops/ServerOverridesTest.java
@@ -20,6 +20,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Tests how drains by operators combine with discovery's server list. */
 class ServerOverridesTest {
     private static Host host(String id, ServerState state, long startedAtUs) {
         return new Host(new ServerEntry(id, 0, 0, state, 1, startedAtUs), new InetSocketAddress(80));
@@ -56,7 +57,7 @@
         HostList gone = overrides.apply(list(false, host("a", ServerState.GONE, 0)));
         assertEquals(ServerState.GONE, onlyEntry(gone.hosts()).state());
         assertEquals(1, overrides.listed());
-        assertTrue(overrides.isKnown("a"), "it can still be called back");
+        assertTrue(overrides.isKnown("a"), "it can still be restored");
         assertEquals(
                 ServerState.DRAINING,
                 onlyEntry(overrides
@@ -71,7 +72,7 @@
         overrides.setDrained(Map.of("a", 100L), 100);
         ServerEntry back = onlyEntry(overrides.setDrained(Map.of(), 200));
         assertEquals(ServerState.READY, back.state());
-        assertEquals(200, back.startedAtUs(), "full load would come too soon");
+        assertEquals(200, back.startedAtUs(), "a cold server must not receive full load");
         assertEquals(
                 200,
                 onlyEntry(overrides
@@ -84,7 +85,7 @@
                                 .apply(list(false, host("a", ServerState.READY, 150)))
                                 .hosts())
                         .startedAtUs(),
-                "the start that operators made");
+                "the restart during the drain");
         assertEquals(
                 0,
                 onlyEntry(overrides
@@ -133,7 +134,7 @@
         assertFalse(overrides.isKnown("a"));
     }
 
-    /** Whatever comes in whatever order: what the changes add up to is what a plain account says. */
+    /** For any order of updates and drains, the reported changes add up to the states that a simple model expects. */
     @Property(tries = 500)
     void changesAddUpToTheExpectedStates(@ForAll @Size(max = 60) List<@IntRange(max = 39) Integer> steps) {
         ServerOverrides overrides = new ServerOverrides();
--- a/src/test/java/kitemux/ops/SharedFolderTest.java
+++ b/src/test/java/kitemux/ops/SharedFolderTest.java
@@ -21,6 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests the state that processes of one node share through files. */
 class SharedFolderTest {
     private static final InetSocketAddress LISTEN = new InetSocketAddress(InetAddress.getLoopbackAddress(), 8000);
 
@@ -31,11 +32,11 @@
 
     private static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(20, TimeUnit.SECONDS);
-        assertNotNull(next, "nothing was told");
+        assertNotNull(next, "no notification arrived");
         return next;
     }
 
-    /** Why it could not be done, or null, and not before the listener has been told. */
+    /** Drains or restores a server and returns the failure, or null. Returns after the listener has been notified. */
     private static String setDrained(SharedFolder folder, String id, boolean drained) throws InterruptedException {
         BlockingQueue<Optional<String>> results = new LinkedBlockingQueue<>();
         folder.setDrained(id, drained, error -> results.add(Optional.ofNullable(error)));
--- a/src/test/java/kitemux/telemetry/RequestTraceTest.java
+++ b/src/test/java/kitemux/telemetry/RequestTraceTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The trace tells each step of a request and says what it left out. */
+/** Tests that the trace contains each step of a request and reports dropped lines. */
 class RequestTraceTest {
     @TempDir
     private Path folder;
@@ -32,7 +32,7 @@
 
         @Override
         public Timer schedule(long us, Runnable task) {
-            throw new UnsupportedOperationException("nothing waits here");
+            throw new UnsupportedOperationException("no timer is expected");
         }
     }
 
