--- a/src/main/java/kitemux/discovery/Discovery.java
+++ b/src/main/java/kitemux/discovery/Discovery.java
@@ -37,97 +37,113 @@
 import kitemux.net.Network;
 
 /**
- * The watch on discovery's list. When it breaks it says so; asking again is the module's word.
+ * A client of discovery that watches the server list. A failure of the watch is reported; the balancer decides
+ * when to subscribe again.
  *
- * <p>What is written to this process counts as told, whether or not it is read. A watch that another takes
- * the place of is therefore read on until that one has spoken: at a move its answer may be on its way, and
- * the new place's comes up to a second later.
+ * <p>Whatever discovery has written to this process counts as delivered, whether or not it was read. A watch
+ * that is replaced is therefore read until its successor has delivered something: after a change of the address
+ * its response may be on its way, and the one from the new address may come up to a second later.
  *
- * <p>What it has at its return counts as told 6 s later. The longest chain up to its word: a call that it was
- * down for is over after 4 s at most ({@link #MAX_SILENCE_US}; a dial that hangs after 1 s), the module then
- * waits for 1 s at most, and 1 s is left for the next call's turn. A call that failed in the last instant
- * before leaves 5 s. Open: where calls stand in turn for longer, as those of many nodes after a return may,
- * that is too late.
+ * <p>What discovery has when it returns after an outage counts as delivered 6 s later. The longest sequence
+ * until then: a call that fails because of the outage ends after 4 s at most ({@link #MAX_SILENCE_US}; a
+ * connect that hangs ends after 1 s), the balancer then waits for 1 s at most, and 1 s is left until the next
+ * call is answered. After a call that failed just before the return 5 s are left. Not covered: discovery
+ * answers calls in turn, and if they queue for longer, as those of many nodes may after an outage, the list
+ * arrives too late.
  */
 public final class Discovery implements ServerListSource {
-    /** What the watch tells. */
+    /** Receives the events of the watch. */
     public interface Listener {
-        /** A list has come; its version is the one to go on from. */
+        /** Called when a list was received; the next watch resumes from its revision. */
         void onList(HostList list);
 
-        /** The watch is over, or could not begin; it is not opened again by itself. */
+        /** Called when the watch ended or could not be opened; it is not reopened automatically. */
         void onFailure(String reason);
 
-        /** Discovery is elsewhere from now on, and a watch opens there: what failed before tells nothing of
-         * that place. */
+        /**
+         * Called when discovery's address has changed and a watch is about to be opened there. Earlier failures
+         * say nothing about the new address.
+         */
         default void onMoved() {}
     }
 
-    /** Discovery writes every 2 s. A watch that is silent for so long is broken: what it misses counts as
-     * told 6 s after it fell silent, by when another has to be open, and what is left is for the wait before
-     * it and for a call among many. */
+    /**
+     * How long a watch may be silent at most before it counts as broken; discovery writes every 2 s. What a
+     * watch misses counts as delivered 6 s after it fell silent. Another one has to be open by then, and the
+     * rest of the time is for the wait before it and for a call among many.
+     */
     public static final long MAX_SILENCE_US = 4_000_000;
-    /** Watches fall silent at all nodes at once, and discovery takes calls in turn: each watch has a patience
-     * of its own, drawn between this part of the most and the most. That is one beat missed and a quarter of
-     * one for its way. Harm: where a beat comes half a second late, some nodes call for nothing. */
-    static final double LEAST_PART = 0.625;
-    /** For discovery to catch up with what it told before it was down. Harm: a place whose versions have
-     * begun anew is not believed for so long. */
-    static final long MOST_OLD_US = 10_000_000;
-    /** For a place that is new to speak, by when what it knows counts as told, and the old one is read no
-     * more. Harm: for so long the word of a place that was left because it was wrong still holds. */
-    static final long MOST_LEAVING_US = 4_000_000;
-    /** A place that is new counts as heard 4 s after it was told: there is time for a dial that fails, a wait
-     * and two more. */
+    /**
+     * Lower bound of the randomized silence timeout, as a ratio of the maximum. The watches of all nodes fall
+     * silent at once and discovery answers calls in turn, so each watch draws its own timeout. The bound is one
+     * missed heartbeat and a quarter of one for its delay. The cost is that some nodes reconnect needlessly
+     * when a heartbeat is half a second late.
+     */
+    static final double MIN_SILENCE_RATIO = 0.625;
+    /**
+     * How long discovery may take after an outage to catch up with the revisions that it delivered before. The
+     * cost is that an endpoint whose revisions have started anew is not trusted for this time.
+     */
+    static final long STALE_LIST_TIMEOUT_US = 10_000_000;
+    /**
+     * How long the previous watch is read while the new one has delivered nothing; what the new endpoint knows
+     * counts as delivered by then. The cost is that lists from an endpoint that was replaced because it was
+     * wrong are applied for this time.
+     */
+    static final long PREVIOUS_WATCH_TIMEOUT_US = 4_000_000;
+    /**
+     * A new endpoint's list counts as delivered 4 s after the address changed: that leaves time for a failed
+     * connect, a wait and two more connects.
+     */
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    private static final String UNUSABLE = "what it told could not be used";
+    private static final String UNUSABLE_LIST = "what it told could not be used";
 
     private final EventLoop loop;
     private final List<String> zones;
-    private final long mostSilenceUs;
+    private final long maxSilenceUs;
     private final Listener listener;
     private final Log log;
-    private final Bootstrap dialer;
+    private final Bootstrap bootstrap;
     private final SplittableRandom random;
-    private Place place;
-    /** When each server that is listed started, by what was heard last. */
-    private final Map<String, Long> startedAtUs = new HashMap<>();
+    private Endpoint endpoint;
+    /** Start time of each listed server in microseconds, by its id, as last received. */
+    private final Map<String, Long> serverStartUs = new HashMap<>();
 
-    private boolean wanted;
-    private Watch current;
-    /** The one before it, until the current one has spoken; or null. */
-    private Watch former;
+    private boolean isSubscribed;
+    private Watch currentWatch;
+    /** The watch before the current one, until the current one has delivered something; or null. */
+    private Watch previousWatch;
 
     /**
-     * Asks nothing yet.
+     * Creates a client that has not subscribed yet.
      *
-     * @param knownRev the version of the list that the node began with
-     * @param mostSilenceUs a watch on which nothing comes for so many microseconds is broken, or for somewhat
-     *     less
-     * @param seed for how much less
+     * @param knownRev the revision of the list that the node started with
+     * @param maxSilenceUs the longest silence after which a watch counts as broken, in microseconds; each watch
+     *     draws a somewhat shorter timeout
+     * @param seed seed of the random timeouts
      */
     public Discovery(
             EventLoop loop,
             Network network,
-            InetSocketAddress at,
+            InetSocketAddress address,
             List<String> zones,
             long knownRev,
-            long mostSilenceUs,
+            long maxSilenceUs,
             long seed,
             Listener listener,
             Log log) {
         this.loop = loop;
         this.log = log;
         this.zones = zones;
-        this.mostSilenceUs = mostSilenceUs;
+        this.maxSilenceUs = maxSilenceUs;
         random = new SplittableRandom(seed);
         this.listener = listener;
-        place = new Place(at, knownRev, true);
-        dialer = new Bootstrap()
+        endpoint = new Endpoint(address, knownRev, true);
+        bootstrap = new Bootstrap()
                 .group(loop)
                 .channelFactory(network::newOutboundChannel)
-                // Addresses only: no name is ever looked up, and no resolver kept for the loop.
+                // Only addresses are used, so no resolver is created for the event loop.
                 .disableResolver()
                 .option(ChannelOption.ALLOCATOR, network.allocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
@@ -139,156 +155,166 @@
                 });
     }
 
-    /** Where lists come from, and what is known of its versions. */
-    private static final class Place {
+    /** An address of discovery and what is known of its revisions. */
+    private static final class Endpoint {
         final InetSocketAddress address;
-        long rev;
-        /** Whether the version is one of this place's, so that a watch can go on from it. */
-        boolean revIsOfHere;
-        /** The version that this place told this process last; -1 before. What a node began with may be from
-         * another place. */
-        long heardRev = -1;
-
-        Place(InetSocketAddress address, long rev, boolean revIsOfHere) {
+        long revision;
+        /** Whether the revision was assigned by this endpoint, so that a watch can resume from it. */
+        boolean isOwnRevision;
+        /**
+         * The last revision that this endpoint delivered to this process, or -1. The revision that a node
+         * started with may be from another endpoint.
+         */
+        long receivedRevision = -1;
+
+        Endpoint(InetSocketAddress address, long revision, boolean isOwnRevision) {
             this.address = address;
-            this.rev = rev;
-            this.revIsOfHere = revIsOfHere;
+            this.revision = revision;
+            this.isOwnRevision = isOwnRevision;
         }
 
-        /** The next watch asks for all there is. */
-        void forgetVersions() {
-            revIsOfHere = false;
-            heardRev = -1;
+        /** Makes the next watch request the full list. */
+        void resetRevisions() {
+            isOwnRevision = false;
+            receivedRevision = -1;
         }
     }
 
-    /** Opens a watch for all that changed since the last list; it takes the place of an earlier one. */
+    /** Opens a watch for all changes since the last list; it replaces an earlier watch. */
     @Override
     public void subscribe() {
-        wanted = true;
-        if (current != null) {
-            current.leave();
+        isSubscribed = true;
+        if (currentWatch != null) {
+            currentWatch.becomePrevious();
         }
-        Watch watch = new Watch(place);
-        current = watch;
-        ChannelFuture opening = dialer.connect(place.address);
-        watch.channel = opening.channel();
-        watch.expectMore();
-        opening.addListener(done -> {
-            if (!done.isSuccess()) {
-                watch.broken("no connection: " + done.cause().getMessage());
+        Watch watch = new Watch(endpoint);
+        currentWatch = watch;
+        ChannelFuture connectFuture = bootstrap.connect(endpoint.address);
+        watch.channel = connectFuture.channel();
+        watch.restartSilenceTimer();
+        connectFuture.addListener(connected -> {
+            if (!connected.isSuccess()) {
+                watch.fail("no connection: " + connected.cause().getMessage());
                 return;
             }
             watch.channel.pipeline().addLast(watch);
-            FullHttpRequest ask = new DefaultFullHttpRequest(
+            FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     HttpMethod.GET,
-                    "/discovery/hosts?watch=1" + (place.revIsOfHere ? "&after=" + place.rev : ""));
-            ask.headers().set(HttpHeaderNames.HOST, "discovery");
-            watch.channel.writeAndFlush(ask);
+                    "/discovery/hosts?watch=1" + (endpoint.isOwnRevision ? "&after=" + endpoint.revision : ""));
+            request.headers().set(HttpHeaderNames.HOST, "discovery");
+            watch.channel.writeAndFlush(request);
         });
     }
 
     /**
-     * Discovery is elsewhere from now on. A watch opens there at once; no failure is told of the old one.
-     * Nothing says that versions mean the same at both places, so the whole list is asked for.
+     * Changes discovery's address. A watch is opened there at once, and no failure of the old one is reported.
+     * Revisions of the two endpoints are not assumed to be comparable, so the full list is requested.
      */
-    public void setAddress(InetSocketAddress to) {
-        if (!to.equals(place.address)) {
-            log.info("discovery is at " + to + " now");
-            place = new Place(to, 0, false);
-            if (wanted) {
+    public void setAddress(InetSocketAddress address) {
+        if (!address.equals(endpoint.address)) {
+            log.info("discovery is at " + address + " now");
+            endpoint = new Endpoint(address, 0, false);
+            if (isSubscribed) {
                 listener.onMoved();
                 subscribe();
             }
         }
     }
 
-    /** All of it is asked for once more, as after a watch that broke. */
+    /** Requests the full list again, as after a broken watch. */
     @Override
     public void requestFullList() {
-        place.revIsOfHere = false;
-        if (former != null) {
-            former.end();
+        endpoint.isOwnRevision = false;
+        if (previousWatch != null) {
+            previousWatch.close();
         }
-        if (current != null) {
-            current.broken(UNUSABLE);
+        if (currentWatch != null) {
+            currentWatch.fail(UNUSABLE_LIST);
         } else {
-            listener.onFailure(UNUSABLE);
+            listener.onFailure(UNUSABLE_LIST);
         }
     }
 
-    /** Ends the watch without a word. */
+    /** Closes the watches without reporting a failure. */
     public void close() {
-        wanted = false;
-        if (current != null) {
-            current.end();
+        isSubscribed = false;
+        if (currentWatch != null) {
+            currentWatch.close();
         }
-        if (former != null) {
-            former.end();
+        if (previousWatch != null) {
+            previousWatch.close();
         }
     }
 
-    static long patienceUs(long mostUs, SplittableRandom random) {
-        return (long) (mostUs * (LEAST_PART + (1 - LEAST_PART) * random.nextDouble()));
+    /**
+     * Draws a silence timeout in microseconds, between {@link #MIN_SILENCE_RATIO} of the maximum and the
+     * maximum.
+     */
+    static long drawSilenceTimeoutUs(long maxUs, SplittableRandom random) {
+        return (long) (maxUs * (MIN_SILENCE_RATIO + (1 - MIN_SILENCE_RATIO) * random.nextDouble()));
     }
 
+    /** One watch: a request whose response is a stream of lists and heartbeats. */
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
-        private final long patienceUs = patienceUs(mostSilenceUs, random);
-        private final JsonFrameReader lines = new JsonFrameReader();
-        private final Place place;
+        private final long silenceTimeoutUs = drawSilenceTimeoutUs(maxSilenceUs, random);
+        private final JsonFrameReader frameReader = new JsonFrameReader();
+        private final Endpoint endpoint;
         private Channel channel;
-        private Future<?> silence;
-        private boolean over;
-        private boolean told;
-        /** Runs while all that it tells is older than what is known. */
-        private Future<?> lasting;
-        /** Runs while it is the former one. */
-        private Future<?> stay;
-
-        Watch(Place place) {
-            this.place = place;
+        private Future<?> silenceTimer;
+        private boolean isClosed;
+        private boolean hasDelivered;
+        /** Runs while this watch delivers only lists that are older than the known one. */
+        private Future<?> staleTimer;
+        /** Runs while this is the previous watch. */
+        private Future<?> handoverTimer;
+
+        Watch(Endpoint endpoint) {
+            this.endpoint = endpoint;
         }
 
-        /** Another takes its place, and it is read on until that one has spoken. Of two that have not been
-         * followed yet the first is kept: it has the earlier turn. */
-        void leave() {
-            if (former != null) {
-                end();
+        /**
+         * Makes this the previous watch, which is read until its successor has delivered something. If there is
+         * a previous watch already that one is kept, since discovery answers it first.
+         */
+        void becomePrevious() {
+            if (previousWatch != null) {
+                close();
                 return;
             }
-            former = this;
-            current = null;
-            stay = loop.schedule(this::end, MOST_LEAVING_US, TimeUnit.MICROSECONDS);
+            previousWatch = this;
+            currentWatch = null;
+            handoverTimer = loop.schedule(this::close, PREVIOUS_WATCH_TIMEOUT_US, TimeUnit.MICROSECONDS);
         }
 
-        private void expectMore() {
-            if (silence != null) {
-                silence.cancel(false);
+        private void restartSilenceTimer() {
+            if (silenceTimer != null) {
+                silenceTimer.cancel(false);
             }
-            // What came while the loop stood still is read in the turn that this would run in, before it.
-            silence = loop.schedule(() -> broken("silent"), patienceUs, TimeUnit.MICROSECONDS);
+            // Data that arrived during a stall of the event loop is read in the turn in which this timer is due,
+            // before it.
+            silenceTimer = loop.schedule(() -> fail("silent"), silenceTimeoutUs, TimeUnit.MICROSECONDS);
         }
 
-        /** Ends without a word. */
-        void end() {
-            over = true;
-            silence.cancel(false);
-            for (Future<?> timer : new Future<?>[] {lasting, stay}) {
+        /** Closes the watch without reporting a failure. */
+        void close() {
+            isClosed = true;
+            silenceTimer.cancel(false);
+            for (Future<?> timer : new Future<?>[] {staleTimer, handoverTimer}) {
                 if (timer != null) {
                     timer.cancel(false);
                 }
             }
-            current = current == this ? null : current;
-            former = former == this ? null : former;
+            currentWatch = currentWatch == this ? null : currentWatch;
+            previousWatch = previousWatch == this ? null : previousWatch;
             channel.close();
         }
 
-        private void broken(String reason) {
-            boolean told = this == current;
-            if (!over) {
-                end();
-                if (told) {
+        private void fail(String reason) {
+            boolean isCurrent = this == currentWatch;
+            if (!isClosed) {
+                close();
+                if (isCurrent) {
                     listener.onFailure(reason);
                 }
             }
@@ -296,129 +322,139 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
-            if (over) {
+            if (isClosed) {
                 return;
             }
             if (message.decoderResult().isFailure()) {
-                broken("answer cannot be read");
+                fail("answer cannot be read");
             } else if (message instanceof HttpResponse response
                     && response.status().code() != 200) {
-                broken("status " + response.status().code());
+                fail("status " + response.status().code());
             } else if (message instanceof HttpContent content) {
-                read(content.content());
+                readFrames(content.content());
                 if (message instanceof LastHttpContent) {
-                    broken("watch ended");
+                    fail("watch ended");
                 }
             }
         }
 
-        /** Only what is whole is a sign of life: bytes that never make a list tell nothing. */
-        private void read(ByteBuf bytes) {
-            JsonFrameReader.Frame what;
-            while (!over && (what = lines.nextFrame(bytes)) != JsonFrameReader.Frame.INCOMPLETE) {
-                expectMore();
-                switch (what) {
-                    case OBJECT -> readList(lines.takeObject());
-                    // A beat. As the first word it says that nothing has changed: the call has its answer.
+        /**
+         * Reads complete frames. Only those restart the silence timer: bytes that never form a list convey
+         * nothing.
+         */
+        private void readFrames(ByteBuf bytes) {
+            JsonFrameReader.Frame frame;
+            while (!isClosed && (frame = frameReader.nextFrame(bytes)) != JsonFrameReader.Frame.INCOMPLETE) {
+                restartSilenceTimer();
+                switch (frame) {
+                    case OBJECT -> readList(frameReader.takeObject());
+                    // A heartbeat. As the first message it means that nothing has changed, which answers the call.
                     case HEARTBEAT ->
-                        heard(told || !place.revIsOfHere ? null : new HostList(place.rev, false, List.of()));
-                    default -> broken("bad line: " + lines.malformedText());
+                        handleList(
+                                hasDelivered || !endpoint.isOwnRevision
+                                        ? null
+                                        : new HostList(endpoint.revision, false, List.of()));
+                    default -> fail("bad line: " + frameReader.malformedText());
                 }
             }
         }
 
-        private void readList(byte[] whole) {
+        private void readList(byte[] object) {
             try {
-                heard(HostListReader.read(Json.read(whole), zones, ""));
+                handleList(HostListReader.read(Json.read(object), zones, ""));
             } catch (IOException | ConfigException e) {
-                broken("bad line: " + e.getMessage());
+                fail("bad line: " + e.getMessage());
             }
         }
 
-        private void heard(HostList list) {
-            HostList news = list;
-            if (list != null && list.revision() < place.heardRev) {
-                news = older(list);
+        /** Applies a list; null stands for a heartbeat that reports nothing new. */
+        private void handleList(HostList list) {
+            HostList update = list;
+            if (list != null && list.revision() < endpoint.receivedRevision) {
+                update = handleStaleList(list);
             } else if (list != null) {
-                note(list);
-                if (lasting != null) {
-                    lasting.cancel(false);
-                    lasting = null;
+                recordServerStarts(list);
+                if (staleTimer != null) {
+                    staleTimer.cancel(false);
+                    staleTimer = null;
                 }
             }
-            if (news != null) {
-                told = true;
-                place.rev = news.revision();
-                place.revIsOfHere = true;
-                place.heardRev = place.rev;
-                if (this == current && former != null) {
-                    former.end();
+            if (update != null) {
+                hasDelivered = true;
+                endpoint.revision = update.revision();
+                endpoint.isOwnRevision = true;
+                endpoint.receivedRevision = endpoint.revision;
+                if (this == currentWatch && previousWatch != null) {
+                    previousWatch.close();
                 }
-                listener.onList(news);
-                if (current == null && wanted) {
-                    // It was the former's, and no watch follows it yet: one is still to be asked for.
+                listener.onList(update);
+                if (currentWatch == null && isSubscribed) {
+                    // The list came from the previous watch and there is no current one yet, which still has to be
+                    // opened.
                     listener.onFailure("no watch yet in the place of the one that told this");
                 }
             }
         }
 
         /**
-         * This place knew more once: after it was down it may have come back with an old list. What it said
-         * since stands; what it tells on this watch counts again once it has caught up, but for this: a
-         * server that it says drains or has gone, and that has not started since, gets nothing more. Word of
-         * a drain holds from when it comes, and may be new here whatever its version. Harm: a server that it
-         * brought back since is left alone until it has caught up. If it does not, its versions have begun
-         * anew, and the whole list is asked for.
+         * Handles a list that is older than one that this endpoint delivered before: after an outage discovery
+         * may have come back with an old list. The newer list stays in force until discovery has caught up,
+         * with one exception: a server that is listed as draining or gone and has not restarted since gets no
+         * more requests. A drain is effective as soon as it is received, and may be news here whatever its
+         * revision. The cost is that a server that was brought back since is not used until discovery has
+         * caught up. If it does not, its revisions have started anew, and the full list is requested.
          */
-        private HostList older(HostList list) {
-            if (lasting == null) {
+        private HostList handleStaleList(HostList list) {
+            if (staleTimer == null) {
                 log.info("discovery: its list is older than the one that it told; waiting for it to catch " + "up");
-                lasting = loop.schedule(
+                staleTimer = loop.schedule(
                         () -> {
-                            if (this == current) {
-                                place.forgetVersions();
-                                end();
+                            if (this == currentWatch) {
+                                endpoint.resetRevisions();
+                                close();
                                 subscribe();
                             }
                         },
-                        MOST_OLD_US,
+                        STALE_LIST_TIMEOUT_US,
                         TimeUnit.MICROSECONDS);
             }
-            List<HostList.Host> leaving =
-                    list.hosts().stream().filter(this::leaves).toList();
-            return told && leaving.isEmpty() ? null : new HostList(place.rev, false, leaving);
+            List<HostList.Host> unavailable =
+                    list.hosts().stream().filter(this::isUnavailable).toList();
+            return hasDelivered && unavailable.isEmpty() ? null : new HostList(endpoint.revision, false, unavailable);
         }
 
-        private boolean leaves(HostList.Host host) {
+        /** Returns whether the server is listed as draining or gone and has not restarted since. */
+        private boolean isUnavailable(HostList.Host host) {
             return host.entry().state() != ServerState.READY
-                    && startedAtUs.getOrDefault(host.entry().id(), Long.MAX_VALUE)
+                    && serverStartUs.getOrDefault(host.entry().id(), Long.MAX_VALUE)
                             <= host.entry().startedAtUs();
         }
 
-        private void note(HostList list) {
+        /** Records the start times of the listed servers. */
+        private void recordServerStarts(HostList list) {
             if (list.isFull()) {
-                startedAtUs.clear();
+                serverStartUs.clear();
             }
             for (HostList.Host host : list.hosts()) {
                 if (host.entry().state() == ServerState.GONE) {
-                    startedAtUs.remove(host.entry().id());
+                    serverStartUs.remove(host.entry().id());
                 } else {
-                    startedAtUs.put(host.entry().id(), host.entry().startedAtUs());
+                    serverStartUs.put(host.entry().id(), host.entry().startedAtUs());
                 }
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            broken("connection ended");
+            fail("connection ended");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                log.error("watch on discovery", cause);
+                log.error("discovery watch", cause);
             }
-            broken("connection failed");
+            fail("connection failed");
         }
     }
 }
--- a/src/main/java/kitemux/discovery/HostListReader.java
+++ b/src/main/java/kitemux/discovery/HostListReader.java
@@ -10,48 +10,49 @@
 import kitemux.net.Addresses;
 import kitemux.net.HostList;
 
-/** Reads server lists in discovery's form. */
+/** Decodes server lists in discovery's JSON format. */
 public final class HostListReader {
     private HostListReader() {}
 
     /**
-     * Decodes a list; zones are named as in the settings.
+     * Decodes a list; the zones are indexed by their position in the settings.
      *
-     * @param at where it stands, for the message: empty, or a name and a dot
-     * @throws ConfigException if it is not in discovery's form; the message names the field
+     * @param path prefix of field names in error messages: empty, or a name and a dot
+     * @throws ConfigException if the list is malformed; the message names the field
      */
-    public static HostList read(Json list, List<String> zones, String at) throws ConfigException {
+    public static HostList read(Json list, List<String> zones, String path) throws ConfigException {
         Json targets = list.path("targets");
         if (!list.path("rev").isWhole()) {
-            throw new ConfigException(at + "rev", "is missing or not a whole number");
+            throw new ConfigException(path + "rev", "is missing or not a whole number");
         }
         if (!targets.isList()) {
-            throw new ConfigException(at + "targets", "is missing or not a list");
+            throw new ConfigException(path + "targets", "is missing or not a list");
         }
         List<HostList.Host> hosts = new ArrayList<>(targets.values().size());
         for (Json target : targets) {
-            hosts.add(host(target, zones, at + "targets[" + hosts.size() + "]."));
+            hosts.add(readHost(target, zones, path + "targets[" + hosts.size() + "]."));
         }
         return new HostList(list.path("rev").whole(0), list.path("all").flag(), hosts);
     }
 
-    private static HostList.Host host(Json target, List<String> zones, String at) throws ConfigException {
+    private static HostList.Host readHost(Json target, List<String> zones, String path) throws ConfigException {
         String id = target.path("uid").text();
         if (id.isEmpty()) {
-            throw new ConfigException(at + "uid", "is missing");
+            throw new ConfigException(path + "uid", "is missing");
         }
         ServerState state =
                 switch (target.path("state").text()) {
                     case "Ready" -> ServerState.READY;
                     case "Terminating" -> ServerState.DRAINING;
                     case "Gone" -> ServerState.GONE;
-                    default -> throw new ConfigException(at + "state", "is unknown");
+                    default -> throw new ConfigException(path + "state", "is unknown");
                 };
-        // A server that has gone needs no address; word of it must not be lost for want of one.
+        // A server that is gone needs no address; its removal must not be lost for lack of one.
         InetSocketAddress endpoint = state == ServerState.GONE
                 ? null
-                : Addresses.parse(at + "endpoint", target.path("endpoint").text());
-        // Boot times may lie some milliseconds off ours; the module's clock is Unix time too.
+                : Addresses.parse(path + "endpoint", target.path("endpoint").text());
+        // Boot times may differ from the local clock by some milliseconds; the balancer's clock is Unix time as
+        // well.
         ServerEntry entry = new ServerEntry(
                 id,
                 zones.indexOf(target.path("az").text()),
--- a/src/main/java/kitemux/discovery/PushedListWatcher.java
+++ b/src/main/java/kitemux/discovery/PushedListWatcher.java
@@ -4,68 +4,72 @@
 import kitemux.engine.Clock;
 
 /**
- * Keeps a watch open where lists are pushed: the agent on the node's own machine has what it was sent, and
- * nobody
- * asks it but the node. Where lists are asked for, the decision module says when; here nothing is decided, as
- * the agent costs nobody anything. The waits between two tries grow and are drawn, since it may be starting.
+ * Keeps a watch open on an agent on the node's own machine that pushes server lists. Only the node itself asks
+ * the agent, which costs nobody else anything, so no decision is needed here about when to ask; for lists that
+ * are polled, the balancer decides that. The waits between retries grow and are randomized, since the agent may
+ * be starting.
  */
 public final class PushedListWatcher {
-    private static final long FIRST_US = 50_000;
-    /** What the agent hears counts as told at once, whether or not a watch is open: half as much more, drawn,
-     * is well within what drains allow. Seven calls a second that are refused cost one machine nothing. */
-    private static final long MOST_US = 150_000;
+    /** The first wait before a retry; the wait doubles with each failure. */
+    private static final long INITIAL_WAIT_US = 50_000;
+    /**
+     * Updates count as delivered once the agent has them, whether or not a watch is open: this wait and its
+     * random part of up to a half are well within what drains allow. Seven refused connections a second cost a
+     * machine nothing.
+     */
+    private static final long MAX_WAIT_US = 150_000;
 
-    private final Clock time;
-    private final Runnable watch;
+    private final Clock clock;
+    private final Runnable openWatch;
     private final SplittableRandom random;
-    private long waitUs = FIRST_US;
-    private Clock.Timer next;
-    private boolean ended;
+    private long waitUs = INITIAL_WAIT_US;
+    private Clock.Timer retryTimer;
+    private boolean isStopped;
 
     /**
-     * Watches nothing yet.
+     * Creates a watcher that has not opened a watch yet.
      *
-     * @param watch opens a watch in the place of an earlier one; how it ends is told here
+     * @param openWatch opens a watch that replaces an earlier one; its end is reported to {@link #onFailure}
      */
-    public PushedListWatcher(Clock time, Runnable watch, long seed) {
-        this.time = time;
-        this.watch = watch;
+    public PushedListWatcher(Clock clock, Runnable openWatch, long seed) {
+        this.clock = clock;
+        this.openWatch = openWatch;
         random = new SplittableRandom(seed);
     }
 
     /** Opens the first watch. */
     public void start() {
-        watch.run();
+        openWatch.run();
     }
 
-    /** The agent has said something, or another has taken its place and is called by now. */
+    /** Called when the agent sent data, or was replaced by another agent that is already being called. */
     public void onUpdate() {
-        waitUs = FIRST_US;
-        if (next != null) {
-            next.cancel();
-            next = null;
+        waitUs = INITIAL_WAIT_US;
+        if (retryTimer != null) {
+            retryTimer.cancel();
+            retryTimer = null;
         }
     }
 
-    /** The watch has ended, or did not come up. */
+    /** Called when the watch ended or could not be opened. */
     public void onFailure() {
-        if (ended || next != null) {
+        if (isStopped || retryTimer != null) {
             return;
         }
-        long us = waitUs / 2 + random.nextLong(waitUs);
-        waitUs = Math.min(MOST_US, 2 * waitUs);
-        next = time.schedule(us, () -> {
-            next = null;
-            watch.run();
+        long delayUs = waitUs / 2 + random.nextLong(waitUs);
+        waitUs = Math.min(MAX_WAIT_US, 2 * waitUs);
+        retryTimer = clock.schedule(delayUs, () -> {
+            retryTimer = null;
+            openWatch.run();
         });
     }
 
-    /** Opens no more. */
+    /** Stops the watcher; no further watch is opened. */
     public void stop() {
-        ended = true;
-        if (next != null) {
-            next.cancel();
-            next = null;
+        isStopped = true;
+        if (retryTimer != null) {
+            retryTimer.cancel();
+            retryTimer = null;
         }
     }
 }
--- a/src/main/java/kitemux/http/BadRequestException.java
+++ b/src/main/java/kitemux/http/BadRequestException.java
@@ -1,6 +1,6 @@
 package kitemux.http;
 
-/** A request that cannot be used; the message says why. */
+/** Thrown for a request that is malformed or violates the protocol; the message states the reason. */
 public final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/kitemux/http/ClientConnection.java
+++ b/src/main/java/kitemux/http/ClientConnection.java
@@ -36,16 +36,16 @@
 import kitemux.net.ServerResponse;
 
 /**
- * A client's connection: one request at a time, further ones wait their turn. Behind what is turned down as
- * the client's error nothing is read or served, and the connection ends.
+ * A client connection. It serves one request at a time and queues pipelined ones. After input that is rejected
+ * as the client's error nothing more is read or served, and the connection closes.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements ResponseSink<ServerResponse> {
-    private static final byte[] NO_BODY = {};
-    /** Bytes of what was kept that are taken apart at once: fewer requests than may be sent ahead. */
-    private static final int KEPT_PART = 512;
+    private static final byte[] EMPTY_BODY = {};
+    /** How much buffered input is parsed at once; it holds fewer requests than a client may pipeline. */
+    private static final int REPLAY_PART_BYTES = 512;
 
     private final ClientServer server;
-    /** Its place in the order in which connections were accepted, from 1. */
+    /** Position of this connection in the order in which connections were accepted, from 1. */
     private final long number;
 
     private final RequestReader reader;
@@ -53,92 +53,117 @@
     private final Log log;
     private final InputAwareChannel channel;
     private final Ticker ticker;
-    private final EventLoopClock time;
-    /** The earliest that it may have come up: what is read at first may have come with it. */
-    private final long openedUs;
-
-    private boolean readBefore;
-    /** What came whole and waits for its turn. */
-    private final ArrayDeque<Incoming> waiting = new ArrayDeque<>();
-    /** Requests wait: what comes meanwhile is read, so that the client's leaving is seen, and kept. */
-    private boolean paused;
-    /** What is kept so, or null; since when, and how much is set aside for it. */
-    private ByteBuf ahead;
-
-    private long aheadSinceUs;
-    private long aheadBytes;
-    /** Bytes that came after the last that is read. */
-    private long dropped;
-    /** Since when what is taken apart now was kept; without end where it has just come. */
-    private long keptSinceUs = Long.MAX_VALUE;
-
+    private final EventLoopClock clock;
+    /**
+     * The earliest time at which the connection may have been established; the first input may have arrived
+     * with it.
+     */
+    private final long earliestOpenedUs;
+
+    /** Whether an earlier read of this connection has completed. */
+    private boolean hasReadBefore;
+    /** Requests that were received completely and wait to be served. */
+    private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
+    /**
+     * Whether parsing is paused since requests are queued. Input is still read, so that the client's disconnect
+     * is noticed, and buffered.
+     */
+    private boolean isParsingPaused;
+    /** Input buffered while parsing is paused, or null. */
+    private ByteBuf unparsed;
+
+    /** When the oldest buffered input arrived, in microseconds on the event loop's clock. */
+    private long unparsedSinceUs;
+    /** Bytes reserved for the buffered input. */
+    private long unparsedReservedBytes;
+    /** Size of the input that was discarded after an invalid request. */
+    private long discardedBytes;
+    /**
+     * Since when the input that is being parsed was buffered; {@link Long#MAX_VALUE} for input that has just
+     * arrived.
+     */
+    private long bufferedSinceUs = Long.MAX_VALUE;
+
+    /** Context of the handler in front of the decoder, which passes input on to it. */
     private ChannelHandlerContext gateContext;
 
     private HttpRequest head;
     private RequestBody body;
-    /** What is set aside for the body that comes, and for those that came and have had no answer. */
-    private long comingBytes;
-
-    private long heldBytes;
-    /** Whether something came since the last whole request. */
-    private boolean reading;
-    /** Nothing more is read: what comes is dropped. */
-    private boolean deaf;
-    /** From a request's turn until its answer is written. */
-    private boolean busy;
+    /** Bytes reserved for the body that is being received. */
+    private long incomingBodyBytes;
+
+    /** Bytes reserved for the bodies of complete requests that have no response yet. */
+    private long queuedBodyBytes;
+    /** Whether input was received since the last complete request. */
+    private boolean isReceivingRequest;
+    /** Whether all further input is discarded. */
+    private boolean discardsInput;
+    /** Whether a request is being served; true until its response is written. */
+    private boolean isBusy;
 
     private boolean keepAlive = true;
-    private HttpVersion protocol = HttpVersion.HTTP_1_1;
+    private HttpVersion httpVersion = HttpVersion.HTTP_1_1;
     private long lingerMs;
-    private Future<?> lingering;
-    /** When the client's part began: to ask, to go on asking, or to take its answer. */
-    private long sinceNanos;
-
-    private boolean everAsked;
-    private boolean crowded;
-    private boolean turnedAway;
-    /** Why this side closed it; null while it has not. */
+    private Future<?> lingerTimer;
+    /**
+     * Since when the connection has been waiting for its client to send a request, to send the rest of it, or
+     * to read a response.
+     */
+    private long waitingSinceNanos;
+
+    private boolean hasReceivedRequest;
+    /** Whether the connection closes after its first response for lack of descriptors. */
+    private boolean closesAfterFirstResponse;
+    /** Whether the only request is rejected for lack of descriptors. */
+    private boolean rejectsRequest;
+    /** The reason for which this side closed the connection, or null if it did not. */
     private CloseReason closeReason;
-    /** The request that is open, as the engine knows it. */
-    private Engine.PendingRequest<ClientRequest, ServerResponse> held;
-    /** What is passed on to the client as it comes, or null. */
-    private ServerResponse passing;
+    /** The engine's handle of the request that is being served, or null. */
+    private Engine.PendingRequest<ClientRequest, ServerResponse> openRequest;
+    /** The response that is being streamed to the client, or null. */
+    private ServerResponse streamedResponse;
 
-    /** A request, or the status that what came instead of one is owed. */
-    private record Incoming(HttpRequest head, List<byte[]> body, long cameUs, HttpResponseStatus error) {}
+    /** A queued request, or the error status for input that was rejected instead of one. */
+    private record QueuedRequest(HttpRequest head, List<byte[]> body, long arrivedUs, HttpResponseStatus errorStatus) {}
 
     ClientConnection(
             ClientServer server,
             long number,
             RequestReader reader,
             Engine<ClientRequest, ServerResponse> engine,
-            EventLoopClock time,
+            EventLoopClock clock,
             Log log,
             InputAwareChannel channel,
-            long openedUs) {
+            long earliestOpenedUs) {
         this.server = server;
         this.number = number;
         this.reader = reader;
         this.engine = engine;
-        this.time = time;
-        this.openedUs = openedUs;
+        this.clock = clock;
+        this.earliestOpenedUs = earliestOpenedUs;
         this.log = log;
         this.channel = channel;
         ticker = channel.eventLoop().ticker();
-        sinceNanos = ticker.nanoTime();
+        waitingSinceNanos = ticker.nanoTime();
     }
 
-    /** There is no room to keep it: its first answer ends it, and is a refusal if there is none to serve
-     * it. */
-    void endAfterOne(boolean serve) {
-        crowded = true;
-        turnedAway = !serve;
+    /**
+     * Closes the connection after its first response, as there is no room to keep it.
+     *
+     * @param isServed whether its request is served; it is rejected otherwise
+     */
+    void closeAfterFirstResponse(boolean isServed) {
+        closesAfterFirstResponse = true;
+        rejectsRequest = !isServed;
     }
 
-    // ---------------------------------------------------------------- what comes
+    // ---------------------------------------------------------------- input
 
-    /** What stands before the decoder: bad clients send much, and what is not read is not taken apart. */
-    ChannelInboundHandler gate() {
+    /**
+     * Creates the handler in front of the decoder. Input that is discarded or buffered is not parsed, since bad
+     * clients send a lot of it.
+     */
+    ChannelInboundHandler createInputGate() {
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void handlerAdded(ChannelHandlerContext context) {
@@ -147,119 +172,127 @@
 
             @Override
             public void channelRead(ChannelHandlerContext context, Object bytes) {
-                if (deaf) {
-                    drop((ByteBuf) bytes);
-                } else if (paused) {
-                    keep((ByteBuf) bytes);
+                if (discardsInput) {
+                    discard((ByteBuf) bytes);
+                } else if (isParsingPaused) {
+                    bufferInput((ByteBuf) bytes);
                 } else {
-                    take((ByteBuf) bytes);
+                    parse((ByteBuf) bytes);
                 }
             }
 
             @Override
             public void channelReadComplete(ChannelHandlerContext context) {
                 context.fireChannelReadComplete();
-                // Not before all of it is taken apart: what has left the socket and is not known here yet
-                // would pass for an idle connection, which an answer to another may have to make room for.
-                time.runOverdueTimers();
+                // Only after all input has been parsed: input that has left the socket but is not known here yet
+                // would make the connection look idle, and it might be closed to make room for another one.
+                clock.runOverdueTimers();
             }
         };
     }
 
-    private void take(ByteBuf bytes) {
-        if (!reading) {
-            reading = true;
-            sinceNanos = everAsked && !busy ? ticker.nanoTime() : sinceNanos;
+    private void parse(ByteBuf bytes) {
+        if (!isReceivingRequest) {
+            isReceivingRequest = true;
+            waitingSinceNanos = hasReceivedRequest && !isBusy ? ticker.nanoTime() : waitingSinceNanos;
         }
         gateContext.fireChannelRead(bytes);
     }
 
-    /** A client that has sent what cannot be used may still leave before its turn comes: that is seen only
-     * where reading goes on. One that sends without end is left to wait. */
-    private void drop(ByteBuf bytes) {
-        dropped += bytes.readableBytes();
+    /**
+     * Discards input. Reading goes on so that the disconnect of a client that sent an invalid request is
+     * noticed before its error response is due, but reading stops if the client sends without end.
+     */
+    private void discard(ByteBuf bytes) {
+        discardedBytes += bytes.readableBytes();
         bytes.release();
-        if (dropped > Limits.MAX_DISCARDED_BYTES && (busy || !waiting.isEmpty())) {
+        if (discardedBytes > Limits.MAX_DISCARDED_BYTES && (isBusy || !queue.isEmpty())) {
             channel.config().setAutoRead(false);
         }
     }
 
-    /** Beyond what there is room for, the rest stays with the system, and a client's leaving behind it. */
-    private void keep(ByteBuf bytes) {
-        if (ahead == null) {
-            ahead = channel.alloc().heapBuffer(bytes.readableBytes());
-            aheadSinceUs = cameUs();
+    /**
+     * Buffers input while requests are queued. Beyond the limits the rest, and a disconnect behind it, stays
+     * unread in the socket.
+     */
+    private void bufferInput(ByteBuf bytes) {
+        if (unparsed == null) {
+            unparsed = channel.alloc().heapBuffer(bytes.readableBytes());
+            unparsedSinceUs = earliestArrivalUs();
         }
-        long more = bytes.readableBytes();
-        ahead.discardReadBytes().writeBytes(bytes);
+        long receivedBytes = bytes.readableBytes();
+        unparsed.discardReadBytes().writeBytes(bytes);
         bytes.release();
-        boolean room = server.setAside(more);
-        aheadBytes += room ? more : 0;
-        if (!room || ahead.readableBytes() >= Limits.MAX_PIPELINED_BYTES) {
+        boolean isReserved = server.reserve(receivedBytes);
+        unparsedReservedBytes += isReserved ? receivedBytes : 0;
+        if (!isReserved || unparsed.readableBytes() >= Limits.MAX_PIPELINED_BYTES) {
             channel.config().setAutoRead(false);
         }
     }
 
-    /** Nothing waits any more: what was kept is taken apart bit by bit, up to where something has to wait. */
-    private void resume() {
-        paused = false;
-        if (ahead != null) {
-            keptSinceUs = aheadSinceUs;
-            while (!paused && !deaf && ahead.isReadable()) {
-                take(ahead.readBytes(Math.min(KEPT_PART, ahead.readableBytes())));
+    /**
+     * Resumes parsing when no request is queued any more: buffered input is parsed in parts, until a request
+     * has to be queued again.
+     */
+    private void resumeParsing() {
+        isParsingPaused = false;
+        if (unparsed != null) {
+            bufferedSinceUs = unparsedSinceUs;
+            while (!isParsingPaused && !discardsInput && unparsed.isReadable()) {
+                parse(unparsed.readBytes(Math.min(REPLAY_PART_BYTES, unparsed.readableBytes())));
             }
-            keptSinceUs = Long.MAX_VALUE;
+            bufferedSinceUs = Long.MAX_VALUE;
             gateContext.fireChannelReadComplete();
-            if (deaf || !ahead.isReadable()) {
-                forgetAhead();
+            if (discardsInput || !unparsed.isReadable()) {
+                releaseUnparsed();
             } else {
-                long more = Math.max(0, aheadBytes - ahead.readableBytes());
-                server.setAside(-more);
-                aheadBytes -= more;
+                long parsedBytes = Math.max(0, unparsedReservedBytes - unparsed.readableBytes());
+                server.reserve(-parsedBytes);
+                unparsedReservedBytes -= parsedBytes;
             }
         }
-        channel.config().setAutoRead(ahead == null || ahead.readableBytes() < Limits.MAX_PIPELINED_BYTES);
+        channel.config().setAutoRead(unparsed == null || unparsed.readableBytes() < Limits.MAX_PIPELINED_BYTES);
     }
 
-    private void forgetAhead() {
-        if (ahead != null) {
-            ahead.release();
-            ahead = null;
-            server.setAside(-aheadBytes);
-            aheadBytes = 0;
+    private void releaseUnparsed() {
+        if (unparsed != null) {
+            unparsed.release();
+            unparsed = null;
+            server.reserve(-unparsedReservedBytes);
+            unparsedReservedBytes = 0;
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
-            // As a connection ends the decoder tells of what is unfinished: nothing is owed for that.
-            if (!deaf && channel.isActive()) {
-                read((HttpObject) message);
+            // The decoder reports unfinished messages when a connection closes; they need no response.
+            if (!discardsInput && channel.isActive()) {
+                readPart((HttpObject) message);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void read(HttpObject part) {
+    private void readPart(HttpObject part) {
         if (part.decoderResult().isFailure()) {
-            turnDown(HttpResponseStatus.BAD_REQUEST);
+            rejectInput(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        if (part instanceof HttpRequest begun) {
-            head = begun;
+        if (part instanceof HttpRequest request) {
+            head = request;
             body = new RequestBody();
-            HttpResponseStatus error = RequestReader.errorOf(begun);
+            HttpResponseStatus error = RequestReader.headError(request);
             if (error != null) {
-                turnDown(error);
+                rejectInput(error);
                 return;
             }
-            if (!setAside(HttpUtil.getContentLength(begun, 0L))) {
-                turnDown(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            if (!reserveBody(HttpUtil.getContentLength(request, 0L))) {
+                rejectInput(HttpResponseStatus.SERVICE_UNAVAILABLE);
                 return;
             }
-            if (HttpUtil.is100ContinueExpected(begun) && !busy && waiting.isEmpty()) {
+            if (HttpUtil.is100ContinueExpected(request) && !isBusy && queue.isEmpty()) {
                 channel.writeAndFlush(new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
@@ -267,191 +300,204 @@
         if (part instanceof HttpContent content) {
             ByteBuf bytes = content.content();
             if (body.size() + bytes.readableBytes() > Limits.MAX_REQUEST_BODY_BYTES) {
-                turnDown(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+                rejectInput(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                 return;
             }
-            if (!setAside(body.size() + bytes.readableBytes())) {
-                turnDown(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            if (!reserveBody(body.size() + bytes.readableBytes())) {
+                rejectInput(HttpResponseStatus.SERVICE_UNAVAILABLE);
                 return;
             }
-            body.add(bytes);
+            body.append(bytes);
         }
         if (part instanceof LastHttpContent) {
-            Incoming whole = new Incoming(head, body.parts(), cameUs(), null);
-            heldBytes += comingBytes;
-            comingBytes = 0;
-            forgetPart();
-            take(whole);
+            QueuedRequest complete = new QueuedRequest(head, body.parts(), earliestArrivalUs(), null);
+            queuedBodyBytes += incomingBodyBytes;
+            incomingBodyBytes = 0;
+            discardPartialRequest();
+            enqueue(complete);
         }
     }
 
-    /** The earliest that what is read now may have come. */
-    private long cameUs() {
-        long sinceLook = Math.min(keptSinceUs, time.nowUs() - time.readLagUs());
-        return readBefore ? sinceLook : Math.min(sinceLook, openedUs);
+    /** Returns the earliest time at which the input that is being read may have arrived. */
+    private long earliestArrivalUs() {
+        long arrivalUs = Math.min(bufferedSinceUs, clock.nowUs() - clock.readLagUs());
+        return hasReadBefore ? arrivalUs : Math.min(arrivalUs, earliestOpenedUs);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        readBefore = true;
+        hasReadBefore = true;
     }
 
-    /** Room for so much of the body that comes; false if there is none, and nothing more is set aside. */
-    private boolean setAside(long bytes) {
-        long more = bytes <= Limits.SMALL_REQUEST_BODY_BYTES ? 0 : bytes - comingBytes;
-        if (more > 0 && !server.setAside(more)) {
+    /**
+     * Reserves room for this many bytes of the body that is being received.
+     *
+     * @return false if there is no room; nothing more is reserved then
+     */
+    private boolean reserveBody(long bytes) {
+        long additionalBytes = bytes <= Limits.SMALL_REQUEST_BODY_BYTES ? 0 : bytes - incomingBodyBytes;
+        if (additionalBytes > 0 && !server.reserve(additionalBytes)) {
             return false;
         }
-        comingBytes += Math.max(0, more);
+        incomingBodyBytes += Math.max(0, additionalBytes);
         return true;
     }
 
-    private void giveBackBodies() {
-        server.setAside(-heldBytes);
-        heldBytes = 0;
+    private void releaseQueuedBodies() {
+        server.reserve(-queuedBodyBytes);
+        queuedBodyBytes = 0;
     }
 
-    private void forgetPart() {
+    /** Drops a partially received request and releases the bytes reserved for its body. */
+    private void discardPartialRequest() {
         head = null;
         body = null;
-        server.setAside(-comingBytes);
-        comingBytes = 0;
-        reading = false;
-    }
-
-    /** What comes cannot be used: where the next request would begin is not known, nothing more is read. */
-    private void turnDown(HttpResponseStatus error) {
-        forgetPart();
-        deaf = true;
-        take(new Incoming(null, List.of(), 0, error));
-    }
-
-    private void take(Incoming next) {
-        everAsked = true;
-        waiting.add(next);
-        if (!busy && waiting.size() == 1) {
-            // Only once all is read that has come on any connection. A node that has fallen behind would else
-            // serve requests whose clients have left, the end of whose connections it reads next: each takes
-            // a server's place and a new connection for nothing, and with retries behind them a node that
-            // serves the oldest first never catches up. Harm: none is sent before the others are read.
-            server.used(this);
+        server.reserve(-incomingBodyBytes);
+        incomingBodyBytes = 0;
+        isReceivingRequest = false;
+    }
+
+    /** Rejects the input. Since the start of the next request is unknown, nothing more is read. */
+    private void rejectInput(HttpResponseStatus error) {
+        discardPartialRequest();
+        discardsInput = true;
+        enqueue(new QueuedRequest(null, List.of(), 0, error));
+    }
+
+    /** Queues a request, or serves it once all connections have been read if none is queued or being served. */
+    private void enqueue(QueuedRequest next) {
+        hasReceivedRequest = true;
+        queue.add(next);
+        if (!isBusy && queue.size() == 1) {
+            // Requests are served only after the input of all connections has been read. Otherwise a node that has
+            // fallen behind would serve requests whose clients have left, since it reads the end of their
+            // connections next. Each such request takes up a server and a new connection for nothing, and together
+            // with the retries a node that serves the oldest request first would never catch up. The cost is that
+            // no request is sent before the others are read.
+            server.markBusy(this);
             channel.eventLoop().execute(this::serveNext);
             return;
         }
-        // Sent ahead of the answer: what comes is taken apart only once it is its turn, so that what waits is
-        // bounded.
-        paused = true;
-        if (waiting.size() > (busy ? 0 : 1) + Limits.MAX_PIPELINED_REQUEST_COUNT && !deaf) {
-            waiting.removeLast();
-            turnDown(HttpResponseStatus.BAD_REQUEST);
+        // A pipelined request: further input is parsed only after it, so that the queue is bounded.
+        isParsingPaused = true;
+        if (queue.size() > (isBusy ? 0 : 1) + Limits.MAX_PIPELINED_REQUEST_COUNT && !discardsInput) {
+            queue.removeLast();
+            rejectInput(HttpResponseStatus.BAD_REQUEST);
         }
     }
 
-    // ---------------------------------------------------------------- one after another
+    // ---------------------------------------------------------------- serving
 
-    private void serve(Incoming next) {
-        busy = true;
-        if (next.error != null) {
-            refuse(
-                    next.error,
-                    NO_BODY,
-                    next.error == HttpResponseStatus.SERVICE_UNAVAILABLE ? reader.retryAfterUs() : 0);
+    private void serve(QueuedRequest next) {
+        isBusy = true;
+        if (next.errorStatus != null) {
+            rejectAndClose(
+                    next.errorStatus,
+                    EMPTY_BODY,
+                    next.errorStatus == HttpResponseStatus.SERVICE_UNAVAILABLE ? reader.retryAfterUs() : 0);
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(next.head);
-        protocol = next.head.protocolVersion();
+        httpVersion = next.head.protocolVersion();
         try {
             String path = RequestReader.path(next.head.uri());
             if (path.equals("/up")) {
-                answer(server.isUp() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, NO_BODY, 0);
+                respond(server.isUp() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, 0);
             } else if (RequestReader.isRequestPath(path)) {
-                ClientRequest request = reader.read(next.head, next.body, time.nowUs() - next.cameUs);
-                if (turnedAway || server.isAnsweringRest()) {
-                    // Never sent anywhere, so that trying again does no harm.
-                    server.turnedAway(request);
+                ClientRequest request = reader.read(next.head, next.body, clock.nowUs() - next.arrivedUs);
+                if (rejectsRequest || server.isAnsweringRemaining()) {
+                    // The request was not sent to any server, so the client may retry it safely.
+                    server.onRejected(request);
                     onRefused(reader.retryAfterUs());
                 } else {
-                    ask(request);
+                    dispatch(request);
                 }
             } else {
-                refuse(HttpResponseStatus.NOT_FOUND, NO_BODY, 0);
+                rejectAndClose(HttpResponseStatus.NOT_FOUND, EMPTY_BODY, 0);
             }
         } catch (BadRequestException e) {
             byte[] reason = (e.getMessage() + "\n").getBytes(StandardCharsets.UTF_8);
-            refuse(HttpResponseStatus.BAD_REQUEST, reason, 0);
+            rejectAndClose(HttpResponseStatus.BAD_REQUEST, reason, 0);
         } catch (RuntimeException e) {
-            // A defect met by one request must not leave it without an answer.
+            // An unexpected exception must not leave the request without a response.
             log.error("request " + next.head.uri(), e);
-            if (held == null) {
-                answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
+            if (openRequest == null) {
+                respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, EMPTY_BODY, 0);
             }
         }
     }
 
-    private void ask(ClientRequest request) throws BadRequestException {
-        Engine.PendingRequest<ClientRequest, ServerResponse> taken = engine.accept(this, request);
-        if (taken == null) {
+    private void dispatch(ClientRequest request) throws BadRequestException {
+        Engine.PendingRequest<ClientRequest, ServerResponse> accepted = engine.accept(this, request);
+        if (accepted == null) {
             throw new BadRequestException("X-Txn is that of an open request");
         }
-        held = taken;
-        server.requested(this, request);
-        engine.dispatch(taken);
+        openRequest = accepted;
+        server.onRequestReceived(this, request);
+        engine.dispatch(accepted);
     }
 
     @Override
-    public void onResponseStarted(ServerResponse answer) {
-        passing = answer;
-        sinceNanos = ticker.nanoTime();
-        HttpResponse begins = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        if (answer.length() >= 0) {
-            begins.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.length());
-        } else if (protocol.equals(HttpVersion.HTTP_1_0)) {
+    public void onResponseStarted(ServerResponse response) {
+        streamedResponse = response;
+        waitingSinceNanos = ticker.nanoTime();
+        HttpResponse responseHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        if (response.length() >= 0) {
+            responseHead.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.length());
+        } else if (httpVersion.equals(HttpVersion.HTTP_1_0)) {
             keepAlive = false;
-            // Nothing but the end of the connection is its end, also that by which a process is killed: that
-            // is to be a reset up to the last byte.
+            // Only the close of the connection marks the end of the body, and the kernel also closes it if the
+            // process is killed. With this option it is reset instead, until the last byte is written.
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         } else {
-            begins.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        }
-        sayIfLast(begins);
-        channel.write(begins);
-        answer.streamTo(bytes -> {
-            channel.writeAndFlush(new DefaultHttpContent(bytes)).addListener(written -> sinceNanos = ticker.nanoTime());
-            // One that has left takes no more: what cannot be called off is read to its end.
-            answer.setReading(channel.isWritable() || !channel.isActive());
+            responseHead.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+        }
+        addCloseHeaderIfLast(responseHead);
+        channel.write(responseHead);
+        response.streamTo(bytes -> {
+            channel.writeAndFlush(new DefaultHttpContent(bytes))
+                    .addListener(written -> waitingSinceNanos = ticker.nanoTime());
+            // A client that has left reads nothing more: an attempt that cannot be cancelled is read to its end.
+            response.setReading(channel.isWritable() || !channel.isActive());
         });
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        if (passing != null) {
-            passing.setReading(channel.isWritable());
+        if (streamedResponse != null) {
+            streamedResponse.setReading(channel.isWritable());
         }
     }
 
     @Override
-    public void onServed(ServerResponse answer) {
-        if (answer != null) {
-            answer(HttpResponseStatus.OK, answer.body(), 0);
+    public void onServed(ServerResponse response) {
+        if (response != null) {
+            respond(HttpResponseStatus.OK, response.body(), 0);
             return;
         }
-        held = null;
-        passing = null;
-        // Its head said nothing of it where the node was told to end meanwhile: left open it would carry
-        // further requests, up to where the process is killed under one. What was sent ahead is owed its
-        // answer, which says that it is the last.
-        keepAlive &= !waiting.isEmpty() || ahead != null || !server.endsConnections();
+        openRequest = null;
+        streamedResponse = null;
+        // The response head did not announce the close if the node started to shut down meanwhile. Left open, the
+        // connection would carry further requests until the process is killed during one. Pipelined requests still
+        // get their responses, the last of which announces the close.
+        keepAlive &= !queue.isEmpty() || unparsed != null || !server.closesAfterResponse();
         channel.config().setOption(ChannelOption.SO_LINGER, -1);
-        channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(written -> answered(written.isSuccess()));
-    }
-
-    /** What was begun cannot be taken back: that it is not whole is told by a reset, whatever its framing. */
-    private boolean isBrokenOff() {
-        if (passing == null) {
+        channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
+                .addListener(written -> onResponseWritten(written.isSuccess()));
+    }
+
+    /**
+     * Aborts the response if it is being streamed: a reset tells the client that it is incomplete, whatever its
+     * framing.
+     *
+     * @return whether a response was being streamed
+     */
+    private boolean abortIfStreaming() {
+        if (streamedResponse == null) {
             return false;
         }
-        held = null;
-        passing = null;
+        openRequest = null;
+        streamedResponse = null;
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         close(CloseReason.ANSWER_BROKEN_OFF);
         return true;
@@ -459,150 +505,164 @@
 
     @Override
     public void onRefused(long retryAfterUs) {
-        if (isBrokenOff()) {
+        if (abortIfStreaming()) {
             return;
         }
-        answer(HttpResponseStatus.SERVICE_UNAVAILABLE, NO_BODY, retryAfterUs);
+        respond(HttpResponseStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, retryAfterUs);
     }
 
     @Override
     public void onFailed() {
-        if (isBrokenOff()) {
+        if (abortIfStreaming()) {
             return;
         }
-        answer(HttpResponseStatus.BAD_GATEWAY, NO_BODY, 0);
+        respond(HttpResponseStatus.BAD_GATEWAY, EMPTY_BODY, 0);
     }
 
     @Override
     public void onInternalError() {
-        if (isBrokenOff()) {
+        if (abortIfStreaming()) {
             return;
         }
-        answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, NO_BODY, 0);
+        respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, EMPTY_BODY, 0);
     }
 
-    /** Answers a client's error and ends the connection: who errs once does so again, at a cost each time. */
-    private void refuse(HttpResponseStatus error, byte[] reason, long retryAfterUs) {
+    /**
+     * Sends an error response and closes the connection: a client that made an error is likely to repeat it, at
+     * a cost each time.
+     */
+    private void rejectAndClose(HttpResponseStatus error, byte[] reason, long retryAfterUs) {
         keepAlive = false;
         lingerMs = Limits.LINGER_MS;
-        waiting.clear();
-        deaf = true;
-        answer(error, reason, retryAfterUs);
-    }
-
-    /** The one answer to the request that is open; {@code retryAfterUs} of 0 gives no advice. */
-    private void answer(HttpResponseStatus status, byte[] content, long retryAfterUs) {
-        held = null;
-        sinceNanos = ticker.nanoTime();
+        queue.clear();
+        discardsInput = true;
+        respond(error, reason, retryAfterUs);
+    }
+
+    /**
+     * Sends the only response to the request that is being served; a {@code retryAfterUs} of 0 omits the
+     * Retry-After header.
+     */
+    private void respond(HttpResponseStatus status, byte[] content, long retryAfterUs) {
+        openRequest = null;
+        waitingSinceNanos = ticker.nanoTime();
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(content));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.length);
         if (retryAfterUs > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterUs / 1e6);
         }
-        sayIfLast(response);
-        channel.writeAndFlush(response).addListener(written -> answered(written.isSuccess()));
+        addCloseHeaderIfLast(response);
+        channel.writeAndFlush(response).addListener(written -> onResponseWritten(written.isSuccess()));
     }
 
-    private void sayIfLast(HttpResponse response) {
-        // What was sent ahead is owed its answer, too.
-        boolean more = !waiting.isEmpty() || ahead != null;
-        if (!keepAlive || crowded || server.endsConnections() && !more) {
+    private void addCloseHeaderIfLast(HttpResponse response) {
+        // Pipelined requests get their responses first.
+        boolean hasPipelinedRequests = !queue.isEmpty() || unparsed != null;
+        if (!keepAlive || closesAfterFirstResponse || server.closesAfterResponse() && !hasPipelinedRequests) {
             keepAlive = false;
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
     }
 
-    /** Only once an answer is written is it the next one's turn: a client may ask and never read. */
-    private void answered(boolean written) {
-        if (waiting.isEmpty()) {
-            giveBackBodies();
+    /**
+     * Goes on with the next request only after the response is written, since a client may send requests and
+     * never read.
+     */
+    private void onResponseWritten(boolean isWritten) {
+        if (queue.isEmpty()) {
+            releaseQueuedBodies();
         }
-        busy = false;
-        sinceNanos = ticker.nanoTime();
-        if (waiting.isEmpty()) {
-            server.rested(this);
+        isBusy = false;
+        waitingSinceNanos = ticker.nanoTime();
+        if (queue.isEmpty()) {
+            server.markIdle(this);
         }
-        if (!written) {
+        if (!isWritten) {
             close(CloseReason.WRITE_FAILED);
         } else if (!keepAlive) {
             channel.shutdownOutput();
-            if (lingerMs == 0 && !isQuiet()) {
-                // A close on what is unread resets the connection, and drops what of the answer is not with
-                // the client yet. It stays unread: the client is to send it again elsewhere.
+            if (lingerMs == 0 && !hasNoUnreadInput()) {
+                // Closing with unread input resets the connection and drops the part of the response that the
+                // client has not received yet. The input stays unread, so that the client sends it again
+                // elsewhere.
                 lingerMs = Limits.LINGER_MS;
                 channel.config().setAutoRead(false);
             }
-            lingering =
+            lingerTimer =
                     channel.eventLoop().schedule(() -> close(CloseReason.LAST_ANSWER), lingerMs, TimeUnit.MILLISECONDS);
-        } else if (!waiting.isEmpty()) {
+        } else if (!queue.isEmpty()) {
             channel.eventLoop().execute(this::serveNext);
         }
     }
 
+    /** Serves the next queued request, and resumes parsing if none is left. */
     private void serveNext() {
-        time.runOverdueTimers();
-        Incoming next = busy || !keepAlive || !channel.isActive() ? null : waiting.poll();
+        clock.runOverdueTimers();
+        QueuedRequest next = isBusy || !keepAlive || !channel.isActive() ? null : queue.poll();
         if (next != null) {
             serve(next);
         }
-        // Behind its last answer nothing more is read, but for the rest of what was turned down.
-        if (waiting.isEmpty() && channel.isActive() && (keepAlive || deaf)) {
-            resume();
+        // After the last response nothing more is read, except for the remaining input of a rejected request.
+        if (queue.isEmpty() && channel.isActive() && (keepAlive || discardsInput)) {
+            resumeParsing();
         }
     }
 
-    // ---------------------------------------------------------------- its end
+    // ---------------------------------------------------------------- close
 
-    boolean isOlderThan(long ms) {
-        return ticker.nanoTime() - sinceNanos > TimeUnit.MILLISECONDS.toNanos(ms);
+    /** Returns whether the connection has been waiting for its client for more than this many milliseconds. */
+    boolean isWaitingLongerThan(long ms) {
+        return ticker.nanoTime() - waitingSinceNanos > TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
-    /** Ends a connection whose client takes too long to ask or to take its answer. */
-    void closeIfLate() {
-        if (held != null && (passing == null || channel.isWritable()) || deaf && !busy) {
+    /** Closes the connection if its client takes too long to send a request or to read a response. */
+    void closeIfExpired() {
+        if (openRequest != null && (streamedResponse == null || channel.isWritable()) || discardsInput && !isBusy) {
             return;
         }
-        if (busy) {
-            closeIfOlderThan(Limits.WRITE_TIMEOUT_MS, CloseReason.ANSWER_NOT_TAKEN);
-        } else if (!reading) {
-            if (isQuiet()) {
-                closeIfOlderThan(everAsked ? Limits.IDLE_TIMEOUT_MS : Limits.REQUEST_READ_TIMEOUT_MS, CloseReason.IDLE);
+        if (isBusy) {
+            closeIfWaitingLongerThan(Limits.WRITE_TIMEOUT_MS, CloseReason.ANSWER_NOT_TAKEN);
+        } else if (!isReceivingRequest) {
+            if (hasNoUnreadInput()) {
+                closeIfWaitingLongerThan(
+                        hasReceivedRequest ? Limits.IDLE_TIMEOUT_MS : Limits.REQUEST_READ_TIMEOUT_MS, CloseReason.IDLE);
             }
-        } else if (isOlderThan(Limits.REQUEST_READ_TIMEOUT_MS
+        } else if (isWaitingLongerThan(Limits.REQUEST_READ_TIMEOUT_MS
                 + (body == null ? 0 : body.size() / Limits.MIN_BODY_RATE_BYTES_PER_MS))) {
-            turnDown(HttpResponseStatus.REQUEST_TIMEOUT);
+            rejectInput(HttpResponseStatus.REQUEST_TIMEOUT);
         }
     }
 
-    private void closeIfOlderThan(long ms, CloseReason reason) {
-        if (isOlderThan(ms)) {
+    private void closeIfWaitingLongerThan(long ms, CloseReason reason) {
+        if (isWaitingLongerThan(ms)) {
             close(reason);
         }
     }
 
-    /** What has come in part is refused: its rest would come too late. */
-    void refusePartial() {
-        if (reading && !busy && waiting.isEmpty() && !deaf) {
-            turnDown(HttpResponseStatus.SERVICE_UNAVAILABLE);
+    /** Rejects a request that has been received in part, as its rest would come too late. */
+    void rejectPartialRequest() {
+        if (isReceivingRequest && !isBusy && queue.isEmpty() && !discardsInput) {
+            rejectInput(HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
     }
 
+    /** Returns the position of this connection in the order in which connections were accepted, from 1. */
     long number() {
         return number;
     }
 
-    /** Whether a request has come in part. */
-    boolean isReading() {
-        return reading;
+    /** Returns whether a request has been received in part. */
+    boolean hasPartialRequest() {
+        return isReceivingRequest;
     }
 
-    /** Whether all that has come is read. */
-    boolean isQuiet() {
+    /** Returns whether all input that has arrived is read. */
+    boolean hasNoUnreadInput() {
         return channel.hasNoUnreadInput();
     }
 
-    /** Closes it for this reason, unless it is being closed for another. */
+    /** Closes the connection for this reason, unless it is being closed for another one. */
     void close(CloseReason reason) {
         if (closeReason == null) {
             closeReason = reason;
@@ -613,20 +673,20 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         keepAlive = false;
-        deaf = true;
-        waiting.clear();
-        forgetPart();
-        giveBackBodies();
-        forgetAhead();
-        if (passing != null) {
-            passing.setReading(true);
-        }
-        if (lingering != null) {
-            lingering.cancel(false);
-        }
-        server.ended(this, closeReason == null ? CloseReason.BY_CLIENT : closeReason);
-        if (held != null) {
-            engine.clientDisconnected(held);
+        discardsInput = true;
+        queue.clear();
+        discardPartialRequest();
+        releaseQueuedBodies();
+        releaseUnparsed();
+        if (streamedResponse != null) {
+            streamedResponse.setReading(true);
+        }
+        if (lingerTimer != null) {
+            lingerTimer.cancel(false);
+        }
+        server.onClosed(this, closeReason == null ? CloseReason.BY_CLIENT : closeReason);
+        if (openRequest != null) {
+            engine.clientDisconnected(openRequest);
         }
     }
 
--- a/src/main/java/kitemux/http/ClientRequest.java
+++ b/src/main/java/kitemux/http/ClientRequest.java
@@ -5,20 +5,21 @@
 import kitemux.engine.RequestInfo;
 
 /**
- * A client's request as it came.
+ * A client's request as it was received.
  *
- * @param method passed on unchanged, like path, id, idempotency key and body
+ * @param method HTTP method; forwarded unchanged, like the URI, transaction id, idempotency key and body
  * @param uri path and query
- * @param txn the client's id for it; null for a probe
- * @param idempotencyKey or null
- * @param classIndex its class by the settings
- * @param tenant by the settings, or -1
- * @param remainingUs how long the client waits from now on
- * @param workUs a guess at the work, or 0
- * @param isRetry whether the client marks it as a repeat
- * @param key what it is about, or null
- * @param ageUs how long ago it came, as far as that can be told
- * @param isStreamed whether answers of its class are streams
+ * @param txn the client's id for the request; null for a probe
+ * @param idempotencyKey the client's idempotency key, or null
+ * @param body the body in parts
+ * @param classIndex index of the request's class in the settings, or -1 for a probe
+ * @param tenant index of the tenant in the settings, or -1 if it is unknown
+ * @param remainingUs how much longer the client waits, in microseconds
+ * @param workUs estimated work in microseconds, or 0 if it is unknown
+ * @param isRetry whether the client marked the request as a retry
+ * @param key last segment of the path, which identifies the subject of the request, or null
+ * @param ageUs estimated time since the request arrived, in microseconds
+ * @param isStreamed whether responses of the request's class are streams
  */
 public record ClientRequest(
         HttpMethod method,
@@ -36,7 +37,7 @@
         boolean isStreamed)
         implements RequestInfo {
 
-    /** What checks a server, where the settings allow probes. */
+    /** The request that probes a server, where the settings allow probes. */
     static final ClientRequest PROBE =
             new ClientRequest(HttpMethod.GET, "/alive", null, null, List.of(), -1, -1, 0, 0, false, null, 0, false);
 }
--- a/src/main/java/kitemux/http/ClientServer.java
+++ b/src/main/java/kitemux/http/ClientServer.java
@@ -29,61 +29,76 @@
 import kitemux.net.ServerResponse;
 import kitemux.net.SocketBudget;
 
-/** The side that clients see: which connections there are, which make room for others, and their end. */
+/**
+ * The server side of the node towards clients: accepts connections, closes some to make room for others, and
+ * shuts down.
+ */
 public final class ClientServer {
-    /** Reads from one connection in a turn of the loop, Netty's usual number: then others have their turn. */
-    private static final int READS = 16;
-    /** Between two lines that tell of connections that could not be accepted. */
-    private static final long ACCEPT_FAILURE_LINE_US = 1_000_000;
+    /**
+     * Maximum number of reads from one connection in a turn of the event loop, Netty's default; then the other
+     * connections are read.
+     */
+    private static final int MAX_READS_PER_TURN_COUNT = 16;
+    /** Minimum interval between two log lines about connections that could not be accepted. */
+    private static final long ACCEPT_FAILURE_LOG_INTERVAL_US = 1_000_000;
 
     private final EventLoopGroup loop;
     private final Network network;
     private final RequestReader reader;
     private final SocketBudget sockets;
     private final Engine<ClientRequest, ServerResponse> engine;
-    private final EventLoopClock time;
-    private final IntConsumer turnedAway;
+    private final EventLoopClock clock;
+    private final IntConsumer onRejected;
     private final ConnectionObserver observer;
     private final Log log;
-    /** Connections that have had no whole request yet, the oldest first. */
-    private final Set<ClientConnection> fresh = new LinkedHashSet<>();
-    /** Those with a request whose answer is not written. */
-    private final Set<ClientConnection> busy = new LinkedHashSet<>();
-    /** All others, the longest unused first. */
-    private final Set<ClientConnection> idle = new LinkedHashSet<>();
-
-    private Channel listening;
-    /** No connection can have come up before. */
+    /** Connections that have not received a complete request yet, oldest first. */
+    private final Set<ClientConnection> newConnections = new LinkedHashSet<>();
+    /** Connections with a request whose response is not written yet. */
+    private final Set<ClientConnection> busyConnections = new LinkedHashSet<>();
+    /** All other connections, longest idle first. */
+    private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
+
+    private Channel listener;
+    /** When the listener was opened; no connection can be older. */
     private long listeningSinceUs;
-    /** Since when some that have come up may wait to be taken in; without end if all were taken. */
-    private long waitingSinceUs = Long.MAX_VALUE;
+    /**
+     * Since when established connections may wait to be accepted; {@link Long#MAX_VALUE} if all have been
+     * accepted.
+     */
+    private long backlogSinceUs = Long.MAX_VALUE;
 
-    private int takenInTurn;
-    /** Calls that could not accept a connection and that no line has told of. */
-    private long acceptFailures;
+    private int acceptedInTurn;
+    /** Number of failed accept calls that have not been logged. */
+    private long unreportedAcceptFailures;
 
-    private long acceptFailureToldUs;
-    /** What long bodies of requests take that have had no answer. */
-    private long bodiesBytes;
-    /** Whether some were left waiting in this turn for want of room. */
-    private boolean leftInTurn;
-    /** How many connections were ever taken in. */
-    private long taken;
+    private long acceptFailureLoggedUs;
+    /** Total size of the long bodies of requests without a response, and of buffered input. */
+    private long reservedBytes;
+    /** Whether connections were left in the backlog in this turn for lack of descriptors. */
+    private boolean hasBacklogInTurn;
+    /** Number of connections accepted since the start. */
+    private long acceptedCount;
 
     private ShutdownPhase phase = ShutdownPhase.SERVING;
-    /** A process that takes this one's place listens too: what the front is told is of both. */
-    private boolean replaced;
-    /** Since when clients are sent away by hand, on the loop's clock; without end if they are not. */
-    private long awaySinceUs = Long.MAX_VALUE;
+    /**
+     * Whether another process replaces this one and listens at the same address; the load balancer in front
+     * gets one answer for both.
+     */
+    private boolean isReplaced;
+    /**
+     * Since when an operator has been draining the clients, on the event loop's clock; {@link Long#MAX_VALUE}
+     * if they are not drained.
+     */
+    private long drainingSinceUs = Long.MAX_VALUE;
 
-    private Runnable whenEmpty = () -> {};
+    private Runnable onAllClosed = () -> {};
 
-    private final Network.AcceptGate gate = new Network.AcceptGate() {
+    private final Network.AcceptGate acceptGate = new Network.AcceptGate() {
         @Override
         public boolean canAccept() {
-            boolean may = sockets.canAcceptClient();
-            leftInTurn |= !may;
-            return may;
+            boolean hasRoom = sockets.canAcceptClient();
+            hasBacklogInTurn |= !hasRoom;
+            return hasRoom;
         }
 
         @Override
@@ -93,20 +108,20 @@
 
         @Override
         public void onAcceptFailed(IOException cause) {
-            acceptFailures++;
-            if (time.nowUs() - acceptFailureToldUs >= ACCEPT_FAILURE_LINE_US) {
-                log.info("accept failed " + acceptFailures + " times: " + cause.getMessage());
-                acceptFailures = 0;
-                acceptFailureToldUs = time.nowUs();
+            unreportedAcceptFailures++;
+            if (clock.nowUs() - acceptFailureLoggedUs >= ACCEPT_FAILURE_LOG_INTERVAL_US) {
+                log.info("accept failed " + unreportedAcceptFailures + " times: " + cause.getMessage());
+                unreportedAcceptFailures = 0;
+                acceptFailureLoggedUs = clock.nowUs();
             }
         }
     };
 
     /**
-     * Serves nobody yet; requests go to the engine, which lives on the same loop.
+     * Creates a server that does not listen yet; requests go to the engine, which runs on the same event loop.
      *
-     * @param turnedAway told the class of each request that is refused before the engine has it
-     * @param observer told what becomes of connections
+     * @param onRejected called with the class of each request that is rejected before it reaches the engine
+     * @param observer notified of the events of connections
      */
     public ClientServer(
             EventLoopGroup loop,
@@ -114,161 +129,170 @@
             RequestReader reader,
             SocketBudget sockets,
             Engine<ClientRequest, ServerResponse> engine,
-            EventLoopClock time,
-            IntConsumer turnedAway,
+            EventLoopClock clock,
+            IntConsumer onRejected,
             ConnectionObserver observer,
             Log log) {
-        this.turnedAway = turnedAway;
+        this.onRejected = onRejected;
         this.observer = observer;
         this.loop = loop;
         this.network = network;
         this.reader = reader;
         this.sockets = sockets;
         this.engine = engine;
-        this.time = time;
+        this.clock = clock;
         this.log = log;
     }
 
     /**
-     * Listens; the future is done once clients can connect.
+     * Opens the listener; the future completes once clients can connect.
      *
      * @param shared whether another process may listen at the same address
      */
     public ChannelFuture listen(InetSocketAddress address, boolean shared) {
-        ServerBootstrap listener = new ServerBootstrap();
+        ServerBootstrap bootstrap = new ServerBootstrap();
         if (shared) {
-            listener.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
+            bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
-        ChannelFuture opening = listener.group(loop)
-                .channelFactory(() -> network.newListener(gate))
+        ChannelFuture opening = bootstrap
+                .group(loop)
+                .channelFactory(() -> network.newListener(acceptGate))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, Network.BACKLOG)
                 .childOption(ChannelOption.ALLOCATOR, network.allocator())
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(SocketBudget.MAX_ACCEPTS_PER_TURN))
-                // Each is read until nothing more has come, its end included: whoever has left is not served.
+                // Each connection is read until no input is left, its end included, so that a client that has left
+                // is not served.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator()
                                 .respectMaybeMoreData(false)
-                                .maxMessagesPerRead(READS))
+                                .maxMessagesPerRead(MAX_READS_PER_TURN_COUNT))
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted((InputAwareChannel) channel);
+                        initConnection((InputAwareChannel) channel);
                     }
                 })
                 .bind(address);
-        listening = opening.channel();
-        opening.addListener(opened -> listeningSinceUs = time.nowUs());
+        listener = opening.channel();
+        opening.addListener(opened -> listeningSinceUs = clock.nowUs());
         return opening;
     }
 
-    private void accepted(InputAwareChannel channel) {
-        taken++;
+    private void initConnection(InputAwareChannel channel) {
+        acceptedCount++;
         sockets.clientRegistered();
         channel.closeFuture().addListener(done -> {
             sockets.clientClosed();
-            acceptIfRoom();
+            resumeAcceptingIfRoom();
         });
-        ClientConnection client = new ClientConnection(this, taken, reader, engine, time, log, channel, earliestUs());
-        observer.connectionAccepted(taken, channel.remoteAddress());
+        ClientConnection client =
+                new ClientConnection(this, acceptedCount, reader, engine, clock, log, channel, earliestOpenedUs());
+        observer.connectionAccepted(acceptedCount, channel.remoteAddress());
         if (!sockets.canKeepClient() && !makeRoom()) {
-            // Every connection has a request open. This one may have brought one too, which is owed an
-            // answer: it is served, or where even that takes too many turned away, and let go. Harm:
-            // clients beyond the bound open a connection for each request.
-            boolean serve = sockets.canServeClient();
-            client.endAfterOne(serve);
-            if (!serve) {
+            // Every connection has an open request. The new one may have brought a request too, which must be
+            // answered: it is served, or rejected if even that would exceed the limits, and then the connection
+            // closes. The cost is that clients beyond the limit open a connection for each request.
+            boolean isServed = sockets.canServeClient();
+            client.closeAfterFirstResponse(isServed);
+            if (!isServed) {
                 sockets.clientRejected();
                 channel.closeFuture().addListener(done -> sockets.rejectedClientClosed());
             }
             if (!sockets.canAcceptClient()) {
-                // Further ones wait with the system, which has room for many.
-                listening.config().setAutoRead(false);
-                leftInTurn = true;
+                // Further connections wait in the listener's backlog, which has room for many.
+                listener.config().setAutoRead(false);
+                hasBacklogInTurn = true;
             }
         }
-        fresh.add(client);
+        newConnections.add(client);
         channel.pipeline()
                 .addLast(
-                        client.gate(),
+                        client.createInputGate(),
                         new HttpServerCodec(new HttpDecoderConfig().setMaxChunkSize(Limits.SMALL_REQUEST_BODY_BYTES)),
                         client);
-        time.runOverdueTimers();
+        clock.runOverdueTimers();
     }
 
-    /** The earliest that a connection that is taken in now may have come up. */
-    private long earliestUs() {
-        long earliest = Math.max(listeningSinceUs, Math.min(waitingSinceUs, time.nowUs() - time.readLagUs()));
-        if (takenInTurn++ == 0) {
-            // In the same turn, behind all that is taken in in it.
+    /** Returns the earliest time at which a connection that is accepted now may have been established. */
+    private long earliestOpenedUs() {
+        long earliestUs = Math.max(listeningSinceUs, Math.min(backlogSinceUs, clock.nowUs() - clock.readLagUs()));
+        if (acceptedInTurn++ == 0) {
+            // Runs in the same turn, after all connections that are accepted in it.
             loop.execute(() -> {
-                boolean left = leftInTurn
-                        || takenInTurn >= SocketBudget.MAX_ACCEPTS_PER_TURN
-                        || !listening.config().isAutoRead();
-                waitingSinceUs = left ? earliest : Long.MAX_VALUE;
-                takenInTurn = 0;
-                leftInTurn = false;
-                if (left) {
-                    forgetOnceAllAreTaken(taken);
+                boolean hasBacklog = hasBacklogInTurn
+                        || acceptedInTurn >= SocketBudget.MAX_ACCEPTS_PER_TURN
+                        || !listener.config().isAutoRead();
+                backlogSinceUs = hasBacklog ? earliestUs : Long.MAX_VALUE;
+                acceptedInTurn = 0;
+                hasBacklogInTurn = false;
+                if (hasBacklog) {
+                    clearBacklogOnceAccepted(acceptedCount);
                 }
             });
         }
-        return earliest;
+        return earliestUs;
     }
 
-    /** Where none was taken since, all were: the listener has been looked at in between. */
-    private void forgetOnceAllAreTaken(long takenBefore) {
+    /**
+     * Clears the backlog's start time once no connection has been accepted for a tick: the listener was polled
+     * in between, so that all have been accepted.
+     */
+    private void clearBacklogOnceAccepted(long countBefore) {
         loop.schedule(
                 () -> {
-                    if (taken == takenBefore && listening.config().isAutoRead()) {
-                        waitingSinceUs = Long.MAX_VALUE;
-                    } else if (waitingSinceUs != Long.MAX_VALUE && listening.isOpen()) {
-                        forgetOnceAllAreTaken(taken);
+                    if (acceptedCount == countBefore && listener.config().isAutoRead()) {
+                        backlogSinceUs = Long.MAX_VALUE;
+                    } else if (backlogSinceUs != Long.MAX_VALUE && listener.isOpen()) {
+                        clearBacklogOnceAccepted(acceptedCount);
                     }
                 },
                 EventLoopClock.TICK_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void acceptIfRoom() {
-        if (!listening.config().isAutoRead() && listening.isOpen() && sockets.canAcceptClient()) {
-            listening.config().setAutoRead(true);
+    private void resumeAcceptingIfRoom() {
+        if (!listener.config().isAutoRead() && listener.isOpen() && sockets.canAcceptClient()) {
+            listener.config().setAutoRead(true);
         }
     }
 
     /**
-     * Closes the oldest that has asked nothing, unless it is new, else the longest unused. Where silent ones
-     * are the most they make room however new: a flood of them must not cost the usual clients theirs.
+     * Closes a connection to make room: the oldest one without a request unless it is new, otherwise the
+     * longest idle one. If connections without a request are the majority they are closed however new they are,
+     * so that a flood of them does not cost the other clients their connections.
      *
-     * @return false if all are in use
+     * @return false if all connections are in use
      */
     private boolean makeRoom() {
-        if (!fresh.isEmpty()) {
-            ClientConnection oldest = fresh.iterator().next();
-            if ((fresh.size() > busy.size() + idle.size() || oldest.isOlderThan(Limits.NEW_CONNECTION_GRACE_MS))
-                    && closeFirst(fresh)) {
+        if (!newConnections.isEmpty()) {
+            ClientConnection oldest = newConnections.iterator().next();
+            if ((newConnections.size() > busyConnections.size() + idleConnections.size()
+                            || oldest.isWaitingLongerThan(Limits.NEW_CONNECTION_GRACE_MS))
+                    && closeFirstWithoutInput(newConnections)) {
                 return true;
             }
         }
-        return closeFirst(idle);
+        return closeFirstWithoutInput(idleConnections);
     }
 
     /**
-     * Closes the first on which nothing has come that waits to be read: a node that has fallen behind would
-     * else lose requests of clients that it takes for idle. It is taken out at once, as the loop tells of its
-     * end later, and until then it would be closed again. Harm: in a flood all are looked at.
+     * Closes the first connection without unread input; a node that has fallen behind would otherwise lose
+     * requests of clients that it takes for idle. The connection is removed at once, since the event loop
+     * reports its end later and it would be chosen again until then. The cost is that a flood of connections
+     * has to be searched.
      *
      * @return false if there is none
      */
-    private boolean closeFirst(Set<ClientConnection> clients) {
-        for (Iterator<ClientConnection> each = clients.iterator(); each.hasNext(); ) {
-            ClientConnection client = each.next();
-            if (client.isQuiet() && !(client.isReading() && clients == idle)) {
-                each.remove();
+    private boolean closeFirstWithoutInput(Set<ClientConnection> clients) {
+        for (Iterator<ClientConnection> iterator = clients.iterator(); iterator.hasNext(); ) {
+            ClientConnection client = iterator.next();
+            if (client.hasNoUnreadInput() && !(client.hasPartialRequest() && clients == idleConnections)) {
+                iterator.remove();
                 client.close(CloseReason.NO_ROOM);
                 return true;
             }
@@ -276,111 +300,119 @@
         return false;
     }
 
-    /** A request has come on this connection; its turn is next. */
-    void used(ClientConnection client) {
-        fresh.remove(client);
-        idle.remove(client);
-        busy.add(client);
+    /** Marks a connection as busy when a request was received on it. */
+    void markBusy(ClientConnection client) {
+        newConnections.remove(client);
+        idleConnections.remove(client);
+        busyConnections.add(client);
     }
 
-    /** Its answer is written. Clients that keep what they use no more would hold all that they may open. */
-    void rested(ClientConnection client) {
-        if (busy.remove(client)) {
-            idle.add(client);
-            if (idle.size() > sockets.maxIdleClients() || !listening.config().isAutoRead()) {
-                closeFirst(idle);
+    /**
+     * Marks a connection as idle when its response is written. The number of idle connections is bounded, since
+     * clients that keep unused ones would otherwise hold all descriptors.
+     */
+    void markIdle(ClientConnection client) {
+        if (busyConnections.remove(client)) {
+            idleConnections.add(client);
+            if (idleConnections.size() > sockets.maxIdleClients()
+                    || !listener.config().isAutoRead()) {
+                closeFirstWithoutInput(idleConnections);
             }
         }
     }
 
-    void requested(ClientConnection client, ClientRequest request) {
+    void onRequestReceived(ClientConnection client, ClientRequest request) {
         observer.requestReceived(client.number(), request.txn());
     }
 
-    void ended(ClientConnection client, CloseReason reason) {
+    void onClosed(ClientConnection client, CloseReason reason) {
         observer.connectionClosed(client.number(), reason);
-        fresh.remove(client);
-        busy.remove(client);
-        idle.remove(client);
-        tellIfEmpty();
+        newConnections.remove(client);
+        busyConnections.remove(client);
+        idleConnections.remove(client);
+        finishIfEmpty();
     }
 
     /**
-     * Sets room for so many bytes of long bodies aside, or gives so many back where under 0.
+     * Reserves this many bytes for long bodies and buffered input, or releases them if negative.
      *
      * @return false if there is no room
      */
-    boolean setAside(long bytes) {
-        if (bytes > 0 && bodiesBytes + bytes > Limits.MAX_TOTAL_REQUEST_BODY_BYTES) {
+    boolean reserve(long bytes) {
+        if (bytes > 0 && reservedBytes + bytes > Limits.MAX_TOTAL_REQUEST_BODY_BYTES) {
             return false;
         }
-        bodiesBytes += bytes;
+        reservedBytes += bytes;
         return true;
     }
 
-    void turnedAway(ClientRequest request) {
-        turnedAway.accept(request.classIndex());
+    void onRejected(ClientRequest request) {
+        onRejected.accept(request.classIndex());
     }
 
-    private List<ClientConnection> all() {
-        List<ClientConnection> all = new ArrayList<>(fresh);
-        all.addAll(busy);
-        all.addAll(idle);
+    private List<ClientConnection> allConnections() {
+        List<ClientConnection> all = new ArrayList<>(newConnections);
+        all.addAll(busyConnections);
+        all.addAll(idleConnections);
         return all;
     }
 
-    /** Ends what has taken too long on the clients' part. */
+    /** Closes connections whose clients exceeded a timeout. */
     public void closeExpired() {
-        all().forEach(ClientConnection::closeIfLate);
+        allConnections().forEach(ClientConnection::closeIfExpired);
         if (phase.compareTo(ShutdownPhase.CLOSING_IDLE) >= 0) {
             closeUnused(Limits.NEW_CONNECTION_GRACE_MS, CloseReason.SHUTDOWN);
-        } else if (awaySinceUs != Long.MAX_VALUE && time.nowUs() - awaySinceUs >= Limits.IDLE_DRAIN_MS * 1_000) {
+        } else if (drainingSinceUs != Long.MAX_VALUE
+                && clock.nowUs() - drainingSinceUs >= Limits.IDLE_DRAIN_MS * 1_000) {
             closeUnused(Limits.MIN_UNUSED_MS, CloseReason.SENT_AWAY);
         }
     }
 
-    /** Whether each answer ends its connection. */
-    boolean endsConnections() {
-        return phase != ShutdownPhase.SERVING || awaySinceUs != Long.MAX_VALUE;
+    /** Returns whether each response closes its connection. */
+    boolean closesAfterResponse() {
+        return phase != ShutdownPhase.SERVING || drainingSinceUs != Long.MAX_VALUE;
     }
 
-    /** Whether the front may deal out clients to this address. */
+    /** Returns whether the load balancer in front may send clients to this address. */
     public boolean isUp() {
-        return awaySinceUs == Long.MAX_VALUE && (phase == ShutdownPhase.SERVING || replaced);
+        return drainingSinceUs == Long.MAX_VALUE && (phase == ShutdownPhase.SERVING || isReplaced);
     }
 
     /**
-     * Sends clients away, or no more: the front is told no, each answer ends its connection, and what stays
-     * idle is closed. The listener stays open, as some still come, and all may come back.
+     * Starts or stops draining the clients: the load balancer in front is told that this address is down, each
+     * response closes its connection, and connections that stay idle are closed. The listener stays open, as
+     * some clients still come, and all may come back.
      */
-    public void setDraining(boolean away) {
-        if (away != (awaySinceUs != Long.MAX_VALUE)) {
-            awaySinceUs = away ? time.nowUs() : Long.MAX_VALUE;
+    public void setDraining(boolean isDraining) {
+        if (isDraining != (drainingSinceUs != Long.MAX_VALUE)) {
+            drainingSinceUs = isDraining ? clock.nowUs() : Long.MAX_VALUE;
         }
     }
 
     /**
-     * Ends the clients' side by this schedule: every answer ends its connection from now on, the listener and
-     * then all unused connections are closed, and what is held at the end is answered.
+     * Shuts the client side down by this schedule: from now on each response closes its connection, then the
+     * listener and all idle connections are closed, and the requests that are still open at the end are
+     * answered.
      *
-     * @param byAnother another process listens at the same address, and the front is to be told yes
-     * @param whenDone called once no connection is left and none can come
+     * @param replacedByAnother whether another process listens at the same address, so that the address stays
+     *     up
+     * @param onDone called once no connection is open and none can be accepted
      */
-    public void shutDown(ShutdownSchedule schedule, boolean byAnother, Runnable whenDone) {
-        replaced = byAnother;
-        whenEmpty = whenDone;
-        enter(ShutdownPhase.LAME_DUCK);
-        at(schedule.listenUntilUs(), this::closeListener);
-        at(schedule.idleUntilUs(), this::closeIdle);
-        at(schedule.answerByUs(), this::answerRest);
+    public void shutDown(ShutdownSchedule schedule, boolean replacedByAnother, Runnable onDone) {
+        isReplaced = replacedByAnother;
+        onAllClosed = onDone;
+        enterPhase(ShutdownPhase.LAME_DUCK);
+        scheduleAt(schedule.listenUntilUs(), this::closeListener);
+        scheduleAt(schedule.idleUntilUs(), this::closeIdle);
+        scheduleAt(schedule.answerByUs(), this::answerRemaining);
         engine.setAnswerDeadline(schedule.answerByUs());
     }
 
-    private void at(long us, Runnable task) {
-        loop.schedule(task, Math.max(0, us - time.nowUs()), TimeUnit.MICROSECONDS);
+    private void scheduleAt(long atUs, Runnable task) {
+        loop.schedule(task, Math.max(0, atUs - clock.nowUs()), TimeUnit.MICROSECONDS);
     }
 
-    private void enter(ShutdownPhase next) {
+    private void enterPhase(ShutdownPhase next) {
         if (!phase.next().contains(next)) {
             throw new IllegalStateException("shutdown from " + phase + " to " + next);
         }
@@ -388,57 +420,67 @@
         observer.shutdownPhaseEntered(next);
     }
 
-    /** What waits for room would be reset with the listener: that has to be taken first, while there is time. */
+    /**
+     * Closes the listener. Connections in its backlog would be reset with it, so they are accepted first while
+     * there is time.
+     */
     private void closeListener() {
-        if (!listening.config().isAutoRead() && phase.compareTo(ShutdownPhase.ANSWERING_REST) < 0) {
+        if (!listener.config().isAutoRead() && phase.compareTo(ShutdownPhase.ANSWERING_REST) < 0) {
             loop.schedule(this::closeListener, EventLoopClock.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
             return;
         }
-        // Those that it accepted at the last are known behind this.
-        listening.close().addListener(done -> loop.execute(this::tellIfEmpty));
+        // The connections that were accepted last are registered before this task runs.
+        listener.close().addListener(done -> loop.execute(this::finishIfEmpty));
     }
 
     private void closeIdle() {
-        enter(ShutdownPhase.CLOSING_IDLE);
+        enterPhase(ShutdownPhase.CLOSING_IDLE);
         closeUnused(0, CloseReason.SHUTDOWN);
-        tellIfEmpty();
+        finishIfEmpty();
     }
 
-    /** The engine answers what it holds in this turn; what is still to be read is refused from now on. */
-    private void answerRest() {
+    /**
+     * Answers all open requests: the engine does so in this turn, and requests that are still being received
+     * are rejected from now on.
+     */
+    private void answerRemaining() {
         if (phase != ShutdownPhase.CLOSED) {
-            enter(ShutdownPhase.ANSWERING_REST);
+            enterPhase(ShutdownPhase.ANSWERING_REST);
             closeUnused(0, CloseReason.SHUTDOWN);
-            all().forEach(ClientConnection::refusePartial);
-            tellIfEmpty();
+            allConnections().forEach(ClientConnection::rejectPartialRequest);
+            finishIfEmpty();
         }
     }
 
-    /** Whether requests are refused as no answer could come in time any more. */
-    boolean isAnsweringRest() {
+    /** Returns whether requests are rejected since no response could come in time any more. */
+    boolean isAnsweringRemaining() {
         return phase == ShutdownPhase.ANSWERING_REST;
     }
 
-    /** What has come is served, and its answer ends the connection; all else is closed. */
-    private void closeUnused(long unusedMs, CloseReason reason) {
-        List<ClientConnection> unused = all();
-        unused.removeAll(busy);
-        unused.removeIf(
-                client -> client.isReading() || !client.isQuiet() || unusedMs > 0 && !client.isOlderThan(unusedMs));
+    /**
+     * Closes the connections that neither have a request nor unread input; the others are served, and their
+     * response closes them.
+     */
+    private void closeUnused(long minUnusedMs, CloseReason reason) {
+        List<ClientConnection> unused = allConnections();
+        unused.removeAll(busyConnections);
+        unused.removeIf(client -> client.hasPartialRequest()
+                || !client.hasNoUnreadInput()
+                || minUnusedMs > 0 && !client.isWaitingLongerThan(minUnusedMs));
         unused.forEach(client -> client.close(reason));
     }
 
-    /** Ends everything at once. */
+    /** Closes the listener and all connections immediately. */
     public void close() {
-        listening.close();
-        all().forEach(client -> client.close(CloseReason.NODE_CLOSED));
+        listener.close();
+        allConnections().forEach(client -> client.close(CloseReason.NODE_CLOSED));
     }
 
-    private void tellIfEmpty() {
-        boolean mayEnd = phase == ShutdownPhase.CLOSING_IDLE || phase == ShutdownPhase.ANSWERING_REST;
-        if (mayEnd && !listening.isOpen() && all().isEmpty()) {
-            enter(ShutdownPhase.CLOSED);
-            whenEmpty.run();
+    private void finishIfEmpty() {
+        boolean canFinish = phase == ShutdownPhase.CLOSING_IDLE || phase == ShutdownPhase.ANSWERING_REST;
+        if (canFinish && !listener.isOpen() && allConnections().isEmpty()) {
+            enterPhase(ShutdownPhase.CLOSED);
+            onAllClosed.run();
         }
     }
 }
--- a/src/main/java/kitemux/http/CloseReason.java
+++ b/src/main/java/kitemux/http/CloseReason.java
@@ -1,27 +1,27 @@
 package kitemux.http;
 
-/** Why a client's connection was closed. */
+/** The reason for which a client connection was closed. */
 public enum CloseReason {
-    /** The client closed or reset it. */
+    /** The client closed or reset the connection. */
     BY_CLIENT,
-    /** Its last answer, which said so, has been written. */
+    /** The final response, which announced the close, has been written. */
     LAST_ANSWER,
-    /** Another connection needed its descriptor. */
+    /** The connection's file descriptor was needed for another connection. */
     NO_ROOM,
-    /** It carried no request for too long. */
+    /** The connection carried no request within the idle timeout. */
     IDLE,
-    /** Its client did not take an answer in time. */
+    /** The client did not read a response in time. */
     ANSWER_NOT_TAKEN,
-    /** An answer could not be written. */
+    /** Writing a response failed. */
     WRITE_FAILED,
-    /** An answer that had begun could not be finished. */
+    /** A response that had been started could not be completed. */
     ANSWER_BROKEN_OFF,
-    /** Clients are being sent away and it was unused. */
+    /** The node drains its clients and the connection was idle. */
     SENT_AWAY,
-    /** The process shuts down and it was unused. */
+    /** The process is shutting down and the connection was idle. */
     SHUTDOWN,
-    /** The network or a defect broke it. */
+    /** A network error or an unexpected exception broke the connection. */
     ERROR,
-    /** The node let go of everything at once. */
+    /** The node closed all its connections at once. */
     NODE_CLOSED
 }
--- a/src/main/java/kitemux/http/ConnectionObserver.java
+++ b/src/main/java/kitemux/http/ConnectionObserver.java
@@ -3,22 +3,23 @@
 import java.net.SocketAddress;
 
 /**
- * Told what becomes of clients' connections, on the loop's thread. It must neither block nor throw. Connections
- * are numbered from 1 in the order in which a process accepted them. All methods do nothing unless overridden.
+ * Receives the events of client connections on the event loop's thread. Implementations must neither block nor
+ * throw. Connections are numbered from 1 in the order in which the process accepted them. All methods do
+ * nothing by default.
  */
 public interface ConnectionObserver {
-    /** Told of nothing. */
+    /** An observer that ignores all events. */
     ConnectionObserver NONE = new ConnectionObserver() {};
 
-    /** A connection was accepted from this client. */
+    /** Called when a connection from this client address was accepted. */
     default void connectionAccepted(long connection, SocketAddress client) {}
 
-    /** A request with this id was read whole and is served from now on. */
+    /** Called when the request with this transaction id was received completely and is about to be dispatched. */
     default void requestReceived(long connection, String txn) {}
 
-    /** A phase of the shutdown begins. */
+    /** Called when a phase of the shutdown begins. */
     default void shutdownPhaseEntered(ShutdownPhase phase) {}
 
-    /** A connection has ended. */
+    /** Called when a connection was closed. */
     default void connectionClosed(long connection, CloseReason reason) {}
 }
--- a/src/main/java/kitemux/http/HttpServers.java
+++ b/src/main/java/kitemux/http/HttpServers.java
@@ -28,16 +28,16 @@
 import kitemux.net.ServerPool;
 import kitemux.net.ServerResponse;
 
-/** HTTP/1.1 towards servers: how an exchange is written, and what their answers say. */
+/** The HTTP/1.1 protocol towards servers: encodes requests and interprets responses. */
 public final class HttpServers implements ServerPool.Protocol<ClientRequest, ServerResponse> {
     private final Clock clock;
     private final Settings settings;
     private final ByteBufAllocator allocator;
     private final Log log;
-    /** How much of answers has come that have not ended yet. */
-    private int answersBytes;
+    /** Total size of the responses that are buffered and not complete. */
+    private int bufferedResponseBytes;
 
-    /** For the classes of these settings. */
+    /** Creates the protocol for the classes of these settings. */
     public HttpServers(Clock clock, Settings settings, ByteBufAllocator allocator, Log log) {
         this.clock = clock;
         this.settings = settings;
@@ -60,8 +60,11 @@
         return ClientRequest.PROBE;
     }
 
-    /** As late as a connection is there to carry it: it says how long the node will wait. */
-    private FullHttpRequest message(Exchange<ClientRequest, ServerResponse> exchange) {
+    /**
+     * Creates the request once a connection is available to send it, since it states how long the node will
+     * wait.
+     */
+    private FullHttpRequest createRequest(Exchange<ClientRequest, ServerResponse> exchange) {
         ClientRequest request = exchange.request();
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -85,24 +88,32 @@
         return message;
     }
 
-    // ---------------------------------------------------------------- a connection
+    // ---------------------------------------------------------------- connection
 
+    /** A connection to a server, which carries one exchange at a time. */
     private final class Connection extends ServerPool.ServerConnection<ClientRequest, ServerResponse> {
         private HttpResponse head;
-        /** What has come of an answer that is gathered; null before one, and while one is passed on. */
+        /**
+         * The received part of a response that is being buffered; null before a response, and while one is
+         * streamed.
+         */
         private ByteBuf body;
-        /** An answer that is passed on as it comes, or null. */
-        private ServerResponse passing;
+        /** The response that is being streamed, or null. */
+        private ServerResponse streamedResponse;
 
+        /** Whether input is read from the server; false while the client does not keep up. */
         private boolean reading = true;
-        private long readAtUs;
-        /** Bytes of an answer that have been passed on, and when the first were. */
-        private long passed;
 
-        private long passingSinceUs;
-        private boolean answered;
-        /** The other side broke it off: its end is not that of an answer. */
-        private boolean broken;
+        private long lastReadUs;
+        /** Number of bytes of the response that have been streamed. */
+        private long streamedBytes;
+
+        /** When streaming started, in microseconds on the event loop's clock. */
+        private long streamingSinceUs;
+        /** Whether the connection may carry another request once all input is read. */
+        private boolean isReusable;
+        /** Whether the connection failed, so that its end does not mark the end of a response. */
+        private boolean isBroken;
 
         @Override
         protected void onConnected() {
@@ -111,29 +122,29 @@
 
         @Override
         protected Object createMessage(Exchange<ClientRequest, ServerResponse> next) {
-            return HttpServers.this.message(next);
+            return HttpServers.this.createRequest(next);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             try {
-                read((HttpObject) message);
+                readPart((HttpObject) message);
             } finally {
                 ReferenceCountUtil.release(message);
             }
         }
 
-        private void read(HttpObject message) {
+        private void readPart(HttpObject message) {
             if (exchange() == null || message.decoderResult().isFailure()) {
-                // Unasked for, or not to be read: what follows cannot be told apart from an answer.
+                // Unsolicited or malformed: what follows cannot be distinguished from a response.
                 fail();
                 return;
             }
-            readAtUs = clock.nowUs();
+            lastReadUs = clock.nowUs();
             if (message instanceof HttpResponse response) {
                 head = response;
-                dropBody();
-                // A length that is past all bounds spoils the answer before any of it has come.
+                releaseBody();
+                // A response with an excessive Content-Length is rejected before any of its body has arrived.
                 if (HttpUtil.getContentLength(response, 0L) > Limits.MAX_RESPONSE_BYTES) {
                     fail();
                     return;
@@ -141,92 +152,102 @@
                 body = allocator.buffer(
                         (int) Math.min(HttpUtil.getContentLength(response, 256L), Limits.MAX_INITIAL_BUFFER_BYTES));
             }
-            if (message instanceof HttpContent content && !gather(content.content())) {
+            if (message instanceof HttpContent content && !addContent(content.content())) {
                 return;
             }
             if (message instanceof LastHttpContent && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-                if ((broken || isClosedLocally()) && isEndedByClose()) {
-                    // The decoder takes any end of the connection for the answer's.
+                if ((isBroken || isClosedLocally()) && isEndedByClose()) {
+                    // The decoder takes any end of the connection for the end of the response.
                     fail();
                     return;
                 }
-                answered();
+                finishResponse();
             }
         }
 
-        /** False if the answer has come to its end here. */
-        private boolean gather(ByteBuf more) {
-            if (passing != null) {
-                passed += more.readableBytes();
-                if (passed > Limits.MAX_RESPONSE_BYTES) {
+        /**
+         * Buffers or streams a part of the body.
+         *
+         * @return false if the exchange has ended
+         */
+        private boolean addContent(ByteBuf content) {
+            if (streamedResponse != null) {
+                streamedBytes += content.readableBytes();
+                if (streamedBytes > Limits.MAX_RESPONSE_BYTES) {
                     fail();
                     return false;
                 }
-                passing.deliver(more.retain());
+                streamedResponse.deliver(content.retain());
                 return exchange() != null;
             }
-            int bytes = more.readableBytes();
+            int bytes = content.readableBytes();
             if (head.status().code() != 200
                     ? body.readableBytes() + bytes > Limits.MAX_ERROR_BODY_BYTES
-                    : answersBytes + bytes > Limits.MAX_TOTAL_BUFFERED_RESPONSE_BYTES) {
+                    : bufferedResponseBytes + bytes > Limits.MAX_TOTAL_BUFFERED_RESPONSE_BYTES) {
                 fail();
                 return false;
             }
-            answersBytes += bytes;
-            body.writeBytes(more);
+            bufferedResponseBytes += bytes;
+            body.writeBytes(content);
             if (head.status().code() == 200
                     && Math.max(body.readableBytes(), HttpUtil.getContentLength(head, 0L))
                             > Limits.MAX_BUFFERED_RESPONSE_BYTES) {
-                return passOn();
+                return startStreaming();
             }
             return true;
         }
 
-        /** Too long to be held: it goes on as it comes, and can be tried nowhere else from here on. */
-        private boolean passOn() {
-            ServerResponse begins = ServerResponse.streaming(HttpUtil.getContentLength(head, -1L), this::setReading);
-            if (!startResponse(begins)) {
+        /**
+         * Starts to stream a response that is too long to be buffered; the request cannot be retried on another
+         * server from here on.
+         *
+         * @return false if the exchange has ended
+         */
+        private boolean startStreaming() {
+            ServerResponse response = ServerResponse.streaming(HttpUtil.getContentLength(head, -1L), this::setReading);
+            if (!startResponse(response)) {
                 releaseResponse();
                 return false;
             }
-            passing = begins;
-            passingSinceUs = clock.nowUs();
-            answersBytes -= body.readableBytes();
+            streamedResponse = response;
+            streamingSinceUs = clock.nowUs();
+            bufferedResponseBytes -= body.readableBytes();
             ByteBuf first = body;
             body = null;
-            passed = first.readableBytes();
-            passing.deliver(first);
+            streamedBytes = first.readableBytes();
+            streamedResponse.deliver(first);
             return exchange() != null;
         }
 
-        private void setReading(boolean on) {
-            if (reading != on) {
-                reading = on;
-                readAtUs = clock.nowUs();
-                channel().config().setAutoRead(on);
+        private void setReading(boolean enabled) {
+            if (reading != enabled) {
+                reading = enabled;
+                lastReadUs = clock.nowUs();
+                channel().config().setAutoRead(enabled);
             }
         }
 
         @Override
         protected boolean isStalled() {
-            if (passing == null) {
+            if (streamedResponse == null) {
                 return false;
             }
-            // What has come since the loop last looked may lie unread: a loop that stood still stalls nobody.
+            // Data that arrived since the event loop last polled may be unread: a stall of the loop is not a stall
+            // of the server.
             long lookedUs = clock.nowUs() - clock.readLagUs();
             long deadlineUs = exchange().deadlineUs();
-            boolean silent = lookedUs - readAtUs > Limits.STALL_TIMEOUT_US
-                    || readAtUs <= deadlineUs && lookedUs - deadlineUs > Limits.DEADLINE_GRACE_US;
-            return reading && silent || lookedUs - passingSinceUs > Limits.MAX_STREAMING_US;
+            boolean silent = lookedUs - lastReadUs > Limits.STALL_TIMEOUT_US
+                    || lastReadUs <= deadlineUs && lookedUs - deadlineUs > Limits.DEADLINE_GRACE_US;
+            return reading && silent || lookedUs - streamingSinceUs > Limits.MAX_STREAMING_US;
         }
 
-        /** Whether nothing but the end of the connection ends the body (RFC 9112, 6.3). */
+        /** Returns whether only the end of the connection marks the end of the body (RFC 9112, section 6.3). */
         private boolean isEndedByClose() {
             return !HttpUtil.isContentLengthSet(head) && !HttpUtil.isTransferEncodingChunked(head);
         }
 
-        private void answered() {
-            byte[] bytes = passing != null ? null : ByteBufUtil.getBytes(body);
+        private void finishResponse() {
+            byte[] bytes = streamedResponse != null ? null : ByteBufUtil.getBytes(body);
             int status = head.status().code();
             Result result = status == 200
                     ? Result.OK
@@ -234,8 +255,8 @@
                                     && "1".equals(head.headers().get("X-Turned-Away"))
                             ? Result.FULL
                             : Result.ERROR;
-            answered = isRequestWritten() && HttpUtil.isKeepAlive(head) && !isEndedByClose();
-            if (!answered) {
+            isReusable = isRequestWritten() && HttpUtil.isKeepAlive(head) && !isEndedByClose();
+            if (!isReusable) {
                 channel().close();
             }
             releaseResponse();
@@ -244,24 +265,25 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            // Not before all that came is read: what came behind the answer must not answer the next.
-            if (answered && exchange() == null) {
-                answered = false;
+            // Only after all input is read: bytes after the response must not be taken for the response to the
+            // next request.
+            if (isReusable && exchange() == null) {
+                isReusable = false;
                 markAvailable();
             }
         }
 
-        /** The answer cannot be used, nor anything behind it. */
+        /** Fails the exchange: neither the response nor anything after it can be used. */
         private void fail() {
-            answered = false;
+            isReusable = false;
             close();
             releaseResponse();
             completeExchange(Result.RESET, null);
         }
 
-        private void dropBody() {
+        private void releaseBody() {
             if (body != null) {
-                answersBytes -= body.readableBytes();
+                bufferedResponseBytes -= body.readableBytes();
                 body.release();
                 body = null;
             }
@@ -270,14 +292,14 @@
         @Override
         protected void releaseResponse() {
             head = null;
-            passing = null;
-            dropBody();
+            streamedResponse = null;
+            releaseBody();
             setReading(true);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            broken = true;
+            isBroken = true;
             if (!(cause instanceof IOException)) {
                 log.error("connection to server " + serverId(), cause);
             }
--- a/src/main/java/kitemux/http/RequestBody.java
+++ b/src/main/java/kitemux/http/RequestBody.java
@@ -5,44 +5,49 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A request's body as it comes, in parts: no long one is copied whole, nor needs its room at a stretch. */
+/**
+ * Accumulates a request body in parts, so that a long body is never copied as a whole and needs no contiguous
+ * buffer.
+ */
 final class RequestBody {
-    private static final int FIRST = 256;
-    private static final int PART = 64 << 10;
+    /** Size of the first part when it is created; it grows up to the maximum. */
+    private static final int INITIAL_PART_BYTES = 256;
+    /** Size of a part that is full. */
+    private static final int MAX_PART_BYTES = 64 << 10;
 
     private final List<byte[]> parts = new ArrayList<>(1);
-    private byte[] last = new byte[FIRST];
-    private int used;
+    private byte[] lastPart = new byte[INITIAL_PART_BYTES];
+    private int lastPartSize;
     private int size;
 
-    /** Takes all that is readable. */
-    void add(ByteBuf bytes) {
+    /** Appends all readable bytes of the buffer. */
+    void append(ByteBuf bytes) {
         while (bytes.isReadable()) {
-            if (used == last.length) {
-                if (used < PART) {
-                    int wanted = Math.max(2 * used, used + bytes.readableBytes());
-                    last = Arrays.copyOf(last, Math.min(PART, wanted));
+            if (lastPartSize == lastPart.length) {
+                if (lastPartSize < MAX_PART_BYTES) {
+                    int newLength = Math.max(2 * lastPartSize, lastPartSize + bytes.readableBytes());
+                    lastPart = Arrays.copyOf(lastPart, Math.min(MAX_PART_BYTES, newLength));
                 } else {
-                    parts.add(last);
-                    last = new byte[PART];
-                    used = 0;
+                    parts.add(lastPart);
+                    lastPart = new byte[MAX_PART_BYTES];
+                    lastPartSize = 0;
                 }
             }
-            int more = Math.min(bytes.readableBytes(), last.length - used);
-            bytes.readBytes(last, used, more);
-            used += more;
-            size += more;
+            int copied = Math.min(bytes.readableBytes(), lastPart.length - lastPartSize);
+            bytes.readBytes(lastPart, lastPartSize, copied);
+            lastPartSize += copied;
+            size += copied;
         }
     }
 
-    /** Bytes that have come. */
+    /** Returns the number of bytes received so far. */
     int size() {
         return size;
     }
 
-    /** All that has come; nothing is added after this. */
+    /** Returns the body in parts. Nothing may be appended afterwards. */
     List<byte[]> parts() {
-        parts.add(used == last.length ? last : Arrays.copyOf(last, used));
+        parts.add(lastPartSize == lastPart.length ? lastPart : Arrays.copyOf(lastPart, lastPartSize));
         return parts;
     }
 }
--- a/src/main/java/kitemux/http/ShutdownPhase.java
+++ b/src/main/java/kitemux/http/ShutdownPhase.java
@@ -3,20 +3,20 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** What the clients' side of a process does for its end. Phases follow one another in this order only. */
+/** The phases of the shutdown of the client side, in the only order in which they may follow one another. */
 public enum ShutdownPhase {
-    /** The process was not told to end. */
+    /** No shutdown has been requested. */
     SERVING,
-    /** Each answer ends its connection; the listener closes; unused connections stay open. */
+    /** Each response closes its connection, and the listener closes; idle connections stay open. */
     LAME_DUCK,
-    /** Unused connections are closed; what is read on others is served. */
+    /** Idle connections are closed; requests that arrive on the other connections are served. */
     CLOSING_IDLE,
-    /** Every request that is held gets its final answer now; what is still read is refused. */
+    /** Every open request gets its final response now; requests that are still being received are rejected. */
     ANSWERING_REST,
-    /** No connection is left and none can come. */
+    /** No connection is open and none can be accepted. */
     CLOSED;
 
-    /** The phases that may follow this one. */
+    /** Returns the phases that may follow this one. */
     Set<ShutdownPhase> next() {
         return switch (this) {
             case SERVING -> EnumSet.of(LAME_DUCK);
--- a/src/main/java/kitemux/http/StrictResponseDecoder.java
+++ b/src/main/java/kitemux/http/StrictResponseDecoder.java
@@ -6,8 +6,8 @@
 import io.netty.util.AsciiString;
 
 /**
- * Reads servers' answers and takes none that could mean something else. Netty's decoder is kind to answers:
- * it takes a line without a colon for a header without a value, and a status with a sign for a number.
+ * Decodes servers' responses and rejects those that are ambiguous. Netty's decoder is lenient: it accepts a
+ * line without a colon as a header without a value, and a status code with a sign.
  */
 final class StrictResponseDecoder extends HttpResponseDecoder {
 
@@ -15,7 +15,7 @@
     protected HttpMessage createMessage(String[] initialLine) {
         String status = initialLine[1];
         if (status.length() != 3 || !status.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new IllegalArgumentException("not a status: " + status);
+            throw new IllegalArgumentException("invalid status code: " + status);
         }
         return super.createMessage(initialLine);
     }
@@ -23,14 +23,17 @@
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (length == 0 || line[start + length] != ':') {
-            throw new IllegalArgumentException("no colon behind a header's name");
+            throw new IllegalArgumentException("header name is not followed by a colon");
         }
         return super.splitHeaderName(line, start, length);
     }
 
-    /** A node asks for no other protocol: what follows a 101 is read like what follows any interim answer. */
+    /**
+     * Returns false, since a node never requests a protocol upgrade: a 101 response is treated like any other
+     * interim response.
+     */
     @Override
-    protected boolean isSwitchingToNonHttp1Protocol(HttpResponse answer) {
+    protected boolean isSwitchingToNonHttp1Protocol(HttpResponse response) {
         return false;
     }
 }
