--- a/src/test/java/kitemux/http/RequestReaderTest.java
+++ b/src/test/java/kitemux/http/RequestReaderTest.java
@@ -12,21 +12,21 @@
 import kitemux.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 
-/** What is read of a request. */
+/** Tests the decoding of client requests. */
 class RequestReaderTest {
-    private static ClientRequest read(long agoUs) throws BadRequestException {
+    private static ClientRequest read(long maxAgeUs) throws BadRequestException {
         Settings settings = new Settings();
         settings.classes.add(new RequestClass("page", 100_000, 0, 500_000, 1, 0, RetrySafety.SAFE, null, 0, false));
         HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/x");
         request.headers().set("X-Txn", "t").set("X-Lane", "page").set("X-Remaining", "300m");
-        return new RequestReader(settings).read(request, List.of(), agoUs);
+        return new RequestReader(settings).read(request, List.of(), maxAgeUs);
     }
 
     @Test
-    void itsTimeRunsFromTheEarliestThatItMayHaveComeAndItsAimFromTheMiddle() throws Exception {
+    void remainingTimeIsReducedByFullAgeAndTargetLatencyByHalf() throws Exception {
         assertEquals(0, read(0).ageUs());
-        long allUs = read(0).remainingUs();
-        assertEquals(allUs - 80_000, read(80_000).remainingUs());
+        long fullUs = read(0).remainingUs();
+        assertEquals(fullUs - 80_000, read(80_000).remainingUs());
         assertEquals(40_000, read(80_000).ageUs());
         assertEquals(0, read(400_000).remainingUs());
     }
--- a/src/test/java/kitemux/http/StreamedResponseLimitsTest.java
+++ b/src/test/java/kitemux/http/StreamedResponseLimitsTest.java
@@ -40,23 +40,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The bounds of an answer that is passed on, over real sockets and on a clock that is moved by hand. */
+/** Tests the limits of a streamed response over real sockets, with a clock that the test advances. */
 @Timeout(60)
 class StreamedResponseLimitsTest {
     private static final long DEADLINE_US = 500_000;
-    private static final int FIRST = 100_000;
-    /** Between two looks at what does not go on: no bound is passed in between without being seen. */
-    private static final long LOOK_US = 100_000;
+    private static final int FIRST_BYTES = 100_000;
+    /** Interval between two checks for stalled responses; no limit is passed unnoticed in between. */
+    private static final long CHECK_INTERVAL_US = 100_000;
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final AtomicLong nowUs = new AtomicLong();
-    private final AtomicLong unreadUs = new AtomicLong();
-    private final AtomicLong passed = new AtomicLong();
-    private final BlockingQueue<Long> comings = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Result> ends = new LinkedBlockingQueue<>();
-    private ServerSocket listening;
+    private final AtomicLong readLagUs = new AtomicLong();
+    private final AtomicLong streamedBytes = new AtomicLong();
+    private final BlockingQueue<Long> progress = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Result> results = new LinkedBlockingQueue<>();
+    private ServerSocket listener;
     private Socket server;
-    private ServerResponse answer;
+    private ServerResponse response;
     private ServerPool<ClientRequest, ServerResponse> pool;
 
     private final Clock clock = new Clock() {
@@ -67,12 +67,12 @@
 
         @Override
         public long readLagUs() {
-            return unreadUs.get();
+            return readLagUs.get();
         }
 
         @Override
         public Timer schedule(long us, Runnable task) {
-            throw new AssertionError("no timer is needed");
+            throw new AssertionError("no timer may be scheduled");
         }
     };
 
@@ -90,9 +90,9 @@
 
         @Override
         public boolean onResponseStarted(ServerResponse begins) {
-            answer = begins;
+            response = begins;
             begins.streamTo(bytes -> {
-                comings.add(passed.addAndGet(bytes.readableBytes()));
+                progress.add(streamedBytes.addAndGet(bytes.readableBytes()));
                 bytes.release();
             });
             return true;
@@ -101,13 +101,13 @@
         @Override
         public void onEnded(Result result, ServerResponse whole) {
             assertNull(whole);
-            ends.add(result);
+            results.add(result);
         }
     };
 
     @BeforeEach
-    void anAnswerHasBegun() throws Exception {
-        listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    void startStreamedResponse() throws Exception {
+        listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         Settings settings = new Settings();
         settings.classes.add(
                 new RequestClass("page", 100_000, 0, DEADLINE_US, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 0, false));
@@ -134,19 +134,19 @@
                             true,
                             List.of(new HostList.Host(
                                     new ServerEntry("s", 0, 0, ServerState.READY, 1, 0),
-                                    (InetSocketAddress) listening.getLocalSocketAddress()))));
+                                    (InetSocketAddress) listener.getLocalSocketAddress()))));
                     pool.start("s", exchange);
                 })
                 .sync();
-        server = listening.accept();
-        give("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(FIRST));
-        awaitPassed(FIRST);
+        server = listener.accept();
+        sendFromServer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(FIRST_BYTES));
+        awaitStreamed(FIRST_BYTES);
     }
 
     @AfterEach
-    void end() throws IOException {
+    void closeSockets() throws IOException {
         server.close();
-        listening.close();
+        listener.close();
         loop.parent().shutdownGracefully();
     }
 
@@ -154,99 +154,111 @@
         return Integer.toHexString(size) + "\r\n" + "a".repeat(size) + "\r\n";
     }
 
-    private void give(String text) throws IOException {
+    private void sendFromServer(String text) throws IOException {
         server.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private void awaitPassed(long bytes) throws InterruptedException {
-        while (passed.get() < bytes) {
-            assertNotNull(comings.poll(20, TimeUnit.SECONDS), "nothing came");
+    private void awaitStreamed(long bytes) throws InterruptedException {
+        while (streamedBytes.get() < bytes) {
+            assertNotNull(progress.poll(20, TimeUnit.SECONDS), "nothing arrived within 20 s");
         }
     }
 
-    /** Its server goes on past the client's time, as it is seen to. */
-    private void itGoesOn() throws Exception {
-        nowUs.set(DEADLINE_US + LOOK_US);
-        give(chunk(1));
-        awaitPassed(FIRST + 1);
+    /** Has the server send more after the client's deadline. */
+    private void continuePastDeadline() throws Exception {
+        nowUs.set(DEADLINE_US + CHECK_INTERVAL_US);
+        sendFromServer(chunk(1));
+        awaitStreamed(FIRST_BYTES + 1);
     }
 
-    /** Looks again and again, for so long on the moved clock; the end, or null. */
-    private Result endWithin(long us) throws Exception {
-        long until = nowUs.get() + us;
-        while (ends.isEmpty() && nowUs.get() < until) {
-            nowUs.addAndGet(LOOK_US);
-            // The connection's end is told behind the call that closes it.
+    /**
+     * Checks repeatedly while the clock advances by this time.
+     *
+     * @return the result of the exchange, or null if it goes on
+     */
+    private Result resultWithin(long us) throws Exception {
+        long untilUs = nowUs.get() + us;
+        while (results.isEmpty() && nowUs.get() < untilUs) {
+            nowUs.addAndGet(CHECK_INTERVAL_US);
+            // The end of the connection is reported after the call that closes it.
             loop.submit(() -> pool.closeExpiredConnections()).sync();
             loop.submit(() -> {}).sync();
         }
-        return ends.peek();
+        return results.peek();
     }
 
-    /** A drop of each turn, for good: it holds two connections for as long as the longest answer may take. */
+    /**
+     * A response that trickles without end would hold two connections; it is aborted after the time that the
+     * longest response may take.
+     */
     @Test
-    void oneThatDripsWithoutEndIsBrokenOffByTime() throws Exception {
-        itGoesOn();
-        long drops = 1;
-        while (endWithin(1_500_000) == null) {
-            give(chunk(1));
-            awaitPassed(FIRST + ++drops);
-            assertTrue(nowUs.get() < 700_000_000, "it never ends");
+    void tricklingResponseIsAbortedAfterMaxDuration() throws Exception {
+        continuePastDeadline();
+        long pieces = 1;
+        while (resultWithin(1_500_000) == null) {
+            sendFromServer(chunk(1));
+            awaitStreamed(FIRST_BYTES + ++pieces);
+            assertTrue(nowUs.get() < 700_000_000, "the response is never aborted");
         }
-        assertEquals(Result.RESET, ends.poll());
-        assertTrue(nowUs.get() > 600_000_000 && nowUs.get() < 602_000_000, "after " + nowUs.get() + " us");
+        assertEquals(Result.RESET, results.poll());
+        assertTrue(nowUs.get() > 600_000_000 && nowUs.get() < 602_000_000, "aborted after " + nowUs.get() + " us");
         server.getInputStream().readAllBytes();
     }
 
     @Test
-    void oneThatFloodsWithoutEndIsBrokenOffByLength() throws Exception {
+    void endlessResponseIsAbortedAtMaxSize() throws Exception {
         byte[] piece = chunk(1 << 20).getBytes(StandardCharsets.US_ASCII);
         try {
-            for (int i = 0; i < 2_000 && ends.isEmpty(); i++) {
+            for (int i = 0; i < 2_000 && results.isEmpty(); i++) {
                 server.getOutputStream().write(piece);
             }
         } catch (IOException e) {
-            // Its connection is closed under what it writes.
+            // The node closed the connection during the write.
         }
-        assertEquals(Result.RESET, ends.poll(20, TimeUnit.SECONDS));
-        assertTrue(passed.get() <= 1L << 30 && passed.get() > (1L << 30) - (1 << 20), "passed " + passed);
+        assertEquals(Result.RESET, results.poll(20, TimeUnit.SECONDS));
+        assertTrue(
+                streamedBytes.get() <= 1L << 30 && streamedBytes.get() > (1L << 30) - (1 << 20),
+                "streamed bytes: " + streamedBytes);
     }
 
-    /** The final answer is due by half a second after the client's time. */
+    /** The final response is due within half a second after the client's deadline. */
     @Test
-    void oneThatStopsWithinTheClientsTimeEndsWithIt() throws Exception {
-        nowUs.set(DEADLINE_US - LOOK_US);
-        give(chunk(1));
-        awaitPassed(FIRST + 1);
-        assertNull(endWithin(LOOK_US + 200_000), "a server has a moment past it");
-        assertEquals(Result.RESET, endWithin(200_000));
+    void responseStalledBeforeDeadlineEndsWithDeadline() throws Exception {
+        nowUs.set(DEADLINE_US - CHECK_INTERVAL_US);
+        sendFromServer(chunk(1));
+        awaitStreamed(FIRST_BYTES + 1);
+        assertNull(resultWithin(CHECK_INTERVAL_US + 200_000), "the server has a grace period after the deadline");
+        assertEquals(Result.RESET, resultWithin(200_000));
     }
 
     @Test
-    void oneThatStopsPastTheClientsTimeEndsBeforeItPassesForWithheld() throws Exception {
-        itGoesOn();
-        assertNull(endWithin(1_700_000), "it may pause");
-        assertEquals(Result.RESET, endWithin(200_000));
+    void responseStalledAfterDeadlineEndsBeforeItCountsAsWithheld() throws Exception {
+        continuePastDeadline();
+        assertNull(resultWithin(1_700_000), "the server may pause");
+        assertEquals(Result.RESET, resultWithin(200_000));
     }
 
-    /** What came while the loop stood still lies unread: the server has not stopped. */
+    /** Data that arrived during a stall of the event loop is unread, so the server may not have stalled. */
     @Test
-    void aLoopThatStoodStillTakesNobodyForStopped() throws Exception {
+    void loopStallIsNotTakenForServerStall() throws Exception {
         nowUs.set(5_000_000);
-        unreadUs.set(5_000_000);
-        assertNull(endWithin(LOOK_US));
-        unreadUs.set(0);
-        assertEquals(Result.RESET, endWithin(LOOK_US));
+        readLagUs.set(5_000_000);
+        assertNull(resultWithin(CHECK_INTERVAL_US));
+        readLagUs.set(0);
+        assertEquals(Result.RESET, resultWithin(CHECK_INTERVAL_US));
     }
 
-    /** A client that takes its time is not its server's fault; once it reads on the server has its own. */
+    /**
+     * A server is not to blame for a client that reads slowly; once the client reads on, the server has its
+     * full timeout.
+     */
     @Test
-    void aServerThatIsHeldBackHasNotStopped() throws Exception {
-        itGoesOn();
-        loop.submit(() -> answer.setReading(false)).sync();
-        assertNull(endWithin(60_000_000));
-        loop.submit(() -> answer.setReading(true)).sync();
-        assertNull(endWithin(1_700_000));
-        assertEquals(Result.RESET, endWithin(200_000));
+    void backpressureIsNotTakenForServerStall() throws Exception {
+        continuePastDeadline();
+        loop.submit(() -> response.setReading(false)).sync();
+        assertNull(resultWithin(60_000_000));
+        loop.submit(() -> response.setReading(true)).sync();
+        assertNull(resultWithin(1_700_000));
+        assertEquals(Result.RESET, resultWithin(200_000));
     }
 }
--- a/src/test/java/kitemux/node/ClientServerTest.java
+++ b/src/test/java/kitemux/node/ClientServerTest.java
@@ -23,11 +23,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients see of a node. */
+/** Tests the behaviour of a node as its clients see it. */
 class ClientServerTest {
 
     @Test
-    void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
+    void requestIsForwardedUnchangedAndItsResponseReturned() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("proof");
                 Site site = Site.quiet().start(server)) {
             String photo = "POST /api/7f3a?x=1&y=%20 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b1f\r\nX-Lane: photo\r\n"
@@ -42,24 +42,24 @@
             assertEquals("5c0f", sent.headers().get("idempotency-key"));
             assertEquals("body", sent.body());
             long left = RequestReader.parseRemainingUs(sent.headers().get("x-remaining"));
-            assertTrue(left > 0 && left < 480_000, "left " + left);
+            assertTrue(left > 0 && left < 480_000, "remaining us: " + left);
         }
     }
 
     @Test
-    void aConnectionCarriesOneRequestAfterAnother() throws Exception {
+    void connectionServesSequentialRequests() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             for (int i = 0; i < 3; i++) {
                 assertEquals(200, Site.ask(client, Http.page("t" + i)).status());
             }
-            assertEquals(1, server.connections.get(), "connections to the server");
+            assertEquals(1, server.connections.get(), "number of connections to the server");
         }
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (ScriptedServer server = new ScriptedServer(
                         (request, peer) -> peer.write(Http.ok(request.headers().get("x-txn"))));
                 Site site = Site.quiet().start(server)) {
@@ -88,17 +88,17 @@
                 "POST /api/x HTTP/1.1|X-Txn: t|X-Lane: order|X-Remaining: 400m|Idempotency-Key: k",
                 "not http at all",
             })
-    void whatCannotBeUsedGets400AndReachesNoServer(String lines) throws Exception {
+    void invalidRequestGets400AndReachesNoServer(String lines) throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             assertEquals(400, site.ask(lines.replace("|", "\r\n") + "\r\n\r\n").status());
             assertEquals(0, server.connections.get());
-            assertEquals(200, site.ask(Http.page("next")).status(), "the node goes on");
+            assertEquals(200, site.ask(Http.page("next")).status(), "the node keeps serving");
         }
     }
 
     @Test
-    void anUnknownPathGets404() throws Exception {
+    void unknownPathGets404() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             assertEquals(404, site.ask(Http.page("/apis/x", "t", "400m")).status());
@@ -106,8 +106,11 @@
         }
     }
 
-    /** Two copies of the same would not be told apart from one that is cut or out of order. */
-    private static String letters(int count) {
+    /**
+     * Returns a text without a short period, since in a periodic one missing or reordered parts would go
+     * unnoticed.
+     */
+    private static String nonRepeatingText(int count) {
         StringBuilder text = new StringBuilder(count);
         for (int i = 0; i < count; i++) {
             text.append((char) ('a' + i * 31L % 977 % 26));
@@ -117,8 +120,8 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 255, 257, 65_535, 65_536, 65_537, 200_000, 3_000_000})
-    void aBodyOfAnyLengthGoesOnUnchangedHoweverItComes(int length) throws Exception {
-        String body = letters(length);
+    void bodyOfAnyLengthIsForwardedUnchanged(int length) throws Exception {
+        String body = nonRepeatingText(length);
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             String order = Http.order("t", "4000m");
@@ -139,7 +142,7 @@
     }
 
     @Test
-    void aBodyOver32MiBGets413() throws Exception {
+    void bodyOver32MiBGets413() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             assertEquals(
@@ -151,13 +154,13 @@
     }
 
     @Test
-    void longBodiesTogetherAreBoundedAndWhoFindsNoRoomIsToldWhenToComeBack() throws Exception {
+    void totalSizeOfLongBodiesIsBoundedAndExcessGets503WithRetryAfter() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             String large = Http.order("t", "4000m").replace("Length: 2\r\n\r\nab", "Length: 30000000\r\n\r\n");
             Socket first = site.connect();
             Site.write(first, large);
-            // Once what comes behind it is answered, the first is known to have been read.
+            // Once a later request is answered, the first one is known to have been read.
             assertEquals(200, site.ask(Http.page("small")).status());
             Http.Message full = site.ask(large.replace("X-Txn: t", "X-Txn: u"));
             assertEquals(503, full.status());
@@ -166,12 +169,12 @@
             Socket third = site.connect();
             Site.write(third, large.replace("X-Txn: t", "X-Txn: v"));
             Site.write(third, "a".repeat(30_000_000));
-            assertEquals(200, Http.read(third.getInputStream()).status(), "room is given back");
+            assertEquals(200, Http.read(third.getInputStream()).status(), "the reserved bytes are released");
         }
     }
 
     @Test
-    void theAnswerToTooLargeABodyOutlastsWhatStillComes() throws Exception {
+    void responseToOversizedBodyArrivesWhileTheBodyIsStillSent() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
@@ -186,7 +189,7 @@
     }
 
     @Test
-    void aClientThatClosesIsGoneAndItsAttemptGivenUp() throws Exception {
+    void attemptIsCancelledWhenClientDisconnects() throws Exception {
         try (ScriptedServer server = new ScriptedServer((request, peer) -> {});
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
@@ -197,9 +200,12 @@
         }
     }
 
-    /** Guards against requests sent ahead that are read and dropped as the first answer ends the connection. */
+    /**
+     * Guards against pipelined requests that are read and dropped when the first response closes the
+     * connection.
+     */
     @Test
-    void aNodeThatIsToldToEndAnswersAllThatWasSentAhead() throws Exception {
+    void drainingNodeAnswersPipelinedRequests() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
                 Site site = Site.quiet().start(server)) {
@@ -224,9 +230,9 @@
         }
     }
 
-    /** Guards against a listener that stays open for as long as new connections keep coming. */
+    /** Guards against a listener that stays open as long as new connections keep coming. */
     @Test
-    void aReplacedNodeClosesItsListenerHoweverManyConnectionsCome() throws Exception {
+    void replacedNodeClosesListenerWhileConnectionsKeepComing() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.sockets = 1_024;
@@ -236,7 +242,7 @@
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
             boolean listens = true;
             while (listens) {
-                assertTrue(System.nanoTime() < until, "it still listens");
+                assertTrue(System.nanoTime() < until, "the listener is still open");
                 try (Socket client = site.connect()) {
                     assertEquals(
                             200,
@@ -251,7 +257,7 @@
     }
 
     @Test
-    void aDrainingNodeSaysSoServesWhatItHasAndEnds() throws Exception {
+    void drainingNodeReports503ServesOpenRequestsAndShutsDown() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
                 Site site = Site.quiet().start(server)) {
@@ -265,7 +271,8 @@
             Http.Message up = site.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
             assertEquals(503, up.status());
             assertEquals("close", up.headers().get("connection"));
-            // The end of an idle connection tells that nothing new is taken; what is held is still answered.
+            // The close of an idle connection shows that the listener is closed; the open request is still
+            // answered.
             assertEquals(-1, idle.getInputStream().read());
             site.awaitNoneTaken();
             assertEquals(1, done.getCount());
@@ -279,39 +286,39 @@
     }
 
     @Test
-    void clientsLeaveRoomForConnectionsToServers() throws Exception {
+    void idleClientsAreClosedToKeepDescriptorsForServerConnections() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.sockets = 64;
             site.start(server);
-            Socket first = site.connect();
-            assertEquals(200, Site.ask(first, Http.page("first")).status());
+            Socket longestIdle = site.connect();
+            assertEquals(200, Site.ask(longestIdle, Http.page("first")).status());
             for (int i = 0; i < 20; i++) {
                 assertEquals(200, site.ask(Http.page("t" + i)).status());
             }
-            assertEquals(-1, first.getInputStream().read(), "the longest idle made room");
+            assertEquals(-1, longestIdle.getInputStream().read(), "the longest idle connection is closed");
         }
     }
 
     @Test
-    void whatClientsKeepAndUseNoMoreIsBounded() throws Exception {
+    void idleClientConnectionsAreBounded() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
-            Socket usual = site.connect();
-            Socket first = site.connect();
-            assertEquals(200, Site.ask(first, Http.page("first")).status());
-            // Far fewer than there is room for: clients themselves may open no more than a third.
+            Socket active = site.connect();
+            Socket longestIdle = site.connect();
+            assertEquals(200, Site.ask(longestIdle, Http.page("first")).status());
+            // Far fewer than the descriptors allow: clients themselves may open no more than a third.
             for (int i = 0; i < site.sockets / 6; i++) {
-                assertEquals(200, Site.ask(usual, Http.page("u" + i)).status());
+                assertEquals(200, Site.ask(active, Http.page("u" + i)).status());
                 assertEquals(200, site.ask(Http.page("t" + i)).status());
             }
-            first.setSoTimeout(2_000);
-            assertEquals(-1, first.getInputStream().read(), "closed long before it has been idle for long");
-            assertEquals(200, Site.ask(usual, Http.page("last")).status());
+            longestIdle.setSoTimeout(2_000);
+            assertEquals(-1, longestIdle.getInputStream().read(), "closed long before its idle timeout");
+            assertEquals(200, Site.ask(active, Http.page("last")).status());
         }
     }
 
-    private static boolean hasEnded(Socket client) {
+    private static boolean isClosed(Socket client) {
         try {
             return client.getInputStream().read() < 0;
         } catch (SocketTimeoutException e) {
@@ -323,13 +330,13 @@
 
     @Test
     @Timeout(4)
-    void whatComesAtOnceIsBoundedToo() throws Exception {
+    void idleClientConnectionsAreBoundedAfterConcurrentRequests() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "x");
                 Site site = Site.quiet().start(server)) {
-            int most = site.sockets / 6;
+            int maxIdle = site.sockets / 6;
             List<Socket> clients = new ArrayList<>();
-            for (int i = 0; i < 2 * most; i++) {
+            for (int i = 0; i < 2 * maxIdle; i++) {
                 Socket client = site.connect();
                 Site.write(client, Http.page("/api/p", "t" + i, "5000m"));
                 clients.add(client);
@@ -340,47 +347,47 @@
                 Http.read(client.getInputStream());
                 client.setSoTimeout(1);
             }
-            // Which ones are closed depends on the order of the answers.
-            while (clients.size() > most) {
-                clients.removeIf(ClientServerTest::hasEnded);
+            // Which connections are closed depends on the order of the responses.
+            while (clients.size() > maxIdle) {
+                clients.removeIf(ClientServerTest::isClosed);
             }
             assertEquals(200, Site.ask(site.connect(), Http.page("next")).status());
         }
     }
 
     @Test
-    void silentConnectionsMakeRoomBeforeThoseThatAsk() throws Exception {
+    void silentConnectionsAreClosedBeforeActiveOnes() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.sockets = 64;
             site.start(server);
-            Socket usual = site.connect();
-            assertEquals(200, Site.ask(usual, Http.page("a")).status());
+            Socket active = site.connect();
+            assertEquals(200, Site.ask(active, Http.page("a")).status());
             Socket silent = site.connect();
             for (int i = 0; i < 100; i++) {
                 site.connect();
             }
             assertEquals(-1, silent.getInputStream().read());
-            assertEquals(200, Site.ask(usual, Http.page("b")).status());
+            assertEquals(200, Site.ask(active, Http.page("b")).status());
         }
     }
 
     @Test
-    void whoDoesNotGetOnIsCutOff() throws Exception {
+    void slowAndIdleClientsTimeOut() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket silent = site.connect();
             Socket headOnly = site.connect();
             Site.write(headOnly, "POST /api/order HTTP/1.1\r\nX-Txn: a\r\n");
-            Socket bodyToCome = site.connect();
-            Site.write(bodyToCome, Http.order("b", "4000m").replace("\r\nab", "\r\na"));
-            Socket second = site.connect();
-            assertEquals(200, Site.ask(second, Http.page("c")).status());
-            Site.write(second, "GET /api");
+            Socket partialBody = site.connect();
+            Site.write(partialBody, Http.order("b", "4000m").replace("\r\nab", "\r\na"));
+            Socket partialSecondRequest = site.connect();
+            assertEquals(200, Site.ask(partialSecondRequest, Http.page("c")).status());
+            Site.write(partialSecondRequest, "GET /api");
             Socket idle = site.connect();
             assertEquals(200, Site.ask(idle, Http.page("d")).status());
             assertEquals(-1, silent.getInputStream().read());
-            for (Socket late : new Socket[] {headOnly, bodyToCome, second}) {
+            for (Socket late : new Socket[] {headOnly, partialBody, partialSecondRequest}) {
                 assertEquals(408, Http.read(late.getInputStream()).status());
                 assertEquals(-1, late.getInputStream().read());
             }
@@ -406,7 +413,7 @@
                 "Content-Length : 4",
                 "no colon|Content-Length: 4",
             })
-    void whatMayHideAnotherRequestGets400AndNothingBehindItIsServed(String framing) throws Exception {
+    void ambiguousFramingGets400AndNothingAfterItIsServed(String framing) throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
@@ -422,7 +429,7 @@
     }
 
     @Test
-    void behindAClientsErrorNothingIsServed() throws Exception {
+    void nothingIsServedAfterClientError() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
@@ -434,7 +441,7 @@
     }
 
     @Test
-    void anErrorBehindAnOpenRequestDoesNotCostThatOneItsAnswer() throws Exception {
+    void openRequestIsAnsweredDespiteLaterClientError() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "x");
                 Site site = Site.quiet().start(server)) {
@@ -442,7 +449,7 @@
             Site.write(client, Http.page("/api/p", "t", "5000m"));
             ScriptedServer.next(server.requests);
             Site.write(client, Http.order("u", "4000m").replace("Length: 2", "Length: 40000000"));
-            // Once a later one has its answer, the node has read this far.
+            // Once a later request is answered, the node has read this far.
             assertEquals(404, site.ask(Http.page("/nothing", "v", "1m")).status());
             answer.countDown();
             assertEquals(200, Http.read(client.getInputStream()).status());
@@ -452,7 +459,7 @@
     }
 
     @Test
-    void anIdIsTakenOnceAtATime() throws Exception {
+    void transactionIdOfOpenRequestIsRejected() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "x");
                 Site site = Site.quiet().start(server)) {
@@ -463,12 +470,13 @@
             answer.countDown();
             assertEquals(200, Http.read(first.getInputStream()).status());
             assertEquals(1, server.connections.get());
-            assertEquals(200, site.ask(Http.order("same", "5000m")).status(), "once answered it is free");
+            assertEquals(
+                    200, site.ask(Http.order("same", "5000m")).status(), "the id is free once its request is answered");
         }
     }
 
     @Test
-    void whatIsSentAheadIsBounded() throws Exception {
+    void pipelinedRequestCountIsBounded() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
@@ -490,18 +498,18 @@
 
     @Test
     @Timeout(60)
-    void aClientThatNeverReadsIsServedNoFurtherAndCutOff() throws Exception {
+    void clientThatNeverReadsIsDisconnected() throws Exception {
         String large = "a".repeat(Limits.MAX_REQUEST_BODY_BYTES);
         try (ScriptedServer server = ScriptedServer.serving(large);
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
-            int asked = 0;
+            int requestCount = 0;
             do {
-                Site.write(client, Http.page("/api/p", "t" + asked++, "5000m"));
-                // What the sockets between hold is some MB at most; then the answer before stays unwritten.
-            } while (server.requests.poll(1, TimeUnit.SECONDS) != null && asked < 1_000);
-            assertTrue(asked < 1_000, "asked " + asked);
-            // Once the node has closed with the answer unwritten, writing fails.
+                Site.write(client, Http.page("/api/p", "t" + requestCount++, "5000m"));
+                // The socket buffers hold some MB at most; beyond that the previous response stays unwritten.
+            } while (server.requests.poll(1, TimeUnit.SECONDS) != null && requestCount < 1_000);
+            assertTrue(requestCount < 1_000, "requests sent: " + requestCount);
+            // Once the node has closed the connection with the response unwritten, writes fail.
             assertThrows(IOException.class, () -> {
                 while (true) {
                     Site.write(client, "x");
@@ -512,19 +520,19 @@
     }
 
     @Test
-    void whoComesBeyondWhatThereIsRoomForIsAnsweredAll() throws Exception {
+    void connectionsBeyondCapacityAreAllAnswered() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "x");
                 Site site = Site.quiet()) {
-            // Room for 19 that stay and 24 that are served.
+            // Room for 19 idle and 24 served connections.
             site.sockets = 128;
             site.start(server);
-            // All come in one turn of the loop: were the first answered before the last come, there would be
-            // room for these.
-            CountDownLatch come = new CountDownLatch(1);
+            // All connect in one turn of the event loop: if the first were answered before the last connect, there
+            // would be room for those.
+            CountDownLatch allSent = new CountDownLatch(1);
             site.loop.execute(() -> {
                 try {
-                    come.await();
+                    allSent.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -535,8 +543,8 @@
                 Site.write(client, Http.page("/api/p", "t" + i, "4000m"));
                 clients.add(client);
             }
-            come.countDown();
-            // Those beyond are turned away at once, the rest has to wait for the server.
+            allSent.countDown();
+            // Connections beyond the limit are rejected at once, the others wait for the server.
             Http.Message last = Http.read(clients.get(59).getInputStream());
             assertEquals(503, last.status());
             assertEquals("0.25", last.headers().get("retry-after"));
@@ -546,14 +554,15 @@
             for (Socket client : clients.subList(0, 59)) {
                 answers.merge(Http.read(client.getInputStream()).status(), 1, Integer::sum);
             }
-            assertEquals(59, answers.values().stream().mapToInt(n -> n).sum(), "each has its answer: " + answers);
+            assertEquals(
+                    59, answers.values().stream().mapToInt(n -> n).sum(), "each client has a response: " + answers);
             assertEquals(Set.of(200, 503), answers.keySet());
             assertEquals(200, site.ask(Http.page("afterwards")).status());
         }
     }
 
     @Test
-    void refusalsSayWhenToComeBack() throws Exception {
+    void rejectionsCarryRetryAfter() throws Exception {
         try (ScriptedServer server = new ScriptedServer(
                         (request, peer) -> peer.write(Http.answer("503 Busy", "X-Turned-Away: 1\r\n", "")));
                 Site site = Site.quiet().start(server)) {
--- a/src/test/java/kitemux/node/DescriptorExhaustionTest.java
+++ b/src/test/java/kitemux/node/DescriptorExhaustionTest.java
@@ -26,61 +26,71 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Clients that hold connections and ask nothing fill the descriptors of a process that the system gives no
- * more, while discovery is down: there is room for what the node itself opens, and for one more client.
+ * Guards against clients that exhaust the file descriptors of a node: they hold connections without sending
+ * requests, while discovery is down and the system allows no further descriptors. The node must keep room for
+ * the connections that it opens itself, and for one more client.
  */
 class DescriptorExhaustionTest {
-    private static final int SOCKETS = 256;
-    private static final Pattern LOADED = Pattern.compile("[/\\\\](netty|jackson|picocli)-[^/\\\\]*$");
-    /** More than the limit by far: some that have asked once and stay, and some that never ask. */
-    private static final int STAYING = 300;
+    private static final int SOCKET_LIMIT = 256;
+    private static final Pattern REQUIRED_JAR = Pattern.compile("[/\\\\](netty|jackson|picocli)-[^/\\\\]*$");
+    /**
+     * Far more clients than the limit: some that have sent a request and stay connected, and some that never
+     * send any.
+     */
+    private static final int IDLE_CLIENT_COUNT = 300;
 
-    private static final int SILENT = 600;
+    private static final int SILENT_CLIENT_COUNT = 600;
 
-    /** A node as a process, and the crowd before it. */
-    private static final class Crowded implements AutoCloseable {
-        /** Calls that discovery answered. */
-        final BlockingQueue<ScriptedServer.Peer> heard = new LinkedBlockingQueue<>();
+    /** A node in a process of its own, and the clients that are connected to it. */
+    private static final class CrowdedNode implements AutoCloseable {
+        /** The watches that discovery has accepted. */
+        final BlockingQueue<ScriptedServer.Peer> watches = new LinkedBlockingQueue<>();
 
-        private final CountDownLatch isBack = new CountDownLatch(1);
+        private final CountDownLatch discoveryUp = new CountDownLatch(1);
         private final ScriptedServer discovery;
-        private final SocketChannel held = SocketChannel.open();
+        private final SocketChannel portReservation = SocketChannel.open();
         private final Process process;
         private final int port;
-        private final List<Socket> crowd = Collections.synchronizedList(new ArrayList<>());
+        private final List<Socket> clients = Collections.synchronizedList(new ArrayList<>());
         private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
 
-        Crowded(Path folder, ScriptedServer server) throws Exception {
+        CrowdedNode(Path folder, ScriptedServer server) throws Exception {
             discovery = new ScriptedServer((request, peer) -> {
-                if (isBack.getCount() > 0) {
+                if (discoveryUp.getCount() > 0) {
                     peer.write(Http.answer("503 Down", "", ""));
                 } else {
                     peer.write(Site.watchHead());
-                    heard.add(peer);
+                    watches.add(peer);
                 }
             });
-            // Bound for as long as the process runs, so that nobody else is given it; the node may share it.
-            held.setOption(StandardSocketOptions.SO_REUSEADDR, true)
+            // Keeps the port reserved while the process runs, so that no other process gets it; the node may share
+            // it.
+            portReservation
+                    .setOption(StandardSocketOptions.SO_REUSEADDR, true)
                     .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            port = ((InetSocketAddress) held.getLocalAddress()).getPort();
+            port = ((InetSocketAddress) portReservation.getLocalAddress()).getPort();
             Path config = Files.writeString(folder.resolve("config.json"), """
                     {"listen":"127.0.0.1:%d","discovery":"%s","seed":"1","limits":{"sockets":%d},
                      "known":%s,"settings":
                      {"membershipMode":"on_request","limits":{"attemptsCap":1},"zones":["here"],
                       "classes":[{"name":"page","onTimeUs":1000000,"giveUpUs":5000000,"repeat":"safe"}]}}
                     """.formatted(
-                    port, discovery.endpoint(), SOCKETS, Site.list(1, true, "s0=" + server.endpoint() + "=Ready")));
-            // The deployment has one jar, and its descriptor is among those that the node reserves: here it
-            // is given one for each jar that it loads from, and no others on its path.
+                            port,
+                            discovery.endpoint(),
+                            SOCKET_LIMIT,
+                            Site.list(1, true, "s0=" + server.endpoint() + "=Ready")));
+            // The deployed node loads one jar, whose descriptor is among those that it reserves. Here it is
+            // allowed one more descriptor for each further jar that it loads, and only the required jars are on
+            // its class path.
             List<String> path = Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
                     .filter(part ->
-                            !part.endsWith(".jar") || LOADED.matcher(part).find())
+                            !part.endsWith(".jar") || REQUIRED_JAR.matcher(part).find())
                     .toList();
             long jars = path.stream().filter(part -> part.endsWith(".jar")).count();
             ProcessBuilder builder = new ProcessBuilder(
                     "sh",
                     "-c",
-                    "ulimit -n " + (SOCKETS + jars - 1) + " && exec \"$0\" \"$@\"",
+                    "ulimit -n " + (SOCKET_LIMIT + jars - 1) + " && exec \"$0\" \"$@\"",
                     Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                     "-XX:TieredStopAtLevel=1",
                     "-cp",
@@ -92,7 +102,7 @@
             process = builder.redirectErrorStream(true).start();
             boolean isReady = false;
             try {
-                fill(process.inputReader());
+                connectClients(process.inputReader());
                 isReady = true;
             } finally {
                 if (!isReady) {
@@ -101,19 +111,19 @@
             }
         }
 
-        private void fill(BufferedReader out) throws IOException {
+        private void connectClients(BufferedReader out) throws IOException {
             String line = out.readLine();
             while (line != null && !line.contains("listening on ")) {
                 line = out.readLine();
             }
-            assertNotNull(line, "it does not listen");
+            assertNotNull(line, "the node does not listen");
             Thread reader = new Thread(() -> out.lines().forEach(lines::add), "lines");
             reader.setDaemon(true);
             reader.start();
-            for (int i = 0; i < STAYING; i++) {
+            for (int i = 0; i < IDLE_CLIENT_COUNT; i++) {
                 assertEquals(200, ask().status());
             }
-            for (int i = 0; i < SILENT; i++) {
+            for (int i = 0; i < SILENT_CLIENT_COUNT; i++) {
                 connect();
             }
         }
@@ -121,25 +131,25 @@
         Socket connect() throws IOException {
             Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
             client.setSoTimeout(20_000);
-            crowd.add(client);
+            clients.add(client);
             return client;
         }
 
         Http.Message ask() throws IOException {
-            return Site.ask(connect(), Http.page("/api/p", "t" + crowd.size(), "5000m"));
+            return Site.ask(connect(), Http.page("/api/p", "t" + clients.size(), "5000m"));
         }
 
-        void discoveryIsBack() {
-            isBack.countDown();
+        void restoreDiscovery() {
+            discoveryUp.countDown();
         }
 
         @Override
         public void close() throws IOException {
             process.destroyForcibly().onExit().join();
-            for (Socket client : crowd) {
+            for (Socket client : clients) {
                 client.close();
             }
-            held.close();
+            portReservation.close();
             discovery.close();
             assertEquals(
                     List.of(),
@@ -150,40 +160,40 @@
     }
 
     @Test
-    void discoveryIsDialledAtItsReturn(@TempDir Path folder) throws Exception {
+    void nodeReconnectsToDiscoveryAfterOutage(@TempDir Path folder) throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("old");
                 ScriptedServer joined = ScriptedServer.serving("joined");
-                Crowded node = new Crowded(folder, server)) {
-            node.discoveryIsBack();
-            ScriptedServer.next(node.heard)
+                CrowdedNode node = new CrowdedNode(folder, server)) {
+            node.restoreDiscovery();
+            ScriptedServer.next(node.watches)
                     .write(Site.chunk(Site.list(2, true, "s1=" + joined.endpoint() + "=Ready") + "\n"));
             String body = "old";
             for (int i = 0; i < 2_000 && body.equals("old"); i++) {
                 body = node.ask().body();
             }
-            assertEquals("joined", body, "the list that came is used");
+            assertEquals("joined", body, "the list received after the outage is used");
         }
     }
 
     @Test
-    void serversAreDialled(@TempDir Path folder) throws Exception {
+    void nodeOpensServerConnections(@TempDir Path folder) throws Exception {
         try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     peer.write(Http.answer("200 OK", "Connection: close\r\n", "x"));
                     peer.socket().close();
                 });
-                Crowded node = new Crowded(folder, server)) {
+                CrowdedNode node = new CrowdedNode(folder, server)) {
             int before = server.connections.get();
             for (int i = 1; i <= 50; i++) {
                 assertEquals(200, node.ask().status());
                 node.connect();
-                assertEquals(before + i, server.connections.get(), "each on a connection of its own");
+                assertEquals(before + i, server.connections.get(), "each request uses a new server connection");
             }
         }
     }
 
-    /** All that may be served at once is, and hangs: whoever comes then is told to come again. */
+    /** All requests that may be served at once are open and hang: the next client is told to retry later. */
     @Test
-    void oneMoreClientIsToldThatThereIsNoRoom(@TempDir Path folder) throws Exception {
+    void additionalClientGets503(@TempDir Path folder) throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     if (request.path().contains("hang")) {
@@ -195,16 +205,16 @@
                     }
                     peer.write(Http.ok("x"));
                 });
-                Crowded node = new Crowded(folder, server)) {
-            for (int i = 0; i < SOCKETS; i++) {
+                CrowdedNode node = new CrowdedNode(folder, server)) {
+            for (int i = 0; i < SOCKET_LIMIT; i++) {
                 Site.write(node.connect(), Http.page("/api/hang", "h" + i, "5000m"));
             }
-            for (int i = 0; i < SILENT / 6; i++) {
+            for (int i = 0; i < SILENT_CLIENT_COUNT / 6; i++) {
                 node.connect();
             }
-            Http.Message told = node.ask();
-            assertNotNull(told);
-            assertEquals(503, told.status());
+            Http.Message response = node.ask();
+            assertNotNull(response);
+            assertEquals(503, response.status());
             answer.countDown();
         }
     }
--- a/src/test/java/kitemux/node/DisconnectAndShutdownTest.java
+++ b/src/test/java/kitemux/node/DisconnectAndShutdownTest.java
@@ -26,103 +26,106 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is still owed in the instant in which something ends (docs/design/endings.md). */
+/** Tests what a node still has to do when a client, a request or the node itself ends. */
 class DisconnectAndShutdownTest {
 
-    /** A server whose connections do not come up before the system has room for one more. */
-    private static final class Full implements AutoCloseable {
-        private final ServerSocket listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        private final List<SocketChannel> filling = new ArrayList<>();
+    /** A server whose listen backlog is full, so that new connections are not established until there is room. */
+    private static final class FullBacklogServer implements AutoCloseable {
+        private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        private final List<SocketChannel> fillers = new ArrayList<>();
 
-        Full() throws IOException {
-            // One more than is given is taken, and the next ones get no answer.
+        FullBacklogServer() throws IOException {
+            // The kernel accepts one more connection than the backlog size, and the next ones get no reply.
             for (int i = 0; i < 4; i++) {
-                SocketChannel one = SocketChannel.open();
-                one.configureBlocking(false);
-                one.connect(new InetSocketAddress(listening.getInetAddress(), listening.getLocalPort()));
-                filling.add(one);
+                SocketChannel filler = SocketChannel.open();
+                filler.configureBlocking(false);
+                filler.connect(new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()));
+                fillers.add(filler);
             }
         }
 
         String endpoint() {
-            return "127.0.0.1:" + listening.getLocalPort();
+            return "127.0.0.1:" + listener.getLocalPort();
         }
 
-        /** Takes connections from now on; the first request that comes on any of them, by its id. */
+        /** Accepts connections from now on and returns the transaction id of the first request on any of them. */
         String firstRequest() throws IOException {
-            for (SocketChannel one : filling) {
-                one.close();
+            for (SocketChannel filler : fillers) {
+                filler.close();
             }
             while (true) {
-                Socket peer = listening.accept();
+                Socket peer = listener.accept();
                 try {
                     Http.Message request = Http.read(peer.getInputStream());
                     peer.getOutputStream().write(Http.ok("x").getBytes());
                     return request.headers().get("x-txn");
                 } catch (IOException e) {
-                    // One of those that only filled it.
+                    // One of the connections that only filled the backlog.
                 }
             }
         }
 
         @Override
         public void close() throws IOException {
-            listening.close();
+            listener.close();
         }
     }
 
-    private static String up() {
+    private static String upRequest() {
         return "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
     }
 
-    /** An attempt that waits for its connection was never sent: it can be taken back under all settings. */
+    /**
+     * An attempt that waits for its connection was never sent, so it can be withdrawn whatever the settings say
+     * about cancellation.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whatWaitsForAConnectionIsNotSentOnceItsClientHasLeft(boolean cancel) throws Exception {
-        try (Full server = new Full();
+    void requestAwaitingConnectionIsNotSentAfterClientDisconnects(boolean cancel) throws Exception {
+        try (FullBacklogServer server = new FullBacklogServer();
                 Site site = Site.quiet()) {
             site.settings.cancellationAllowed = cancel;
             site.startKnowing(Site.list(1, true, "s0=" + server.endpoint() + "=Ready"));
-            Socket leaves = site.connect();
-            Site.write(leaves, Http.page("/api/p", "left", "5000m"));
-            assertEquals(200, site.ask(up()).status(), "the request before it is read by now");
-            leaves.close();
-            assertEquals(200, site.ask(up()).status());
-            Socket stays = site.connect();
-            Site.write(stays, Http.page("/api/p", "stays", "5000m"));
+            Socket disconnecting = site.connect();
+            Site.write(disconnecting, Http.page("/api/p", "left", "5000m"));
+            assertEquals(200, site.ask(upRequest()).status(), "the earlier request has been read by now");
+            disconnecting.close();
+            assertEquals(200, site.ask(upRequest()).status());
+            Socket connected = site.connect();
+            Site.write(connected, Http.page("/api/p", "stays", "5000m"));
             assertEquals("stays", server.firstRequest());
-            assertEquals(200, Http.read(stays.getInputStream()).status());
+            assertEquals(200, Http.read(connected.getInputStream()).status());
         }
     }
 
-    private static String padded(String request, int by) {
-        return request.replace("\r\n\r\n", "\r\nX-Pad: " + "p".repeat(by) + "\r\n\r\n");
+    private static String padded(String request, int paddingLength) {
+        return request.replace("\r\n\r\n", "\r\nX-Pad: " + "p".repeat(paddingLength) + "\r\n\r\n");
     }
 
-    /** Requests sent ahead must not hide that their client has left. */
+    /** Pipelined requests must not hide that their client has disconnected. */
     @ParameterizedTest
     @CsvSource({"1, 0", "3, 0", "16, 0", "20, 0", "300, 0", "6000, 0", "60, 5000", "150, 5000"})
-    void aClientThatSendsAheadAndLeavesIsGone(int ahead, int padding) throws Exception {
+    void disconnectIsNoticedBehindPipelinedRequests(int pipelinedCount, int padding) throws Exception {
         try (ScriptedServer server = new ScriptedServer((request, peer) -> {});
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/p", "open", "5000m"));
             ScriptedServer.next(server.requests);
             StringBuilder more = new StringBuilder();
-            for (int i = 0; i < ahead; i++) {
+            for (int i = 0; i < pipelinedCount; i++) {
                 more.append(padded(Http.page("/api/p", "ahead" + i, "5000m"), padding));
             }
             Site.write(client, more.toString());
             client.close();
-            assertNotNull(server.disconnectedPeers.poll(2, TimeUnit.SECONDS), "its attempt is given up");
+            assertNotNull(server.disconnectedPeers.poll(2, TimeUnit.SECONDS), "the attempt is cancelled");
             Site.write(site.connect(), Http.page("/api/p", "next", "5000m"));
             assertEquals("next", ScriptedServer.next(server.requests).headers().get("x-txn"));
         }
     }
 
-    /** Beyond what is kept of one client nothing is read of it: it waits with the system. */
+    /** Beyond the buffer limit the input of a client stays unread in the socket. */
     @Test
-    void whatIsSentAheadWithoutEndIsBounded() throws Exception {
+    void bufferedPipelinedInputIsBounded() throws Exception {
         try (ScriptedServer server = new ScriptedServer((request, peer) -> {});
                 Site site = Site.quiet().start(server)) {
             UnpooledByteBufAllocator allocator = (UnpooledByteBufAllocator) NioNetwork.SYSTEM.allocator();
@@ -141,27 +144,29 @@
                         sent.addAndGet(more.length);
                     }
                 } catch (IOException e) {
-                    // The test is over.
+                    // The socket was closed at the end of the test.
                 }
             });
             flood.setDaemon(true);
             flood.start();
-            long most = 0;
-            long was = -1;
-            // Until it is held back: nothing more goes out while the node goes on serving.
-            for (int still = 0; still < 200; still = sent.get() == was ? still + 1 : 0) {
-                was = sent.get();
-                assertEquals(200, site.ask(up()).status());
-                most = Math.max(most, allocator.metric().usedHeapMemory() - before);
+            long maxBufferedBytes = 0;
+            long previouslySent = -1;
+            // Until the client is throttled: nothing more is sent while the node keeps serving others.
+            for (int unchangedRounds = 0;
+                    unchangedRounds < 200;
+                    unchangedRounds = sent.get() == previouslySent ? unchangedRounds + 1 : 0) {
+                previouslySent = sent.get();
+                assertEquals(200, site.ask(upRequest()).status());
+                maxBufferedBytes = Math.max(maxBufferedBytes, allocator.metric().usedHeapMemory() - before);
             }
-            assertTrue(sent.get() < 1L << 30, "it is held back");
-            assertTrue(most < 3L << 20, "kept " + most + " bytes");
+            assertTrue(sent.get() < 1L << 30, "the client is throttled");
+            assertTrue(maxBufferedBytes < 3L << 20, "buffered bytes: " + maxBufferedBytes + " bytes");
         }
     }
 
-    /** What is kept while requests wait is served in its turn, whatever it is cut into. */
+    /** Input that is buffered while requests are queued is served in order, however it is split. */
     @Test
-    void allThatIsSentAheadIsServedInItsTurn() throws Exception {
+    void pipelinedRequestsSplitAnywhereAreServedInOrder() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     awaitQuietly(answer);
@@ -171,14 +176,14 @@
             Socket client = site.connect();
             Site.write(client, Http.page("/api/p", "t0", "5000m"));
             ScriptedServer.next(server.requests);
-            // More than is kept at once, and the last of it in the middle of a request.
+            // More than is parsed at once, with the last part ending within a request.
             StringBuilder more = new StringBuilder();
             for (int i = 1; i <= 24; i++) {
                 more.append(padded(Http.page("/api/p", "t" + i, "5000m"), 4_000));
             }
             for (int at = 0; at < more.length(); at += 5_000) {
                 Site.write(client, more.substring(at, Math.min(more.length(), at + 5_000)));
-                assertEquals(200, site.ask(up()).status(), "each part is read by itself");
+                assertEquals(200, site.ask(upRequest()).status(), "each part is read separately");
             }
             answer.countDown();
             for (int i = 0; i <= 24; i++) {
@@ -195,9 +200,12 @@
         }
     }
 
-    /** The last answer on a connection outlives what its client has sent behind the request. */
+    /**
+     * The last response on a connection must reach the client even if further requests of that client are
+     * unread.
+     */
     @Test
-    void theLastAnswerIsNotCutOffByWhatLiesUnread() throws Exception {
+    void lastResponseIsNotTruncatedByUnreadInput() throws Exception {
         String body = "b".repeat(60_000);
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, body);
@@ -213,21 +221,21 @@
                 behind.append(Http.page("/api/p", "behind" + i, "5000m"));
             }
             Site.write(client, behind.toString());
-            assertEquals(200, site.ask(up()).status());
+            assertEquals(200, site.ask(upRequest()).status());
             answer.countDown();
             ScriptedServer.next(server.answeredPeers);
             for (int i = 0; i < 20; i++) {
-                assertEquals(200, site.ask(up()).status(), "the answer is written by then");
+                assertEquals(200, site.ask(upRequest()).status(), "the response is written by then");
             }
             assertEquals(body, Http.read(client.getInputStream()).body());
             client.close();
         }
     }
 
-    /** A defect met by no request leaves nobody waiting and no list taken in by half. */
+    /** An unexpected exception outside of any request must leave no client waiting and no list partly applied. */
     @ParameterizedTest
     @CsvSource({"onWake, 503", "onServers, 200"})
-    void aDefectThatConcernsNoRequestLeavesNobodyWaiting(String event, int status) throws Exception {
+    void exceptionOutsideRequestsLeavesNoClientWaiting(String event, int status) throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 ScriptedServer discovery = new ScriptedServer((request, peer) -> {
                     peer.write(Site.watchHead());
@@ -245,28 +253,28 @@
         }
     }
 
-    /** The far sides of a rehearsal end with a reset, which must not cost the first turn a page of log. */
+    /** The connections of a rehearsal end with a reset, which must not write a stack trace to the log. */
     @Test
-    void aRehearsalsFarSideEndsWithoutAWord() {
+    void rehearsalServerClosesSilentlyOnReset() {
         EmbeddedChannel channel = new EmbeddedChannel(new Rehearsal.FarServer());
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
         channel.checkException();
         assertTrue(!channel.isOpen());
     }
 
-    // ---------------------------------------------------------------- told to end before it serves
+    // ---------------------------------------------------------------- shutdown during startup
 
     @Test
-    void whatIsToldToEndBeforeItOpensOpensNoMore() {
+    void openingEndedBeforeOpenNeverOpens() {
         Opening opening = new Opening(() -> {
-            throw new AssertionError("it opens");
+            throw new AssertionError("the listener must not open");
         });
         assertTrue(!opening.end());
         assertNull(opening.open());
     }
 
     @Test
-    void whatIsToldToEndAsItOpensHasClientsToServe() {
+    void openingEndedWhileOpenHasClientsToServe() {
         EmbeddedChannel channel = new EmbeddedChannel();
         DefaultChannelPromise done = new DefaultChannelPromise(channel);
         Opening opening = new Opening(() -> done);
--- a/src/test/java/kitemux/node/DiscoveryTest.java
+++ b/src/test/java/kitemux/node/DiscoveryTest.java
@@ -19,32 +19,32 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The watch on the list. */
+/** Tests the watch on discovery's server list. */
 class DiscoveryTest {
-    private static final String KNOWN = Site.list(41, true);
-    private static final String ENTRY = "s0=10.0.0.1:80=Ready";
+    private static final String INITIAL_LIST = Site.list(41, true);
+    private static final String READY_SERVER = "s0=10.0.0.1:80=Ready";
 
-    /** A watch alone; what it tells comes as a line. */
-    private static Discovery watch(Site site, long mostSilenceUs, BlockingQueue<String> told) throws Exception {
+    /** Opens a watch without a node; its events are recorded as lines. */
+    private static Discovery openWatch(Site site, long maxSilenceUs, BlockingQueue<String> events) throws Exception {
         Discovery discovery = new Discovery(
                 site.loop,
                 NioNetwork.SYSTEM,
                 Addresses.parse("discovery", site.discovery.endpoint()),
                 site.settings.zones,
                 41,
-                mostSilenceUs,
+                maxSilenceUs,
                 7,
                 new Discovery.Listener() {
                     @Override
                     public void onList(HostList list) {
-                        told.add(list.revision()
+                        events.add(list.revision()
                                 + (list.isFull() ? " all " : " changes ")
                                 + list.hosts().size());
                     }
 
                     @Override
                     public void onFailure(String reason) {
-                        told.add("failed");
+                        events.add("failed");
                     }
                 },
                 new StderrLog());
@@ -53,21 +53,21 @@
     }
 
     @Test
-    void listsComeInPiecesAndTheNextWatchGoesOnFromTheLast() throws Exception {
+    void splitListsAreReassembledAndNextWatchResumesFromLastRevision() throws Exception {
         try (Site site = Site.quiet()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.MAX_SILENCE_US, told);
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            Discovery discovery = openWatch(site, Discovery.MAX_SILENCE_US, events);
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
                     ScriptedServer.next(site.discovery.requests).path());
             ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
-            String line = Site.list(43, true, ENTRY, "s1=10.0.0.2:80=Terminating");
+            String line = Site.list(43, true, READY_SERVER, "s1=10.0.0.2:80=Terminating");
             peer.write(Site.chunk(line.substring(0, 20)));
-            peer.write(Site.chunk(line.substring(20) + "\n\n" + Site.list(44, false, ENTRY) + "\n"));
-            assertEquals("43 all 2", ScriptedServer.next(told));
-            assertEquals("44 changes 1", ScriptedServer.next(told));
+            peer.write(Site.chunk(line.substring(20) + "\n\n" + Site.list(44, false, READY_SERVER) + "\n"));
+            assertEquals("43 all 2", ScriptedServer.next(events));
+            assertEquals("44 changes 1", ScriptedServer.next(events));
             peer.socket().close();
-            assertEquals("failed", ScriptedServer.next(told));
+            assertEquals("failed", ScriptedServer.next(events));
             site.loop.execute(discovery::subscribe);
             assertEquals(
                     "/discovery/hosts?watch=1&after=44",
@@ -76,44 +76,46 @@
     }
 
     @Test
-    void anOlderListTakesNothingBackUntilItsPlaceHasCaughtUp() throws Exception {
+    void staleListChangesNothingUntilDiscoveryCatchesUp() throws Exception {
         try (Site site = Site.quiet()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.MAX_SILENCE_US, told);
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            Discovery discovery = openWatch(site, Discovery.MAX_SILENCE_US, events);
             ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
             peer.write(Site.chunk(Site.list(45, true, "s0=10.0.0.1:80=Terminating") + "\n"));
-            assertEquals("45 all 1", ScriptedServer.next(told));
+            assertEquals("45 all 1", ScriptedServer.next(events));
             peer.socket().close();
-            assertEquals("failed", ScriptedServer.next(told));
+            assertEquals("failed", ScriptedServer.next(events));
             site.loop.execute(discovery::subscribe);
             peer = ScriptedServer.next(site.discovery.answeredPeers);
-            // It was down and knows less: that the server is ready is what was before it drained.
-            peer.write(Site.chunk(Site.list(43, true, ENTRY) + "\n" + Site.list(44, false, ENTRY) + "\n"));
-            assertEquals("45 changes 0", ScriptedServer.next(told), "the call has its answer");
-            peer.write(Site.chunk(Site.list(46, false, ENTRY, "s1=10.0.0.2:80=Ready") + "\n"));
-            assertEquals("46 changes 2", ScriptedServer.next(told));
+            // Discovery was down and lost revisions: the server's ready state is from before its drain.
+            peer.write(
+                    Site.chunk(Site.list(43, true, READY_SERVER) + "\n" + Site.list(44, false, READY_SERVER) + "\n"));
+            assertEquals("45 changes 0", ScriptedServer.next(events), "the call is answered");
+            peer.write(Site.chunk(Site.list(46, false, READY_SERVER, "s1=10.0.0.2:80=Ready") + "\n"));
+            assertEquals("46 changes 2", ScriptedServer.next(events));
         }
     }
 
     @Test
-    void aListThatANodeBeganWithMayBeFromAnotherPlace() throws Exception {
+    void initialRevisionMayComeFromAnotherEndpoint() throws Exception {
         try (Site site = Site.quiet()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, Discovery.MAX_SILENCE_US, told);
-            ScriptedServer.next(site.discovery.answeredPeers).write(Site.chunk(Site.list(7, true, ENTRY) + "\n"));
-            assertEquals("7 all 1", ScriptedServer.next(told), "though it began with 41");
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            openWatch(site, Discovery.MAX_SILENCE_US, events);
+            ScriptedServer.next(site.discovery.answeredPeers)
+                    .write(Site.chunk(Site.list(7, true, READY_SERVER) + "\n"));
+            assertEquals("7 all 1", ScriptedServer.next(events), "although the node started with revision 41");
         }
     }
 
     @Test
-    void aBeatAsTheFirstWordSaysThatNothingHasChanged() throws Exception {
+    void heartbeatAsFirstMessageReportsNoChanges() throws Exception {
         try (Site site = Site.quiet()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, Discovery.MAX_SILENCE_US, told);
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            openWatch(site, Discovery.MAX_SILENCE_US, events);
             ScriptedServer.next(site.discovery.answeredPeers)
-                    .write(Site.chunk("\n") + Site.chunk("\n") + Site.chunk(Site.list(42, false, ENTRY) + "\n"));
-            assertEquals("41 changes 0", ScriptedServer.next(told));
-            assertEquals("42 changes 1", ScriptedServer.next(told));
+                    .write(Site.chunk("\n") + Site.chunk("\n") + Site.chunk(Site.list(42, false, READY_SERVER) + "\n"));
+            assertEquals("41 changes 0", ScriptedServer.next(events));
+            assertEquals("42 changes 1", ScriptedServer.next(events));
         }
     }
 
@@ -125,54 +127,54 @@
                 "[]",
                 "{\"rev\":42,\"all\":false,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"x\",\"state\":\"Ready\"}]}",
             })
-    void aBadLineBreaksTheWatch(String line) throws Exception {
+    void malformedLineBreaksWatch(String line) throws Exception {
         try (Site site = Site.quiet()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, Discovery.MAX_SILENCE_US, told);
-            // A beat behind it: what is cut off in the middle may else have more to come.
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            openWatch(site, Discovery.MAX_SILENCE_US, events);
+            // A heartbeat follows, since a truncated line could otherwise still be continued.
             ScriptedServer.next(site.discovery.answeredPeers).write(Site.chunk(line + "\n\n"));
-            assertEquals("failed", told.poll(2, TimeUnit.SECONDS), "long before it counts as silent");
+            assertEquals("failed", events.poll(2, TimeUnit.SECONDS), "long before the silence timeout");
             ScriptedServer.next(site.discovery.disconnectedPeers);
         }
     }
 
     @Test
-    void bytesThatNeverMakeAListAreSilence() throws Exception {
+    void incompleteListDoesNotPostponeSilenceTimeout() throws Exception {
         try (Site site = Site.quiet()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, 400_000, told);
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            openWatch(site, 400_000, events);
             ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
             peer.write(Site.chunk("{\"rev\":42,"));
-            String word = null;
-            for (int i = 0; i < 60 && word == null; i++) {
+            String event = null;
+            for (int i = 0; i < 60 && event == null; i++) {
                 peer.write(Site.chunk(" "));
-                word = told.poll(50, TimeUnit.MILLISECONDS);
+                event = events.poll(50, TimeUnit.MILLISECONDS);
             }
-            assertEquals("failed", word);
+            assertEquals("failed", event);
         }
     }
 
     @Test
-    void beatsThatCameWhileTheLoopStoodStillAreNotTakenForSilence() throws Exception {
+    void heartbeatsReceivedDuringLoopStallPreventTimeout() throws Exception {
         try (Site site = Site.quiet()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, 1_000_000, told);
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            openWatch(site, 1_000_000, events);
             ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
-            peer.write(Site.chunk(Site.list(42, true, ENTRY) + "\n"));
-            assertEquals("42 all 1", ScriptedServer.next(told));
-            CountDownLatch standing = new CountDownLatch(1);
-            CountDownLatch goOn = new CountDownLatch(1);
+            peer.write(Site.chunk(Site.list(42, true, READY_SERVER) + "\n"));
+            assertEquals("42 all 1", ScriptedServer.next(events));
+            CountDownLatch stalled = new CountDownLatch(1);
+            CountDownLatch resume = new CountDownLatch(1);
             site.loop.execute(() -> {
-                standing.countDown();
-                await(goOn);
+                stalled.countDown();
+                await(resume);
             });
-            standing.await();
+            stalled.await();
             peer.write(Site.chunk("\n"));
             CountDownLatch never = new CountDownLatch(1);
-            assertFalse(never.await(1_200, TimeUnit.MILLISECONDS), "its silence is over meanwhile");
-            goOn.countDown();
-            peer.write(Site.chunk(Site.list(43, false, ENTRY) + "\n"));
-            assertEquals("43 changes 1", ScriptedServer.next(told));
+            assertFalse(never.await(1_200, TimeUnit.MILLISECONDS), "the silence timeout passes meanwhile");
+            resume.countDown();
+            peer.write(Site.chunk(Site.list(43, false, READY_SERVER) + "\n"));
+            assertEquals("43 changes 1", ScriptedServer.next(events));
         }
     }
 
@@ -184,9 +186,9 @@
         }
     }
 
-    /** What a silent watch misses counts as told 6 s after it fell silent; beats come every 2 s. */
+    /** What a silent watch misses counts as delivered 6 s after it fell silent; heartbeats are sent every 2 s. */
     @Test
-    void whatASilentWatchMissesIsHeardInTime() throws Exception {
+    void silentWatchIsReopenedInTime() throws Exception {
         try (Site site = Site.quiet()) {
             site.startKnowing(Site.list(41, true));
             ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
@@ -195,51 +197,52 @@
             ScriptedServer.next(site.discovery.requests);
             ScriptedServer.next(site.discovery.requests);
             long ms = (System.nanoTime() - silentAt) / 1_000_000;
-            assertTrue(ms < 5_000, "asked anew after " + ms + " ms");
-            assertTrue(ms > 2_400, "no sooner than a beat is missed: " + ms + " ms");
+            assertTrue(ms < 5_000, "reconnected after " + ms + " ms");
+            assertTrue(ms > 2_400, "reconnected before a heartbeat was missed: " + ms + " ms");
         }
     }
 
     @Test
-    void listsMayComeIndentedAndSplitAnywhere() throws Exception {
-        String line = Site.list(43, true, ENTRY, "s1=10.0.0.2:80=Terminating").replace("\"s1\"", "\"s}{\\\"[1\"");
+    void indentedListsSplitAnywhereAreParsed() throws Exception {
+        String line =
+                Site.list(43, true, READY_SERVER, "s1=10.0.0.2:80=Terminating").replace("\"s1\"", "\"s}{\\\"[1\"");
         String indented =
                 line.replace(",", ",\r\n    ").replace("[{", "[\n  {\n").replace("}]}", "\n}\n]\n}");
         try (Site site = Site.quiet()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, Discovery.MAX_SILENCE_US, told);
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            openWatch(site, Discovery.MAX_SILENCE_US, events);
             ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
             for (int i = 0; i < indented.length(); i++) {
                 peer.write(Site.chunk(indented.substring(i, i + 1)));
             }
             peer.write(Site.chunk("\n\n" + indented.replace("43", "44")));
-            assertEquals("43 all 2", ScriptedServer.next(told));
-            assertEquals("44 all 2", ScriptedServer.next(told));
+            assertEquals("43 all 2", ScriptedServer.next(events));
+            assertEquals("44 all 2", ScriptedServer.next(events));
         }
     }
 
     @Test
-    void wordOfADrainHoldsInAnOlderListTooUnlessTheServerHasStartedSince() throws Exception {
+    void drainInStaleListAppliesUnlessServerHasRestarted() throws Exception {
         try (Site site = Site.quiet()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.MAX_SILENCE_US, told);
-            String ready = Site.list(45, true, ENTRY, "s1=10.0.0.2:80=Ready");
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            Discovery discovery = openWatch(site, Discovery.MAX_SILENCE_US, events);
+            String ready = Site.list(45, true, READY_SERVER, "s1=10.0.0.2:80=Ready");
             ScriptedServer.next(site.discovery.answeredPeers)
                     .write(Site.chunk(ready.replaceFirst("boot_ms\":0", "boot_ms\":7000") + "\n"));
-            assertEquals("45 all 2", ScriptedServer.next(told));
+            assertEquals("45 all 2", ScriptedServer.next(events));
             site.loop.execute(discovery::subscribe);
             ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
             peer.write(
                     Site.chunk(Site.list(43, true, "s0=10.0.0.1:80=Terminating", "s1=10.0.0.2:80=Terminating") + "\n"));
-            assertEquals("45 changes 1", ScriptedServer.next(told), "s0 has started since");
+            assertEquals("45 changes 1", ScriptedServer.next(events), "s0 has restarted since");
             peer.write(Site.chunk(Site.list(44, false, "s1=10.0.0.2:80=Gone") + "\n"));
-            assertEquals("45 changes 1", ScriptedServer.next(told));
+            assertEquals("45 changes 1", ScriptedServer.next(events));
         }
     }
 
-    /** What a node has waited for longer and longer was another place. */
+    /** The backoff of a node applied to the old address and must not delay calls to the new one. */
     @Test
-    void afterAMoveTheWaitsBeginAnew() throws Exception {
+    void backoffRestartsAfterAddressChange() throws Exception {
         ScriptedServer.Script refusing = (request, peer) -> peer.write(Http.answer("503 Busy", "", ""));
         try (ScriptedServer before = new ScriptedServer(refusing);
                 ScriptedServer after = new ScriptedServer(refusing);
@@ -261,23 +264,24 @@
                     old.known(),
                     old.settings()));
             ScriptedServer.next(after.requests);
-            // After five failures it would wait for 330 ms at least, after the first 75 at most.
-            assertNotNull(after.requests.poll(300, TimeUnit.MILLISECONDS), "it waits as for the other place");
+            // After five failures the wait would be at least 330 ms; after the first one it is at most 75 ms.
+            assertNotNull(
+                    after.requests.poll(300, TimeUnit.MILLISECONDS), "the backoff of the old address still applies");
         }
     }
 
     @Test
-    void aSilentWatchIsBroken() throws Exception {
+    void silentWatchFails() throws Exception {
         try (Site site = Site.quiet()) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, 100_000, told);
-            assertEquals("failed", ScriptedServer.next(told));
-            assertTrue(told.isEmpty());
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            openWatch(site, 100_000, events);
+            assertEquals("failed", ScriptedServer.next(events));
+            assertTrue(events.isEmpty());
         }
     }
 
     @Test
-    void aNodeAsksAgainAfterARefusalAndThenUsesTheList() throws Exception {
+    void nodeRetriesAfterRejectionAndAppliesList() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (ScriptedServer server = ScriptedServer.serving("x");
                 ScriptedServer discovery = new ScriptedServer((request, peer) -> peer.write(
@@ -293,75 +297,76 @@
     }
 
     @Test
-    void aMoveAsksTheNewPlaceForAllThereIsAndTellsOfNoFailure() throws Exception {
+    void addressChangeRequestsFullListWithoutFailure() throws Exception {
         try (Site site = Site.quiet();
-                ScriptedServer there = new ScriptedServer((request, peer) ->
-                        peer.write(Site.watchHead() + Site.chunk(Site.list(7, true, ENTRY) + "\n")))) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.MAX_SILENCE_US, told);
+                ScriptedServer newServer = new ScriptedServer((request, peer) ->
+                        peer.write(Site.watchHead() + Site.chunk(Site.list(7, true, READY_SERVER) + "\n")))) {
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            Discovery discovery = openWatch(site, Discovery.MAX_SILENCE_US, events);
             ScriptedServer.next(site.discovery.requests);
-            InetSocketAddress to = Addresses.parse("discovery", there.endpoint());
+            InetSocketAddress to = Addresses.parse("discovery", newServer.endpoint());
             site.loop.execute(() -> discovery.setAddress(to));
             ScriptedServer.next(site.discovery.disconnectedPeers);
             assertEquals(
                     "/discovery/hosts?watch=1",
-                    ScriptedServer.next(there.requests).path());
-            assertEquals("7 all 1", ScriptedServer.next(told));
-            // Told of the same place again the watch stays; a later call goes to the new place too.
+                    ScriptedServer.next(newServer.requests).path());
+            assertEquals("7 all 1", ScriptedServer.next(events));
+            // Setting the same address again keeps the watch; a later call goes to the new address too.
             site.loop.execute(() -> discovery.setAddress(to));
             site.loop.execute(discovery::subscribe);
             assertEquals(
                     "/discovery/hosts?watch=1&after=7",
-                    ScriptedServer.next(there.requests).path());
-            assertEquals(2, there.connections.get());
+                    ScriptedServer.next(newServer.requests).path());
+            assertEquals(2, newServer.connections.get());
             assertEquals(1, site.discovery.connections.get());
         }
     }
 
-    /** What is written to a node counts as told, whether or not it is read. */
+    /** Data written to a node counts as delivered, whether or not it was read. */
     @Test
-    void whatTheOldPlaceTellsBeforeTheNewOneHasSpokenIsHeard() throws Exception {
+    void previousWatchIsReadUntilNewOneDelivers() throws Exception {
         try (Site site = Site.quiet();
-                ScriptedServer there = new ScriptedServer((request, peer) -> peer.write(Site.watchHead()))) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.MAX_SILENCE_US, told);
+                ScriptedServer newServer = new ScriptedServer((request, peer) -> peer.write(Site.watchHead()))) {
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            Discovery discovery = openWatch(site, Discovery.MAX_SILENCE_US, events);
             ScriptedServer.Peer before = ScriptedServer.next(site.discovery.answeredPeers);
-            InetSocketAddress to = Addresses.parse("discovery", there.endpoint());
+            InetSocketAddress to = Addresses.parse("discovery", newServer.endpoint());
             site.loop.execute(() -> discovery.setAddress(to));
-            ScriptedServer.Peer after = ScriptedServer.next(there.answeredPeers);
+            ScriptedServer.Peer after = ScriptedServer.next(newServer.answeredPeers);
             before.write(Site.chunk(Site.list(42, true, "s0=10.0.0.1:80=Terminating") + "\n"));
-            assertEquals("42 all 1", told.poll(5, TimeUnit.SECONDS), "the answer to a call that was in turn");
-            after.write(Site.chunk("\n" + Site.list(7, true, ENTRY) + "\n"));
-            assertEquals("7 all 1", ScriptedServer.next(told), "versions of another place tell nothing here");
+            assertEquals("42 all 1", events.poll(5, TimeUnit.SECONDS), "the response to the earlier call");
+            after.write(Site.chunk("\n" + Site.list(7, true, READY_SERVER) + "\n"));
+            assertEquals("7 all 1", ScriptedServer.next(events), "revisions of another endpoint are not comparable");
             ScriptedServer.next(site.discovery.disconnectedPeers);
             site.loop.execute(discovery::subscribe);
             assertEquals(
                     "/discovery/hosts?watch=1",
-                    ScriptedServer.next(there.requests).path());
+                    ScriptedServer.next(newServer.requests).path());
             assertEquals(
                     "/discovery/hosts?watch=1&after=7",
-                    ScriptedServer.next(there.requests).path());
+                    ScriptedServer.next(newServer.requests).path());
         }
     }
 
     @Test
-    void anOldPlaceIsNotReadForLongWhereTheNewOneSaysNothing() throws Exception {
+    void previousWatchClosesWhenNewOneStaysSilent() throws Exception {
         try (Site site = Site.quiet();
-                ScriptedServer there = new ScriptedServer((request, peer) -> peer.write(Site.watchHead()))) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, 60_000_000, told);
+                ScriptedServer newServer = new ScriptedServer((request, peer) -> peer.write(Site.watchHead()))) {
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            Discovery discovery = openWatch(site, 60_000_000, events);
             ScriptedServer.next(site.discovery.answeredPeers);
-            InetSocketAddress to = Addresses.parse("discovery", there.endpoint());
+            InetSocketAddress to = Addresses.parse("discovery", newServer.endpoint());
             site.loop.execute(() -> discovery.setAddress(to));
-            ScriptedServer.next(there.answeredPeers);
-            assertNotNull(site.discovery.disconnectedPeers.poll(10, TimeUnit.SECONDS), "it is read on without an end");
-            assertTrue(told.isEmpty(), "its end is no failure: " + told);
+            ScriptedServer.next(newServer.answeredPeers);
+            assertNotNull(
+                    site.discovery.disconnectedPeers.poll(10, TimeUnit.SECONDS), "the previous watch is never closed");
+            assertTrue(events.isEmpty(), "closing the previous watch is no failure: " + events);
         }
     }
 
-    /** The old place's list is no answer of the new one's. */
+    /** A list from the old address does not answer the call to the new one. */
     @Test
-    void aNodeThatHearsOfTheOldPlaceGoesOnAskingTheNewOne() throws Exception {
+    void listFromOldAddressDoesNotStopRetriesAtNewOne() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (ScriptedServer after = new ScriptedServer((request, peer) ->
                         peer.write(calls.getAndIncrement() == 0 ? Http.answer("503 Busy", "", "") : Site.watchHead()));
@@ -381,9 +386,9 @@
                     old.known(),
                     old.settings()));
             ScriptedServer.next(after.disconnectedPeers);
-            before.write(Site.chunk(Site.list(2, true, ENTRY) + "\n"));
+            before.write(Site.chunk(Site.list(2, true, READY_SERVER) + "\n"));
             ScriptedServer.next(after.requests);
-            assertNotNull(after.requests.poll(5, TimeUnit.SECONDS), "it asks no more");
+            assertNotNull(after.requests.poll(5, TimeUnit.SECONDS), "the node no longer retries");
         }
     }
 }
--- a/src/test/java/kitemux/node/EventLoopStallTest.java
+++ b/src/test/java/kitemux/node/EventLoopStallTest.java
@@ -39,18 +39,18 @@
 import kitemux.net.SocketBudget;
 import org.junit.jupiter.api.Test;
 
-/** A node that has fallen behind: its loop stood still while clients came and went. */
+/** Tests a node whose event loop was stalled while clients connected and disconnected. */
 class EventLoopStallTest {
 
-    /** Holds the loop up until the latch opens; returns once it stands still. */
-    private static CountDownLatch holdUp(EventLoop loop) throws InterruptedException {
-        CountDownLatch standing = new CountDownLatch(1);
+    /** Stalls the event loop until the latch opens; returns once it is stalled. */
+    private static CountDownLatch stallLoop(EventLoop loop) throws InterruptedException {
+        CountDownLatch stalled = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
-            standing.countDown();
+            stalled.countDown();
             awaitRelease(release);
         });
-        standing.await();
+        stalled.await();
         return release;
     }
 
@@ -62,15 +62,15 @@
         }
     }
 
-    /** A module; before it is told of a request, on the loop, something is done. */
-    private static Balancer after(Balancer sound, Callable<?> before) {
+    /** Wraps a balancer so that the action runs on the event loop before each request is reported to it. */
+    private static Balancer runBeforeOnRequest(Balancer delegate, Callable<?> action) {
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                     if (method.getName().equals("onRequest")) {
-                        before.call();
+                        action.call();
                     }
                     try {
-                        return method.invoke(sound, args);
+                        return method.invoke(delegate, args);
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     }
@@ -78,21 +78,21 @@
     }
 
     @Test
-    void aRequestWhoseClientHasLeftIsNotSent() throws Exception {
+    void requestOfDisconnectedClientIsNotSent() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
-            Socket leaves = site.connect();
-            assertEquals(200, Site.ask(leaves, Http.page("before")).status());
-            CountDownLatch release = holdUp(site.loop);
-            Site.write(leaves, Http.page("left"));
-            leaves.close();
-            Socket comesAndLeaves = site.connect();
-            Site.write(comesAndLeaves, Http.page("left too"));
-            comesAndLeaves.close();
-            Socket stays = site.connect();
-            Site.write(stays, Http.page("stays"));
+            Socket disconnecting = site.connect();
+            assertEquals(200, Site.ask(disconnecting, Http.page("before")).status());
+            CountDownLatch release = stallLoop(site.loop);
+            Site.write(disconnecting, Http.page("left"));
+            disconnecting.close();
+            Socket newAndDisconnecting = site.connect();
+            Site.write(newAndDisconnecting, Http.page("left too"));
+            newAndDisconnecting.close();
+            Socket connected = site.connect();
+            Site.write(connected, Http.page("stays"));
             release.countDown();
-            assertEquals(200, Http.read(stays.getInputStream()).status());
+            assertEquals(200, Http.read(connected.getInputStream()).status());
             assertEquals(
                     "before", ScriptedServer.next(server.requests).headers().get("x-txn"));
             assertEquals("stays", ScriptedServer.next(server.requests).headers().get("x-txn"));
@@ -102,21 +102,21 @@
     }
 
     @Test
-    void allWhoCameMeanwhileAreTakenTogether() throws Exception {
+    void requestsReceivedDuringStallAreHandledInOneTurn() throws Exception {
         AtomicInteger turns = new AtomicInteger();
         AtomicBoolean counted = new AtomicBoolean();
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
-            site.module = actions -> after(new ServiceQBalancer(site.settings, 7, actions), () -> {
+            site.module = actions -> runBeforeOnRequest(new ServiceQBalancer(site.settings, 7, actions), () -> {
                 if (counted.compareAndSet(false, true)) {
                     turns.incrementAndGet();
-                    // What is scheduled runs in a later turn, at its beginning.
+                    // A scheduled task runs at the start of a later turn.
                     site.loop.schedule(() -> counted.set(false), 1, TimeUnit.NANOSECONDS);
                 }
                 return null;
             });
             site.start(server);
-            CountDownLatch release = holdUp(site.loop);
+            CountDownLatch release = stallLoop(site.loop);
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 Socket client = site.connect();
@@ -132,80 +132,81 @@
     }
 
     @Test
-    void aConnectionOnWhichARequestWaitsUnreadIsNotClosedAsIdle() throws Exception {
-        AtomicReference<Socket> asksNow = new AtomicReference<>();
+    void connectionWithUnreadRequestIsNotClosedAsIdle() throws Exception {
+        AtomicReference<Socket> nextToSend = new AtomicReference<>();
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
-            site.module = actions -> after(new ServiceQBalancer(site.settings, 7, actions), () -> {
-                Socket client = asksNow.getAndSet(null);
+            site.module = actions -> runBeforeOnRequest(new ServiceQBalancer(site.settings, 7, actions), () -> {
+                Socket client = nextToSend.getAndSet(null);
                 if (client != null) {
                     Site.write(client, Http.page("unread"));
                 }
                 return null;
             });
             site.start(server);
-            Socket longest = site.connect();
-            assertEquals(200, Site.ask(longest, Http.page("first")).status());
-            // As many as may be idle; one more makes the longest idle one go.
+            Socket longestIdle = site.connect();
+            assertEquals(200, Site.ask(longestIdle, Http.page("first")).status());
+            // Fills the idle connections; one more closes the longest idle one.
             for (int i = 1; i < site.sockets / 6; i++) {
                 assertEquals(200, site.ask(Http.page("t" + i)).status());
             }
-            asksNow.set(longest);
-            // Out of time as it comes, so that its answer, and what that makes go, are in the same turn.
+            nextToSend.set(longestIdle);
+            // This request has expired on arrival, so that its response and the close that it causes happen in the
+            // same turn.
             assertEquals(503, site.ask(Http.page("/api/p", "late", "1m")).status());
-            assertEquals(200, Http.read(longest.getInputStream()).status());
+            assertEquals(200, Http.read(longestIdle.getInputStream()).status());
         }
     }
 
     private static void parkFor(long ms) {
-        long until = System.nanoTime() + ms * 1_000_000;
-        while (System.nanoTime() < until) {
-            LockSupport.parkNanos(until - System.nanoTime());
+        long deadlineNanos = System.nanoTime() + ms * 1_000_000;
+        while (System.nanoTime() < deadlineNanos) {
+            LockSupport.parkNanos(deadlineNanos - System.nanoTime());
         }
     }
 
-    /** Lets the loop stand still for so long, from now on. */
-    private static void stall(EventLoop loop, long ms) throws InterruptedException {
-        CountDownLatch standing = new CountDownLatch(1);
+    /** Stalls the event loop for this long, starting now. */
+    private static void stallLoopFor(EventLoop loop, long ms) throws InterruptedException {
+        CountDownLatch stalled = new CountDownLatch(1);
         loop.execute(() -> {
-            standing.countDown();
+            stalled.countDown();
             parkFor(ms);
         });
-        standing.await();
+        stalled.await();
     }
 
     @Test
-    void aRequestsTimeRunsWhileItLiesUnread() throws Exception {
+    void remainingTimeElapsesWhileRequestIsUnread() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
-            Socket kept = site.connect();
-            assertEquals(200, Site.ask(kept, Http.page("before")).status());
-            whatLiesUnreadRunsOutOfTime(site, server, kept, holdUp(site.loop));
+            Socket existing = site.connect();
+            assertEquals(200, Site.ask(existing, Http.page("before")).status());
+            assertUnreadRequestsExpire(site, server, existing, stallLoop(site.loop));
         }
     }
 
-    private static void whatLiesUnreadRunsOutOfTime(
-            Site site, ScriptedServer server, Socket kept, CountDownLatch release) throws Exception {
-        Site.write(kept, Http.page("/api/p", "on a connection that was there", "400m"));
+    private static void assertUnreadRequestsExpire(
+            Site site, ScriptedServer server, Socket existing, CountDownLatch release) throws Exception {
+        Site.write(existing, Http.page("/api/p", "on a connection that was there", "400m"));
         Socket fresh = site.connect();
         Site.write(fresh, Http.page("/api/p", "on a new one", "400m"));
-        // From here on, however long the writing took.
+        // The requests expire from here on, however long the writes took.
         parkFor(500);
         release.countDown();
-        assertEquals(503, Http.read(kept.getInputStream()).status());
+        assertEquals(503, Http.read(existing.getInputStream()).status());
         assertEquals(503, Http.read(fresh.getInputStream()).status());
-        assertEquals(1, server.requests.size(), "nobody waits for the answers any more");
-        assertEquals(200, Site.ask(kept, Http.page("after")).status());
+        assertEquals(1, server.requests.size(), "requests without a waiting client are not sent");
+        assertEquals(200, Site.ask(existing, Http.page("after")).status());
     }
 
     /**
-     * Holds the loop up as {@link #holdUp} does, with its beat due and waiting behind that in the same turn:
-     * the loop reads for longer than a beat, and what it reads has a task run.
+     * Stalls the loop as {@link #stallLoop} does, with a tick due that runs after the stall in the same turn:
+     * the loop reads for longer than a tick, and what it reads submits a task.
      */
-    private static CountDownLatch holdUpBeforeTheBeat(EventLoop loop) throws Exception {
+    private static CountDownLatch stallLoopBeforeTick(EventLoop loop) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        CountDownLatch standing = new CountDownLatch(1);
-        try (ServerSocket far = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        CountDownLatch stalled = new CountDownLatch(1);
+        try (ServerSocket farListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
@@ -215,42 +216,42 @@
                             ((ByteBuf) bytes).release();
                             parkFor(2 * EventLoopClock.TICK_INTERVAL_MS);
                             loop.execute(() -> {
-                                standing.countDown();
+                                stalled.countDown();
                                 awaitRelease(release);
                             });
                             context.close();
                         }
                     })
-                    .connect(far.getLocalSocketAddress());
-            try (Socket peer = far.accept()) {
+                    .connect(farListener.getLocalSocketAddress());
+            try (Socket peer = farListener.accept()) {
                 peer.getOutputStream().write(0);
-                standing.await();
+                stalled.await();
             }
         }
         return release;
     }
 
-    /** Timers run behind the tasks that are there before them, and before the sockets are looked at again. */
+    /** Timers run after the tasks that are already queued, and before the sockets are polled again. */
     @Test
-    void aBeatThatWaitedBehindWhatHeldTheLoopUpIsNoLookAtTheSockets() throws Exception {
+    void delayedTickDoesNotCountAsPollOfSockets() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
-            Socket kept = site.connect();
-            assertEquals(200, Site.ask(kept, Http.page("before")).status());
-            whatLiesUnreadRunsOutOfTime(site, server, kept, holdUpBeforeTheBeat(site.loop));
+            Socket existing = site.connect();
+            assertEquals(200, Site.ask(existing, Http.page("before")).status());
+            assertUnreadRequestsExpire(site, server, existing, stallLoopBeforeTick(site.loop));
         }
     }
 
-    /** The loop reads one thing for long: the same must not be missed in what it reads in its next turn. */
+    /** The loop spends a long time on one read: the age must also be counted for what it reads in its next turn. */
     @Test
-    void aRequestsTimeRunsWhileTheLoopReadsAnother() throws Exception {
-        CountDownLatch standing = new CountDownLatch(1);
+    void remainingTimeElapsesWhileLoopReadsAnotherConnection() throws Exception {
+        CountDownLatch stalled = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server);
-                ServerSocket far = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Socket kept = site.connect();
-            assertEquals(200, Site.ask(kept, Http.page("before")).status());
+                ServerSocket farListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            Socket existing = site.connect();
+            assertEquals(200, Site.ask(existing, Http.page("before")).status());
             new Bootstrap()
                     .group(site.loop)
                     .channel(NioSocketChannel.class)
@@ -258,29 +259,29 @@
                         @Override
                         public void channelRead(ChannelHandlerContext context, Object bytes) {
                             ((ByteBuf) bytes).release();
-                            standing.countDown();
+                            stalled.countDown();
                             awaitRelease(release);
                             context.close();
                         }
                     })
-                    .connect(far.getLocalSocketAddress());
-            try (Socket peer = far.accept()) {
+                    .connect(farListener.getLocalSocketAddress());
+            try (Socket peer = farListener.accept()) {
                 peer.getOutputStream().write(0);
-                standing.await();
-                whatLiesUnreadRunsOutOfTime(site, server, kept, release);
+                stalled.await();
+                assertUnreadRequestsExpire(site, server, existing, release);
             }
         }
     }
 
     @Test
-    void aBurstThatWasTakenWholeCostsLaterOnesNoTime() throws Exception {
+    void fullyAcceptedBurstDoesNotAgeLaterConnections() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.sockets = 1_024;
             site.start(server);
-            CountDownLatch release = holdUp(site.loop);
+            CountDownLatch release = stallLoop(site.loop);
             List<Socket> clients = new ArrayList<>();
-            // Just as many as are taken in one turn: more may wait behind them, and do not.
+            // Exactly as many as are accepted in one turn: more could be in the backlog, but are not.
             for (int i = 0; i < SocketBudget.MAX_ACCEPTS_PER_TURN; i++) {
                 Socket client = site.connect();
                 Site.write(client, Http.page("/api/p", "t" + i, "5000m"));
@@ -298,11 +299,12 @@
     }
 
     @Test
-    void whoComesBeforeTheListenerClosesIsServedHoweverFarBehindTheLoopIs() throws Exception {
+    void connectionsBeforeListenerCloseAreServedDespiteStall() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.sockets = 1_024;
-            // Else what has lain unread for longer than the class's aim is refused at once, and rightly.
+            // With a shorter target latency, requests that were unread for longer than it would be rejected at
+            // once, and rightly.
             RequestClass page = site.settings.classes.get(0);
             site.settings.classes.set(
                     0,
@@ -321,15 +323,15 @@
             CountDownLatch drained = new CountDownLatch(1);
             site.node.drain(false, drained::countDown);
             long drainedNanos = System.nanoTime();
-            CountDownLatch release = holdUp(site.loop);
+            CountDownLatch release = stallLoop(site.loop);
             List<Socket> clients = new ArrayList<>();
-            // More than are taken in one turn.
+            // More than are accepted in one turn.
             for (int i = 0; i < 150; i++) {
                 Socket client = site.connect();
                 Site.write(client, Http.page("/api/p", "t" + i, "20000m"));
                 clients.add(client);
             }
-            // Past the time at which the listener closes, however long that took.
+            // Waits past the time at which the listener closes, however long connecting took.
             parkFor(Limits.LISTENER_DRAIN_MS + 400 - (System.nanoTime() - drainedNanos) / 1_000_000);
             release.countDown();
             for (Socket client : clients) {
@@ -339,32 +341,35 @@
         }
     }
 
-    /** What the module is told, in order: which requests come, and what became of attempts. */
-    private static Balancer told(Balancer sound, Queue<String> told) {
+    /** Wraps a balancer so that its requests and the results of its attempts are recorded in order. */
+    private static Balancer recordingEvents(Balancer delegate, Queue<String> events) {
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                     if (method.getName().equals("onRequest")) {
-                        told.add("request");
+                        events.add("request");
                     } else if (method.getName().equals("onOutcome")) {
-                        told.add(((Balancer.Outcome) args[1]).result().toString());
+                        events.add(((Balancer.Outcome) args[1]).result().toString());
                     }
                     try {
-                        return method.invoke(sound, args);
+                        return method.invoke(delegate, args);
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     }
                 });
     }
 
-    /** A client whose time is long over would else have its answer behind all whose time has just begun. */
+    /**
+     * Without this order a client whose deadline has long passed would get its response after all those whose
+     * deadline has just begun.
+     */
     @Test
-    void whoseTimeIsLongOverIsAnsweredBeforeThoseWhoCameMeanwhile() throws Exception {
-        Queue<String> told = new ConcurrentLinkedQueue<>();
+    void overdueRequestIsAnsweredBeforeNewerOnes() throws Exception {
+        Queue<String> events = new ConcurrentLinkedQueue<>();
         CountDownLatch never = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(never, "x");
                 Site site = Site.quiet()) {
             site.sockets = 1_024;
-            site.module = actions -> told(new ServiceQBalancer(site.settings, 7, actions), told);
+            site.module = actions -> recordingEvents(new ServiceQBalancer(site.settings, 7, actions), events);
             site.start(server);
             Socket overdue = site.connect();
             Site.write(overdue, Http.page("/api/p", "overdue", "200m"));
@@ -373,20 +378,20 @@
             for (int i = 0; i < 40; i++) {
                 clients.add(site.connect());
             }
-            CountDownLatch taken = new CountDownLatch(1);
-            site.loop.execute(taken::countDown);
-            taken.await();
-            CountDownLatch release = holdUp(site.loop);
+            CountDownLatch accepted = new CountDownLatch(1);
+            site.loop.execute(accepted::countDown);
+            accepted.await();
+            CountDownLatch release = stallLoop(site.loop);
             for (int i = 0; i < clients.size(); i++) {
                 Site.write(clients.get(i), Http.page("/api/p", "t" + i, "5000m"));
             }
-            // Its time runs out meanwhile, and so much more that it is overdue.
+            // Its deadline passes meanwhile, by enough to be overdue.
             parkFor(200 + EventLoopClock.OVERDUE_TIMER_MS);
             release.countDown();
             assertEquals(503, Http.read(overdue.getInputStream()).status());
-            assertEquals("request", told.poll());
-            // Called off and not out of time: its answer may lie unread.
-            assertEquals("CANCELLED", told.poll());
+            assertEquals("request", events.poll());
+            // The attempt is cancelled rather than timed out, since its response may be unread.
+            assertEquals("CANCELLED", events.poll());
             never.countDown();
             for (Socket client : clients) {
                 assertEquals(200, Http.read(client.getInputStream()).status());
@@ -394,18 +399,21 @@
         }
     }
 
-    private static long heldUpMs(String line) {
+    private static long loggedStallMs(String line) {
         return line.startsWith("loop held up for ") ? Long.parseLong(line.split(" ")[4]) : -1;
     }
 
-    /** Guards against first requests that are refused as old since the loop was held up before it listened. */
+    /**
+     * Guards against first requests that are rejected as too old because the loop was stalled before the
+     * listener opened.
+     */
     @Test
-    void whatComesToANewListenerIsNoOlderThanTheListener() throws Exception {
+    void requestIsNoOlderThanItsListener() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             NodeConfig config = site.config(Site.list(1, true, "s0=" + server.endpoint() + "=Ready"));
             CompletableFuture<Socket> client = new CompletableFuture<>();
-            CountDownLatch release = holdUp(site.loop);
+            CountDownLatch release = stallLoop(site.loop);
             Node node = new Node(config, site.loop, Node.Parts.real(site.loop, site.log, site.module));
             node.start().addListener(opened -> {
                 InetSocketAddress at =
@@ -421,7 +429,7 @@
     }
 
     @Test
-    void aLoopThatWasHeldUpSaysSoAndOneThatKeepsUpDoesNot() throws Exception {
+    void onlyStalledLoopIsLogged() throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
@@ -436,19 +444,18 @@
                     lines.add(what + ": " + cause);
                 }
             };
-            // What happens before it serves is not told of. A busy machine may hold a loop up by itself,
-            // though
-            // not for so long.
-            stall(site.loop, 2_000);
+            // A stall before the node serves is not logged. A busy machine may stall a loop by itself, but not for
+            // this long.
+            stallLoopFor(site.loop, 2_000);
             site.start(server);
             assertEquals(200, site.ask(Http.page("before")).status());
-            assertTrue(lines.stream().noneMatch(line -> heldUpMs(line) >= 1_900), lines::toString);
-            stall(site.loop, 2_000);
+            assertTrue(lines.stream().noneMatch(line -> loggedStallMs(line) >= 1_900), lines::toString);
+            stallLoopFor(site.loop, 2_000);
             String line;
             do {
                 line = lines.poll(20, TimeUnit.SECONDS);
-                assertTrue(line != null, "nothing is said");
-            } while (heldUpMs(line) < 1_900);
+                assertTrue(line != null, "the stall is not logged");
+            } while (loggedStallMs(line) < 1_900);
             assertTrue(line.contains(" with 0 requests open: "), line);
         }
     }
--- a/src/test/java/kitemux/node/Http.java
+++ b/src/test/java/kitemux/node/Http.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** HTTP/1.1 messages as bytes, for the far sides of a node under test. */
+/** Reads and builds HTTP/1.1 messages for the peers of a node under test. */
 final class Http {
     private Http() {}
 
-    /** A message; header names are in small letters. */
+    /** A message; header names are in lower case. */
     record Message(String startLine, Map<String, String> headers, String body) {
         int status() {
             return Integer.parseInt(startLine.split(" ")[1]);
@@ -24,11 +24,11 @@
         }
     }
 
-    /** Reads one message whole. */
+    /** Reads a complete message. */
     static Message read(InputStream in) throws IOException {
-        String start = line(in);
+        String start = readLine(in);
         Map<String, String> headers = new TreeMap<>();
-        for (String line = line(in); !line.isEmpty(); line = line(in)) {
+        for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
             int colon = line.indexOf(':');
             headers.put(
                     line.substring(0, colon).toLowerCase(Locale.ROOT),
@@ -37,12 +37,12 @@
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new EOFException("message cut short");
+            throw new EOFException("message is truncated");
         }
         return new Message(start, headers, new String(body, StandardCharsets.UTF_8));
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
--- a/src/test/java/kitemux/node/ScriptedServer.java
+++ b/src/test/java/kitemux/node/ScriptedServer.java
@@ -15,20 +15,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A server, or discovery, that a test plays: it notes what comes, and a script answers. */
+/**
+ * A test stand-in for a server or for discovery: it records the requests that arrive, and a script answers
+ * them.
+ */
 final class ScriptedServer implements AutoCloseable {
-    /** What to do about a request. */
+    /** Answers a request. */
     interface Script {
         void answer(Http.Message request, Peer peer) throws IOException;
     }
 
-    /** One connection that a node has opened. */
+    /** A connection that a node has opened. */
     record Peer(Socket socket) {
         void write(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** Breaks the connection. */
+        /** Resets the connection. */
         void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
@@ -36,30 +39,36 @@
     }
 
     final BlockingQueue<Http.Message> requests = new LinkedBlockingQueue<>();
-    /** Where a request came from, once the script has answered it: what a test writes then comes after. */
+    /**
+     * The connection of each request that the script has answered: what a test writes to it follows the
+     * response.
+     */
     final BlockingQueue<Peer> answeredPeers = new LinkedBlockingQueue<>();
 
+    /** The connections that have ended. */
     final BlockingQueue<Peer> disconnectedPeers = new LinkedBlockingQueue<>();
+
     final AtomicInteger connections = new AtomicInteger();
-    private final Queue<Socket> open = new ConcurrentLinkedQueue<>();
-    private final ServerSocket listening;
+    private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
+    private final ServerSocket listener;
     private final Script script;
 
     ScriptedServer(Script script) throws IOException {
         this.script = script;
-        listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        daemon(this::accept);
+        listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        startDaemon(this::accept);
     }
 
+    /** Creates a server that answers each request with this body. */
     static ScriptedServer serving(String body) throws IOException {
         return new ScriptedServer((request, peer) -> peer.write(Http.ok(body)));
     }
 
-    /** Answers from when the latch opens. */
-    static ScriptedServer servingFrom(CountDownLatch start, String body) throws IOException {
+    /** Creates a server that answers each request once the latch opens. */
+    static ScriptedServer servingFrom(CountDownLatch release, String body) throws IOException {
         return new ScriptedServer((request, peer) -> {
             try {
-                start.await();
+                release.await();
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
@@ -68,10 +77,10 @@
     }
 
     String endpoint() {
-        return "127.0.0.1:" + listening.getLocalPort();
+        return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task, "far");
         thread.setDaemon(true);
         thread.start();
@@ -80,13 +89,13 @@
     private void accept() {
         try {
             while (true) {
-                Socket socket = listening.accept();
-                open.add(socket);
+                Socket socket = listener.accept();
+                openSockets.add(socket);
                 connections.incrementAndGet();
-                daemon(() -> serve(new Peer(socket)));
+                startDaemon(() -> serve(new Peer(socket)));
             }
         } catch (IOException e) {
-            // Closed: the test is over.
+            // The listener was closed at the end of the test.
         }
     }
 
@@ -103,16 +112,17 @@
         }
     }
 
+    /** Returns the queue's next element; fails if there is none within 20 s. */
     static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(20, TimeUnit.SECONDS);
-        assertNotNull(next, "nothing came");
+        assertNotNull(next, "nothing arrived within 20 s");
         return next;
     }
 
-    /** The process has ended: connections break and new ones are refused. */
+    /** Stops like a process that ended: connections break and new ones are refused. */
     void stop() throws IOException {
-        listening.close();
-        for (Socket socket : open) {
+        listener.close();
+        for (Socket socket : openSockets) {
             socket.close();
         }
     }
