--- a/src/main/java/kitemux/members/MemberText.java
+++ b/src/main/java/kitemux/members/MemberListParser.java
@@ -14,20 +14,20 @@
  * is taken
  * whole or not at all: half a list would look like servers that have gone.
  */
-public final class MemberText {
+public final class MemberListParser {
     private static final int MOST_SERVERS = 20_000;
     private static final int MOST_RACK = 1_000_000;
     /** Told of one list; the rest is counted. */
     private static final int MOST_FAULTS = 20;
 
-    private MemberText() {}
+    private MemberListParser() {}
 
     /**
      * @param allowed whether an address may be used: IPv4 and port, and within the networks that there are
      * @param faults one line is added for each, with the field and the reason; the list counts only if there
      * are none
      */
-    public static List<Member> read(byte[] text, Predicate<String> allowed, List<String> faults) {
+    public static List<Member> parse(byte[] text, Predicate<String> allowed, List<String> faults) {
         Json all;
         try {
             all = Json.read(text);
@@ -51,10 +51,10 @@
         for (Json one : servers) {
             String at = "servers[" + read.size() + "].";
             Member member = new Member(
-                    one.path("name").text(),
-                    one.path("address").text(),
-                    (int) Math.max(-1, Math.min(MOST_RACK, one.path("rack").whole(0))),
-                    one.path("state").text().equals("draining"));
+                    one.path("name").asText(),
+                    one.path("address").asText(),
+                    (int) Math.max(-1, Math.min(MOST_RACK, one.path("rack").asLong(0))),
+                    one.path("state").asText().equals("draining"));
             read.add(member);
             if (member.name().isEmpty()) {
                 found.add(at + "name: is missing");
@@ -69,9 +69,9 @@
             if (member.rack() < 0) {
                 found.add(at + "rack: is under 0");
             }
-            if (!List.of("", "ready", "draining").contains(one.path("state").text())) {
+            if (!List.of("", "ready", "draining").contains(one.path("state").asText())) {
                 found.add(at + "state: is neither ready nor draining: \""
-                        + one.path("state").text() + "\"");
+                        + one.path("state").asText() + "\"");
             }
         }
         faults.addAll(found.size() <= MOST_FAULTS ? found : found.subList(0, MOST_FAULTS));
--- a/src/main/java/kitemux/sidecar/Sidecar.java
+++ b/src/main/java/kitemux/sidecar/Sidecar.java
@@ -21,13 +21,13 @@
 import java.util.concurrent.TimeUnit;
 import kitemux.app.App;
 import kitemux.app.ConfigWriter;
-import kitemux.app.Watch;
+import kitemux.app.DescriptionWatcher;
 import kitemux.members.Member;
 import kitemux.members.MemberSettings;
-import kitemux.members.MemberText;
-import kitemux.members.Members;
-import kitemux.members.Refresh;
-import kitemux.members.SavedMembers;
+import kitemux.members.MemberListParser;
+import kitemux.members.Membership;
+import kitemux.members.RefreshSchedule;
+import kitemux.members.MembershipSnapshot;
 import kitemux.node.Node;
 
 /**
@@ -35,7 +35,7 @@
  * what it
  * knows for the next process, and tells the node. All of this is done by one thread beside the node's loop,
  * which
- * decides nothing itself: {@link Members} does.
+ * decides nothing itself: {@link Membership} does.
  */
 public final class Sidecar {
     /** A list that takes longer is no list. */
@@ -49,12 +49,12 @@
 
     private final Options options;
     private final LineLog log;
-    private final Members members;
-    private final Watch watch;
-    private final StateFolder state;
+    private final Membership members;
+    private final DescriptionWatcher watch;
+    private final SnapshotStore state;
     private final Path config;
-    private final Fetch fetch = new Fetch();
-    private final Refresh refresh;
+    private final HttpFetcher fetch = new HttpFetcher();
+    private final RefreshSchedule refresh;
     private final ScheduledExecutorService keeper;
     private final Set<String> checking = new HashSet<>();
     private final Instant beganAt = Instant.now();
@@ -70,12 +70,12 @@
     /**
      * How it was called.
      *
-     * @param file the description
-     * @param lookMs between two looks at files
+     * @param descriptionFile the description
+     * @param filePollMs between two looks at files
      * @param seed for the node's random numbers, 1 to 16 hex digits
      * @param command of the application, which is started once clients can connect; empty for none
      */
-    public record Options(Path file, long lookMs, String seed, List<String> command) {}
+    public record Options(Path descriptionFile, long filePollMs, String seed, List<String> command) {}
 
     /**
      * @param app a description that is sound
@@ -87,19 +87,19 @@
         log = new LineLog(System.err, app.logs().json(), app.logs().queue(), Instant::now);
         App.Members from = app.members();
         App.Health how = app.health();
-        members = new Members(new MemberSettings(
+        members = new Membership(new MemberSettings(
                 from.mostLost(),
                 from.sureUs(),
                 how == null
                         ? null
-                        : new MemberSettings.Health(
+                        : new MemberSettings.HealthCheck(
                                 how.fall(), how.rise(), how.mostOut(), how.holdUs(), how.mostHoldUs())));
-        refresh = new Refresh(
+        refresh = new RefreshSchedule(
                 from.refreshUs(),
                 from.backOffUs(),
                 () -> ThreadLocalRandom.current().nextDouble());
-        watch = new Watch(app, text);
-        state = from.state().isEmpty() ? null : new StateFolder(Path.of(from.state()), app.name());
+        watch = new DescriptionWatcher(app, text);
+        state = from.state().isEmpty() ? null : new SnapshotStore(Path.of(from.state()), app.name());
         Path folder = Files.createTempDirectory("kitemux-sidecar");
         folder.toFile().deleteOnExit();
         config = folder.resolve("config.json");
@@ -127,15 +127,15 @@
         // What a platform would say; here the description does.
         env.keySet().removeIf(name -> name.startsWith("PROXY_"));
         env.put("PROXY_CONFIG", config.toString());
-        if (!app.operators().isEmpty()) {
-            env.put("PROXY_MGMT", app.operators());
+        if (!app.operatorAddress().isEmpty()) {
+            env.put("PROXY_MGMT", app.operatorAddress());
         }
         reload = Node.run(env, log);
         Runtime.getRuntime().addShutdownHook(new Thread(this::end, "end"));
-        every(options.lookMs(), this::look);
+        every(options.filePollMs(), this::look);
         every(STATE_EVERY_MS, this::save);
         if (!app.members().list().isEmpty()) {
-            keeper.schedule(this::askForList, refresh.answered() / 1_000, TimeUnit.MILLISECONDS);
+            keeper.schedule(this::askForList, refresh.recordSuccess() / 1_000, TimeUnit.MILLISECONDS);
         }
         if (app.health() != null) {
             every(app.health().everyUs() / 1_000, this::checkAll);
@@ -144,7 +144,7 @@
             // Until SIGTERM, by which the node drains and ends the process.
             Thread.currentThread().join();
         }
-        return new Beside(options.command(), log).run();
+        return new ApplicationProcess(options.command(), log).run();
     }
 
     private void every(long ms, Runnable what) {
@@ -176,17 +176,17 @@
     // ---------------------------------------------------------------- which servers there are
 
     private void firstMembers() throws IOException {
-        SavedMembers left = state == null ? null : state.read(log).orElse(null);
+        MembershipSnapshot left = state == null ? null : state.read(log).orElse(null);
         if (left != null) {
-            take(members.begin(nowUs(), left));
+            take(members.restore(nowUs(), left));
         }
-        if (!app.discovery().isEmpty()) {
+        if (!app.discoveryAddress().isEmpty()) {
             // The node asks for its servers itself.
-            write(ConfigWriter.json(app, options.seed()));
+            write(ConfigWriter.toJson(app, options.seed()));
             return;
         }
-        if (app.source().isEmpty()) {
-            take(members.described(nowUs(), ConfigWriter.members(app)));
+        if (app.serverSource().isEmpty()) {
+            take(members.replaceAll(nowUs(), ConfigWriter.describedMembers(app)));
         } else if (!app.members().file().isEmpty()) {
             fileSeen = file();
             fileTaken = fileSeen;
@@ -208,7 +208,7 @@
                     + (nowUs() - left.savedUs()) / 1_000_000
                     + " s ago");
         }
-        tell(members.serving());
+        tell(members.servers());
     }
 
     private static String reason(Throwable failed) {
@@ -228,7 +228,7 @@
     /** A list has come, by file or by HTTP: whole and sound, or it changes nothing. */
     private boolean list(byte[] text, String from) {
         List<String> faults = new ArrayList<>();
-        List<Member> all = text == null ? List.of() : MemberText.read(text, app::allows, faults);
+        List<Member> all = text == null ? List.of() : MemberListParser.parse(text, app::isServerAddressAllowed, faults);
         if (text == null) {
             faults.add("cannot be read");
         }
@@ -240,7 +240,7 @@
             trouble = "";
             log.info(from + ": can be read again");
         }
-        take(members.told(nowUs(), all));
+        take(members.updateFromSource(nowUs(), all));
         return true;
     }
 
@@ -252,21 +252,21 @@
         }
     }
 
-    private void take(Members.Decision decision) {
-        if (decision.serving() != null) {
+    private void take(Membership.Decision decision) {
+        if (decision.servers() != null) {
             unsaved = true;
-            tell(decision.serving());
+            tell(decision.servers());
         }
         // Whoever reads that a server drains may rely on it.
-        decision.say().forEach(log::info);
+        decision.messages().forEach(log::info);
     }
 
-    private void tell(List<Members.Serving> serving) {
+    private void tell(List<Membership.MemberStatus> serving) {
         try {
-            write(ConfigWriter.json(
+            write(ConfigWriter.toJson(
                     app,
                     serving.stream()
-                            .map(one -> ConfigWriter.server(one.member(), one.draining(), one.startedUs()))
+                            .map(one -> ConfigWriter.toServer(one.member(), one.draining(), one.startedUs()))
                             .toList(),
                     options.seed()));
             reload.run();
@@ -285,22 +285,22 @@
     private void look() {
         String text;
         try {
-            text = Files.readString(options.file());
+            text = Files.readString(options.descriptionFile());
         } catch (IOException e) {
             text = null;
         }
-        Watch.Decision decision = watch.look(text);
-        if (decision.app() != null) {
-            app = decision.app();
-            if (app.source().isEmpty() && app.discovery().isEmpty()) {
-                take(members.described(nowUs(), ConfigWriter.members(app)));
+        DescriptionWatcher.Decision decision = watch.observe(text);
+        if (decision.newApp() != null) {
+            app = decision.newApp();
+            if (app.serverSource().isEmpty() && app.discoveryAddress().isEmpty()) {
+                take(members.replaceAll(nowUs(), ConfigWriter.describedMembers(app)));
             }
         }
-        decision.say().forEach(log::info);
+        decision.messages().forEach(log::info);
         if (!app.members().file().isEmpty()) {
             lookAtList();
         }
-        if (members.nextUs() <= nowUs()) {
+        if (members.nextTickUs() <= nowUs()) {
             take(members.tick(nowUs()));
         }
     }
@@ -326,9 +326,9 @@
                         (text, failed) -> guarded(() -> {
                             long pauseUs;
                             if (failed == null && list(text, from)) {
-                                pauseUs = refresh.answered();
+                                pauseUs = refresh.recordSuccess();
                             } else {
-                                pauseUs = refresh.failed();
+                                pauseUs = refresh.recordFailure();
                                 if (failed != null) {
                                     trouble(from, reason(failed));
                                 }
@@ -340,7 +340,7 @@
 
     /** Each server once, spread over the pause, and none that is being asked still. */
     private void checkAll() {
-        List<Member> all = members.toCheck();
+        List<Member> all = members.serversToCheck();
         long pauseMs = app.health().everyUs() / 1_000;
         for (int i = 0; i < all.size(); i++) {
             Member one = all.get(i);
@@ -352,13 +352,13 @@
         if (!checking.add(one.name())) {
             return;
         }
-        fetch.isWell(
+        fetch.isHealthy(
                         URI.create("http://" + one.address() + app.health().path()),
                         app.health().timeoutUs() / 1_000)
                 .whenCompleteAsync(
                         (well, failed) -> guarded(() -> {
                             checking.remove(one.name());
-                            take(members.checked(nowUs(), one.name(), Boolean.TRUE.equals(well)));
+                            take(members.recordCheck(nowUs(), one.name(), Boolean.TRUE.equals(well)));
                         }),
                         keeper);
     }
@@ -369,7 +369,7 @@
         }
         unsaved = false;
         try {
-            state.write(members.save(app.name(), nowUs()));
+            state.write(members.snapshot(app.name(), nowUs()));
         } catch (IOException e) {
             log.info("state: cannot be written, and the next process begins without it: " + e);
         }
--- a/src/test/java/kitemux/keeper/Keepers.java
+++ b/src/test/java/kitemux/keeper/Keepers.java
@@ -89,7 +89,7 @@
             }
             if (k < voting) {
                 try (FolderDisk disk = FolderDisk.openForWriting(folder(k))) {
-                    voters.add(Voter.parse(Keeper.make(disk, k, draws::incrementAndGet, lines[k])));
+                    voters.add(Voter.parse(Keeper.initializeFolder(disk, k, draws::incrementAndGet, lines[k])));
                 }
             }
         }
@@ -125,7 +125,7 @@
                 new KeeperSettings(number, others, ANY_PORT, folder(number), voters, nodes),
                 terms,
                 new ConfigRules(),
-                new Keeper.Parts(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), lines[number]),
+                new Keeper.Environment(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), lines[number]),
                 disk.apply(disks[number]),
                 draws::incrementAndGet,
                 failed::add);
@@ -209,7 +209,7 @@
         long until = System.nanoTime() + 30_000_000_000L;
         while (true) {
             Json status = status(keeper, "?rev=" + rev);
-            if (status.path("in_force").path("count").whole(-1) == many) {
+            if (status.path("in_force").path("count").asLong(-1) == many) {
                 return status;
             }
             if (System.nanoTime() > until) {
@@ -268,7 +268,7 @@
                         revs.add(rev);
                     },
                     said);
-            watch.begin();
+            watch.start();
         }
 
         /** Waits until this version or a later one is in force. */
--- a/src/test/java/kitemux/node/DisconnectAndShutdownTest.java
+++ b/src/test/java/kitemux/node/DisconnectAndShutdownTest.java
@@ -256,7 +256,7 @@
     /** The connections of a rehearsal end with a reset, which must not write a stack trace to the log. */
     @Test
     void rehearsalServerClosesSilentlyOnReset() {
-        EmbeddedChannel channel = new EmbeddedChannel(new Rehearsal.FarServer());
+        EmbeddedChannel channel = new EmbeddedChannel(new WarmUp.FarServer());
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
         channel.checkException();
         assertTrue(!channel.isOpen());
@@ -266,10 +266,10 @@
 
     @Test
     void openingEndedBeforeOpenNeverOpens() {
-        Opening opening = new Opening(() -> {
+        StartupGate opening = new StartupGate(() -> {
             throw new AssertionError("the listener must not open");
         });
-        assertTrue(!opening.end());
+        assertTrue(!opening.close());
         assertNull(opening.open());
     }
 
@@ -277,9 +277,9 @@
     void openingEndedWhileOpenHasClientsToServe() {
         EmbeddedChannel channel = new EmbeddedChannel();
         DefaultChannelPromise done = new DefaultChannelPromise(channel);
-        Opening opening = new Opening(() -> done);
+        StartupGate opening = new StartupGate(() -> done);
         assertEquals(done, opening.open());
         done.setSuccess();
-        assertTrue(opening.end());
+        assertTrue(opening.close());
     }
 }
--- a/src/test/java/kitemux/node/DiscoveryTest.java
+++ b/src/test/java/kitemux/node/DiscoveryTest.java
@@ -255,13 +255,13 @@
             NodeConfig old = site.config(known);
             site.node.reload(new NodeConfig(
                     old.listen(),
-                    old.operators(),
+                    old.managementAddress(),
                     Addresses.parse("discovery", after.endpoint()),
                     old.seed(),
-                    old.sockets(),
+                    old.maxSockets(),
                     old.connIdleUs(),
-                    old.folder(),
-                    old.known(),
+                    old.stateFolder(),
+                    old.initialServers(),
                     old.settings()));
             ScriptedServer.next(after.requests);
             // After five failures the wait would be at least 330 ms; after the first one it is at most 75 ms.
@@ -377,13 +377,13 @@
             NodeConfig old = site.config(known);
             site.node.reload(new NodeConfig(
                     old.listen(),
-                    old.operators(),
+                    old.managementAddress(),
                     Addresses.parse("discovery", after.endpoint()),
                     old.seed(),
-                    old.sockets(),
+                    old.maxSockets(),
                     old.connIdleUs(),
-                    old.folder(),
-                    old.known(),
+                    old.stateFolder(),
+                    old.initialServers(),
                     old.settings()));
             ScriptedServer.next(after.disconnectedPeers);
             before.write(Site.chunk(Site.list(2, true, READY_SERVER) + "\n"));
