--- a/src/main/java/kitemux/keeper/ConfigRules.java
+++ b/src/main/java/kitemux/keeper/ConfigRules.java
@@ -22,112 +22,114 @@
  * reader. Each value stands for itself, so what was sound is not looked at again. For one thread.
  */
 public final class ConfigRules implements Rules {
-    private static final List<String> LIVE_OF_CLASS = List.of("onTimeUs", "giveUpUs", "importance", "lateWorth");
-    private static final List<String> OF_CLASS = List.of(
+    private static final List<String> LIVE_CLASS_FIELDS = List.of("onTimeUs", "giveUpUs", "importance", "lateWorth");
+    private static final List<String> CLASS_FIELDS = List.of(
             "onTimeUs", "giveUpUs", "importance", "lateWorth", "aimStretch", "repeat", "group", "windowUs", "stream");
-    private static final List<String> LIMITS = List.of(
+    private static final List<String> LIMIT_NAMES = List.of(
             "attemptsCap", "parallelTries", "cancelling", "probes", "retryAfter", "maxRetryAfterUs", "dialTimeoutUs");
-    private static final String KNOWN =
+    private static final String KNOWN_PATHS_TEXT =
             "known are realms/NAME, classes/NAME, limits/NAME, overShareWorth, " + "discovery, " + History.VOTERS_PATH;
 
     /** Values that were sound, by path. */
-    private final Map<String, String> sound = new HashMap<>();
+    private final Map<String, String> validValues = new HashMap<>();
 
     @Override
-    public List<ValidationError> validate(Map<String, String> whole) {
-        if (sound.size() > 2 * ProtocolParameters.MAX_PATH_COUNT) {
-            sound.clear();
+    public List<ValidationError> validate(Map<String, String> configuration) {
+        if (validValues.size() > 2 * ProtocolParameters.MAX_PATH_COUNT) {
+            validValues.clear();
         }
-        List<ValidationError> faults = new ArrayList<>();
-        whole.forEach((path, value) -> {
-            if (!value.equals(sound.get(path))) {
-                int before = faults.size();
-                check(path, value, faults);
-                if (faults.size() == before) {
-                    sound.put(path, value);
+        List<ValidationError> errors = new ArrayList<>();
+        configuration.forEach((path, value) -> {
+            if (!value.equals(validValues.get(path))) {
+                int before = errors.size();
+                checkValue(path, value, errors);
+                if (errors.size() == before) {
+                    validValues.put(path, value);
                 }
             }
         });
-        return faults;
+        return errors;
     }
 
-    private static void check(String path, String value, List<ValidationError> faults) {
+    private static void checkValue(String path, String value, List<ValidationError> errors) {
         Json json;
         try {
             json = Json.read(value.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            faults.add(new ValidationError(path, "is not JSON: " + e.getMessage()));
+            errors.add(new ValidationError(path, "is not JSON: " + e.getMessage()));
             return;
         }
         int slash = path.indexOf('/');
         String name = path.substring(slash + 1);
         switch (slash < 0 ? path : path.substring(0, slash + 1)) {
-            case "realms/" -> realm(path, json, faults);
-            case "classes/" -> requestClass(path, name, json, faults);
-            case "limits/" -> limit(path, name, json, faults);
-            case "overShareWorth" -> notNegative(path, "", json, faults);
-            case "discovery" -> discovery(path, json, faults);
+            case "realms/" -> checkRealm(path, json, errors);
+            case "classes/" -> checkClass(path, name, json, errors);
+            case "limits/" -> checkLimit(path, name, json, errors);
+            case "overShareWorth" -> checkNotNegative(path, "", json, errors);
+            case "discovery" -> checkDiscovery(path, json, errors);
             default -> {
                 if (!path.equals(History.VOTERS_PATH)) {
-                    faults.add(new ValidationError(path, "is not known; " + KNOWN));
+                    errors.add(new ValidationError(path, "is not known; " + KNOWN_PATHS_TEXT));
                 }
             }
         }
     }
 
-    private static boolean hasFields(String path, Json json, List<String> known, List<ValidationError> faults) {
+    private static boolean hasOnlyKnownFields(
+            String path, Json json, List<String> knownFields, List<ValidationError> errors) {
         if (!json.isObject()) {
-            faults.add(new ValidationError(path, "is no object"));
+            errors.add(new ValidationError(path, "is no object"));
             return false;
         }
-        int before = faults.size();
+        int before = errors.size();
         json.fields().forEach((field, value) -> {
-            if (!known.contains(field)) {
-                faults.add(new ValidationError(path, field + " is not known; known are " + String.join(", ", known)));
+            if (!knownFields.contains(field)) {
+                errors.add(new ValidationError(
+                        path, field + " is not known; known are " + String.join(", ", knownFields)));
             } else if (value.isObject() || value.isList()) {
-                faults.add(new ValidationError(path, field + " is no plain value"));
+                errors.add(new ValidationError(path, field + " is no plain value"));
             }
         });
-        return faults.size() == before;
+        return errors.size() == before;
     }
 
-    private static void notNegative(String path, String field, Json json, List<ValidationError> faults) {
+    private static void checkNotNegative(String path, String field, Json json, List<ValidationError> errors) {
         double value = json.decimal(Double.NaN);
         if (json.isString() || Double.isNaN(value)) {
-            faults.add(new ValidationError(path, field + "is not a number"));
+            errors.add(new ValidationError(path, field + "is not a number"));
         } else if (value < 0) {
-            faults.add(new ValidationError(path, field + "is negative"));
+            errors.add(new ValidationError(path, field + "is negative"));
         }
     }
 
-    private static void realm(String path, Json json, List<ValidationError> faults) {
-        if (hasFields(path, json, List.of("quotaPerS"), faults)) {
-            notNegative(path, "quotaPerS ", json.path("quotaPerS"), faults);
+    private static void checkRealm(String path, Json json, List<ValidationError> errors) {
+        if (hasOnlyKnownFields(path, json, List.of("quotaPerS"), errors)) {
+            checkNotNegative(path, "quotaPerS ", json.path("quotaPerS"), errors);
         }
     }
 
-    private static void requestClass(String path, String name, Json json, List<ValidationError> faults) {
-        if (!hasFields(path, json, OF_CLASS, faults)) {
+    private static void checkClass(String path, String name, Json json, List<ValidationError> errors) {
+        if (!hasOnlyKnownFields(path, json, CLASS_FIELDS, errors)) {
             return;
         }
-        Map<String, String> flat = new HashMap<>();
-        flat.put("classes.count", "1");
-        flat.put("classes.0.name", name);
-        json.fields().forEach((field, value) -> flat.put("classes.0." + field, value.text()));
+        Map<String, String> settings = new HashMap<>();
+        settings.put("classes.count", "1");
+        settings.put("classes.0.name", name);
+        json.fields().forEach((field, value) -> settings.put("classes.0." + field, value.text()));
         try {
-            SettingsReader.read(flat).validate();
+            SettingsReader.read(settings).validate();
         } catch (SettingsReader.BadSettingException e) {
-            faults.add(new ValidationError(path, e.field.substring("classes.0.".length()) + " " + e.reason));
+            errors.add(new ValidationError(path, e.field.substring("classes.0.".length()) + " " + e.reason));
         } catch (IllegalArgumentException e) {
-            faults.add(new ValidationError(path, e.getMessage()));
+            errors.add(new ValidationError(path, e.getMessage()));
         }
     }
 
-    private static void limit(String path, String name, Json json, List<ValidationError> faults) {
-        if (!LIMITS.contains(name)) {
-            faults.add(new ValidationError(path, "is not known; known limits are " + String.join(", ", LIMITS)));
+    private static void checkLimit(String path, String name, Json json, List<ValidationError> errors) {
+        if (!LIMIT_NAMES.contains(name)) {
+            errors.add(new ValidationError(path, "is not known; known limits are " + String.join(", ", LIMIT_NAMES)));
         } else if (json.isObject() || json.isList()) {
-            faults.add(new ValidationError(path, "is no plain value"));
+            errors.add(new ValidationError(path, "is no plain value"));
         } else {
             try {
                 SettingsReader.read(Map.of(
@@ -147,56 +149,56 @@
                                 "safe"))
                         .validate();
             } catch (SettingsReader.BadSettingException e) {
-                faults.add(new ValidationError(path, e.reason));
+                errors.add(new ValidationError(path, e.reason));
             } catch (IllegalArgumentException e) {
-                faults.add(new ValidationError(path, e.getMessage()));
+                errors.add(new ValidationError(path, e.getMessage()));
             }
         }
     }
 
-    private static void discovery(String path, Json json, List<ValidationError> faults) {
+    private static void checkDiscovery(String path, Json json, List<ValidationError> errors) {
         try {
             Addresses.parse(path, json.text());
         } catch (ConfigException e) {
-            faults.add(new ValidationError(path, "is not address:port: " + json.text()));
+            errors.add(new ValidationError(path, "is not address:port: " + json.text()));
         }
     }
 
     // ---------------------------------------------------------------- what waits for a restart
 
     @Override
-    public Set<String> pathsNeedingRestart(Map<String, String> first, Map<String, String> next) {
-        Set<String> waits = new TreeSet<>();
+    public Set<String> pathsNeedingRestart(Map<String, String> initial, Map<String, String> next) {
+        Set<String> paths = new TreeSet<>();
         next.forEach((path, value) -> {
-            if (!value.equals(first.get(path)) && !isLive(path, first.get(path), value)) {
-                waits.add(path);
+            if (!value.equals(initial.get(path)) && !isLive(path, initial.get(path), value)) {
+                paths.add(path);
             }
         });
-        first.keySet().stream()
-                .filter(path -> !next.containsKey(path) && !isLive(path, first.get(path), null))
-                .forEach(waits::add);
-        return waits;
+        initial.keySet().stream()
+                .filter(path -> !next.containsKey(path) && !isLive(path, initial.get(path), null))
+                .forEach(paths::add);
+        return paths;
     }
 
     /** Whether a change of one value, null where it was not or is not there, is in force at once. */
     private static boolean isLive(String path, String before, String after) {
         if (path.startsWith("classes/")) {
-            return before != null && after != null && restOfClass(before).equals(restOfClass(after));
+            return before != null && after != null && restartFields(before).equals(restartFields(after));
         }
         return !path.startsWith("limits/");
     }
 
-    private static Map<String, String> restOfClass(String value) {
-        Map<String, String> rest = new HashMap<>();
+    private static Map<String, String> restartFields(String value) {
+        Map<String, String> fields = new HashMap<>();
         try {
-            Json.read(value.getBytes(StandardCharsets.UTF_8)).fields().forEach((field, of) -> {
-                if (!LIVE_OF_CLASS.contains(field)) {
-                    rest.put(field, of.text());
+            Json.read(value.getBytes(StandardCharsets.UTF_8)).fields().forEach((field, fieldValue) -> {
+                if (!LIVE_CLASS_FIELDS.contains(field)) {
+                    fields.put(field, fieldValue.text());
                 }
             });
         } catch (IOException e) {
             // What is no JSON was never in force.
         }
-        return rest;
+        return fields;
     }
 }
--- a/src/main/java/kitemux/keeper/Keeper.java
+++ b/src/main/java/kitemux/keeper/Keeper.java
@@ -38,70 +38,70 @@
  * folder's writes is on one event loop.
  */
 public final class Keeper {
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
     /** Looks for silent watches in the time after which one is. */
-    private static final int SWEEPS = 10;
+    private static final int SWEEPS_PER_REPORT_TIMEOUT_COUNT = 10;
 
     private final KeeperSettings settings;
-    private final ProtocolParameters terms;
+    private final ProtocolParameters parameters;
     private final EventLoop loop;
-    private final Clock time;
+    private final Clock clock;
     private final Log log;
-    private final Consumer<Exception> failed;
-    private final Voter me;
-    private final KeeperStateMachine machine;
+    private final Consumer<Exception> failureHandler;
+    private final Voter self;
+    private final KeeperStateMachine stateMachine;
     private final RecordWriter writer;
     private final KeeperServer server;
-    private final KeeperCalls calls;
-    private final Watches watches;
+    private final KeeperClient keeperClient;
+    private final WatchRegistry watches;
     /** Whoever waits for an answer of this keeper's vote or history, by the number of the call. */
-    private final Map<Long, Consumer<Response>> asked = new HashMap<>();
+    private final Map<Long, Consumer<Response>> pendingRequests = new HashMap<>();
     /** Operators that wait for what becomes of a change. */
-    private final Map<Long, KeeperServer.Call> changes = new HashMap<>();
-
-    private final ArrayDeque<Effect> effects = new ArrayDeque<>();
-    private boolean carrying;
-    private long lastCall;
-    private long faultyCalls;
-    private long diskBehind;
-    private Clock.Timer timer;
-    private Clock.Timer sweeper;
+    private final Map<Long, KeeperServer.Call> pendingChanges = new HashMap<>();
+
+    private final ArrayDeque<Effect> pendingEffects = new ArrayDeque<>();
+    private boolean isExecuting;
+    private long lastCallId;
+    private long invalidCalls;
+    private long diskBacklogRejections;
+    private Clock.Timer tickTimer;
+    private Clock.Timer sweepTimer;
     private boolean stopped;
-    private String stood = "";
+    private String loggedState = "";
 
     /** What a keeper stands on: one event loop, its channels, its time, and lines for operators. */
     public record Environment(EventLoop loop, Network network, Clock clock, Log log) {}
 
     private Keeper(
             KeeperSettings settings,
-            ProtocolParameters terms,
+            ProtocolParameters parameters,
             Rules rules,
-            Environment on,
+            Environment environment,
             KeeperFolder folder,
             long seed,
-            Consumer<Exception> failed) {
+            Consumer<Exception> failureHandler) {
         this.settings = settings;
-        this.terms = terms;
-        loop = on.loop();
-        time = on.clock();
-        log = on.log();
-        me = new Voter(settings.number(), folder.identity());
-        machine = new KeeperStateMachine(
-                terms,
-                me,
+        this.parameters = parameters;
+        loop = environment.loop();
+        clock = environment.clock();
+        log = environment.log();
+        self = new Voter(settings.number(), folder.identity());
+        stateMachine = new KeeperStateMachine(
+                parameters,
+                self,
                 settings.keeperAddresses().size(),
                 settings.initialVoters(),
                 rules,
-                folder.found(),
+                folder.recoveredRecords(),
                 seed,
-                time.nowUs());
-        this.failed = failed;
-        writer = new RecordWriter(folder, loop, failed);
-        server = new KeeperServer(loop, this::call);
-        calls = new KeeperCalls(loop, on.network(), settings.keeperAddresses());
-        watches = new Watches(watch -> {
-            machine.watchEnded(watch);
-            arm();
+                clock.nowUs());
+        this.failureHandler = failureHandler;
+        writer = new RecordWriter(folder, loop, failureHandler);
+        server = new KeeperServer(loop, this::dispatch);
+        keeperClient = new KeeperClient(loop, environment.network(), settings.keeperAddresses());
+        watches = new WatchRegistry(watch -> {
+            stateMachine.watchEnded(watch);
+            scheduleTick();
         });
     }
 
@@ -116,15 +116,15 @@
      */
     public static Keeper open(
             KeeperSettings settings,
-            ProtocolParameters terms,
+            ProtocolParameters parameters,
             Rules rules,
-            Environment on,
+            Environment environment,
             Disk disk,
             LongSupplier random,
-            Consumer<Exception> failed)
+            Consumer<Exception> failureHandler)
             throws IOException {
-        KeeperFolder folder = KeeperFolder.open(disk, settings.number(), random, on.log()::info);
-        return new Keeper(settings, terms, rules, on, folder, random.getAsLong(), failed);
+        KeeperFolder folder = KeeperFolder.open(disk, settings.number(), random, environment.log()::info);
+        return new Keeper(settings, parameters, rules, environment, folder, random.getAsLong(), failureHandler);
     }
 
     /**
@@ -141,14 +141,14 @@
 
     /** Its number and the identity of its folder. */
     public Voter voter() {
-        return me;
+        return self;
     }
 
     /** Listens; the future is done once it can be called. */
     public ChannelFuture listen() {
         loop.execute(() -> {
             tick();
-            sweep();
+            closeSilentWatches();
         });
         return server.listen(settings.listenAddress());
     }
@@ -158,14 +158,14 @@
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
             stopped = true;
-            if (timer != null) {
-                timer.cancel();
+            if (tickTimer != null) {
+                tickTimer.cancel();
             }
-            if (sweeper != null) {
-                sweeper.cancel();
+            if (sweepTimer != null) {
+                sweepTimer.cancel();
             }
             server.close();
-            calls.close();
+            keeperClient.close();
             done.countDown();
         });
         done.await();
@@ -180,54 +180,56 @@
     // ---------------------------------------------------------------- effects
 
     /** Something has happened to the machine. A defect is its end: half an event must not be gone on from. */
-    private void happened(Supplier<List<Effect>> event) {
+    private void handleEvent(Supplier<List<Effect>> event) {
         try {
-            carry(event.get());
+            execute(event.get());
         } catch (RuntimeException e) {
-            log.error("keeper " + me, e);
-            failed.accept(e);
+            log.error("keeper " + self, e);
+            failureHandler.accept(e);
         }
     }
 
     /** In their order, also where one of them brings further ones about. */
-    private void carry(List<Effect> more) {
+    private void execute(List<Effect> newEffects) {
         if (stopped) {
             return;
         }
-        effects.addAll(more);
-        if (carrying) {
+        pendingEffects.addAll(newEffects);
+        if (isExecuting) {
             return;
         }
-        carrying = true;
+        isExecuting = true;
         try {
-            for (Effect next = effects.poll(); next != null; next = effects.poll()) {
-                carry(next);
+            for (Effect effect = pendingEffects.poll(); effect != null; effect = pendingEffects.poll()) {
+                execute(effect);
             }
         } finally {
-            carrying = false;
+            isExecuting = false;
         }
-        if (writer.takeIsLong()) {
-            writer.renew(machine.toRecords());
+        if (writer.takeRewriteDue()) {
+            writer.rewrite(stateMachine.toRecords());
         }
-        tellWhereItStands();
-        arm();
+        logStateChange();
+        scheduleTick();
     }
 
-    private void carry(Effect effect) {
+    private void execute(Effect effect) {
         if (effect instanceof Effect.Send send) {
             send(send.to(), send.request());
         } else if (effect instanceof Effect.Reply reply) {
-            Consumer<Response> waiting = asked.remove(reply.call());
-            if (waiting != null) {
-                waiting.accept(reply.answer());
+            Consumer<Response> responseHandler = pendingRequests.remove(reply.call());
+            if (responseHandler != null) {
+                responseHandler.accept(reply.answer());
             }
-        } else if (effect instanceof Effect.Persist write) {
-            writer.write(write.entry(), () -> happened(write::then));
-        } else if (effect instanceof Effect.CompleteChange conclude) {
-            faultyCalls += conclude.outcome() instanceof Outcome.Invalid ? 1 : 0;
-            changes.remove(conclude.call()).answer(status(conclude.outcome()), RolloutText.write(conclude.outcome()));
-        } else if (effect instanceof Effect.SendEvent tell) {
-            watches.tell(tell.watch(), tell.event());
+        } else if (effect instanceof Effect.Persist persist) {
+            writer.write(persist.entry(), () -> handleEvent(persist::then));
+        } else if (effect instanceof Effect.CompleteChange complete) {
+            invalidCalls += complete.outcome() instanceof Outcome.Invalid ? 1 : 0;
+            pendingChanges
+                    .remove(complete.call())
+                    .answer(status(complete.outcome()), RolloutText.write(complete.outcome()));
+        } else if (effect instanceof Effect.SendEvent sendEvent) {
+            watches.send(sendEvent.watch(), sendEvent.event());
         } else if (!(effect instanceof Effect.RejectWatch)) {
             // Those of a node.
             throw new IllegalStateException("no effect of a keeper: " + effect);
@@ -245,29 +247,30 @@
     }
 
     private void send(int to, Request request) {
-        if (to == me.keeper()) {
-            loop.execute(() -> ask(request, answer -> answered(to, answer)));
+        if (to == self.keeper()) {
+            loop.execute(() -> handleRequest(request, response -> handleResponse(to, response)));
             return;
         }
-        calls.post(to, "/rollout/" + kind(request), RolloutText.write(request), body -> {
+        keeperClient.post(to, "/rollout/" + kindOf(request), RolloutText.write(request), body -> {
             if (body == null || stopped) {
                 return;
             }
-            RolloutText.ParseResult<Response> answer = RolloutText.readResponse(body);
-            if (answer.value() instanceof Response.Versions known
-                    && known.versions().size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
-                log.info("keeper " + to + ": its answer has " + known.versions().size() + " versions; "
-                        + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT + " are allowed");
-            } else if (answer.errors().isEmpty()) {
-                answered(to, answer.value());
+            RolloutText.ParseResult<Response> response = RolloutText.readResponse(body);
+            if (response.value() instanceof Response.Versions versions
+                    && versions.versions().size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
+                log.info("keeper " + to + ": its answer has "
+                        + versions.versions().size() + " versions; " + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT
+                        + " are allowed");
+            } else if (response.errors().isEmpty()) {
+                handleResponse(to, response.value());
             } else {
                 log.info("keeper " + to + ": its answer cannot be read: "
-                        + answer.errors().get(0));
+                        + response.errors().get(0));
             }
         });
     }
 
-    private static String kind(Request request) {
+    private static String kindOf(Request request) {
         return request instanceof Request.Prepare
                 ? "prepare"
                 : request instanceof Request.Accept ? "accept" : request instanceof Request.Chosen ? "chosen" : "ask";
@@ -276,61 +279,62 @@
     /** What comes while the disk is behind is as lost: each answer may be written, and room is bounded. */
     private boolean hasRoom() {
         if (!writer.hasRoom()) {
-            diskBehind++;
+            diskBacklogRejections++;
             return false;
         }
         return !stopped;
     }
 
-    private void answered(int from, Response answer) {
+    private void handleResponse(int from, Response response) {
         if (hasRoom()) {
-            happened(() -> machine.handleResponse(time.nowUs(), from, answer));
+            handleEvent(() -> stateMachine.handleResponse(clock.nowUs(), from, response));
         }
     }
 
-    private void ask(Request request, Consumer<Response> answered) {
+    private void handleRequest(Request request, Consumer<Response> responseHandler) {
         if (hasRoom()) {
-            asked.put(++lastCall, answered);
-            happened(() -> machine.handleRequest(time.nowUs(), lastCall, request));
+            pendingRequests.put(++lastCallId, responseHandler);
+            handleEvent(() -> stateMachine.handleRequest(clock.nowUs(), lastCallId, request));
         }
     }
 
     private void tick() {
-        timer = null;
-        happened(() -> machine.tick(time.nowUs()));
+        tickTimer = null;
+        handleEvent(() -> stateMachine.tick(clock.nowUs()));
     }
 
-    private void sweep() {
+    private void closeSilentWatches() {
         if (!stopped) {
-            watches.endSilent(time.nowUs() - terms.reportTimeoutUs());
-            sweeper = time.schedule(terms.reportTimeoutUs() / SWEEPS, this::sweep);
+            watches.closeSilent(clock.nowUs() - parameters.reportTimeoutUs());
+            sweepTimer = clock.schedule(
+                    parameters.reportTimeoutUs() / SWEEPS_PER_REPORT_TIMEOUT_COUNT, this::closeSilentWatches);
         }
     }
 
-    private void arm() {
-        if (timer != null) {
-            timer.cancel();
+    private void scheduleTick() {
+        if (tickTimer != null) {
+            tickTimer.cancel();
         }
         if (!stopped) {
-            timer = time.schedule(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
+            tickTimer = clock.schedule(Math.max(0, stateMachine.nextAtUs() - clock.nowUs()), this::tick);
         }
     }
 
     /** A line for operators when it changes whether it serves. */
-    private void tellWhereItStands() {
-        String stands = !machine.isCaughtUp()
+    private void logStateChange() {
+        String state = !stateMachine.isCaughtUp()
                 ? "serves nobody until it has heard a majority of the voters"
-                : machine.lacksQuorum() ? "hears no majority of the voters: no change can be made here" : "serves";
-        if (!stands.equals(stood)) {
-            stood = stands;
-            log.info("keeper " + me + " " + stands + "; version "
-                    + machine.history().rev());
+                : stateMachine.lacksQuorum() ? "hears no majority of the voters: no change can be made here" : "serves";
+        if (!state.equals(loggedState)) {
+            loggedState = state;
+            log.info("keeper " + self + " " + state + "; version "
+                    + stateMachine.history().rev());
         }
     }
 
     // ---------------------------------------------------------------- calls
 
-    private void call(KeeperServer.Call call) {
+    private void dispatch(KeeperServer.Call call) {
         if (stopped) {
             return;
         }
@@ -347,86 +351,86 @@
                     default -> "";
                 };
         if (!call.method().equals(method)) {
-            faultyCalls++;
+            invalidCalls++;
             call.answer(
                     method.isEmpty() ? 404 : 405,
-                    StatusText.fault(path, method.isEmpty() ? "is not known here" : "is called by " + method));
+                    StatusJson.error(path, method.isEmpty() ? "is not known here" : "is called by " + method));
             return;
         }
         switch (path) {
-            case "/rollout/watch" -> watch(call);
+            case "/rollout/watch" -> handleWatch(call);
             case "/rollout/status" -> status(call);
             case "/rollout/inventory" -> call.answer(200, RolloutText.writeRows(rows()));
-            case "/rollout/change" -> change(call);
-            case "/rollout/report" -> report(call);
-            default -> request(call, path.substring("/rollout/".length()));
+            case "/rollout/change" -> handleChange(call);
+            case "/rollout/report" -> handleReport(call);
+            default -> handlePeerCall(call, path.substring("/rollout/".length()));
         }
     }
 
-    private void faulty(KeeperServer.Call call, List<ValidationError> faults) {
-        faultyCalls++;
-        call.answer(400, StatusText.faults(faults));
+    private void rejectInvalid(KeeperServer.Call call, List<ValidationError> errors) {
+        invalidCalls++;
+        call.answer(400, StatusJson.errors(errors));
     }
 
-    private void change(KeeperServer.Call call) {
-        RolloutText.ParseResult<Change> read = RolloutText.readChange(call.body());
-        if (!read.errors().isEmpty()) {
-            faulty(call, read.errors());
+    private void handleChange(KeeperServer.Call call) {
+        RolloutText.ParseResult<Change> parsed = RolloutText.readChange(call.body());
+        if (!parsed.errors().isEmpty()) {
+            rejectInvalid(call, parsed.errors());
         } else if (!hasRoom()) {
-            call.answer(503, StatusText.reason("the disk of this keeper is behind"));
+            call.answer(503, StatusJson.reason("the disk of this keeper is behind"));
         } else {
-            changes.put(++lastCall, call);
-            happened(() -> machine.proposeChange(time.nowUs(), lastCall, read.value()));
+            pendingChanges.put(++lastCallId, call);
+            handleEvent(() -> stateMachine.proposeChange(clock.nowUs(), lastCallId, parsed.value()));
         }
     }
 
-    private void request(KeeperServer.Call call, String kind) {
-        RolloutText.ParseResult<Request> read = RolloutText.readRequest(call.body());
-        if (!read.errors().isEmpty()) {
-            faulty(call, read.errors());
-        } else if (!kind(read.value()).equals(kind)) {
-            faulty(call, List.of(new ValidationError("kind", "is not " + kind + ", as the path is")));
+    private void handlePeerCall(KeeperServer.Call call, String kind) {
+        RolloutText.ParseResult<Request> parsed = RolloutText.readRequest(call.body());
+        if (!parsed.errors().isEmpty()) {
+            rejectInvalid(call, parsed.errors());
+        } else if (!kindOf(parsed.value()).equals(kind)) {
+            rejectInvalid(call, List.of(new ValidationError("kind", "is not " + kind + ", as the path is")));
         } else if (!hasRoom()) {
-            call.answer(503, StatusText.reason("the disk of this keeper is behind"));
+            call.answer(503, StatusJson.reason("the disk of this keeper is behind"));
         } else {
-            ask(read.value(), answer -> call.answer(200, RolloutText.write(answer)));
+            handleRequest(parsed.value(), response -> call.answer(200, RolloutText.write(response)));
         }
     }
 
-    private void report(KeeperServer.Call call) {
-        RolloutText.ParseResult<Report> read = RolloutText.readReport(call.body());
-        if (!read.errors().isEmpty()) {
-            faulty(call, read.errors());
-        } else if (read.value().node() >= settings.nodeCount()) {
-            faulty(call, List.of(new ValidationError("node", "is not from 0 to " + (settings.nodeCount() - 1))));
+    private void handleReport(KeeperServer.Call call) {
+        RolloutText.ParseResult<Report> parsed = RolloutText.readReport(call.body());
+        if (!parsed.errors().isEmpty()) {
+            rejectInvalid(call, parsed.errors());
+        } else if (parsed.value().node() >= settings.nodeCount()) {
+            rejectInvalid(call, List.of(new ValidationError("node", "is not from 0 to " + (settings.nodeCount() - 1))));
         } else {
-            machine.handleReport(time.nowUs(), read.value());
-            watches.reported(read.value().node(), time.nowUs());
-            call.answer(204, NOTHING);
+            stateMachine.handleReport(clock.nowUs(), parsed.value());
+            watches.recordReport(parsed.value().node(), clock.nowUs());
+            call.answer(204, EMPTY_BODY);
         }
     }
 
     /** Fields behind a path: whole numbers, each once, and no others. */
     private static final class Query {
-        private final Map<String, List<String>> given;
-        final List<ValidationError> faults = new ArrayList<>();
+        private final Map<String, List<String>> parameters;
+        final List<ValidationError> errors = new ArrayList<>();
 
-        Query(KeeperServer.Call call, List<String> known) {
-            given = call.query();
-            given.keySet().stream()
-                    .filter(name -> !known.contains(name))
+        Query(KeeperServer.Call call, List<String> knownNames) {
+            parameters = call.query();
+            parameters.keySet().stream()
+                    .filter(name -> !knownNames.contains(name))
                     .sorted()
-                    .forEach(name -> faults.add(
-                            new ValidationError(name, "is not known; known are " + String.join(", ", known))));
+                    .forEach(name -> errors.add(
+                            new ValidationError(name, "is not known; known are " + String.join(", ", knownNames))));
         }
 
-        long whole(String name, long otherwise, long most) {
-            List<String> values = given.getOrDefault(name, List.of());
+        long readLong(String name, long defaultValue, long max) {
+            List<String> values = parameters.getOrDefault(name, List.of());
             if (values.isEmpty()) {
-                if (otherwise < 0) {
-                    faults.add(new ValidationError(name, "is missing"));
+                if (defaultValue < 0) {
+                    errors.add(new ValidationError(name, "is missing"));
                 }
-                return otherwise;
+                return defaultValue;
             }
             long value = -1;
             try {
@@ -434,100 +438,102 @@
             } catch (NumberFormatException e) {
                 // Told below.
             }
-            if (value < 0 || value > most) {
-                faults.add(new ValidationError(name, "is not a whole number from 0 to " + most));
+            if (value < 0 || value > max) {
+                errors.add(new ValidationError(name, "is not a whole number from 0 to " + max));
             }
             return value;
         }
     }
 
-    private void watch(KeeperServer.Call call) {
+    private void handleWatch(KeeperServer.Call call) {
         Query query = new Query(call, List.of("after", "life", "node"));
-        long after = query.whole("after", -1, Long.MAX_VALUE - 1);
-        long node = query.whole("node", -1, settings.nodeCount() - 1L);
-        query.whole("life", -1, Long.MAX_VALUE);
-        if (!query.faults.isEmpty()) {
-            faulty(call, query.faults);
+        long afterRev = query.readLong("after", -1, Long.MAX_VALUE - 1);
+        long node = query.readLong("node", -1, settings.nodeCount() - 1L);
+        query.readLong("life", -1, Long.MAX_VALUE);
+        if (!query.errors.isEmpty()) {
+            rejectInvalid(call, query.errors);
             return;
         }
-        long watch = ++lastCall;
-        List<Effect> told = machine.openWatch(time.nowUs(), watch, after);
-        if (told.stream().anyMatch(effect -> effect instanceof Effect.RejectWatch r && r.watch() == watch)) {
-            told.stream()
+        long watch = ++lastCallId;
+        List<Effect> effects = stateMachine.openWatch(clock.nowUs(), watch, afterRev);
+        if (effects.stream()
+                .anyMatch(effect -> effect instanceof Effect.RejectWatch reject && reject.watch() == watch)) {
+            effects.stream()
                     .filter(effect -> effect instanceof Effect.RejectWatch)
-                    .forEach(effect -> call.answer(503, StatusText.reason(((Effect.RejectWatch) effect).reason())));
+                    .forEach(effect -> call.answer(503, StatusJson.reason(((Effect.RejectWatch) effect).reason())));
         } else {
-            watches.begin(watch, (int) node, call, time.nowUs());
+            watches.add(watch, (int) node, call, clock.nowUs());
         }
-        happened(() -> told);
+        handleEvent(() -> effects);
     }
 
     private List<Row> rows() {
-        return machine.inventory().rows(time.nowUs());
+        return stateMachine.inventory().rows(clock.nowUs());
     }
 
     /** Asks all keepers what their nodes reported; one that does not answer is named. */
     private void status(KeeperServer.Call call) {
         Query query = new Query(call, List.of("rev"));
-        long newest = machine.history().rev();
-        long rev = query.whole("rev", newest, newest);
-        if (!query.faults.isEmpty()) {
-            faulty(call, query.faults);
+        long newest = stateMachine.history().rev();
+        long rev = query.readLong("rev", newest, newest);
+        if (!query.errors.isEmpty()) {
+            rejectInvalid(call, query.errors);
             return;
         }
-        List<List<Row>> all = new ArrayList<>(List.of(rows()));
-        List<Integer> notHeard = new ArrayList<>();
-        int[] left = {settings.keeperAddresses().size()};
-        Runnable one = () -> {
-            if (--left[0] == 0 && !stopped) {
-                tellStatus(call, rev, Inventory.merge(all), notHeard);
+        List<List<Row>> inventories = new ArrayList<>(List.of(rows()));
+        List<Integer> unreachableKeepers = new ArrayList<>();
+        int[] remaining = {settings.keeperAddresses().size()};
+        Runnable onInventoryDone = () -> {
+            if (--remaining[0] == 0 && !stopped) {
+                sendStatus(call, rev, Inventory.merge(inventories), unreachableKeepers);
             }
         };
         for (int keeper = 0; keeper < settings.keeperAddresses().size(); keeper++) {
-            int from = keeper;
-            if (from == me.keeper()) {
-                one.run();
+            int peer = keeper;
+            if (peer == self.keeper()) {
+                onInventoryDone.run();
                 continue;
             }
-            calls.get(from, "/rollout/inventory", body -> {
-                RolloutText.ParseResult<List<Row>> read = body == null ? null : RolloutText.readRows(body);
-                if (read != null && read.errors().isEmpty()) {
-                    all.add(read.value());
+            keeperClient.get(peer, "/rollout/inventory", body -> {
+                RolloutText.ParseResult<List<Row>> parsed = body == null ? null : RolloutText.readRows(body);
+                if (parsed != null && parsed.errors().isEmpty()) {
+                    inventories.add(parsed.value());
                 } else {
-                    notHeard.add(from);
+                    unreachableKeepers.add(peer);
                 }
-                one.run();
+                onInventoryDone.run();
             });
         }
     }
 
-    private void tellStatus(KeeperServer.Call call, long rev, Map<Integer, Row> rows, List<Integer> notHeard) {
-        SortedMap<String, Long> figures = new TreeMap<>();
-        figures.put("watches", (long) machine.openWatches());
-        figures.put("watches_refused", machine.rejectedWatches());
-        figures.put("watches_unread", watches.unread());
-        figures.put("watches_silent", watches.silent());
-        figures.put("changes_refused", machine.rejectedChanges());
-        figures.put("reports_refused", machine.inventory().rejectedReports());
-        figures.put("calls_faulty", faultyCalls + server.unreadable());
-        figures.put("calls_lost", calls.lost());
-        figures.put("calls_disk_behind", diskBehind);
-        figures.put("connections", (long) server.connections());
-        figures.put("connections_turned_away", server.turnedAway());
+    private void sendStatus(
+            KeeperServer.Call call, long rev, Map<Integer, Row> rows, List<Integer> unreachableKeepers) {
+        SortedMap<String, Long> counters = new TreeMap<>();
+        counters.put("watches", (long) stateMachine.openWatches());
+        counters.put("watches_refused", stateMachine.rejectedWatches());
+        counters.put("watches_unread", watches.closedUnreadCount());
+        counters.put("watches_silent", watches.closedSilentCount());
+        counters.put("changes_refused", stateMachine.rejectedChanges());
+        counters.put("reports_refused", stateMachine.inventory().rejectedReports());
+        counters.put("calls_faulty", invalidCalls + server.malformedCalls());
+        counters.put("calls_lost", keeperClient.failedCalls());
+        counters.put("calls_disk_behind", diskBacklogRejections);
+        counters.put("connections", (long) server.connections());
+        counters.put("connections_turned_away", server.rejectedConnections());
         call.answer(
                 200,
-                StatusText.status(
+                StatusJson.status(
                         rev,
-                        Inventory.nodesByStatus(terms, rows, settings.nodeCount(), rev),
+                        Inventory.nodesByStatus(parameters, rows, settings.nodeCount(), rev),
                         rows,
-                        new StatusText.Keeper(
-                                me.keeper(),
-                                me.identity(),
-                                machine.history().rev(),
-                                machine.history().voters().contains(me),
-                                machine.isCaughtUp(),
-                                machine.lacksQuorum(),
-                                notHeard.stream().sorted().toList(),
-                                figures)));
+                        new StatusJson.KeeperStatus(
+                                self.keeper(),
+                                self.identity(),
+                                stateMachine.history().rev(),
+                                stateMachine.history().voters().contains(self),
+                                stateMachine.isCaughtUp(),
+                                stateMachine.lacksQuorum(),
+                                unreachableKeepers.stream().sorted().toList(),
+                                counters)));
     }
 }
--- a/src/main/java/kitemux/keeper/KeeperCalls.java
+++ b/src/main/java/kitemux/keeper/KeeperClient.java
@@ -35,45 +35,45 @@
  * call that has no answer is lost, and nobody waits for it: the machine has its own timers. For the loop
  * alone.
  */
-final class KeeperCalls {
+final class KeeperClient {
     /** Calls at once to one keeper: a pulse, what a proposal sends, inventories. Beyond: the call is lost. */
-    static final int MOST_CALLS = 16;
+    static final int MAX_CALLS_PER_KEEPER_COUNT = 16;
     /** For an answer, from the dial: over three of a proposal's phases, after which nobody waits for it. */
-    static final long CALL_MS = 2_000;
+    static final long CALL_TIMEOUT_MS = 2_000;
     /** Of an answer in bytes: a whole of the largest size, as JSON. */
-    private static final int MOST_ANSWER = 8 << 20;
+    private static final int MAX_RESPONSE_BYTES = 8 << 20;
 
     private final EventLoop loop;
-    private final Bootstrap dialer;
+    private final Bootstrap bootstrap;
     private final List<Peer> peers = new ArrayList<>();
-    private long lost;
+    private long failedCalls;
     private boolean closed;
 
     /** A keeper that is called. */
     private static final class Peer {
-        final InetSocketAddress at;
-        final ArrayDeque<Connection> idle = new ArrayDeque<>();
-        final Set<Connection> open = new HashSet<>();
-        int calls;
+        final InetSocketAddress address;
+        final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
+        final Set<Connection> openConnections = new HashSet<>();
+        int activeCalls;
 
-        Peer(InetSocketAddress at) {
-            this.at = at;
+        Peer(InetSocketAddress address) {
+            this.address = address;
         }
     }
 
-    KeeperCalls(EventLoop loop, Network network, List<InetSocketAddress> keepers) {
+    KeeperClient(EventLoop loop, Network network, List<InetSocketAddress> keeperAddresses) {
         this.loop = loop;
-        keepers.forEach(at -> peers.add(new Peer(at)));
-        dialer = new Bootstrap()
+        keeperAddresses.forEach(at -> peers.add(new Peer(at)));
+        bootstrap = new Bootstrap()
                 .group(loop)
                 .channelFactory(network::newOutboundChannel)
                 .disableResolver()
                 .option(ChannelOption.ALLOCATOR, network.allocator())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CALL_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CALL_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_ANSWER));
+                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES));
                     }
                 });
     }
@@ -82,70 +82,70 @@
      * Asks for something; {@code answered} is told the body of an answer of 200, or null where there is
      * none.
      */
-    void get(int keeper, String path, Consumer<byte[]> answered) {
-        call(keeper, HttpMethod.GET, path, new byte[0], answered);
+    void get(int keeper, String path, Consumer<byte[]> onResponse) {
+        call(keeper, HttpMethod.GET, path, new byte[0], onResponse);
     }
 
     /** Sends something; as {@link #get}. */
-    void post(int keeper, String path, byte[] body, Consumer<byte[]> answered) {
-        call(keeper, HttpMethod.POST, path, body, answered);
+    void post(int keeper, String path, byte[] body, Consumer<byte[]> onResponse) {
+        call(keeper, HttpMethod.POST, path, body, onResponse);
     }
 
-    private void call(int keeper, HttpMethod method, String path, byte[] body, Consumer<byte[]> answered) {
+    private void call(int keeper, HttpMethod method, String path, byte[] body, Consumer<byte[]> onResponse) {
         Peer peer = peers.get(keeper);
-        if (closed || peer.calls >= MOST_CALLS) {
-            lost++;
-            loop.execute(() -> answered.accept(null));
+        if (closed || peer.activeCalls >= MAX_CALLS_PER_KEEPER_COUNT) {
+            failedCalls++;
+            loop.execute(() -> onResponse.accept(null));
             return;
         }
-        peer.calls++;
+        peer.activeCalls++;
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(body));
         request.headers().set(HttpHeaderNames.HOST, "keeper").set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        Connection connection = peer.idle.pollLast();
+        Connection connection = peer.idleConnections.pollLast();
         if (connection == null) {
             connection = new Connection(peer);
         }
-        connection.call(request, answered);
+        connection.call(request, onResponse);
     }
 
     /** Calls that had no answer. */
-    long lost() {
-        return lost;
+    long failedCalls() {
+        return failedCalls;
     }
 
     /** Ends all at once. */
     void close() {
         closed = true;
-        peers.forEach(peer -> Set.copyOf(peer.open).forEach(Connection::end));
+        peers.forEach(peer -> Set.copyOf(peer.openConnections).forEach(Connection::abort));
     }
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Peer peer;
         private Channel channel;
         /** Who waits for the answer; null while none is called for. */
-        private Consumer<byte[]> waiting;
+        private Consumer<byte[]> responseHandler;
 
-        private Future<?> patience;
+        private Future<?> timeout;
 
         Connection(Peer peer) {
             this.peer = peer;
-            peer.open.add(this);
+            peer.openConnections.add(this);
         }
 
-        void call(FullHttpRequest request, Consumer<byte[]> answered) {
-            waiting = answered;
-            patience = loop.schedule(this::end, CALL_MS, TimeUnit.MILLISECONDS);
+        void call(FullHttpRequest request, Consumer<byte[]> onResponse) {
+            responseHandler = onResponse;
+            timeout = loop.schedule(this::abort, CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             if (channel != null) {
                 channel.writeAndFlush(request);
                 return;
             }
-            ChannelFuture dial = dialer.connect(peer.at);
-            channel = dial.channel();
-            dial.addListener(done -> {
+            ChannelFuture connecting = bootstrap.connect(peer.address);
+            channel = connecting.channel();
+            connecting.addListener(done -> {
                 if (!done.isSuccess()) {
                     request.release();
-                    end();
+                    abort();
                     return;
                 }
                 channel.pipeline().addLast(this);
@@ -154,48 +154,48 @@
         }
 
         /** Ends it; a call that it carries is lost. */
-        void end() {
-            peer.open.remove(this);
-            peer.idle.remove(this);
+        void abort() {
+            peer.openConnections.remove(this);
+            peer.idleConnections.remove(this);
             channel.close();
-            tell(null);
+            complete(null);
         }
 
-        private void tell(byte[] body) {
-            Consumer<byte[]> told = waiting;
-            waiting = null;
-            if (told != null) {
-                patience.cancel(false);
-                peer.calls--;
-                lost += body == null ? 1 : 0;
-                told.accept(body);
+        private void complete(byte[] body) {
+            Consumer<byte[]> handler = responseHandler;
+            responseHandler = null;
+            if (handler != null) {
+                timeout.cancel(false);
+                peer.activeCalls--;
+                failedCalls += body == null ? 1 : 0;
+                handler.accept(body);
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            if (waiting == null || response.decoderResult().isFailure()) {
-                end();
+            if (responseHandler == null || response.decoderResult().isFailure()) {
+                abort();
                 return;
             }
             byte[] body = response.status().code() == 200 ? ByteBufUtil.getBytes(response.content()) : null;
             if (HttpUtil.isKeepAlive(response)) {
-                peer.idle.add(this);
-                tell(body);
+                peer.idleConnections.add(this);
+                complete(body);
             } else {
-                tell(body);
-                end();
+                complete(body);
+                abort();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            end();
+            abort();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            end();
+            abort();
         }
     }
 }
--- a/src/main/java/kitemux/keeper/KeeperFolder.java
+++ b/src/main/java/kitemux/keeper/KeeperFolder.java
@@ -25,27 +25,27 @@
  */
 final class KeeperFolder {
     /** Name of the file. */
-    static final String FILE = "records";
+    static final String RECORDS_FILE = "records";
     /** A file that is longer is written anew; whole and history have 7 MB at most. */
-    static final long MOST_BYTES = 16 << 20;
+    static final long MAX_FILE_BYTES = 16 << 20;
 
-    private static final String NEW = FILE + ".new";
-    private static final String FORM = "kitemux keeper";
-    private static final int VERSION = 1;
-    private static final int CHECKSUM = 8;
+    private static final String NEW_FILE = RECORDS_FILE + ".new";
+    private static final String FORMAT_NAME = "kitemux keeper";
+    private static final int FORMAT_VERSION = 1;
+    private static final int CHECKSUM_BYTES = 8;
 
     private final Disk disk;
     private final int keeper;
     private final String identity;
-    private final List<LogRecord> found;
-    private Disk.OutputFile out;
-    private long length;
+    private final List<LogRecord> recoveredRecords;
+    private Disk.OutputFile output;
+    private long fileBytes;
 
-    private KeeperFolder(Disk disk, int keeper, String identity, List<LogRecord> found) {
+    private KeeperFolder(Disk disk, int keeper, String identity, List<LogRecord> recoveredRecords) {
         this.disk = disk;
         this.keeper = keeper;
         this.identity = identity;
-        this.found = List.copyOf(found);
+        this.recoveredRecords = List.copyOf(recoveredRecords);
     }
 
     /**
@@ -57,50 +57,50 @@
      * @throws IOException if it cannot be read or written, or is another keeper's
      */
     static KeeperFolder open(Disk disk, int keeper, LongSupplier identities, Consumer<String> log) throws IOException {
-        if (!disk.list().contains(FILE)) {
-            return begun(disk, keeper, identities, List.of());
+        if (!disk.list().contains(RECORDS_FILE)) {
+            return createNew(disk, keeper, identities, List.of());
         }
-        Reading reading = new Reading(disk.read(FILE));
-        if (reading.identity != null && reading.keeper != keeper) {
-            throw new IOException(FILE + " is of keeper " + reading.keeper + ", and this is keeper " + keeper);
+        FileContents contents = new FileContents(disk.read(RECORDS_FILE));
+        if (contents.identity != null && contents.keeper != keeper) {
+            throw new IOException(RECORDS_FILE + " is of keeper " + contents.keeper + ", and this is keeper " + keeper);
         }
-        if (reading.fault != null) {
+        if (contents.error != null) {
             // Never deleted: whoever looks for what was chosen may find more in it than this program does.
-            String aside = aside(disk);
-            log.accept("folder: " + FILE + ", offset " + reading.soundUpTo + ": " + reading.fault
-                    + "; it is set aside as " + aside + ", and this keeper begins anew without a vote");
-            List<LogRecord> versions = reading.kept.stream()
-                    .filter(kept -> !(kept instanceof LogRecord.Voted))
+            String spoiltName = unusedSpoiltName(disk);
+            log.accept("folder: " + RECORDS_FILE + ", offset " + contents.validBytes + ": " + contents.error
+                    + "; it is set aside as " + spoiltName + ", and this keeper begins anew without a vote");
+            List<LogRecord> versions = contents.records.stream()
+                    .filter(entry -> !(entry instanceof LogRecord.Voted))
                     .toList();
-            disk.rename(FILE, aside);
-            return begun(disk, keeper, identities, versions);
+            disk.rename(RECORDS_FILE, spoiltName);
+            return createNew(disk, keeper, identities, versions);
         }
-        if (reading.torn > 0) {
-            log.accept("folder: " + FILE + ", offset " + reading.soundUpTo + ": " + reading.torn
+        if (contents.tornBytes > 0) {
+            log.accept("folder: " + RECORDS_FILE + ", offset " + contents.validBytes + ": " + contents.tornBytes
                     + " bytes of a record that was not written to its end are cut off");
         }
-        KeeperFolder folder = new KeeperFolder(disk, keeper, reading.identity, reading.kept);
-        folder.out = disk.append(FILE, reading.soundUpTo);
-        folder.length = reading.soundUpTo;
+        KeeperFolder folder = new KeeperFolder(disk, keeper, contents.identity, contents.records);
+        folder.output = disk.append(RECORDS_FILE, contents.validBytes);
+        folder.fileBytes = contents.validBytes;
         folder.sync();
         return folder;
     }
 
-    private static KeeperFolder begun(Disk disk, int keeper, LongSupplier identities, List<LogRecord> versions)
+    private static KeeperFolder createNew(Disk disk, int keeper, LongSupplier identities, List<LogRecord> versions)
             throws IOException {
         String identity = String.format("%016x", identities.getAsLong());
         KeeperFolder folder = new KeeperFolder(disk, keeper, identity, versions);
-        folder.renew(versions);
+        folder.rewrite(versions);
         return folder;
     }
 
-    private static String aside(Disk disk) throws IOException {
+    private static String unusedSpoiltName(Disk disk) throws IOException {
         List<String> names = disk.list();
         int number = 1;
-        while (names.contains(FILE + ".spoilt-" + number)) {
+        while (names.contains(RECORDS_FILE + ".spoilt-" + number)) {
             number++;
         }
-        return FILE + ".spoilt-" + number;
+        return RECORDS_FILE + ".spoilt-" + number;
     }
 
     /** Drawn when it was made; 16 hex digits. */
@@ -109,61 +109,61 @@
     }
 
     /** What was found in it, in order. */
-    List<LogRecord> found() {
-        return found;
+    List<LogRecord> recoveredRecords() {
+        return recoveredRecords;
     }
 
     /** Writes records behind all others; they are safe once {@link #sync} has returned. */
-    void write(List<LogRecord> records) throws IOException {
+    void append(List<LogRecord> records) throws IOException {
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
-        records.forEach(record -> lines.writeBytes(line(RolloutText.write(record))));
-        out.write(lines.toByteArray());
-        length += lines.size();
+        records.forEach(record -> lines.writeBytes(encodeLine(RolloutText.write(record))));
+        output.write(lines.toByteArray());
+        fileBytes += lines.size();
     }
 
     /** Waits until all that was written is safe. */
     void sync() throws IOException {
-        out.sync();
+        output.sync();
     }
 
-    /** Whether it is time to {@link #renew}. */
-    boolean isLong() {
-        return length > MOST_BYTES;
+    /** Whether it is time to {@link #rewrite}. */
+    boolean isOversized() {
+        return fileBytes > MAX_FILE_BYTES;
     }
 
     /**
      * Puts records in the place of all that were written; they are safe then. At any crash one of both is
      * there.
      */
-    void renew(List<LogRecord> records) throws IOException {
-        if (disk.list().contains(NEW)) {
-            disk.delete(NEW);
+    void rewrite(List<LogRecord> records) throws IOException {
+        if (disk.list().contains(NEW_FILE)) {
+            disk.delete(NEW_FILE);
         }
-        Disk.OutputFile before = out;
-        out = disk.create(NEW);
-        byte[] head = line(("{\"form\":\"" + FORM + "\",\"version\":" + VERSION + ",\"keeper\":" + keeper
-                        + ",\"identity\":\"" + identity + "\"}")
+        Disk.OutputFile previousOutput = output;
+        output = disk.create(NEW_FILE);
+        byte[] header = encodeLine(("{\"form\":\"" + FORMAT_NAME + "\",\"version\":" + FORMAT_VERSION + ",\"keeper\":"
+                        + keeper + ",\"identity\":\"" + identity + "\"}")
                 .getBytes(StandardCharsets.UTF_8));
-        out.write(head);
-        length = head.length;
-        write(records);
+        output.write(header);
+        fileBytes = header.length;
+        append(records);
         sync();
-        disk.rename(NEW, FILE);
+        disk.rename(NEW_FILE, RECORDS_FILE);
         disk.syncDirectory();
-        if (before != null) {
-            before.close();
+        if (previousOutput != null) {
+            previousOutput.close();
         }
     }
 
     void close() throws IOException {
-        out.close();
+        output.close();
     }
 
-    private static byte[] line(byte[] record) {
-        byte[] check = checksum(record, 0, record.length).getBytes(StandardCharsets.US_ASCII);
-        byte[] line = Arrays.copyOf(check, CHECKSUM + 1 + record.length + 1);
-        line[CHECKSUM] = ' ';
-        System.arraycopy(record, 0, line, CHECKSUM + 1, record.length);
+    private static byte[] encodeLine(byte[] record) {
+        byte[] checksum = checksum(record, 0, record.length).getBytes(StandardCharsets.US_ASCII);
+        byte[] line = Arrays.copyOf(checksum, CHECKSUM_BYTES + 1 + record.length + 1);
+        line[CHECKSUM_BYTES] = ' ';
+        System.arraycopy(record, 0, line, CHECKSUM_BYTES + 1, record.length);
         line[line.length - 1] = '\n';
         return line;
     }
@@ -175,65 +175,66 @@
     }
 
     /** What a file says, up to the first place at which it is not as it was written. */
-    private static final class Reading {
-        final List<LogRecord> kept = new ArrayList<>();
+    private static final class FileContents {
+        final List<LogRecord> records = new ArrayList<>();
         int keeper;
         /** Null where the first line says none. */
         String identity;
         /** Bytes up to the end of the last record that is sound. */
-        int soundUpTo;
+        int validBytes;
         /** Bytes of a last line that has no end. */
-        int torn;
-        /** Why the line at {@link #soundUpTo} is none, or null. */
-        String fault;
+        int tornBytes;
+        /** Why the line at {@link #validBytes} is none, or null. */
+        String error;
 
-        Reading(byte[] file) {
-            while (soundUpTo < file.length && fault == null) {
-                int end = soundUpTo;
+        FileContents(byte[] file) {
+            while (validBytes < file.length && error == null) {
+                int end = validBytes;
                 while (end < file.length && file[end] != '\n') {
                     end++;
                 }
                 if (end == file.length && identity != null) {
-                    torn = end - soundUpTo;
+                    tornBytes = end - validBytes;
                     return;
                 }
-                fault = line(file, soundUpTo, end);
-                soundUpTo = fault == null ? end + 1 : soundUpTo;
+                error = readLine(file, validBytes, end);
+                validBytes = error == null ? end + 1 : validBytes;
             }
-            fault = fault == null && identity == null ? "has no first line" : fault;
+            error = error == null && identity == null ? "has no first line" : error;
         }
 
         /** Takes a line in; null, or why it is none. */
-        private String line(byte[] file, int from, int end) {
-            int text = from + CHECKSUM + 1;
-            if (text > end
+        private String readLine(byte[] file, int from, int end) {
+            int textStart = from + CHECKSUM_BYTES + 1;
+            if (textStart > end
                     || end == file.length
-                    || file[text - 1] != ' '
-                    || !checksum(file, text, end).equals(new String(file, from, CHECKSUM, StandardCharsets.US_ASCII))) {
+                    || file[textStart - 1] != ' '
+                    || !checksum(file, textStart, end)
+                            .equals(new String(file, from, CHECKSUM_BYTES, StandardCharsets.US_ASCII))) {
                 return (end - from) + " bytes are no record: their checksum differs";
             }
-            byte[] record = Arrays.copyOfRange(file, text, end);
+            byte[] record = Arrays.copyOfRange(file, textStart, end);
             if (identity == null) {
-                return head(record);
+                return readHeader(record);
             }
-            RolloutText.ParseResult<LogRecord> read = RolloutText.readLogRecord(record);
-            if (!read.errors().isEmpty()) {
-                return "this program cannot read the record: " + read.errors().get(0);
+            RolloutText.ParseResult<LogRecord> parsed = RolloutText.readLogRecord(record);
+            if (!parsed.errors().isEmpty()) {
+                return "this program cannot read the record: " + parsed.errors().get(0);
             }
-            kept.add(read.value());
+            records.add(parsed.value());
             return null;
         }
 
-        private String head(byte[] record) {
+        private String readHeader(byte[] record) {
             try {
-                Json head = Json.read(record);
-                if (!head.path("form").text().equals(FORM)
-                        || head.path("version").whole(0) != VERSION
-                        || head.path("identity").text().isEmpty()) {
-                    return "is no first line of " + FORM + ", version " + VERSION;
+                Json header = Json.read(record);
+                if (!header.path("form").text().equals(FORMAT_NAME)
+                        || header.path("version").whole(0) != FORMAT_VERSION
+                        || header.path("identity").text().isEmpty()) {
+                    return "is no first line of " + FORMAT_NAME + ", version " + FORMAT_VERSION;
                 }
-                keeper = (int) head.path("keeper").whole(-1);
-                identity = head.path("identity").text();
+                keeper = (int) header.path("keeper").whole(-1);
+                identity = header.path("identity").text();
                 return null;
             } catch (IOException e) {
                 return "the first line is not JSON: " + e.getMessage();
--- a/src/main/java/kitemux/keeper/KeeperProcess.java
+++ b/src/main/java/kitemux/keeper/KeeperProcess.java
@@ -17,12 +17,12 @@
 /** A process that is a keeper: the folder's lock, the loop, and the end. */
 public final class KeeperProcess {
     /** Of a process that cannot write to its folder any more. */
-    private static final int CANNOT_WRITE = 1;
+    private static final int WRITE_FAILURE_EXIT_CODE = 1;
 
     private KeeperProcess() {}
 
     /** Who writes to a folder holds its lock. */
-    private static FolderDisk folder(Path folder) throws IOException {
+    private static FolderDisk lockFolder(Path folder) throws IOException {
         if (FolderDisk.isLockedByWriter(folder)) {
             throw new IOException("another process writes to " + folder);
         }
@@ -36,7 +36,7 @@
      * @throws IOException if it cannot be used; the message says why
      */
     public static String initializeFolder(Path folder, int number, Log log) throws IOException {
-        try (FolderDisk disk = folder(folder)) {
+        try (FolderDisk disk = lockFolder(folder)) {
             return Keeper.initializeFolder(disk, number, new SecureRandom()::nextLong, log);
         }
     }
@@ -56,12 +56,12 @@
                     ProtocolParameters.defaults(),
                     new ConfigRules(),
                     new Keeper.Environment(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), log),
-                    folder(settings.folder()),
+                    lockFolder(settings.folder()),
                     new SecureRandom()::nextLong,
-                    failed -> {
+                    failure -> {
                         // Whoever cannot write must not answer: no hook may hold the end up.
-                        log.info("folder: cannot be written: " + failed + "; this keeper ends");
-                        Runtime.getRuntime().halt(CANNOT_WRITE);
+                        log.info("folder: cannot be written: " + failure + "; this keeper ends");
+                        Runtime.getRuntime().halt(WRITE_FAILURE_EXIT_CODE);
                     });
         } catch (IOException e) {
             throw new IOException("folder cannot be used: " + e.getMessage(), e);
@@ -70,13 +70,13 @@
             log.info("the settings name no voter " + keeper.voter() + ": unless a version does, it learns "
                     + "and does not vote");
         }
-        ChannelFuture listens = keeper.listen().awaitUninterruptibly();
-        if (!listens.isSuccess()) {
+        ChannelFuture listening = keeper.listen().awaitUninterruptibly();
+        if (!listening.isSuccess()) {
             throw new IOException("listen " + settings.listenAddress() + ": "
-                    + listens.cause().getMessage());
+                    + listening.cause().getMessage());
         }
         log.info("keeper " + keeper.voter() + " is called at "
-                + listens.channel().localAddress());
+                + listening.channel().localAddress());
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
--- a/src/main/java/kitemux/keeper/KeeperServer.java
+++ b/src/main/java/kitemux/keeper/KeeperServer.java
@@ -41,45 +41,45 @@
 
 /**
  * Where a keeper is called: HTTP/1.1, one call at a time on a connection. It knows framing, sizes and
- * callers that are slow; what a call means is the {@link Calls}'.
+ * callers that are slow; what a call means is the {@link CallHandler}'.
  */
 final class KeeperServer {
     /** Connections at once: watches, one for each report and each operator's call, and the keepers'. */
-    static final int MOST_CONNECTIONS = 512;
+    static final int MAX_CONNECTION_COUNT = 512;
     /** Of a call's body in bytes: a change of the largest size in a keeper's words, or a report. */
-    static final int MOST_BODY = 16 << 10;
+    static final int MAX_BODY_BYTES = 16 << 10;
     /** From connecting, or from the last answer, to the end of the next call. */
-    static final long MOST_CALL_MS = 5_000;
+    static final long CALL_TIMEOUT_MS = 5_000;
     /** What the system may hold for a connection that is not read, in bytes: a bound on unwritten bytes would
      * else be reached only after some megabytes. */
-    private static final int SEND_BUFFER = 64 << 10;
+    private static final int SEND_BUFFER_BYTES = 64 << 10;
 
     private final EventLoop loop;
-    private final Calls calls;
+    private final CallHandler callHandler;
     private final Set<Channel> connections = new LinkedHashSet<>();
-    private long turnedAway;
-    private long unreadable;
-    private Channel listening;
+    private long rejectedConnections;
+    private long malformedCalls;
+    private Channel serverChannel;
 
     /** What can be called. */
-    interface Calls {
+    interface CallHandler {
         /** A call has come whole; its one answer may be given later, on the loop. */
-        void call(Call call);
+        void handle(Call call);
     }
 
-    KeeperServer(EventLoop loop, Calls calls) {
+    KeeperServer(EventLoop loop, CallHandler callHandler) {
         this.loop = loop;
-        this.calls = calls;
+        this.callHandler = callHandler;
     }
 
     /** Listens; the future is done once it can be called. */
     ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture opening = new ServerBootstrap()
+        ChannelFuture binding = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.ALLOCATOR, NioNetwork.SYSTEM.allocator())
-                .childOption(ChannelOption.SO_SNDBUF, SEND_BUFFER)
+                .childOption(ChannelOption.SO_SNDBUF, SEND_BUFFER_BYTES)
                 .childOption(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
                         new WriteBufferWaterMark(
@@ -87,33 +87,33 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted(channel);
+                        onAccepted(channel);
                     }
                 })
                 .bind(address);
-        listening = opening.channel();
-        return opening;
+        serverChannel = binding.channel();
+        return binding;
     }
 
-    private void accepted(Channel channel) {
-        if (connections.size() >= MOST_CONNECTIONS) {
-            turnedAway++;
+    private void onAccepted(Channel channel) {
+        if (connections.size() >= MAX_CONNECTION_COUNT) {
+            rejectedConnections++;
             channel.close();
             return;
         }
         connections.add(channel);
         channel.closeFuture().addListener(done -> connections.remove(channel));
-        channel.pipeline().addLast(new HttpServerCodec(), new Bounded(), new Caller(channel));
+        channel.pipeline().addLast(new HttpServerCodec(), new BodyLimiter(), new ConnectionHandler(channel));
     }
 
     /** Connections that were closed as there were too many. */
-    long turnedAway() {
-        return turnedAway;
+    long rejectedConnections() {
+        return rejectedConnections;
     }
 
     /** Calls that were too long, or no calls. */
-    long unreadable() {
-        return unreadable;
+    long malformedCalls() {
+        return malformedCalls;
     }
 
     /** Connections that are open. */
@@ -123,8 +123,8 @@
 
     /** Ends all at once; to be called on the loop. */
     void close() {
-        if (listening != null) {
-            listening.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
         Set.copyOf(connections).forEach(Channel::close);
     }
@@ -144,31 +144,31 @@
     }
 
     /** What is longer than any call is answered before it has come. */
-    private final class Bounded extends HttpObjectAggregator {
-        Bounded() {
-            super(MOST_BODY);
+    private final class BodyLimiter extends HttpObjectAggregator {
+        BodyLimiter() {
+            super(MAX_BODY_BYTES);
         }
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
-            unreadable++;
-            byte[] faults = StatusText.fault("body", "has more than " + MOST_BODY + " bytes");
-            context.writeAndFlush(response(413, faults, false)).addListener(ChannelFutureListener.CLOSE);
+            malformedCalls++;
+            byte[] errors = StatusJson.error("body", "has more than " + MAX_BODY_BYTES + " bytes");
+            context.writeAndFlush(response(413, errors, false)).addListener(ChannelFutureListener.CLOSE);
         }
     }
 
     /** One call. */
     static final class Call {
         private final Channel channel;
-        private final Caller caller;
+        private final ConnectionHandler connection;
         private final boolean keepAlive;
         private final String method;
         private final QueryStringDecoder uri;
         private final byte[] body;
 
-        private Call(Channel channel, Caller caller, FullHttpRequest request) {
+        private Call(Channel channel, ConnectionHandler connection, FullHttpRequest request) {
             this.channel = channel;
-            this.caller = caller;
+            this.connection = connection;
             keepAlive = HttpUtil.isKeepAlive(request);
             method = request.method().name();
             uri = new QueryStringDecoder(request.uri());
@@ -196,52 +196,52 @@
         void answer(int status, byte[] json) {
             ChannelFuture written = channel.writeAndFlush(response(status, json, keepAlive));
             if (keepAlive) {
-                caller.awaitCall();
+                connection.awaitCall();
             } else {
                 written.addListener(ChannelFutureListener.CLOSE);
             }
         }
 
         /** Begins an answer without an end; what follows is written to this connection as it comes. */
-        Channel stream() {
-            HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head.headers()
+        Channel startStream() {
+            HttpResponse header = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            header.headers()
                     .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED)
                     .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-            channel.writeAndFlush(head);
+            channel.writeAndFlush(header);
             return channel;
         }
     }
 
-    private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Channel channel;
         /** Runs while a call is awaited; null while one is answered. */
-        private Future<?> patience;
+        private Future<?> timeout;
 
-        Caller(Channel channel) {
+        ConnectionHandler(Channel channel) {
             this.channel = channel;
             awaitCall();
         }
 
         void awaitCall() {
-            patience = loop.schedule(() -> channel.close(), MOST_CALL_MS, TimeUnit.MILLISECONDS);
+            timeout = loop.schedule(() -> channel.close(), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            if (patience == null) {
+            if (timeout == null) {
                 // Ahead of an answer, which no caller of ours does: it could not be answered in its turn.
                 context.close();
                 return;
             }
-            patience.cancel(false);
-            patience = null;
+            timeout.cancel(false);
+            timeout = null;
             if (request.decoderResult().isFailure()) {
-                unreadable++;
-                byte[] why = StatusText.fault(
+                malformedCalls++;
+                byte[] errors = StatusJson.error(
                         "call",
                         "cannot be read: " + request.decoderResult().cause().getMessage());
-                context.writeAndFlush(response(400, why, false)).addListener(ChannelFutureListener.CLOSE);
+                context.writeAndFlush(response(400, errors, false)).addListener(ChannelFutureListener.CLOSE);
                 return;
             }
             Call call;
@@ -249,18 +249,18 @@
                 call = new Call(channel, this, request);
                 call.query();
             } catch (IllegalArgumentException e) {
-                unreadable++;
-                byte[] why = StatusText.fault("query", "cannot be read: " + e.getMessage());
-                context.writeAndFlush(response(400, why, false)).addListener(ChannelFutureListener.CLOSE);
+                malformedCalls++;
+                byte[] errors = StatusJson.error("query", "cannot be read: " + e.getMessage());
+                context.writeAndFlush(response(400, errors, false)).addListener(ChannelFutureListener.CLOSE);
                 return;
             }
-            calls.call(call);
+            callHandler.handle(call);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            if (patience != null) {
-                patience.cancel(false);
+            if (timeout != null) {
+                timeout.cancel(false);
             }
         }
 
--- a/src/main/java/kitemux/keeper/KeeperSettingsParser.java
+++ b/src/main/java/kitemux/keeper/KeeperSettingsParser.java
@@ -20,7 +20,7 @@
 /** Reads a keeper's settings in HCL; {@code docs/operate/rollout.md} has all fields. */
 public final class KeeperSettingsParser {
     /** Numbers of keepers have three digits at most; eight machines are planned for. */
-    static final int MOST_KEEPERS = 32;
+    static final int MAX_KEEPER_COUNT = 32;
 
     private KeeperSettingsParser() {}
 
@@ -30,89 +30,90 @@
      * @param faults gets all that is wrong, one line each with place, field and reason
      * @return the settings; null if there are faults
      */
-    public static KeeperSettings parse(String file, String text, List<String> faults) {
+    public static KeeperSettings parse(String file, String text, List<String> errors) {
         Map<String, Object> parsed;
         try {
             parsed = Text.parse(text, Places.of(text));
         } catch (IOException e) {
-            faults.add(file + ": this is not HCL: " + e.getMessage());
+            errors.add(file + ": this is not HCL: " + e.getMessage());
             return null;
         }
-        List<String> own = new ArrayList<>();
-        Section all = new Section("", parsed, own);
-        int number = all.whole("keeper", Double.NaN);
-        List<InetSocketAddress> keepers = keepers(all, own);
-        String listen = all.text("listen", "");
-        Path folder = folder(all.text("folder"), own);
-        List<Voter> voters = voters(all, keepers.size(), own);
-        int nodes = all.whole("nodes", Double.NaN);
-        all.end();
-        if (number < 0 || all.has("keeper") && number >= keepers.size()) {
-            own.add("keeper: is not from 0 to " + (keepers.size() - 1) + ", the last of keepers");
+        List<String> unplacedErrors = new ArrayList<>();
+        Section section = new Section("", parsed, unplacedErrors);
+        int number = section.whole("keeper", Double.NaN);
+        List<InetSocketAddress> keepers = keepers(section, unplacedErrors);
+        String listen = section.text("listen", "");
+        Path folder = folder(section.text("folder"), unplacedErrors);
+        List<Voter> voters = voters(section, keepers.size(), unplacedErrors);
+        int nodes = section.whole("nodes", Double.NaN);
+        section.end();
+        if (number < 0 || section.has("keeper") && number >= keepers.size()) {
+            unplacedErrors.add("keeper: is not from 0 to " + (keepers.size() - 1) + ", the last of keepers");
         }
         if (nodes < 1 || nodes > ProtocolParameters.MAX_NODE_COUNT) {
-            own.add("nodes: is not from 1 to " + ProtocolParameters.MAX_NODE_COUNT);
+            unplacedErrors.add("nodes: is not from 1 to " + ProtocolParameters.MAX_NODE_COUNT);
         }
-        InetSocketAddress at = listen.isEmpty() ? null : address("listen", listen, own);
-        faults.addAll(Places.placed(file, text, own));
-        return !faults.isEmpty()
+        InetSocketAddress address = listen.isEmpty() ? null : address("listen", listen, unplacedErrors);
+        errors.addAll(Places.placed(file, text, unplacedErrors));
+        return !errors.isEmpty()
                 ? null
-                : new KeeperSettings(number, keepers, at == null ? keepers.get(number) : at, folder, voters, nodes);
+                : new KeeperSettings(
+                        number, keepers, address == null ? keepers.get(number) : address, folder, voters, nodes);
     }
 
-    private static List<InetSocketAddress> keepers(Section all, List<String> faults) {
+    private static List<InetSocketAddress> keepers(Section section, List<String> errors) {
         List<InetSocketAddress> keepers = new ArrayList<>();
-        Set<String> once = new HashSet<>();
-        for (String text : all.texts("keepers", List.of())) {
-            String at = "keepers[" + keepers.size() + "]";
-            keepers.add(address("keepers", text, faults));
-            if (!once.add(text)) {
-                faults.add("keepers: " + at + " is there twice: " + text);
+        Set<String> seen = new HashSet<>();
+        for (String text : section.texts("keepers", List.of())) {
+            String position = "keepers[" + keepers.size() + "]";
+            keepers.add(address("keepers", text, errors));
+            if (!seen.add(text)) {
+                errors.add("keepers: " + position + " is there twice: " + text);
             }
         }
-        if (keepers.isEmpty() || keepers.size() > MOST_KEEPERS) {
-            faults.add("keepers: names " + keepers.size() + "; 1 to " + MOST_KEEPERS + " are needed");
+        if (keepers.isEmpty() || keepers.size() > MAX_KEEPER_COUNT) {
+            errors.add("keepers: names " + keepers.size() + "; 1 to " + MAX_KEEPER_COUNT + " are needed");
         }
         return keepers;
     }
 
-    private static InetSocketAddress address(String field, String text, List<String> faults) {
+    private static InetSocketAddress address(String field, String text, List<String> errors) {
         try {
             return Addresses.parse(field + ":", text);
         } catch (ConfigException e) {
-            faults.add(e.getMessage());
+            errors.add(e.getMessage());
             return null;
         }
     }
 
-    private static Path folder(String text, List<String> faults) {
+    private static Path folder(String text, List<String> errors) {
         try {
             return Path.of(text);
         } catch (InvalidPathException e) {
-            faults.add("folder: is no path: " + e.getMessage());
+            errors.add("folder: is no path: " + e.getMessage());
             return null;
         }
     }
 
-    private static List<Voter> voters(Section all, int keepers, List<String> faults) {
+    private static List<Voter> voters(Section section, int keepers, List<String> errors) {
         List<Voter> voters = new ArrayList<>();
-        Set<Integer> once = new HashSet<>();
-        List<String> texts = all.texts("voters", List.of());
+        Set<Integer> seen = new HashSet<>();
+        List<String> texts = section.texts("voters", List.of());
         for (String text : texts) {
             Voter voter = Voter.parse(text);
             if (voter == null) {
-                faults.add("voters: \"" + text + "\" is no voter as \"0:9f2c\", the number of a keeper and "
+                errors.add("voters: \"" + text + "\" is no voter as \"0:9f2c\", the number of a keeper and "
                         + "the identity of its folder");
             } else if (voter.keeper() >= keepers) {
-                faults.add("voters: \"" + text + "\" is none of the " + keepers + " keepers");
-            } else if (!once.add(voter.keeper())) {
-                faults.add("voters: keeper " + voter.keeper() + " is there twice");
+                errors.add("voters: \"" + text + "\" is none of the " + keepers + " keepers");
+            } else if (!seen.add(voter.keeper())) {
+                errors.add("voters: keeper " + voter.keeper() + " is there twice");
             } else {
                 voters.add(voter);
             }
         }
         if (texts.size() % 2 == 0 || texts.size() > ProtocolParameters.MAX_VOTER_COUNT) {
-            faults.add("voters: names " + texts.size() + "; 1, 3 or 5 are needed");
+            errors.add("voters: names " + texts.size() + "; 1, 3 or 5 are needed");
         }
         return voters;
     }
--- a/src/main/java/kitemux/keeper/RecordWriter.java
+++ b/src/main/java/kitemux/keeper/RecordWriter.java
@@ -18,34 +18,34 @@
  */
 final class RecordWriter {
     /** Records that wait to be written; with the largest changes 4 MB. */
-    static final int MOST_QUEUED = 1_024;
+    static final int MAX_QUEUED_RECORD_COUNT = 1_024;
     /** From here on there is no room for another call; one event writes 17 records at most. */
-    static final int MOST_TAKEN = MOST_QUEUED / 4 * 3;
+    static final int CALL_ADMISSION_RECORD_COUNT = MAX_QUEUED_RECORD_COUNT / 4 * 3;
 
     /**
      * A record and what follows once it is safe; or, where {@code anew} is not null, all that the file is to
      * hold.
      */
-    private record Item(LogRecord kept, Runnable then, List<LogRecord> anew) {}
+    private record Task(LogRecord entry, Runnable onDurable, List<LogRecord> replacement) {}
 
     private final KeeperFolder folder;
     private final Executor loop;
-    private final Consumer<Exception> failed;
-    private final MpscArrayQueue<Item> queue = new MpscArrayQueue<>(MOST_QUEUED);
-    private final AtomicInteger queued = new AtomicInteger();
+    private final Consumer<Exception> failureHandler;
+    private final MpscArrayQueue<Task> queue = new MpscArrayQueue<>(MAX_QUEUED_RECORD_COUNT);
+    private final AtomicInteger queuedCount = new AtomicInteger();
     private final Thread thread;
     private volatile boolean closing;
-    private volatile boolean isLong;
+    private volatile boolean isFileOversized;
 
     /**
      * @param loop runs what follows
      * @param failed told where nothing more will be written, on the writer's thread, or on the loop where
      *     there is no room
      */
-    RecordWriter(KeeperFolder folder, Executor loop, Consumer<Exception> failed) {
+    RecordWriter(KeeperFolder folder, Executor loop, Consumer<Exception> failureHandler) {
         this.folder = folder;
         this.loop = loop;
-        this.failed = failed;
+        this.failureHandler = failureHandler;
         thread = new Thread(this::run, "records");
         thread.setDaemon(true);
         thread.start();
@@ -53,46 +53,47 @@
 
     /** Whether a call may be taken that writes. */
     boolean hasRoom() {
-        return queued.get() < MOST_TAKEN;
+        return queuedCount.get() < CALL_ADMISSION_RECORD_COUNT;
     }
 
     /** Whether the file is to be written anew; true once each time. */
-    boolean takeIsLong() {
-        boolean is = isLong;
-        isLong = false;
-        return is;
+    boolean takeRewriteDue() {
+        boolean isDue = isFileOversized;
+        isFileOversized = false;
+        return isDue;
     }
 
     /**
      * Writes a record behind all others; {@code then} runs on the loop once it and all before it are safe.
      */
-    void write(LogRecord kept, Runnable then) {
-        offer(new Item(kept, then, null));
+    void write(LogRecord entry, Runnable onDurable) {
+        offer(new Task(entry, onDurable, null));
     }
 
     /** Puts these in the place of all that was written or waits. */
-    void renew(List<LogRecord> all) {
-        offer(new Item(null, () -> {}, all));
+    void rewrite(List<LogRecord> records) {
+        offer(new Task(null, () -> {}, records));
     }
 
-    private void offer(Item item) {
-        queued.incrementAndGet();
-        if (!queue.offer(item)) {
-            failed.accept(new IllegalStateException("more than " + MOST_QUEUED + " records wait to be written"));
+    private void offer(Task task) {
+        queuedCount.incrementAndGet();
+        if (!queue.offer(task)) {
+            failureHandler.accept(
+                    new IllegalStateException("more than " + MAX_QUEUED_RECORD_COUNT + " records wait to be written"));
         }
         LockSupport.unpark(thread);
     }
 
     private void run() {
-        List<Item> batch = new ArrayList<>();
+        List<Task> batch = new ArrayList<>();
         try {
             while (true) {
-                boolean last = closing;
+                boolean isLast = closing;
                 queue.drain(batch::add);
                 if (!batch.isEmpty()) {
                     write(batch);
                     batch.clear();
-                } else if (last) {
+                } else if (isLast) {
                     folder.close();
                     return;
                 } else {
@@ -100,27 +101,27 @@
                 }
             }
         } catch (IOException | RuntimeException e) {
-            failed.accept(e);
+            failureHandler.accept(e);
         }
     }
 
-    private void write(List<Item> batch) throws IOException {
+    private void write(List<Task> batch) throws IOException {
         List<LogRecord> records = new ArrayList<>();
-        for (Item item : batch) {
-            if (item.anew == null) {
-                records.add(item.kept);
+        for (Task task : batch) {
+            if (task.replacement == null) {
+                records.add(task.entry);
             } else {
-                folder.write(records);
+                folder.append(records);
                 records.clear();
-                folder.renew(item.anew);
+                folder.rewrite(task.replacement);
             }
         }
-        folder.write(records);
+        folder.append(records);
         folder.sync();
-        isLong = folder.isLong();
-        queued.addAndGet(-batch.size());
-        List<Runnable> then = batch.stream().map(Item::then).toList();
-        loop.execute(() -> then.forEach(Runnable::run));
+        isFileOversized = folder.isOversized();
+        queuedCount.addAndGet(-batch.size());
+        List<Runnable> onDurable = batch.stream().map(Task::onDurable).toList();
+        loop.execute(() -> onDurable.forEach(Runnable::run));
     }
 
     /** Writes what has come and ends; waits for that. To be called from any thread but the loop's. */
--- a/src/main/java/kitemux/keeper/RolloutWatch.java
+++ b/src/main/java/kitemux/keeper/RolloutWatch.java
@@ -47,27 +47,27 @@
  */
 public final class RolloutWatch {
     /** Reports on their way at once; a keeper that takes none must not take descriptors. Beyond: not sent. */
-    static final int MOST_REPORTS = 4;
+    static final int MAX_CONCURRENT_REPORT_COUNT = 4;
     /** For a report, from the dial to its answer. */
-    private static final long REPORT_MS = 2_000;
+    private static final long REPORT_TIMEOUT_MS = 2_000;
 
     private final EventLoop loop;
-    private final Clock time;
-    private final List<InetSocketAddress> keepers;
+    private final Clock clock;
+    private final List<InetSocketAddress> keeperAddresses;
     private final Subscriber subscriber;
-    private final String who;
-    private final ConfigurationApplier inForce;
+    private final String identityQuery;
+    private final ConfigurationApplier applier;
     private final Log log;
     private final SocketBudget sockets;
-    private final Bootstrap dialer;
+    private final Bootstrap bootstrap;
     /** Dials and watches that the machine knows, by its numbers. */
-    private final Map<Long, Watch> watches = new HashMap<>();
+    private final Map<Long, WatchConnection> watches = new HashMap<>();
 
-    private final Set<Channel> reports = new HashSet<>();
+    private final Set<Channel> reportChannels = new HashSet<>();
     private long droppedReports;
     private Clock.Timer timer;
     private boolean closed;
-    private Subscriber.State stood;
+    private Subscriber.State loggedState;
 
     /** Has values in force. */
     public interface ConfigurationApplier {
@@ -81,33 +81,33 @@
      * @param keepers addresses by number, as many as the machine was told
      * @param node its number, as the machine was told
      * @param life as the machine was told
-     * @param sockets counts those that are open: two watches and {@link #MOST_REPORTS} at most
+     * @param sockets counts those that are open: two watches and {@link #MAX_CONCURRENT_REPORT_COUNT} at most
      */
     public RolloutWatch(
             EventLoop loop,
             Network network,
-            Clock time,
-            List<InetSocketAddress> keepers,
-            Subscriber machine,
+            Clock clock,
+            List<InetSocketAddress> keeperAddresses,
+            Subscriber subscriber,
             int node,
-            long life,
+            long incarnation,
             SocketBudget sockets,
-            ConfigurationApplier inForce,
+            ConfigurationApplier applier,
             Log log) {
         this.loop = loop;
         this.sockets = sockets;
-        this.time = time;
-        this.keepers = List.copyOf(keepers);
-        this.subscriber = machine;
-        who = "&node=" + node + "&life=" + life;
-        this.inForce = inForce;
+        this.clock = clock;
+        this.keeperAddresses = List.copyOf(keeperAddresses);
+        this.subscriber = subscriber;
+        identityQuery = "&node=" + node + "&life=" + incarnation;
+        this.applier = applier;
         this.log = log;
-        dialer = new Bootstrap()
+        bootstrap = new Bootstrap()
                 .group(loop)
                 .channelFactory(network::newOutboundChannel)
                 .disableResolver()
                 .option(ChannelOption.ALLOCATOR, network.allocator())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) REPORT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) REPORT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -138,39 +138,39 @@
             timer.cancel();
         }
         List.copyOf(watches.values()).forEach(watch -> watch.channel.close());
-        Set.copyOf(reports).forEach(Channel::close);
+        Set.copyOf(reportChannels).forEach(Channel::close);
     }
 
     private void tick() {
         timer = null;
-        carry(subscriber.tick(time.nowUs()));
+        execute(subscriber.tick(clock.nowUs()));
     }
 
-    private void carry(List<Effect> effects) {
+    private void execute(List<Effect> effects) {
         if (closed) {
             return;
         }
         for (Effect effect : effects) {
-            if (effect instanceof Effect.OpenWatch dial) {
-                dial(dial);
-            } else if (effect instanceof Effect.CloseWatch hangUp) {
-                Watch watch = watches.remove(hangUp.watch());
+            if (effect instanceof Effect.OpenWatch open) {
+                openWatch(open);
+            } else if (effect instanceof Effect.CloseWatch close) {
+                WatchConnection watch = watches.remove(close.watch());
                 if (watch != null) {
                     watch.channel.close();
                 }
-            } else if (effect instanceof Effect.Apply put) {
+            } else if (effect instanceof Effect.Apply apply) {
                 // An event of its own: whoever is in the middle of one sees the old values to its end.
-                loop.execute(() -> put(put));
+                loop.execute(() -> applyConfiguration(apply));
             } else if (effect instanceof Effect.SendReport send) {
-                report(send.keeper(), send.report());
+                sendReport(send.keeper(), send.report());
             } else {
                 throw new IllegalStateException("no effect of a node: " + effect);
             }
         }
-        if (subscriber.state() != stood) {
-            stood = subscriber.state();
+        if (subscriber.state() != loggedState) {
+            loggedState = subscriber.state();
             log.info("rollout: "
-                    + switch (stood) {
+                    + switch (loggedState) {
                         case CONNECTING -> "no keeper is watched; version " + subscriber.rev() + " stays in force";
                         case CATCHING_UP -> "catching up from version " + subscriber.rev();
                         case CURRENT -> "told all that its keeper knows";
@@ -181,34 +181,34 @@
         if (timer != null) {
             timer.cancel();
         }
-        timer = time.schedule(Math.max(0, subscriber.nextAtUs() - time.nowUs()), this::tick);
+        timer = clock.schedule(Math.max(0, subscriber.nextAtUs() - clock.nowUs()), this::tick);
     }
 
-    private void put(Effect.Apply put) {
+    private void applyConfiguration(Effect.Apply apply) {
         if (!closed) {
-            inForce.apply(put.rev(), put.values());
-            carry(subscriber.applied(time.nowUs(), put.rev(), put.values()));
+            applier.apply(apply.rev(), apply.values());
+            execute(subscriber.applied(clock.nowUs(), apply.rev(), apply.values()));
         }
     }
 
-    private void dial(Effect.OpenWatch dial) {
-        Watch watch = new Watch(dial.watch());
-        watches.put(dial.watch(), watch);
-        ChannelFuture opening = dialer.connect(keepers.get(dial.keeper()));
-        watch.channel = counted(opening.channel());
-        opening.addListener(done -> {
+    private void openWatch(Effect.OpenWatch open) {
+        WatchConnection watch = new WatchConnection(open.watch());
+        watches.put(open.watch(), watch);
+        ChannelFuture connecting = bootstrap.connect(keeperAddresses.get(open.keeper()));
+        watch.channel = trackSocket(connecting.channel());
+        connecting.addListener(done -> {
             if (!done.isSuccess()) {
                 // Never from inside an event, also where it fails at once.
-                loop.execute(watch::ended);
+                loop.execute(watch::end);
                 return;
             }
             watch.channel.pipeline().addLast(watch);
             watch.channel.writeAndFlush(
-                    request(HttpMethod.GET, "/rollout/watch?after=" + dial.afterRev() + who, new byte[0]));
+                    request(HttpMethod.GET, "/rollout/watch?after=" + open.afterRev() + identityQuery, new byte[0]));
         });
     }
 
-    private Channel counted(Channel channel) {
+    private Channel trackSocket(Channel channel) {
         sockets.serverConnectionOpened();
         channel.closeFuture().addListener(done -> sockets.serverConnectionClosed());
         return channel;
@@ -227,19 +227,19 @@
     }
 
     /** It does not matter if it is lost: the next one tells all. */
-    private void report(int keeper, Report report) {
-        if (reports.size() >= MOST_REPORTS) {
+    private void sendReport(int keeper, Report report) {
+        if (reportChannels.size() >= MAX_CONCURRENT_REPORT_COUNT) {
             droppedReports++;
             return;
         }
-        ChannelFuture opening = dialer.connect(keepers.get(keeper));
-        Channel channel = counted(opening.channel());
-        reports.add(channel);
-        channel.closeFuture().addListener(done -> reports.remove(channel));
-        loop.schedule(() -> channel.close(), REPORT_MS, TimeUnit.MILLISECONDS);
-        opening.addListener(done -> {
+        ChannelFuture connecting = bootstrap.connect(keeperAddresses.get(keeper));
+        Channel channel = trackSocket(connecting.channel());
+        reportChannels.add(channel);
+        channel.closeFuture().addListener(done -> reportChannels.remove(channel));
+        loop.schedule(() -> channel.close(), REPORT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        connecting.addListener(done -> {
             if (done.isSuccess()) {
-                channel.pipeline().addLast(new Told());
+                channel.pipeline().addLast(new ReportResponseHandler());
                 channel.writeAndFlush(request(HttpMethod.POST, "/rollout/report", RolloutText.write(report)));
             } else {
                 channel.close();
@@ -248,7 +248,7 @@
     }
 
     /** A report's answer, of which nothing is read but that it is there. */
-    private static final class Told extends SimpleChannelInboundHandler<HttpObject> {
+    private static final class ReportResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
             if (part instanceof LastHttpContent) {
@@ -262,77 +262,78 @@
         }
     }
 
-    private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
-        private final long number;
-        private final JsonFrameReader lines = new JsonFrameReader();
+    private final class WatchConnection extends SimpleChannelInboundHandler<HttpObject> {
+        private final long watchId;
+        private final JsonFrameReader frames = new JsonFrameReader();
         private Channel channel;
 
-        Watch(long number) {
-            this.number = number;
+        WatchConnection(long watchId) {
+            this.watchId = watchId;
         }
 
-        private boolean isWanted() {
-            return !closed && watches.get(number) == this;
+        private boolean isActive() {
+            return !closed && watches.get(watchId) == this;
         }
 
-        private void ended() {
-            if (isWanted()) {
-                watches.remove(number);
+        private void end() {
+            if (isActive()) {
+                watches.remove(watchId);
                 channel.close();
-                carry(subscriber.watchEnded(time.nowUs(), number));
+                execute(subscriber.watchEnded(clock.nowUs(), watchId));
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (!isWanted()) {
+            if (!isActive()) {
                 return;
             }
             if (part.decoderResult().isFailure()) {
-                ended();
+                end();
             } else if (part instanceof HttpResponse response
                     && response.status().code() != 200) {
-                ended();
+                end();
             } else if (part instanceof HttpResponse) {
-                carry(subscriber.watchOpened(time.nowUs(), number));
+                execute(subscriber.watchOpened(clock.nowUs(), watchId));
             } else if (part instanceof HttpContent content) {
                 read(content.content());
                 if (part instanceof LastHttpContent) {
-                    ended();
+                    end();
                 }
             }
         }
 
         private void read(ByteBuf bytes) {
-            while (isWanted()) {
-                switch (lines.nextFrame(bytes)) {
+            while (isActive()) {
+                switch (frames.nextFrame(bytes)) {
                     case INCOMPLETE -> {
                         return;
                     }
-                    case HEARTBEAT -> carry(subscriber.handleEvent(time.nowUs(), number, new WatchEvent.Heartbeat()));
-                    case OBJECT -> line(lines.takeObject());
-                    case MALFORMED -> bad(lines.malformedText());
+                    case HEARTBEAT ->
+                        execute(subscriber.handleEvent(clock.nowUs(), watchId, new WatchEvent.Heartbeat()));
+                    case OBJECT -> handleFrame(frames.takeObject());
+                    case MALFORMED -> handleMalformedFrame(frames.malformedText());
                 }
             }
         }
 
-        private void line(byte[] text) {
-            RolloutText.ParseResult<WatchEvent> read = RolloutText.readWatchEvent(text);
-            if (read.errors().isEmpty()) {
-                carry(subscriber.handleEvent(time.nowUs(), number, read.value()));
+        private void handleFrame(byte[] text) {
+            RolloutText.ParseResult<WatchEvent> parsed = RolloutText.readWatchEvent(text);
+            if (parsed.errors().isEmpty()) {
+                execute(subscriber.handleEvent(clock.nowUs(), watchId, parsed.value()));
             } else {
-                bad(read.errors().get(0).toString());
+                handleMalformedFrame(parsed.errors().get(0).toString());
             }
         }
 
-        private void bad(String what) {
-            log.info("rollout: bad line: " + what);
-            carry(subscriber.handleMalformedEvent(time.nowUs(), number));
+        private void handleMalformedFrame(String detail) {
+            log.info("rollout: bad line: " + detail);
+            execute(subscriber.handleMalformedEvent(clock.nowUs(), watchId));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            ended();
+            end();
         }
 
         @Override
@@ -340,7 +341,7 @@
             if (!(cause instanceof IOException)) {
                 log.error("watch on a keeper", cause);
             }
-            ended();
+            end();
         }
     }
 }
--- a/src/main/java/kitemux/members/Belief.java
+++ b/src/main/java/kitemux/members/KnownMembers.java
@@ -18,18 +18,18 @@
  * servers
  * that is missing within a time is doubted, and counts once it has been missing for that time.
  */
-final class Belief {
-    private final double mostLost;
-    private final long sureUs;
+final class KnownMembers {
+    private final double maxLostRatio;
+    private final long lossConfirmationUs;
     private final Map<String, Member> members = new LinkedHashMap<>();
     /** Missing from what was told last, and since when; they are members still. */
-    private final Map<String, Long> doubted = new LinkedHashMap<>();
+    private final Map<String, Long> missingSinceUs = new LinkedHashMap<>();
     /** When servers were let go lately, by one list or by several. */
-    private final Deque<Long> lostAtUs = new ArrayDeque<>();
+    private final Deque<Long> recentLossTimesUs = new ArrayDeque<>();
 
-    Belief(double mostLost, long sureUs) {
-        this.mostLost = mostLost;
-        this.sureUs = sureUs;
+    KnownMembers(double maxLostRatio, long lossConfirmationUs) {
+        this.maxLostRatio = maxLostRatio;
+        this.lossConfirmationUs = lossConfirmationUs;
     }
 
     /** All that there are, in the order in which they came. */
@@ -38,9 +38,9 @@
     }
 
     /** Whoever says so knows: nothing is doubted, as where an owner describes the servers by hand. */
-    void set(List<Member> all) {
+    void replaceAll(List<Member> all) {
         members.clear();
-        doubted.clear();
+        missingSinceUs.clear();
         all.forEach(member -> members.put(member.name(), member));
     }
 
@@ -49,75 +49,77 @@
      *
      * @param say gets a line where something is doubted
      */
-    void told(long nowUs, List<Member> all, List<String> say) {
-        Set<String> named = new HashSet<>();
-        for (Member member : all) {
-            named.add(member.name());
+    void update(long nowUs, List<Member> listed, List<String> messages) {
+        Set<String> listedNames = new HashSet<>();
+        for (Member member : listed) {
+            listedNames.add(member.name());
             members.put(member.name(), member);
         }
-        doubted.keySet().removeIf(named::contains);
+        missingSinceUs.keySet().removeIf(listedNames::contains);
         List<String> missing = new ArrayList<>();
         members.values().stream()
-                .filter(member -> !named.contains(member.name()) && !doubted.containsKey(member.name()))
+                .filter(member -> !listedNames.contains(member.name()) && !missingSinceUs.containsKey(member.name()))
                 .forEach(member -> missing.add(member.name()));
         if (missing.isEmpty()) {
             return;
         }
-        lostAtUs.removeIf(at -> at <= nowUs - sureUs);
+        recentLossTimesUs.removeIf(lostUs -> lostUs <= nowUs - lossConfirmationUs);
         // Those that drain were to go: that they have is no surprise.
-        long surprising =
+        long unexpectedCount =
                 missing.stream().filter(name -> !members.get(name).draining()).count();
-        long ready =
+        long readyCount =
                 members.values().stream().filter(member -> !member.draining()).count();
-        if (surprising + lostAtUs.size() + doubted.size() > mostLost * (ready + lostAtUs.size())) {
+        if (unexpectedCount + recentLossTimesUs.size() + missingSinceUs.size()
+                > maxLostRatio * (readyCount + recentLossTimesUs.size())) {
             for (String name : missing) {
                 if (members.get(name).draining()) {
                     members.remove(name);
                 } else {
-                    doubted.put(name, nowUs);
+                    missingSinceUs.put(name, nowUs);
                 }
             }
-            say.add("the list of servers lacks " + surprising + " of " + ready
+            messages.add("the list of servers lacks " + unexpectedCount + " of " + readyCount
                     + " that it named, which is doubted: they "
-                    + "stay for " + sureUs / 1_000_000 + " s unless it names them again");
+                    + "stay for " + lossConfirmationUs / 1_000_000 + " s unless it names them again");
             return;
         }
         missing.forEach(members::remove);
-        for (long i = 0; i < surprising; i++) {
-            lostAtUs.add(nowUs);
+        for (long i = 0; i < unexpectedCount; i++) {
+            recentLossTimesUs.add(nowUs);
         }
     }
 
     /** Lets go what has been missing for long enough; whether there was any. */
-    boolean settle(long nowUs, List<String> say) {
-        List<String> gone = new ArrayList<>();
-        doubted.forEach((name, sinceUs) -> {
-            if (nowUs - sinceUs >= sureUs) {
-                gone.add(name);
+    boolean confirmLosses(long nowUs, List<String> messages) {
+        List<String> confirmedNames = new ArrayList<>();
+        missingSinceUs.forEach((name, sinceUs) -> {
+            if (nowUs - sinceUs >= lossConfirmationUs) {
+                confirmedNames.add(name);
             }
         });
-        gone.forEach(name -> {
-            doubted.remove(name);
+        confirmedNames.forEach(name -> {
+            missingSinceUs.remove(name);
             members.remove(name);
         });
-        if (!gone.isEmpty()) {
-            say.add(gone.size() + " servers that the list has lacked for " + sureUs / 1_000_000
-                    + " s are gone: "
-                    + shown(gone));
+        if (!confirmedNames.isEmpty()) {
+            messages.add(
+                    confirmedNames.size() + " servers that the list has lacked for " + lossConfirmationUs / 1_000_000
+                            + " s are gone: "
+                            + abbreviate(confirmedNames));
         }
-        return !gone.isEmpty();
+        return !confirmedNames.isEmpty();
     }
 
-    /** When {@link #settle} has something to do next; the clock's end if it has not. */
-    long nextUs() {
-        return doubted.values().stream()
-                .mapToLong(sinceUs -> sinceUs + sureUs)
+    /** When {@link #confirmLosses} has something to do next; the clock's end if it has not. */
+    long nextConfirmationUs() {
+        return missingSinceUs.values().stream()
+                .mapToLong(sinceUs -> sinceUs + lossConfirmationUs)
                 .min()
                 .orElse(Long.MAX_VALUE);
     }
 
     /** Names for a line, a few of many. */
-    static String shown(List<String> names) {
+    static String abbreviate(List<String> names) {
         return names.size() <= 5
                 ? String.join(", ", names)
                 : String.join(", ", names.subList(0, 5)) + " and " + (names.size() - 5) + " more";
--- a/src/main/java/kitemux/members/MemberListParser.java
+++ b/src/main/java/kitemux/members/MemberListParser.java
@@ -15,10 +15,10 @@
  * whole or not at all: half a list would look like servers that have gone.
  */
 public final class MemberListParser {
-    private static final int MOST_SERVERS = 20_000;
-    private static final int MOST_RACK = 1_000_000;
+    private static final int MAX_SERVER_COUNT = 20_000;
+    private static final int MAX_RACK_NUMBER = 1_000_000;
     /** Told of one list; the rest is counted. */
-    private static final int MOST_FAULTS = 20;
+    private static final int MAX_REPORTED_ERROR_COUNT = 20;
 
     private MemberListParser() {}
 
@@ -27,57 +27,62 @@
      * @param faults one line is added for each, with the field and the reason; the list counts only if there
      * are none
      */
-    public static List<Member> parse(byte[] text, Predicate<String> allowed, List<String> faults) {
-        Json all;
+    public static List<Member> parse(byte[] text, Predicate<String> isAddressAllowed, List<String> errors) {
+        Json root;
         try {
-            all = Json.read(text);
+            root = Json.read(text);
         } catch (IOException e) {
-            faults.add("is not JSON: " + e.getMessage());
+            errors.add("is not JSON: " + e.getMessage());
             return List.of();
         }
-        Json servers = all.path("servers");
+        Json servers = root.path("servers");
         if (!servers.isList()) {
-            faults.add("servers: is missing or not a list");
+            errors.add("servers: is missing or not a list");
             return List.of();
         }
-        if (servers.values().size() > MOST_SERVERS) {
-            faults.add("servers: has " + servers.values().size() + "; at most " + MOST_SERVERS + " are taken");
+        if (servers.values().size() > MAX_SERVER_COUNT) {
+            errors.add("servers: has " + servers.values().size() + "; at most " + MAX_SERVER_COUNT + " are taken");
             return List.of();
         }
-        List<Member> read = new ArrayList<>();
-        List<String> found = new ArrayList<>();
+        List<Member> members = new ArrayList<>();
+        List<String> allErrors = new ArrayList<>();
         Set<String> names = new HashSet<>();
         Set<String> addresses = new HashSet<>();
-        for (Json one : servers) {
-            String at = "servers[" + read.size() + "].";
+        for (Json server : servers) {
+            String fieldPrefix = "servers[" + members.size() + "].";
             Member member = new Member(
-                    one.path("name").text(),
-                    one.path("address").text(),
-                    (int) Math.max(-1, Math.min(MOST_RACK, one.path("rack").whole(0))),
-                    one.path("state").text().equals("draining"));
-            read.add(member);
+                    server.path("name").text(),
+                    server.path("address").text(),
+                    (int) Math.max(
+                            -1, Math.min(MAX_RACK_NUMBER, server.path("rack").whole(0))),
+                    server.path("state").text().equals("draining"));
+            members.add(member);
             if (member.name().isEmpty()) {
-                found.add(at + "name: is missing");
+                allErrors.add(fieldPrefix + "name: is missing");
             } else if (!names.add(member.name())) {
-                found.add(at + "name: \"" + member.name() + "\" is there twice");
+                allErrors.add(fieldPrefix + "name: \"" + member.name() + "\" is there twice");
             }
-            if (!allowed.test(member.address())) {
-                found.add(at + "address: \"" + member.address() + "\" is no IPv4 address and port, or not allowed");
+            if (!isAddressAllowed.test(member.address())) {
+                allErrors.add(fieldPrefix + "address: \"" + member.address()
+                        + "\" is no IPv4 address and port, or not allowed");
             } else if (!addresses.add(member.address())) {
-                found.add(at + "address: \"" + member.address() + "\" is there twice");
+                allErrors.add(fieldPrefix + "address: \"" + member.address() + "\" is there twice");
             }
             if (member.rack() < 0) {
-                found.add(at + "rack: is under 0");
+                allErrors.add(fieldPrefix + "rack: is under 0");
             }
-            if (!List.of("", "ready", "draining").contains(one.path("state").text())) {
-                found.add(at + "state: is neither ready nor draining: \""
-                        + one.path("state").text() + "\"");
+            if (!List.of("", "ready", "draining").contains(server.path("state").text())) {
+                allErrors.add(fieldPrefix + "state: is neither ready nor draining: \""
+                        + server.path("state").text() + "\"");
             }
         }
-        faults.addAll(found.size() <= MOST_FAULTS ? found : found.subList(0, MOST_FAULTS));
-        if (found.size() > MOST_FAULTS) {
-            faults.add("and " + (found.size() - MOST_FAULTS) + " more");
+        errors.addAll(
+                allErrors.size() <= MAX_REPORTED_ERROR_COUNT
+                        ? allErrors
+                        : allErrors.subList(0, MAX_REPORTED_ERROR_COUNT));
+        if (allErrors.size() > MAX_REPORTED_ERROR_COUNT) {
+            errors.add("and " + (allErrors.size() - MAX_REPORTED_ERROR_COUNT) + " more");
         }
-        return found.isEmpty() ? read : List.of();
+        return allErrors.isEmpty() ? members : List.of();
     }
 }
--- a/src/main/java/kitemux/members/Membership.java
+++ b/src/main/java/kitemux/members/Membership.java
@@ -15,16 +15,16 @@
  */
 public final class Membership {
     private final MemberSettings settings;
-    private final Belief belief;
-    private final Map<String, Health> health = new LinkedHashMap<>();
+    private final KnownMembers knownMembers;
+    private final Map<String, ServerHealth> healthByName = new LinkedHashMap<>();
     /** When those came that were not there from the beginning, or came to another address. */
-    private final Map<String, Joined> joined = new LinkedHashMap<>();
+    private final Map<String, Join> joinsByName = new LinkedHashMap<>();
 
-    private List<MemberStatus> holds = List.of();
-    private boolean begun;
-    private boolean open;
+    private List<MemberStatus> currentServers = List.of();
+    private boolean initialized;
+    private boolean ejectionCapped;
 
-    private record Joined(String address, long atUs) {}
+    private record Join(String address, long joinedUs) {}
 
     /**
      * A server as the node is to be told of it.
@@ -45,87 +45,91 @@
     /** Knows nobody yet. */
     public Membership(MemberSettings settings) {
         this.settings = settings;
-        belief = new Belief(settings.maxLostRatio(), settings.lossConfirmationUs());
+        knownMembers = new KnownMembers(settings.maxLostRatio(), settings.lossConfirmationUs());
     }
 
     /** Begins with what an earlier process of the same application knew, before anything else is told. */
-    public Decision restore(long nowUs, MembershipSnapshot saved) {
-        belief.set(saved.members().stream()
+    public Decision restore(long nowUs, MembershipSnapshot snapshot) {
+        knownMembers.replaceAll(snapshot.members().stream()
                 .map(MembershipSnapshot.MemberRecord::member)
                 .toList());
-        saved.members()
-                .forEach(one -> joined.put(
-                        one.member().name(), new Joined(one.member().address(), Math.min(nowUs, one.startedUs()))));
+        snapshot.members()
+                .forEach(entry -> joinsByName.put(
+                        entry.member().name(), new Join(entry.member().address(), Math.min(nowUs, entry.startedUs()))));
         if (settings.healthCheck() != null) {
-            saved.members()
-                    .forEach(one -> health.put(
-                            one.member().name(),
-                            new Health(
+            snapshot.members()
+                    .forEach(entry -> healthByName.put(
+                            entry.member().name(),
+                            new ServerHealth(
                                     settings.healthCheck(),
-                                    one.down(),
-                                    one.ejectionCount(),
-                                    Math.min(nowUs, one.changedUs()),
-                                    Math.min(nowUs, one.startedUs()))));
+                                    entry.down(),
+                                    entry.ejectionCount(),
+                                    Math.min(nowUs, entry.changedUs()),
+                                    Math.min(nowUs, entry.startedUs()))));
         }
-        begun = !saved.members().isEmpty();
+        initialized = !snapshot.members().isEmpty();
         return decide(nowUs, new ArrayList<>());
     }
 
     /** The owner's own word: nothing of it is doubted. */
-    public Decision replaceAll(long nowUs, List<Member> all) {
-        belief.set(all);
+    public Decision replaceAll(long nowUs, List<Member> members) {
+        knownMembers.replaceAll(members);
         return decide(nowUs, new ArrayList<>());
     }
 
     /** A list or a watched file has told all servers. */
-    public Decision updateFromSource(long nowUs, List<Member> all) {
-        List<String> say = new ArrayList<>();
-        if (begun) {
-            belief.told(nowUs, all, say);
+    public Decision updateFromSource(long nowUs, List<Member> listed) {
+        List<String> messages = new ArrayList<>();
+        if (initialized) {
+            knownMembers.update(nowUs, listed, messages);
         } else {
-            belief.set(all);
+            knownMembers.replaceAll(listed);
         }
-        return decide(nowUs, say);
+        return decide(nowUs, messages);
     }
 
     /** A check of a server is over; one that is no member any more is passed over. */
     public Decision recordCheck(long nowUs, String name, boolean passed) {
-        Health of = health.get(name);
-        List<String> say = new ArrayList<>();
-        if (of != null && of.checked(nowUs, passed)) {
-            say.add("server " + name
-                    + (of.isOut() ? " fails its checks: it gets nothing new" : " passes its checks: it gets its part"));
+        ServerHealth serverHealth = healthByName.get(name);
+        List<String> messages = new ArrayList<>();
+        if (serverHealth != null && serverHealth.recordCheck(nowUs, passed)) {
+            messages.add("server " + name
+                    + (serverHealth.isExcluded()
+                            ? " fails its checks: it gets nothing new"
+                            : " passes its checks: it gets its part"));
         }
-        return decide(nowUs, say);
+        return decide(nowUs, messages);
     }
 
     /** Time has passed. */
     public Decision tick(long nowUs) {
-        List<String> say = new ArrayList<>();
-        belief.settle(nowUs, say);
-        return decide(nowUs, say);
+        List<String> messages = new ArrayList<>();
+        knownMembers.confirmLosses(nowUs, messages);
+        return decide(nowUs, messages);
     }
 
     /** All servers, as they were told last. */
     public List<MemberStatus> servers() {
-        return holds;
+        return currentServers;
     }
 
     /** Whether no server is known. */
     public boolean isEmpty() {
-        return holds.isEmpty();
+        return currentServers.isEmpty();
     }
 
     /** When {@link #tick} has something to do next, for whoever waits; the clock's end if it has not. */
     public long nextTickUs() {
-        return belief.nextUs();
+        return knownMembers.nextConfirmationUs();
     }
 
     /** Servers that are to be checked: all that have not been told to drain. */
     public List<Member> serversToCheck() {
         return settings.healthCheck() == null
                 ? List.of()
-                : belief.members().stream().filter(member -> !member.draining()).toList();
+                : knownMembers.members().stream()
+                        .filter(member -> !member.draining())
+                        .toList();
     }
 
     /** What the next process of this application may begin with. */
@@ -133,55 +137,60 @@
         return new MembershipSnapshot(
                 app,
                 nowUs,
-                belief.members().stream()
+                knownMembers.members().stream()
                         .map(member -> {
-                            Health of = health.get(member.name());
-                            return of == null
+                            ServerHealth serverHealth = healthByName.get(member.name());
+                            return serverHealth == null
                                     ? new MembershipSnapshot.MemberRecord(member, false, 0, 0, startedUs(member))
                                     : new MembershipSnapshot.MemberRecord(
-                                            member, of.isDown(), of.downs(), of.changedUs(), startedUs(member));
+                                            member,
+                                            serverHealth.isEjected(),
+                                            serverHealth.ejectionCount(),
+                                            serverHealth.changedUs(),
+                                            startedUs(member));
                         })
                         .toList());
     }
 
     // ---------------------------------------------------------------- what follows
 
-    private Decision decide(long nowUs, List<String> say) {
-        List<Member> members = belief.members();
+    private Decision decide(long nowUs, List<String> messages) {
+        List<Member> members = knownMembers.members();
         List<String> names = members.stream().map(Member::name).toList();
-        joined.keySet().retainAll(names);
-        health.keySet().retainAll(names);
+        joinsByName.keySet().retainAll(names);
+        healthByName.keySet().retainAll(names);
         for (Member member : members) {
-            Joined known = joined.get(member.name());
-            boolean isNew = known == null || !known.address.equals(member.address());
+            Join join = joinsByName.get(member.name());
+            boolean isNew = join == null || !join.address.equals(member.address());
             if (isNew) {
                 // Who is there as the process begins has most likely been there for long.
-                joined.put(member.name(), new Joined(member.address(), begun ? nowUs : 0));
+                joinsByName.put(member.name(), new Join(member.address(), initialized ? nowUs : 0));
             }
-            if (settings.healthCheck() != null && (isNew || !health.containsKey(member.name()))) {
-                health.put(member.name(), new Health(settings.healthCheck(), isNew && begun, nowUs));
+            if (settings.healthCheck() != null && (isNew || !healthByName.containsKey(member.name()))) {
+                healthByName.put(member.name(), new ServerHealth(settings.healthCheck(), isNew && initialized, nowUs));
             }
         }
-        begun |= !members.isEmpty();
-        List<String> out = out(members, say);
-        List<MemberStatus> serving = new ArrayList<>();
+        initialized |= !members.isEmpty();
+        List<String> ejected = ejectedNames(members, messages);
+        List<MemberStatus> servers = new ArrayList<>();
         for (Member member : members) {
-            serving.add(new MemberStatus(member, member.draining() || out.contains(member.name()), startedUs(member)));
+            servers.add(
+                    new MemberStatus(member, member.draining() || ejected.contains(member.name()), startedUs(member)));
         }
-        if (serving.equals(holds)) {
-            return new Decision(null, say);
+        if (servers.equals(currentServers)) {
+            return new Decision(null, messages);
         }
-        holds = List.copyOf(serving);
-        return new Decision(holds, say);
+        currentServers = List.copyOf(servers);
+        return new Decision(currentServers, messages);
     }
 
     private long startedUs(Member member) {
-        Health of = health.get(member.name());
-        return Math.max(joined.get(member.name()).atUs, of == null ? 0 : of.startedUs());
+        ServerHealth serverHealth = healthByName.get(member.name());
+        return Math.max(joinsByName.get(member.name()).joinedUs, serverHealth == null ? 0 : serverHealth.startedUs());
     }
 
     /** Who is out by its checks: of too many, those that have been out for longest. */
-    private List<String> out(List<Member> members, List<String> say) {
+    private List<String> ejectedNames(List<Member> members, List<String> messages) {
         if (settings.healthCheck() == null) {
             return List.of();
         }
@@ -190,23 +199,23 @@
                 .map(Member::name)
                 .toList();
         List<String> failing = ready.stream()
-                .filter(name -> health.get(name).isOut())
+                .filter(name -> healthByName.get(name).isExcluded())
                 .sorted(Comparator.comparingLong(
-                        (String name) -> health.get(name).changedUs()))
+                        (String name) -> healthByName.get(name).changedUs()))
                 .toList();
-        int most = (int) Math.floor(settings.healthCheck().maxEjectedRatio() * ready.size());
-        boolean tooMany = failing.size() > most;
-        if (tooMany != open) {
-            open = tooMany;
-            say.add(
+        int maxEjectedCount = (int) Math.floor(settings.healthCheck().maxEjectedRatio() * ready.size());
+        boolean tooMany = failing.size() > maxEjectedCount;
+        if (tooMany != ejectionCapped) {
+            ejectionCapped = tooMany;
+            messages.add(
                     tooMany
                             ? failing.size() + " of " + ready.size()
-                                    + " servers fail their checks: no more than " + most
+                                    + " servers fail their checks: no more than " + maxEjectedCount
                                     + " are taken out, as the checks may be wrong"
                             : "checks are believed again: "
                                     + failing.size()
                                     + " of " + ready.size() + " servers fail theirs");
         }
-        return tooMany ? failing.subList(0, most) : failing;
+        return tooMany ? failing.subList(0, maxEjectedCount) : failing;
     }
 }
--- a/src/main/java/kitemux/members/MembershipSnapshot.java
+++ b/src/main/java/kitemux/members/MembershipSnapshot.java
@@ -21,20 +21,20 @@
  * @param savedUs Unix time in microseconds, as all times in it
  */
 public record MembershipSnapshot(String app, long savedUs, List<MemberRecord> members) {
-    private static final String FORM = "kitemux members";
-    private static final int VERSION = 1;
-    private static final int MOST_BYTES = 8 << 20;
+    private static final String FORMAT_NAME = "kitemux members";
+    private static final int FORMAT_VERSION = 1;
+    private static final int MAX_SNAPSHOT_BYTES = 8 << 20;
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** A server and what its checks had told; see {@link Health}. */
+    /** A server and what its checks had told; see {@link ServerHealth}. */
     public record MemberRecord(Member member, boolean down, int ejectionCount, long changedUs, long startedUs) {}
 
     /** A text that is not to be used; the message says why. */
     public static final class InvalidSnapshotException extends Exception {
         private static final long serialVersionUID = 1;
 
-        InvalidSnapshotException(String why) {
-            super(why);
+        InvalidSnapshotException(String reason) {
+            super(reason);
         }
     }
 
@@ -46,16 +46,16 @@
             json.writeStringField("app", app);
             json.writeNumberField("savedUs", savedUs);
             json.writeArrayFieldStart("members");
-            for (MemberRecord one : members) {
+            for (MemberRecord entry : members) {
                 json.writeStartObject();
-                json.writeStringField("name", one.member.name());
-                json.writeStringField("address", one.member.address());
-                json.writeNumberField("rack", one.member.rack());
-                json.writeBooleanField("draining", one.member.draining());
-                json.writeBooleanField("down", one.down);
-                json.writeNumberField("downs", one.ejectionCount);
-                json.writeNumberField("changedUs", one.changedUs);
-                json.writeNumberField("startedUs", one.startedUs);
+                json.writeStringField("name", entry.member.name());
+                json.writeStringField("address", entry.member.address());
+                json.writeNumberField("rack", entry.member.rack());
+                json.writeBooleanField("draining", entry.member.draining());
+                json.writeBooleanField("down", entry.down);
+                json.writeNumberField("downs", entry.ejectionCount);
+                json.writeNumberField("changedUs", entry.changedUs);
+                json.writeNumberField("startedUs", entry.startedUs);
                 json.writeEndObject();
             }
             json.writeEndArray();
@@ -63,7 +63,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return (FORM + " " + VERSION + " " + checksum(body.toString()) + "\n" + body + "\n")
+        return (FORMAT_NAME + " " + FORMAT_VERSION + " " + checksum(body.toString()) + "\n" + body + "\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
@@ -80,41 +80,44 @@
      * @throws InvalidSnapshotException if it is not whole, of another version or of another application
      */
     public static MembershipSnapshot decode(byte[] bytes, String app) throws InvalidSnapshotException {
-        if (bytes.length > MOST_BYTES) {
-            throw new InvalidSnapshotException("has " + bytes.length + " bytes; at most " + MOST_BYTES + " are read");
+        if (bytes.length > MAX_SNAPSHOT_BYTES) {
+            throw new InvalidSnapshotException(
+                    "has " + bytes.length + " bytes; at most " + MAX_SNAPSHOT_BYTES + " are read");
         }
         String text = new String(bytes, StandardCharsets.UTF_8);
-        int end = text.indexOf('\n');
-        String[] head = end < 0 ? new String[0] : text.substring(0, end).split(" ");
-        if (head.length != 4 || !FORM.equals(head[0] + " " + head[1])) {
+        int headerEnd = text.indexOf('\n');
+        String[] header =
+                headerEnd < 0 ? new String[0] : text.substring(0, headerEnd).split(" ");
+        if (header.length != 4 || !FORMAT_NAME.equals(header[0] + " " + header[1])) {
             throw new InvalidSnapshotException("is not what a sidecar leaves");
         }
-        if (!head[2].equals(Integer.toString(VERSION))) {
-            throw new InvalidSnapshotException("is of version " + head[2] + ", and this build reads " + VERSION);
+        if (!header[2].equals(Integer.toString(FORMAT_VERSION))) {
+            throw new InvalidSnapshotException(
+                    "is of version " + header[2] + ", and this build reads " + FORMAT_VERSION);
         }
         if (!text.endsWith("\n")
-                || text.length() < end + 2
-                || !checksum(text.substring(end + 1, text.length() - 1)).equals(head[3])) {
+                || text.length() < headerEnd + 2
+                || !checksum(text.substring(headerEnd + 1, text.length() - 1)).equals(header[3])) {
             throw new InvalidSnapshotException("is damaged or not whole");
         }
         try {
-            Json json = Json.read(text.substring(end + 1).getBytes(StandardCharsets.UTF_8));
+            Json json = Json.read(text.substring(headerEnd + 1).getBytes(StandardCharsets.UTF_8));
             if (!json.path("app").text().equals(app)) {
                 throw new InvalidSnapshotException(
                         "is of application \"" + json.path("app").text() + "\"");
             }
             List<MemberRecord> members = new ArrayList<>();
-            for (Json one : json.path("members")) {
+            for (Json entry : json.path("members")) {
                 members.add(new MemberRecord(
                         new Member(
-                                one.path("name").text(),
-                                one.path("address").text(),
-                                (int) one.path("rack").whole(0),
-                                one.path("draining").flag()),
-                        one.path("down").flag(),
-                        (int) one.path("downs").whole(0),
-                        one.path("changedUs").whole(0),
-                        one.path("startedUs").whole(0)));
+                                entry.path("name").text(),
+                                entry.path("address").text(),
+                                (int) entry.path("rack").whole(0),
+                                entry.path("draining").flag()),
+                        entry.path("down").flag(),
+                        (int) entry.path("downs").whole(0),
+                        entry.path("changedUs").whole(0),
+                        entry.path("startedUs").whole(0)));
             }
             return new MembershipSnapshot(app, json.path("savedUs").whole(0), members);
         } catch (IOException e) {
--- a/src/main/java/kitemux/members/RefreshSchedule.java
+++ b/src/main/java/kitemux/members/RefreshSchedule.java
@@ -9,11 +9,11 @@
  */
 public final class RefreshSchedule {
     /** Pauses after an answer differ by so much either way. */
-    private static final double SPREAD = 0.1;
+    private static final double JITTER_RATIO = 0.1;
 
-    private final long everyUs;
-    private final long mostUs;
-    private final DoubleSupplier chance;
+    private final long intervalUs;
+    private final long maxDelayUs;
+    private final DoubleSupplier random;
     private int consecutiveFailures;
 
     /**
@@ -21,16 +21,16 @@
      * @param mostUs longest pause after failures
      * @param chance even draws in [0, 1)
      */
-    public RefreshSchedule(long everyUs, long mostUs, DoubleSupplier chance) {
-        this.everyUs = everyUs;
-        this.mostUs = mostUs;
-        this.chance = chance;
+    public RefreshSchedule(long intervalUs, long maxDelayUs, DoubleSupplier random) {
+        this.intervalUs = intervalUs;
+        this.maxDelayUs = maxDelayUs;
+        this.random = random;
     }
 
     /** It has answered; the pause until it is asked again. */
     public long recordSuccess() {
         consecutiveFailures = 0;
-        return (long) (everyUs * (1 - SPREAD + 2 * SPREAD * chance.getAsDouble()));
+        return (long) (intervalUs * (1 - JITTER_RATIO + 2 * JITTER_RATIO * random.getAsDouble()));
     }
 
     /**
@@ -38,8 +38,8 @@
      *
      */
     public long recordFailure() {
-        double pause = Math.min(mostUs, everyUs * Math.pow(2, Math.min(30, consecutiveFailures++)));
-        return (long) (pause * (0.5 + 0.5 * chance.getAsDouble()));
+        double delayUs = Math.min(maxDelayUs, intervalUs * Math.pow(2, Math.min(30, consecutiveFailures++)));
+        return (long) (delayUs * (0.5 + 0.5 * random.getAsDouble()));
     }
 
     /** How often in a row it has not answered. */
--- a/src/test/java/kitemux/keeper/Switch.java
+++ b/src/test/java/kitemux/keeper/BreakableProxy.java
@@ -17,24 +17,24 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** A way to somewhere that can be cut: connections stay, come up, and nothing passes any more. */
-final class Switch {
+final class BreakableProxy {
     private final EventLoopGroup loop;
-    private final Channel listening;
-    private final Set<Channel> near = ConcurrentHashMap.newKeySet();
-    private volatile InetSocketAddress to;
+    private final Channel serverChannel;
+    private final Set<Channel> clientChannels = ConcurrentHashMap.newKeySet();
+    private volatile InetSocketAddress connectTo;
     private volatile boolean cut;
 
-    Switch(EventLoopGroup loop) {
+    BreakableProxy(EventLoopGroup loop) {
         this.loop = loop;
-        listening = new ServerBootstrap()
+        serverChannel = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        near.add(channel);
-                        channel.closeFuture().addListener(done -> near.remove(channel));
+                        clientChannels.add(channel);
+                        channel.closeFuture().addListener(done -> clientChannels.remove(channel));
                         dial(channel);
                     }
                 })
@@ -44,12 +44,12 @@
     }
 
     private void dial(Channel channel) {
-        InetSocketAddress target = to;
+        InetSocketAddress target = connectTo;
         if (cut || target == null) {
             return;
         }
         Bootstrap dialer =
-                new Bootstrap().group(loop).channel(NioSocketChannel.class).handler(new To(channel));
+                new Bootstrap().group(loop).channel(NioSocketChannel.class).handler(new Relay(channel));
         dialer.connect(target).addListener(done -> {
             if (!done.isSuccess()) {
                 channel.close();
@@ -58,11 +58,11 @@
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) listening.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
-    void to(InetSocketAddress target) {
-        to = target;
+    void connectTo(InetSocketAddress target) {
+        connectTo = target;
     }
 
     /** From now on nothing passes, and nobody is told. */
@@ -73,20 +73,20 @@
     /** What hung ends, and further connections pass. */
     void join() {
         cut = false;
-        near.forEach(Channel::close);
+        clientChannels.forEach(Channel::close);
     }
 
-    private final class To extends ChannelInboundHandlerAdapter {
+    private final class Relay extends ChannelInboundHandlerAdapter {
         private final Channel other;
 
-        To(Channel other) {
+        Relay(Channel other) {
             this.other = other;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
             if (!other.config().isAutoRead()) {
-                other.pipeline().addLast(new To(context.channel()));
+                other.pipeline().addLast(new Relay(context.channel()));
                 other.config().setAutoRead(true);
             }
         }
--- a/src/test/java/kitemux/keeper/ConfigRulesTest.java
+++ b/src/test/java/kitemux/keeper/ConfigRulesTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 
 class ConfigRulesTest {
-    private static final String GET = "{\"onTimeUs\":100000,\"giveUpUs\":500000,\"repeat\":\"safe\"}";
+    private static final String VALID_CLASS = "{\"onTimeUs\":100000,\"giveUpUs\":500000,\"repeat\":\"safe\"}";
 
     private final ConfigRules rules = new ConfigRules();
 
-    private String faults(String... pathsAndValues) {
+    private String validationErrors(String... pathsAndValues) {
         Map<String, String> all = new TreeMap<>();
         for (int i = 0; i < pathsAndValues.length; i += 2) {
             all.put(pathsAndValues[i], pathsAndValues[i + 1]);
@@ -21,14 +21,14 @@
     }
 
     @Test
-    void whatANodeTakesIsSound() {
+    void validConfigurationHasNoErrors() {
         assertEquals(
                 "[]",
-                faults(
+                validationErrors(
                         "realms/acme",
                         "{\"quotaPerS\":12.5}",
                         "classes/get",
-                        GET,
+                        VALID_CLASS,
                         "limits/attemptsCap",
                         "3",
                         "limits/cancelling",
@@ -42,41 +42,48 @@
     }
 
     @Test
-    void whatItWouldRefuseIsToldWithItsPath() {
-        assertEquals("[realms/a quotaPerS is negative]", faults("realms/a", "{\"quotaPerS\":-1}"));
-        assertEquals("[realms/a quotaPerS is not a number]", faults("realms/a", "{\"quotaPerS\":\"12\"}"));
-        assertEquals("[realms/a quota is not known; known are quotaPerS]", faults("realms/a", "{\"quota\":1}"));
-        assertEquals("[realms/a is no object]", faults("realms/a", "12"));
-        assertEquals("[classes/g giveUpUs is missing]", faults("classes/g", "{\"onTimeUs\":1,\"repeat\":\"safe\"}"));
+    void invalidValuesAreReportedWithTheirPaths() {
+        assertEquals("[realms/a quotaPerS is negative]", validationErrors("realms/a", "{\"quotaPerS\":-1}"));
+        assertEquals("[realms/a quotaPerS is not a number]", validationErrors("realms/a", "{\"quotaPerS\":\"12\"}"));
+        assertEquals(
+                "[realms/a quota is not known; known are quotaPerS]", validationErrors("realms/a", "{\"quota\":1}"));
+        assertEquals("[realms/a is no object]", validationErrors("realms/a", "12"));
+        assertEquals(
+                "[classes/g giveUpUs is missing]",
+                validationErrors("classes/g", "{\"onTimeUs\":1,\"repeat\":\"safe\"}"));
         assertEquals(
                 "[classes/g repeat is unknown: never]",
-                faults("classes/g", "{\"onTimeUs\":1,\"giveUpUs\":1,\"repeat\":\"never\"}"));
+                validationErrors("classes/g", "{\"onTimeUs\":1,\"giveUpUs\":1,\"repeat\":\"never\"}"));
         assertEquals(
                 "[classes/g class g has a length of time out of range]",
-                faults("classes/g", "{\"onTimeUs\":1,\"giveUpUs\":0,\"repeat\":\"safe\"}"));
-        assertEquals("[classes/g stream is no plain value]", faults("classes/g", "{\"stream\":[]}"));
-        assertEquals("[limits/attemptsCap is not a number]", faults("limits/attemptsCap", "\"many\""));
-        assertEquals("[limits/attemptsCap maxAttempts is under 1]", faults("limits/attemptsCap", "0"));
-        assertEquals("[overShareWorth is negative]", faults("overShareWorth", "-0.5"));
-        assertEquals("[discovery is not address:port: here]", faults("discovery", "\"here\""));
+                validationErrors("classes/g", "{\"onTimeUs\":1,\"giveUpUs\":0,\"repeat\":\"safe\"}"));
+        assertEquals("[classes/g stream is no plain value]", validationErrors("classes/g", "{\"stream\":[]}"));
+        assertEquals("[limits/attemptsCap is not a number]", validationErrors("limits/attemptsCap", "\"many\""));
+        assertEquals("[limits/attemptsCap maxAttempts is under 1]", validationErrors("limits/attemptsCap", "0"));
+        assertEquals("[overShareWorth is negative]", validationErrors("overShareWorth", "-0.5"));
+        assertEquals("[discovery is not address:port: here]", validationErrors("discovery", "\"here\""));
     }
 
     /** All at once, and again as long as they stand; what was sound beside them stays so. */
     @Test
-    void allFaultsAreToldEachTime() {
+    void allErrorsAreReportedOnEachValidation() {
         for (int i = 0; i < 2; i++) {
             assertEquals(
                     "[overShareWorth is negative, realms/a quotaPerS is negative]",
-                    faults("overShareWorth", "-1", "realms/a", "{\"quotaPerS\":-1}", "realms/b", "{\"quotaPerS\":1}"));
+                    validationErrors(
+                            "overShareWorth", "-1", "realms/a", "{\"quotaPerS\":-1}", "realms/b", "{\"quotaPerS\":1}"));
         }
         assertEquals(
-                "[]", faults("overShareWorth", "1", "realms/a", "{\"quotaPerS\":1}", "realms/b", "{\"quotaPerS\":1}"));
+                "[]",
+                validationErrors(
+                        "overShareWorth", "1", "realms/a", "{\"quotaPerS\":1}", "realms/b", "{\"quotaPerS\":1}"));
     }
 
     @Test
-    void whatIsLiveDoesNotWaitForARestart() {
+    void liveChangesNeedNoRestart() {
         String live = "{\"onTimeUs\":7,\"giveUpUs\":8,\"importance\":2,\"lateWorth\":1,\"repeat\":\"safe\"}";
-        Map<String, String> first = Map.of("classes/get", GET, "limits/attemptsCap", "3", "overShareWorth", "1");
+        Map<String, String> first =
+                Map.of("classes/get", VALID_CLASS, "limits/attemptsCap", "3", "overShareWorth", "1");
         assertEquals(
                 Set.of(),
                 rules.pathsNeedingRestart(
@@ -96,11 +103,11 @@
                         first,
                         Map.of(
                                 "classes/get",
-                                GET.replace("safe", "unsafe"),
+                                VALID_CLASS.replace("safe", "unsafe"),
                                 "limits/attemptsCap",
                                 "4",
                                 "classes/put",
-                                GET)));
+                                VALID_CLASS)));
         assertEquals(Set.of("classes/get", "limits/attemptsCap"), rules.pathsNeedingRestart(first, Map.of()));
     }
 }
--- a/src/test/java/kitemux/keeper/HookedDisk.java
+++ b/src/test/java/kitemux/keeper/HookedDisk.java
@@ -7,19 +7,19 @@
 
 /** A disk at which a test is told of each write, and of each sync once it is done. */
 final class HookedDisk implements Disk {
-    private final Disk of;
-    private final Consumer<byte[]> written;
-    private final AfterSync synced;
+    private final Disk delegate;
+    private final Consumer<byte[]> onWrite;
+    private final AfterSync afterSync;
 
     /** May hold the writer up. */
     interface AfterSync {
         void run() throws InterruptedException, IOException;
     }
 
-    HookedDisk(Disk of, Consumer<byte[]> written, AfterSync synced) {
-        this.of = of;
-        this.written = written;
-        this.synced = synced;
+    HookedDisk(Disk delegate, Consumer<byte[]> onWrite, AfterSync afterSync) {
+        this.delegate = delegate;
+        this.onWrite = onWrite;
+        this.afterSync = afterSync;
     }
 
     private OutputFile hooked(OutputFile out) {
@@ -27,14 +27,14 @@
             @Override
             public void write(byte[] bytes) throws IOException {
                 out.write(bytes);
-                written.accept(bytes);
+                onWrite.accept(bytes);
             }
 
             @Override
             public void sync() throws IOException {
                 out.sync();
                 try {
-                    synced.run();
+                    afterSync.run();
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
@@ -49,41 +49,41 @@
 
     @Override
     public List<String> list() throws IOException {
-        return of.list();
+        return delegate.list();
     }
 
     @Override
     public byte[] read(String name) throws IOException {
-        return of.read(name);
+        return delegate.read(name);
     }
 
     @Override
     public long size(String name) throws IOException {
-        return of.size(name);
+        return delegate.size(name);
     }
 
     @Override
     public OutputFile create(String name) throws IOException {
-        return hooked(of.create(name));
+        return hooked(delegate.create(name));
     }
 
     @Override
     public OutputFile append(String name, long from) throws IOException {
-        return hooked(of.append(name, from));
+        return hooked(delegate.append(name, from));
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        of.rename(from, to);
+        delegate.rename(from, to);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        of.delete(name);
+        delegate.delete(name);
     }
 
     @Override
     public void syncDirectory() throws IOException {
-        of.syncDirectory();
+        delegate.syncDirectory();
     }
 }
--- a/src/test/java/kitemux/keeper/Keepers.java
+++ b/src/test/java/kitemux/keeper/KeeperCluster.java
@@ -40,56 +40,56 @@
 /**
  * Keepers and nodes over real sockets, each with a loop of its own, and switches on all ways between them.
  */
-final class Keepers implements AutoCloseable {
+final class KeeperCluster implements AutoCloseable {
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private final Path root;
-    private final ProtocolParameters terms;
+    private final ProtocolParameters parameters;
     private final int nodes;
     private final int count;
     /** Of the ways between. */
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup proxyGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     /** Dealt in turn to keepers and nodes. */
     private final List<SelectorLoop> loops =
             Stream.generate(SelectorLoop::open).limit(4).toList();
 
-    private int dealt;
+    private int assignedLoops;
     /** Ways from a keeper to another one, and the nodes' ways to each. */
-    private final Switch[][] between;
+    private final BreakableProxy[][] keeperLinks;
 
-    private final Switch[] toNodes;
+    private final BreakableProxy[] nodeLinks;
     private final List<Voter> voters = new ArrayList<>();
-    private final Keeper[] keepers;
+    private final Keeper[] keeperProcesses;
     private final FolderDisk[] disks;
-    private final InetSocketAddress[] at;
-    final Lines[] lines;
-    final LinkedBlockingQueue<Exception> failed = new LinkedBlockingQueue<>();
+    private final InetSocketAddress[] addresses;
+    final RecordingLog[] logs;
+    final LinkedBlockingQueue<Exception> failures = new LinkedBlockingQueue<>();
     private final AtomicLong draws = new AtomicLong(7);
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final List<Node> started = new ArrayList<>();
+    private final List<Node> nodesStarted = new ArrayList<>();
 
     /** The first ones vote. */
-    Keepers(Path root, int count, int voting, int nodes, ProtocolParameters terms) throws IOException {
+    KeeperCluster(Path root, int count, int voting, int nodes, ProtocolParameters parameters) throws IOException {
         this.root = root;
         this.count = count;
         this.nodes = nodes;
-        this.terms = terms;
-        between = new Switch[count][count];
-        toNodes = new Switch[count];
-        keepers = new Keeper[count];
+        this.parameters = parameters;
+        keeperLinks = new BreakableProxy[count][count];
+        nodeLinks = new BreakableProxy[count];
+        keeperProcesses = new Keeper[count];
         disks = new FolderDisk[count];
-        at = new InetSocketAddress[count];
-        lines = new Lines[count];
+        addresses = new InetSocketAddress[count];
+        logs = new RecordingLog[count];
         for (int k = 0; k < count; k++) {
-            lines[k] = new Lines();
-            toNodes[k] = new Switch(group);
+            logs[k] = new RecordingLog();
+            nodeLinks[k] = new BreakableProxy(proxyGroup);
             for (int other = 0; other < count; other++) {
-                between[k][other] = new Switch(group);
+                keeperLinks[k][other] = new BreakableProxy(proxyGroup);
             }
             if (k < voting) {
                 try (FolderDisk disk = FolderDisk.openForWriting(folder(k))) {
-                    voters.add(Voter.parse(Keeper.initializeFolder(disk, k, draws::incrementAndGet, lines[k])));
+                    voters.add(Voter.parse(Keeper.initializeFolder(disk, k, draws::incrementAndGet, logs[k])));
                 }
             }
         }
@@ -100,81 +100,81 @@
     }
 
     /** Starts all, and waits until each serves. */
-    Keepers serving() throws Exception {
+    KeeperCluster startAll() throws Exception {
         for (int k = 0; k < count; k++) {
             start(k, disk -> disk);
         }
         for (int k = 0; k < count; k++) {
-            lines[k].await(0, " serves;");
+            logs[k].awaitLine(0, " serves;");
         }
         return this;
     }
 
     private PollingLoop nextLoop() {
-        return loops.get(dealt++ % loops.size());
+        return loops.get(assignedLoops++ % loops.size());
     }
 
     Keeper start(int number, UnaryOperator<Disk> disk) throws IOException {
         PollingLoop loop = nextLoop();
         List<InetSocketAddress> others = new ArrayList<>();
         for (int other = 0; other < count; other++) {
-            others.add(between[number][other].address());
+            others.add(keeperLinks[number][other].address());
         }
         disks[number] = FolderDisk.openForWriting(folder(number));
         Keeper keeper = Keeper.open(
                 new KeeperSettings(number, others, ANY_PORT, folder(number), voters, nodes),
-                terms,
+                parameters,
                 new ConfigRules(),
-                new Keeper.Environment(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), lines[number]),
+                new Keeper.Environment(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), logs[number]),
                 disk.apply(disks[number]),
                 draws::incrementAndGet,
-                failed::add);
-        keepers[number] = keeper;
-        at[number] = (InetSocketAddress)
+                failures::add);
+        keeperProcesses[number] = keeper;
+        addresses[number] = (InetSocketAddress)
                 keeper.listen().syncUninterruptibly().channel().localAddress();
-        toNodes[number].to(at[number]);
+        nodeLinks[number].connectTo(addresses[number]);
         for (int from = 0; from < count; from++) {
-            between[from][number].to(at[number]);
+            keeperLinks[from][number].connectTo(addresses[number]);
         }
         return keeper;
     }
 
     /** Ends it as a kill does, but for what its thread was just writing. */
     void stop(int number) throws IOException, InterruptedException {
-        keepers[number].close();
+        keeperProcesses[number].close();
         disks[number].close();
-        keepers[number] = null;
+        keeperProcesses[number] = null;
     }
 
     Keeper keeper(int number) {
-        return keepers[number];
+        return keeperProcesses[number];
     }
 
-    InetSocketAddress at(int keeper) {
-        return at[keeper];
+    InetSocketAddress addresses(int keeper) {
+        return addresses[keeper];
     }
 
     /** Cuts a keeper off from the others, or joins it again. */
-    void cutOff(int number, boolean cut) {
+    void isolate(int number, boolean cut) {
         for (int other = 0; other < count; other++) {
-            for (Switch way : List.of(between[number][other], between[other][number])) {
+            for (BreakableProxy link : List.of(keeperLinks[number][other], keeperLinks[other][number])) {
                 if (cut) {
-                    way.cut();
+                    link.cut();
                 } else {
-                    way.join();
+                    link.join();
                 }
             }
         }
     }
 
-    Switch toNodes(int keeper) {
-        return toNodes[keeper];
+    BreakableProxy nodeLinks(int keeper) {
+        return nodeLinks[keeper];
     }
 
     // ---------------------------------------------------------------- calls
 
     private HttpRequest.Builder request(int keeper, String path) {
-        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at[keeper].getPort() + path))
+        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + addresses[keeper].getPort() + path))
                 .timeout(Duration.ofSeconds(40));
     }
 
@@ -205,15 +205,15 @@
     }
 
     /** Asks again until so many nodes have a version in force. */
-    Json awaitInForce(int keeper, long rev, int many) throws IOException {
+    Json awaitInForce(int keeper, long rev, int count) throws IOException {
         long until = System.nanoTime() + 30_000_000_000L;
         while (true) {
             Json status = status(keeper, "?rev=" + rev);
-            if (status.path("in_force").path("count").whole(-1) == many) {
+            if (status.path("in_force").path("count").whole(-1) == count) {
                 return status;
             }
             if (System.nanoTime() > until) {
-                throw new AssertionError("never in force at " + many + ": "
+                throw new AssertionError("never in force at " + count + ": "
                         + get(keeper, "/rollout/status").body());
             }
         }
@@ -223,7 +223,7 @@
     Socket watch(int keeper, long after, int node) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4_096);
-        socket.connect(at[keeper]);
+        socket.connect(addresses[keeper]);
         socket.setSoTimeout(30_000);
         socket.getOutputStream()
                 .write(("GET /rollout/watch?after=" + after + "&node=" + node
@@ -237,15 +237,15 @@
     /** A node's watch, and what was put in force at it. */
     final class Node {
         final LinkedBlockingQueue<Long> revs = new LinkedBlockingQueue<>();
-        final Lines said = new Lines();
+        final RecordingLog log = new RecordingLog();
         final PollingLoop loop = nextLoop();
         final RolloutWatch watch;
         volatile SortedMap<String, String> values = new TreeMap<>();
 
         Node(int number, List<InetSocketAddress> dialed) {
             EventLoopClock time = EventLoopClock.of(loop);
-            Subscriber machine = new Subscriber(
-                    terms,
+            Subscriber subscriber = new Subscriber(
+                    parameters,
                     new ConfigRules(),
                     number,
                     1,
@@ -259,7 +259,7 @@
                     NioNetwork.SYSTEM,
                     time,
                     dialed,
-                    machine,
+                    subscriber,
                     number,
                     1,
                     new SocketBudget(1_024),
@@ -267,7 +267,7 @@
                         values = all;
                         revs.add(rev);
                     },
-                    said);
+                    log);
             watch.start();
         }
 
@@ -277,7 +277,7 @@
             while (found < rev) {
                 found = revs.poll(30, TimeUnit.SECONDS);
                 if (found == null) {
-                    throw new AssertionError("version " + rev + " did not come: " + said.all());
+                    throw new AssertionError("version " + rev + " did not come: " + log.all());
                 }
             }
         }
@@ -286,38 +286,39 @@
     /** One that dials these keepers. */
     Node node(int number, Integer... dialed) {
         Node node = new Node(
-                number, List.of(dialed).stream().map(k -> toNodes[k].address()).toList());
-        started.add(node);
+                number,
+                List.of(dialed).stream().map(k -> nodeLinks[k].address()).toList());
+        nodesStarted.add(node);
         return node;
     }
 
     @Override
     public void close() throws IOException {
         try {
-            end();
+            stopAll();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException(e);
         }
     }
 
-    private void end() throws IOException, InterruptedException {
-        for (Node node : started) {
+    private void stopAll() throws IOException, InterruptedException {
+        for (Node node : nodesStarted) {
             node.loop.submit(node.watch::close).sync();
         }
         for (int k = 0; k < count; k++) {
-            if (keepers[k] != null) {
+            if (keeperProcesses[k] != null) {
                 stop(k);
             }
         }
         for (SelectorLoop loop : loops) {
             loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
+        proxyGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
     /** What came of a call, without its wrapping. */
-    static <T> T of(CompletableFuture<T> call) {
+    static <T> T join(CompletableFuture<T> call) {
         try {
             return call.join();
         } catch (CompletionException e) {
--- a/src/test/java/kitemux/keeper/KeeperFolderTest.java
+++ b/src/test/java/kitemux/keeper/KeeperFolderTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.api.Test;
 
 class KeeperFolderTest {
-    private final AtomicLong draws = new AtomicLong(0x9f2c);
-    private final List<String> said = new ArrayList<>();
+    private final AtomicLong nextIdentity = new AtomicLong(0x9f2c);
+    private final List<String> messages = new ArrayList<>();
 
     private KeeperFolder open(Disk disk) throws IOException {
-        return KeeperFolder.open(disk, 3, draws::incrementAndGet, said::add);
+        return KeeperFolder.open(disk, 3, nextIdentity::incrementAndGet, messages::add);
     }
 
     private static Change change(long rev) {
@@ -49,115 +49,117 @@
             chosen(9),
             voted(10));
 
-    private MemoryDisk written() throws IOException {
+    private MemoryDisk diskWithRecords() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         KeeperFolder folder = open(disk);
-        folder.write(RECORDS);
+        folder.append(RECORDS);
         folder.sync();
         return disk;
     }
 
-    private static byte[] bytes(MemoryDisk disk) {
-        return disk.files().get(KeeperFolder.FILE).toByteArray();
+    private static byte[] recordsFile(MemoryDisk disk) {
+        return disk.files().get(KeeperFolder.RECORDS_FILE).toByteArray();
     }
 
-    private static MemoryDisk holding(byte[] file) {
+    private static MemoryDisk diskWithFile(byte[] file) {
         MemoryDisk disk = new MemoryDisk();
-        disk.put(KeeperFolder.FILE, file);
+        disk.put(KeeperFolder.RECORDS_FILE, file);
         return disk;
     }
 
     @Test
-    void whatWasWrittenIsFoundUnderTheSameIdentity() throws IOException {
+    void writtenRecordsAreRecoveredUnderSameIdentity() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         KeeperFolder first = open(disk);
-        assertEquals(List.of(), first.found());
-        first.write(RECORDS.subList(0, 4));
+        assertEquals(List.of(), first.recoveredRecords());
+        first.append(RECORDS.subList(0, 4));
         first.sync();
-        first.write(RECORDS.subList(4, 6));
+        first.append(RECORDS.subList(4, 6));
         first.sync();
         KeeperFolder next = open(disk);
         assertEquals(first.identity(), next.identity());
-        assertEquals(RECORDS, next.found());
-        assertEquals(List.of(), said);
-        next.write(List.of(chosen(10)));
-        assertEquals(7, open(disk).found().size(), "it goes on behind what was there");
+        assertEquals(RECORDS, next.recoveredRecords());
+        assertEquals(List.of(), messages);
+        next.append(List.of(chosen(10)));
+        assertEquals(7, open(disk).recoveredRecords().size(), "it goes on behind what was there");
     }
 
     @Test
-    void anEmptyFolderHasANewIdentity() throws IOException {
+    void emptyFolderGetsNewIdentity() throws IOException {
         assertNotEquals(
                 open(new MemoryDisk()).identity(), open(new MemoryDisk()).identity());
     }
 
     @Test
-    void anotherKeepersFolderIsNotTaken() throws IOException {
-        MemoryDisk disk = written();
-        IOException told =
-                assertThrows(IOException.class, () -> KeeperFolder.open(disk, 2, draws::incrementAndGet, said::add));
-        assertEquals("records is of keeper 3, and this is keeper 2", told.getMessage());
-        assertEquals(RECORDS, open(disk).found());
+    void folderOfAnotherKeeperIsRejected() throws IOException {
+        MemoryDisk disk = diskWithRecords();
+        IOException error = assertThrows(
+                IOException.class, () -> KeeperFolder.open(disk, 2, nextIdentity::incrementAndGet, messages::add));
+        assertEquals("records is of keeper 3, and this is keeper 2", error.getMessage());
+        assertEquals(RECORDS, open(disk).recoveredRecords());
     }
 
     /** Wherever a crash cuts the last record, the others stand, and so does the identity. */
     @Test
-    void aTornRecordIsToldAndCutOff() throws IOException {
-        MemoryDisk whole = written();
-        byte[] file = bytes(whole);
+    void tornRecordIsLoggedAndCutOff() throws IOException {
+        MemoryDisk whole = diskWithRecords();
+        byte[] file = recordsFile(whole);
         String identity = open(whole).identity();
         int last = file.length - 1;
         while (file[last - 1] != '\n') {
             last--;
         }
         for (int length = last + 1; length < file.length; length++) {
-            said.clear();
-            MemoryDisk disk = holding(java.util.Arrays.copyOf(file, length));
+            messages.clear();
+            MemoryDisk disk = diskWithFile(java.util.Arrays.copyOf(file, length));
             KeeperFolder folder = open(disk);
             assertEquals(identity, folder.identity());
-            assertEquals(RECORDS.subList(0, 5), folder.found());
+            assertEquals(RECORDS.subList(0, 5), folder.recoveredRecords());
             assertEquals(
                     List.of("folder: records, offset " + last + ": " + (length - last)
                             + " bytes of a record that was not written to its end are cut off"),
-                    said);
-            assertEquals(last, bytes(disk).length);
+                    messages);
+            assertEquals(last, recordsFile(disk).length);
         }
     }
 
     /** Each byte of each record but the file's last, which alone cannot be told from a torn record's. */
     @Test
-    void aSpoiltRecordMakesALearnerOfAVoter() throws IOException {
-        MemoryDisk whole = written();
-        byte[] file = bytes(whole);
+    void corruptRecordTurnsVoterIntoLearner() throws IOException {
+        MemoryDisk whole = diskWithRecords();
+        byte[] file = recordsFile(whole);
         String identity = open(whole).identity();
-        int head = new String(file, java.nio.charset.StandardCharsets.UTF_8).indexOf('\n') + 1;
+        int headerBytes = new String(file, java.nio.charset.StandardCharsets.UTF_8).indexOf('\n') + 1;
         for (int at = 0; at < file.length - 1; at++) {
-            said.clear();
-            byte[] spoilt = file.clone();
-            spoilt[at] ^= 0x11;
-            MemoryDisk disk = holding(spoilt);
+            messages.clear();
+            byte[] corrupt = file.clone();
+            corrupt[at] ^= 0x11;
+            MemoryDisk disk = diskWithFile(corrupt);
             KeeperFolder folder = open(disk);
             assertNotEquals(identity, folder.identity(), "byte " + at);
-            assertTrue(folder.found().stream().noneMatch(kept -> kept instanceof LogRecord.Voted), "byte " + at);
-            if (at >= head) {
+            assertTrue(
+                    folder.recoveredRecords().stream().noneMatch(entry -> entry instanceof LogRecord.Voted),
+                    "byte " + at);
+            if (at >= headerBytes) {
                 List<LogRecord> versions = RECORDS.stream()
-                        .filter(kept -> !(kept instanceof LogRecord.Voted))
+                        .filter(entry -> !(entry instanceof LogRecord.Voted))
                         .toList();
-                assertEquals(versions.subList(0, folder.found().size()), folder.found());
+                assertEquals(versions.subList(0, folder.recoveredRecords().size()), folder.recoveredRecords());
             }
-            assertEquals(1, said.size(), "byte " + at);
+            assertEquals(1, messages.size(), "byte " + at);
             assertTrue(
-                    said.get(0)
+                    messages.get(0)
                             .matches("folder: records, offset \\d+: .*; it is set aside as "
                                     + "records\\.spoilt-1, and this keeper begins anew without a vote"),
-                    said.get(0));
-            assertEquals(spoilt.length, disk.files().get("records.spoilt-1").size(), "nothing is deleted");
+                    messages.get(0));
+            assertEquals(corrupt.length, disk.files().get("records.spoilt-1").size(), "nothing is deleted");
             assertEquals(folder.identity(), open(disk).identity(), "and it stays that one");
         }
     }
 
     /** The power goes at each operation in turn: what was synced is there, under one identity. */
     @Test
-    void whatWasSyncedIsThereAfterAPowerCut() throws IOException {
+    void syncedRecordsSurvivePowerCut() throws IOException {
         int operations = 0;
         for (int failAfter = 0; ; failAfter++) {
             MemoryDisk disk = new MemoryDisk();
@@ -169,10 +171,10 @@
                 KeeperFolder folder = open(disk);
                 identity = folder.identity();
                 for (; synced < RECORDS.size(); synced++) {
-                    folder.write(List.of(RECORDS.get(synced)));
+                    folder.append(List.of(RECORDS.get(synced)));
                     folder.sync();
                 }
-                folder.renew(RECORDS);
+                folder.rewrite(RECORDS);
                 done = true;
             } catch (IOException e) {
                 operations++;
@@ -182,8 +184,8 @@
                 if (identity != null) {
                     assertEquals(identity, found.identity(), failAfter + " " + unsynced);
                 }
-                assertTrue(found.found().size() >= synced, failAfter + " " + unsynced);
-                assertEquals(RECORDS.subList(0, found.found().size()), found.found());
+                assertTrue(found.recoveredRecords().size() >= synced, failAfter + " " + unsynced);
+                assertEquals(RECORDS.subList(0, found.recoveredRecords().size()), found.recoveredRecords());
             }
             if (done) {
                 break;
@@ -193,15 +195,15 @@
     }
 
     @Test
-    void whatIsWrittenAnewStandsAlone() throws IOException {
-        MemoryDisk disk = written();
+    void rewriteReplacesAllRecords() throws IOException {
+        MemoryDisk disk = diskWithRecords();
         KeeperFolder folder = open(disk);
-        folder.renew(List.of(chosen(1)));
-        folder.write(List.of(chosen(2)));
+        folder.rewrite(List.of(chosen(1)));
+        folder.append(List.of(chosen(2)));
         folder.sync();
         KeeperFolder next = open(disk);
         assertEquals(folder.identity(), next.identity());
-        assertEquals(List.of(chosen(1), chosen(2)), next.found());
-        assertEquals(List.of(KeeperFolder.FILE), disk.list());
+        assertEquals(List.of(chosen(1), chosen(2)), next.recoveredRecords());
+        assertEquals(List.of(KeeperFolder.RECORDS_FILE), disk.list());
     }
 }
--- a/src/test/java/kitemux/keeper/KeeperSettingsParserTest.java
+++ b/src/test/java/kitemux/keeper/KeeperSettingsParserTest.java
@@ -8,31 +8,31 @@
 import org.junit.jupiter.api.Test;
 
 class KeeperSettingsParserTest {
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
 
-    private KeeperSettings read(String text) {
-        return KeeperSettingsParser.parse("k.hcl", text, faults);
+    private KeeperSettings parse(String text) {
+        return KeeperSettingsParser.parse("k.hcl", text, errors);
     }
 
     @Test
-    void aSoundFileIsRead() {
-        KeeperSettings read = read("""
+    void validFileIsParsed() {
+        KeeperSettings settings = parse("""
                 keeper  = 1
                 keepers = ["10.9.0.1:8600", "10.9.0.2:8600", "10.9.0.3:8600", "10.9.0.4:8600"]
                 voters  = ["0:9f2c", "1:77aa", "2:12ef"]
                 folder  = "/var/lib/keeper"
                 nodes   = 420
                 """);
-        assertEquals(List.of(), faults);
-        assertEquals("[0:9f2c, 1:77aa, 2:12ef]", read.initialVoters().toString());
-        assertEquals(read.keeperAddresses().get(1), read.listenAddress());
-        assertEquals("/var/lib/keeper", read.folder().toString());
-        assertEquals(420, read.nodeCount());
+        assertEquals(List.of(), errors);
+        assertEquals("[0:9f2c, 1:77aa, 2:12ef]", settings.initialVoters().toString());
+        assertEquals(settings.keeperAddresses().get(1), settings.listenAddress());
+        assertEquals("/var/lib/keeper", settings.folder().toString());
+        assertEquals(420, settings.nodeCount());
     }
 
     @Test
-    void allFaultsAreToldWithTheirPlaces() {
-        assertNull(read("""
+    void allErrorsAreReportedWithTheirPositions() {
+        assertNull(parse("""
                 keeper  = 4
                 keepers = ["10.9.0.1:8600", "there", "10.9.0.1:8600"]
                 voters  = ["0:9f2c", "x", "7:77aa", "0:12ef"]
@@ -56,13 +56,13 @@
                         "k.hcl:5:1: nodes: is not from 1 to 1024",
                         "k.hcl:6:1: folders: is not known here; known are folder, keeper, keepers, listen, nodes, "
                                 + "voters"),
-                String.join("\n", faults.stream().sorted().toList()));
+                String.join("\n", errors.stream().sorted().toList()));
     }
 
     @Test
-    void whatIsNoHclIsToldSo() {
-        assertNull(read("keeper = = 1"));
-        assertEquals(1, faults.size());
-        assertEquals("k.hcl: this is not HCL", faults.get(0).substring(0, 22));
+    void textThatIsNotHclIsReported() {
+        assertNull(parse("keeper = = 1"));
+        assertEquals(1, errors.size());
+        assertEquals("k.hcl: this is not HCL", errors.get(0).substring(0, 22));
     }
 }
