--- a/src/test/java/kitemux/keeper/KeeperTest.java
+++ b/src/test/java/kitemux/keeper/KeeperTest.java
@@ -43,29 +43,29 @@
     @TempDir
     private Path root;
 
-    private Keepers keepers(int count, int voting, int nodes) throws Exception {
-        return new Keepers(root, count, voting, nodes, ProtocolParameters.defaults()).serving();
+    private KeeperCluster startCluster(int count, int voting, int nodes) throws Exception {
+        return new KeeperCluster(root, count, voting, nodes, ProtocolParameters.defaults()).startAll();
     }
 
     private static String id(int number) {
         return String.format("%016x", number);
     }
 
-    private static void assertTaken(long rev, HttpResponse<String> told) {
-        assertEquals("200 {\"rev\":" + rev + "}", told.statusCode() + " " + told.body());
+    private static void assertCommitted(long rev, HttpResponse<String> response) {
+        assertEquals("200 {\"rev\":" + rev + "}", response.statusCode() + " " + response.body());
     }
 
     // ---------------------------------------------------------------- what it is for
 
     @Test
-    void aChangeIsInForceAtAllWatchersAndKnownToBe() throws Exception {
-        try (Keepers keepers = keepers(4, 3, 5)) {
-            List<Keepers.Node> nodes = new ArrayList<>();
+    void changeReachesAllWatchersAndStatusShowsIt() throws Exception {
+        try (KeeperCluster keepers = startCluster(4, 3, 5)) {
+            List<KeeperCluster.Node> nodes = new ArrayList<>();
             for (int node = 0; node < 4; node++) {
                 nodes.add(keepers.node(node, 0, 1, 2, 3));
             }
-            assertTaken(1, Keepers.of(keepers.change(1, id(1), 0, ACME)));
-            for (Keepers.Node node : nodes) {
+            assertCommitted(1, KeeperCluster.join(keepers.change(1, id(1), 0, ACME)));
+            for (KeeperCluster.Node node : nodes) {
                 node.awaitInForce(1);
                 assertEquals("{realms/acme={\"quotaPerS\":12.0}}", node.values.toString());
             }
@@ -78,22 +78,23 @@
             assertEquals(
                     List.of(), status.path("keeper").path("keepers_not_heard").values());
             // The same call once more is the same change.
-            assertTaken(1, Keepers.of(keepers.change(2, id(1), 0, ACME)));
+            assertCommitted(1, KeeperCluster.join(keepers.change(2, id(1), 0, ACME)));
             assertEquals(1, keepers.status(2, "").path("newest").whole(0));
         }
     }
 
     @Test
-    void twoProposersAtOnceMakeOneHistory() throws Exception {
-        try (Keepers keepers = keepers(3, 3, 2)) {
-            Keepers.Node node = keepers.node(0, 0, 1, 2);
+    void concurrentProposersProduceOneHistory() throws Exception {
+        try (KeeperCluster keepers = startCluster(3, 3, 2)) {
+            KeeperCluster.Node node = keepers.node(0, 0, 1, 2);
             // Of two that set one path, one is told that the other came first.
             List<CompletableFuture<HttpResponse<String>>> same = List.of(
                     keepers.change(0, id(1), 0, ACME),
                     keepers.change(1, id(2), 0, "{\"realms/acme\":{\"quotaPerS\":13.0}}"));
             SortedSet<String> told = new TreeSet<>();
             for (CompletableFuture<HttpResponse<String>> one : same) {
-                told.add(Keepers.of(one).statusCode() + " " + Keepers.of(one).body());
+                told.add(KeeperCluster.join(one).statusCode() + " "
+                        + KeeperCluster.join(one).body());
             }
             assertEquals("[200 {\"rev\":1}, 409 {\"path\":\"realms/acme\",\"rev\":1}]", told.toString());
             // Of two that set two, both are taken, one behind the other.
@@ -102,7 +103,8 @@
                     keepers.change(2, id(4), 1, "{\"realms/c\":{\"quotaPerS\":2}}"));
             told.clear();
             for (CompletableFuture<HttpResponse<String>> one : two) {
-                told.add(Keepers.of(one).statusCode() + " " + Keepers.of(one).body());
+                told.add(KeeperCluster.join(one).statusCode() + " "
+                        + KeeperCluster.join(one).body());
             }
             assertEquals("[200 {\"rev\":2}, 200 {\"rev\":3}]", told.toString());
             node.awaitInForce(3);
@@ -119,12 +121,12 @@
     }
 
     /** Objects of a watch, without beats and the framing of chunks. */
-    private static List<String> lines(Socket watch, int many) throws IOException {
+    private static List<String> lines(Socket watch, int count) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
         String status = in.readLine();
         assertEquals("HTTP/1.1 200 OK", status);
         List<String> lines = new ArrayList<>();
-        while (lines.size() < many) {
+        while (lines.size() < count) {
             String line = in.readLine();
             assertNotNull(line, "the watch ended after " + lines);
             if (line.startsWith("{")) {
@@ -137,8 +139,8 @@
     // ---------------------------------------------------------------- what fails
 
     @Test
-    void aVoterThatEndsBetweenItsSyncAndItsAnswerKeepsWhatItAccepted() throws Exception {
-        try (Keepers keepers = new Keepers(root, 3, 3, 2, ProtocolParameters.defaults())) {
+    void voterStoppedBetweenSyncAndResponseKeepsAcceptedChange() throws Exception {
+        try (KeeperCluster keepers = new KeeperCluster(root, 3, 3, 2, ProtocolParameters.defaults())) {
             CountDownLatch synced = new CountDownLatch(1);
             CountDownLatch goOn = new CountDownLatch(1);
             AtomicBoolean accepted = new AtomicBoolean();
@@ -160,63 +162,63 @@
                                 }
                             }));
             for (int k = 0; k < 3; k++) {
-                keepers.lines[k].await(0, " serves;");
+                keepers.logs[k].awaitLine(0, " serves;");
             }
-            Keepers.Node node = keepers.node(0, 0);
-            keepers.cutOff(1, true);
+            KeeperCluster.Node node = keepers.node(0, 0);
+            keepers.isolate(1, true);
             CompletableFuture<HttpResponse<String>> change = keepers.change(0, id(1), 0, ACME);
             synced.await();
             keepers.keeper(2).stop();
             goOn.countDown();
             keepers.stop(2);
-            assertEquals(504, Keepers.of(change).statusCode(), "nobody can know");
+            assertEquals(504, KeeperCluster.join(change).statusCode(), "nobody can know");
             assertTrue(Files.readString(keepers.folder(2).resolve("records")).contains("\"accepted\":"));
             assertTrue(node.revs.isEmpty(), "one voter of three has accepted");
             keepers.start(2, disk -> disk);
             node.awaitInForce(1);
-            assertTaken(1, Keepers.of(keepers.change(2, id(1), 0, ACME)));
-            keepers.cutOff(1, false);
-            int from = keepers.lines[1].await(0, "hears no majority");
-            keepers.lines[1].await(from, " serves;");
-            assertTaken(1, Keepers.of(keepers.change(1, id(1), 0, ACME)));
+            assertCommitted(1, KeeperCluster.join(keepers.change(2, id(1), 0, ACME)));
+            keepers.isolate(1, false);
+            int from = keepers.logs[1].awaitLine(0, "hears no majority");
+            keepers.logs[1].awaitLine(from, " serves;");
+            assertCommitted(1, KeeperCluster.join(keepers.change(1, id(1), 0, ACME)));
         }
     }
 
     @Test
-    void aVoterWithAnEmptyFolderLearnsAndDoesNotVote() throws Exception {
-        try (Keepers keepers = keepers(3, 3, 1)) {
-            assertTaken(1, Keepers.of(keepers.change(0, id(1), 0, ACME)));
+    void voterWithEmptyFolderLearnsButDoesNotVote() throws Exception {
+        try (KeeperCluster keepers = startCluster(3, 3, 1)) {
+            assertCommitted(1, KeeperCluster.join(keepers.change(0, id(1), 0, ACME)));
             String identity = keepers.keeper(2).voter().identity();
             keepers.stop(2);
             Files.delete(keepers.folder(2).resolve("records"));
-            int said = keepers.lines[2].count();
+            int lineCount = keepers.logs[2].count();
             keepers.start(2, disk -> disk);
-            keepers.lines[2].await(said, " serves; version 1");
+            keepers.logs[2].awaitLine(lineCount, " serves; version 1");
             Json keeper = keepers.status(2, "").path("keeper");
             assertEquals("false", keeper.path("votes").text());
             assertTrue(!keeper.path("identity").text().equals(identity));
             // Two are left of three; with one of them gone there is no majority.
-            assertTaken(2, Keepers.of(keepers.change(2, id(2), 1, "{\"realms/b\":{\"quotaPerS\":1}}")));
+            assertCommitted(2, KeeperCluster.join(keepers.change(2, id(2), 1, "{\"realms/b\":{\"quotaPerS\":1}}")));
             keepers.stop(1);
             assertEquals(
                     503,
-                    Keepers.of(keepers.change(0, id(3), 2, "{\"realms/c\":{\"quotaPerS\":1}}"))
+                    KeeperCluster.join(keepers.change(0, id(3), 2, "{\"realms/c\":{\"quotaPerS\":1}}"))
                             .statusCode());
         }
     }
 
     @Test
-    void aKeeperThatIsCutOffSaysSoAndTheOthersGoOn() throws Exception {
-        try (Keepers keepers = keepers(3, 3, 3)) {
-            Keepers.Node node = keepers.node(0, 0, 1, 2);
+    void partitionedKeeperReportsLostQuorumAndOthersContinue() throws Exception {
+        try (KeeperCluster keepers = startCluster(3, 3, 3)) {
+            KeeperCluster.Node node = keepers.node(0, 0, 1, 2);
             try (Socket watch = keepers.watch(0, 0, 1)) {
-                keepers.cutOff(0, true);
+                keepers.isolate(0, true);
                 assertEquals("{\"rev\":0,\"alone\":true}", lines(watch, 1).get(0));
-                HttpResponse<String> refused = Keepers.of(keepers.change(0, id(1), 0, ACME));
+                HttpResponse<String> refused = KeeperCluster.join(keepers.change(0, id(1), 0, ACME));
                 assertEquals(
                         "503 {\"reason\":\"no majority of the voters agreed in time\"}",
                         refused.statusCode() + " " + refused.body());
-                assertTaken(1, Keepers.of(keepers.change(1, id(2), 0, "{\"realms/b\":{\"quotaPerS\":1}}")));
+                assertCommitted(1, KeeperCluster.join(keepers.change(1, id(2), 0, "{\"realms/b\":{\"quotaPerS\":1}}")));
                 node.awaitInForce(1);
                 assertEquals("[realms/b]", node.values.keySet().toString());
                 Json status = keepers.awaitInForce(1, 1, 1);
@@ -227,7 +229,7 @@
                                 .values()
                                 .get(0)
                                 .text());
-                keepers.cutOff(0, false);
+                keepers.isolate(0, false);
                 String line = "";
                 BufferedReader in =
                         new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
@@ -240,48 +242,48 @@
     }
 
     @Test
-    void aNodeWhoseKeeperFallsSilentWatchesAnother() throws Exception {
-        try (Keepers keepers = keepers(3, 3, 1)) {
-            Keepers.Node node = keepers.node(0, 0, 1);
-            int said = node.said.await(0, "told all");
-            keepers.toNodes(0).cut();
-            keepers.toNodes(1).cut();
-            said = node.said.await(said, "no keeper is watched");
-            assertTaken(1, Keepers.of(keepers.change(2, id(1), 0, ACME)));
+    void nodeSwitchesToAnotherKeeperWhenItsOwnFallsSilent() throws Exception {
+        try (KeeperCluster keepers = startCluster(3, 3, 1)) {
+            KeeperCluster.Node node = keepers.node(0, 0, 1);
+            int lineCount = node.log.awaitLine(0, "told all");
+            keepers.nodeLinks(0).cut();
+            keepers.nodeLinks(1).cut();
+            lineCount = node.log.awaitLine(lineCount, "no keeper is watched");
+            assertCommitted(1, KeeperCluster.join(keepers.change(2, id(1), 0, ACME)));
             assertTrue(node.revs.isEmpty());
-            keepers.toNodes(1).join();
+            keepers.nodeLinks(1).join();
             node.awaitInForce(1);
             keepers.awaitInForce(2, 1, 1);
         }
     }
 
     @Test
-    void aWatchThatIsNotReadEnds() throws Exception {
-        ProtocolParameters usual = ProtocolParameters.defaults();
+    void unreadWatchIsClosed() throws Exception {
+        ProtocolParameters defaults = ProtocolParameters.defaults();
         // The pace would take minutes to fill what may be unwritten.
         ProtocolParameters fast = new ProtocolParameters(
-                usual.heartbeatIntervalUs(),
-                usual.minWatchTimeoutUs(),
-                usual.maxWatchTimeoutUs(),
-                usual.connectTimeoutUs(),
-                usual.minBackoffUs(),
-                usual.initialMaxBackoffUs(),
-                usual.maxBackoffUs(),
-                usual.noQuorumRetryUs(),
-                usual.reportIntervalUs(),
-                usual.reportTimeoutUs(),
-                usual.minPhaseTimeoutUs(),
-                usual.maxPhaseTimeoutUs(),
-                usual.maxBallots(),
-                usual.proposalTimeoutUs(),
-                usual.fetchIntervalUs(),
-                usual.voterTimeoutUs(),
-                usual.recoveryDelayUs(),
+                defaults.heartbeatIntervalUs(),
+                defaults.minWatchTimeoutUs(),
+                defaults.maxWatchTimeoutUs(),
+                defaults.connectTimeoutUs(),
+                defaults.minBackoffUs(),
+                defaults.initialMaxBackoffUs(),
+                defaults.maxBackoffUs(),
+                defaults.noQuorumRetryUs(),
+                defaults.reportIntervalUs(),
+                defaults.reportTimeoutUs(),
+                defaults.minPhaseTimeoutUs(),
+                defaults.maxPhaseTimeoutUs(),
+                defaults.maxBallots(),
+                defaults.proposalTimeoutUs(),
+                defaults.fetchIntervalUs(),
+                defaults.voterTimeoutUs(),
+                defaults.recoveryDelayUs(),
                 1 << 30,
                 1 << 20,
                 1 << 20,
-                usual.snapshotPartBytes());
-        try (Keepers keepers = new Keepers(root, 1, 1, 2, fast).serving();
+                defaults.snapshotPartBytes());
+        try (KeeperCluster keepers = new KeeperCluster(root, 1, 1, 2, fast).startAll();
                 Socket unread = keepers.watch(0, 0, 0);
                 Socket read = keepers.watch(0, 0, 1)) {
             StringBuilder set = new StringBuilder("{");
@@ -295,9 +297,9 @@
             int rev = 0;
             while (keepers.status(0, "").path("keeper").path("watches_unread").whole(0) == 0) {
                 assertTrue(rev < 1_000, "the watch that is not read never ends");
-                assertTaken(
+                assertCommitted(
                         rev + 1,
-                        Keepers.of(keepers.change(
+                        KeeperCluster.join(keepers.change(
                                 0, id(rev + 1), rev, set.toString().replace("%d", Integer.toString(rev + 1)))));
                 rev++;
                 lines(read, rev == 1 ? 1 : 0, rev);
@@ -308,34 +310,34 @@
     }
 
     @Test
-    void aWatchWhoseNodeDoesNotReportEnds() throws Exception {
-        ProtocolParameters usual = ProtocolParameters.defaults();
+    void watchOfNodeThatDoesNotReportIsClosed() throws Exception {
+        ProtocolParameters defaults = ProtocolParameters.defaults();
         ProtocolParameters impatient = new ProtocolParameters(
-                usual.heartbeatIntervalUs(),
-                usual.minWatchTimeoutUs(),
-                usual.maxWatchTimeoutUs(),
-                usual.connectTimeoutUs(),
-                usual.minBackoffUs(),
-                usual.initialMaxBackoffUs(),
-                usual.maxBackoffUs(),
-                usual.noQuorumRetryUs(),
-                usual.reportIntervalUs() / 10,
-                usual.reportTimeoutUs() / 10,
-                usual.minPhaseTimeoutUs(),
-                usual.maxPhaseTimeoutUs(),
-                usual.maxBallots(),
-                usual.proposalTimeoutUs(),
-                usual.fetchIntervalUs(),
-                usual.voterTimeoutUs(),
-                usual.recoveryDelayUs(),
-                usual.rateBytesPerSecond(),
-                usual.burstBytes(),
-                usual.initialBurstBytes(),
-                usual.snapshotPartBytes());
-        try (Keepers keepers = new Keepers(root, 1, 1, 2, impatient).serving();
+                defaults.heartbeatIntervalUs(),
+                defaults.minWatchTimeoutUs(),
+                defaults.maxWatchTimeoutUs(),
+                defaults.connectTimeoutUs(),
+                defaults.minBackoffUs(),
+                defaults.initialMaxBackoffUs(),
+                defaults.maxBackoffUs(),
+                defaults.noQuorumRetryUs(),
+                defaults.reportIntervalUs() / 10,
+                defaults.reportTimeoutUs() / 10,
+                defaults.minPhaseTimeoutUs(),
+                defaults.maxPhaseTimeoutUs(),
+                defaults.maxBallots(),
+                defaults.proposalTimeoutUs(),
+                defaults.fetchIntervalUs(),
+                defaults.voterTimeoutUs(),
+                defaults.recoveryDelayUs(),
+                defaults.rateBytesPerSecond(),
+                defaults.burstBytes(),
+                defaults.initialBurstBytes(),
+                defaults.snapshotPartBytes());
+        try (KeeperCluster keepers = new KeeperCluster(root, 1, 1, 2, impatient).startAll();
                 Socket mute = keepers.watch(0, 0, 1)) {
-            Keepers.Node node = keepers.node(0, 0);
-            node.said.await(0, "told all");
+            KeeperCluster.Node node = keepers.node(0, 0);
+            node.log.awaitLine(0, "told all");
             assertTrue(mute.getInputStream().readAllBytes().length > 0, "it ends");
             Json figures = keepers.status(0, "").path("keeper");
             assertEquals(1, figures.path("watches_silent").whole(-1));
@@ -345,28 +347,28 @@
 
     /** A file of records that is too long is written anew with what counts of it. */
     @Test
-    void aLongFileOfRecordsIsWrittenAnew() throws Exception {
-        try (Keepers keepers = new Keepers(root, 1, 1, 1, ProtocolParameters.defaults())) {
+    void oversizedRecordsFileIsRewritten() throws Exception {
+        try (KeeperCluster keepers = new KeeperCluster(root, 1, 1, 1, ProtocolParameters.defaults())) {
             Change large = Change.of(id(9), 0, Map.of("realms/a", "\"" + "x".repeat(4_000) + "\""), List.of());
             try (FolderDisk disk = FolderDisk.openForWriting(keepers.folder(0))) {
                 KeeperFolder folder = KeeperFolder.open(disk, 0, () -> 1, line -> {});
-                while (!folder.isLong()) {
-                    folder.write(List.of(new LogRecord.Voted(new Vote(1, new Ballot(1, 0), new Ballot(1, 0), large))));
+                while (!folder.isOversized()) {
+                    folder.append(List.of(new LogRecord.Voted(new Vote(1, new Ballot(1, 0), new Ballot(1, 0), large))));
                 }
-                folder.write(List.of(new LogRecord.Chosen(
+                folder.append(List.of(new LogRecord.Chosen(
                         new Version(1, Change.of(id(1), 0, Map.of("realms/b", "{\"quotaPerS\":1}"), List.of())))));
                 folder.sync();
                 folder.close();
             }
-            keepers.serving();
-            assertTaken(2, Keepers.of(keepers.change(0, id(2), 1, "{\"realms/c\":{\"quotaPerS\":1}}")));
-            assertTaken(3, Keepers.of(keepers.change(0, id(3), 2, "{\"realms/d\":{\"quotaPerS\":1}}")));
+            keepers.startAll();
+            assertCommitted(2, KeeperCluster.join(keepers.change(0, id(2), 1, "{\"realms/c\":{\"quotaPerS\":1}}")));
+            assertCommitted(3, KeeperCluster.join(keepers.change(0, id(3), 2, "{\"realms/d\":{\"quotaPerS\":1}}")));
             keepers.stop(0);
             assertTrue(Files.size(keepers.folder(0).resolve("records")) < 10_000);
-            int said = keepers.lines[0].count();
+            int lineCount = keepers.logs[0].count();
             keepers.start(0, disk -> disk);
-            keepers.lines[0].await(said, " serves; version 3");
-            assertTaken(4, Keepers.of(keepers.change(0, id(4), 3, "{\"realms/e\":{\"quotaPerS\":1}}")));
+            keepers.logs[0].awaitLine(lineCount, " serves; version 3");
+            assertCommitted(4, KeeperCluster.join(keepers.change(0, id(4), 3, "{\"realms/e\":{\"quotaPerS\":1}}")));
         }
     }
 
@@ -387,19 +389,19 @@
     // ---------------------------------------------------------------- a whole
 
     @Test
-    void aWholeIsToldInPartsAtThePace() throws Exception {
+    void snapshotIsSentInPartsWithinRateLimit() throws Exception {
         SortedMap<String, String> values = new TreeMap<>();
         for (int i = 0; i < 500; i++) {
             values.put(String.format("realms/tenant-%04d", i), "{\"quotaPerS\":" + i + "}");
         }
-        try (Keepers keepers = new Keepers(root, 1, 1, 1, ProtocolParameters.defaults())) {
+        try (KeeperCluster keepers = new KeeperCluster(root, 1, 1, 1, ProtocolParameters.defaults())) {
             try (FolderDisk disk = FolderDisk.openForWriting(keepers.folder(0))) {
                 KeeperFolder folder = KeeperFolder.open(disk, 0, () -> 1, line -> {});
-                folder.write(List.of(new LogRecord.Snapshot(2_000, values)));
+                folder.append(List.of(new LogRecord.Snapshot(2_000, values)));
                 folder.sync();
                 folder.close();
             }
-            keepers.serving();
+            keepers.startAll();
             try (Socket watch = keepers.watch(0, 0, 0)) {
                 long began = System.nanoTime();
                 List<String> lines = lines(watch, 1);
@@ -430,12 +432,15 @@
                                     "{\"quotaPerS\":" + value.path("quotaPerS").text() + "}"));
                 }
                 assertEquals(values, told);
-                ProtocolParameters terms = ProtocolParameters.defaults();
+                ProtocolParameters parameters = ProtocolParameters.defaults();
                 assertTrue(
-                        bytes <= terms.initialBurstBytes() + terms.burstBytes() + terms.rateBytesPerSecond() * tookS,
+                        bytes
+                                <= parameters.initialBurstBytes()
+                                        + parameters.burstBytes()
+                                        + parameters.rateBytesPerSecond() * tookS,
                         bytes + " bytes in " + tookS + " s");
             }
-            Keepers.Node node = keepers.node(0, 0);
+            KeeperCluster.Node node = keepers.node(0, 0);
             node.awaitInForce(2_000);
             assertEquals(values, node.values);
         }
@@ -444,8 +449,8 @@
     // ---------------------------------------------------------------- bad input
 
     @Test
-    void badCallsAreToldWithPathAndReason() throws Exception {
-        try (Keepers keepers = keepers(1, 1, 2)) {
+    void invalidCallsAreRejectedWithPathAndReason() throws Exception {
+        try (KeeperCluster keepers = startCluster(1, 1, 2)) {
             String[][] bad = {
                 {
                     "change",
@@ -499,7 +504,7 @@
                 {"status", "", "405", "is called by GET"},
             };
             for (String[] call : bad) {
-                HttpResponse<String> told = Keepers.of(keepers.post(0, "/rollout/" + call[0], call[1]));
+                HttpResponse<String> told = KeeperCluster.join(keepers.post(0, "/rollout/" + call[0], call[1]));
                 assertEquals(call[2], Integer.toString(told.statusCode()), call[0] + " " + told.body());
                 for (int i = 3; i < call.length; i++) {
                     assertTrue(told.body().contains(call[i]), call[i] + " in " + told.body());
@@ -526,8 +531,8 @@
             assertEquals(
                     bad.length + badGets.length,
                     status.path("keeper").path("calls_faulty").whole(0));
-            try (Socket garbage =
-                    new Socket(keepers.at(0).getAddress(), keepers.at(0).getPort())) {
+            try (Socket garbage = new Socket(
+                    keepers.addresses(0).getAddress(), keepers.addresses(0).getPort())) {
                 garbage.getOutputStream().write("\1\2\3 what\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 String told = new String(garbage.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
                 assertTrue(told.startsWith("HTTP/1.1 400"), told);
@@ -542,9 +547,9 @@
     // ---------------------------------------------------------------- bounds
 
     @Test
-    void watchesBeyondTheMostAreRefused() throws Exception {
+    void watchesBeyondMaximumAreRejected() throws Exception {
         List<Socket> sockets = new ArrayList<>();
-        try (Keepers keepers = keepers(1, 1, 1)) {
+        try (KeeperCluster keepers = startCluster(1, 1, 1)) {
             for (int i = 0; i < ProtocolParameters.MAX_WATCH_COUNT; i++) {
                 sockets.add(keepers.watch(0, 0, 0));
                 byte[] head = new byte[15];
@@ -572,14 +577,15 @@
     }
 
     @Test
-    void connectionsBeyondTheMostAreClosedAndSilentOnesEnd() throws Exception {
+    void excessConnectionsAndSilentConnectionsAreClosed() throws Exception {
         List<Socket> sockets = new ArrayList<>();
-        try (Keepers keepers = keepers(1, 1, 1)) {
-            for (int i = 0; i <= KeeperServer.MOST_CONNECTIONS; i++) {
-                sockets.add(new Socket(keepers.at(0).getAddress(), keepers.at(0).getPort()));
+        try (KeeperCluster keepers = startCluster(1, 1, 1)) {
+            for (int i = 0; i <= KeeperServer.MAX_CONNECTION_COUNT; i++) {
+                sockets.add(new Socket(
+                        keepers.addresses(0).getAddress(), keepers.addresses(0).getPort()));
             }
             // They are taken in in their order: the last is closed at once, the others as they are silent.
-            Socket last = sockets.get(KeeperServer.MOST_CONNECTIONS);
+            Socket last = sockets.get(KeeperServer.MAX_CONNECTION_COUNT);
             assertEquals(-1, last.getInputStream().read());
             assertEquals(-1, sockets.get(0).getInputStream().read());
             assertEquals(
@@ -596,9 +602,9 @@
     }
 
     @Test
-    void changesBeyondTheMostThatWaitAreRefused() throws Exception {
-        try (Keepers keepers = keepers(3, 3, 1)) {
-            keepers.cutOff(0, true);
+    void changesBeyondQueueLimitAreRejected() throws Exception {
+        try (KeeperCluster keepers = startCluster(3, 3, 1)) {
+            keepers.isolate(0, true);
             List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
             // One is tried and the most wait; one more finds no room.
             for (int i = 0; i < ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + 2; i++) {
@@ -614,8 +620,8 @@
     }
 
     @Test
-    void aVoterWhoseDiskFailsAnswersNoMore() throws Exception {
-        try (Keepers keepers = new Keepers(root, 3, 3, 1, ProtocolParameters.defaults())) {
+    void voterWithFailedDiskStopsResponding() throws Exception {
+        try (KeeperCluster keepers = new KeeperCluster(root, 3, 3, 1, ProtocolParameters.defaults())) {
             AtomicBoolean broken = new AtomicBoolean();
             for (int k = 0; k < 3; k++) {
                 int number = k;
@@ -630,12 +636,13 @@
                                 }));
             }
             for (int k = 0; k < 3; k++) {
-                keepers.lines[k].await(0, " serves;");
+                keepers.logs[k].awaitLine(0, " serves;");
             }
             broken.set(true);
-            assertEquals(503, Keepers.of(keepers.change(0, id(1), 0, ACME)).statusCode());
-            assertEquals("no sync", keepers.failed.take().getMessage());
-            assertEquals("no sync", keepers.failed.take().getMessage());
+            assertEquals(
+                    503, KeeperCluster.join(keepers.change(0, id(1), 0, ACME)).statusCode());
+            assertEquals("no sync", keepers.failures.take().getMessage());
+            assertEquals("no sync", keepers.failures.take().getMessage());
         }
     }
 }
--- a/src/test/java/kitemux/keeper/NodeFollowsTest.java
+++ b/src/test/java/kitemux/keeper/NodeRolloutTest.java
@@ -21,14 +21,14 @@
 
 /** A node as a process, with the section that names keepers and without it. */
 @Timeout(120)
-class NodeFollowsTest {
+class NodeRolloutTest {
     @TempDir
     private Path root;
 
-    private Path loaded;
+    private Path loadedClasses;
 
-    private Process node(String operator) throws Exception {
-        loaded = root.resolve("loaded.txt");
+    private Process startNode(String operator) throws Exception {
+        loadedClasses = root.resolve("loaded.txt");
         Path config = Files.writeString(root.resolve("config.json"), """
                 {"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":256},
                  "settings":{"membershipMode":"on_request","limits":{"attemptsCap":1},"balancers":2,"me":1,
@@ -38,7 +38,7 @@
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
-                "-Xlog:class+load:file=" + loaded,
+                "-Xlog:class+load:file=" + loadedClasses,
                 "-cp",
                 System.getProperty("java.class.path"),
                 Main.class.getName(),
@@ -62,13 +62,13 @@
     }
 
     @Test
-    void withoutTheSectionNoClassOfItIsLoaded() throws Exception {
-        Process node = node("{}");
+    void withoutRolloutSectionNoRolloutClassIsLoaded() throws Exception {
+        Process node = startNode("{}");
         try (BufferedReader lines = node.inputReader()) {
             awaitLine(lines, "listening on");
             node.destroy();
             node.waitFor();
-            String all = Files.readString(loaded);
+            String all = Files.readString(loadedClasses);
             assertTrue(all.contains("kitemux.node.Node "), "the log tells what was loaded");
             assertFalse(all.contains("kitemux.rollout."), "of the machines");
             assertFalse(all.contains("kitemux.keeper."), "of what carries them");
@@ -79,15 +79,16 @@
     }
 
     @Test
-    void withTheSectionItFollowsAndReports() throws Exception {
-        try (Keepers keepers = new Keepers(root.resolve("keepers"), 1, 1, 2, ProtocolParameters.defaults()).serving()) {
-            Process node = node(
-                    "{\"rollout\":{\"keepers\":[\"127.0.0.1:" + keepers.at(0).getPort() + "\"]}}");
+    void nodeWithRolloutSectionAppliesChangesAndReports() throws Exception {
+        try (KeeperCluster keepers =
+                new KeeperCluster(root.resolve("keepers"), 1, 1, 2, ProtocolParameters.defaults()).startAll()) {
+            Process node = startNode("{\"rollout\":{\"keepers\":[\"127.0.0.1:"
+                    + keepers.addresses(0).getPort() + "\"]}}");
             try (BufferedReader lines = node.inputReader()) {
                 awaitLine(lines, "rollout: told all that its keeper knows");
                 assertEquals(
                         "200 {\"rev\":1}",
-                        told(keepers.change(0, "0000000000000001", 0, "{\"realms/acme\":{\"quotaPerS\":12.0}}")));
+                        describe(keepers.change(0, "0000000000000001", 0, "{\"realms/acme\":{\"quotaPerS\":12.0}}")));
                 awaitLine(lines, "rollout: version 1 is taken in");
                 assertEquals(
                         "1",
@@ -100,7 +101,7 @@
                 // What its file does not have waits for one that has, and is never said to be in force.
                 assertEquals(
                         "200 {\"rev\":2}",
-                        told(keepers.change(0, "0000000000000002", 1, "{\"realms/new\":{\"quotaPerS\":1}}")));
+                        describe(keepers.change(0, "0000000000000002", 1, "{\"realms/new\":{\"quotaPerS\":1}}")));
                 awaitLine(lines, "rollout: version 2 is taken in");
                 long until = System.nanoTime() + 30_000_000_000L;
                 Json status = keepers.status(0, "?rev=2");
@@ -109,7 +110,7 @@
                     status = keepers.status(0, "?rev=2");
                 }
                 assertEquals(0, status.path("in_force").path("count").whole(-1));
-                String all = Files.readString(loaded);
+                String all = Files.readString(loadedClasses);
                 assertTrue(all.contains("kitemux.rollout.Subscriber "), "of the machines");
                 assertTrue(all.contains("kitemux.keeper.RolloutWatch "), "of what carries them");
                 node.destroy();
@@ -120,13 +121,14 @@
         }
     }
 
-    private static String told(CompletableFuture<HttpResponse<String>> call) {
-        return Keepers.of(call).statusCode() + " " + Keepers.of(call).body();
+    private static String describe(CompletableFuture<HttpResponse<String>> call) {
+        return KeeperCluster.join(call).statusCode() + " "
+                + KeeperCluster.join(call).body();
     }
 
     @Test
-    void aBadSectionIsToldFieldByField() throws Exception {
-        Process node = node("{\"rollout\":{\"keepers\":[\"here\"],\"more\":1}}");
+    void invalidRolloutSectionIsReportedByField() throws Exception {
+        Process node = startNode("{\"rollout\":{\"keepers\":[\"here\"],\"more\":1}}");
         List<String> lines = node.inputReader().lines().toList();
         assertEquals(2, node.waitFor());
         assertEquals(
@@ -134,7 +136,7 @@
                         "kitemux: rollout.more is not known; known are keepers",
                         "kitemux: rollout.keepers[0] is not address:port: here"),
                 lines);
-        Process empty = node("{\"rollout\":{}}");
+        Process empty = startNode("{\"rollout\":{}}");
         assertEquals(
                 List.of("kitemux: rollout.keepers is not a list of 1 to 32 addresses"),
                 empty.inputReader().lines().toList());
--- a/src/test/java/kitemux/keeper/RecordWriterTest.java
+++ b/src/test/java/kitemux/keeper/RecordWriterTest.java
@@ -21,9 +21,9 @@
     /** What runs on the loop, in order; each entry is one turn of it. */
     private final LinkedBlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
 
-    private final LinkedBlockingQueue<Exception> failed = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Exception> failures = new LinkedBlockingQueue<>();
 
-    private static LogRecord kept(int rev) {
+    private static LogRecord voteRecord(int rev) {
         return new LogRecord.Voted(Vote.empty(rev));
     }
 
@@ -32,74 +32,77 @@
     }
 
     @Test
-    void whatFollowsRunsOnTheLoopOnceItIsSafe() throws Exception {
-        RecordWriter writer = new RecordWriter(folder(disk), loop::add, failed::add);
-        int[] safe = {0};
+    void callbackRunsOnLoopOnceRecordIsDurable() throws Exception {
+        RecordWriter writer = new RecordWriter(folder(disk), loop::add, failures::add);
+        int[] durableCount = {0};
         for (int i = 1; i <= 5; i++) {
             int rev = i;
-            writer.write(kept(rev), () -> {
-                assertEquals(rev - 1, safe[0]++);
-                assertTrue(synced(rev), "record " + rev + " is safe");
+            writer.write(voteRecord(rev), () -> {
+                assertEquals(rev - 1, durableCount[0]++);
+                assertTrue(isDurable(rev), "record " + rev + " is safe");
             });
         }
-        while (safe[0] < 5) {
+        while (durableCount[0] < 5) {
             loop.take().run();
         }
-        writer.renew(List.of(kept(9)));
+        writer.rewrite(List.of(voteRecord(9)));
         writer.close();
-        assertEquals(List.of(kept(9)), folder(disk.afterPowerCut(0)).found());
-        assertTrue(failed.isEmpty());
+        assertEquals(List.of(voteRecord(9)), folder(disk.afterPowerCut(0)).recoveredRecords());
+        assertTrue(failures.isEmpty());
     }
 
-    private boolean synced(int rev) {
+    private boolean isDurable(int rev) {
         try {
-            return folder(disk.afterPowerCut(0)).found().contains(kept(rev));
+            return folder(disk.afterPowerCut(0)).recoveredRecords().contains(voteRecord(rev));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
     @Test
-    void aWriteThatFailsIsTheEndAndNothingFollows() throws Exception {
+    void failedWriteIsReportedAndRunsNoCallback() throws Exception {
         KeeperFolder folder = folder(disk);
         disk.operationsUntilFailure = 1;
-        RecordWriter writer = new RecordWriter(folder, loop::add, failed::add);
-        writer.write(kept(1), () -> {});
-        assertEquals("the power is off", failed.poll(30, TimeUnit.SECONDS).getMessage());
+        RecordWriter writer = new RecordWriter(folder, loop::add, failures::add);
+        writer.write(voteRecord(1), () -> {});
+        assertEquals("the power is off", failures.poll(30, TimeUnit.SECONDS).getMessage());
         writer.close();
         assertTrue(loop.isEmpty(), "nobody is answered");
     }
 
     @Test
-    void noRoomIsLeftForCallsLongBeforeTheQueueIsFull() throws Exception {
-        CountDownLatch again = new CountDownLatch(1);
+    void callsAreRefusedBeforeQueueIsFull() throws Exception {
+        CountDownLatch syncStarted = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         MemoryDisk other = new MemoryDisk();
-        boolean[] holds = {false};
+        boolean[] blocking = {false};
         KeeperFolder slow = folder(new HookedDisk(other, bytes -> {}, () -> {
-            if (holds[0]) {
-                again.countDown();
+            if (blocking[0]) {
+                syncStarted.countDown();
                 release.await();
             }
         }));
-        holds[0] = true;
-        RecordWriter writer = new RecordWriter(slow, loop::add, failed::add);
-        writer.write(kept(1), () -> {});
-        again.await();
-        for (int i = 2; i <= RecordWriter.MOST_TAKEN; i++) {
+        blocking[0] = true;
+        RecordWriter writer = new RecordWriter(slow, loop::add, failures::add);
+        writer.write(voteRecord(1), () -> {});
+        syncStarted.await();
+        for (int i = 2; i <= RecordWriter.CALL_ADMISSION_RECORD_COUNT; i++) {
             assertTrue(writer.hasRoom(), "with " + (i - 1) + " that wait");
-            writer.write(kept(i), () -> {});
+            writer.write(voteRecord(i), () -> {});
         }
         assertFalse(writer.hasRoom());
         // The first is out of the queue already, being written.
-        for (int i = RecordWriter.MOST_TAKEN + 1; i <= RecordWriter.MOST_QUEUED + 1; i++) {
-            writer.write(kept(i), () -> {});
+        for (int i = RecordWriter.CALL_ADMISSION_RECORD_COUNT + 1; i <= RecordWriter.MAX_QUEUED_RECORD_COUNT + 1; i++) {
+            writer.write(voteRecord(i), () -> {});
         }
-        assertTrue(failed.isEmpty());
-        writer.write(kept(9_999), () -> {});
-        assertEquals("more than 1024 records wait to be written", failed.take().getMessage());
+        assertTrue(failures.isEmpty());
+        writer.write(voteRecord(9_999), () -> {});
+        assertEquals(
+                "more than 1024 records wait to be written", failures.take().getMessage());
         release.countDown();
         writer.close();
-        assertEquals(RecordWriter.MOST_QUEUED + 1, folder(other).found().size());
+        assertEquals(
+                RecordWriter.MAX_QUEUED_RECORD_COUNT + 1,
+                folder(other).recoveredRecords().size());
     }
 }
--- a/src/test/java/kitemux/keeper/Lines.java
+++ b/src/test/java/kitemux/keeper/RecordingLog.java
@@ -5,8 +5,8 @@
 import kitemux.engine.Log;
 
 /** What was told to operators, to be waited for. */
-final class Lines implements Log {
-    private static final long MOST_MS = 30_000;
+final class RecordingLog implements Log {
+    private static final long TIMEOUT_MS = 30_000;
 
     private final List<String> lines = new ArrayList<>();
 
@@ -27,8 +27,8 @@
     }
 
     /** Waits for a line that holds this, from one on; how many lines there are up to it. */
-    synchronized int await(int from, String part) throws InterruptedException {
-        long until = System.nanoTime() + MOST_MS * 1_000_000;
+    synchronized int awaitLine(int from, String part) throws InterruptedException {
+        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         int next = from;
         while (true) {
             for (; next < lines.size(); next++) {
--- a/src/test/java/kitemux/keeper/RolloutWatchTest.java
+++ b/src/test/java/kitemux/keeper/RolloutWatchTest.java
@@ -35,26 +35,26 @@
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private final PollingLoop loop = SelectorLoop.open();
-    private final Lines said = new Lines();
+    private final RecordingLog log = new RecordingLog();
     private final LinkedBlockingQueue<Long> revs = new LinkedBlockingQueue<>();
     private final LinkedBlockingQueue<String> reports = new LinkedBlockingQueue<>();
     /** Watches that were asked for, each with its path read. */
-    private final LinkedBlockingQueue<Asked> asked = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<WatchCall> openedWatches = new LinkedBlockingQueue<>();
 
     private volatile SortedMap<String, String> values = new TreeMap<>();
     private final SocketBudget sockets = new SocketBudget(1_024);
     private ServerSocket listening;
     private RolloutWatch watch;
 
-    private record Asked(String path, Socket socket) {
-        void say(String text) throws IOException {
+    private record WatchCall(String path, Socket socket) {
+        void send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
         /** Lines as chunks; each has its end. */
-        void lines(String... lines) throws IOException {
+        void sendLines(String... lines) throws IOException {
             for (String line : lines) {
-                say(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
+                send(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
             }
         }
 
@@ -93,7 +93,7 @@
                     values = all;
                     revs.add(rev);
                 },
-                said);
+                log);
         watch.start();
     }
 
@@ -124,7 +124,7 @@
                     continue;
                 }
                 if (first.startsWith("GET ")) {
-                    asked.add(new Asked(first.split(" ")[1], socket));
+                    openedWatches.add(new WatchCall(first.split(" ")[1], socket));
                     continue;
                 }
                 char[] body = new char[length];
@@ -140,9 +140,9 @@
         }
     }
 
-    private Asked next() throws InterruptedException {
-        Asked next = asked.poll(30, TimeUnit.SECONDS);
-        assertNotNull(next, "no further watch: " + said.all());
+    private WatchCall nextWatch() throws InterruptedException {
+        WatchCall next = openedWatches.poll(30, TimeUnit.SECONDS);
+        assertNotNull(next, "no further watch: " + log.all());
         return next;
     }
 
@@ -154,69 +154,69 @@
         return "{\"rev\":5,\"part\":" + part + ",\"of\":" + of + ",\"set\":{\"" + path + "\":{\"quotaPerS\":1}}}";
     }
 
-    private long badLines() throws Exception {
+    private long malformedEvents() throws Exception {
         return loop.submit(() -> watch.subscriber().malformedEvents()).get();
     }
 
     @Test
-    void whatCannotBeLeavesTheLastGoodVersionInForce() throws Exception {
-        Asked first = next();
+    void invalidEventsLeaveLastValidVersionInForce() throws Exception {
+        WatchCall first = nextWatch();
         assertEquals("/rollout/watch?after=0&node=17&life=5", first.path);
-        first.say(OK);
+        first.send(OK);
         // An empty line is a beat, and lines may come in any pieces.
-        first.lines("", version(1, "realms/a", "1"));
+        first.sendLines("", version(1, "realms/a", "1"));
         assertEquals(1, revs.take());
         // One that is not the next is never taken in.
-        first.lines(version(3, "realms/a", "3"));
+        first.sendLines(version(3, "realms/a", "3"));
         first.awaitEnd();
-        Asked second = next();
+        WatchCall second = nextWatch();
         assertEquals("/rollout/watch?after=1&node=17&life=5", second.path);
-        second.say(OK);
-        second.lines("what is this");
+        second.send(OK);
+        second.sendLines("what is this");
         second.awaitEnd();
-        Asked third = next();
-        third.say(OK);
-        third.lines("{\"rev\":2,\"set\":{},\"more\":1,\"drop\":[]}");
+        WatchCall third = nextWatch();
+        third.send(OK);
+        third.sendLines("{\"rev\":2,\"set\":{},\"more\":1,\"drop\":[]}");
         third.awaitEnd();
-        assertEquals(3, badLines());
-        Asked fourth = next();
-        fourth.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        assertEquals(3, malformedEvents());
+        WatchCall fourth = nextWatch();
+        fourth.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         fourth.awaitEnd();
         // Part of a whole, and the watch ends: nothing of it is in force.
-        Asked fifth = next();
-        fifth.say(OK);
-        fifth.lines(part(1, 2, "realms/x"));
-        fifth.say("0\r\n\r\n");
+        WatchCall fifth = nextWatch();
+        fifth.send(OK);
+        fifth.sendLines(part(1, 2, "realms/x"));
+        fifth.send("0\r\n\r\n");
         fifth.awaitEnd();
-        Asked sixth = next();
+        WatchCall sixth = nextWatch();
         assertEquals("/rollout/watch?after=1&node=17&life=5", sixth.path);
         assertEquals("[realms/a]", values.keySet().toString());
         assertTrue(revs.isEmpty());
-        sixth.say(OK);
-        sixth.lines(part(1, 2, "realms/x"), part(2, 2, "realms/y"));
+        sixth.send(OK);
+        sixth.sendLines(part(1, 2, "realms/x"), part(2, 2, "realms/y"));
         assertEquals(5, revs.take());
         assertEquals("[realms/x, realms/y]", values.keySet().toString());
         assertTrue(
-                said.all().stream()
+                log.all().stream()
                         .anyMatch(line -> line.contains("bad line: what is this") || line.contains("bad line: w")),
-                said.all().toString());
+                log.all().toString());
     }
 
     @Test
-    void whatIsRefusedIsReportedAndMendedByTheNextVersion() throws Exception {
-        Asked only = next();
-        only.say(OK);
-        only.lines("", version(1, "realms/a", "1"));
+    void rejectedVersionIsReportedAndReplacedByNext() throws Exception {
+        WatchCall only = nextWatch();
+        only.send(OK);
+        only.sendLines("", version(1, "realms/a", "1"));
         assertEquals(1, revs.take());
         awaitReport("\"rev\":1,\"waits_restart\":[],\"refused\":[]}");
-        only.lines(version(2, "realms/a", "-2"));
+        only.sendLines(version(2, "realms/a", "-2"));
         awaitReport("\"rev\":1,\"waits_restart\":[],\"refused\":[{\"rev\":2,\"path\":\"realms/a\","
                 + "\"reason\":\"quotaPerS is negative\"}]}");
         assertEquals("{realms/a={\"quotaPerS\":1}}", values.toString());
-        only.lines(version(3, "realms/a", "3"));
+        only.sendLines(version(3, "realms/a", "3"));
         assertEquals(3, revs.take());
         awaitReport("\"rev\":3,\"waits_restart\":[],\"refused\":[]}");
-        only.lines(version(4, "limits/attemptsCap", "1").replace("{\"quotaPerS\":1}", "2"));
+        only.sendLines(version(4, "limits/attemptsCap", "1").replace("{\"quotaPerS\":1}", "2"));
         awaitReport("\"rev\":4,\"waits_restart\":[\"limits/attemptsCap\"],\"refused\":[]}");
     }
 
@@ -230,12 +230,12 @@
     }
 
     @Test
-    void aKeeperThatIsAloneIsToldOfAndLeftForNone() throws Exception {
-        Asked first = next();
-        first.say(OK);
-        first.lines("{\"rev\":0,\"alone\":true}");
-        said.await(0, "its keeper hears no majority");
-        first.lines("");
-        said.await(0, "told all");
+    void keeperWithoutQuorumIsLoggedAndKeptIfOnlyOne() throws Exception {
+        WatchCall first = nextWatch();
+        first.send(OK);
+        first.sendLines("{\"rev\":0,\"alone\":true}");
+        log.awaitLine(0, "its keeper hears no majority");
+        first.sendLines("");
+        log.awaitLine(0, "told all");
     }
 }
