--- a/src/main/java/kitemux/keeper/ConfigRules.java
+++ b/src/main/java/kitemux/keeper/ConfigRules.java
@@ -18,8 +18,9 @@
 import kitemux.rollout.ValidationError;
 
 /**
- * What paths of a configuration mean: fields by the names that a node's file has them under, read by the same
- * reader. Each value stands for itself, so what was sound is not looked at again. For one thread.
+ * Validation rules for the paths of a configuration. Fields have the same names as in a node's configuration file and are
+ * parsed by the same reader. Values are independent of each other, so a value that was valid is not validated again. Not
+ * thread-safe.
  */
 public final class ConfigRules implements Rules {
     private static final List<String> LIVE_CLASS_FIELDS = List.of("onTimeUs", "giveUpUs", "importance", "lateWorth");
@@ -30,7 +31,7 @@
     private static final String KNOWN_PATHS_TEXT =
             "known are realms/NAME, classes/NAME, limits/NAME, overShareWorth, " + "discovery, " + History.VOTERS_PATH;
 
-    /** Values that were sound, by path. */
+    /** Values that were found valid, by path. */
     private final Map<String, String> validValues = new HashMap<>();
 
     @Override
@@ -78,7 +79,7 @@
     private static boolean hasOnlyKnownFields(
             String path, Json json, List<String> knownFields, List<ValidationError> errors) {
         if (!json.isObject()) {
-            errors.add(new ValidationError(path, "is no object"));
+            errors.add(new ValidationError(path, "is not an object"));
             return false;
         }
         int before = errors.size();
@@ -87,7 +88,7 @@
                 errors.add(new ValidationError(
                         path, field + " is not known; known are " + String.join(", ", knownFields)));
             } else if (value.isObject() || value.isList()) {
-                errors.add(new ValidationError(path, field + " is no plain value"));
+                errors.add(new ValidationError(path, field + " is not a plain value"));
             }
         });
         return errors.size() == before;
@@ -129,7 +130,7 @@
         if (!LIMIT_NAMES.contains(name)) {
             errors.add(new ValidationError(path, "is not known; known limits are " + String.join(", ", LIMIT_NAMES)));
         } else if (json.isObject() || json.isList()) {
-            errors.add(new ValidationError(path, "is no plain value"));
+            errors.add(new ValidationError(path, "is not a plain value"));
         } else {
             try {
                 SettingsReader.read(Map.of(
@@ -164,7 +165,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- what waits for a restart
+    // ---------------------------------------------------------------- paths that need a restart
 
     @Override
     public Set<String> pathsNeedingRestart(Map<String, String> initial, Map<String, String> next) {
@@ -180,7 +181,7 @@
         return paths;
     }
 
-    /** Whether a change of one value, null where it was not or is not there, is in force at once. */
+    /** Whether a change of one value takes effect without a restart; null stands for an absent value. */
     private static boolean isLive(String path, String before, String after) {
         if (path.startsWith("classes/")) {
             return before != null && after != null && restartFields(before).equals(restartFields(after));
@@ -197,7 +198,7 @@
                 }
             });
         } catch (IOException e) {
-            // What is no JSON was never in force.
+            // A value that is not JSON was never in force.
         }
         return fields;
     }
--- a/src/main/java/kitemux/keeper/Keeper.java
+++ b/src/main/java/kitemux/keeper/Keeper.java
@@ -34,12 +34,12 @@
 import kitemux.rollout.Voter;
 
 /**
- * A keeper: carries the effects of its {@link KeeperStateMachine} to sockets and to its folder. All but the
- * folder's writes is on one event loop.
+ * A keeper: executes the effects of its {@link KeeperStateMachine} on sockets and on its folder. Everything except writes to
+ * the folder runs on one event loop.
  */
 public final class Keeper {
     private static final byte[] EMPTY_BODY = new byte[0];
-    /** Looks for silent watches in the time after which one is. */
+    /** Number of checks for silent watches within one report timeout. */
     private static final int SWEEPS_PER_REPORT_TIMEOUT_COUNT = 10;
 
     private final KeeperSettings settings;
@@ -54,9 +54,9 @@
     private final KeeperServer server;
     private final KeeperClient keeperClient;
     private final WatchRegistry watches;
-    /** Whoever waits for an answer of this keeper's vote or history, by the number of the call. */
+    /** Receivers of responses to requests to this keeper's acceptor or history, by call id. */
     private final Map<Long, Consumer<Response>> pendingRequests = new HashMap<>();
-    /** Operators that wait for what becomes of a change. */
+    /** Calls of operators that wait for the outcome of a change, by call id. */
     private final Map<Long, KeeperServer.Call> pendingChanges = new HashMap<>();
 
     private final ArrayDeque<Effect> pendingEffects = new ArrayDeque<>();
@@ -69,7 +69,7 @@
     private boolean stopped;
     private String loggedState = "";
 
-    /** What a keeper stands on: one event loop, its channels, its time, and lines for operators. */
+    /** Environment of a keeper: its event loop, network, clock and log. */
     public record Environment(EventLoop loop, Network network, Clock clock, Log log) {}
 
     private Keeper(
@@ -106,13 +106,13 @@
     }
 
     /**
-     * Reads a folder, and is ready to listen.
+     * Opens a keeper on its folder, ready to listen.
      *
-     * @param disk the folder, which nobody else writes to
-     * @param random for identities of folders, and for what is drawn
-     * @param failed told, on the loop or on the writer's thread, where it cannot go on, as where the folder
-     *     cannot be written any more: the process has to end
-     * @throws IOException if the folder cannot be read or written, or is another keeper's
+     * @param disk the folder; no other process may write to it
+     * @param random random numbers for the identity of the folder and the seed of the state machine
+     * @param failureHandler called on the loop or on the writer's thread if the keeper cannot continue, for example
+     *     because the folder is no longer writable; the process must then exit
+     * @throws IOException if the folder cannot be read or written, or belongs to another keeper
      */
     public static Keeper open(
             KeeperSettings settings,
@@ -128,10 +128,10 @@
     }
 
     /**
-     * Makes a folder for a keeper, where it has none yet.
+     * Initializes the folder of a keeper if it has no records yet.
      *
-     * @return the voter as settings name it, number and identity
-     * @throws IOException if it cannot be read or written, or is another keeper's
+     * @return the voter as it is written in settings, with number and identity
+     * @throws IOException if the folder cannot be read or written, or belongs to another keeper
      */
     public static String initializeFolder(Disk disk, int number, LongSupplier random, Log log) throws IOException {
         KeeperFolder folder = KeeperFolder.open(disk, number, random, log::info);
@@ -139,12 +139,12 @@
         return new Voter(number, folder.identity()).toString();
     }
 
-    /** Its number and the identity of its folder. */
+    /** Number of this keeper and identity of its folder. */
     public Voter voter() {
         return self;
     }
 
-    /** Listens; the future is done once it can be called. */
+    /** Starts to listen; the future completes once the keeper accepts calls. */
     public ChannelFuture listen() {
         loop.execute(() -> {
             tick();
@@ -153,7 +153,7 @@
         return server.listen(settings.listenAddress());
     }
 
-    /** Lets go of all sockets and timers at once; answers that wait are never given. */
+    /** Closes all sockets and cancels all timers at once; pending calls are never answered. */
     void stop() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
@@ -171,7 +171,7 @@
         done.await();
     }
 
-    /** Ends it; what was to be written is. Not to be called on the loop. */
+    /** Stops the keeper after all queued records are written. Must not be called on the loop. */
     public void close() throws InterruptedException {
         stop();
         writer.close();
@@ -179,7 +179,10 @@
 
     // ---------------------------------------------------------------- effects
 
-    /** Something has happened to the machine. A defect is its end: half an event must not be gone on from. */
+    /**
+     * Passes an event to the state machine. An unexpected exception ends the keeper, because it must not continue after
+     * a partly handled event.
+     */
     private void handleEvent(Supplier<List<Effect>> event) {
         try {
             execute(event.get());
@@ -189,7 +192,7 @@
         }
     }
 
-    /** In their order, also where one of them brings further ones about. */
+    /** Executes effects in order, including those that arise during execution. */
     private void execute(List<Effect> newEffects) {
         if (stopped) {
             return;
@@ -231,8 +234,8 @@
         } else if (effect instanceof Effect.SendEvent sendEvent) {
             watches.send(sendEvent.watch(), sendEvent.event());
         } else if (!(effect instanceof Effect.RejectWatch)) {
-            // Those of a node.
-            throw new IllegalStateException("no effect of a keeper: " + effect);
+            // The other effects belong to nodes.
+            throw new IllegalStateException("not an effect of a keeper: " + effect);
         }
     }
 
@@ -258,13 +261,13 @@
             RolloutText.ParseResult<Response> response = RolloutText.readResponse(body);
             if (response.value() instanceof Response.Versions versions
                     && versions.versions().size() > ProtocolParameters.MAX_RESPONSE_VERSION_COUNT) {
-                log.info("keeper " + to + ": its answer has "
+                log.info("keeper " + to + ": its response has "
                         + versions.versions().size() + " versions; " + ProtocolParameters.MAX_RESPONSE_VERSION_COUNT
-                        + " are allowed");
+                        + " are allowed at most");
             } else if (response.errors().isEmpty()) {
                 handleResponse(to, response.value());
             } else {
-                log.info("keeper " + to + ": its answer cannot be read: "
+                log.info("keeper " + to + ": its response cannot be read: "
                         + response.errors().get(0));
             }
         });
@@ -276,7 +279,7 @@
                 : request instanceof Request.Accept ? "accept" : request instanceof Request.Chosen ? "chosen" : "ask";
     }
 
-    /** What comes while the disk is behind is as lost: each answer may be written, and room is bounded. */
+    /** Drops messages while the disk is behind: each may cause a write, and the write queue is bounded. */
     private boolean hasRoom() {
         if (!writer.hasRoom()) {
             diskBacklogRejections++;
@@ -320,7 +323,7 @@
         }
     }
 
-    /** A line for operators when it changes whether it serves. */
+    /** Logs a change in whether this keeper serves. */
     private void logStateChange() {
         String state = !stateMachine.isCaughtUp()
                 ? "serves nobody until it has heard a majority of the voters"
@@ -332,7 +335,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- calls
+    // ---------------------------------------------------------------- handling of calls
 
     private void dispatch(KeeperServer.Call call) {
         if (stopped) {
@@ -354,7 +357,7 @@
             invalidCalls++;
             call.answer(
                     method.isEmpty() ? 404 : 405,
-                    StatusJson.error(path, method.isEmpty() ? "is not known here" : "is called by " + method));
+                    StatusJson.error(path, method.isEmpty() ? "is not known here" : "must be called with " + method));
             return;
         }
         switch (path) {
@@ -389,7 +392,7 @@
         if (!parsed.errors().isEmpty()) {
             rejectInvalid(call, parsed.errors());
         } else if (!kindOf(parsed.value()).equals(kind)) {
-            rejectInvalid(call, List.of(new ValidationError("kind", "is not " + kind + ", as the path is")));
+            rejectInvalid(call, List.of(new ValidationError("kind", "must be " + kind + ", as in the path")));
         } else if (!hasRoom()) {
             call.answer(503, StatusJson.reason("the disk of this keeper is behind"));
         } else {
@@ -410,7 +413,7 @@
         }
     }
 
-    /** Fields behind a path: whole numbers, each once, and no others. */
+    /** Query parameters of a call: known names only, each an integer given at most once. */
     private static final class Query {
         private final Map<String, List<String>> parameters;
         final List<ValidationError> errors = new ArrayList<>();
@@ -436,7 +439,7 @@
             try {
                 value = values.size() == 1 ? Long.parseLong(values.get(0)) : -1;
             } catch (NumberFormatException e) {
-                // Told below.
+                // Reported below.
             }
             if (value < 0 || value > max) {
                 errors.add(new ValidationError(name, "is not a whole number from 0 to " + max));
@@ -471,7 +474,7 @@
         return stateMachine.inventory().rows(clock.nowUs());
     }
 
-    /** Asks all keepers what their nodes reported; one that does not answer is named. */
+    /** Collects the node reports of all keepers; the answer names keepers that did not respond. */
     private void status(KeeperServer.Call call) {
         Query query = new Query(call, List.of("rev"));
         long newest = stateMachine.history().rev();
--- a/src/main/java/kitemux/keeper/KeeperClient.java
+++ b/src/main/java/kitemux/keeper/KeeperClient.java
@@ -31,16 +31,16 @@
 import kitemux.net.Network;
 
 /**
- * Calls to the other keepers, each on a connection of its own while it lasts; a connection is used again. A
- * call that has no answer is lost, and nobody waits for it: the machine has its own timers. For the loop
- * alone.
+ * HTTP client for calls to the other keepers. Each call uses a connection exclusively, and idle connections are reused. A
+ * call without a response fails and is not retried here, because the state machine has its own timers. All methods must
+ * be called on the loop.
  */
 final class KeeperClient {
-    /** Calls at once to one keeper: a pulse, what a proposal sends, inventories. Beyond: the call is lost. */
+    /** Concurrent calls to one keeper: fetches, requests of a proposal and inventories. Further calls fail. */
     static final int MAX_CALLS_PER_KEEPER_COUNT = 16;
-    /** For an answer, from the dial: over three of a proposal's phases, after which nobody waits for it. */
+    /** Time from the connect to the response: over three phases of a proposal, after which it is of no use. */
     static final long CALL_TIMEOUT_MS = 2_000;
-    /** Of an answer in bytes: a whole of the largest size, as JSON. */
+    /** Largest response: a snapshot of the maximum size as JSON. */
     private static final int MAX_RESPONSE_BYTES = 8 << 20;
 
     private final EventLoop loop;
@@ -49,7 +49,7 @@
     private long failedCalls;
     private boolean closed;
 
-    /** A keeper that is called. */
+    /** Another keeper and the connections to it. */
     private static final class Peer {
         final InetSocketAddress address;
         final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
@@ -79,14 +79,13 @@
     }
 
     /**
-     * Asks for something; {@code answered} is told the body of an answer of 200, or null where there is
-     * none.
+     * Sends a GET request; {@code onResponse} receives the body of a response with status 200, or null if there is none.
      */
     void get(int keeper, String path, Consumer<byte[]> onResponse) {
         call(keeper, HttpMethod.GET, path, new byte[0], onResponse);
     }
 
-    /** Sends something; as {@link #get}. */
+    /** Sends a POST request; {@code onResponse} is called as for {@link #get}. */
     void post(int keeper, String path, byte[] body, Consumer<byte[]> onResponse) {
         call(keeper, HttpMethod.POST, path, body, onResponse);
     }
@@ -109,12 +108,12 @@
         connection.call(request, onResponse);
     }
 
-    /** Calls that had no answer. */
+    /** Number of calls that failed. */
     long failedCalls() {
         return failedCalls;
     }
 
-    /** Ends all at once. */
+    /** Closes all connections at once; later calls fail. */
     void close() {
         closed = true;
         peers.forEach(peer -> Set.copyOf(peer.openConnections).forEach(Connection::abort));
@@ -123,7 +122,7 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Peer peer;
         private Channel channel;
-        /** Who waits for the answer; null while none is called for. */
+        /** Receiver of the response; null while no call is in flight. */
         private Consumer<byte[]> responseHandler;
 
         private Future<?> timeout;
@@ -153,7 +152,7 @@
             });
         }
 
-        /** Ends it; a call that it carries is lost. */
+        /** Closes the connection; a call in flight on it fails. */
         void abort() {
             peer.openConnections.remove(this);
             peer.idleConnections.remove(this);
--- a/src/main/java/kitemux/keeper/KeeperFolder.java
+++ b/src/main/java/kitemux/keeper/KeeperFolder.java
@@ -15,18 +15,18 @@
 import kitemux.rollout.RolloutText;
 
 /**
- * A keeper's folder: one file of records, a line each with a checksum in front, the first of which says
- * whose it is. For one thread at a time.
+ * Storage of a keeper: one file of records, one line each with a leading checksum. The first line is a header that
+ * names the keeper. Not thread-safe.
  *
- * <p>What a crash leaves of the last record, a line without its end, was never synced and so never answered:
- * it is cut off. Anything else that is not as it was written may have been an answered promise. The folder
- * then begins anew with the versions that stand before it, no vote, and another identity, which no set of
- * voters names: that keeper learns, and does not vote.
+ * <p>A crash may leave the last record as a line without its end. That record was never synced, so no response depends
+ * on it, and it is cut off. Any other corruption may hide a promise that was already sent. The folder then starts again
+ * with the versions before the corrupt record, without votes and under a new identity, which no set of voters names.
+ * That keeper learns versions but does not vote.
  */
 final class KeeperFolder {
-    /** Name of the file. */
+    /** Name of the records file. */
     static final String RECORDS_FILE = "records";
-    /** A file that is longer is written anew; whole and history have 7 MB at most. */
+    /** A larger file is rewritten; snapshot and history take 7 MB at most. */
     static final long MAX_FILE_BYTES = 16 << 20;
 
     private static final String NEW_FILE = RECORDS_FILE + ".new";
@@ -49,12 +49,12 @@
     }
 
     /**
-     * Opens a folder to be written to; one without records gets a new identity.
+     * Opens a folder for writing; a folder without records gets a new identity.
      *
-     * @param keeper the number of the keeper, which must be the one that it was made for
-     * @param identities random numbers
-     * @param log told of what was found spoilt, with its place
-     * @throws IOException if it cannot be read or written, or is another keeper's
+     * @param keeper number of the keeper, which must be the one in the header
+     * @param identities random numbers for new identities
+     * @param log receives a line for each corruption found, with its offset
+     * @throws IOException if the folder cannot be read or written, or belongs to another keeper
      */
     static KeeperFolder open(Disk disk, int keeper, LongSupplier identities, Consumer<String> log) throws IOException {
         if (!disk.list().contains(RECORDS_FILE)) {
@@ -65,10 +65,10 @@
             throw new IOException(RECORDS_FILE + " is of keeper " + contents.keeper + ", and this is keeper " + keeper);
         }
         if (contents.error != null) {
-            // Never deleted: whoever looks for what was chosen may find more in it than this program does.
+            // The file is kept: manual inspection may recover chosen versions that this program cannot read.
             String spoiltName = unusedSpoiltName(disk);
             log.accept("folder: " + RECORDS_FILE + ", offset " + contents.validBytes + ": " + contents.error
-                    + "; it is set aside as " + spoiltName + ", and this keeper begins anew without a vote");
+                    + "; it is set aside as " + spoiltName + ", and this keeper starts again without a vote");
             List<LogRecord> versions = contents.records.stream()
                     .filter(entry -> !(entry instanceof LogRecord.Voted))
                     .toList();
@@ -103,17 +103,17 @@
         return RECORDS_FILE + ".spoilt-" + number;
     }
 
-    /** Drawn when it was made; 16 hex digits. */
+    /** Random identity of this folder, 16 hex digits; drawn when the folder was initialized. */
     String identity() {
         return identity;
     }
 
-    /** What was found in it, in order. */
+    /** Records found when the folder was opened, in order. */
     List<LogRecord> recoveredRecords() {
         return recoveredRecords;
     }
 
-    /** Writes records behind all others; they are safe once {@link #sync} has returned. */
+    /** Appends records; they are durable once {@link #sync} has returned. */
     void append(List<LogRecord> records) throws IOException {
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
         records.forEach(record -> lines.writeBytes(encodeLine(RolloutText.write(record))));
@@ -121,19 +121,19 @@
         fileBytes += lines.size();
     }
 
-    /** Waits until all that was written is safe. */
+    /** Waits until all appended records are durable. */
     void sync() throws IOException {
         output.sync();
     }
 
-    /** Whether it is time to {@link #rewrite}. */
+    /** Whether the file is larger than {@link #MAX_FILE_BYTES} and should be rewritten. */
     boolean isOversized() {
         return fileBytes > MAX_FILE_BYTES;
     }
 
     /**
-     * Puts records in the place of all that were written; they are safe then. At any crash one of both is
-     * there.
+     * Replaces all records; the new ones are durable on return. After a crash the file holds either the old or the new
+     * records.
      */
     void rewrite(List<LogRecord> records) throws IOException {
         if (disk.list().contains(NEW_FILE)) {
@@ -174,17 +174,17 @@
         return String.format("%08x", crc.getValue());
     }
 
-    /** What a file says, up to the first place at which it is not as it was written. */
+    /** Content of a records file up to the first corrupt line. */
     private static final class FileContents {
         final List<LogRecord> records = new ArrayList<>();
         int keeper;
-        /** Null where the first line says none. */
+        /** Null if the header is missing or invalid. */
         String identity;
-        /** Bytes up to the end of the last record that is sound. */
+        /** Number of bytes up to the end of the last valid record. */
         int validBytes;
-        /** Bytes of a last line that has no end. */
+        /** Number of bytes of a last line without its end. */
         int tornBytes;
-        /** Why the line at {@link #validBytes} is none, or null. */
+        /** Reason why the line at {@link #validBytes} is invalid, or null. */
         String error;
 
         FileContents(byte[] file) {
@@ -200,10 +200,10 @@
                 error = readLine(file, validBytes, end);
                 validBytes = error == null ? end + 1 : validBytes;
             }
-            error = error == null && identity == null ? "has no first line" : error;
+            error = error == null && identity == null ? "has no header line" : error;
         }
 
-        /** Takes a line in; null, or why it is none. */
+        /** Reads one line; returns null, or the reason why the line is invalid. */
         private String readLine(byte[] file, int from, int end) {
             int textStart = from + CHECKSUM_BYTES + 1;
             if (textStart > end
@@ -211,7 +211,7 @@
                     || file[textStart - 1] != ' '
                     || !checksum(file, textStart, end)
                             .equals(new String(file, from, CHECKSUM_BYTES, StandardCharsets.US_ASCII))) {
-                return (end - from) + " bytes are no record: their checksum differs";
+                return (end - from) + " bytes are not a valid record: wrong checksum";
             }
             byte[] record = Arrays.copyOfRange(file, textStart, end);
             if (identity == null) {
@@ -231,13 +231,13 @@
                 if (!header.path("form").text().equals(FORMAT_NAME)
                         || header.path("version").whole(0) != FORMAT_VERSION
                         || header.path("identity").text().isEmpty()) {
-                    return "is no first line of " + FORMAT_NAME + ", version " + FORMAT_VERSION;
+                    return "is not a header line of " + FORMAT_NAME + ", version " + FORMAT_VERSION;
                 }
                 keeper = (int) header.path("keeper").whole(-1);
                 identity = header.path("identity").text();
                 return null;
             } catch (IOException e) {
-                return "the first line is not JSON: " + e.getMessage();
+                return "the header line is not JSON: " + e.getMessage();
             }
         }
     }
--- a/src/main/java/kitemux/keeper/KeeperProcess.java
+++ b/src/main/java/kitemux/keeper/KeeperProcess.java
@@ -14,14 +14,14 @@
 import kitemux.net.SelectorLoop;
 import kitemux.rollout.ProtocolParameters;
 
-/** A process that is a keeper: the folder's lock, the loop, and the end. */
+/** Runs a keeper as a process: takes the lock of its folder, starts its event loop and handles shutdown. */
 public final class KeeperProcess {
-    /** Of a process that cannot write to its folder any more. */
+    /** Exit code of a keeper that can no longer write to its folder. */
     private static final int WRITE_FAILURE_EXIT_CODE = 1;
 
     private KeeperProcess() {}
 
-    /** Who writes to a folder holds its lock. */
+    /** Opens a folder for writing and takes its lock, which every writer must hold. */
     private static FolderDisk lockFolder(Path folder) throws IOException {
         if (FolderDisk.isLockedByWriter(folder)) {
             throw new IOException("another process writes to " + folder);
@@ -30,10 +30,10 @@
     }
 
     /**
-     * Makes a keeper's folder; one that is there stays as it is.
+     * Initializes a keeper's folder; an initialized folder stays unchanged.
      *
-     * @return the voter as settings name it
-     * @throws IOException if it cannot be used; the message says why
+     * @return the voter as it is written in settings
+     * @throws IOException if the folder cannot be used; the message gives the reason
      */
     public static String initializeFolder(Path folder, int number, Log log) throws IOException {
         try (FolderDisk disk = lockFolder(folder)) {
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Starts the one keeper of this process; it ends with it.
+     * Starts the only keeper of this process; it runs until the process exits.
      *
-     * @throws IOException if it cannot start; the message says why
+     * @throws IOException if the keeper cannot start; the message gives the reason
      */
     public static void start(KeeperSettings settings, Log log) throws IOException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
@@ -59,8 +59,8 @@
                     lockFolder(settings.folder()),
                     new SecureRandom()::nextLong,
                     failure -> {
-                        // Whoever cannot write must not answer: no hook may hold the end up.
-                        log.info("folder: cannot be written: " + failure + "; this keeper ends");
+                        // A keeper that cannot write must not respond, so shutdown hooks must not delay the exit.
+                        log.info("folder: cannot be written: " + failure + "; this keeper exits");
                         Runtime.getRuntime().halt(WRITE_FAILURE_EXIT_CODE);
                     });
         } catch (IOException e) {
--- a/src/main/java/kitemux/keeper/KeeperServer.java
+++ b/src/main/java/kitemux/keeper/KeeperServer.java
@@ -44,14 +44,16 @@
  * callers that are slow; what a call means is the {@link CallHandler}'.
  */
 final class KeeperServer {
-    /** Connections at once: watches, one for each report and each operator's call, and the keepers'. */
+    /** Concurrent connections: watches, reports, calls of operators and calls of other keepers. */
     static final int MAX_CONNECTION_COUNT = 512;
-    /** Of a call's body in bytes: a change of the largest size in a keeper's words, or a report. */
+    /** Largest body of a call: a change of the maximum size within a request of a keeper, or a report. */
     static final int MAX_BODY_BYTES = 16 << 10;
-    /** From connecting, or from the last answer, to the end of the next call. */
+    /** Time from the connect, or from the last response, to the end of the next call. */
     static final long CALL_TIMEOUT_MS = 5_000;
-    /** What the system may hold for a connection that is not read, in bytes: a bound on unwritten bytes would
-     * else be reached only after some megabytes. */
+    /**
+     * Size of a connection's socket send buffer. With the system's default, a connection that is not read would reach
+     * the bound on unwritten bytes only after several megabytes.
+     */
     private static final int SEND_BUFFER_BYTES = 64 << 10;
 
     private final EventLoop loop;
@@ -61,9 +63,9 @@
     private long malformedCalls;
     private Channel serverChannel;
 
-    /** What can be called. */
+    /** Handles calls. */
     interface CallHandler {
-        /** A call has come whole; its one answer may be given later, on the loop. */
+        /** Handles a complete call; its single answer may be given later, on the loop. */
         void handle(Call call);
     }
 
@@ -72,7 +74,7 @@
         this.callHandler = callHandler;
     }
 
-    /** Listens; the future is done once it can be called. */
+    /** Starts to listen; the future completes once the server accepts calls. */
     ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture binding = new ServerBootstrap()
                 .group(loop)
@@ -106,22 +108,22 @@
         channel.pipeline().addLast(new HttpServerCodec(), new BodyLimiter(), new ConnectionHandler(channel));
     }
 
-    /** Connections that were closed as there were too many. */
+    /** Number of connections that were closed because too many were open. */
     long rejectedConnections() {
         return rejectedConnections;
     }
 
-    /** Calls that were too long, or no calls. */
+    /** Number of calls that were too large or malformed. */
     long malformedCalls() {
         return malformedCalls;
     }
 
-    /** Connections that are open. */
+    /** Number of open connections. */
     int connections() {
         return connections.size();
     }
 
-    /** Ends all at once; to be called on the loop. */
+    /** Closes the server and all connections at once. Must be called on the loop. */
     void close() {
         if (serverChannel != null) {
             serverChannel.close();
@@ -143,7 +145,7 @@
         return response;
     }
 
-    /** What is longer than any call is answered before it has come. */
+    /** Rejects a call that exceeds the size limit before it has arrived completely. */
     private final class BodyLimiter extends HttpObjectAggregator {
         BodyLimiter() {
             super(MAX_BODY_BYTES);
@@ -157,7 +159,7 @@
         }
     }
 
-    /** One call. */
+    /** A call of this server. */
     static final class Call {
         private final Channel channel;
         private final ConnectionHandler connection;
@@ -183,7 +185,7 @@
             return uri.path();
         }
 
-        /** Fields behind the path, by name. */
+        /** Query parameters by name. */
         Map<String, List<String>> query() {
             return uri.parameters();
         }
@@ -192,7 +194,7 @@
             return body;
         }
 
-        /** The whole answer, as JSON; nothing where the caller has gone. */
+        /** Sends the complete answer as JSON; has no effect if the client has disconnected. */
         void answer(int status, byte[] json) {
             ChannelFuture written = channel.writeAndFlush(response(status, json, keepAlive));
             if (keepAlive) {
@@ -202,7 +204,7 @@
             }
         }
 
-        /** Begins an answer without an end; what follows is written to this connection as it comes. */
+        /** Starts an endless chunked response; returns the channel to which its content is written. */
         Channel startStream() {
             HttpResponse header = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             header.headers()
@@ -215,7 +217,7 @@
 
     private final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Channel channel;
-        /** Runs while a call is awaited; null while one is answered. */
+        /** Closes the connection if no call arrives in time; null while a call is being answered. */
         private Future<?> timeout;
 
         ConnectionHandler(Channel channel) {
@@ -230,7 +232,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (timeout == null) {
-                // Ahead of an answer, which no caller of ours does: it could not be answered in its turn.
+                // Pipelined call, which our clients never send: it could not be answered in order.
                 context.close();
                 return;
             }
@@ -273,7 +275,7 @@
         }
     }
 
-    /** Text as the bytes of an answer. */
+    /** Encodes text as the bytes of an answer. */
     static byte[] utf8(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
--- a/src/main/java/kitemux/keeper/KeeperSettings.java
+++ b/src/main/java/kitemux/keeper/KeeperSettings.java
@@ -6,14 +6,14 @@
 import kitemux.rollout.Voter;
 
 /**
- * What a keeper is told at its start.
+ * Settings of a keeper.
  *
- * @param number its own among the keepers, from 0
- * @param keeperAddresses where each keeper is called, by number
- * @param listenAddress where it is called itself; as a rule the address at its own number
- * @param folder of its records
- * @param initialVoters the first voters, the same at all keepers
- * @param nodeCount how many nodes there are, numbered from 0
+ * @param number number of this keeper, from 0
+ * @param keeperAddresses address of each keeper, by number
+ * @param listenAddress address to listen on; usually the address at its own number
+ * @param folder folder of its records
+ * @param initialVoters initial set of voters, the same at all keepers
+ * @param nodeCount number of nodes, which are numbered from 0
  */
 public record KeeperSettings(
         int number,
--- a/src/main/java/kitemux/keeper/KeeperSettingsParser.java
+++ b/src/main/java/kitemux/keeper/KeeperSettingsParser.java
@@ -17,18 +17,20 @@
 import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Voter;
 
-/** Reads a keeper's settings in HCL; {@code docs/operate/rollout.md} has all fields. */
+/** Parses the settings of a keeper in HCL; {@code docs/operate/rollout.md} has all fields. */
 public final class KeeperSettingsParser {
-    /** Numbers of keepers have three digits at most; eight machines are planned for. */
+    /** Largest number of keepers; deployments of up to eight are planned for. */
     static final int MAX_KEEPER_COUNT = 32;
 
     private KeeperSettingsParser() {}
 
     /**
-     * @param file what faults call the file
-     * @param text its text
-     * @param faults gets all that is wrong, one line each with place, field and reason
-     * @return the settings; null if there are faults
+     * Parses a settings file and reports all errors at once.
+     *
+     * @param file name of the file in error messages
+     * @param text content of the file
+     * @param errors receives one line for each error, with position, field and reason
+     * @return the settings; null if there are errors
      */
     public static KeeperSettings parse(String file, String text, List<String> errors) {
         Map<String, Object> parsed;
@@ -68,7 +70,7 @@
             String position = "keepers[" + keepers.size() + "]";
             keepers.add(address("keepers", text, errors));
             if (!seen.add(text)) {
-                errors.add("keepers: " + position + " is there twice: " + text);
+                errors.add("keepers: " + position + " is a duplicate: " + text);
             }
         }
         if (keepers.isEmpty() || keepers.size() > MAX_KEEPER_COUNT) {
@@ -90,7 +92,7 @@
         try {
             return Path.of(text);
         } catch (InvalidPathException e) {
-            errors.add("folder: is no path: " + e.getMessage());
+            errors.add("folder: is not a path:  " + e.getMessage());
             return null;
         }
     }
@@ -102,12 +104,12 @@
         for (String text : texts) {
             Voter voter = Voter.parse(text);
             if (voter == null) {
-                errors.add("voters: \"" + text + "\" is no voter as \"0:9f2c\", the number of a keeper and "
+                errors.add("voters: \"" + text + "\" is not a voter of the form \"0:9f2c\", the number of a keeper and "
                         + "the identity of its folder");
             } else if (voter.keeper() >= keepers) {
-                errors.add("voters: \"" + text + "\" is none of the " + keepers + " keepers");
+                errors.add("voters: \"" + text + "\" is not one of the " + keepers + " keepers");
             } else if (!seen.add(voter.keeper())) {
-                errors.add("voters: keeper " + voter.keeper() + " is there twice");
+                errors.add("voters: keeper " + voter.keeper() + " is a duplicate");
             } else {
                 voters.add(voter);
             }
--- a/src/main/java/kitemux/keeper/RecordWriter.java
+++ b/src/main/java/kitemux/keeper/RecordWriter.java
@@ -11,20 +11,20 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * Writes a keeper's records on a thread of its own, what has come together in one go, and says on the loop
- * what is safe. The queue is bounded: the loop takes no call that could write while it is three quarters
- * full, so that what one event writes always finds room. A write that fails is the end of it: the keeper
- * must not answer any more.
+ * Writes the records of a keeper on its own thread, in batches with one sync each, and runs a callback on the loop once a
+ * record is durable. The queue is bounded. The loop accepts no call that could write while the queue is three quarters
+ * full, so the records of one event always fit. After a failed write nothing more is written, and the keeper must not
+ * respond any more.
  */
 final class RecordWriter {
-    /** Records that wait to be written; with the largest changes 4 MB. */
+    /** Capacity of the queue; 4 MB with changes of the maximum size. */
     static final int MAX_QUEUED_RECORD_COUNT = 1_024;
-    /** From here on there is no room for another call; one event writes 17 records at most. */
+    /** Queue length from which no further call is accepted; one event writes at most 17 records. */
     static final int CALL_ADMISSION_RECORD_COUNT = MAX_QUEUED_RECORD_COUNT / 4 * 3;
 
     /**
-     * A record and what follows once it is safe; or, where {@code anew} is not null, all that the file is to
-     * hold.
+     * A record with the callback to run once it is durable; or, if {@code replacement} is not null, a rewrite of the whole
+     * file with these records.
      */
     private record Task(LogRecord entry, Runnable onDurable, List<LogRecord> replacement) {}
 
@@ -38,9 +38,11 @@
     private volatile boolean isFileOversized;
 
     /**
-     * @param loop runs what follows
-     * @param failed told where nothing more will be written, on the writer's thread, or on the loop where
-     *     there is no room
+     * Starts the writer thread.
+     *
+     * @param loop runs the callbacks
+     * @param failureHandler called when nothing more will be written: on the writer's thread after a failed write, or
+     *     on the loop if the queue is full
      */
     RecordWriter(KeeperFolder folder, Executor loop, Consumer<Exception> failureHandler) {
         this.folder = folder;
@@ -51,12 +53,12 @@
         thread.start();
     }
 
-    /** Whether a call may be taken that writes. */
+    /** Whether a call that may write can be accepted. */
     boolean hasRoom() {
         return queuedCount.get() < CALL_ADMISSION_RECORD_COUNT;
     }
 
-    /** Whether the file is to be written anew; true once each time. */
+    /** Whether the file should be rewritten; calling this resets the flag. */
     boolean takeRewriteDue() {
         boolean isDue = isFileOversized;
         isFileOversized = false;
@@ -64,13 +66,13 @@
     }
 
     /**
-     * Writes a record behind all others; {@code then} runs on the loop once it and all before it are safe.
+     * Queues a record; {@code onDurable} runs on the loop once this record and all earlier ones are durable.
      */
     void write(LogRecord entry, Runnable onDurable) {
         offer(new Task(entry, onDurable, null));
     }
 
-    /** Puts these in the place of all that was written or waits. */
+    /** Replaces all records that were written or queued so far. */
     void rewrite(List<LogRecord> records) {
         offer(new Task(null, () -> {}, records));
     }
@@ -124,7 +126,7 @@
         loop.execute(() -> onDurable.forEach(Runnable::run));
     }
 
-    /** Writes what has come and ends; waits for that. To be called from any thread but the loop's. */
+    /** Writes all queued records, stops the thread and waits for its end. Must not be called on the loop. */
     void close() throws InterruptedException {
         closing = true;
         LockSupport.unpark(thread);
--- a/src/main/java/kitemux/keeper/RolloutWatch.java
+++ b/src/main/java/kitemux/keeper/RolloutWatch.java
@@ -42,13 +42,13 @@
 import kitemux.rollout.WatchEvent;
 
 /**
- * A node's watch on the keepers: carries the effects of its {@link Subscriber} to sockets, and what is to be
- * in force to the node. For the loop alone.
+ * A node's watch on the keepers: executes the effects of its {@link Subscriber} on sockets and passes new configurations to
+ * the node. Unless stated otherwise, methods must be called on the loop.
  */
 public final class RolloutWatch {
-    /** Reports on their way at once; a keeper that takes none must not take descriptors. Beyond: not sent. */
+    /** Concurrent reports; further ones are dropped, so that an unresponsive keeper cannot exhaust descriptors. */
     static final int MAX_CONCURRENT_REPORT_COUNT = 4;
-    /** For a report, from the dial to its answer. */
+    /** Time for a report, from the connect to the response. */
     private static final long REPORT_TIMEOUT_MS = 2_000;
 
     private final EventLoop loop;
@@ -60,7 +60,7 @@
     private final Log log;
     private final SocketBudget sockets;
     private final Bootstrap bootstrap;
-    /** Dials and watches that the machine knows, by its numbers. */
+    /** Connections that the subscriber has requested, by its watch ids. */
     private final Map<Long, WatchConnection> watches = new HashMap<>();
 
     private final Set<Channel> reportChannels = new HashSet<>();
@@ -69,19 +69,19 @@
     private boolean closed;
     private Subscriber.State loggedState;
 
-    /** Has values in force. */
+    /** Applies configurations at the node. */
     public interface ConfigurationApplier {
-        /** From now on these are in force, whole; called between two events of the loop. */
+        /** Puts a complete configuration in force; called between two events of the loop. */
         void apply(long rev, SortedMap<String, String> values);
     }
 
     /**
-     * Watches nobody yet.
+     * Creates a watch without any connection.
      *
-     * @param keepers addresses by number, as many as the machine was told
-     * @param node its number, as the machine was told
-     * @param life as the machine was told
-     * @param sockets counts those that are open: two watches and {@link #MAX_CONCURRENT_REPORT_COUNT} at most
+     * @param keeperAddresses addresses by keeper number, as many as the subscriber expects
+     * @param node number of the node, as in the subscriber
+     * @param incarnation incarnation of the node, as in the subscriber
+     * @param sockets counts the open sockets: at most two watches and {@link #MAX_CONCURRENT_REPORT_COUNT} reports
      */
     public RolloutWatch(
             EventLoop loop,
@@ -116,22 +116,22 @@
                 });
     }
 
-    /** Dials a keeper; from any thread. */
+    /** Starts to watch a keeper; may be called from any thread. */
     public void start() {
         loop.execute(this::tick);
     }
 
-    /** How it stands, what is in force, and counters; to be looked at on the loop. */
+    /** State, configuration in force and counters; must be read on the loop. */
     public Subscriber subscriber() {
         return subscriber;
     }
 
-    /** Reports that were not sent as too many were on their way. */
+    /** Number of reports that were not sent because too many were in flight. */
     public long droppedReports() {
         return droppedReports;
     }
 
-    /** Lets go of all sockets and timers; on the loop. */
+    /** Closes all sockets and cancels all timers. Must be called on the loop. */
     public void close() {
         closed = true;
         if (timer != null) {
@@ -159,12 +159,12 @@
                     watch.channel.close();
                 }
             } else if (effect instanceof Effect.Apply apply) {
-                // An event of its own: whoever is in the middle of one sees the old values to its end.
+                // Runs as a separate event: code within the current event sees the old values to its end.
                 loop.execute(() -> applyConfiguration(apply));
             } else if (effect instanceof Effect.SendReport send) {
                 sendReport(send.keeper(), send.report());
             } else {
-                throw new IllegalStateException("no effect of a node: " + effect);
+                throw new IllegalStateException("not an effect of a node: " + effect);
             }
         }
         if (subscriber.state() != loggedState) {
@@ -198,7 +198,7 @@
         watch.channel = trackSocket(connecting.channel());
         connecting.addListener(done -> {
             if (!done.isSuccess()) {
-                // Never from inside an event, also where it fails at once.
+                // Even if the connect fails at once, its end must be handled outside the current event.
                 loop.execute(watch::end);
                 return;
             }
@@ -226,7 +226,7 @@
         return request;
     }
 
-    /** It does not matter if it is lost: the next one tells all. */
+    /** Sends a report. A lost report does no harm, because each report is complete. */
     private void sendReport(int keeper, Report report) {
         if (reportChannels.size() >= MAX_CONCURRENT_REPORT_COUNT) {
             droppedReports++;
@@ -247,7 +247,7 @@
         });
     }
 
-    /** A report's answer, of which nothing is read but that it is there. */
+    /** Closes the connection after the response to a report, whose content is ignored. */
     private static final class ReportResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
--- a/src/main/java/kitemux/keeper/StatusJson.java
+++ b/src/main/java/kitemux/keeper/StatusJson.java
@@ -13,7 +13,7 @@
 import kitemux.rollout.Report;
 import kitemux.rollout.ValidationError;
 
-/** What a keeper tells operators, as JSON: how nodes stand to a version, and what is wrong with a call. */
+/** Encodes the JSON answers of a keeper to operators: the status of nodes for a version, and the errors of a call. */
 final class StatusJson {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -36,12 +36,12 @@
         return text.toByteArray();
     }
 
-    /** One thing that is wrong with a call. */
+    /** Encodes a single error of a call. */
     static byte[] error(String path, String reason) {
         return errors(List.of(new ValidationError(path, reason)));
     }
 
-    /** All that is wrong with a call, each with its path. */
+    /** Encodes all errors of a call, each with its path. */
     static byte[] errors(List<ValidationError> errors) {
         return writeObject(json -> {
             json.writeArrayFieldStart("faults");
@@ -55,20 +55,23 @@
         });
     }
 
-    /** Why something cannot be done now. */
+    /** Encodes the reason why a call cannot be served now. */
     static byte[] reason(String reason) {
         return writeObject(json -> json.writeStringField("reason", reason));
     }
 
     /**
-     * What is said of the keeper that was asked.
+     * Status of the keeper that answers.
      *
-     * @param identity of its folder
-     * @param newestRev version that it knows
-     * @param isVoter whether the voters name it
+     * @param number number of this keeper
+     *
+     * @param identity identity of its folder
+     * @param newestRev newest version that it knows
+     * @param isVoter whether it is one of the voters
      * @param isCaughtUp whether it serves watches and changes
-     * @param lacksQuorum whether it hears no majority of the voters
-     * @param unreachableKeepers numbers of keepers whose inventories did not come: what only they know is missing
+     * @param lacksQuorum whether it cannot reach a majority of the voters
+     * @param unreachableKeepers numbers of keepers whose inventories are missing; the status lacks the reports that only
+     *     they have
      * @param counters counters by name
      */
     record KeeperStatus(
@@ -81,7 +84,7 @@
             List<Integer> unreachableKeepers,
             SortedMap<String, Long> counters) {}
 
-    /** How nodes stand to a version. */
+    /** Encodes the status of all nodes for a version. */
     static byte[] status(
             long rev,
             Map<NodeStatus, List<Integer>> nodesByStatus,
--- a/src/main/java/kitemux/keeper/WatchRegistry.java
+++ b/src/main/java/kitemux/keeper/WatchRegistry.java
@@ -10,14 +10,14 @@
 import kitemux.rollout.RolloutText;
 import kitemux.rollout.WatchEvent;
 
-/** Nodes' watches: answers without an end, a line for each thing that is told. For the loop alone. */
+/** Open watches of nodes: endless responses with one line for each event. All methods must be called on the loop. */
 final class WatchRegistry {
     private final LongConsumer endListener;
     private final Map<Long, Watch> openWatches = new LinkedHashMap<>();
     private long closedUnreadCount;
     private long closedSilentCount;
 
-    /** One that is open, and when its node was heard last. */
+    /** An open watch and the time of its node's last report. */
     private static final class Watch {
         final Channel channel;
         final int node;
@@ -30,12 +30,12 @@
         }
     }
 
-    /** @param ended told of each watch that has ended, by either side */
+    /** @param endListener receives the id of each watch that was closed by either side */
     WatchRegistry(LongConsumer endListener) {
         this.endListener = endListener;
     }
 
-    /** A node's watch is answered from now on. */
+    /** Starts the response to a watch call of a node. */
     void add(long watchId, int node, KeeperServer.Call call, long nowUs) {
         Channel channel = call.startStream();
         openWatches.put(watchId, new Watch(channel, node, nowUs));
@@ -45,7 +45,7 @@
         });
     }
 
-    /** Writes a line; a watch that is not read ends, as its node asks anew where it stands. */
+    /** Sends an event; closes a watch whose node does not read, as the node resumes from its version when it reconnects. */
     void send(long watchId, WatchEvent event) {
         Watch target = openWatches.get(watchId);
         if (target == null) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** A node has reported: it is there. */
+    /** Records that a node has reported and so is alive. */
     void recordReport(int node, long nowUs) {
         for (Watch watch : openWatches.values()) {
             watch.lastReportUs = watch.node == node ? nowUs : watch.lastReportUs;
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Ends watches whose nodes have not reported since: a machine that is gone closes no connection, and
-     * beats would fill what may be unwritten only after hours.
+     * Closes watches whose nodes have not reported since a time. A machine that has vanished closes no connection, and
+     * heartbeats alone would reach the bound on unwritten bytes only after hours.
      */
     void closeSilent(long sinceUs) {
         for (Watch watch : List.copyOf(openWatches.values())) {
@@ -81,12 +81,12 @@
         }
     }
 
-    /** Watches that were ended as their nodes did not report. */
+    /** Number of watches that were closed because their nodes did not report. */
     long closedSilentCount() {
         return closedSilentCount;
     }
 
-    /** Watches that were ended as too much of what they were told was not read. */
+    /** Number of watches that were closed because too many events were unread. */
     long closedUnreadCount() {
         return closedUnreadCount;
     }
--- a/src/main/java/kitemux/keeper/package-info.java
+++ b/src/main/java/kitemux/keeper/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Carries {@link kitemux.rollout} over sockets and to a folder: a keeper's calls, watches and records, and a
- * node's watch. It decides nothing: an event is told to the machine with the time, and what it answers is
- * done in order, on one event loop. Only the folder is written off the loop.
+ * Connects the state machines of {@link kitemux.rollout} to sockets and storage: calls, watches and records of a keeper,
+ * and the watch of a node. This package makes no protocol decisions. It passes each event with the current time to the
+ * state machine and executes the resulting effects in order on one event loop. Only the records are written on another
+ * thread.
  */
 package kitemux.keeper;
--- a/src/main/java/kitemux/members/KnownMembers.java
+++ b/src/main/java/kitemux/members/KnownMembers.java
@@ -10,21 +10,20 @@
 import java.util.Set;
 
 /**
- * Which servers there are, by what a source has said so far. What a list says of a server holds at once,
- * that it
- * drains above all. What it leaves out is another matter: a source that was restarted, cut off or asked for
- * the wrong
- * thing leaves out most, and a fleet that believed it would refuse everything. So more than a share of the
- * servers
- * that is missing within a time is doubted, and counts once it has been missing for that time.
+ * The servers that are known from what a source has reported so far.
+ *
+ * <p>What a list states about a server, draining above all, takes effect at once. Servers that a list omits are
+ * treated with more care: a source that was restarted, cut off or queried wrongly omits most servers, and a fleet
+ * that believed it would refuse every request. If more than a given share of the servers disappears within a period,
+ * the loss therefore takes effect only after the servers have been missing for that whole period.
  */
 final class KnownMembers {
     private final double maxLostRatio;
     private final long lossConfirmationUs;
     private final Map<String, Member> members = new LinkedHashMap<>();
-    /** Missing from what was told last, and since when; they are members still. */
+    /** Servers missing from the latest list, with the time since when. They are still members. */
     private final Map<String, Long> missingSinceUs = new LinkedHashMap<>();
-    /** When servers were let go lately, by one list or by several. */
+    /** Times at which servers were removed recently, one entry for each server. */
     private final Deque<Long> recentLossTimesUs = new ArrayDeque<>();
 
     KnownMembers(double maxLostRatio, long lossConfirmationUs) {
@@ -32,12 +31,12 @@
         this.lossConfirmationUs = lossConfirmationUs;
     }
 
-    /** All that there are, in the order in which they came. */
+    /** All known servers, in the order in which they were added. */
     List<Member> members() {
         return List.copyOf(members.values());
     }
 
-    /** Whoever says so knows: nothing is doubted, as where an owner describes the servers by hand. */
+    /** Replaces all servers without a confirmation period, as when the owner describes the servers by hand. */
     void replaceAll(List<Member> all) {
         members.clear();
         missingSinceUs.clear();
@@ -45,9 +44,9 @@
     }
 
     /**
-     * A source has told all servers.
+     * Handles a complete list of servers from a source.
      *
-     * @param say gets a line where something is doubted
+     * @param messages receives a line for operators if the loss of servers awaits confirmation
      */
     void update(long nowUs, List<Member> listed, List<String> messages) {
         Set<String> listedNames = new HashSet<>();
@@ -64,7 +63,7 @@
             return;
         }
         recentLossTimesUs.removeIf(lostUs -> lostUs <= nowUs - lossConfirmationUs);
-        // Those that drain were to go: that they have is no surprise.
+        // Draining servers were expected to leave, so they do not count as lost.
         long unexpectedCount =
                 missing.stream().filter(name -> !members.get(name).draining()).count();
         long readyCount =
@@ -79,8 +78,8 @@
                 }
             }
             messages.add("the list of servers lacks " + unexpectedCount + " of " + readyCount
-                    + " that it named, which is doubted: they "
-                    + "stay for " + lossConfirmationUs / 1_000_000 + " s unless it names them again");
+                    + " that it named, which is doubted: they " + "stay for " + lossConfirmationUs / 1_000_000
+                    + " s unless it names them again");
             return;
         }
         missing.forEach(members::remove);
@@ -89,7 +88,7 @@
         }
     }
 
-    /** Lets go what has been missing for long enough; whether there was any. */
+    /** Removes servers that have been missing for the confirmation period; returns whether there were any. */
     boolean confirmLosses(long nowUs, List<String> messages) {
         List<String> confirmedNames = new ArrayList<>();
         missingSinceUs.forEach((name, sinceUs) -> {
@@ -104,13 +103,13 @@
         if (!confirmedNames.isEmpty()) {
             messages.add(
                     confirmedNames.size() + " servers that the list has lacked for " + lossConfirmationUs / 1_000_000
-                            + " s are gone: "
+                            + " s  were removed: "
                             + abbreviate(confirmedNames));
         }
         return !confirmedNames.isEmpty();
     }
 
-    /** When {@link #confirmLosses} has something to do next; the clock's end if it has not. */
+    /** Time at which {@link #confirmLosses} has to run next; {@link Long#MAX_VALUE} if no loss awaits confirmation. */
     long nextConfirmationUs() {
         return missingSinceUs.values().stream()
                 .mapToLong(sinceUs -> sinceUs + lossConfirmationUs)
@@ -118,7 +117,7 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Names for a line, a few of many. */
+    /** Joins names for a log line, abbreviated after the first five. */
     static String abbreviate(List<String> names) {
         return names.size() <= 5
                 ? String.join(", ", names)
--- a/src/main/java/kitemux/members/MemberListParser.java
+++ b/src/main/java/kitemux/members/MemberListParser.java
@@ -9,23 +9,23 @@
 import kitemux.config.Json;
 
 /**
- * Reads lists of servers as a file or an HTTP source has them:
- * {@code {"servers": [{"name": "web-1", "address": "10.1.0.5:9001", "rack": 0, "state": "ready"}]}}. A list
- * is taken
- * whole or not at all: half a list would look like servers that have gone.
+ * Parses server lists of a file or an HTTP source, such as
+ * {@code {"servers": [{"name": "web-1", "address": "10.1.0.5:9001", "rack": 0, "state": "ready"}]}}. A list is accepted completely or not at all, because servers missing from a partial list would look removed.
  */
 public final class MemberListParser {
     private static final int MAX_SERVER_COUNT = 20_000;
     private static final int MAX_RACK_NUMBER = 1_000_000;
-    /** Told of one list; the rest is counted. */
+    /** Errors of one list that are reported; the rest is only counted. */
     private static final int MAX_REPORTED_ERROR_COUNT = 20;
 
     private MemberListParser() {}
 
     /**
-     * @param allowed whether an address may be used: IPv4 and port, and within the networks that there are
-     * @param faults one line is added for each, with the field and the reason; the list counts only if there
-     * are none
+     * Parses a list of servers.
+     *
+     * @param isAddressAllowed accepts an address if it is IPv4 and port and lies in an allowed network
+     * @param errors receives one line for each error, with the field and the reason
+     * @return the servers; empty if there are errors
      */
     public static List<Member> parse(byte[] text, Predicate<String> isAddressAllowed, List<String> errors) {
         Json root;
@@ -41,7 +41,7 @@
             return List.of();
         }
         if (servers.values().size() > MAX_SERVER_COUNT) {
-            errors.add("servers: has " + servers.values().size() + "; at most " + MAX_SERVER_COUNT + " are taken");
+            errors.add("servers: has " + servers.values().size() + "; at most " + MAX_SERVER_COUNT + " are accepted");
             return List.of();
         }
         List<Member> members = new ArrayList<>();
@@ -60,16 +60,16 @@
             if (member.name().isEmpty()) {
                 allErrors.add(fieldPrefix + "name: is missing");
             } else if (!names.add(member.name())) {
-                allErrors.add(fieldPrefix + "name: \"" + member.name() + "\" is there twice");
+                allErrors.add(fieldPrefix + "name: \"" + member.name() + "\" is a duplicate");
             }
             if (!isAddressAllowed.test(member.address())) {
                 allErrors.add(fieldPrefix + "address: \"" + member.address()
-                        + "\" is no IPv4 address and port, or not allowed");
+                        + "\" is not an IPv4 address and port, or is not allowed");
             } else if (!addresses.add(member.address())) {
-                allErrors.add(fieldPrefix + "address: \"" + member.address() + "\" is there twice");
+                allErrors.add(fieldPrefix + "address: \"" + member.address() + "\" is a duplicate");
             }
             if (member.rack() < 0) {
-                allErrors.add(fieldPrefix + "rack: is under 0");
+                allErrors.add(fieldPrefix + "rack: is negative");
             }
             if (!List.of("", "ready", "draining").contains(server.path("state").text())) {
                 allErrors.add(fieldPrefix + "state: is neither ready nor draining: \""
--- a/src/main/java/kitemux/members/MemberSettings.java
+++ b/src/main/java/kitemux/members/MemberSettings.java
@@ -1,27 +1,26 @@
 package kitemux.members;
 
 /**
- * How far sources and checks are believed. Times are microseconds.
+ * Limits on how far membership sources and health checks are trusted. Times are in microseconds.
  *
- * @param maxLostRatio share of the servers that may be missing from a list at once, or within {@code sureUs};
- * more is
- *     doubted, in [0, 1]
- * @param lossConfirmationUs what is doubted counts once it has been told for so long
- * @param healthCheck how servers are checked; null where they are not
+ * @param maxLostRatio share of the servers that may disappear at once, or within {@code lossConfirmationUs},
+ *     without confirmation; in [0, 1]
+ * @param lossConfirmationUs time for which a larger loss must persist before it takes effect
+ * @param healthCheck settings of health checks; null if servers are not checked
  */
 public record MemberSettings(double maxLostRatio, long lossConfirmationUs, HealthCheck healthCheck) {
 
     /**
-     * How servers are checked.
+     * Thresholds and ejection times of health checks.
      *
-     * @param fall so many checks in a row that fail take one out, at least 1
-     * @param rise so many in a row that pass bring it back, at least 1
-     * @param maxEjectedRatio share of the servers that checks may take out together, in [0, 1): beyond it checks are
-     *     more likely wrong than servers, and a server that may be sick is better than one that drowns
-     * @param baseEjectionUs one that was taken out stays out for so long at least; twice as long each time that it
-     * is taken
-     *     out again
-     * @param maxEjectionUs but no longer than this; one that was well for so long begins anew
+     * @param fall number of consecutive failed checks that ejects a server, at least 1
+     * @param rise number of consecutive passed checks that restores a server, at least 1
+     * @param maxEjectedRatio share of the servers that may be ejected at the same time, in [0, 1). Beyond it the
+     *     checks are
+     *     more likely wrong than the servers, and a possibly unhealthy server is better than an overloaded one
+     * @param baseEjectionUs minimum time of the first ejection; it doubles with each further ejection
+     * @param maxEjectionUs upper bound of the ejection time; a server that was healthy for this long starts again
+     *     from {@code baseEjectionUs}
      */
     public record HealthCheck(int fall, int rise, double maxEjectedRatio, long baseEjectionUs, long maxEjectionUs) {}
 }
--- a/src/main/java/kitemux/members/Membership.java
+++ b/src/main/java/kitemux/members/Membership.java
@@ -7,17 +7,16 @@
 import java.util.Map;
 
 /**
- * Which servers a process may send to: by what a source of membership tells, by what checks find, and by how
- * far
- * either is believed. Pure: who reads lists, asks servers and lets time pass is not its affair. One thread
- * calls it;
- * times are microseconds that never go backwards.
+ * Decides to which servers a process may send requests, from the reports of a membership source and the results of
+ * health checks, within the limits of {@link MemberSettings}. This class does no input or output: callers read lists,
+ * check servers and pass the time in. It must be called by one thread. Times are in microseconds and never go
+ * backwards.
  */
 public final class Membership {
     private final MemberSettings settings;
     private final KnownMembers knownMembers;
     private final Map<String, ServerHealth> healthByName = new LinkedHashMap<>();
-    /** When those came that were not there from the beginning, or came to another address. */
+    /** When each server joined at its present address; 0 if it was there from the beginning. */
     private final Map<String, Join> joinsByName = new LinkedHashMap<>();
 
     private List<MemberStatus> currentServers = List.of();
@@ -27,28 +26,28 @@
     private record Join(String address, long joinedUs) {}
 
     /**
-     * A server as the node is to be told of it.
+     * State of a server as it is passed to the node.
      *
-     * @param draining whether it gets nothing new: because it drains, or because checks have taken it out
-     * @param startedUs when it was last seen to begin; 0 for long ago
+     * @param draining whether the server receives no new requests, because it drains or its health checks fail
+     * @param startedUs time of the last observed start; 0 if the server started long ago
      */
     public record MemberStatus(Member member, boolean draining, long startedUs) {}
 
     /**
-     * What came of an event.
+     * Result of an event.
      *
-     * @param servers all servers, or null where nothing has changed
-     * @param messages lines for the operators
+     * @param servers all servers, or null if nothing has changed
+     * @param messages lines for operators
      */
     public record Decision(List<MemberStatus> servers, List<String> messages) {}
 
-    /** Knows nobody yet. */
+    /** Starts without any known server. */
     public Membership(MemberSettings settings) {
         this.settings = settings;
         knownMembers = new KnownMembers(settings.maxLostRatio(), settings.lossConfirmationUs());
     }
 
-    /** Begins with what an earlier process of the same application knew, before anything else is told. */
+    /** Restores what an earlier process of the same application saved. Must be called before any other event. */
     public Decision restore(long nowUs, MembershipSnapshot snapshot) {
         knownMembers.replaceAll(snapshot.members().stream()
                 .map(MembershipSnapshot.MemberRecord::member)
@@ -71,13 +70,13 @@
         return decide(nowUs, new ArrayList<>());
     }
 
-    /** The owner's own word: nothing of it is doubted. */
+    /** Replaces all servers by the owner's description, without a confirmation period. */
     public Decision replaceAll(long nowUs, List<Member> members) {
         knownMembers.replaceAll(members);
         return decide(nowUs, new ArrayList<>());
     }
 
-    /** A list or a watched file has told all servers. */
+    /** Handles a complete list of servers from an HTTP source or a watched file. */
     public Decision updateFromSource(long nowUs, List<Member> listed) {
         List<String> messages = new ArrayList<>();
         if (initialized) {
@@ -88,7 +87,7 @@
         return decide(nowUs, messages);
     }
 
-    /** A check of a server is over; one that is no member any more is passed over. */
+    /** Records the result of a health check; ignored if the server is no longer a member. */
     public Decision recordCheck(long nowUs, String name, boolean passed) {
         ServerHealth serverHealth = healthByName.get(name);
         List<String> messages = new ArrayList<>();
@@ -96,19 +95,19 @@
             messages.add("server " + name
                     + (serverHealth.isExcluded()
                             ? " fails its checks: it gets nothing new"
-                            : " passes its checks: it gets its part"));
+                            : " passes its checks: it receives requests again"));
         }
         return decide(nowUs, messages);
     }
 
-    /** Time has passed. */
+    /** Applies the changes that are due by now. */
     public Decision tick(long nowUs) {
         List<String> messages = new ArrayList<>();
         knownMembers.confirmLosses(nowUs, messages);
         return decide(nowUs, messages);
     }
 
-    /** All servers, as they were told last. */
+    /** All servers, as in the last decision. */
     public List<MemberStatus> servers() {
         return currentServers;
     }
@@ -118,12 +117,12 @@
         return currentServers.isEmpty();
     }
 
-    /** When {@link #tick} has something to do next, for whoever waits; the clock's end if it has not. */
+    /** Time at which {@link #tick} has to run next; {@link Long#MAX_VALUE} if nothing is due. */
     public long nextTickUs() {
         return knownMembers.nextConfirmationUs();
     }
 
-    /** Servers that are to be checked: all that have not been told to drain. */
+    /** Servers to be health-checked: all that are not draining according to their source. */
     public List<Member> serversToCheck() {
         return settings.healthCheck() == null
                 ? List.of()
@@ -132,7 +131,7 @@
                         .toList();
     }
 
-    /** What the next process of this application may begin with. */
+    /** Captures the state that the next process of this application can {@link #restore}. */
     public MembershipSnapshot snapshot(String app, long nowUs) {
         return new MembershipSnapshot(
                 app,
@@ -152,7 +151,7 @@
                         .toList());
     }
 
-    // ---------------------------------------------------------------- what follows
+    // ---------------------------------------------------------------- decisions
 
     private Decision decide(long nowUs, List<String> messages) {
         List<Member> members = knownMembers.members();
@@ -163,7 +162,7 @@
             Join join = joinsByName.get(member.name());
             boolean isNew = join == null || !join.address.equals(member.address());
             if (isNew) {
-                // Who is there as the process begins has most likely been there for long.
+                // A server that is present at the start of the process has most likely been running for long.
                 joinsByName.put(member.name(), new Join(member.address(), initialized ? nowUs : 0));
             }
             if (settings.healthCheck() != null && (isNew || !healthByName.containsKey(member.name()))) {
@@ -189,7 +188,7 @@
         return Math.max(joinsByName.get(member.name()).joinedUs, serverHealth == null ? 0 : serverHealth.startedUs());
     }
 
-    /** Who is out by its checks: of too many, those that have been out for longest. */
+    /** Servers excluded by their checks; if they are too many, those that have been excluded longest. */
     private List<String> ejectedNames(List<Member> members, List<String> messages) {
         if (settings.healthCheck() == null) {
             return List.of();
@@ -212,7 +211,7 @@
                             ? failing.size() + " of " + ready.size()
                                     + " servers fail their checks: no more than " + maxEjectedCount
                                     + " are taken out, as the checks may be wrong"
-                            : "checks are believed again: "
+                            : "health checks apply in full again: "
                                     + failing.size()
                                     + " of " + ready.size() + " servers fail theirs");
         }
--- a/src/main/java/kitemux/members/MembershipSnapshot.java
+++ b/src/main/java/kitemux/members/MembershipSnapshot.java
@@ -12,13 +12,13 @@
 import kitemux.config.Json;
 
 /**
- * What a process leaves for the next one of the same application: which servers it believed in, and what
- * their checks
- * had told. A line that names form, version and checksum, and a line of JSON behind it. Bounded: a larger
- * text is none.
+ * State that a process saves for the next process of the same application: the known servers and their health. The
+ * encoded form is a header line with format name, version and checksum, followed by one line of JSON. Its size is
+ * bounded, and a larger input is rejected.
  *
- * @param app of which application; another's is not taken
- * @param savedUs Unix time in microseconds, as all times in it
+ * @param app name of the application; a snapshot of another application is rejected
+ * @param savedUs Unix time in microseconds, as are all times in a snapshot
+ * @param members the known servers with their health
  */
 public record MembershipSnapshot(String app, long savedUs, List<MemberRecord> members) {
     private static final String FORMAT_NAME = "kitemux members";
@@ -26,10 +26,10 @@
     private static final int MAX_SNAPSHOT_BYTES = 8 << 20;
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** A server and what its checks had told; see {@link ServerHealth}. */
+    /** A server with its health; see {@link ServerHealth}. */
     public record MemberRecord(Member member, boolean down, int ejectionCount, long changedUs, long startedUs) {}
 
-    /** A text that is not to be used; the message says why. */
+    /** Thrown if a snapshot cannot be used; the message gives the reason. */
     public static final class InvalidSnapshotException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The whole text of a file. */
+    /** Encodes this snapshot as the content of a file. */
     public byte[] encode() {
         StringWriter body = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(body)) {
@@ -74,10 +74,10 @@
     }
 
     /**
-     * Reads a text that an earlier process left.
+     * Decodes a snapshot that an earlier process saved.
      *
-     * @param app whose it must be
-     * @throws InvalidSnapshotException if it is not whole, of another version or of another application
+     * @param app name of the application to which the snapshot must belong
+     * @throws InvalidSnapshotException if it is damaged or incomplete, or of another version or application
      */
     public static MembershipSnapshot decode(byte[] bytes, String app) throws InvalidSnapshotException {
         if (bytes.length > MAX_SNAPSHOT_BYTES) {
@@ -89,7 +89,7 @@
         String[] header =
                 headerEnd < 0 ? new String[0] : text.substring(0, headerEnd).split(" ");
         if (header.length != 4 || !FORMAT_NAME.equals(header[0] + " " + header[1])) {
-            throw new InvalidSnapshotException("is not what a sidecar leaves");
+            throw new InvalidSnapshotException("is not a membership snapshot of a sidecar");
         }
         if (!header[2].equals(Integer.toString(FORMAT_VERSION))) {
             throw new InvalidSnapshotException(
@@ -98,7 +98,7 @@
         if (!text.endsWith("\n")
                 || text.length() < headerEnd + 2
                 || !checksum(text.substring(headerEnd + 1, text.length() - 1)).equals(header[3])) {
-            throw new InvalidSnapshotException("is damaged or not whole");
+            throw new InvalidSnapshotException("is damaged or incomplete");
         }
         try {
             Json json = Json.read(text.substring(headerEnd + 1).getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/kitemux/members/RefreshSchedule.java
+++ b/src/main/java/kitemux/members/RefreshSchedule.java
@@ -3,12 +3,11 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * When a source is asked next. With chance in each pause, so that processes which began together do not ask
- * together;
- * after failures in a row the pause doubles, so that a source which is down is not kept there.
+ * Schedule of requests to a membership source. Each delay has jitter, so that processes that started together do not send
+ * requests together. Consecutive failures double the delay, so that retries do not keep an overloaded source down.
  */
 public final class RefreshSchedule {
-    /** Pauses after an answer differ by so much either way. */
+    /** Relative jitter of the delay after a success, in either direction. */
     private static final double JITTER_RATIO = 0.1;
 
     private final long intervalUs;
@@ -17,9 +16,11 @@
     private int consecutiveFailures;
 
     /**
-     * @param everyUs pause after an answer; the first after a failure
-     * @param mostUs longest pause after failures
-     * @param chance even draws in [0, 1)
+     * Creates a schedule without failures.
+     *
+     * @param intervalUs mean delay after a success, and upper bound of the delay after the first failure
+     * @param maxDelayUs upper bound of the delay after failures
+     * @param random uniformly distributed numbers in [0, 1)
      */
     public RefreshSchedule(long intervalUs, long maxDelayUs, DoubleSupplier random) {
         this.intervalUs = intervalUs;
@@ -27,14 +28,15 @@
         this.random = random;
     }
 
-    /** It has answered; the pause until it is asked again. */
+    /** Records a success; returns the delay in microseconds until the next request. */
     public long recordSuccess() {
         consecutiveFailures = 0;
         return (long) (intervalUs * (1 - JITTER_RATIO + 2 * JITTER_RATIO * random.getAsDouble()));
     }
 
     /**
-     * It has not; the pause until it is asked again, between half and all of what has been doubled so far.
+     * Records a failure; returns the delay in microseconds until the next request, between half of the doubled delay and
+     * all of it.
      *
      */
     public long recordFailure() {
@@ -42,7 +44,7 @@
         return (long) (delayUs * (0.5 + 0.5 * random.getAsDouble()));
     }
 
-    /** How often in a row it has not answered. */
+    /** Number of failures since the last success. */
     public int consecutiveFailures() {
         return consecutiveFailures;
     }
--- a/src/main/java/kitemux/members/ServerHealth.java
+++ b/src/main/java/kitemux/members/ServerHealth.java
@@ -1,24 +1,25 @@
 package kitemux.members;
 
 /**
- * What checks have told of one server. Failures in a row take it out, passes in a row bring it back, and one
- * that goes
- * to and fro stays out for longer each time.
+ * Health of one server by its checks. Consecutive failures eject the server, consecutive passes restore it, and a server
+ * that is ejected repeatedly stays out longer each time.
  */
 final class ServerHealth {
     private final MemberSettings.HealthCheck settings;
     private boolean ejected;
     private boolean awaitingFirstPass;
     private int consecutiveResults;
-    /** How often it was taken out since it was last well for long. */
+    /** Ejections since the server was last healthy for the maximum ejection time. */
     private int ejectionCount;
 
     private long changedUs;
-    /** When it was last seen to begin, for whoever sends cold servers less; 0 for long ago. */
+    /** Time of the last observed start, for the slow start of cold servers; 0 if the server started long ago. */
     private long startedUs;
 
     /**
-     * @param fresh whether it has just joined: it is out until a check passes
+     * Creates the health of a server without any check.
+     *
+     * @param awaitingFirstPass whether the server has just joined; it is then excluded until a check passes
      */
     ServerHealth(MemberSettings.HealthCheck settings, boolean awaitingFirstPass, long nowUs) {
         this.settings = settings;
@@ -27,7 +28,7 @@
         startedUs = awaitingFirstPass ? nowUs : 0;
     }
 
-    /** As it was told before a restart of this process. */
+    /** Restores the health that was saved before a restart of this process. */
     ServerHealth(
             MemberSettings.HealthCheck settings, boolean ejected, int ejectionCount, long changedUs, long startedUs) {
         this.settings = settings;
@@ -37,7 +38,7 @@
         this.startedUs = startedUs;
     }
 
-    /** A check is over; whether this changed whether it is out. */
+    /** Records the result of a check; returns whether {@link #isExcluded} has changed. */
     boolean recordCheck(long nowUs, boolean passed) {
         if (awaitingFirstPass) {
             awaitingFirstPass = !passed;
@@ -58,8 +59,7 @@
         if (!ejected) {
             ejectionCount = nowUs - changedUs >= settings.maxEjectionUs() ? 1 : ejectionCount + 1;
         } else {
-            // What did not answer may have been restarted: to send it its full share at once could push it
-            // over.
+            // A server that did not answer may have been restarted, and its full share at once could overload it.
             startedUs = nowUs;
         }
         ejected = !ejected;
@@ -69,12 +69,12 @@
     }
 
     private long ejectionUs() {
-        // Beyond some thirty doublings the shift would overflow.
+        // The shift would overflow beyond about 30 doublings.
         return Math.min(
                 settings.maxEjectionUs(), settings.baseEjectionUs() << Math.min(30, Math.max(0, ejectionCount - 1)));
     }
 
-    /** Whether checks would have it out. */
+    /** Whether the server is to receive no requests: it is ejected, or has not passed its first check. */
     boolean isExcluded() {
         return ejected || awaitingFirstPass;
     }
--- a/src/test/java/kitemux/keeper/BreakableProxy.java
+++ b/src/test/java/kitemux/keeper/BreakableProxy.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A way to somewhere that can be cut: connections stay, come up, and nothing passes any more. */
+/** TCP proxy that can be cut: connections stay open and new ones are accepted, but no bytes pass. */
 final class BreakableProxy {
     private final EventLoopGroup loop;
     private final Channel serverChannel;
@@ -65,12 +65,12 @@
         connectTo = target;
     }
 
-    /** From now on nothing passes, and nobody is told. */
+    /** Drops all bytes from now on without closing connections. */
     void cut() {
         cut = true;
     }
 
-    /** What hung ends, and further connections pass. */
+    /** Closes the connections that hung; later connections pass again. */
     void join() {
         cut = false;
         clientChannels.forEach(Channel::close);
--- a/src/test/java/kitemux/keeper/ConfigRulesTest.java
+++ b/src/test/java/kitemux/keeper/ConfigRulesTest.java
@@ -7,6 +7,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
+/** Validation of configuration values, and the changes that need a restart. */
 class ConfigRulesTest {
     private static final String VALID_CLASS = "{\"onTimeUs\":100000,\"giveUpUs\":500000,\"repeat\":\"safe\"}";
 
@@ -47,7 +48,7 @@
         assertEquals("[realms/a quotaPerS is not a number]", validationErrors("realms/a", "{\"quotaPerS\":\"12\"}"));
         assertEquals(
                 "[realms/a quota is not known; known are quotaPerS]", validationErrors("realms/a", "{\"quota\":1}"));
-        assertEquals("[realms/a is no object]", validationErrors("realms/a", "12"));
+        assertEquals("[realms/a is not an object]", validationErrors("realms/a", "12"));
         assertEquals(
                 "[classes/g giveUpUs is missing]",
                 validationErrors("classes/g", "{\"onTimeUs\":1,\"repeat\":\"safe\"}"));
@@ -57,14 +58,14 @@
         assertEquals(
                 "[classes/g class g has a length of time out of range]",
                 validationErrors("classes/g", "{\"onTimeUs\":1,\"giveUpUs\":0,\"repeat\":\"safe\"}"));
-        assertEquals("[classes/g stream is no plain value]", validationErrors("classes/g", "{\"stream\":[]}"));
+        assertEquals("[classes/g stream is not a plain value]", validationErrors("classes/g", "{\"stream\":[]}"));
         assertEquals("[limits/attemptsCap is not a number]", validationErrors("limits/attemptsCap", "\"many\""));
         assertEquals("[limits/attemptsCap maxAttempts is under 1]", validationErrors("limits/attemptsCap", "0"));
         assertEquals("[overShareWorth is negative]", validationErrors("overShareWorth", "-0.5"));
         assertEquals("[discovery is not address:port: here]", validationErrors("discovery", "\"here\""));
     }
 
-    /** All at once, and again as long as they stand; what was sound beside them stays so. */
+    /** Valid values are cached, so a second validation must still report the errors of the others. */
     @Test
     void allErrorsAreReportedOnEachValidation() {
         for (int i = 0; i < 2; i++) {
--- a/src/test/java/kitemux/keeper/HookedDisk.java
+++ b/src/test/java/kitemux/keeper/HookedDisk.java
@@ -5,13 +5,13 @@
 import java.util.function.Consumer;
 import kitemux.disk.Disk;
 
-/** A disk at which a test is told of each write, and of each sync once it is done. */
+/** Disk wrapper that calls hooks after each write and after each sync. */
 final class HookedDisk implements Disk {
     private final Disk delegate;
     private final Consumer<byte[]> onWrite;
     private final AfterSync afterSync;
 
-    /** May hold the writer up. */
+    /** Hook that runs after a sync and may block the writer. */
     interface AfterSync {
         void run() throws InterruptedException, IOException;
     }
--- a/src/test/java/kitemux/keeper/KeeperCluster.java
+++ b/src/test/java/kitemux/keeper/KeeperCluster.java
@@ -38,7 +38,7 @@
 import kitemux.rollout.Voter;
 
 /**
- * Keepers and nodes over real sockets, each with a loop of its own, and switches on all ways between them.
+ * Keepers and nodes over real sockets, spread over several event loops, with a {@link BreakableProxy} on each link.
  */
 final class KeeperCluster implements AutoCloseable {
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -47,14 +47,14 @@
     private final ProtocolParameters parameters;
     private final int nodes;
     private final int count;
-    /** Of the ways between. */
+    /** Event loop of the proxies. */
     private final EventLoopGroup proxyGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    /** Dealt in turn to keepers and nodes. */
+    /** Assigned in turn to keepers and nodes. */
     private final List<SelectorLoop> loops =
             Stream.generate(SelectorLoop::open).limit(4).toList();
 
     private int assignedLoops;
-    /** Ways from a keeper to another one, and the nodes' ways to each. */
+    /** Links from each keeper to each other one; {@code nodeLinks} are those from nodes to each keeper. */
     private final BreakableProxy[][] keeperLinks;
 
     private final BreakableProxy[] nodeLinks;
@@ -69,7 +69,7 @@
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final List<Node> nodesStarted = new ArrayList<>();
 
-    /** The first ones vote. */
+    /** Prepares a cluster whose first keepers vote. */
     KeeperCluster(Path root, int count, int voting, int nodes, ProtocolParameters parameters) throws IOException {
         this.root = root;
         this.count = count;
@@ -99,7 +99,7 @@
         return root.resolve("keeper-" + keeper);
     }
 
-    /** Starts all, and waits until each serves. */
+    /** Starts all keepers and waits until each serves. */
     KeeperCluster startAll() throws Exception {
         for (int k = 0; k < count; k++) {
             start(k, disk -> disk);
@@ -139,7 +139,7 @@
         return keeper;
     }
 
-    /** Ends it as a kill does, but for what its thread was just writing. */
+    /** Stops a keeper as a kill would, except that records in the writer's queue are still written. */
     void stop(int number) throws IOException, InterruptedException {
         keeperProcesses[number].close();
         disks[number].close();
@@ -154,7 +154,7 @@
         return addresses[keeper];
     }
 
-    /** Cuts a keeper off from the others, or joins it again. */
+    /** Cuts the links between a keeper and the others, or restores them. */
     void isolate(int number, boolean cut) {
         for (int other = 0; other < count; other++) {
             for (BreakableProxy link : List.of(keeperLinks[number][other], keeperLinks[other][number])) {
@@ -204,7 +204,7 @@
         return Json.read(told.body().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Asks again until so many nodes have a version in force. */
+    /** Polls the status until a number of nodes has a version in force. */
     Json awaitInForce(int keeper, long rev, int count) throws IOException {
         long until = System.nanoTime() + 30_000_000_000L;
         while (true) {
@@ -213,13 +213,13 @@
                 return status;
             }
             if (System.nanoTime() > until) {
-                throw new AssertionError("never in force at " + count + ": "
+                throw new AssertionError("version not in force at " + count + " nodes: "
                         + get(keeper, "/rollout/status").body());
             }
         }
     }
 
-    /** A connection that has asked for a watch, and is read by whoever has it. */
+    /** Opens a watch on a raw connection; the caller reads it. */
     Socket watch(int keeper, long after, int node) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4_096);
@@ -234,7 +234,7 @@
 
     // ---------------------------------------------------------------- nodes
 
-    /** A node's watch, and what was put in force at it. */
+    /** Watch of a node, and the configuration in force at it. */
     final class Node {
         final LinkedBlockingQueue<Long> revs = new LinkedBlockingQueue<>();
         final RecordingLog log = new RecordingLog();
@@ -277,13 +277,13 @@
             while (found < rev) {
                 found = revs.poll(30, TimeUnit.SECONDS);
                 if (found == null) {
-                    throw new AssertionError("version " + rev + " did not come: " + log.all());
+                    throw new AssertionError("version " + rev + " did not arrive: " + log.all());
                 }
             }
         }
     }
 
-    /** One that dials these keepers. */
+    /** Starts a node that connects to these keepers. */
     Node node(int number, Integer... dialed) {
         Node node = new Node(
                 number,
@@ -317,7 +317,7 @@
         proxyGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    /** What came of a call, without its wrapping. */
+    /** Waits for the result of a call, with failures unwrapped. */
     static <T> T join(CompletableFuture<T> call) {
         try {
             return call.join();
--- a/src/test/java/kitemux/keeper/KeeperFolderTest.java
+++ b/src/test/java/kitemux/keeper/KeeperFolderTest.java
@@ -20,6 +20,7 @@
 import kitemux.rollout.Vote;
 import org.junit.jupiter.api.Test;
 
+/** Records of a keeper across restarts, torn writes, corruption and power cuts. */
 class KeeperFolderTest {
     private final AtomicLong nextIdentity = new AtomicLong(0x9f2c);
     private final List<String> messages = new ArrayList<>();
@@ -81,7 +82,7 @@
         assertEquals(RECORDS, next.recoveredRecords());
         assertEquals(List.of(), messages);
         next.append(List.of(chosen(10)));
-        assertEquals(7, open(disk).recoveredRecords().size(), "it goes on behind what was there");
+        assertEquals(7, open(disk).recoveredRecords().size(), "new records are appended");
     }
 
     @Test
@@ -99,7 +100,7 @@
         assertEquals(RECORDS, open(disk).recoveredRecords());
     }
 
-    /** Wherever a crash cuts the last record, the others stand, and so does the identity. */
+    /** A crash may cut the last record at any byte; the earlier records and the identity must survive. */
     @Test
     void tornRecordIsLoggedAndCutOff() throws IOException {
         MemoryDisk whole = diskWithRecords();
@@ -123,7 +124,7 @@
         }
     }
 
-    /** Each byte of each record but the file's last, which alone cannot be told from a torn record's. */
+    /** Corrupts each byte but the last of the file, which cannot be distinguished from a torn record. */
     @Test
     void corruptRecordTurnsVoterIntoLearner() throws IOException {
         MemoryDisk whole = diskWithRecords();
@@ -150,14 +151,14 @@
             assertTrue(
                     messages.get(0)
                             .matches("folder: records, offset \\d+: .*; it is set aside as "
-                                    + "records\\.spoilt-1, and this keeper begins anew without a vote"),
+                                    + "records\\.spoilt-1, and this keeper starts again without a vote"),
                     messages.get(0));
-            assertEquals(corrupt.length, disk.files().get("records.spoilt-1").size(), "nothing is deleted");
-            assertEquals(folder.identity(), open(disk).identity(), "and it stays that one");
+            assertEquals(corrupt.length, disk.files().get("records.spoilt-1").size(), "the corrupt file is kept");
+            assertEquals(folder.identity(), open(disk).identity(), "the new identity is kept");
         }
     }
 
-    /** The power goes at each operation in turn: what was synced is there, under one identity. */
+    /** Cuts the power at each disk operation in turn; synced records must survive under one identity. */
     @Test
     void syncedRecordsSurvivePowerCut() throws IOException {
         int operations = 0;
@@ -191,7 +192,7 @@
                 break;
             }
         }
-        assertTrue(operations > 20, "the power went at " + operations + " operations");
+        assertTrue(operations > 20, "power cuts at " + operations + " operations");
     }
 
     @Test
--- a/src/test/java/kitemux/keeper/KeeperTest.java
+++ b/src/test/java/kitemux/keeper/KeeperTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Keepers and watchers over real sockets, cut, silenced and ended where it hurts. */
+/** Keepers and watchers over real sockets, with partitions, silent peers, stops and failing disks. */
 @Timeout(120)
 class KeeperTest {
     private static final String ACME = "{\"realms/acme\":{\"quotaPerS\":12.0}}";
@@ -55,7 +55,7 @@
         assertEquals("200 {\"rev\":" + rev + "}", response.statusCode() + " " + response.body());
     }
 
-    // ---------------------------------------------------------------- what it is for
+    // ---------------------------------------------------------------- changes
 
     @Test
     void changeReachesAllWatchersAndStatusShowsIt() throws Exception {
@@ -69,7 +69,7 @@
                 node.awaitInForce(1);
                 assertEquals("{realms/acme={\"quotaPerS\":12.0}}", node.values.toString());
             }
-            // The fifth node was never started; any keeper knows of all, also the one that does not vote.
+            // The fifth node was never started. Any keeper knows all nodes, including the keeper that does not vote.
             Json status = keepers.awaitInForce(3, 1, 4);
             assertEquals(
                     "4", status.path("not_heard").path("nodes").values().get(0).text());
@@ -77,7 +77,7 @@
             assertEquals("false", status.path("keeper").path("votes").text());
             assertEquals(
                     List.of(), status.path("keeper").path("keepers_not_heard").values());
-            // The same call once more is the same change.
+            // Repeating the call does not repeat the change.
             assertCommitted(1, KeeperCluster.join(keepers.change(2, id(1), 0, ACME)));
             assertEquals(1, keepers.status(2, "").path("newest").whole(0));
         }
@@ -87,7 +87,7 @@
     void concurrentProposersProduceOneHistory() throws Exception {
         try (KeeperCluster keepers = startCluster(3, 3, 2)) {
             KeeperCluster.Node node = keepers.node(0, 0, 1, 2);
-            // Of two that set one path, one is told that the other came first.
+            // Of two changes to the same path, one is rejected as a conflict.
             List<CompletableFuture<HttpResponse<String>>> same = List.of(
                     keepers.change(0, id(1), 0, ACME),
                     keepers.change(1, id(2), 0, "{\"realms/acme\":{\"quotaPerS\":13.0}}"));
@@ -97,7 +97,7 @@
                         + KeeperCluster.join(one).body());
             }
             assertEquals("[200 {\"rev\":1}, 409 {\"path\":\"realms/acme\",\"rev\":1}]", told.toString());
-            // Of two that set two, both are taken, one behind the other.
+            // Two changes to different paths are both committed, one after the other.
             List<CompletableFuture<HttpResponse<String>>> two = List.of(
                     keepers.change(0, id(3), 1, "{\"realms/b\":{\"quotaPerS\":1}}"),
                     keepers.change(2, id(4), 1, "{\"realms/c\":{\"quotaPerS\":2}}"));
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Objects of a watch, without beats and the framing of chunks. */
+    /** Reads objects of a watch, without heartbeats and chunk framing. */
     private static List<String> lines(Socket watch, int count) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
         String status = in.readLine();
@@ -136,7 +136,7 @@
         return lines;
     }
 
-    // ---------------------------------------------------------------- what fails
+    // ---------------------------------------------------------------- failures
 
     @Test
     void voterStoppedBetweenSyncAndResponseKeepsAcceptedChange() throws Exception {
@@ -171,9 +171,9 @@
             keepers.keeper(2).stop();
             goOn.countDown();
             keepers.stop(2);
-            assertEquals(504, KeeperCluster.join(change).statusCode(), "nobody can know");
+            assertEquals(504, KeeperCluster.join(change).statusCode(), "the outcome is unknown");
             assertTrue(Files.readString(keepers.folder(2).resolve("records")).contains("\"accepted\":"));
-            assertTrue(node.revs.isEmpty(), "one voter of three has accepted");
+            assertTrue(node.revs.isEmpty(), "only one voter of three has accepted");
             keepers.start(2, disk -> disk);
             node.awaitInForce(1);
             assertCommitted(1, KeeperCluster.join(keepers.change(2, id(1), 0, ACME)));
@@ -197,7 +197,7 @@
             Json keeper = keepers.status(2, "").path("keeper");
             assertEquals("false", keeper.path("votes").text());
             assertTrue(!keeper.path("identity").text().equals(identity));
-            // Two are left of three; with one of them gone there is no majority.
+            // Two of three voters are left; without one of them there is no majority.
             assertCommitted(2, KeeperCluster.join(keepers.change(2, id(2), 1, "{\"realms/b\":{\"quotaPerS\":1}}")));
             keepers.stop(1);
             assertEquals(
@@ -260,7 +260,7 @@
     @Test
     void unreadWatchIsClosed() throws Exception {
         ProtocolParameters defaults = ProtocolParameters.defaults();
-        // The pace would take minutes to fill what may be unwritten.
+        // At the default rate limit it would take minutes to reach the bound on unwritten bytes.
         ProtocolParameters fast = new ProtocolParameters(
                 defaults.heartbeatIntervalUs(),
                 defaults.minWatchTimeoutUs(),
@@ -296,7 +296,7 @@
             set.append('}');
             int rev = 0;
             while (keepers.status(0, "").path("keeper").path("watches_unread").whole(0) == 0) {
-                assertTrue(rev < 1_000, "the watch that is not read never ends");
+                assertTrue(rev < 1_000, "the unread watch is never closed");
                 assertCommitted(
                         rev + 1,
                         KeeperCluster.join(keepers.change(
@@ -305,7 +305,7 @@
                 lines(read, rev == 1 ? 1 : 0, rev);
             }
             assertEquals(1, keepers.status(0, "").path("keeper").path("watches").whole(-1));
-            assertTrue(unread.getInputStream().readAllBytes().length > 0, "what came of it comes to its end");
+            assertTrue(unread.getInputStream().readAllBytes().length > 0, "the events sent before the close arrive");
         }
     }
 
@@ -338,14 +338,14 @@
                 Socket mute = keepers.watch(0, 0, 1)) {
             KeeperCluster.Node node = keepers.node(0, 0);
             node.log.awaitLine(0, "told all");
-            assertTrue(mute.getInputStream().readAllBytes().length > 0, "it ends");
+            assertTrue(mute.getInputStream().readAllBytes().length > 0, "the watch is closed");
             Json figures = keepers.status(0, "").path("keeper");
             assertEquals(1, figures.path("watches_silent").whole(-1));
-            assertEquals(1, figures.path("watches").whole(-1), "the node that reports is still told");
+            assertEquals(1, figures.path("watches").whole(-1), "the watch of the reporting node stays open");
         }
     }
 
-    /** A file of records that is too long is written anew with what counts of it. */
+    /** An oversized records file is rewritten with the records that are still needed. */
     @Test
     void oversizedRecordsFileIsRewritten() throws Exception {
         try (KeeperCluster keepers = new KeeperCluster(root, 1, 1, 1, ProtocolParameters.defaults())) {
@@ -374,7 +374,7 @@
 
     private BufferedReader reader;
 
-    /** Reads a watch up to a version. */
+    /** Reads a watch up to a version. The first call opens the reader. */
     private void lines(Socket watch, int first, int rev) throws IOException {
         if (first == 1) {
             reader = new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
@@ -386,7 +386,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- a whole
+    // ---------------------------------------------------------------- snapshots
 
     @Test
     void snapshotIsSentInPartsWithinRateLimit() throws Exception {
@@ -446,7 +446,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- bad input
+    // ---------------------------------------------------------------- invalid input
 
     @Test
     void invalidCallsAreRejectedWithPathAndReason() throws Exception {
@@ -496,12 +496,12 @@
                     "accept",
                     "{\"kind\":\"prepare\",\"rev\":1,\"ballot\":[1,0]}",
                     "400",
-                    "{\"path\":\"kind\",\"reason\":\"is not accept, as the path is\"}"
+                    "{\"path\":\"kind\",\"reason\":\"must be accept, as in the path\"}"
                 },
                 {"chosen", "{}", "400", "\"path\":\"kind\""},
                 {"ask", "[]", "400", "\"path\":"},
                 {"nothing", "", "404", "\"path\":\"/rollout/nothing\""},
-                {"status", "", "405", "is called by GET"},
+                {"status", "", "405", "must be called with GET"},
             };
             for (String[] call : bad) {
                 HttpResponse<String> told = KeeperCluster.join(keepers.post(0, "/rollout/" + call[0], call[1]));
@@ -527,7 +527,7 @@
             assertEquals(
                     "503 {\"reason\":\"version 5 is not known here yet\"}", ahead.statusCode() + " " + ahead.body());
             Json status = keepers.status(0, "");
-            assertEquals(0, status.path("newest").whole(-1), "nothing of it was done");
+            assertEquals(0, status.path("newest").whole(-1), "no call has an effect");
             assertEquals(
                     bad.length + badGets.length,
                     status.path("keeper").path("calls_faulty").whole(0));
@@ -544,7 +544,7 @@
         return "{\"id\":\"" + id(1) + "\",\"base\":0,\"set\":" + set + "}";
     }
 
-    // ---------------------------------------------------------------- bounds
+    // ---------------------------------------------------------------- limits
 
     @Test
     void watchesBeyondMaximumAreRejected() throws Exception {
@@ -565,7 +565,7 @@
             long until = System.nanoTime() + 30_000_000_000L;
             while (keepers.status(0, "").path("keeper").path("watches").whole(0)
                     == ProtocolParameters.MAX_WATCH_COUNT) {
-                assertTrue(System.nanoTime() < until, "a watch that has ended makes no room");
+                assertTrue(System.nanoTime() < until, "an ended watch frees no slot");
             }
             sockets.add(keepers.watch(0, 0, 0));
             assertEquals('H', sockets.get(sockets.size() - 1).getInputStream().read());
@@ -584,7 +584,7 @@
                 sockets.add(new Socket(
                         keepers.addresses(0).getAddress(), keepers.addresses(0).getPort()));
             }
-            // They are taken in in their order: the last is closed at once, the others as they are silent.
+            // Connections are accepted in order: the last is closed at once, the others because they stay silent.
             Socket last = sockets.get(KeeperServer.MAX_CONNECTION_COUNT);
             assertEquals(-1, last.getInputStream().read());
             assertEquals(-1, sockets.get(0).getInputStream().read());
@@ -606,7 +606,7 @@
         try (KeeperCluster keepers = startCluster(3, 3, 1)) {
             keepers.isolate(0, true);
             List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
-            // One is tried and the most wait; one more finds no room.
+            // One change is proposed and the queue holds the maximum; one more is rejected.
             for (int i = 0; i < ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + 2; i++) {
                 all.add(keepers.change(0, id(i + 1), 0, "{\"realms/a" + i + "\":{\"quotaPerS\":1}}"));
             }
--- a/src/test/java/kitemux/keeper/NodeRolloutTest.java
+++ b/src/test/java/kitemux/keeper/NodeRolloutTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node as a process, with the section that names keepers and without it. */
+/** A node process with and without the settings section that names keepers. */
 @Timeout(120)
 class NodeRolloutTest {
     @TempDir
@@ -58,7 +58,7 @@
         while (line != null && !line.contains(part)) {
             line = lines.readLine();
         }
-        assertNotNull(line, "no line says " + part);
+        assertNotNull(line, "no line contains " + part);
     }
 
     @Test
@@ -69,10 +69,10 @@
             node.destroy();
             node.waitFor();
             String all = Files.readString(loadedClasses);
-            assertTrue(all.contains("kitemux.node.Node "), "the log tells what was loaded");
-            assertFalse(all.contains("kitemux.rollout."), "of the machines");
-            assertFalse(all.contains("kitemux.keeper."), "of what carries them");
-            assertFalse(all.contains("kitemux.node.RolloutLink"), "of the tie to them");
+            assertTrue(all.contains("kitemux.node.Node "), "the log lists the loaded classes");
+            assertFalse(all.contains("kitemux.rollout."), "state machines");
+            assertFalse(all.contains("kitemux.keeper."), "sockets of the state machines");
+            assertFalse(all.contains("kitemux.node.RolloutLink"), "link to the keepers");
         } finally {
             node.destroyForcibly();
         }
@@ -98,7 +98,7 @@
                                 .values()
                                 .get(0)
                                 .text());
-                // What its file does not have waits for one that has, and is never said to be in force.
+                // A realm that the node's file lacks waits for a restart and is never reported as in force.
                 assertEquals(
                         "200 {\"rev\":2}",
                         describe(keepers.change(0, "0000000000000002", 1, "{\"realms/new\":{\"quotaPerS\":1}}")));
@@ -106,13 +106,13 @@
                 long until = System.nanoTime() + 30_000_000_000L;
                 Json status = keepers.status(0, "?rev=2");
                 while (status.path("waits_restart").path("count").whole(0) == 0) {
-                    assertTrue(System.nanoTime() < until, "it never said so");
+                    assertTrue(System.nanoTime() < until, "the node never reported the pending restart");
                     status = keepers.status(0, "?rev=2");
                 }
                 assertEquals(0, status.path("in_force").path("count").whole(-1));
                 String all = Files.readString(loadedClasses);
-                assertTrue(all.contains("kitemux.rollout.Subscriber "), "of the machines");
-                assertTrue(all.contains("kitemux.keeper.RolloutWatch "), "of what carries them");
+                assertTrue(all.contains("kitemux.rollout.Subscriber "), "state machines");
+                assertTrue(all.contains("kitemux.keeper.RolloutWatch "), "sockets of the state machines");
                 node.destroy();
                 node.waitFor();
             } finally {
--- a/src/test/java/kitemux/keeper/RecordWriterTest.java
+++ b/src/test/java/kitemux/keeper/RecordWriterTest.java
@@ -15,10 +15,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Order and durability of queued records, failed writes and the queue limit. */
 @Timeout(60)
 class RecordWriterTest {
     private final MemoryDisk disk = new MemoryDisk();
-    /** What runs on the loop, in order; each entry is one turn of it. */
+    /** Tasks of the loop, in order. */
     private final LinkedBlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
 
     private final LinkedBlockingQueue<Exception> failures = new LinkedBlockingQueue<>();
@@ -39,7 +40,7 @@
             int rev = i;
             writer.write(voteRecord(rev), () -> {
                 assertEquals(rev - 1, durableCount[0]++);
-                assertTrue(isDurable(rev), "record " + rev + " is safe");
+                assertTrue(isDurable(rev), "record " + rev + " is durable");
             });
         }
         while (durableCount[0] < 5) {
@@ -67,7 +68,7 @@
         writer.write(voteRecord(1), () -> {});
         assertEquals("the power is off", failures.poll(30, TimeUnit.SECONDS).getMessage());
         writer.close();
-        assertTrue(loop.isEmpty(), "nobody is answered");
+        assertTrue(loop.isEmpty(), "no callback runs");
     }
 
     @Test
@@ -87,11 +88,11 @@
         writer.write(voteRecord(1), () -> {});
         syncStarted.await();
         for (int i = 2; i <= RecordWriter.CALL_ADMISSION_RECORD_COUNT; i++) {
-            assertTrue(writer.hasRoom(), "with " + (i - 1) + " that wait");
+            assertTrue(writer.hasRoom(), "with " + (i - 1) + " queued records");
             writer.write(voteRecord(i), () -> {});
         }
         assertFalse(writer.hasRoom());
-        // The first is out of the queue already, being written.
+        // The first record has already left the queue and is being written.
         for (int i = RecordWriter.CALL_ADMISSION_RECORD_COUNT + 1; i <= RecordWriter.MAX_QUEUED_RECORD_COUNT + 1; i++) {
             writer.write(voteRecord(i), () -> {});
         }
--- a/src/test/java/kitemux/keeper/RecordingLog.java
+++ b/src/test/java/kitemux/keeper/RecordingLog.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import kitemux.engine.Log;
 
-/** What was told to operators, to be waited for. */
+/** Log that records its lines and lets a test wait for them. */
 final class RecordingLog implements Log {
     private static final long TIMEOUT_MS = 30_000;
 
@@ -26,7 +26,9 @@
         return lines.size();
     }
 
-    /** Waits for a line that holds this, from one on; how many lines there are up to it. */
+    /**
+     * Waits for a line that contains the text, starting at an index; returns the index after that line.
+     */
     synchronized int awaitLine(int from, String part) throws InterruptedException {
         long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         int next = from;
--- a/src/test/java/kitemux/keeper/RolloutWatchTest.java
+++ b/src/test/java/kitemux/keeper/RolloutWatchTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A node's watch before a keeper that says what a test writes. */
+/** Watch of a node on a scripted keeper. */
 @Timeout(60)
 class RolloutWatchTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -38,7 +38,7 @@
     private final RecordingLog log = new RecordingLog();
     private final LinkedBlockingQueue<Long> revs = new LinkedBlockingQueue<>();
     private final LinkedBlockingQueue<String> reports = new LinkedBlockingQueue<>();
-    /** Watches that were asked for, each with its path read. */
+    /** Watch calls that have arrived, with their request lines read. */
     private final LinkedBlockingQueue<WatchCall> openedWatches = new LinkedBlockingQueue<>();
 
     private volatile SortedMap<String, String> values = new TreeMap<>();
@@ -51,14 +51,14 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** Lines as chunks; each has its end. */
+        /** Sends each line with its line end as a chunk. */
         void sendLines(String... lines) throws IOException {
             for (String line : lines) {
                 send(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
             }
         }
 
-        /** Waits until the node has gone. */
+        /** Waits until the node has closed the connection. */
         void awaitEnd() throws IOException {
             assertEquals(-1, socket.getInputStream().read());
         }
@@ -100,7 +100,7 @@
     @AfterEach
     void end() throws Exception {
         loop.submit(watch::close).sync();
-        assertEquals(0, loop.submit(sockets::openCount).get(), "all that was counted is closed");
+        assertEquals(0, loop.submit(sockets::openCount).get(), "all counted sockets are closed");
         listening.close();
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
@@ -119,7 +119,7 @@
                             : length;
                 }
                 if (first == null) {
-                    // Given up before it asked.
+                    // Closed before a request arrived.
                     socket.close();
                     continue;
                 }
@@ -142,7 +142,7 @@
 
     private WatchCall nextWatch() throws InterruptedException {
         WatchCall next = openedWatches.poll(30, TimeUnit.SECONDS);
-        assertNotNull(next, "no further watch: " + log.all());
+        assertNotNull(next, "no further watch call: " + log.all());
         return next;
     }
 
@@ -163,10 +163,10 @@
         WatchCall first = nextWatch();
         assertEquals("/rollout/watch?after=0&node=17&life=5", first.path);
         first.send(OK);
-        // An empty line is a beat, and lines may come in any pieces.
+        // An empty line is a heartbeat.
         first.sendLines("", version(1, "realms/a", "1"));
         assertEquals(1, revs.take());
-        // One that is not the next is never taken in.
+        // A version that is not the next one is never applied.
         first.sendLines(version(3, "realms/a", "3"));
         first.awaitEnd();
         WatchCall second = nextWatch();
@@ -182,7 +182,7 @@
         WatchCall fourth = nextWatch();
         fourth.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         fourth.awaitEnd();
-        // Part of a whole, and the watch ends: nothing of it is in force.
+        // The watch ends after one part of a snapshot, so nothing of it is in force.
         WatchCall fifth = nextWatch();
         fifth.send(OK);
         fifth.sendLines(part(1, 2, "realms/x"));
--- a/src/test/java/kitemux/members/MembershipTest.java
+++ b/src/test/java/kitemux/members/MembershipTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Membership decisions, snapshots, the refresh schedule and the parser of server lists. */
 class MembershipTest {
     private static final long SECOND_US = 1_000_000;
     private static final long START_US = 1_790_000_000L * SECOND_US;
@@ -39,7 +40,7 @@
                 .toList();
     }
 
-    /** Names of those that get something new, of all that are served. */
+    /** Names of the servers that receive new requests. */
     private List<String> readyNames() {
         return membership.servers().stream()
                 .filter(server -> !server.draining())
@@ -59,13 +60,13 @@
     void largeLossTakesEffectOnlyAfterConfirmationPeriod() {
         membership.updateFromSource(START_US, membersInRange(1, 9));
         Membership.Decision afterLoss = membership.updateFromSource(START_US + SECOND_US, membersInRange(1, 2));
-        assertNull(afterLoss.servers(), "all stay");
+        assertNull(afterLoss.servers(), "all servers stay");
         assertEquals(
                 List.of("the list of servers lacks 7 of 9 that it named, which is doubted: they "
                         + "stay for 30 s unless"
                         + " it names them again"),
                 afterLoss.messages());
-        // Said again, it is neither told again nor sooner believed.
+        // Repeating the list neither logs the loss again nor confirms it earlier.
         assertEquals(
                 new Membership.Decision(null, List.of()),
                 membership.updateFromSource(START_US + 20 * SECOND_US, membersInRange(1, 2)));
@@ -74,7 +75,7 @@
         Membership.Decision confirmed = membership.tick(START_US + 31 * SECOND_US);
         assertEquals(List.of("web-1", "web-2"), readyNames());
         assertTrue(
-                confirmed.messages().get(0).startsWith("7 servers that the list has lacked for 30 s are gone"),
+                confirmed.messages().get(0).startsWith("7 servers that the list has lacked for 30 s were removed"),
                 confirmed::toString);
         assertEquals(Long.MAX_VALUE, membership.nextTickUs());
     }
@@ -83,7 +84,7 @@
     void recoveredSourceLosesNoServer() {
         membership.updateFromSource(START_US, membersInRange(1, 9));
         membership.updateFromSource(START_US + SECOND_US, List.of());
-        assertEquals(9, readyNames().size(), "an empty list empties nothing");
+        assertEquals(9, readyNames().size(), "an empty list removes no server at once");
         membership.updateFromSource(START_US + 5 * SECOND_US, membersInRange(1, 9));
         assertEquals(Long.MAX_VALUE, membership.nextTickUs());
         membership.tick(START_US + 100 * SECOND_US);
@@ -98,12 +99,12 @@
         List<Member> drained = new ArrayList<>(List.of(member(1)));
         IntStream.rangeClosed(2, 5).forEach(n -> drained.add(draining(n)));
         membership.updateFromSource(START_US + 2 * SECOND_US, drained);
-        assertEquals(List.of("web-1"), readyNames(), "that they drain is said of each, and holds at once");
+        assertEquals(List.of("web-1"), readyNames(), "draining takes effect at once");
         membership.updateFromSource(START_US + 3 * SECOND_US, membersInRange(1, 1));
-        assertEquals(1, membership.servers().size(), "those that drained were to go");
+        assertEquals(1, membership.servers().size(), "drained servers were expected to leave");
     }
 
-    /** Four in nine are no half; four more of what is left a second later are, of what there was. */
+    /** Losing 4 of 9 servers is below half; losing more a second later exceeds half of the original servers. */
     @Test
     void successiveLossesWithinPeriodAreSummed() {
         membership.updateFromSource(START_US, membersInRange(1, 9));
@@ -111,7 +112,7 @@
         Membership.Decision more = membership.updateFromSource(START_US + 2 * SECOND_US, membersInRange(1, 3));
         assertNull(more.servers());
         assertEquals(1, more.messages().size());
-        // Once the first are lost for long enough, as much may go again.
+        // After the confirmation period of the first loss, the same loss is allowed again.
         Membership later = new Membership(new MemberSettings(0.5, 30 * SECOND_US, null));
         later.updateFromSource(START_US, membersInRange(1, 9));
         later.updateFromSource(START_US + SECOND_US, membersInRange(1, 5));
@@ -151,12 +152,12 @@
         recordChecks(START_US + SECOND_US, false, 1);
         recordChecks(START_US + 2 * SECOND_US, true, 1);
         recordChecks(START_US + 3 * SECOND_US, false, 1, 1);
-        assertEquals(4, readyNames().size(), "two in a row are not three");
+        assertEquals(4, readyNames().size(), "two consecutive failures are not three");
         recordChecks(START_US + 5 * SECOND_US, false, 1);
         assertEquals(List.of("web-2", "web-3", "web-4"), readyNames());
-        assertEquals(4, membership.servers().size(), "it may finish what it has");
+        assertEquals(4, membership.servers().size(), "an ejected server may finish its requests");
         recordChecks(START_US + 6 * SECOND_US, true, 1, 1, 1);
-        assertEquals(3, readyNames().size(), "it stays out for five seconds");
+        assertEquals(3, readyNames().size(), "the ejection lasts five seconds");
         recordChecks(START_US + 10 * SECOND_US, true, 1);
         assertEquals(4, readyNames().size());
         assertEquals(START_US + 10 * SECOND_US, membership.servers().get(0).startedUs());
@@ -175,7 +176,7 @@
             recordChecks(at, true, 1);
             assertEquals(4, readyNames().size(), hold + " s");
         }
-        // Well for a minute: it begins anew.
+        // Healthy for the maximum ejection time: the ejection time starts again from its base.
         at += 60 * SECOND_US;
         recordChecks(at, false, 1, 1, 1);
         recordChecks(at + 5 * SECOND_US, true, 1, 1);
@@ -191,7 +192,7 @@
         for (int i = 0; i < 3; i++) {
             fourth = membership.recordCheck(START_US + 2 * SECOND_US, "web-4", false);
         }
-        assertEquals(3, readyNames().size(), "no more than half, those first that failed first");
+        assertEquals(3, readyNames().size(), "at most half, the earliest failures first");
         assertTrue(readyNames().contains("web-4"), membership::toString);
         assertTrue(
                 fourth.messages()
@@ -199,7 +200,8 @@
                                 + " be wrong"),
                 fourth::toString);
         recordChecks(START_US + 8 * SECOND_US, true, 1, 1);
-        assertEquals(List.of("web-1", "web-5", "web-6"), readyNames(), "now it is the fourth's turn");
+        assertEquals(
+                List.of("web-1", "web-5", "web-6"), readyNames(), "the fourth server is ejected in place of the first");
     }
 
     @Test
@@ -215,7 +217,7 @@
         assertEquals(new Membership.Decision(null, List.of()), membership.recordCheck(START_US, "nobody", false));
     }
 
-    // ---------------------------------------------------------------- from one process to the next
+    // ---------------------------------------------------------------- snapshots
 
     @Test
     void restoredProcessKeepsEjectionsAndIgnoresEmptyList() throws MembershipSnapshot.InvalidSnapshotException {
@@ -226,9 +228,9 @@
         membership.restore(START_US + 4 * SECOND_US, MembershipSnapshot.decode(left, "desk"));
         assertEquals(List.of("web-2", "web-3", "web-4"), readyNames());
         membership.updateFromSource(START_US + 4 * SECOND_US, List.of());
-        assertEquals(4, membership.servers().size(), "discovery has come up empty beside it");
+        assertEquals(4, membership.servers().size(), "an empty list right after a restart removes no server");
         recordChecks(START_US + 5 * SECOND_US, true, 1, 1);
-        assertEquals(3, readyNames().size(), "its five seconds run on");
+        assertEquals(3, readyNames().size(), "the ejection time continues across the restart");
         recordChecks(START_US + 6 * SECOND_US, true, 1);
         assertEquals(4, readyNames().size());
         assertEquals(
@@ -264,7 +266,7 @@
                 .getMessage();
     }
 
-    // ---------------------------------------------------------------- whatever comes in whatever order
+    // ---------------------------------------------------------------- random event sequences
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -309,7 +311,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- when a source is asked
+    // ---------------------------------------------------------------- refresh schedule
 
     @Test
     void delaysAreJitteredDoubleWithFailuresAndResetOnSuccess() {
@@ -330,12 +332,14 @@
         assertEquals(5 * SECOND_US, maxJitter.recordFailure());
     }
 
-    // ---------------------------------------------------------------- lists as text
+    // ---------------------------------------------------------------- parsing of lists
 
     private static List<String> parseErrors(String text) {
         List<String> errors = new ArrayList<>();
         List<Member> parsed = MemberListParser.parse(text.getBytes(), address -> address.startsWith("10."), errors);
-        assertTrue(errors.isEmpty() != parsed.isEmpty() || text.contains("[]"), "a list is taken whole or not at all");
+        assertTrue(
+                errors.isEmpty() != parsed.isEmpty() || text.contains("[]"),
+                "a list is accepted completely or not at all");
         return errors;
     }
 
@@ -351,16 +355,16 @@
         assertEquals(
                 List.of(
                         "servers[0].name: is missing",
-                        "servers[0].address: \"11.0.0.1:80\" is no IPv4 address and port, or not allowed",
-                        "servers[0].rack: is under 0",
+                        "servers[0].address: \"11.0.0.1:80\" is not an IPv4 address and port, or is not allowed",
+                        "servers[0].rack: is negative",
                         "servers[0].state: is neither ready nor draining: \"Gone\"",
-                        "servers[2].name: \"a\" is there twice",
-                        "servers[2].address: \"10.0.0.1:80\" is there twice"),
+                        "servers[2].name: \"a\" is a duplicate",
+                        "servers[2].address: \"10.0.0.1:80\" is a duplicate"),
                 parseErrors("{\"servers\":[{\"address\":\"11.0.0.1:80\",\"rack\":-4,\"state\":\"Gone\"},"
                         + "{\"name\":\"a\",\"address\":\"10.0.0.1:80\"},{\"name\":\"a\",\"address\":"
                         + "\"10.0.0.1:80\"}]}"));
         StringBuilder many = new StringBuilder("{\"servers\":[");
         IntStream.range(0, 30).forEach(i -> many.append(i == 0 ? "{}" : ",{}"));
-        assertEquals(21, parseErrors(many + "]}").size(), "20 and how many more");
+        assertEquals(21, parseErrors(many + "]}").size(), "20 errors and a count of the rest");
     }
 }
