--- a/src/main/java/kitemux/keeper/ConfigRules.java
+++ b/src/main/java/kitemux/keeper/ConfigRules.java
@@ -18,9 +18,9 @@
 import kitemux.rollout.ValidationError;
 
 /**
- * Validation rules for the paths of a configuration. Fields have the same names as in a node's configuration file and are
- * parsed by the same reader. Values are independent of each other, so a value that was valid is not validated again. Not
- * thread-safe.
+ * Validation rules for the paths of a configuration. Fields have the same names as in a node's configuration file
+ * and are parsed by the same reader. Values are independent of each other, so a value that was valid is not
+ * validated again. Not thread-safe.
  */
 public final class ConfigRules implements Rules {
     private static final List<String> LIVE_CLASS_FIELDS = List.of("onTimeUs", "giveUpUs", "importance", "lateWorth");
--- a/src/main/java/kitemux/keeper/Keeper.java
+++ b/src/main/java/kitemux/keeper/Keeper.java
@@ -34,13 +34,13 @@
 import kitemux.rollout.Voter;
 
 /**
- * A keeper: executes the effects of its {@link KeeperStateMachine} on sockets and on its folder. Everything except writes to
- * the folder runs on one event loop.
+ * A keeper: executes the effects of its {@link KeeperStateMachine} on sockets and on its folder. Everything
+ * except writes to the folder runs on one event loop.
  */
 public final class Keeper {
     private static final byte[] EMPTY_BODY = new byte[0];
     /** Number of checks for silent watches within one report timeout. */
-    private static final int SWEEPS_PER_REPORT_TIMEOUT_COUNT = 10;
+    private static final int SWEEP_COUNT_PER_REPORT_TIMEOUT = 10;
 
     private final KeeperSettings settings;
     private final ProtocolParameters parameters;
@@ -180,8 +180,8 @@
     // ---------------------------------------------------------------- effects
 
     /**
-     * Passes an event to the state machine. An unexpected exception ends the keeper, because it must not continue after
-     * a partly handled event.
+     * Passes an event to the state machine. An unexpected exception ends the keeper, because it must not continue
+     * after a partly handled event.
      */
     private void handleEvent(Supplier<List<Effect>> event) {
         try {
@@ -279,7 +279,10 @@
                 : request instanceof Request.Accept ? "accept" : request instanceof Request.Chosen ? "chosen" : "ask";
     }
 
-    /** Drops messages while the disk is behind: each may cause a write, and the write queue is bounded. */
+    /**
+     * Whether a message can be handled. Messages are dropped while the disk is behind, because each may cause a write
+     * and the write queue is bounded.
+     */
     private boolean hasRoom() {
         if (!writer.hasRoom()) {
             diskBacklogRejections++;
@@ -310,7 +313,7 @@
         if (!stopped) {
             watches.closeSilent(clock.nowUs() - parameters.reportTimeoutUs());
             sweepTimer = clock.schedule(
-                    parameters.reportTimeoutUs() / SWEEPS_PER_REPORT_TIMEOUT_COUNT, this::closeSilentWatches);
+                    parameters.reportTimeoutUs() / SWEEP_COUNT_PER_REPORT_TIMEOUT, this::closeSilentWatches);
         }
     }
 
@@ -392,7 +395,7 @@
         if (!parsed.errors().isEmpty()) {
             rejectInvalid(call, parsed.errors());
         } else if (!kindOf(parsed.value()).equals(kind)) {
-            rejectInvalid(call, List.of(new ValidationError("kind", "must be " + kind + ", as in the path")));
+            rejectInvalid(call, List.of(new ValidationError("kind", "is not " + kind + ", as the path requires")));
         } else if (!hasRoom()) {
             call.answer(503, StatusJson.reason("the disk of this keeper is behind"));
         } else {
--- a/src/main/java/kitemux/keeper/KeeperClient.java
+++ b/src/main/java/kitemux/keeper/KeeperClient.java
@@ -31,13 +31,13 @@
 import kitemux.net.Network;
 
 /**
- * HTTP client for calls to the other keepers. Each call uses a connection exclusively, and idle connections are reused. A
- * call without a response fails and is not retried here, because the state machine has its own timers. All methods must
- * be called on the loop.
+ * HTTP client for calls to the other keepers. Each call uses a connection exclusively, and idle connections are
+ * reused. A call without a response fails and is not retried here, because the state machine has its own timers. All
+ * methods must be called on the loop.
  */
 final class KeeperClient {
     /** Concurrent calls to one keeper: fetches, requests of a proposal and inventories. Further calls fail. */
-    static final int MAX_CALLS_PER_KEEPER_COUNT = 16;
+    static final int MAX_CALL_COUNT_PER_KEEPER = 16;
     /** Time from the connect to the response: over three phases of a proposal, after which it is of no use. */
     static final long CALL_TIMEOUT_MS = 2_000;
     /** Largest response: a snapshot of the maximum size as JSON. */
@@ -63,7 +63,7 @@
 
     KeeperClient(EventLoop loop, Network network, List<InetSocketAddress> keeperAddresses) {
         this.loop = loop;
-        keeperAddresses.forEach(at -> peers.add(new Peer(at)));
+        keeperAddresses.forEach(address -> peers.add(new Peer(address)));
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channelFactory(network::newOutboundChannel)
@@ -79,7 +79,8 @@
     }
 
     /**
-     * Sends a GET request; {@code onResponse} receives the body of a response with status 200, or null if there is none.
+     * Sends a GET request; {@code onResponse} receives the body of a response with status 200, or null if there is
+     * none.
      */
     void get(int keeper, String path, Consumer<byte[]> onResponse) {
         call(keeper, HttpMethod.GET, path, new byte[0], onResponse);
@@ -92,7 +93,7 @@
 
     private void call(int keeper, HttpMethod method, String path, byte[] body, Consumer<byte[]> onResponse) {
         Peer peer = peers.get(keeper);
-        if (closed || peer.activeCalls >= MAX_CALLS_PER_KEEPER_COUNT) {
+        if (closed || peer.activeCalls >= MAX_CALL_COUNT_PER_KEEPER) {
             failedCalls++;
             loop.execute(() -> onResponse.accept(null));
             return;
--- a/src/main/java/kitemux/keeper/KeeperFolder.java
+++ b/src/main/java/kitemux/keeper/KeeperFolder.java
@@ -18,10 +18,10 @@
  * Storage of a keeper: one file of records, one line each with a leading checksum. The first line is a header that
  * names the keeper. Not thread-safe.
  *
- * <p>A crash may leave the last record as a line without its end. That record was never synced, so no response depends
- * on it, and it is cut off. Any other corruption may hide a promise that was already sent. The folder then starts again
- * with the versions before the corrupt record, without votes and under a new identity, which no set of voters names.
- * That keeper learns versions but does not vote.
+ * <p>A crash may leave the last record as a line without its end. That record was never synced, so no response
+ * depends on it, and it is cut off. Any other corruption may hide a promise that was already sent. The folder then
+ * starts again with the versions before the corrupt record, without votes and under a new identity, which no set of
+ * voters names. That keeper learns versions but does not vote.
  */
 final class KeeperFolder {
     /** Name of the records file. */
@@ -132,8 +132,8 @@
     }
 
     /**
-     * Replaces all records; the new ones are durable on return. After a crash the file holds either the old or the new
-     * records.
+     * Replaces all records; the new ones are durable on return. After a crash the file holds either the old or the
+     * new records.
      */
     void rewrite(List<LogRecord> records) throws IOException {
         if (disk.list().contains(NEW_FILE)) {
--- a/src/main/java/kitemux/keeper/KeeperProcess.java
+++ b/src/main/java/kitemux/keeper/KeeperProcess.java
@@ -60,7 +60,7 @@
                     new SecureRandom()::nextLong,
                     failure -> {
                         // A keeper that cannot write must not respond, so shutdown hooks must not delay the exit.
-                        log.info("folder: cannot be written: " + failure + "; this keeper exits");
+                        log.info("folder: cannot be written: " + failure + "; this keeper ends");
                         Runtime.getRuntime().halt(WRITE_FAILURE_EXIT_CODE);
                     });
         } catch (IOException e) {
--- a/src/main/java/kitemux/keeper/KeeperServer.java
+++ b/src/main/java/kitemux/keeper/KeeperServer.java
@@ -40,8 +40,8 @@
 import kitemux.rollout.ProtocolParameters;
 
 /**
- * Where a keeper is called: HTTP/1.1, one call at a time on a connection. It knows framing, sizes and
- * callers that are slow; what a call means is the {@link CallHandler}'.
+ * HTTP/1.1 server of a keeper, with one call at a time on a connection. It handles framing, size limits and slow
+ * clients; the {@link CallHandler} handles the calls themselves.
  */
 final class KeeperServer {
     /** Concurrent connections: watches, reports, calls of operators and calls of other keepers. */
--- a/src/main/java/kitemux/keeper/KeeperSettingsParser.java
+++ b/src/main/java/kitemux/keeper/KeeperSettingsParser.java
@@ -19,7 +19,7 @@
 
 /** Parses the settings of a keeper in HCL; {@code docs/operate/rollout.md} has all fields. */
 public final class KeeperSettingsParser {
-    /** Largest number of keepers; deployments of up to eight are planned for. */
+    /** Largest number of keepers; their numbers have at most three digits, and eight machines are planned for. */
     static final int MAX_KEEPER_COUNT = 32;
 
     private KeeperSettingsParser() {}
@@ -70,7 +70,7 @@
             String position = "keepers[" + keepers.size() + "]";
             keepers.add(address("keepers", text, errors));
             if (!seen.add(text)) {
-                errors.add("keepers: " + position + " is a duplicate: " + text);
+                errors.add("keepers: " + position + " is there twice: " + text);
             }
         }
         if (keepers.isEmpty() || keepers.size() > MAX_KEEPER_COUNT) {
@@ -109,7 +109,7 @@
             } else if (voter.keeper() >= keepers) {
                 errors.add("voters: \"" + text + "\" is not one of the " + keepers + " keepers");
             } else if (!seen.add(voter.keeper())) {
-                errors.add("voters: keeper " + voter.keeper() + " is a duplicate");
+                errors.add("voters: keeper " + voter.keeper() + " is there twice");
             } else {
                 voters.add(voter);
             }
--- a/src/main/java/kitemux/keeper/RecordWriter.java
+++ b/src/main/java/kitemux/keeper/RecordWriter.java
@@ -11,20 +11,20 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * Writes the records of a keeper on its own thread, in batches with one sync each, and runs a callback on the loop once a
- * record is durable. The queue is bounded. The loop accepts no call that could write while the queue is three quarters
- * full, so the records of one event always fit. After a failed write nothing more is written, and the keeper must not
- * respond any more.
+ * Writes the records of a keeper on its own thread, in batches with one sync each, and runs a callback on the loop
+ * once a record is durable. The queue is bounded. The loop accepts no call that could write while the queue is three
+ * quarters full, so the records of one event always fit. After a failed write nothing more is written, and the
+ * keeper must not respond any more.
  */
 final class RecordWriter {
     /** Capacity of the queue; 4 MB with changes of the maximum size. */
     static final int MAX_QUEUED_RECORD_COUNT = 1_024;
     /** Queue length from which no further call is accepted; one event writes at most 17 records. */
-    static final int CALL_ADMISSION_RECORD_COUNT = MAX_QUEUED_RECORD_COUNT / 4 * 3;
+    static final int MAX_RECORD_COUNT_FOR_CALLS = MAX_QUEUED_RECORD_COUNT / 4 * 3;
 
     /**
-     * A record with the callback to run once it is durable; or, if {@code replacement} is not null, a rewrite of the whole
-     * file with these records.
+     * A record with the callback to run once it is durable; or, if {@code replacement} is not null, a rewrite of the
+     * whole file with these records.
      */
     private record Task(LogRecord entry, Runnable onDurable, List<LogRecord> replacement) {}
 
@@ -55,7 +55,7 @@
 
     /** Whether a call that may write can be accepted. */
     boolean hasRoom() {
-        return queuedCount.get() < CALL_ADMISSION_RECORD_COUNT;
+        return queuedCount.get() < MAX_RECORD_COUNT_FOR_CALLS;
     }
 
     /** Whether the file should be rewritten; calling this resets the flag. */
--- a/src/main/java/kitemux/keeper/RolloutWatch.java
+++ b/src/main/java/kitemux/keeper/RolloutWatch.java
@@ -42,8 +42,8 @@
 import kitemux.rollout.WatchEvent;
 
 /**
- * A node's watch on the keepers: executes the effects of its {@link Subscriber} on sockets and passes new configurations to
- * the node. Unless stated otherwise, methods must be called on the loop.
+ * A node's watch on the keepers: executes the effects of its {@link Subscriber} on sockets and passes new
+ * configurations to the node. Unless stated otherwise, methods must be called on the loop.
  */
 public final class RolloutWatch {
     /** Concurrent reports; further ones are dropped, so that an unresponsive keeper cannot exhaust descriptors. */
--- a/src/main/java/kitemux/keeper/StatusJson.java
+++ b/src/main/java/kitemux/keeper/StatusJson.java
@@ -70,8 +70,8 @@
      * @param isVoter whether it is one of the voters
      * @param isCaughtUp whether it serves watches and changes
      * @param lacksQuorum whether it cannot reach a majority of the voters
-     * @param unreachableKeepers numbers of keepers whose inventories are missing; the status lacks the reports that only
-     *     they have
+     * @param unreachableKeepers numbers of keepers whose inventories are missing; the status lacks the reports that
+     *     only they have
      * @param counters counters by name
      */
     record KeeperStatus(
--- a/src/main/java/kitemux/keeper/WatchRegistry.java
+++ b/src/main/java/kitemux/keeper/WatchRegistry.java
@@ -45,7 +45,10 @@
         });
     }
 
-    /** Sends an event; closes a watch whose node does not read, as the node resumes from its version when it reconnects. */
+    /**
+     * Sends an event; closes a watch whose node does not read, as the node resumes from its version when it
+     * reconnects.
+     */
     void send(long watchId, WatchEvent event) {
         Watch target = openWatches.get(watchId);
         if (target == null) {
@@ -69,8 +72,8 @@
     }
 
     /**
-     * Closes watches whose nodes have not reported since a time. A machine that has vanished closes no connection, and
-     * heartbeats alone would reach the bound on unwritten bytes only after hours.
+     * Closes watches whose nodes have not reported since a time. A machine that has vanished closes no connection,
+     * and heartbeats alone would reach the bound on unwritten bytes only after hours.
      */
     void closeSilent(long sinceUs) {
         for (Watch watch : List.copyOf(openWatches.values())) {
--- a/src/main/java/kitemux/members/KnownMembers.java
+++ b/src/main/java/kitemux/members/KnownMembers.java
@@ -103,7 +103,7 @@
         if (!confirmedNames.isEmpty()) {
             messages.add(
                     confirmedNames.size() + " servers that the list has lacked for " + lossConfirmationUs / 1_000_000
-                            + " s  were removed: "
+                            + " s are gone: "
                             + abbreviate(confirmedNames));
         }
         return !confirmedNames.isEmpty();
--- a/src/main/java/kitemux/members/MemberListParser.java
+++ b/src/main/java/kitemux/members/MemberListParser.java
@@ -10,7 +10,8 @@
 
 /**
  * Parses server lists of a file or an HTTP source, such as
- * {@code {"servers": [{"name": "web-1", "address": "10.1.0.5:9001", "rack": 0, "state": "ready"}]}}. A list is accepted completely or not at all, because servers missing from a partial list would look removed.
+ * {@code {"servers": [{"name": "web-1", "address": "10.1.0.5:9001", "rack": 0, "state": "ready"}]}}. A list is
+ * accepted completely or not at all, because servers missing from a partial list would look removed.
  */
 public final class MemberListParser {
     private static final int MAX_SERVER_COUNT = 20_000;
@@ -41,7 +42,7 @@
             return List.of();
         }
         if (servers.values().size() > MAX_SERVER_COUNT) {
-            errors.add("servers: has " + servers.values().size() + "; at most " + MAX_SERVER_COUNT + " are accepted");
+            errors.add("servers: has " + servers.values().size() + "; at most " + MAX_SERVER_COUNT + " are taken");
             return List.of();
         }
         List<Member> members = new ArrayList<>();
@@ -60,13 +61,13 @@
             if (member.name().isEmpty()) {
                 allErrors.add(fieldPrefix + "name: is missing");
             } else if (!names.add(member.name())) {
-                allErrors.add(fieldPrefix + "name: \"" + member.name() + "\" is a duplicate");
+                allErrors.add(fieldPrefix + "name: \"" + member.name() + "\" is there twice");
             }
             if (!isAddressAllowed.test(member.address())) {
                 allErrors.add(fieldPrefix + "address: \"" + member.address()
                         + "\" is not an IPv4 address and port, or is not allowed");
             } else if (!addresses.add(member.address())) {
-                allErrors.add(fieldPrefix + "address: \"" + member.address() + "\" is a duplicate");
+                allErrors.add(fieldPrefix + "address: \"" + member.address() + "\" is there twice");
             }
             if (member.rack() < 0) {
                 allErrors.add(fieldPrefix + "rack: is negative");
--- a/src/main/java/kitemux/members/Membership.java
+++ b/src/main/java/kitemux/members/Membership.java
@@ -28,6 +28,7 @@
     /**
      * State of a server as it is passed to the node.
      *
+     * @param member the server as its source reports it
      * @param draining whether the server receives no new requests, because it drains or its health checks fail
      * @param startedUs time of the last observed start; 0 if the server started long ago
      */
--- a/src/main/java/kitemux/members/RefreshSchedule.java
+++ b/src/main/java/kitemux/members/RefreshSchedule.java
@@ -3,8 +3,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Schedule of requests to a membership source. Each delay has jitter, so that processes that started together do not send
- * requests together. Consecutive failures double the delay, so that retries do not keep an overloaded source down.
+ * Schedule of requests to a membership source. Each delay has jitter, so that processes that started together do not
+ * send requests together. Consecutive failures double the delay, so that retries do not keep an overloaded source
+ * down.
  */
 public final class RefreshSchedule {
     /** Relative jitter of the delay after a success, in either direction. */
@@ -35,8 +36,8 @@
     }
 
     /**
-     * Records a failure; returns the delay in microseconds until the next request, between half of the doubled delay and
-     * all of it.
+     * Records a failure; returns the delay in microseconds until the next request, between half of the doubled delay
+     * and all of it.
      *
      */
     public long recordFailure() {
--- a/src/main/java/kitemux/members/ServerHealth.java
+++ b/src/main/java/kitemux/members/ServerHealth.java
@@ -1,8 +1,8 @@
 package kitemux.members;
 
 /**
- * Health of one server by its checks. Consecutive failures eject the server, consecutive passes restore it, and a server
- * that is ejected repeatedly stays out longer each time.
+ * Health of one server by its checks. Consecutive failures eject the server, consecutive passes restore it, and a
+ * server that is ejected repeatedly stays out longer each time.
  */
 final class ServerHealth {
     private final MemberSettings.HealthCheck settings;
--- a/src/test/java/kitemux/keeper/KeeperCluster.java
+++ b/src/test/java/kitemux/keeper/KeeperCluster.java
@@ -197,11 +197,11 @@
     }
 
     Json status(int keeper, String query) throws IOException {
-        HttpResponse<String> told = get(keeper, "/rollout/status" + query);
-        if (told.statusCode() != 200) {
-            throw new AssertionError(told.statusCode() + " " + told.body());
+        HttpResponse<String> response = get(keeper, "/rollout/status" + query);
+        if (response.statusCode() != 200) {
+            throw new AssertionError(response.statusCode() + " " + response.body());
         }
-        return Json.read(told.body().getBytes(StandardCharsets.UTF_8));
+        return Json.read(response.body().getBytes(StandardCharsets.UTF_8));
     }
 
     /** Polls the status until a number of nodes has a version in force. */
--- a/src/test/java/kitemux/keeper/KeeperSettingsParserTest.java
+++ b/src/test/java/kitemux/keeper/KeeperSettingsParserTest.java
@@ -47,11 +47,11 @@
                         "k.hcl: folder: must be given",
                         "k.hcl:1:1: keeper: is not from 0 to 2, the last of keepers",
                         "k.hcl:2:1: keepers: is not address:port: there",
-                        "k.hcl:2:1: keepers: keepers[2] is a duplicate:  10.9.0.1:8600",
+                        "k.hcl:2:1: keepers: keepers[2] is there twice:  10.9.0.1:8600",
                         "k.hcl:3:1: voters: \"7:77aa\" is not one of the 3 keepers",
-                        "k.hcl:3:1: voters: \"x\" is not a voter of the form \"0:9f2c\", the number of a keeper and the "
-                                + "identity of its folder",
-                        "k.hcl:3:1: voters: keeper 0 is a duplicate",
+                        "k.hcl:3:1: voters: \"x\" is not a voter of the form \"0:9f2c\", the number of a keeper and "
+                                + "the identity of its folder",
+                        "k.hcl:3:1: voters: keeper 0 is there twice",
                         "k.hcl:3:1: voters: names 4; 1, 3 or 5 are needed",
                         "k.hcl:4:1: listen: is not address:port: nowhere",
                         "k.hcl:5:1: nodes: is not from 1 to 1024",
--- a/src/test/java/kitemux/keeper/KeeperTest.java
+++ b/src/test/java/kitemux/keeper/KeeperTest.java
@@ -59,18 +59,18 @@
 
     @Test
     void changeReachesAllWatchersAndStatusShowsIt() throws Exception {
-        try (KeeperCluster keepers = startCluster(4, 3, 5)) {
+        try (KeeperCluster cluster = startCluster(4, 3, 5)) {
             List<KeeperCluster.Node> nodes = new ArrayList<>();
             for (int node = 0; node < 4; node++) {
-                nodes.add(keepers.node(node, 0, 1, 2, 3));
+                nodes.add(cluster.node(node, 0, 1, 2, 3));
             }
-            assertCommitted(1, KeeperCluster.join(keepers.change(1, id(1), 0, ACME)));
+            assertCommitted(1, KeeperCluster.join(cluster.change(1, id(1), 0, ACME)));
             for (KeeperCluster.Node node : nodes) {
                 node.awaitInForce(1);
                 assertEquals("{realms/acme={\"quotaPerS\":12.0}}", node.values.toString());
             }
             // The fifth node was never started. Any keeper knows all nodes, including the keeper that does not vote.
-            Json status = keepers.awaitInForce(3, 1, 4);
+            Json status = cluster.awaitInForce(3, 1, 4);
             assertEquals(
                     "4", status.path("not_heard").path("nodes").values().get(0).text());
             assertEquals(1, status.path("not_heard").path("count").whole(-1));
@@ -78,40 +78,40 @@
             assertEquals(
                     List.of(), status.path("keeper").path("keepers_not_heard").values());
             // Repeating the call does not repeat the change.
-            assertCommitted(1, KeeperCluster.join(keepers.change(2, id(1), 0, ACME)));
-            assertEquals(1, keepers.status(2, "").path("newest").whole(0));
+            assertCommitted(1, KeeperCluster.join(cluster.change(2, id(1), 0, ACME)));
+            assertEquals(1, cluster.status(2, "").path("newest").whole(0));
         }
     }
 
     @Test
     void concurrentProposersProduceOneHistory() throws Exception {
-        try (KeeperCluster keepers = startCluster(3, 3, 2)) {
-            KeeperCluster.Node node = keepers.node(0, 0, 1, 2);
+        try (KeeperCluster cluster = startCluster(3, 3, 2)) {
+            KeeperCluster.Node node = cluster.node(0, 0, 1, 2);
             // Of two changes to the same path, one is rejected as a conflict.
             List<CompletableFuture<HttpResponse<String>>> same = List.of(
-                    keepers.change(0, id(1), 0, ACME),
-                    keepers.change(1, id(2), 0, "{\"realms/acme\":{\"quotaPerS\":13.0}}"));
-            SortedSet<String> told = new TreeSet<>();
-            for (CompletableFuture<HttpResponse<String>> one : same) {
-                told.add(KeeperCluster.join(one).statusCode() + " "
-                        + KeeperCluster.join(one).body());
+                    cluster.change(0, id(1), 0, ACME),
+                    cluster.change(1, id(2), 0, "{\"realms/acme\":{\"quotaPerS\":13.0}}"));
+            SortedSet<String> outcomes = new TreeSet<>();
+            for (CompletableFuture<HttpResponse<String>> call : same) {
+                outcomes.add(KeeperCluster.join(call).statusCode() + " "
+                        + KeeperCluster.join(call).body());
             }
-            assertEquals("[200 {\"rev\":1}, 409 {\"path\":\"realms/acme\",\"rev\":1}]", told.toString());
+            assertEquals("[200 {\"rev\":1}, 409 {\"path\":\"realms/acme\",\"rev\":1}]", outcomes.toString());
             // Two changes to different paths are both committed, one after the other.
             List<CompletableFuture<HttpResponse<String>>> two = List.of(
-                    keepers.change(0, id(3), 1, "{\"realms/b\":{\"quotaPerS\":1}}"),
-                    keepers.change(2, id(4), 1, "{\"realms/c\":{\"quotaPerS\":2}}"));
-            told.clear();
-            for (CompletableFuture<HttpResponse<String>> one : two) {
-                told.add(KeeperCluster.join(one).statusCode() + " "
-                        + KeeperCluster.join(one).body());
+                    cluster.change(0, id(3), 1, "{\"realms/b\":{\"quotaPerS\":1}}"),
+                    cluster.change(2, id(4), 1, "{\"realms/c\":{\"quotaPerS\":2}}"));
+            outcomes.clear();
+            for (CompletableFuture<HttpResponse<String>> call : two) {
+                outcomes.add(KeeperCluster.join(call).statusCode() + " "
+                        + KeeperCluster.join(call).body());
             }
-            assertEquals("[200 {\"rev\":2}, 200 {\"rev\":3}]", told.toString());
+            assertEquals("[200 {\"rev\":2}, 200 {\"rev\":3}]", outcomes.toString());
             node.awaitInForce(3);
             assertEquals(
                     "[realms/acme, realms/b, realms/c]", node.values.keySet().toString());
             for (int keeper = 0; keeper < 3; keeper++) {
-                try (Socket watch = keepers.watch(keeper, 0, 1)) {
+                try (Socket watch = cluster.watch(keeper, 0, 1)) {
                     List<String> lines = lines(watch, 3);
                     assertTrue(lines.get(0).startsWith("{\"rev\":1,"), lines.get(0));
                     assertTrue(lines.get(2).startsWith("{\"rev\":3,"), lines.get(2));
@@ -140,13 +140,13 @@
 
     @Test
     void voterStoppedBetweenSyncAndResponseKeepsAcceptedChange() throws Exception {
-        try (KeeperCluster keepers = new KeeperCluster(root, 3, 3, 2, ProtocolParameters.defaults())) {
+        try (KeeperCluster cluster = new KeeperCluster(root, 3, 3, 2, ProtocolParameters.defaults())) {
             CountDownLatch synced = new CountDownLatch(1);
             CountDownLatch goOn = new CountDownLatch(1);
             AtomicBoolean accepted = new AtomicBoolean();
-            keepers.start(0, disk -> disk);
-            keepers.start(1, disk -> disk);
-            keepers.start(
+            cluster.start(0, disk -> disk);
+            cluster.start(1, disk -> disk);
+            cluster.start(
                     2,
                     disk -> new HookedDisk(
                             disk,
@@ -162,66 +162,66 @@
                                 }
                             }));
             for (int k = 0; k < 3; k++) {
-                keepers.logs[k].awaitLine(0, " serves;");
+                cluster.logs[k].awaitLine(0, " serves;");
             }
-            KeeperCluster.Node node = keepers.node(0, 0);
-            keepers.isolate(1, true);
-            CompletableFuture<HttpResponse<String>> change = keepers.change(0, id(1), 0, ACME);
+            KeeperCluster.Node node = cluster.node(0, 0);
+            cluster.isolate(1, true);
+            CompletableFuture<HttpResponse<String>> change = cluster.change(0, id(1), 0, ACME);
             synced.await();
-            keepers.keeper(2).stop();
+            cluster.keeper(2).stop();
             goOn.countDown();
-            keepers.stop(2);
+            cluster.stop(2);
             assertEquals(504, KeeperCluster.join(change).statusCode(), "the outcome is unknown");
-            assertTrue(Files.readString(keepers.folder(2).resolve("records")).contains("\"accepted\":"));
+            assertTrue(Files.readString(cluster.folder(2).resolve("records")).contains("\"accepted\":"));
             assertTrue(node.revs.isEmpty(), "only one voter of three has accepted");
-            keepers.start(2, disk -> disk);
+            cluster.start(2, disk -> disk);
             node.awaitInForce(1);
-            assertCommitted(1, KeeperCluster.join(keepers.change(2, id(1), 0, ACME)));
-            keepers.isolate(1, false);
-            int from = keepers.logs[1].awaitLine(0, "hears no majority");
-            keepers.logs[1].awaitLine(from, " serves;");
-            assertCommitted(1, KeeperCluster.join(keepers.change(1, id(1), 0, ACME)));
+            assertCommitted(1, KeeperCluster.join(cluster.change(2, id(1), 0, ACME)));
+            cluster.isolate(1, false);
+            int from = cluster.logs[1].awaitLine(0, "hears no majority");
+            cluster.logs[1].awaitLine(from, " serves;");
+            assertCommitted(1, KeeperCluster.join(cluster.change(1, id(1), 0, ACME)));
         }
     }
 
     @Test
     void voterWithEmptyFolderLearnsButDoesNotVote() throws Exception {
-        try (KeeperCluster keepers = startCluster(3, 3, 1)) {
-            assertCommitted(1, KeeperCluster.join(keepers.change(0, id(1), 0, ACME)));
-            String identity = keepers.keeper(2).voter().identity();
-            keepers.stop(2);
-            Files.delete(keepers.folder(2).resolve("records"));
-            int lineCount = keepers.logs[2].count();
-            keepers.start(2, disk -> disk);
-            keepers.logs[2].awaitLine(lineCount, " serves; version 1");
-            Json keeper = keepers.status(2, "").path("keeper");
+        try (KeeperCluster cluster = startCluster(3, 3, 1)) {
+            assertCommitted(1, KeeperCluster.join(cluster.change(0, id(1), 0, ACME)));
+            String identity = cluster.keeper(2).voter().identity();
+            cluster.stop(2);
+            Files.delete(cluster.folder(2).resolve("records"));
+            int lineCount = cluster.logs[2].count();
+            cluster.start(2, disk -> disk);
+            cluster.logs[2].awaitLine(lineCount, " serves; version 1");
+            Json keeper = cluster.status(2, "").path("keeper");
             assertEquals("false", keeper.path("votes").text());
             assertTrue(!keeper.path("identity").text().equals(identity));
             // Two of three voters are left; without one of them there is no majority.
-            assertCommitted(2, KeeperCluster.join(keepers.change(2, id(2), 1, "{\"realms/b\":{\"quotaPerS\":1}}")));
-            keepers.stop(1);
+            assertCommitted(2, KeeperCluster.join(cluster.change(2, id(2), 1, "{\"realms/b\":{\"quotaPerS\":1}}")));
+            cluster.stop(1);
             assertEquals(
                     503,
-                    KeeperCluster.join(keepers.change(0, id(3), 2, "{\"realms/c\":{\"quotaPerS\":1}}"))
+                    KeeperCluster.join(cluster.change(0, id(3), 2, "{\"realms/c\":{\"quotaPerS\":1}}"))
                             .statusCode());
         }
     }
 
     @Test
     void partitionedKeeperReportsLostQuorumAndOthersContinue() throws Exception {
-        try (KeeperCluster keepers = startCluster(3, 3, 3)) {
-            KeeperCluster.Node node = keepers.node(0, 0, 1, 2);
-            try (Socket watch = keepers.watch(0, 0, 1)) {
-                keepers.isolate(0, true);
+        try (KeeperCluster cluster = startCluster(3, 3, 3)) {
+            KeeperCluster.Node node = cluster.node(0, 0, 1, 2);
+            try (Socket watch = cluster.watch(0, 0, 1)) {
+                cluster.isolate(0, true);
                 assertEquals("{\"rev\":0,\"alone\":true}", lines(watch, 1).get(0));
-                HttpResponse<String> refused = KeeperCluster.join(keepers.change(0, id(1), 0, ACME));
+                HttpResponse<String> refused = KeeperCluster.join(cluster.change(0, id(1), 0, ACME));
                 assertEquals(
                         "503 {\"reason\":\"no majority of the voters agreed in time\"}",
                         refused.statusCode() + " " + refused.body());
-                assertCommitted(1, KeeperCluster.join(keepers.change(1, id(2), 0, "{\"realms/b\":{\"quotaPerS\":1}}")));
+                assertCommitted(1, KeeperCluster.join(cluster.change(1, id(2), 0, "{\"realms/b\":{\"quotaPerS\":1}}")));
                 node.awaitInForce(1);
                 assertEquals("[realms/b]", node.values.keySet().toString());
-                Json status = keepers.awaitInForce(1, 1, 1);
+                Json status = cluster.awaitInForce(1, 1, 1);
                 assertEquals(
                         "0",
                         status.path("keeper")
@@ -229,7 +229,7 @@
                                 .values()
                                 .get(0)
                                 .text());
-                keepers.isolate(0, false);
+                cluster.isolate(0, false);
                 String line = "";
                 BufferedReader in =
                         new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
@@ -243,17 +243,17 @@
 
     @Test
     void nodeSwitchesToAnotherKeeperWhenItsOwnFallsSilent() throws Exception {
-        try (KeeperCluster keepers = startCluster(3, 3, 1)) {
-            KeeperCluster.Node node = keepers.node(0, 0, 1);
+        try (KeeperCluster cluster = startCluster(3, 3, 1)) {
+            KeeperCluster.Node node = cluster.node(0, 0, 1);
             int lineCount = node.log.awaitLine(0, "told all");
-            keepers.nodeLinks(0).cut();
-            keepers.nodeLinks(1).cut();
+            cluster.nodeLinks(0).cut();
+            cluster.nodeLinks(1).cut();
             lineCount = node.log.awaitLine(lineCount, "no keeper is watched");
-            assertCommitted(1, KeeperCluster.join(keepers.change(2, id(1), 0, ACME)));
+            assertCommitted(1, KeeperCluster.join(cluster.change(2, id(1), 0, ACME)));
             assertTrue(node.revs.isEmpty());
-            keepers.nodeLinks(1).join();
+            cluster.nodeLinks(1).join();
             node.awaitInForce(1);
-            keepers.awaitInForce(2, 1, 1);
+            cluster.awaitInForce(2, 1, 1);
         }
     }
 
@@ -283,9 +283,9 @@
                 1 << 20,
                 1 << 20,
                 defaults.snapshotPartBytes());
-        try (KeeperCluster keepers = new KeeperCluster(root, 1, 1, 2, fast).startAll();
-                Socket unread = keepers.watch(0, 0, 0);
-                Socket read = keepers.watch(0, 0, 1)) {
+        try (KeeperCluster cluster = new KeeperCluster(root, 1, 1, 2, fast).startAll();
+                Socket unread = cluster.watch(0, 0, 0);
+                Socket read = cluster.watch(0, 0, 1)) {
             StringBuilder set = new StringBuilder("{");
             for (int i = 0; i < 100; i++) {
                 set.append(i == 0 ? "" : ",")
@@ -295,16 +295,16 @@
             }
             set.append('}');
             int rev = 0;
-            while (keepers.status(0, "").path("keeper").path("watches_unread").whole(0) == 0) {
+            while (cluster.status(0, "").path("keeper").path("watches_unread").whole(0) == 0) {
                 assertTrue(rev < 1_000, "the unread watch is never closed");
                 assertCommitted(
                         rev + 1,
-                        KeeperCluster.join(keepers.change(
+                        KeeperCluster.join(cluster.change(
                                 0, id(rev + 1), rev, set.toString().replace("%d", Integer.toString(rev + 1)))));
                 rev++;
                 lines(read, rev == 1 ? 1 : 0, rev);
             }
-            assertEquals(1, keepers.status(0, "").path("keeper").path("watches").whole(-1));
+            assertEquals(1, cluster.status(0, "").path("keeper").path("watches").whole(-1));
             assertTrue(unread.getInputStream().readAllBytes().length > 0, "the events sent before the close arrive");
         }
     }
@@ -334,23 +334,23 @@
                 defaults.burstBytes(),
                 defaults.initialBurstBytes(),
                 defaults.snapshotPartBytes());
-        try (KeeperCluster keepers = new KeeperCluster(root, 1, 1, 2, impatient).startAll();
-                Socket mute = keepers.watch(0, 0, 1)) {
-            KeeperCluster.Node node = keepers.node(0, 0);
+        try (KeeperCluster cluster = new KeeperCluster(root, 1, 1, 2, impatient).startAll();
+                Socket silentWatch = cluster.watch(0, 0, 1)) {
+            KeeperCluster.Node node = cluster.node(0, 0);
             node.log.awaitLine(0, "told all");
-            assertTrue(mute.getInputStream().readAllBytes().length > 0, "the watch is closed");
-            Json figures = keepers.status(0, "").path("keeper");
-            assertEquals(1, figures.path("watches_silent").whole(-1));
-            assertEquals(1, figures.path("watches").whole(-1), "the watch of the reporting node stays open");
+            assertTrue(silentWatch.getInputStream().readAllBytes().length > 0, "the watch is closed");
+            Json counters = cluster.status(0, "").path("keeper");
+            assertEquals(1, counters.path("watches_silent").whole(-1));
+            assertEquals(1, counters.path("watches").whole(-1), "the watch of the reporting node stays open");
         }
     }
 
     /** An oversized records file is rewritten with the records that are still needed. */
     @Test
     void oversizedRecordsFileIsRewritten() throws Exception {
-        try (KeeperCluster keepers = new KeeperCluster(root, 1, 1, 1, ProtocolParameters.defaults())) {
+        try (KeeperCluster cluster = new KeeperCluster(root, 1, 1, 1, ProtocolParameters.defaults())) {
             Change large = Change.of(id(9), 0, Map.of("realms/a", "\"" + "x".repeat(4_000) + "\""), List.of());
-            try (FolderDisk disk = FolderDisk.openForWriting(keepers.folder(0))) {
+            try (FolderDisk disk = FolderDisk.openForWriting(cluster.folder(0))) {
                 KeeperFolder folder = KeeperFolder.open(disk, 0, () -> 1, line -> {});
                 while (!folder.isOversized()) {
                     folder.append(List.of(new LogRecord.Voted(new Vote(1, new Ballot(1, 0), new Ballot(1, 0), large))));
@@ -360,15 +360,15 @@
                 folder.sync();
                 folder.close();
             }
-            keepers.startAll();
-            assertCommitted(2, KeeperCluster.join(keepers.change(0, id(2), 1, "{\"realms/c\":{\"quotaPerS\":1}}")));
-            assertCommitted(3, KeeperCluster.join(keepers.change(0, id(3), 2, "{\"realms/d\":{\"quotaPerS\":1}}")));
-            keepers.stop(0);
-            assertTrue(Files.size(keepers.folder(0).resolve("records")) < 10_000);
-            int lineCount = keepers.logs[0].count();
-            keepers.start(0, disk -> disk);
-            keepers.logs[0].awaitLine(lineCount, " serves; version 3");
-            assertCommitted(4, KeeperCluster.join(keepers.change(0, id(4), 3, "{\"realms/e\":{\"quotaPerS\":1}}")));
+            cluster.startAll();
+            assertCommitted(2, KeeperCluster.join(cluster.change(0, id(2), 1, "{\"realms/c\":{\"quotaPerS\":1}}")));
+            assertCommitted(3, KeeperCluster.join(cluster.change(0, id(3), 2, "{\"realms/d\":{\"quotaPerS\":1}}")));
+            cluster.stop(0);
+            assertTrue(Files.size(cluster.folder(0).resolve("records")) < 10_000);
+            int lineCount = cluster.logs[0].count();
+            cluster.start(0, disk -> disk);
+            cluster.logs[0].awaitLine(lineCount, " serves; version 3");
+            assertCommitted(4, KeeperCluster.join(cluster.change(0, id(4), 3, "{\"realms/e\":{\"quotaPerS\":1}}")));
         }
     }
 
@@ -394,16 +394,16 @@
         for (int i = 0; i < 500; i++) {
             values.put(String.format("realms/tenant-%04d", i), "{\"quotaPerS\":" + i + "}");
         }
-        try (KeeperCluster keepers = new KeeperCluster(root, 1, 1, 1, ProtocolParameters.defaults())) {
-            try (FolderDisk disk = FolderDisk.openForWriting(keepers.folder(0))) {
+        try (KeeperCluster cluster = new KeeperCluster(root, 1, 1, 1, ProtocolParameters.defaults())) {
+            try (FolderDisk disk = FolderDisk.openForWriting(cluster.folder(0))) {
                 KeeperFolder folder = KeeperFolder.open(disk, 0, () -> 1, line -> {});
                 folder.append(List.of(new LogRecord.Snapshot(2_000, values)));
                 folder.sync();
                 folder.close();
             }
-            keepers.startAll();
-            try (Socket watch = keepers.watch(0, 0, 0)) {
-                long began = System.nanoTime();
+            cluster.startAll();
+            try (Socket watch = cluster.watch(0, 0, 0)) {
+                long startNanos = System.nanoTime();
                 List<String> lines = lines(watch, 1);
                 Json first = Json.read(lines.get(0).getBytes(StandardCharsets.UTF_8));
                 int parts = (int) first.path("of").whole(0);
@@ -419,19 +419,19 @@
                         bytes += line.length();
                     }
                 }
-                double tookS = (System.nanoTime() - began) / 1e9;
-                SortedMap<String, String> told = new TreeMap<>();
+                double tookS = (System.nanoTime() - startNanos) / 1e9;
+                SortedMap<String, String> received = new TreeMap<>();
                 for (int i = 0; i < parts; i++) {
                     Json part = Json.read(lines.get(i).getBytes(StandardCharsets.UTF_8));
                     assertEquals(i + 1, part.path("part").whole(0));
                     assertEquals(2_000, part.path("rev").whole(0));
                     part.path("set")
                             .fields()
-                            .forEach((path, value) -> told.put(
+                            .forEach((path, value) -> received.put(
                                     path,
                                     "{\"quotaPerS\":" + value.path("quotaPerS").text() + "}"));
                 }
-                assertEquals(values, told);
+                assertEquals(values, received);
                 ProtocolParameters parameters = ProtocolParameters.defaults();
                 assertTrue(
                         bytes
@@ -440,7 +440,7 @@
                                         + parameters.rateBytesPerSecond() * tookS,
                         bytes + " bytes in " + tookS + " s");
             }
-            KeeperCluster.Node node = keepers.node(0, 0);
+            KeeperCluster.Node node = cluster.node(0, 0);
             node.awaitInForce(2_000);
             assertEquals(values, node.values);
         }
@@ -450,8 +450,8 @@
 
     @Test
     void invalidCallsAreRejectedWithPathAndReason() throws Exception {
-        try (KeeperCluster keepers = startCluster(1, 1, 2)) {
-            String[][] bad = {
+        try (KeeperCluster cluster = startCluster(1, 1, 2)) {
+            String[][] badPosts = {
                 {
                     "change",
                     "{\"id\":\"x\",\"base\":-1,\"set\":{\"realms/a/b\":1},\"more\":1}",
@@ -496,18 +496,18 @@
                     "accept",
                     "{\"kind\":\"prepare\",\"rev\":1,\"ballot\":[1,0]}",
                     "400",
-                    "{\"path\":\"kind\",\"reason\":\"must be accept, as in the path\"}"
+                    "{\"path\":\"kind\",\"reason\":\"is not accept, as the path requires\"}"
                 },
                 {"chosen", "{}", "400", "\"path\":\"kind\""},
                 {"ask", "[]", "400", "\"path\":"},
                 {"nothing", "", "404", "\"path\":\"/rollout/nothing\""},
                 {"status", "", "405", "must be called with GET"},
             };
-            for (String[] call : bad) {
-                HttpResponse<String> told = KeeperCluster.join(keepers.post(0, "/rollout/" + call[0], call[1]));
-                assertEquals(call[2], Integer.toString(told.statusCode()), call[0] + " " + told.body());
+            for (String[] call : badPosts) {
+                HttpResponse<String> response = KeeperCluster.join(cluster.post(0, "/rollout/" + call[0], call[1]));
+                assertEquals(call[2], Integer.toString(response.statusCode()), call[0] + " " + response.body());
                 for (int i = 3; i < call.length; i++) {
-                    assertTrue(told.body().contains(call[i]), call[i] + " in " + told.body());
+                    assertTrue(response.body().contains(call[i]), call[i] + " in " + response.body());
                 }
             }
             String[][] badGets = {
@@ -517,25 +517,26 @@
                 {"/rollout/status?rev=1", "rev"},
             };
             for (String[] call : badGets) {
-                HttpResponse<String> told = keepers.get(0, call[0]);
-                assertEquals(400, told.statusCode(), call[0]);
+                HttpResponse<String> response = cluster.get(0, call[0]);
+                assertEquals(400, response.statusCode(), call[0]);
                 for (int i = 1; i < call.length; i++) {
-                    assertTrue(told.body().contains("\"path\":\"" + call[i] + "\""), told.body());
+                    assertTrue(response.body().contains("\"path\":\"" + call[i] + "\""), response.body());
                 }
             }
-            HttpResponse<String> ahead = keepers.get(0, "/rollout/watch?after=5&node=0&life=1");
+            HttpResponse<String> aheadResponse = cluster.get(0, "/rollout/watch?after=5&node=0&life=1");
             assertEquals(
-                    "503 {\"reason\":\"version 5 is not known here yet\"}", ahead.statusCode() + " " + ahead.body());
-            Json status = keepers.status(0, "");
+                    "503 {\"reason\":\"version 5 is not known here yet\"}",
+                    aheadResponse.statusCode() + " " + aheadResponse.body());
+            Json status = cluster.status(0, "");
             assertEquals(0, status.path("newest").whole(-1), "no call has an effect");
             assertEquals(
-                    bad.length + badGets.length,
+                    badPosts.length + badGets.length,
                     status.path("keeper").path("calls_faulty").whole(0));
             try (Socket garbage = new Socket(
-                    keepers.addresses(0).getAddress(), keepers.addresses(0).getPort())) {
+                    cluster.addresses(0).getAddress(), cluster.addresses(0).getPort())) {
                 garbage.getOutputStream().write("\1\2\3 what\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                String told = new String(garbage.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-                assertTrue(told.startsWith("HTTP/1.1 400"), told);
+                String response = new String(garbage.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+                assertTrue(response.startsWith("HTTP/1.1 400"), response);
             }
         }
     }
@@ -549,25 +550,25 @@
     @Test
     void watchesBeyondMaximumAreRejected() throws Exception {
         List<Socket> sockets = new ArrayList<>();
-        try (KeeperCluster keepers = startCluster(1, 1, 1)) {
+        try (KeeperCluster cluster = startCluster(1, 1, 1)) {
             for (int i = 0; i < ProtocolParameters.MAX_WATCH_COUNT; i++) {
-                sockets.add(keepers.watch(0, 0, 0));
+                sockets.add(cluster.watch(0, 0, 0));
                 byte[] head = new byte[15];
                 assertEquals(15, sockets.get(i).getInputStream().readNBytes(head, 0, 15));
                 assertEquals("HTTP/1.1 200 OK", new String(head, StandardCharsets.US_ASCII));
             }
-            HttpResponse<String> told = keepers.get(0, "/rollout/watch?after=0&node=0&life=1");
-            assertEquals("503 {\"reason\":\"210 watches are open\"}", told.statusCode() + " " + told.body());
+            HttpResponse<String> response = cluster.get(0, "/rollout/watch?after=0&node=0&life=1");
+            assertEquals("503 {\"reason\":\"210 watches are open\"}", response.statusCode() + " " + response.body());
             assertEquals(
                     1,
-                    keepers.status(0, "").path("keeper").path("watches_refused").whole(0));
+                    cluster.status(0, "").path("keeper").path("watches_refused").whole(0));
             sockets.get(0).close();
             long until = System.nanoTime() + 30_000_000_000L;
-            while (keepers.status(0, "").path("keeper").path("watches").whole(0)
+            while (cluster.status(0, "").path("keeper").path("watches").whole(0)
                     == ProtocolParameters.MAX_WATCH_COUNT) {
                 assertTrue(System.nanoTime() < until, "an ended watch frees no slot");
             }
-            sockets.add(keepers.watch(0, 0, 0));
+            sockets.add(cluster.watch(0, 0, 0));
             assertEquals('H', sockets.get(sockets.size() - 1).getInputStream().read());
         } finally {
             for (Socket socket : sockets) {
@@ -579,10 +580,10 @@
     @Test
     void excessConnectionsAndSilentConnectionsAreClosed() throws Exception {
         List<Socket> sockets = new ArrayList<>();
-        try (KeeperCluster keepers = startCluster(1, 1, 1)) {
+        try (KeeperCluster cluster = startCluster(1, 1, 1)) {
             for (int i = 0; i <= KeeperServer.MAX_CONNECTION_COUNT; i++) {
                 sockets.add(new Socket(
-                        keepers.addresses(0).getAddress(), keepers.addresses(0).getPort()));
+                        cluster.addresses(0).getAddress(), cluster.addresses(0).getPort()));
             }
             // Connections are accepted in order: the last is closed at once, the others because they stay silent.
             Socket last = sockets.get(KeeperServer.MAX_CONNECTION_COUNT);
@@ -590,7 +591,7 @@
             assertEquals(-1, sockets.get(0).getInputStream().read());
             assertEquals(
                     1,
-                    keepers.status(0, "")
+                    cluster.status(0, "")
                             .path("keeper")
                             .path("connections_turned_away")
                             .whole(0));
@@ -603,29 +604,29 @@
 
     @Test
     void changesBeyondQueueLimitAreRejected() throws Exception {
-        try (KeeperCluster keepers = startCluster(3, 3, 1)) {
-            keepers.isolate(0, true);
+        try (KeeperCluster cluster = startCluster(3, 3, 1)) {
+            cluster.isolate(0, true);
             List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
             // One change is proposed and the queue holds the maximum; one more is rejected.
             for (int i = 0; i < ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + 2; i++) {
-                all.add(keepers.change(0, id(i + 1), 0, "{\"realms/a" + i + "\":{\"quotaPerS\":1}}"));
+                all.add(cluster.change(0, id(i + 1), 0, "{\"realms/a" + i + "\":{\"quotaPerS\":1}}"));
             }
             HttpResponse<?> first = (HttpResponse<?>) CompletableFuture.anyOf(all.toArray(CompletableFuture[]::new))
                     .get(60, TimeUnit.SECONDS);
             assertEquals("503 {\"reason\":\"16 changes wait\"}", first.statusCode() + " " + first.body());
             assertEquals(
                     1,
-                    keepers.status(0, "").path("keeper").path("changes_refused").whole(0));
+                    cluster.status(0, "").path("keeper").path("changes_refused").whole(0));
         }
     }
 
     @Test
     void voterWithFailedDiskStopsResponding() throws Exception {
-        try (KeeperCluster keepers = new KeeperCluster(root, 3, 3, 1, ProtocolParameters.defaults())) {
+        try (KeeperCluster cluster = new KeeperCluster(root, 3, 3, 1, ProtocolParameters.defaults())) {
             AtomicBoolean broken = new AtomicBoolean();
             for (int k = 0; k < 3; k++) {
                 int number = k;
-                keepers.start(
+                cluster.start(
                         k,
                         disk -> number == 0
                                 ? disk
@@ -636,13 +637,13 @@
                                 }));
             }
             for (int k = 0; k < 3; k++) {
-                keepers.logs[k].awaitLine(0, " serves;");
+                cluster.logs[k].awaitLine(0, " serves;");
             }
             broken.set(true);
             assertEquals(
-                    503, KeeperCluster.join(keepers.change(0, id(1), 0, ACME)).statusCode());
-            assertEquals("no sync", keepers.failures.take().getMessage());
-            assertEquals("no sync", keepers.failures.take().getMessage());
+                    503, KeeperCluster.join(cluster.change(0, id(1), 0, ACME)).statusCode());
+            assertEquals("no sync", cluster.failures.take().getMessage());
+            assertEquals("no sync", cluster.failures.take().getMessage());
         }
     }
 }
--- a/src/test/java/kitemux/keeper/NodeRolloutTest.java
+++ b/src/test/java/kitemux/keeper/NodeRolloutTest.java
@@ -80,19 +80,19 @@
 
     @Test
     void nodeWithRolloutSectionAppliesChangesAndReports() throws Exception {
-        try (KeeperCluster keepers =
+        try (KeeperCluster cluster =
                 new KeeperCluster(root.resolve("keepers"), 1, 1, 2, ProtocolParameters.defaults()).startAll()) {
             Process node = startNode("{\"rollout\":{\"keepers\":[\"127.0.0.1:"
-                    + keepers.addresses(0).getPort() + "\"]}}");
+                    + cluster.addresses(0).getPort() + "\"]}}");
             try (BufferedReader lines = node.inputReader()) {
                 awaitLine(lines, "rollout: told all that its keeper knows");
                 assertEquals(
                         "200 {\"rev\":1}",
-                        describe(keepers.change(0, "0000000000000001", 0, "{\"realms/acme\":{\"quotaPerS\":12.0}}")));
+                        describe(cluster.change(0, "0000000000000001", 0, "{\"realms/acme\":{\"quotaPerS\":12.0}}")));
                 awaitLine(lines, "rollout: version 1 is taken in");
                 assertEquals(
                         "1",
-                        keepers.awaitInForce(0, 1, 1)
+                        cluster.awaitInForce(0, 1, 1)
                                 .path("in_force")
                                 .path("nodes")
                                 .values()
@@ -101,13 +101,13 @@
                 // A realm that the node's file lacks waits for a restart and is never reported as in force.
                 assertEquals(
                         "200 {\"rev\":2}",
-                        describe(keepers.change(0, "0000000000000002", 1, "{\"realms/new\":{\"quotaPerS\":1}}")));
+                        describe(cluster.change(0, "0000000000000002", 1, "{\"realms/new\":{\"quotaPerS\":1}}")));
                 awaitLine(lines, "rollout: version 2 is taken in");
                 long until = System.nanoTime() + 30_000_000_000L;
-                Json status = keepers.status(0, "?rev=2");
+                Json status = cluster.status(0, "?rev=2");
                 while (status.path("waits_restart").path("count").whole(0) == 0) {
                     assertTrue(System.nanoTime() < until, "the node never reported the pending restart");
-                    status = keepers.status(0, "?rev=2");
+                    status = cluster.status(0, "?rev=2");
                 }
                 assertEquals(0, status.path("in_force").path("count").whole(-1));
                 String all = Files.readString(loadedClasses);
--- a/src/test/java/kitemux/keeper/RecordWriterTest.java
+++ b/src/test/java/kitemux/keeper/RecordWriterTest.java
@@ -87,13 +87,13 @@
         RecordWriter writer = new RecordWriter(slow, loop::add, failures::add);
         writer.write(voteRecord(1), () -> {});
         syncStarted.await();
-        for (int i = 2; i <= RecordWriter.CALL_ADMISSION_RECORD_COUNT; i++) {
+        for (int i = 2; i <= RecordWriter.MAX_RECORD_COUNT_FOR_CALLS; i++) {
             assertTrue(writer.hasRoom(), "with " + (i - 1) + " queued records");
             writer.write(voteRecord(i), () -> {});
         }
         assertFalse(writer.hasRoom());
         // The first record has already left the queue and is being written.
-        for (int i = RecordWriter.CALL_ADMISSION_RECORD_COUNT + 1; i <= RecordWriter.MAX_QUEUED_RECORD_COUNT + 1; i++) {
+        for (int i = RecordWriter.MAX_RECORD_COUNT_FOR_CALLS + 1; i <= RecordWriter.MAX_QUEUED_RECORD_COUNT + 1; i++) {
             writer.write(voteRecord(i), () -> {});
         }
         assertTrue(failures.isEmpty());
--- a/src/test/java/kitemux/keeper/RolloutWatchTest.java
+++ b/src/test/java/kitemux/keeper/RolloutWatchTest.java
@@ -163,7 +163,7 @@
         WatchCall first = nextWatch();
         assertEquals("/rollout/watch?after=0&node=17&life=5", first.path);
         first.send(OK);
-        // An empty line is a heartbeat.
+        // An empty line is a heartbeat, and lines may be split at any byte.
         first.sendLines("", version(1, "realms/a", "1"));
         assertEquals(1, revs.take());
         // A version that is not the next one is never applied.
--- a/src/test/java/kitemux/members/MembershipTest.java
+++ b/src/test/java/kitemux/members/MembershipTest.java
@@ -75,7 +75,7 @@
         Membership.Decision confirmed = membership.tick(START_US + 31 * SECOND_US);
         assertEquals(List.of("web-1", "web-2"), readyNames());
         assertTrue(
-                confirmed.messages().get(0).startsWith("7 servers that the list has lacked for 30 s were removed"),
+                confirmed.messages().get(0).startsWith("7 servers that the list has lacked for 30 s are gone"),
                 confirmed::toString);
         assertEquals(Long.MAX_VALUE, membership.nextTickUs());
     }
@@ -358,8 +358,8 @@
                         "servers[0].address: \"11.0.0.1:80\" is not an IPv4 address and port, or is not allowed",
                         "servers[0].rack: is negative",
                         "servers[0].state: is neither ready nor draining: \"Gone\"",
-                        "servers[2].name: \"a\" is a duplicate",
-                        "servers[2].address: \"10.0.0.1:80\" is a duplicate"),
+                        "servers[2].name: \"a\" is there twice",
+                        "servers[2].address: \"10.0.0.1:80\" is there twice"),
                 parseErrors("{\"servers\":[{\"address\":\"11.0.0.1:80\",\"rack\":-4,\"state\":\"Gone\"},"
                         + "{\"name\":\"a\",\"address\":\"10.0.0.1:80\"},{\"name\":\"a\",\"address\":"
                         + "\"10.0.0.1:80\"}]}"));
