--- a/src/main/java/kitemux/keeper/KeeperSettingsParser.java
+++ b/src/main/java/kitemux/keeper/KeeperSettingsParser.java
@@ -92,7 +92,7 @@
         try {
             return Path.of(text);
         } catch (InvalidPathException e) {
-            errors.add("folder: is not a path:  " + e.getMessage());
+            errors.add("folder: is not a path: " + e.getMessage());
             return null;
         }
     }
--- a/src/test/java/kitemux/keeper/KeeperSettingsParserTest.java
+++ b/src/test/java/kitemux/keeper/KeeperSettingsParserTest.java
@@ -47,7 +47,7 @@
                         "k.hcl: folder: must be given",
                         "k.hcl:1:1: keeper: is not from 0 to 2, the last of keepers",
                         "k.hcl:2:1: keepers: is not address:port: there",
-                        "k.hcl:2:1: keepers: keepers[2] is there twice:  10.9.0.1:8600",
+                        "k.hcl:2:1: keepers: keepers[2] is there twice: 10.9.0.1:8600",
                         "k.hcl:3:1: voters: \"7:77aa\" is not one of the 3 keepers",
                         "k.hcl:3:1: voters: \"x\" is not a voter of the form \"0:9f2c\", the number of a keeper and "
                                 + "the identity of its folder",
