--- a/src/main/java/kitemux/app/ConfigWriter.java
+++ b/src/main/java/kitemux/app/ConfigWriter.java
@@ -7,7 +7,7 @@
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
-import kitemux.config.ConfigText;
+import kitemux.config.ConfigFormatter;
 import kitemux.members.Member;
 
 /** What a described application's node is told. */
@@ -22,41 +22,41 @@
      * @param seed for random numbers, 1 to 16 hex digits
      * @throws IllegalArgumentException if the description breaks a rule: what is wrong is not written
      */
-    public static String json(App app, String seed) {
-        return json(app, servers(app), seed);
+    public static String toJson(App app, String seed) {
+        return toJson(app, servers(app), seed);
     }
 
     /**
      * The same of an application whose servers are told by somebody else than the description.
      *
-     * @throws IllegalArgumentException as {@link #json(App, String)}
+     * @throws IllegalArgumentException as {@link #toJson(App, String)}
      */
-    public static String json(App app, List<ConfigText.Server> servers, String seed) {
-        if (!Checks.of(app).isEmpty()) {
+    public static String toJson(App app, List<ConfigFormatter.Server> servers, String seed) {
+        if (!AppValidator.validate(app).isEmpty()) {
             throw new IllegalArgumentException("a description that breaks a rule is not written");
         }
         // Without a list elsewhere nobody asks for one: the node is its own discovery, and does not call it.
-        String discovery = app.discovery().isEmpty() ? app.listen() : app.discovery();
-        return ConfigText.node(
-                new ConfigText.Node(
+        String discovery = app.discoveryAddress().isEmpty() ? app.listenAddress() : app.discoveryAddress();
+        return ConfigFormatter.formatNode(
+                new ConfigFormatter.NodeDescription(
                         app.name(),
-                        app.listen(),
+                        app.listenAddress(),
                         discovery,
                         seed,
                         app.limits().sockets(),
                         app.limits().memoryMiB(),
                         app.limits().idleUs()),
-                settings(app),
+                toSettings(app),
                 servers);
     }
 
     /** Those that are described and get anything at all, as a node is told of them. */
-    private static List<ConfigText.Server> servers(App app) {
-        return members(app).stream().map(one -> server(one, one.draining(), 0)).toList();
+    private static List<ConfigFormatter.Server> servers(App app) {
+        return describedMembers(app).stream().map(one -> toServer(one, one.draining(), 0)).toList();
     }
 
     /** Those that are described and get anything at all. */
-    public static List<Member> members(App app) {
+    public static List<Member> describedMembers(App app) {
         List<Member> members = new ArrayList<>();
         for (App.Server server : app.servers()) {
             boolean inPool =
@@ -75,18 +75,18 @@
      * @param draining whether it gets nothing new
      * @param startedUs Unix time in microseconds; 0 for long ago
      */
-    public static ConfigText.Server server(Member one, boolean draining, long startedUs) {
-        return new ConfigText.Server(
+    public static ConfigFormatter.Server toServer(Member one, boolean draining, long startedUs) {
+        return new ConfigFormatter.Server(
                 new ServerEntry(
                         one.name(), 0, one.rack(), draining ? ServerState.DRAINING : ServerState.READY, 1, startedUs),
                 one.address());
     }
 
     /** What the decision module is told. */
-    public static Settings settings(App app) {
+    public static Settings toSettings(App app) {
         Settings set = new Settings();
         set.zones.add(ZONE);
-        set.listOnRequest = !app.discovery().isEmpty();
+        set.listOnRequest = !app.discoveryAddress().isEmpty();
         set.maxAttempts = app.limits().attempts();
         set.cancellationAllowed = true;
         set.hedgingAllowed = app.limits().secondCopies();
@@ -96,19 +96,19 @@
         set.coldCapacityRatio = app.rules().coldFrom();
         set.warmUpUs = app.rules().coldFrom() < 1 ? app.rules().coldUs() : 0;
         set.overloadRatio = app.rules().overload();
-        set.overloadOutageUs = app.rules().fallUs();
+        set.overloadWindowUs = app.rules().fallUs();
         app.tenants().forEach(tenant -> set.tenants.add(new Tenant(tenant.name(), app.quotaPerS() * tenant.share())));
         app.classes()
                 .forEach(work -> set.classes.add(new RequestClass(
                         work.name(),
-                        work.aimUs(),
+                        work.targetLatencyUs(),
                         0,
                         work.deadlineUs(),
                         work.worth(),
                         work.lateWorth(),
-                        work.again(),
-                        work.group(),
-                        work.windowUs(),
+                        work.retrySafety(),
+                        work.dedupScope(),
+                        work.dedupWindowUs(),
                         false)));
         return set;
     }
--- a/src/main/java/kitemux/keeper/ConfigRules.java
+++ b/src/main/java/kitemux/keeper/ConfigRules.java
@@ -95,7 +95,7 @@
     }
 
     private static void checkNotNegative(String path, String field, Json json, List<ValidationError> errors) {
-        double value = json.decimal(Double.NaN);
+        double value = json.asDouble(Double.NaN);
         if (json.isString() || Double.isNaN(value)) {
             errors.add(new ValidationError(path, field + "is not a number"));
         } else if (value < 0) {
@@ -116,7 +116,7 @@
         Map<String, String> settings = new HashMap<>();
         settings.put("classes.count", "1");
         settings.put("classes.0.name", name);
-        json.fields().forEach((field, value) -> settings.put("classes.0." + field, value.text()));
+        json.fields().forEach((field, value) -> settings.put("classes.0." + field, value.asText()));
         try {
             SettingsReader.read(settings).validate();
         } catch (SettingsReader.BadSettingException e) {
@@ -135,7 +135,7 @@
             try {
                 SettingsReader.read(Map.of(
                                 "limits." + name,
-                                json.text(),
+                                json.asText(),
                                 "limits.retryAfter",
                                 "true",
                                 "classes.count",
@@ -159,9 +159,9 @@
 
     private static void checkDiscovery(String path, Json json, List<ValidationError> errors) {
         try {
-            Addresses.parse(path, json.text());
+            Addresses.parse(path, json.asText());
         } catch (ConfigException e) {
-            errors.add(new ValidationError(path, "is not address:port: " + json.text()));
+            errors.add(new ValidationError(path, "is not address:port: " + json.asText()));
         }
     }
 
@@ -194,7 +194,7 @@
         try {
             Json.read(value.getBytes(StandardCharsets.UTF_8)).fields().forEach((field, fieldValue) -> {
                 if (!LIVE_CLASS_FIELDS.contains(field)) {
-                    fields.put(field, fieldValue.text());
+                    fields.put(field, fieldValue.asText());
                 }
             });
         } catch (IOException e) {
--- a/src/main/java/kitemux/keeper/KeeperFolder.java
+++ b/src/main/java/kitemux/keeper/KeeperFolder.java
@@ -228,13 +228,13 @@
         private String readHeader(byte[] record) {
             try {
                 Json header = Json.read(record);
-                if (!header.path("form").text().equals(FORMAT_NAME)
-                        || header.path("version").whole(0) != FORMAT_VERSION
-                        || header.path("identity").text().isEmpty()) {
+                if (!header.path("form").asText().equals(FORMAT_NAME)
+                        || header.path("version").asLong(0) != FORMAT_VERSION
+                        || header.path("identity").asText().isEmpty()) {
                     return "is not a header line of " + FORMAT_NAME + ", version " + FORMAT_VERSION;
                 }
-                keeper = (int) header.path("keeper").whole(-1);
-                identity = header.path("identity").text();
+                keeper = (int) header.path("keeper").asLong(-1);
+                identity = header.path("identity").asText();
                 return null;
             } catch (IOException e) {
                 return "the header line is not JSON: " + e.getMessage();
--- a/src/main/java/kitemux/keeper/KeeperSettingsParser.java
+++ b/src/main/java/kitemux/keeper/KeeperSettingsParser.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Set;
 import kitemux.config.ConfigException;
-import kitemux.hcl.Places;
+import kitemux.hcl.SourceLocations;
 import kitemux.hcl.Section;
-import kitemux.hcl.Text;
+import kitemux.hcl.HclReader;
 import kitemux.net.Addresses;
 import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Voter;
@@ -35,20 +35,20 @@
     public static KeeperSettings parse(String file, String text, List<String> errors) {
         Map<String, Object> parsed;
         try {
-            parsed = Text.parse(text, Places.of(text));
+            parsed = HclReader.parse(text, SourceLocations.of(text));
         } catch (IOException e) {
             errors.add(file + ": this is not HCL: " + e.getMessage());
             return null;
         }
         List<String> unplacedErrors = new ArrayList<>();
         Section section = new Section("", parsed, unplacedErrors);
-        int number = section.whole("keeper", Double.NaN);
+        int number = section.integer("keeper", Double.NaN);
         List<InetSocketAddress> keepers = keepers(section, unplacedErrors);
         String listen = section.text("listen", "");
         Path folder = folder(section.text("folder"), unplacedErrors);
         List<Voter> voters = voters(section, keepers.size(), unplacedErrors);
-        int nodes = section.whole("nodes", Double.NaN);
-        section.end();
+        int nodes = section.integer("nodes", Double.NaN);
+        section.reportUnknownFields();
         if (number < 0 || section.has("keeper") && number >= keepers.size()) {
             unplacedErrors.add("keeper: is not from 0 to " + (keepers.size() - 1) + ", the last of keepers");
         }
@@ -56,7 +56,7 @@
             unplacedErrors.add("nodes: is not from 1 to " + ProtocolParameters.MAX_NODE_COUNT);
         }
         InetSocketAddress address = listen.isEmpty() ? null : address("listen", listen, unplacedErrors);
-        errors.addAll(Places.placed(file, text, unplacedErrors));
+        errors.addAll(SourceLocations.faultsWithLocations(file, text, unplacedErrors));
         return !errors.isEmpty()
                 ? null
                 : new KeeperSettings(
--- a/src/main/java/kitemux/lab/ExperimentFile.java
+++ b/src/main/java/kitemux/lab/ExperimentFile.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import kitemux.fleet.Fleet;
-import kitemux.hcl.Places;
+import kitemux.hcl.SourceLocations;
 import kitemux.hcl.Section;
 import kitemux.plan.FleetFile;
 
@@ -44,7 +44,7 @@
         List<String> own = new ArrayList<>();
         List<String> ofFleet = new ArrayList<>();
         Experiment experiment = experiment(parsed, texts, own, ofFleet);
-        faults.addAll(Places.placed(file, text, own));
+        faults.addAll(SourceLocations.faultsWithLocations(file, text, own));
         faults.addAll(ofFleet);
         return experiment;
     }
@@ -54,12 +54,12 @@
         Section all = new Section("", parsed, faults);
         String path = all.text("fleet");
         double goal = all.number("goal", 0.95);
-        int seeds = all.whole("seeds", 1);
-        long length = all.time("length", 20_000_000);
-        List<Experiment.Where> where = new ArrayList<>();
+        int seeds = all.integer("seeds", 1);
+        long length = all.durationUs("length", 20_000_000);
+        List<Experiment.Environment> where = new ArrayList<>();
         for (String word : all.texts("where", List.of("emulator", "loopback"))) {
             try {
-                where.add(Experiment.Where.valueOf(word.toUpperCase(Locale.ROOT)));
+                where.add(Experiment.Environment.valueOf(word.toUpperCase(Locale.ROOT)));
             } catch (IllegalArgumentException e) {
                 faults.add("where: must hold emulator, loopback or both, not \"" + word + "\"");
             }
@@ -69,13 +69,13 @@
         require(faults, seeds >= 1 && seeds <= MOST_SEEDS, "seeds: is not from 1 to " + MOST_SEEDS);
         require(faults, length >= 2_000_000 && length <= MOST_LENGTH_US, "length: is not from 2s to 10m");
         List<Experiment.Variant> variants = new ArrayList<>();
-        Map<String, Section> scenarios = all.labelled("scenario", true);
+        Map<String, Section> scenarios = all.labelledBlocks("scenario", true);
         if (base != null) {
             Fleet.Load load = base.load();
             Fleet lasting = base.with(
                     new Fleet.Load(load.ratePerS(), length, load.profile(), load.quotaPerS(), load.overShareWorth()));
             scenarios.forEach((name, of) -> scenario(name, of, lasting, variants, faults));
-            all.end();
+            all.reportUnknownFields();
             check(variants, where, faults);
         }
         return new Experiment(goal, seeds, where, variants);
@@ -88,17 +88,17 @@
         Section counts = of.block("counts", false);
         if (counts != null) {
             List<Fleet.ServerKind> kinds = new ArrayList<>();
-            fleet.kinds().forEach(kind -> kinds.add(counted(kind, counts.whole(kind.name(), kind.count()))));
-            counts.end();
+            fleet.kinds().forEach(kind -> kinds.add(counted(kind, counts.integer(kind.name(), kind.count()))));
+            counts.reportUnknownFields();
             fleet = fleet.withKinds(kinds);
         }
-        if (!of.yes("choke", true)) {
+        if (!of.bool("choke", true)) {
             fleet = fleet.with((Fleet.OverloadSlowdown) null);
         }
         Fleet.Clients clients = fleet.clients();
         fleet = fleet.with(new Fleet.Clients(
                 clients.oneWayUs(),
-                of.whole("retries", clients.maxRetries()),
+                of.integer("retries", clients.maxRetries()),
                 clients.minTryTimeoutRatio(),
                 clients.maxTryTimeoutRatio(),
                 clients.backoffUs(),
@@ -107,18 +107,18 @@
                 clients.nodeSkew()));
         Fleet.Nodes nodes = fleet.nodes();
         fleet = fleet.with(new Fleet.Nodes(
-                of.whole("nodes", nodes.count()),
+                of.integer("nodes", nodes.count()),
                 nodes.eventCostUs(),
                 nodes.cores(),
                 nodes.startupUs(),
                 nodes.failureDetectionUs()));
         List<Fleet.Fault> wrong = new ArrayList<>(fleet.faults());
-        of.repeated("fault").forEach(fault -> wrong.add(FleetFile.readFault(fault)));
+        of.repeatedBlocks("fault").forEach(fault -> wrong.add(FleetFile.readFault(fault)));
         fleet = fleet.withFaults(wrong);
         List<Double> loads = of.numbers("loads");
         List<Double> boxes = of.numbers("boxes");
         String kind = boxes.isEmpty() ? "" : of.text("of");
-        of.end();
+        of.reportUnknownFields();
         if (loads.isEmpty() && boxes.isEmpty()) {
             variants.add(new Experiment.Variant(name, "", 0, false, fleet));
         }
@@ -148,9 +148,9 @@
 
     private static Fleet.Load shaped(Fleet.Load load, Section of) {
         List<Fleet.LoadPoint> shape = new ArrayList<>();
-        for (Section point : of.repeated("point")) {
-            shape.add(new Fleet.LoadPoint(point.time("at", 0), point.number("times", Double.NaN)));
-            point.end();
+        for (Section point : of.repeatedBlocks("point")) {
+            shape.add(new Fleet.LoadPoint(point.durationUs("at", 0), point.number("times", Double.NaN)));
+            point.reportUnknownFields();
         }
         return shape.isEmpty()
                 ? load
@@ -171,7 +171,7 @@
                 k.cost());
     }
 
-    private static void check(List<Experiment.Variant> variants, List<Experiment.Where> where, List<String> faults) {
+    private static void check(List<Experiment.Variant> variants, List<Experiment.Environment> where, List<String> faults) {
         require(
                 faults,
                 !variants.isEmpty() && variants.size() <= MOST_VARIANTS,
@@ -185,7 +185,7 @@
                     variant.name().indexOf('\t') < 0 && variant.name().indexOf('\n') < 0,
                     at + "its name holds a tab or a line's end");
             variant.fleet().validate().forEach(fault -> faults.add(at + fault));
-            if (where.contains(Experiment.Where.LOOPBACK)) {
+            if (where.contains(Experiment.Environment.LOOPBACK)) {
                 require(
                         faults,
                         variant.fleet().nodes().count() <= MOST_NODES,
--- a/src/main/java/kitemux/members/MemberListParser.java
+++ b/src/main/java/kitemux/members/MemberListParser.java
@@ -52,11 +52,11 @@
         for (Json server : servers) {
             String fieldPrefix = "servers[" + members.size() + "].";
             Member member = new Member(
-                    server.path("name").text(),
-                    server.path("address").text(),
+                    server.path("name").asText(),
+                    server.path("address").asText(),
                     (int) Math.max(
-                            -1, Math.min(MAX_RACK_NUMBER, server.path("rack").whole(0))),
-                    server.path("state").text().equals("draining"));
+                            -1, Math.min(MAX_RACK_NUMBER, server.path("rack").asLong(0))),
+                    server.path("state").asText().equals("draining"));
             members.add(member);
             if (member.name().isEmpty()) {
                 allErrors.add(fieldPrefix + "name: is missing");
@@ -72,9 +72,9 @@
             if (member.rack() < 0) {
                 allErrors.add(fieldPrefix + "rack: is negative");
             }
-            if (!List.of("", "ready", "draining").contains(server.path("state").text())) {
+            if (!List.of("", "ready", "draining").contains(server.path("state").asText())) {
                 allErrors.add(fieldPrefix + "state: is neither ready nor draining: \""
-                        + server.path("state").text() + "\"");
+                        + server.path("state").asText() + "\"");
             }
         }
         errors.addAll(
--- a/src/main/java/kitemux/members/MembershipSnapshot.java
+++ b/src/main/java/kitemux/members/MembershipSnapshot.java
@@ -102,24 +102,24 @@
         }
         try {
             Json json = Json.read(text.substring(headerEnd + 1).getBytes(StandardCharsets.UTF_8));
-            if (!json.path("app").text().equals(app)) {
+            if (!json.path("app").asText().equals(app)) {
                 throw new InvalidSnapshotException(
-                        "is of application \"" + json.path("app").text() + "\"");
+                        "is of application \"" + json.path("app").asText() + "\"");
             }
             List<MemberRecord> members = new ArrayList<>();
             for (Json entry : json.path("members")) {
                 members.add(new MemberRecord(
                         new Member(
-                                entry.path("name").text(),
-                                entry.path("address").text(),
-                                (int) entry.path("rack").whole(0),
-                                entry.path("draining").flag()),
-                        entry.path("down").flag(),
-                        (int) entry.path("downs").whole(0),
-                        entry.path("changedUs").whole(0),
-                        entry.path("startedUs").whole(0)));
+                                entry.path("name").asText(),
+                                entry.path("address").asText(),
+                                (int) entry.path("rack").asLong(0),
+                                entry.path("draining").asBoolean()),
+                        entry.path("down").asBoolean(),
+                        (int) entry.path("downs").asLong(0),
+                        entry.path("changedUs").asLong(0),
+                        entry.path("startedUs").asLong(0)));
             }
-            return new MembershipSnapshot(app, json.path("savedUs").whole(0), members);
+            return new MembershipSnapshot(app, json.path("savedUs").asLong(0), members);
         } catch (IOException e) {
             throw new InvalidSnapshotException("is not JSON: " + e.getMessage());
         }
--- a/src/main/java/kitemux/plan/FleetFile.java
+++ b/src/main/java/kitemux/plan/FleetFile.java
@@ -10,7 +10,7 @@
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.RetrySafety;
 import kitemux.fleet.Fleet;
-import kitemux.hcl.Places;
+import kitemux.hcl.SourceLocations;
 import kitemux.hcl.Section;
 
 /**
@@ -53,7 +53,7 @@
             String text = texts.read(path);
             List<String> found = new ArrayList<>();
             Fleet fleet = read(text, found);
-            own.addAll(Places.placed(path, text, found));
+            own.addAll(SourceLocations.faultsWithLocations(path, text, found));
             return own.isEmpty() ? fleet : null;
         } catch (IOException e) {
             namers.add("fleet: " + path + " cannot be read: " + e.getMessage());
@@ -76,13 +76,13 @@
         }
         Section all = new Section("", parsed, faults);
         List<Fleet.ServerKind> kinds = new ArrayList<>();
-        all.labelled("boxes", true).forEach((name, box) -> kinds.add(kind(name, box)));
+        all.labelledBlocks("boxes", true).forEach((name, box) -> kinds.add(kind(name, box)));
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
-        all.labelled("class", true).forEach((name, of) -> classes.add(work(name, of)));
+        all.labelledBlocks("class", true).forEach((name, of) -> classes.add(work(name, of)));
         List<Fleet.TenantShare> tenants = new ArrayList<>();
-        all.labelled("tenant", false).forEach((name, of) -> {
+        all.labelledBlocks("tenant", false).forEach((name, of) -> {
             tenants.add(new Fleet.TenantShare(name, of.number("share", Double.NaN), of.number("usage", 1)));
-            of.end();
+            of.reportUnknownFields();
         });
         Fleet.Nodes nodes = nodes(all.block("nodes", true));
         Fleet.OverloadSlowdown choke = choke(all.block("choke", false));
@@ -91,13 +91,13 @@
         Fleet.Clients clients = clients(all.block("clients", true));
         Fleet.Load load = load(all.block("load", true));
         List<Fleet.Fault> wrong = new ArrayList<>();
-        for (Section fault : all.repeated("fault")) {
+        for (Section fault : all.repeatedBlocks("fault")) {
             wrong.add(readFault(fault));
         }
         Fleet fleet = new Fleet(
                 kinds,
-                all.whole("racks", 1),
-                zones(all.part("zones")),
+                all.integer("racks", 1),
+                zones(all.blockOrEmpty("zones")),
                 nodes,
                 choke,
                 links,
@@ -107,7 +107,7 @@
                 tenants,
                 load,
                 wrong);
-        all.end();
+        all.reportUnknownFields();
         if (faults.isEmpty()) {
             faults.addAll(fleet.validate());
         }
@@ -117,41 +117,41 @@
     /** Something that goes wrong. */
     public static Fleet.Fault readFault(Section of) {
         Fleet.Fault fault = new Fleet.Fault(
-                of.word("trouble", Fleet.FaultKind.class, null),
-                of.word("among", Fleet.FaultScope.class, Fleet.FaultScope.ANY),
-                of.whole("which", 0),
-                of.whole("count", 0),
-                of.time("at", -1),
-                of.time("for", -1),
+                of.enumValue("trouble", Fleet.FaultKind.class, null),
+                of.enumValue("among", Fleet.FaultScope.class, Fleet.FaultScope.ANY),
+                of.integer("which", 0),
+                of.integer("count", 0),
+                of.durationUs("at", -1),
+                of.durationUs("for", -1),
                 of.number("size", 1));
-        of.end();
+        of.reportUnknownFields();
         return fault;
     }
 
     private static Fleet.ServerKind kind(String name, Section box) {
         Fleet.ServerKind kind = new Fleet.ServerKind(
                 name,
-                box.whole("count", Double.NaN),
-                box.whole("cores", 1),
+                box.integer("count", Double.NaN),
+                box.integer("cores", 1),
                 box.number("speed", 1),
                 box.number("speed_cv", 0),
-                box.whole("queue", 1_000),
+                box.integer("queue", 1_000),
                 box.number("cold_from", 1),
-                box.time("cold", 0),
-                box.yes("warms_by_work", false),
+                box.durationUs("cold", 0),
+                box.bool("warms_by_work", false),
                 box.number("cost", 1));
-        box.end();
+        box.reportUnknownFields();
         return kind;
     }
 
     private static Fleet.ClassWorkload work(String name, Section of) {
-        RepeatPolicy repeat = of.word("repeat", RepeatPolicy.class, null);
-        DeduplicationScope group = of.word("group", DeduplicationScope.class, DeduplicationScope.ALL);
+        RepeatPolicy repeat = of.enumValue("repeat", RepeatPolicy.class, null);
+        DeduplicationScope group = of.enumValue("group", DeduplicationScope.class, DeduplicationScope.ALL);
         RequestClass cls = new RequestClass(
                 name,
-                of.time("aim", -1),
+                of.durationUs("aim", -1),
                 0,
-                of.time("deadline", -1),
+                of.durationUs("deadline", -1),
                 of.number("worth", 1),
                 of.number("late_worth", 0),
                 switch (repeat) {
@@ -160,32 +160,32 @@
                     case NEVER_TWICE -> RetrySafety.UNSAFE;
                 },
                 group == DeduplicationScope.ALL ? DedupScope.ALL : DedupScope.CELL,
-                of.time("window", 0),
+                of.durationUs("window", 0),
                 false);
         Fleet.ClassWorkload work = new Fleet.ClassWorkload(
                 cls,
                 of.number("share", Double.NaN),
-                of.time("work", -1),
-                of.word("spread", Fleet.WorkDistribution.class, Fleet.WorkDistribution.EXPONENTIAL),
+                of.durationUs("work", -1),
+                of.enumValue("spread", Fleet.WorkDistribution.class, Fleet.WorkDistribution.EXPONENTIAL),
                 of.number("cv", 1));
-        of.end();
+        of.reportUnknownFields();
         return work;
     }
 
     private static Fleet.Nodes nodes(Section of) {
         Fleet.Nodes nodes = new Fleet.Nodes(
-                of.whole("count", Double.NaN),
-                of.time("event", 60),
+                of.integer("count", Double.NaN),
+                of.durationUs("event", 60),
                 of.number("cores", 1),
-                of.time("start", 1_500_000),
-                of.time("notice", 2_000_000));
-        of.end();
+                of.durationUs("start", 1_500_000),
+                of.durationUs("notice", 2_000_000));
+        of.reportUnknownFields();
         return nodes;
     }
 
     private static Fleet.Zones zones(Section of) {
-        Fleet.Zones zones = new Fleet.Zones(of.whole("count", 1), of.time("across", 0), of.number("price", 0));
-        of.end();
+        Fleet.Zones zones = new Fleet.Zones(of.integer("count", 1), of.durationUs("across", 0), of.number("price", 0));
+        of.reportUnknownFields();
         return zones;
     }
 
@@ -195,66 +195,66 @@
         }
         Fleet.OverloadSlowdown choke = new Fleet.OverloadSlowdown(
                 of.number("at", Double.NaN),
-                of.time("over", -1),
+                of.durationUs("over", -1),
                 of.number("slower", Double.NaN),
                 of.number("below", 0.3),
-                of.time("rest", -1),
-                of.time("most", -1));
-        of.end();
+                of.durationUs("rest", -1),
+                of.durationUs("most", -1));
+        of.reportUnknownFields();
         return choke;
     }
 
     private static Fleet.Links links(Section of) {
         Fleet.Links links = new Fleet.Links(
-                of.time("way", 200),
+                of.durationUs("way", 200),
                 of.number("jitter", 0.2),
-                of.whole("handshakes", 2),
-                of.time("handshake", 0),
-                of.whole("most_per_core", 1_000),
-                of.time("idle", 60_000_000),
-                of.time("connect", 250_000));
-        of.end();
+                of.integer("handshakes", 2),
+                of.durationUs("handshake", 0),
+                of.integer("most_per_core", 1_000),
+                of.durationUs("idle", 60_000_000),
+                of.durationUs("connect", 250_000));
+        of.reportUnknownFields();
         return links;
     }
 
     private static Fleet.DiscoveryDelays list(Section given, List<String> faults) {
         Section of = given == null ? new Section("list", Map.of(), faults) : given;
         Fleet.DiscoveryDelays list = new Fleet.DiscoveryDelays(
-                new Fleet.Range(of.time("gone_from", 560_000), of.time("gone_to", 5_000_000)),
-                new Fleet.Range(of.time("silent_from", 5_000_000), of.time("silent_to", 13_000_000)),
-                new Fleet.Range(of.time("back_from", 230_000), of.time("back_to", 2_100_000)),
-                of.time("grace", 500_000));
-        of.end();
+                new Fleet.Range(of.durationUs("gone_from", 560_000), of.durationUs("gone_to", 5_000_000)),
+                new Fleet.Range(of.durationUs("silent_from", 5_000_000), of.durationUs("silent_to", 13_000_000)),
+                new Fleet.Range(of.durationUs("back_from", 230_000), of.durationUs("back_to", 2_100_000)),
+                of.durationUs("grace", 500_000));
+        of.reportUnknownFields();
         return list;
     }
 
     private static Fleet.Clients clients(Section of) {
         Fleet.Clients clients = new Fleet.Clients(
-                of.time("way", 700),
-                of.whole("retries", 2),
+                of.durationUs("way", 700),
+                of.integer("retries", 2),
                 of.number("try_from", 0.4),
                 of.number("try_to", 0.8),
-                of.time("backoff", 20_000),
+                of.durationUs("backoff", 20_000),
                 of.number("honour", 0.85),
-                of.time("most_retry_after", 1_000_000),
+                of.durationUs("most_retry_after", 1_000_000),
                 of.number("skew", 0));
-        of.end();
+        of.reportUnknownFields();
         return clients;
     }
 
     private static Fleet.Load load(Section of) {
         List<Fleet.LoadPoint> shape = new ArrayList<>();
-        for (Section point : of.repeated("point")) {
-            shape.add(new Fleet.LoadPoint(point.time("at", 0), point.number("times", Double.NaN)));
-            point.end();
+        for (Section point : of.repeatedBlocks("point")) {
+            shape.add(new Fleet.LoadPoint(point.durationUs("at", 0), point.number("times", Double.NaN)));
+            point.reportUnknownFields();
         }
         Fleet.Load load = new Fleet.Load(
                 of.number("rate", Double.NaN),
-                of.time("length", 40_000_000),
+                of.durationUs("length", 40_000_000),
                 shape,
                 of.number("quota", 0),
                 of.number("over_share_worth", 0.1));
-        of.end();
+        of.reportUnknownFields();
         return load;
     }
 }
--- a/src/main/java/kitemux/rollout/RolloutText.java
+++ b/src/main/java/kitemux/rollout/RolloutText.java
@@ -148,9 +148,9 @@
             }
             to.append(before == '[' ? "[]" : "]");
         } else if (json.isString()) {
-            quote(to, json.text());
+            quote(to, json.asText());
         } else {
-            to.append(json.text());
+            to.append(json.asText());
         }
     }
 
@@ -410,8 +410,8 @@
 
         long whole(String name, long least, long most) {
             Json given = json.path(name);
-            long value = given.isWhole() ? given.whole(least - 1) : least - 1;
-            if (!given.isWhole() || value < least || value > most) {
+            long value = given.isLong() ? given.asLong(least - 1) : least - 1;
+            if (!given.isLong() || value < least || value > most) {
                 fault(name, given.isMissing() ? "is missing" : "is not a whole number from " + least + " to " + most);
                 return least;
             }
@@ -427,21 +427,21 @@
             if (!given.isString()) {
                 fault(name, given.isMissing() ? "is missing" : "is no string");
             }
-            return given.text();
+            return given.asText();
         }
 
         Ballot ballot(String name) {
             List<Json> pair = json.path(name).values();
             if (pair.size() != 2
-                    || !pair.get(0).isWhole()
-                    || !pair.get(1).isWhole()
-                    || pair.get(0).whole(-1) < 0
-                    || pair.get(1).whole(-2) < -1
-                    || pair.get(1).whole(-2) > Integer.MAX_VALUE) {
+                    || !pair.get(0).isLong()
+                    || !pair.get(1).isLong()
+                    || pair.get(0).asLong(-1) < 0
+                    || pair.get(1).asLong(-2) < -1
+                    || pair.get(1).asLong(-2) > Integer.MAX_VALUE) {
                 fault(name, "is no ballot as [round, keeper]");
                 return Ballot.NONE;
             }
-            return new Ballot(pair.get(0).whole(0), (int) pair.get(1).whole(0));
+            return new Ballot(pair.get(0).asLong(0), (int) pair.get(1).asLong(0));
         }
 
         SortedMap<String, String> values(String name) {
@@ -477,8 +477,8 @@
             for (Json each : json(name)) {
                 if (!each.isString()) {
                     fault(name, "holds what is no string: " + RolloutText.writeValue(each));
-                } else if (!texts.add(each.text())) {
-                    fault(name, "holds twice " + each.text());
+                } else if (!texts.add(each.asText())) {
+                    fault(name, "holds twice " + each.asText());
                 }
             }
             return texts;
@@ -553,7 +553,7 @@
         return read(text, (json, faults) -> {
             if (!json.path("alone").isMissing()) {
                 Source from = new Source(json, "", faults, "rev", "alone");
-                if (!from.json("alone").flag()) {
+                if (!from.json("alone").asBoolean()) {
                     from.fault("alone", "is not true");
                 }
                 return new WatchEvent.NoQuorum(from.rev("rev", 0));
@@ -612,7 +612,7 @@
 
     /** What another keeper asks. */
     public static ParseResult<Request> readRequest(byte[] text) {
-        return read(text, (json, faults) -> switch (json.path("kind").text()) {
+        return read(text, (json, faults) -> switch (json.path("kind").asText()) {
             case "prepare" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "ballot");
                 yield new Request.Prepare(from.rev("rev", 1), from.ballot("ballot"));
@@ -632,7 +632,7 @@
 
     /** What another keeper answers. */
     public static ParseResult<Response> readResponse(byte[] text) {
-        return read(text, (json, faults) -> switch (json.path("kind").text()) {
+        return read(text, (json, faults) -> switch (json.path("kind").asText()) {
             case "promised" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "ballot", "accepted_at", "accepted");
                 boolean is = from.has("accepted") || from.has("accepted_at");
@@ -676,7 +676,7 @@
 
     /** What a keeper's folder holds. */
     public static ParseResult<LogRecord> readLogRecord(byte[] text) {
-        return read(text, (json, faults) -> switch (json.path("kind").text()) {
+        return read(text, (json, faults) -> switch (json.path("kind").asText()) {
             case "chosen" -> new LogRecord.Chosen(new Source(json, "", faults, "kind", "version").version("version"));
             case "whole" -> {
                 Source from = new Source(json, "", faults, "kind", "rev", "values");
@@ -704,7 +704,7 @@
         Set<Integer> keepers = new HashSet<>();
         try {
             for (Json each : Json.read(value.getBytes(StandardCharsets.UTF_8))) {
-                Voter voter = Voter.parse(each.text());
+                Voter voter = Voter.parse(each.asText());
                 if (voter == null || !each.isString() || !keepers.add(voter.keeper())) {
                     return null;
                 }
--- a/src/main/java/kitemux/scale/RealNode.java
+++ b/src/main/java/kitemux/scale/RealNode.java
@@ -8,8 +8,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import kitemux.config.ConfigText;
-import kitemux.lab.Guard;
+import kitemux.config.ConfigFormatter;
+import kitemux.lab.ProcessGuard;
 
 /**
  * A process of the node that serves, behind a guard: it ends with this process, however that ends.
@@ -40,7 +40,7 @@
             Sized size,
             InetSocketAddress listen,
             InetSocketAddress list,
-            List<ConfigText.Server> known,
+            List<ConfigFormatter.Server> known,
             long seed,
             Path folder)
             throws IOException {
@@ -48,8 +48,8 @@
         Path config = folder.resolve("node-" + port + ".json");
         Files.writeString(
                 config,
-                ConfigText.node(
-                        new ConfigText.Node(
+                ConfigFormatter.formatNode(
+                        new ConfigFormatter.NodeDescription(
                                 "n0",
                                 NetUtil.toSocketAddressString(listen),
                                 NetUtil.toSocketAddressString(list),
@@ -60,7 +60,7 @@
                         size.settings(0),
                         known));
         Path temporary = Files.createDirectories(folder.resolve("tmp-" + port));
-        ProcessBuilder node = Guard.before(commands.node()).redirectErrorStream(true);
+        ProcessBuilder node = ProcessGuard.wrap(commands.node()).redirectErrorStream(true);
         node.environment().put("PROXY_CONFIG", config.toString());
         node.environment().put("TMPDIR", temporary.toString());
         long began = System.nanoTime();
--- a/src/main/java/kitemux/sidecar/Sidecar.java
+++ b/src/main/java/kitemux/sidecar/Sidecar.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import kitemux.app.App;
 import kitemux.app.ConfigWriter;
-import kitemux.app.Watch;
+import kitemux.app.DescriptionWatcher;
 import kitemux.members.Member;
 import kitemux.members.MemberListParser;
 import kitemux.members.MemberSettings;
@@ -50,10 +50,10 @@
     private final Options options;
     private final LineLog log;
     private final Membership members;
-    private final Watch watch;
-    private final StateFolder state;
+    private final DescriptionWatcher watch;
+    private final SnapshotStore state;
     private final Path config;
-    private final Fetch fetch = new Fetch();
+    private final HttpFetcher fetch = new HttpFetcher();
     private final RefreshSchedule refresh;
     private final ScheduledExecutorService keeper;
     private final Set<String> checking = new HashSet<>();
@@ -70,12 +70,12 @@
     /**
      * How it was called.
      *
-     * @param file the description
-     * @param lookMs between two looks at files
+     * @param descriptionFile the description
+     * @param filePollMs between two looks at files
      * @param seed for the node's random numbers, 1 to 16 hex digits
      * @param command of the application, which is started once clients can connect; empty for none
      */
-    public record Options(Path file, long lookMs, String seed, List<String> command) {}
+    public record Options(Path descriptionFile, long filePollMs, String seed, List<String> command) {}
 
     /**
      * @param app a description that is sound
@@ -98,8 +98,8 @@
                 from.refreshUs(),
                 from.backOffUs(),
                 () -> ThreadLocalRandom.current().nextDouble());
-        watch = new Watch(app, text);
-        state = from.state().isEmpty() ? null : new StateFolder(Path.of(from.state()), app.name());
+        watch = new DescriptionWatcher(app, text);
+        state = from.state().isEmpty() ? null : new SnapshotStore(Path.of(from.state()), app.name());
         Path folder = Files.createTempDirectory("kitemux-sidecar");
         folder.toFile().deleteOnExit();
         config = folder.resolve("config.json");
@@ -127,12 +127,12 @@
         // What a platform would say; here the description does.
         env.keySet().removeIf(name -> name.startsWith("PROXY_"));
         env.put("PROXY_CONFIG", config.toString());
-        if (!app.operators().isEmpty()) {
-            env.put("PROXY_MGMT", app.operators());
+        if (!app.operatorAddress().isEmpty()) {
+            env.put("PROXY_MGMT", app.operatorAddress());
         }
         reload = Node.run(env, log);
         Runtime.getRuntime().addShutdownHook(new Thread(this::end, "end"));
-        every(options.lookMs(), this::look);
+        every(options.filePollMs(), this::look);
         every(STATE_EVERY_MS, this::save);
         if (!app.members().list().isEmpty()) {
             keeper.schedule(this::askForList, refresh.recordSuccess() / 1_000, TimeUnit.MILLISECONDS);
@@ -144,7 +144,7 @@
             // Until SIGTERM, by which the node drains and ends the process.
             Thread.currentThread().join();
         }
-        return new Beside(options.command(), log).run();
+        return new ApplicationProcess(options.command(), log).run();
     }
 
     private void every(long ms, Runnable what) {
@@ -180,13 +180,13 @@
         if (left != null) {
             take(members.restore(nowUs(), left));
         }
-        if (!app.discovery().isEmpty()) {
+        if (!app.discoveryAddress().isEmpty()) {
             // The node asks for its servers itself.
-            write(ConfigWriter.json(app, options.seed()));
+            write(ConfigWriter.toJson(app, options.seed()));
             return;
         }
-        if (app.source().isEmpty()) {
-            take(members.replaceAll(nowUs(), ConfigWriter.members(app)));
+        if (app.serverSource().isEmpty()) {
+            take(members.replaceAll(nowUs(), ConfigWriter.describedMembers(app)));
         } else if (!app.members().file().isEmpty()) {
             fileSeen = file();
             fileTaken = fileSeen;
@@ -228,7 +228,7 @@
     /** A list has come, by file or by HTTP: whole and sound, or it changes nothing. */
     private boolean list(byte[] text, String from) {
         List<String> faults = new ArrayList<>();
-        List<Member> all = text == null ? List.of() : MemberListParser.parse(text, app::allows, faults);
+        List<Member> all = text == null ? List.of() : MemberListParser.parse(text, app::isServerAddressAllowed, faults);
         if (text == null) {
             faults.add("cannot be read");
         }
@@ -263,10 +263,10 @@
 
     private void tell(List<Membership.MemberStatus> serving) {
         try {
-            write(ConfigWriter.json(
+            write(ConfigWriter.toJson(
                     app,
                     serving.stream()
-                            .map(one -> ConfigWriter.server(one.member(), one.draining(), one.startedUs()))
+                            .map(one -> ConfigWriter.toServer(one.member(), one.draining(), one.startedUs()))
                             .toList(),
                     options.seed()));
             reload.run();
@@ -285,18 +285,18 @@
     private void look() {
         String text;
         try {
-            text = Files.readString(options.file());
+            text = Files.readString(options.descriptionFile());
         } catch (IOException e) {
             text = null;
         }
-        Watch.Decision decision = watch.look(text);
-        if (decision.app() != null) {
-            app = decision.app();
-            if (app.source().isEmpty() && app.discovery().isEmpty()) {
-                take(members.replaceAll(nowUs(), ConfigWriter.members(app)));
+        DescriptionWatcher.Decision decision = watch.observe(text);
+        if (decision.newApp() != null) {
+            app = decision.newApp();
+            if (app.serverSource().isEmpty() && app.discoveryAddress().isEmpty()) {
+                take(members.replaceAll(nowUs(), ConfigWriter.describedMembers(app)));
             }
         }
-        decision.say().forEach(log::info);
+        decision.messages().forEach(log::info);
         if (!app.members().file().isEmpty()) {
             lookAtList();
         }
@@ -352,7 +352,7 @@
         if (!checking.add(one.name())) {
             return;
         }
-        fetch.isWell(
+        fetch.isHealthy(
                         URI.create("http://" + one.address() + app.health().path()),
                         app.health().timeoutUs() / 1_000)
                 .whenCompleteAsync(
--- a/src/main/java/kitemux/soak/SoakNode.java
+++ b/src/main/java/kitemux/soak/SoakNode.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import kitemux.lab.Guard;
+import kitemux.lab.ProcessGuard;
 
 /** One process of the node that is played, behind a guard by which it does not outlive the soak. */
 final class SoakNode implements AutoCloseable {
@@ -64,7 +64,7 @@
                     "{\"trace\":{\"folder\":\"%s\"}}".formatted(folder.resolve("traces")));
             launcher.environment().put("KITEMUX_SETTINGS", settings.toString());
         }
-        return new SoakNode(Guard.before(launcher).redirectErrorStream(true).start(), operatorsPort);
+        return new SoakNode(ProcessGuard.wrap(launcher).redirectErrorStream(true).start(), operatorsPort);
     }
 
     private static String config(int clientsPort, int operatorsPort, long deadlineMs, List<SoakServer> servers) {
@@ -112,7 +112,7 @@
             caller.setSoTimeout(1_000);
             caller.getOutputStream()
                     .write("GET /ops/readiness HTTP/1.1\r\nHost: ops\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            return Message.read(caller.getInputStream()).status() == 200;
+            return HttpMessage.read(caller.getInputStream()).status() == 200;
         } catch (IOException e) {
             return false;
         }
--- a/src/test/java/kitemux/keeper/KeeperCluster.java
+++ b/src/test/java/kitemux/keeper/KeeperCluster.java
@@ -209,7 +209,7 @@
         long until = System.nanoTime() + 30_000_000_000L;
         while (true) {
             Json status = status(keeper, "?rev=" + rev);
-            if (status.path("in_force").path("count").whole(-1) == count) {
+            if (status.path("in_force").path("count").asLong(-1) == count) {
                 return status;
             }
             if (System.nanoTime() > until) {
--- a/src/test/java/kitemux/keeper/KeeperTest.java
+++ b/src/test/java/kitemux/keeper/KeeperTest.java
@@ -72,14 +72,14 @@
             // The fifth node was never started. Any keeper knows all nodes, including the keeper that does not vote.
             Json status = cluster.awaitInForce(3, 1, 4);
             assertEquals(
-                    "4", status.path("not_heard").path("nodes").values().get(0).text());
-            assertEquals(1, status.path("not_heard").path("count").whole(-1));
-            assertEquals("false", status.path("keeper").path("votes").text());
+                    "4", status.path("not_heard").path("nodes").values().get(0).asText());
+            assertEquals(1, status.path("not_heard").path("count").asLong(-1));
+            assertEquals("false", status.path("keeper").path("votes").asText());
             assertEquals(
                     List.of(), status.path("keeper").path("keepers_not_heard").values());
             // Repeating the call does not repeat the change.
             assertCommitted(1, KeeperCluster.join(cluster.change(2, id(1), 0, ACME)));
-            assertEquals(1, cluster.status(2, "").path("newest").whole(0));
+            assertEquals(1, cluster.status(2, "").path("newest").asLong(0));
         }
     }
 
@@ -195,8 +195,8 @@
             cluster.start(2, disk -> disk);
             cluster.logs[2].awaitLine(lineCount, " serves; version 1");
             Json keeper = cluster.status(2, "").path("keeper");
-            assertEquals("false", keeper.path("votes").text());
-            assertTrue(!keeper.path("identity").text().equals(identity));
+            assertEquals("false", keeper.path("votes").asText());
+            assertTrue(!keeper.path("identity").asText().equals(identity));
             // Two of three voters are left; without one of them there is no majority.
             assertCommitted(2, KeeperCluster.join(cluster.change(2, id(2), 1, "{\"realms/b\":{\"quotaPerS\":1}}")));
             cluster.stop(1);
@@ -228,7 +228,7 @@
                                 .path("keepers_not_heard")
                                 .values()
                                 .get(0)
-                                .text());
+                                .asText());
                 cluster.isolate(0, false);
                 String line = "";
                 BufferedReader in =
@@ -295,7 +295,7 @@
             }
             set.append('}');
             int rev = 0;
-            while (cluster.status(0, "").path("keeper").path("watches_unread").whole(0) == 0) {
+            while (cluster.status(0, "").path("keeper").path("watches_unread").asLong(0) == 0) {
                 assertTrue(rev < 1_000, "the unread watch is never closed");
                 assertCommitted(
                         rev + 1,
@@ -304,7 +304,7 @@
                 rev++;
                 lines(read, rev == 1 ? 1 : 0, rev);
             }
-            assertEquals(1, cluster.status(0, "").path("keeper").path("watches").whole(-1));
+            assertEquals(1, cluster.status(0, "").path("keeper").path("watches").asLong(-1));
             assertTrue(unread.getInputStream().readAllBytes().length > 0, "the events sent before the close arrive");
         }
     }
@@ -340,8 +340,8 @@
             node.log.awaitLine(0, "told all");
             assertTrue(silentWatch.getInputStream().readAllBytes().length > 0, "the watch is closed");
             Json counters = cluster.status(0, "").path("keeper");
-            assertEquals(1, counters.path("watches_silent").whole(-1));
-            assertEquals(1, counters.path("watches").whole(-1), "the watch of the reporting node stays open");
+            assertEquals(1, counters.path("watches_silent").asLong(-1));
+            assertEquals(1, counters.path("watches").asLong(-1), "the watch of the reporting node stays open");
         }
     }
 
@@ -406,7 +406,7 @@
                 long startNanos = System.nanoTime();
                 List<String> lines = lines(watch, 1);
                 Json first = Json.read(lines.get(0).getBytes(StandardCharsets.UTF_8));
-                int parts = (int) first.path("of").whole(0);
+                int parts = (int) first.path("of").asLong(0);
                 assertTrue(parts >= 5, lines.get(0));
                 BufferedReader in =
                         new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
@@ -423,13 +423,13 @@
                 SortedMap<String, String> received = new TreeMap<>();
                 for (int i = 0; i < parts; i++) {
                     Json part = Json.read(lines.get(i).getBytes(StandardCharsets.UTF_8));
-                    assertEquals(i + 1, part.path("part").whole(0));
-                    assertEquals(2_000, part.path("rev").whole(0));
+                    assertEquals(i + 1, part.path("part").asLong(0));
+                    assertEquals(2_000, part.path("rev").asLong(0));
                     part.path("set")
                             .fields()
                             .forEach((path, value) -> received.put(
                                     path,
-                                    "{\"quotaPerS\":" + value.path("quotaPerS").text() + "}"));
+                                    "{\"quotaPerS\":" + value.path("quotaPerS").asText() + "}"));
                 }
                 assertEquals(values, received);
                 ProtocolParameters parameters = ProtocolParameters.defaults();
@@ -528,10 +528,10 @@
                     "503 {\"reason\":\"version 5 is not known here yet\"}",
                     aheadResponse.statusCode() + " " + aheadResponse.body());
             Json status = cluster.status(0, "");
-            assertEquals(0, status.path("newest").whole(-1), "no call has an effect");
+            assertEquals(0, status.path("newest").asLong(-1), "no call has an effect");
             assertEquals(
                     badPosts.length + badGets.length,
-                    status.path("keeper").path("calls_faulty").whole(0));
+                    status.path("keeper").path("calls_faulty").asLong(0));
             try (Socket garbage = new Socket(
                     cluster.addresses(0).getAddress(), cluster.addresses(0).getPort())) {
                 garbage.getOutputStream().write("\1\2\3 what\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -561,10 +561,10 @@
             assertEquals("503 {\"reason\":\"210 watches are open\"}", response.statusCode() + " " + response.body());
             assertEquals(
                     1,
-                    cluster.status(0, "").path("keeper").path("watches_refused").whole(0));
+                    cluster.status(0, "").path("keeper").path("watches_refused").asLong(0));
             sockets.get(0).close();
             long until = System.nanoTime() + 30_000_000_000L;
-            while (cluster.status(0, "").path("keeper").path("watches").whole(0)
+            while (cluster.status(0, "").path("keeper").path("watches").asLong(0)
                     == ProtocolParameters.MAX_WATCH_COUNT) {
                 assertTrue(System.nanoTime() < until, "an ended watch frees no slot");
             }
@@ -594,7 +594,7 @@
                     cluster.status(0, "")
                             .path("keeper")
                             .path("connections_turned_away")
-                            .whole(0));
+                            .asLong(0));
         } finally {
             for (Socket socket : sockets) {
                 socket.close();
@@ -616,7 +616,7 @@
             assertEquals("503 {\"reason\":\"16 changes wait\"}", first.statusCode() + " " + first.body());
             assertEquals(
                     1,
-                    cluster.status(0, "").path("keeper").path("changes_refused").whole(0));
+                    cluster.status(0, "").path("keeper").path("changes_refused").asLong(0));
         }
     }
 
--- a/src/test/java/kitemux/keeper/NodeRolloutTest.java
+++ b/src/test/java/kitemux/keeper/NodeRolloutTest.java
@@ -97,7 +97,7 @@
                                 .path("nodes")
                                 .values()
                                 .get(0)
-                                .text());
+                                .asText());
                 // A realm that the node's file lacks waits for a restart and is never reported as in force.
                 assertEquals(
                         "200 {\"rev\":2}",
@@ -105,11 +105,11 @@
                 awaitLine(lines, "rollout: version 2 is taken in");
                 long until = System.nanoTime() + 30_000_000_000L;
                 Json status = cluster.status(0, "?rev=2");
-                while (status.path("waits_restart").path("count").whole(0) == 0) {
+                while (status.path("waits_restart").path("count").asLong(0) == 0) {
                     assertTrue(System.nanoTime() < until, "the node never reported the pending restart");
                     status = cluster.status(0, "?rev=2");
                 }
-                assertEquals(0, status.path("in_force").path("count").whole(-1));
+                assertEquals(0, status.path("in_force").path("count").asLong(-1));
                 String all = Files.readString(loadedClasses);
                 assertTrue(all.contains("kitemux.rollout.Subscriber "), "state machines");
                 assertTrue(all.contains("kitemux.keeper.RolloutWatch "), "sockets of the state machines");
--- a/src/test/java/kitemux/mysql/StatementTest.java
+++ b/src/test/java/kitemux/mysql/StatementTest.java
@@ -42,8 +42,8 @@
                 "SELECT 'a\\n' FROM t"
             })
     void reads(String sql) {
-        Statement statement = Statement.of(sql);
-        assertTrue(statement.read(), sql);
+        Statement statement = Statement.analyze(sql);
+        assertTrue(statement.isReadOnly(), sql);
         assertEquals(Set.of(), statement.traits(), sql);
     }
 
@@ -88,7 +88,7 @@
                 "garbage"
             })
     void whatIsNotSurelyARead(String sql) {
-        assertFalse(Statement.of(sql).read(), sql);
+        assertFalse(Statement.analyze(sql).isReadOnly(), sql);
     }
 
     @ParameterizedTest
@@ -121,22 +121,22 @@
                 "/*!40101 SET autocommit=0 */ | PINS"
             })
     void whatItDoesToItsSession(String sql, Trait trait) {
-        assertEquals(Set.of(trait), Statement.of(sql).traits(), sql);
-        assertFalse(Statement.of(sql).read(), sql);
+        assertEquals(Set.of(trait), Statement.analyze(sql).traits(), sql);
+        assertFalse(Statement.analyze(sql).isReadOnly(), sql);
     }
 
     @Property(seed = SEED, tries = 2_000)
     void noTextFailsAndNothingBehindAReadMakesAWriteARead(@ForAll @StringLength(max = 60) String text) {
-        Statement.of(text);
-        assertFalse(Statement.of("INSERT INTO t VALUES (1) " + text).read());
-        assertFalse(Statement.of("SELECT 1; INSERT INTO t VALUES (1); " + text).read());
-        assertFalse(Statement.of("SELECT 1 FROM t WHERE f(1) " + text).read());
+        Statement.analyze(text);
+        assertFalse(Statement.analyze("INSERT INTO t VALUES (1) " + text).isReadOnly());
+        assertFalse(Statement.analyze("SELECT 1; INSERT INTO t VALUES (1); " + text).isReadOnly());
+        assertFalse(Statement.analyze("SELECT 1 FROM t WHERE f(1) " + text).isReadOnly());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {Statement.MOST_LOOKED_AT - 20, Statement.MOST_LOOKED_AT})
     void aTextThatIsTooLongToLookAtIsNoRead(int length) {
-        Statement statement = Statement.of("SELECT 1 " + " ".repeat(length));
-        assertEquals(length < Statement.MOST_LOOKED_AT, statement.read());
+        Statement statement = Statement.analyze("SELECT 1 " + " ".repeat(length));
+        assertEquals(length < Statement.MOST_LOOKED_AT, statement.isReadOnly());
     }
 }
--- a/src/test/java/kitemux/node/RehearsalTest.java
+++ b/src/test/java/kitemux/node/WarmUpTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What a starting process does before it listens. */
-class RehearsalTest {
+class WarmUpTest {
 
     @Test
     void requestsAreServedWithNoWordToDiscovery() throws Exception {
         try (Site site = Site.quiet()) {
-            assertTrue(Rehearsal.play(site.config(Site.list(1, true)), site.loop, new StderrLog()) > 0);
+            assertTrue(WarmUp.run(site.config(Site.list(1, true)), site.loop, new StderrLog()) > 0);
             assertEquals(0, site.discovery.connections.get());
         }
     }
@@ -34,21 +34,21 @@
                     }
                 }
             });
-            long served = Rehearsal.play(site.config(Site.list(1, true)), site.loop, new StderrLog());
+            long served = WarmUp.run(site.config(Site.list(1, true)), site.loop, new StderrLog());
             over.set(true);
-            assertEquals(Rehearsal.REQUESTS, served);
+            assertEquals(WarmUp.REQUEST_COUNT, served);
         }
     }
 
     @Test
     void aNodeThatIsClosedLeavesNothingOpen() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             assertEquals(200, Site.ask(client, Http.page("t")).status());
             site.node.close();
             assertEquals(-1, client.getInputStream().read());
-            FarServer.next(server.ended);
+            ScriptedServer.next(server.disconnectedPeers);
             site.awaitNoneTaken();
         }
     }
