--- a/src/main/java/kitemux/cli/SoakCommand.java
+++ b/src/main/java/kitemux/cli/SoakCommand.java
@@ -57,10 +57,10 @@
         boolean clean = true;
         for (long one = seed; one < seed + seeds; one++) {
             Path folder = Files.createTempDirectory("kitemux-soak");
-            Soak.Result result = Soak.play(
-                    () -> Builds.java(List.of(), played(), "node"), !untraced, one, upgrades, changes, folder);
+            Soak.Result result =
+                    Soak.run(() -> Builds.java(List.of(), played(), "node"), !untraced, one, upgrades, changes, folder);
             print(out, result);
-            clean &= result.findings().isEmpty() && result.isPunctual();
+            clean &= result.violations().isEmpty() && result.isOnSchedule();
         }
         return clean ? Main.DONE : Main.FOUND;
     }
@@ -73,14 +73,16 @@
                 result.deadlineMs(),
                 result.requests(),
                 result.sigkills(),
-                result.turnedBack(),
-                result.lateMs(),
-                result.isPunctual() ? "" : " (too late to rely on)",
-                result.findings().stream().filter(line -> !line.startsWith(" ")).count());
-        if (!result.findings().isEmpty()) {
+                result.unreadRequests(),
+                result.maxLatenessMs(),
+                result.isOnSchedule() ? "" : " (too late to rely on)",
+                result.violations().stream()
+                        .filter(line -> !line.startsWith(" "))
+                        .count());
+        if (!result.violations().isEmpty()) {
             out.printf(
                     "  kitemux soak --seed %d --changes %d%s%n", result.seed(), changes, upgrades ? " --upgrades" : "");
-            result.findings().forEach(line -> out.println("  " + line));
+            result.violations().forEach(line -> out.println("  " + line));
         }
         out.flush();
     }
--- a/src/main/java/kitemux/mysql/Scramble.java
+++ b/src/main/java/kitemux/mysql/AuthPlugin.java
@@ -10,7 +10,7 @@
  * fast path of {@code caching_sha2_password}. Only a digest of the password is kept on this side; who reads
  * that one cannot make a proof from it.
  */
-public enum Scramble {
+public enum AuthPlugin {
     /** SHA1(password) XOR SHA1(nonce, SHA1(SHA1(password))). */
     NATIVE("mysql_native_password", "SHA-1") {
         @Override
@@ -27,15 +27,15 @@
     };
 
     /** Bytes of a nonce; one more, a zero, ends it on the wire. */
-    public static final int NONCE = 20;
+    public static final int NONCE_BYTES = 20;
 
     /** The plugin's name in the protocol. */
-    public final String plugin;
+    public final String pluginName;
 
     private final String algorithm;
 
-    Scramble(String plugin, String algorithm) {
-        this.plugin = plugin;
+    AuthPlugin(String plugin, String algorithm) {
+        this.pluginName = plugin;
         this.algorithm = algorithm;
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** The proof for this nonce; empty for an empty password, as the protocol has it. */
-    public byte[] proof(String password, byte[] nonce) {
+    public byte[] createProof(String password, byte[] nonce) {
         if (password.isEmpty()) {
             return new byte[0];
         }
@@ -69,7 +69,7 @@
     }
 
     /** Whether a proof is one for the password of this digest, and for this nonce. */
-    public boolean isProof(byte[] proof, byte[] digest, byte[] nonce) {
+    public boolean isValidProof(byte[] proof, byte[] digest, byte[] nonce) {
         if (proof.length == 0) {
             return MessageDigest.isEqual(digest(""), digest);
         }
--- a/src/main/java/kitemux/mysql/BackConnection.java
+++ b/src/main/java/kitemux/mysql/BackendConnection.java
@@ -8,16 +8,16 @@
 import java.io.IOException;
 import java.util.Map;
 import kitemux.Balancer.Result;
-import kitemux.mysql.AnswerTracker.End;
-import kitemux.mysql.AnswerTracker.Form;
 import kitemux.mysql.PacketDecoder.Part;
+import kitemux.mysql.ResponseTracker.Completion;
+import kitemux.mysql.ResponseTracker.ResponseType;
 
 /**
  * A connection to a server: logs in ("Connection Phase"), and then carries one command at a time. What of an
  * answer has come is passed on at once, as the server wrote it; a gigabyte of rows takes the memory of what
  * one read brought. On the loop alone.
  */
-final class BackConnection extends ChannelInboundHandlerAdapter {
+final class BackendConnection extends ChannelInboundHandlerAdapter {
     /** What this program can do towards servers, and what both sides then keep to. */
     static final long WANTED = Capabilities.LONG_PASSWORD
             | Capabilities.LONG_FLAG
@@ -40,15 +40,15 @@
     record Account(String user, String password, String database) {}
 
     /** Told of a connection's login: one of these, once. */
-    interface LoginHeard {
-        void loggedIn(BackConnection connection);
+    interface LoginListener {
+        void loggedIn(BackendConnection connection);
 
         /** It is closed, and nothing has run on it; the error is the server's, or null. */
         void refused(String why, ErrPacket error);
     }
 
     /** Told of an answer. */
-    interface Heard {
+    interface ResponseListener {
         /** The first of it has come, and it is no error. False to break it off: no end is told then. */
         boolean begun();
 
@@ -68,17 +68,17 @@
     }
 
     private final Account account;
-    private final LoginHeard login;
+    private final LoginListener login;
     private final PacketDecoder decoder;
     private Channel channel;
-    private Gatherer gatherer;
+    private PayloadAssembler gatherer;
     private Phase phase = Phase.GREETING;
     private byte[] nonce;
     private long capabilities;
     private int status;
 
-    private Heard heard;
-    private AnswerTracker tracker;
+    private ResponseListener heard;
+    private ResponseTracker tracker;
     private boolean written;
     private boolean begun;
     /** Whether the payload that comes now is gathered, to be seen. */
@@ -87,7 +87,7 @@
     private int firstSequence;
 
     /** A connection that is not open yet; the decoder stands in front of it. */
-    BackConnection(Account account, PacketDecoder decoder, LoginHeard login) {
+    BackendConnection(Account account, PacketDecoder decoder, LoginListener login) {
         this.account = account;
         this.decoder = decoder;
         this.login = login;
@@ -96,7 +96,7 @@
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         channel = context.channel();
-        gatherer = new Gatherer(channel.alloc(), AnswerTracker.MOST_SEEN);
+        gatherer = new PayloadAssembler(channel.alloc(), ResponseTracker.MOST_SEEN);
     }
 
     /** What both sides keep to. */
@@ -122,14 +122,14 @@
      * @param command its payload; released here
      * @return its packets, which the caller owns
      */
-    ByteBuf take(ByteBuf command, Form form, Heard by) {
+    ByteBuf take(ByteBuf command, ResponseType form, ResponseListener by) {
         if (phase != Phase.IDLE) {
             command.release();
             throw new IllegalStateException("not idle but " + phase);
         }
         phase = Phase.BUSY;
         heard = by;
-        tracker = new AnswerTracker(form, capabilities);
+        tracker = new ResponseTracker(form, capabilities);
         written = false;
         begun = false;
         decoder.expect(Packets.count(command.readableBytes()));
@@ -141,7 +141,7 @@
      *
      * @param command its payload; released here
      */
-    void carry(ByteBuf command, Form form, Heard by) {
+    void carry(ByteBuf command, ResponseType form, ResponseListener by) {
         channel.writeAndFlush(take(command, form, by)).addListener(done -> {
             if (done.isSuccess()) {
                 written |= heard == by;
@@ -191,7 +191,7 @@
         if (payload != null) {
             try {
                 if (phase == Phase.GREETING) {
-                    greeted(ServerGreeting.read(payload));
+                    greeted(InitialHandshake.read(payload));
                 } else {
                     loginGoesOn(payload);
                 }
@@ -210,7 +210,7 @@
                                 ? part.bytes().getUnsignedByte(part.bytes().readerIndex())
                                 : -1,
                         part.wire());
-            } catch (Fault fault) {
+            } catch (ProtocolException fault) {
                 part.bytes().release();
                 throw fault;
             }
@@ -231,7 +231,7 @@
             tracker.seen(payload.duplicate());
             status = tracker.status();
             // Behind rows an error is one more packet, and the answer's end; alone it is told as such.
-            if ((begun || tracker.end() != End.ERROR)
+            if ((begun || tracker.end() != Completion.ERROR)
                     && !pass(Packets.write(channel.alloc(), payload.retain(), firstSequence))) {
                 return;
             }
@@ -255,7 +255,7 @@
 
     /** False if it was broken off; the bytes are released then. */
     private boolean pass(ByteBuf packets) {
-        Heard by = heard;
+        ResponseListener by = heard;
         if (by != null && !begun) {
             begun = true;
             if (!by.begun()) {
@@ -274,12 +274,12 @@
         if (tracker.end() != null) {
             phase = Phase.IDLE;
             setReading(true);
-            end(tracker.end() == End.OK ? Result.OK : Result.ERROR, tracker.error());
+            end(tracker.end() == Completion.OK ? Result.OK : Result.ERROR, tracker.error());
         }
     }
 
     private void end(Result result, ErrPacket error) {
-        Heard over = heard;
+        ResponseListener over = heard;
         heard = null;
         if (over != null) {
             over.ended(result, error);
@@ -288,34 +288,34 @@
 
     // ---------------------------------------------------------------- the login
 
-    private void greeted(ServerGreeting greeting) {
+    private void greeted(InitialHandshake greeting) {
         nonce = greeting.nonce();
         capabilities = WANTED & greeting.capabilities();
         status = greeting.status();
         if (!account.database().isEmpty()) {
             capabilities |= Capabilities.CONNECT_WITH_DB;
         }
-        Scramble scramble = scramble(greeting.plugin());
+        AuthPlugin scramble = scramble(greeting.plugin());
         phase = Phase.LOGIN;
         ByteBuf out = channel.alloc().buffer();
         // A plugin that is not known is answered with one that is: the server then asks to switch.
-        Scramble used = scramble == null ? Scramble.CACHING_SHA2 : scramble;
-        new ClientGreeting(
+        AuthPlugin used = scramble == null ? AuthPlugin.CACHING_SHA2 : scramble;
+        new HandshakeResponse(
                         capabilities,
                         MOST_PACKET,
                         UTF8MB4,
                         account.user(),
-                        used.proof(account.password(), nonce),
+                        used.createProof(account.password(), nonce),
                         account.database(),
-                        used.plugin,
+                        used.pluginName,
                         Map.of())
                 .write(out);
         send(out);
     }
 
-    private static Scramble scramble(String plugin) {
-        for (Scramble each : Scramble.values()) {
-            if (each.plugin.equals(plugin)) {
+    private static AuthPlugin scramble(String plugin) {
+        for (AuthPlugin each : AuthPlugin.values()) {
+            if (each.pluginName.equals(plugin)) {
                 return each;
             }
         }
@@ -341,13 +341,13 @@
                 refused(error.code() + " " + error.message(), error);
             }
             case AUTH_SWITCH -> {
-                Scramble scramble = scramble(Fields.nulText(payload, "the plugin's name"));
+                AuthPlugin scramble = scramble(Fields.nulText(payload, "the plugin's name"));
                 if (scramble == null) {
                     refused("the server asks for a plugin that is not known", null);
                     return;
                 }
-                nonce = Fields.bytes(payload, Scramble.NONCE, "the nonce");
-                send(Unpooled.wrappedBuffer(scramble.proof(account.password(), nonce)));
+                nonce = Fields.bytes(payload, AuthPlugin.NONCE_BYTES, "the nonce");
+                send(Unpooled.wrappedBuffer(scramble.createProof(account.password(), nonce)));
             }
             case AUTH_MORE -> {
                 if (Fields.int1(payload, "the login's answer") != FAST_PATH) {
@@ -355,7 +355,8 @@
                     refused("the server does not know the password's digest yet: log in there once over TLS", null);
                 }
             }
-            default -> throw new Fault(Fault.Kind.MALFORMED, "a login's answer begins with " + first);
+            default ->
+                throw new ProtocolException(ProtocolException.Kind.MALFORMED, "a login's answer begins with " + first);
         }
     }
 
--- a/src/main/java/kitemux/mysql/FrontLogin.java
+++ b/src/main/java/kitemux/mysql/ClientLogin.java
@@ -17,9 +17,9 @@
  * user has, and then gives its place in the pipeline to what carries commands. One that is not let in gets
  * the protocol's error and its connection ends. On the loop alone.
  */
-final class FrontLogin extends ChannelInboundHandlerAdapter {
+final class ClientLogin extends ChannelInboundHandlerAdapter {
     /** What this program can do towards clients. */
-    static final long OFFERED = BackConnection.WANTED
+    static final long OFFERED = BackendConnection.WANTED
             | Capabilities.CONNECT_WITH_DB
             | Capabilities.CONNECT_ATTRS
             | Capabilities.MULTI_STATEMENTS;
@@ -36,22 +36,22 @@
 
     private final Users users;
     private final long connectionId;
-    private final Scramble greeted;
+    private final AuthPlugin greeted;
     private final long loginMs;
     private final PacketDecoder decoder;
-    private final Entrance entrance;
+    private final LoginHandler entrance;
     private Channel channel;
-    private Gatherer gatherer;
+    private PayloadAssembler gatherer;
     private Future<?> patience;
-    private Scramble scramble;
+    private AuthPlugin scramble;
     private byte[] nonce;
-    private ClientGreeting greeting;
+    private HandshakeResponse greeting;
     private boolean over;
 
     /** What follows a login. */
-    interface Entrance {
+    interface LoginHandler {
         /** Takes the connection over; the OK has been written, and the next packet is a command's first. */
-        void letIn(Channel channel, PacketDecoder decoder, ClientGreeting greeting);
+        void letIn(Channel channel, PacketDecoder decoder, HandshakeResponse greeting);
     }
 
     /**
@@ -62,8 +62,13 @@
      * @param loginMs a login that takes longer is ended; guards descriptors against those that never end it
      * @param decoder stands in front of it
      */
-    FrontLogin(
-            Users users, long connectionId, Scramble greeted, long loginMs, PacketDecoder decoder, Entrance entrance) {
+    ClientLogin(
+            Users users,
+            long connectionId,
+            AuthPlugin greeted,
+            long loginMs,
+            PacketDecoder decoder,
+            LoginHandler entrance) {
         this.users = users;
         this.connectionId = connectionId;
         this.greeted = greeted;
@@ -74,7 +79,7 @@
 
     /** Without zeros, which end it on the wire. */
     private static byte[] newNonce() {
-        byte[] fresh = new byte[Scramble.NONCE];
+        byte[] fresh = new byte[AuthPlugin.NONCE_BYTES];
         for (int i = 0; i < fresh.length; i++) {
             fresh[i] = (byte) (1 + RANDOM.nextInt(127));
         }
@@ -84,7 +89,7 @@
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         channel = context.channel();
-        gatherer = new Gatherer(channel.alloc(), MOST_PAYLOAD);
+        gatherer = new PayloadAssembler(channel.alloc(), MOST_PAYLOAD);
         patience = channel.eventLoop()
                 .schedule(
                         () -> refuse(new ErrPacket(1159, "08S01", "the login took too long")),
@@ -93,7 +98,7 @@
         scramble = greeted;
         nonce = newNonce();
         ByteBuf out = channel.alloc().buffer();
-        new ServerGreeting(VERSION, connectionId, nonce, OFFERED, UTF8MB4, OkPacket.AUTOCOMMIT, greeted.plugin)
+        new InitialHandshake(VERSION, connectionId, nonce, OFFERED, UTF8MB4, OkPacket.AUTOCOMMIT, greeted.pluginName)
                 .write(out);
         send(out);
     }
@@ -111,7 +116,7 @@
         }
         try {
             if (greeting == null) {
-                answered(ClientGreeting.read(payload, OFFERED));
+                answered(HandshakeResponse.read(payload, OFFERED));
             } else {
                 byte[] proof = new byte[payload.readableBytes()];
                 payload.readBytes(proof);
@@ -122,12 +127,12 @@
         }
     }
 
-    private void answered(ClientGreeting answer) {
+    private void answered(HandshakeResponse answer) {
         greeting = answer;
-        Users.User user = users.of(answer.user());
+        Users.User user = users.find(answer.user());
         // Older clients name none and mean the first there was.
-        String used = answer.plugin().isEmpty() ? Scramble.NATIVE.plugin : answer.plugin();
-        if (used.equals(scramble.plugin) && user.digests().containsKey(scramble)) {
+        String used = answer.plugin().isEmpty() ? AuthPlugin.NATIVE.pluginName : answer.plugin();
+        if (used.equals(scramble.pluginName) && user.digests().containsKey(scramble)) {
             check(answer.proof());
             return;
         }
@@ -136,12 +141,12 @@
         }
         nonce = newNonce();
         ByteBuf out = channel.alloc().buffer().writeByte(0xfe);
-        Fields.putNulText(out, scramble.plugin);
+        Fields.putNulText(out, scramble.pluginName);
         send(out.writeBytes(nonce).writeByte(0));
     }
 
     private void check(byte[] proof) {
-        if (!users.isProof(users.of(greeting.user()), scramble, proof, nonce)) {
+        if (!users.isProof(users.find(greeting.user()), scramble, proof, nonce)) {
             refuse(new ErrPacket(
                     1045,
                     "28000",
@@ -151,7 +156,7 @@
         }
         over = true;
         patience.cancel(false);
-        if (scramble == Scramble.CACHING_SHA2) {
+        if (scramble == AuthPlugin.CACHING_SHA2) {
             send(Unpooled.wrappedBuffer(new byte[] {1, 3}));
         }
         ByteBuf ok = channel.alloc().buffer();
@@ -197,8 +202,8 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        if (cause instanceof Fault fault) {
-            refuse(fault.packet());
+        if (cause instanceof ProtocolException fault) {
+            refuse(fault.toErrPacket());
         } else if (cause instanceof IOException) {
             channel.close();
         } else {
--- a/src/main/java/kitemux/mysql/Command.java
+++ b/src/main/java/kitemux/mysql/Command.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import kitemux.engine.RequestInfo;
-import kitemux.mysql.AnswerTracker.Form;
+import kitemux.mysql.ResponseTracker.ResponseType;
 
 /**
  * A client's command that wants an answer, as the engine carries it.
@@ -11,15 +11,15 @@
  * @param classIndex by the settings
  * @param tenant by the settings, or -1
  * @param remainingUs how long it may take from now on, in microseconds
- * @param form of its answer
+ * @param responseType of its answer
  * @param payload the command's byte and what follows; not to be changed
  */
-record Command(String txn, int classIndex, int tenant, long remainingUs, Form form, byte[] payload)
+record Command(String txn, int classIndex, int tenant, long remainingUs, ResponseType responseType, byte[] payload)
         implements RequestInfo {
     private static final byte PING_BYTE = 0x0e;
 
     /** COM_PING: what checks a server, where the settings allow probes. */
-    static final Command PING = new Command(null, -1, -1, 0, Form.PLAIN, new byte[] {PING_BYTE});
+    static final Command PING = new Command(null, -1, -1, 0, ResponseType.STATUS_ONLY, new byte[] {PING_BYTE});
 
     @Override
     public List<byte[]> body() {
--- a/src/main/java/kitemux/mysql/Fields.java
+++ b/src/main/java/kitemux/mysql/Fields.java
@@ -6,7 +6,7 @@
 
 /**
  * Fields of packets: whole numbers, strings and byte strings in the protocol's forms. Each reading method
- * throws a {@link Fault} where the packet ends too early, and reads nothing behind its end.
+ * throws a {@link ProtocolException} where the packet ends too early, and reads nothing behind its end.
  */
 final class Fields {
     private static final int TWO_BYTES = 0xfc;
@@ -17,8 +17,8 @@
 
     private Fields() {}
 
-    private static Fault early(String what) {
-        return new Fault(Fault.Kind.MALFORMED, "the packet ends within " + what);
+    private static ProtocolException early(String what) {
+        return new ProtocolException(ProtocolException.Kind.MALFORMED, "the packet ends within " + what);
     }
 
     private static void need(ByteBuf in, long bytes, String what) {
@@ -61,7 +61,8 @@
                 return in.readLongLE();
             case NULL:
             case 0xff:
-                throw new Fault(Fault.Kind.MALFORMED, "no number begins with " + first + " in " + what);
+                throw new ProtocolException(
+                        ProtocolException.Kind.MALFORMED, "no number begins with " + first + " in " + what);
             default:
                 return first;
         }
--- a/src/main/java/kitemux/mysql/ClientGreeting.java
+++ b/src/main/java/kitemux/mysql/HandshakeResponse.java
@@ -17,7 +17,7 @@
  * @param plugin how it proves who it is; empty if it does not say
  * @param attributes what it says of itself
  */
-record ClientGreeting(
+record HandshakeResponse(
         long capabilities,
         long mostPacket,
         int charset,
@@ -34,12 +34,12 @@
      * Reads a payload, by the capabilities that it names itself.
      *
      * @param offered what the server can do: a client may name no other
-     * @throws Fault if it is something else, or of a protocol before 4.1
+     * @throws ProtocolException if it is something else, or of a protocol before 4.1
      */
-    static ClientGreeting read(ByteBuf in, long offered) {
+    static HandshakeResponse read(ByteBuf in, long offered) {
         long capabilities = Fields.int4(in, "the capabilities");
         if (!Capabilities.has(capabilities, Capabilities.PROTOCOL_41)) {
-            throw new Fault(Fault.Kind.MALFORMED, "the client knows no protocol 4.1");
+            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "the client knows no protocol 4.1");
         }
         // Real clients name some that they were not offered; a server heeds what both have.
         capabilities &= offered;
@@ -47,7 +47,7 @@
         int charset = Fields.int1(in, "the character set");
         Fields.bytes(in, FILLER, "the filler");
         if (Capabilities.has(capabilities, Capabilities.SSL) && !in.isReadable()) {
-            return new ClientGreeting(capabilities, mostPacket, charset, null, new byte[0], "", "", Map.of());
+            return new HandshakeResponse(capabilities, mostPacket, charset, null, new byte[0], "", "", Map.of());
         }
         String user = Fields.nulText(in, "the user's name");
         byte[] proof = Capabilities.has(capabilities, Capabilities.PLUGIN_AUTH_LENENC_DATA)
@@ -62,13 +62,13 @@
         Map<String, String> attributes = Capabilities.has(capabilities, Capabilities.CONNECT_ATTRS) && in.isReadable()
                 ? attributes(in)
                 : Map.of();
-        return new ClientGreeting(capabilities, mostPacket, charset, user, proof, database, plugin, attributes);
+        return new HandshakeResponse(capabilities, mostPacket, charset, user, proof, database, plugin, attributes);
     }
 
     private static Map<String, String> attributes(ByteBuf in) {
         long length = Fields.lenenc(in, "the attributes");
         if (length < 0 || length > MOST_ATTRIBUTES || length > in.readableBytes()) {
-            throw new Fault(Fault.Kind.MALFORMED, "the attributes have " + length + " bytes");
+            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "the attributes have " + length + " bytes");
         }
         ByteBuf all = in.readSlice((int) length);
         Map<String, String> attributes = new LinkedHashMap<>();
--- a/src/main/java/kitemux/mysql/ServerGreeting.java
+++ b/src/main/java/kitemux/mysql/InitialHandshake.java
@@ -14,7 +14,7 @@
  * @param status SERVER_STATUS flags
  * @param plugin how it would have clients prove who they are
  */
-record ServerGreeting(
+record InitialHandshake(
         String version, long connectionId, byte[] nonce, long capabilities, int charset, int status, String plugin) {
     static final int PROTOCOL = 10;
     private static final int FIRST_NONCE = 8;
@@ -23,19 +23,19 @@
     /**
      * Reads a payload.
      *
-     * @throws Fault if it is something else, also a greeting of a protocol that is not 10 or without what
+     * @throws ProtocolException if it is something else, also a greeting of a protocol that is not 10 or without what
      *     this program needs (protocol 4.1, plugins)
      */
-    static ServerGreeting read(ByteBuf in) {
+    static InitialHandshake read(ByteBuf in) {
         int protocol = Fields.int1(in, "the greeting");
         if (protocol == ErrPacket.HEADER) {
             ErrPacket error = ErrPacket.read(in);
-            throw new Fault(
-                    Fault.Kind.MALFORMED,
+            throw new ProtocolException(
+                    ProtocolException.Kind.MALFORMED,
                     "the server turns the connection away: " + error.code() + " " + error.message());
         }
         if (protocol != PROTOCOL) {
-            throw new Fault(Fault.Kind.MALFORMED, "protocol " + protocol + " is not known");
+            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "protocol " + protocol + " is not known");
         }
         String version = Fields.nulText(in, "the server's version");
         long id = Fields.int4(in, "the connection's id");
@@ -49,13 +49,14 @@
         Fields.bytes(in, RESERVED, "what is reserved");
         if (!Capabilities.has(capabilities, Capabilities.PROTOCOL_41)
                 || !Capabilities.has(capabilities, Capabilities.PLUGIN_AUTH)
-                || nonceLength != Scramble.NONCE + 1) {
-            throw new Fault(Fault.Kind.MALFORMED, "the server knows no protocol 4.1 or no plugins");
+                || nonceLength != AuthPlugin.NONCE_BYTES + 1) {
+            throw new ProtocolException(
+                    ProtocolException.Kind.MALFORMED, "the server knows no protocol 4.1 or no plugins");
         }
         byte[] rest = Fields.bytes(in, nonceLength - FIRST_NONCE, "the nonce");
-        byte[] nonce = Arrays.copyOf(first, Scramble.NONCE);
-        System.arraycopy(rest, 0, nonce, FIRST_NONCE, Scramble.NONCE - FIRST_NONCE);
-        return new ServerGreeting(
+        byte[] nonce = Arrays.copyOf(first, AuthPlugin.NONCE_BYTES);
+        System.arraycopy(rest, 0, nonce, FIRST_NONCE, AuthPlugin.NONCE_BYTES - FIRST_NONCE);
+        return new InitialHandshake(
                 version, id, nonce, capabilities, charset, status, Fields.nulText(in, "the plugin's name"));
     }
 
@@ -69,9 +70,9 @@
                 .writeByte(charset)
                 .writeShortLE(status)
                 .writeShortLE((int) (capabilities >> 16))
-                .writeByte(Scramble.NONCE + 1)
+                .writeByte(AuthPlugin.NONCE_BYTES + 1)
                 .writeZero(RESERVED)
-                .writeBytes(nonce, FIRST_NONCE, Scramble.NONCE - FIRST_NONCE)
+                .writeBytes(nonce, FIRST_NONCE, AuthPlugin.NONCE_BYTES - FIRST_NONCE)
                 .writeByte(0);
         Fields.putNulText(out, plugin);
     }
--- a/src/main/java/kitemux/mysql/MysqlServers.java
+++ b/src/main/java/kitemux/mysql/MysqlServerProtocol.java
@@ -17,7 +17,7 @@
  * at a time on each. An error about a statement is that statement's answer; one about the server is a
  * failure.
  */
-public final class MysqlServers implements ServerPool.Protocol<Command, ServerResponse> {
+public final class MysqlServerProtocol implements ServerPool.Protocol<Command, ServerResponse> {
     /**
      * Errors that say the server cannot serve, whatever it is asked (server error message reference): too
      * many connections, disk full, out of memory, shutdown, user's limit, read only, offline mode, and a
@@ -26,11 +26,11 @@
     private static final Set<Integer> OF_THE_SERVER =
             Set.of(1040, 1021, 1037, 1041, 1053, 1203, 1226, 1290, 1836, 3032, 3101);
 
-    private final BackConnection.Account account;
+    private final BackendConnection.Account account;
     private final Log log;
 
     /** Logs in at servers with this account. */
-    MysqlServers(BackConnection.Account account, Log log) {
+    MysqlServerProtocol(BackendConnection.Account account, Log log) {
         this.account = account;
         this.log = log;
     }
@@ -52,9 +52,9 @@
     }
 
     private final class Connection extends ServerPool.ServerConnection<Command, ServerResponse>
-            implements BackConnection.LoginHeard, BackConnection.Heard {
+            implements BackendConnection.LoginListener, BackendConnection.ResponseListener {
         private final PacketDecoder decoder = new PacketDecoder();
-        private final BackConnection back = new BackConnection(account, decoder, this);
+        private final BackendConnection back = new BackendConnection(account, decoder, this);
         /** What is passed on, or null. */
         private ServerResponse passing;
 
@@ -67,7 +67,7 @@
         }
 
         @Override
-        public void loggedIn(BackConnection connection) {
+        public void loggedIn(BackendConnection connection) {
             free = true;
         }
 
@@ -79,7 +79,7 @@
         @Override
         protected Object createMessage(Exchange<Command, ServerResponse> next) {
             Command command = next.request();
-            return back.take(Unpooled.wrappedBuffer(command.payload()), command.form(), this);
+            return back.take(Unpooled.wrappedBuffer(command.payload()), command.responseType(), this);
         }
 
         // ------------------------------------------------------------ answers
--- a/src/main/java/kitemux/mysql/PacketDecoder.java
+++ b/src/main/java/kitemux/mysql/PacketDecoder.java
@@ -54,7 +54,9 @@
             wire = left;
             sequence = in.readUnsignedByte();
             if (sequence != expected) {
-                throw new Fault(Fault.Kind.OUT_OF_ORDER, "packet " + sequence + " came where " + expected + " was due");
+                throw new ProtocolException(
+                        ProtocolException.Kind.OUT_OF_ORDER,
+                        "packet " + sequence + " came where " + expected + " was due");
             }
             expected = sequence + 1 & 0xff;
             goesOn = left == MOST_PAYLOAD;
--- a/src/main/java/kitemux/mysql/Gatherer.java
+++ b/src/main/java/kitemux/mysql/PayloadAssembler.java
@@ -5,7 +5,7 @@
 import kitemux.mysql.PacketDecoder.Part;
 
 /** Puts the parts of a payload together that must be read as a whole, up to a bound. */
-final class Gatherer implements AutoCloseable {
+final class PayloadAssembler implements AutoCloseable {
     private final ByteBufAllocator allocator;
     private final int most;
     private ByteBuf payload;
@@ -15,7 +15,7 @@
      *
      * @param most bytes of a payload that are taken; guards memory against one that never ends
      */
-    Gatherer(ByteBufAllocator allocator, int most) {
+    PayloadAssembler(ByteBufAllocator allocator, int most) {
         this.allocator = allocator;
         this.most = most;
     }
@@ -24,7 +24,7 @@
      * Takes a part over.
      *
      * @return the whole payload, which the caller owns, or null if more is to come
-     * @throws Fault if it is longer than what is taken; what was held is let go
+     * @throws ProtocolException if it is longer than what is taken; what was held is let go
      */
     ByteBuf add(Part part) {
         try {
@@ -33,7 +33,8 @@
             }
             if (payload.readableBytes() + part.bytes().readableBytes() > most) {
                 close();
-                throw new Fault(Fault.Kind.TOO_LARGE, "a packet has more than " + most + " bytes");
+                throw new ProtocolException(
+                        ProtocolException.Kind.TOO_LARGE, "a packet has more than " + most + " bytes");
             }
             payload.writeBytes(part.bytes());
         } finally {
--- a/src/main/java/kitemux/mysql/Fault.java
+++ b/src/main/java/kitemux/mysql/ProtocolException.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.DecoderException;
 
 /** What came cannot be read, or is not allowed: the connection ends with the error that this tells. */
-public final class Fault extends DecoderException {
+public final class ProtocolException extends DecoderException {
     private static final long serialVersionUID = 1L;
 
     /** What it is called in the protocol. */
@@ -15,7 +15,7 @@
         /** A packet that is longer than what is taken (ER_NET_PACKET_TOO_LARGE). */
         TOO_LARGE(1153, "08S01"),
         /** A command that is not carried (ER_UNKNOWN_COM_ERROR). */
-        NOT_CARRIED(1047, "08S01");
+        UNSUPPORTED_COMMAND(1047, "08S01");
 
         /** Error number. */
         public final int code;
@@ -31,7 +31,7 @@
     private final Kind kind;
 
     /** A fault with its reason, which the other side is told. */
-    public Fault(Kind kind, String reason) {
+    public ProtocolException(Kind kind, String reason) {
         super(reason);
         this.kind = kind;
     }
@@ -42,7 +42,7 @@
     }
 
     /** What the other side is told. */
-    public ErrPacket packet() {
+    public ErrPacket toErrPacket() {
         return new ErrPacket(kind.code, kind.sqlState, getMessage());
     }
 }
--- a/src/main/java/kitemux/mysql/AnswerTracker.java
+++ b/src/main/java/kitemux/mysql/ResponseTracker.java
@@ -8,19 +8,19 @@
  * length of each payload, and the whole only of those that it asks for, which are small: rows pass it by,
  * whatever they hold. It does no input or output.
  */
-final class AnswerTracker {
+final class ResponseTracker {
     /** What a command's answer looks like. */
-    enum Form {
+    enum ResponseType {
         /** OK or ERR and nothing else. */
-        PLAIN,
+        STATUS_ONLY,
         /** OK, ERR or result sets, one after the other. */
-        RESULTS,
+        RESULT_SETS,
         /** What is said of a statement that was prepared. */
-        PREPARED
+        PREPARED_STATEMENT
     }
 
     /** How it ended. */
-    enum End {
+    enum Completion {
         OK,
         ERROR
     }
@@ -42,20 +42,20 @@
         OVER
     }
 
-    private final Form form;
+    private final ResponseType form;
     private final long capabilities;
     private State state = State.FIRST;
     private long columnsLeft;
     private long parametersLeft;
     private int status;
-    private End end;
+    private Completion end;
     private ErrPacket error;
     private long statementId = -1;
     private int first;
     private boolean any;
 
     /** One that waits for the first payload of an answer. */
-    AnswerTracker(Form form, long capabilities) {
+    ResponseTracker(ResponseType form, long capabilities) {
         this.form = form;
         this.capabilities = capabilities;
     }
@@ -70,14 +70,14 @@
      * @param firstByte its first, or -1 if it has none
      * @param length of the payload; where it is longer than a packet on the wire, any number from there on
      * @return whether it is to be gathered and handed to {@link #seen}; else {@link #passed} is due
-     * @throws Fault if none may come here, or none like this
+     * @throws ProtocolException if none may come here, or none like this
      */
     boolean begins(int firstByte, long length) {
         if (state == State.OVER) {
-            throw new Fault(Fault.Kind.MALFORMED, "a packet came behind the end of an answer");
+            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "a packet came behind the end of an answer");
         }
         if (firstByte < 0 && state != State.ROWS) {
-            throw new Fault(Fault.Kind.MALFORMED, "an empty packet in an answer");
+            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "an empty packet in an answer");
         }
         first = firstByte;
         return switch (state) {
@@ -113,14 +113,14 @@
      * A payload that was to be seen.
      *
      * @param payload whole; read, and not kept
-     * @throws Fault if it is not what may stand here
+     * @throws ProtocolException if it is not what may stand here
      */
     void seen(ByteBuf payload) {
         any = true;
         if (first == ErrPacket.HEADER) {
             payload.skipBytes(1);
             error = ErrPacket.read(payload);
-            over(End.ERROR);
+            over(Completion.ERROR);
             return;
         }
         switch (state) {
@@ -147,7 +147,7 @@
     }
 
     private void first(ByteBuf payload) {
-        if (first == OkPacket.HEADER && form == Form.PREPARED) {
+        if (first == OkPacket.HEADER && form == ResponseType.PREPARED_STATEMENT) {
             payload.skipBytes(1);
             statementId = Fields.int4(payload, "the statement's id");
             columnsLeft = Fields.int2(payload, "the number of columns");
@@ -161,13 +161,15 @@
             payload.skipBytes(1);
             status = OkPacket.read(payload, capabilities).status();
             resultEnds();
-        } else if (form != Form.RESULTS || first == LOCAL_FILE) {
+        } else if (form != ResponseType.RESULT_SETS || first == LOCAL_FILE) {
             // No file of the client's is ever read for a server.
-            throw new Fault(Fault.Kind.MALFORMED, "an answer of this command cannot begin with " + first);
+            throw new ProtocolException(
+                    ProtocolException.Kind.MALFORMED, "an answer of this command cannot begin with " + first);
         } else {
             columnsLeft = Fields.lenenc(payload, "the number of columns");
             if (columnsLeft < 1 || columnsLeft > 1 << 16 || payload.isReadable()) {
-                throw new Fault(Fault.Kind.MALFORMED, "a result has " + columnsLeft + " columns");
+                throw new ProtocolException(
+                        ProtocolException.Kind.MALFORMED, "a result has " + columnsLeft + " columns");
             }
             state = State.COLUMNS;
         }
@@ -178,13 +180,13 @@
         if (columnsLeft > 0) {
             state = State.COLUMNS;
         } else {
-            over(End.OK);
+            over(Completion.OK);
         }
     }
 
     private void behindColumns() {
-        if (form == Form.PREPARED) {
-            over(End.OK);
+        if (form == ResponseType.PREPARED_STATEMENT) {
+            over(Completion.OK);
         } else {
             state = State.ROWS;
         }
@@ -192,7 +194,7 @@
 
     private void eof(ByteBuf payload) {
         if (first != OkPacket.END_HEADER || payload.readableBytes() >= EOF_BOUND) {
-            throw new Fault(Fault.Kind.MALFORMED, "no EOF where one is due");
+            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "no EOF where one is due");
         }
         payload.skipBytes(1);
         Fields.int2(payload, "the warnings");
@@ -200,20 +202,20 @@
     }
 
     private void resultEnds() {
-        if ((status & OkPacket.MORE_RESULTS) != 0 && form == Form.RESULTS) {
+        if ((status & OkPacket.MORE_RESULTS) != 0 && form == ResponseType.RESULT_SETS) {
             state = State.FIRST;
         } else {
-            over(End.OK);
+            over(Completion.OK);
         }
     }
 
-    private void over(End how) {
+    private void over(Completion how) {
         state = State.OVER;
         end = how;
     }
 
     /** How it ended, or null while it has not. */
-    End end() {
+    Completion end() {
         return end;
     }
 
--- a/src/main/java/kitemux/mysql/Statement.java
+++ b/src/main/java/kitemux/mysql/Statement.java
@@ -11,22 +11,22 @@
  * is a read only if nothing in it could be anything else. It knows no schema, so that a function it does not
  * know may write, and it does no input or output.
  *
- * @param read whether it surely changes nothing, so that it may run again
+ * @param isReadOnly whether it surely changes nothing, so that it may run again
  * @param traits what it does to its session
  */
-public record Statement(boolean read, Set<Trait> traits) {
+public record Statement(boolean isReadOnly, Set<Trait> traits) {
     /** What a statement does to its session, or needs of it. */
     public enum Trait {
         /** A transaction may be open behind it. */
-        BEGINS,
+        BEGINS_TRANSACTION,
         /** No transaction is open behind it, unless it chains one. */
-        ENDS,
+        ENDS_TRANSACTION,
         /** Its effect on the session lasts and cannot be replayed elsewhere. */
-        PINS,
+        PINS_SESSION,
         /** It sets variables of the session, which can be replayed. */
-        SETS,
+        SETS_VARIABLES,
         /** It asks for what the statement before left in the session. */
-        LOOKS_BACK
+        READS_SESSION_STATE
     }
 
     /** A bracket that follows a word at once, and any other. */
@@ -222,11 +222,11 @@
             "UNINSTALL");
 
     /** Reads a statement, or several in one text. */
-    public static Statement of(String sql) {
+    public static Statement analyze(String sql) {
         List<String> words = sql.length() > MOST_LOOKED_AT ? null : words(sql);
         if (words == null) {
             // Not understood: it may be anything, a transaction's begin and a lock among them.
-            return new Statement(false, EnumSet.of(Trait.PINS));
+            return new Statement(false, EnumSet.of(Trait.PINS_SESSION));
         }
         Set<Trait> traits = EnumSet.noneOf(Trait.class);
         boolean read = !words.isEmpty();
@@ -249,13 +249,13 @@
         String verb = words.get(0);
         String second = words.size() > 1 ? words.get(1) : "";
         switch (verb) {
-            case "BEGIN" -> traits.add(Trait.BEGINS);
-            case "START" -> traits.add(second.equals("TRANSACTION") ? Trait.BEGINS : Trait.PINS);
-            case "COMMIT" -> traits.add(Trait.ENDS);
+            case "BEGIN" -> traits.add(Trait.BEGINS_TRANSACTION);
+            case "START" -> traits.add(second.equals("TRANSACTION") ? Trait.BEGINS_TRANSACTION : Trait.PINS_SESSION);
+            case "COMMIT" -> traits.add(Trait.ENDS_TRANSACTION);
             // To a savepoint it goes on, and so it does where a new one is chained.
-            case "ROLLBACK" -> traits.add(words.contains("TO") ? Trait.BEGINS : Trait.ENDS);
-            case "SET" -> traits.add(isReplayable(words) ? Trait.SETS : Trait.PINS);
-            case "USE" -> traits.add(Trait.SETS);
+            case "ROLLBACK" -> traits.add(words.contains("TO") ? Trait.BEGINS_TRANSACTION : Trait.ENDS_TRANSACTION);
+            case "SET" -> traits.add(isReplayable(words) ? Trait.SETS_VARIABLES : Trait.PINS_SESSION);
+            case "USE" -> traits.add(Trait.SETS_VARIABLES);
             case "LOCK",
                     "UNLOCK",
                     "PREPARE",
@@ -266,37 +266,37 @@
                     "SAVEPOINT",
                     "CALL",
                     "DO",
-                    "LOAD" -> traits.add(Trait.PINS);
+                    "LOAD" -> traits.add(Trait.PINS_SESSION);
             default -> {
                 if (ENDS_IMPLICITLY.contains(verb)) {
-                    traits.add(words.contains("TEMPORARY") ? Trait.PINS : Trait.ENDS);
+                    traits.add(words.contains("TEMPORARY") ? Trait.PINS_SESSION : Trait.ENDS_TRANSACTION);
                 }
             }
         }
         if (words.contains("CHAIN") && (verb.equals("COMMIT") || verb.equals("ROLLBACK"))) {
-            traits.add(Trait.BEGINS);
+            traits.add(Trait.BEGINS_TRANSACTION);
         }
         boolean read = READS.contains(verb);
         for (int i = 0; i < words.size(); i++) {
             String word = words.get(i);
             if (word.startsWith("@") && !word.startsWith("@@")) {
                 // What another statement put there is only in this session.
-                traits.add(Trait.PINS);
+                traits.add(Trait.PINS_SESSION);
                 read = false;
             }
             if (word.equals("SQL_CALC_FOUND_ROWS")) {
-                traits.add(Trait.PINS);
+                traits.add(Trait.PINS_SESSION);
             }
             String next = i + 1 < words.size() ? words.get(i + 1) : "";
             boolean called = next.equals(BRACKET) || next.equals(APART);
             if (called && LOOKING_BACK.contains(word)) {
-                traits.add(Trait.LOOKS_BACK);
+                traits.add(Trait.READS_SESSION_STATE);
                 read = false;
             } else if (called && isName(word) && !isHarmless(words, i, next)) {
                 // It may be a function of theirs, which may do anything; a lock among it lasts.
                 read = false;
                 if (word.endsWith("_LOCK") || word.endsWith("_LOCKS")) {
-                    traits.add(Trait.PINS);
+                    traits.add(Trait.PINS_SESSION);
                 }
             }
             read &= !NEVER_IN_A_READ.contains(word)
--- a/src/main/java/kitemux/mysql/Users.java
+++ b/src/main/java/kitemux/mysql/Users.java
@@ -9,7 +9,7 @@
  */
 public record Users(Map<String, User> byName) {
     /** Stands for one that is not there, so that it takes as long to find out. */
-    private static final User NOBODY = User.of("", "\0");
+    private static final User NOBODY = User.withPassword("", "\0");
 
     /**
      * A user.
@@ -17,7 +17,7 @@
      * @param name as clients give it
      * @param digests of the password, one for each plugin that the user may log in with
      */
-    public record User(String name, Map<Scramble, byte[]> digests) {
+    public record User(String name, Map<AuthPlugin, byte[]> digests) {
         /** Throws IllegalArgumentException if there is no digest: nobody could ever log in. */
         public User {
             if (digests.isEmpty()) {
@@ -26,25 +26,25 @@
         }
 
         /** One whose password is known here, for both plugins. */
-        public static User of(String name, String password) {
+        public static User withPassword(String name, String password) {
             return new User(
                     name,
                     Map.of(
-                            Scramble.NATIVE,
-                            Scramble.NATIVE.digest(password),
-                            Scramble.CACHING_SHA2,
-                            Scramble.CACHING_SHA2.digest(password)));
+                            AuthPlugin.NATIVE,
+                            AuthPlugin.NATIVE.digest(password),
+                            AuthPlugin.CACHING_SHA2,
+                            AuthPlugin.CACHING_SHA2.digest(password)));
         }
     }
 
     /** The user of this name, or one that nobody can log in as. */
-    User of(String name) {
+    User find(String name) {
         return byName.getOrDefault(name, NOBODY);
     }
 
     /** Whether this proof shows that somebody is the user. */
-    boolean isProof(User user, Scramble scramble, byte[] proof, byte[] nonce) {
+    boolean isProof(User user, AuthPlugin scramble, byte[] proof, byte[] nonce) {
         byte[] digest = user.digests().get(scramble);
-        return digest != null && scramble.isProof(proof, digest, nonce) && user != NOBODY;
+        return digest != null && scramble.isValidProof(proof, digest, nonce) && user != NOBODY;
     }
 }
--- a/src/main/java/kitemux/peers/Datagram.java
+++ b/src/main/java/kitemux/peers/Datagram.java
@@ -8,20 +8,20 @@
 
 /**
  * Messages as bytes; {@code docs/peers-format.md} has the form. What is spoilt, cut off, of another fleet or
- * another version is told by a {@link Fault}, never by an exception.
+ * another version is told by a {@link ReadError}, never by an exception.
  */
 public final class Datagram {
     /** What a datagram of the platform may hold. */
-    public static final int PLATFORM_BYTES = 256;
+    public static final int PLATFORM_MAX_BYTES = 256;
     /** Bytes of a word's text. */
-    public static final int MOST_WORD = 128;
+    public static final int MAX_UPDATE_PAYLOAD_BYTES = 128;
 
     static final int VERSION = 1;
     static final int HEAD = 28;
     static final int BELIEF = 15;
     static final int WORD = 18;
     /** Numbers of nodes are two bytes. */
-    public static final int MOST_NODES = 65_535;
+    public static final int MAX_NODE_COUNT = 65_535;
 
     private static final int CHECKSUM_AT = 5;
     private static final long MOST_LIFE = (1L << 48) - 1;
@@ -29,24 +29,24 @@
     private Datagram() {}
 
     /** Why bytes are no message. */
-    public enum Fault {
+    public enum ReadError {
         TOO_SHORT,
-        OTHER_VERSION,
-        OTHER_FLEET,
-        SPOILT,
-        NOT_UNDERSTOOD
+        UNSUPPORTED_VERSION,
+        WRONG_FLEET,
+        CHECKSUM_MISMATCH,
+        MALFORMED
     }
 
     /** A message, or why there is none. */
-    public record Read(Message message, Fault fault) {}
+    public record ReadResult(Message message, ReadError error) {}
 
     /** Bytes that a message takes without beliefs and words; what is left of a datagram is theirs. */
     static int room(int mostBytes) {
         return mostBytes - HEAD;
     }
 
-    static int bytes(Word word) {
-        return WORD + word.text().length;
+    static int bytes(Update word) {
+        return WORD + word.payload().length;
     }
 
     /**
@@ -54,34 +54,34 @@
      */
     public static byte[] write(Message message, int fleet) {
         int size = HEAD
-                + BELIEF * message.beliefs().size()
-                + message.words().stream().mapToInt(Datagram::bytes).sum();
+                + BELIEF * message.members().size()
+                + message.updates().stream().mapToInt(Datagram::bytes).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
         out.put((byte) VERSION)
                 .putInt(fleet)
                 .putInt(0)
                 .put((byte) message.kind().ordinal())
-                .putShort((short) message.from());
-        life(out, message.life());
-        out.putInt(message.number()).putShort((short) message.about());
-        out.put((byte) message.beliefs().size()).put((byte) message.words().size());
+                .putShort((short) message.sender());
+        life(out, message.generation());
+        out.putInt(message.sequence()).putShort((short) message.target());
+        out.put((byte) message.members().size()).put((byte) message.updates().size());
         out.putShort((short) size);
-        for (Belief belief : message.beliefs()) {
+        for (MemberRecord belief : message.members()) {
             out.putShort((short) belief.node());
-            life(out, belief.life());
+            life(out, belief.generation());
             out.putInt(belief.incarnation())
-                    .put((byte) belief.standing().ordinal())
-                    .putShort((short) belief.by());
+                    .put((byte) belief.state().ordinal())
+                    .putShort((short) belief.reporter());
         }
-        for (Word word : message.words()) {
+        for (Update word : message.updates()) {
             out.putShort((short) word.origin());
-            life(out, word.life());
+            life(out, word.generation());
             out.put((byte) word.topic())
                     .putInt(word.version())
-                    .putShort((short) word.leftMs())
-                    .putShort((short) word.text().length)
+                    .putShort((short) word.remainingMs())
+                    .putShort((short) word.payload().length)
                     .put((byte) 0)
-                    .put(word.text());
+                    .put(word.payload());
         }
         out.putInt(CHECKSUM_AT, checksum(out.array()));
         return out.array();
@@ -103,25 +103,25 @@
     }
 
     /** Reads bytes that came; {@code fleet} as in {@link #write}. */
-    public static Read read(byte[] bytes, int fleet) {
+    public static ReadResult read(byte[] bytes, int fleet) {
         if (bytes.length < HEAD) {
-            return new Read(null, Fault.TOO_SHORT);
+            return new ReadResult(null, ReadError.TOO_SHORT);
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (in.get() != VERSION) {
-            return new Read(null, Fault.OTHER_VERSION);
+            return new ReadResult(null, ReadError.UNSUPPORTED_VERSION);
         }
         if (in.getInt() != fleet) {
-            return new Read(null, Fault.OTHER_FLEET);
+            return new ReadResult(null, ReadError.WRONG_FLEET);
         }
         if (in.getInt() != checksum(bytes)) {
-            return new Read(null, Fault.SPOILT);
+            return new ReadResult(null, ReadError.CHECKSUM_MISMATCH);
         }
         try {
             Message message = message(in, bytes.length);
-            return new Read(message, message == null ? Fault.NOT_UNDERSTOOD : null);
+            return new ReadResult(message, message == null ? ReadError.MALFORMED : null);
         } catch (BufferUnderflowException e) {
-            return new Read(null, Fault.NOT_UNDERSTOOD);
+            return new ReadResult(null, ReadError.MALFORMED);
         }
     }
 
@@ -136,18 +136,19 @@
         if (kind >= Message.Kind.values().length || (in.getShort() & 0xffff) != size) {
             return null;
         }
-        List<Belief> believed = new ArrayList<>(beliefs);
+        List<MemberRecord> believed = new ArrayList<>(beliefs);
         for (int i = 0; i < beliefs; i++) {
             int node = in.getShort() & 0xffff;
             long of = life(in);
             int incarnation = in.getInt();
             int standing = in.get() & 0xff;
-            if (standing >= Standing.values().length) {
+            if (standing >= MemberState.values().length) {
                 return null;
             }
-            believed.add(new Belief(node, of, incarnation, Standing.values()[standing], in.getShort() & 0xffff));
+            believed.add(
+                    new MemberRecord(node, of, incarnation, MemberState.values()[standing], in.getShort() & 0xffff));
         }
-        List<Word> said = new ArrayList<>(words);
+        List<Update> said = new ArrayList<>(words);
         for (int i = 0; i < words; i++) {
             int origin = in.getShort() & 0xffff;
             long of = life(in);
@@ -157,7 +158,7 @@
             byte[] text = new byte[in.getShort() & 0xffff];
             in.get();
             in.get(text);
-            said.add(new Word(origin, of, topic, version, left, text));
+            said.add(new Update(origin, of, topic, version, left, text));
         }
         return in.hasRemaining()
                 ? null
--- a/src/main/java/kitemux/peers/News.java
+++ b/src/main/java/kitemux/peers/GossipQueue.java
@@ -11,12 +11,12 @@
  * often
  * first, beliefs before words. Bounded by nodes, and for words by nodes and topics.
  */
-final class News {
+final class GossipQueue {
     /** Topics of one node that are kept; more are not heard. */
     private static final int MOST_TOPICS = 8;
 
-    private final Terms terms;
-    private final Map<Integer, Piece<Belief>> beliefs = new HashMap<>();
+    private final MembershipConfig terms;
+    private final Map<Integer, Piece<MemberRecord>> beliefs = new HashMap<>();
     private final Map<Integer, Map<Integer, Kept>> words = new HashMap<>();
     private final List<Piece<Kept>> toTell = new ArrayList<>();
     private long order;
@@ -40,27 +40,27 @@
         }
     }
 
-    private record Kept(Word word, long endsUs) {}
+    private record Kept(Update word, long endsUs) {}
 
-    News(Terms terms) {
+    GossipQueue(MembershipConfig terms) {
         this.terms = terms;
     }
 
     /** To be passed on, in place of what was told of the node before. */
-    void told(Belief belief) {
+    void told(MemberRecord belief) {
         beliefs.put(belief.node(), new Piece<>(belief, - ++order));
     }
 
     /** A word has come; whether it is new. */
-    boolean hears(Word word, long nowUs) {
+    boolean hears(Update word, long nowUs) {
         Map<Integer, Kept> of = words.computeIfAbsent(word.origin(), o -> new HashMap<>());
         Kept before = of.get(word.topic());
-        if (word.leftMs() == 0
+        if (word.remainingMs() == 0
                 || before != null && !word.isNewerThan(before.word)
                 || before == null && of.size() >= MOST_TOPICS) {
             return false;
         }
-        Kept kept = new Kept(word, nowUs + word.leftMs() * 1_000L);
+        Kept kept = new Kept(word, nowUs + word.remainingMs() * 1_000L);
         of.put(word.topic(), kept);
         toTell.removeIf(piece -> piece.of.word.origin() == word.origin() && piece.of.word.topic() == word.topic());
         toTell.add(new Piece<>(kept, - ++order));
@@ -68,13 +68,13 @@
     }
 
     /** A message with as much of what is to be passed on as it holds, and what its sender says of itself. */
-    Message message(Message.Kind kind, Belief me, int number, int about, long nowUs) {
-        int room = Datagram.room(terms.mostBytes()) - Datagram.BELIEF;
-        List<Belief> said = new ArrayList<>();
+    Message message(Message.Kind kind, MemberRecord me, int number, int about, long nowUs) {
+        int room = Datagram.room(terms.maxDatagramBytes()) - Datagram.BELIEF;
+        List<MemberRecord> said = new ArrayList<>();
         said.add(me);
-        List<Piece<Belief>> next = new ArrayList<>(beliefs.values());
-        next.sort(Comparator.<Piece<Belief>>comparingInt(Piece::told).thenComparingLong(Piece::order));
-        for (Piece<Belief> piece : next) {
+        List<Piece<MemberRecord>> next = new ArrayList<>(beliefs.values());
+        next.sort(Comparator.<Piece<MemberRecord>>comparingInt(Piece::told).thenComparingLong(Piece::order));
+        for (Piece<MemberRecord> piece : next) {
             if (room < Datagram.BELIEF) {
                 break;
             }
@@ -86,7 +86,7 @@
                 beliefs.remove(piece.of.node());
             }
         }
-        List<Word> words = new ArrayList<>();
+        List<Update> words = new ArrayList<>();
         toTell.removeIf(piece -> piece.of.endsUs <= nowUs || piece.told >= terms.tellings());
         toTell.sort(Comparator.<Piece<Kept>>comparingInt(Piece::told).thenComparingLong(Piece::order));
         for (Piece<Kept> piece : toTell) {
@@ -97,6 +97,6 @@
                 words.add(piece.of.word.leaving((piece.of.endsUs - nowUs) / 1_000));
             }
         }
-        return new Message(kind, me.node(), me.life(), number, about, said, words);
+        return new Message(kind, me.node(), me.generation(), number, about, said, words);
     }
 }
--- a/src/main/java/kitemux/peers/Members.java
+++ b/src/main/java/kitemux/peers/Membership.java
@@ -17,7 +17,7 @@
  * again; a node whose process stood still drops what it was waiting for; and one that hears of a later life
  * under its own number falls silent, as another process has its place.
  */
-public final class Members {
+public final class Membership {
     /** The most by which a node takes itself to be slow, and so the most times longer that it waits. */
     private static final int MOST_SLOW = 8;
     /** Confirmations that bring a suspect's time down to the least. */
@@ -27,16 +27,16 @@
      * the more chances to hear of that, and is the sooner confirmed where it does not answer. */
     private static final int SPECIAL_EVERY = 3;
 
-    private final Terms terms;
+    private final MembershipConfig terms;
     private final Sender out;
-    private final Watcher watcher;
+    private final Listener watcher;
     private final SplittableRandom random;
     private final Member[] members;
-    private final News news;
+    private final GossipQueue news;
     private final List<Probe> asked = new ArrayList<>();
     private int[] turns = new int[0];
     private int turn;
-    private Belief me;
+    private MemberRecord me;
     private Probe probe;
     private long probeAtUs;
     private long nowUs;
@@ -45,7 +45,7 @@
     private long dueAtUs;
 
     private int probes;
-    private int slow;
+    private int localHealthScore;
     private int numbers;
     private boolean silent;
     private boolean leaving;
@@ -57,20 +57,20 @@
     }
 
     /** Who is told of changes. */
-    public interface Watcher {
+    public interface Listener {
         /** A node is believed to stand otherwise. */
-        void changed(Belief now);
+        void onMemberChanged(MemberRecord now);
 
         /** A word that is new here; its time is not over. */
-        default void heard(Word word) {}
+        default void onUpdate(Update word) {}
 
         /** Another process has this node's place: this one is silent from now on. */
-        default void replaced(Belief by) {}
+        default void onReplaced(MemberRecord by) {}
     }
 
     /** One of the fleet. */
     private static final class Member {
-        private Belief belief;
+        private MemberRecord belief;
         private long sinceUs;
         /** While it is suspected: when it is given up, and who suspects it. */
         private long giveUpAtUs = Long.MAX_VALUE;
@@ -110,54 +110,54 @@
      * @param life when this process was started, in milliseconds of Unix time
      * @throws IllegalArgumentException if the terms cannot be
      */
-    public Members(Terms terms, long life, long seed, long nowUs, Sender out, Watcher watcher) {
-        if (!terms.faults().isEmpty() || !Datagram.isLife(life)) {
-            throw new IllegalArgumentException(terms.faults() + ", life " + life);
+    public Membership(MembershipConfig terms, long life, long seed, long nowUs, Sender out, Listener watcher) {
+        if (!terms.violations().isEmpty() || !Datagram.isLife(life)) {
+            throw new IllegalArgumentException(terms.violations() + ", life " + life);
         }
         this.terms = terms;
         this.out = out;
         this.watcher = watcher;
         this.nowUs = nowUs;
         random = new SplittableRandom(seed);
-        members = new Member[terms.nodes()];
+        members = new Member[terms.nodeCount()];
         for (int i = 0; i < members.length; i++) {
             members[i] = new Member();
-            members[i].belief = new Belief(i, i == terms.me() ? life : 0, 0, Standing.ALIVE, i);
+            members[i].belief = new MemberRecord(i, i == terms.self() ? life : 0, 0, MemberState.ALIVE, i);
             members[i].sinceUs = nowUs;
         }
-        me = members[terms.me()].belief;
-        news = new News(terms);
+        me = members[terms.self()].belief;
+        news = new GossipQueue(terms);
         news.told(me);
         // Nodes that start together do not ping together.
-        probeAtUs = nowUs + random.nextLong(terms.periodUs());
+        probeAtUs = nowUs + random.nextLong(terms.probePeriodUs());
         dueAtUs = probeAtUs;
     }
 
     // ---------------------------------------------------------------- what is believed
 
     /** What is believed of a node. */
-    public Belief of(int node) {
+    public MemberRecord recordOf(int node) {
         return members[node].belief;
     }
 
     /** Since when, by this node's clock. */
-    public long sinceUs(int node) {
+    public long changedAtUs(int node) {
         return members[node].sinceUs;
     }
 
     /** Nodes that are taken to be there, this one among them, suspects too. */
-    public int alive() {
+    public int aliveCount() {
         return (int) Arrays.stream(members).filter(m -> isThere(m.belief)).count();
     }
 
     /** Whether this node hears half of its fleet or less, as it is described; of two halves both do. */
     public boolean isMinority() {
-        return 2 * alive() <= members.length && members.length > 1;
+        return 2 * aliveCount() <= members.length && members.length > 1;
     }
 
     /** How slow this node takes itself to be, from 0 to 8. */
-    public int slow() {
-        return slow;
+    public int localHealthScore() {
+        return localHealthScore;
     }
 
     /** Whether another process has this node's place. */
@@ -165,19 +165,20 @@
         return silent && !leaving;
     }
 
-    private static boolean isThere(Belief belief) {
-        return belief.standing() == Standing.ALIVE || belief.standing() == Standing.SUSPECT;
+    private static boolean isThere(MemberRecord belief) {
+        return belief.state() == MemberState.ALIVE || belief.state() == MemberState.SUSPECT;
     }
 
     // ---------------------------------------------------------------- time
 
     /** When {@link #tick} is to be called next. */
-    public long nextAtUs() {
+    public long nextTickAtUs() {
         if (silent) {
             return Long.MAX_VALUE;
         }
-        long next =
-                probe == null ? probeAtUs : probe.helped || terms.helpers() == 0 ? probe.endsAtUs : probe.answerAtUs;
+        long next = probe == null
+                ? probeAtUs
+                : probe.helped || terms.indirectProbes() == 0 ? probe.endsAtUs : probe.answerAtUs;
         for (Probe one : asked) {
             next = Math.min(next, one.answerAtUs);
         }
@@ -193,7 +194,7 @@
         if (silent) {
             return;
         }
-        if (nowUs - dueAtUs > terms.periodUs()) {
+        if (nowUs - dueAtUs > terms.probePeriodUs()) {
             stoodStill();
         }
         for (Probe one : List.copyOf(asked)) {
@@ -204,7 +205,7 @@
         }
         for (int i = 0; i < members.length; i++) {
             if (nowUs >= members[i].giveUpAtUs) {
-                believe(members[i].belief.with(Standing.GONE, terms.me()));
+                believe(members[i].belief.with(MemberState.GONE, terms.self()));
             }
         }
         if (probe != null && !probe.helped && nowUs >= probe.answerAtUs) {
@@ -216,7 +217,7 @@
         if (probe == null && nowUs >= probeAtUs) {
             probeNext();
         }
-        dueAtUs = nextAtUs();
+        dueAtUs = nextTickAtUs();
     }
 
     /**
@@ -227,7 +228,7 @@
         probe = null;
         asked.clear();
         probeAtUs = nowUs;
-        slow = Math.min(MOST_SLOW, slow + 1);
+        localHealthScore = Math.min(MOST_SLOW, localHealthScore + 1);
         for (Member member : members) {
             if (member.giveUpAtUs != Long.MAX_VALUE) {
                 member.suspectedAtUs = nowUs;
@@ -237,21 +238,22 @@
     }
 
     private void probeNext() {
-        probeAtUs = nowUs + terms.periodUs() * (1 + slow);
+        probeAtUs = nowUs + terms.probePeriodUs() * (1 + localHealthScore);
         int node = choose();
         if (node < 0) {
             return;
         }
         tellIfAway(node);
-        probe = new Probe(node, ++numbers, nowUs + terms.answerUs() * (1 + slow), probeAtUs, -1, 0);
+        probe = new Probe(node, ++numbers, nowUs + terms.probeTimeoutUs() * (1 + localHealthScore), probeAtUs, -1, 0);
         send(node, Message.Kind.PING, probe.number, 0);
     }
 
     /** All that are there in turn, in an order that is drawn anew each time, but for special ones. */
     private int choose() {
         int kind = ++probes % SPECIAL_EVERY;
-        int special =
-                kind == 0 ? oneOf(Standing.GONE, new BitSet()) : kind == 1 ? oneOf(Standing.SUSPECT, new BitSet()) : -1;
+        int special = kind == 0
+                ? oneOf(MemberState.GONE, new BitSet())
+                : kind == 1 ? oneOf(MemberState.SUSPECT, new BitSet()) : -1;
         if (special >= 0) {
             return special;
         }
@@ -260,11 +262,11 @@
                 shuffle();
             }
             int node = turns[turn++];
-            if (node != terms.me() && isThere(members[node].belief)) {
+            if (node != terms.self() && isThere(members[node].belief)) {
                 return node;
             }
         }
-        return oneOf(Standing.GONE, new BitSet());
+        return oneOf(MemberState.GONE, new BitSet());
     }
 
     private void shuffle() {
@@ -278,13 +280,13 @@
     }
 
     /** A node of this standing, each as likely; -1 if there is none. */
-    private int oneOf(Standing standing, BitSet but) {
+    private int oneOf(MemberState standing, BitSet but) {
         int found = -1;
         int seen = 0;
         for (int i = 0; i < members.length; i++) {
-            if (i != terms.me()
+            if (i != terms.self()
                     && !but.get(i)
-                    && members[i].belief.standing() == standing
+                    && members[i].belief.state() == standing
                     && random.nextInt(++seen) == 0) {
                 found = i;
             }
@@ -294,18 +296,18 @@
 
     private void askOthers() {
         probe.helped = true;
-        if (members[probe.node].belief.standing() == Standing.GONE) {
+        if (members[probe.node].belief.state() == MemberState.GONE) {
             return;
         }
         tellIfAway(probe.node);
         BitSet chosen = new BitSet();
         chosen.set(probe.node);
-        for (int i = 0; i < terms.helpers(); i++) {
-            int helper = oneOf(Standing.ALIVE, chosen);
+        for (int i = 0; i < terms.indirectProbes(); i++) {
+            int helper = oneOf(MemberState.ALIVE, chosen);
             if (helper >= 0) {
                 chosen.set(helper);
                 probe.nacksDue++;
-                send(helper, Message.Kind.ASK, probe.number, probe.node);
+                send(helper, Message.Kind.PING_REQUEST, probe.number, probe.node);
             }
         }
     }
@@ -313,16 +315,16 @@
     private void unanswered() {
         Probe over = probe;
         probe = null;
-        Belief belief = members[over.node].belief;
-        if (belief.standing() == Standing.GONE) {
+        MemberRecord belief = members[over.node].belief;
+        if (belief.state() == MemberState.GONE) {
             return;
         }
         // Who did not even hear from those that it asked is likely to be slow, or cut off, itself.
-        slow = Math.min(MOST_SLOW, slow + 1 + (over.nacksDue > 0 ? 1 : 0));
-        if (belief.standing() == Standing.ALIVE) {
-            believe(belief.with(Standing.SUSPECT, terms.me()));
-        } else if (belief.standing() == Standing.SUSPECT) {
-            confirm(members[over.node], belief.with(Standing.SUSPECT, terms.me()));
+        localHealthScore = Math.min(MOST_SLOW, localHealthScore + 1 + (over.nacksDue > 0 ? 1 : 0));
+        if (belief.state() == MemberState.ALIVE) {
+            believe(belief.with(MemberState.SUSPECT, terms.self()));
+        } else if (belief.state() == MemberState.SUSPECT) {
+            confirm(members[over.node], belief.with(MemberState.SUSPECT, terms.self()));
         }
     }
 
@@ -336,25 +338,25 @@
     public void receive(long now, Message message) {
         nowUs = Math.max(nowUs, now);
         take(message);
-        dueAtUs = nextAtUs();
+        dueAtUs = nextTickAtUs();
     }
 
     private void take(Message message) {
-        int from = message.from();
-        if (silent || from >= members.length || from == terms.me() || message.about() >= members.length) {
+        int from = message.sender();
+        if (silent || from >= members.length || from == terms.self() || message.target() >= members.length) {
             return;
         }
-        for (Belief belief : message.beliefs()) {
+        for (MemberRecord belief : message.members()) {
             if (belief.node() < members.length) {
                 hear(belief);
             }
         }
-        message.words().forEach(word -> {
-            if (word.origin() < members.length && word.origin() != terms.me() && news.hears(word, nowUs)) {
-                watcher.heard(word);
+        message.updates().forEach(word -> {
+            if (word.origin() < members.length && word.origin() != terms.self() && news.hears(word, nowUs)) {
+                watcher.onUpdate(word);
             }
         });
-        if (silent || message.life() < members[from].belief.life()) {
+        if (silent || message.generation() < members[from].belief.generation()) {
             // An earlier life of its sender: whoever speaks so late is answered nothing but what is believed.
             if (!silent) {
                 news.told(members[from].belief);
@@ -365,17 +367,17 @@
         switch (message.kind()) {
             case PING -> {
                 tellIfAway(from);
-                send(from, Message.Kind.ACK, message.number(), 0);
+                send(from, Message.Kind.ACK, message.sequence(), 0);
             }
             case ACK -> answered(message);
-            case ASK -> {
-                Probe forOther =
-                        new Probe(message.about(), ++numbers, nowUs + terms.answerUs(), 0, from, message.number());
+            case PING_REQUEST -> {
+                Probe forOther = new Probe(
+                        message.target(), ++numbers, nowUs + terms.probeTimeoutUs(), 0, from, message.sequence());
                 asked.add(forOther);
                 send(forOther.node, Message.Kind.PING, forOther.number, 0);
             }
             case NACK -> {
-                if (probe != null && probe.number == message.number()) {
+                if (probe != null && probe.number == message.sequence()) {
                     probe.nacksDue--;
                 }
             }
@@ -384,25 +386,25 @@
 
     /** Whoever is believed to be away hears so, and whoever is asked about it: either can take that back. */
     private void tellIfAway(int node) {
-        if (members[node].belief.standing() != Standing.ALIVE) {
+        if (members[node].belief.state() != MemberState.ALIVE) {
             news.told(members[node].belief);
         }
     }
 
     private void answered(Message message) {
-        if (probe != null && probe.number == message.number() && probe.node == message.from()) {
+        if (probe != null && probe.number == message.sequence() && probe.node == message.sender()) {
             probe = null;
-            slow = Math.max(0, slow - 1);
-            tellIfAway(message.from());
+            localHealthScore = Math.max(0, localHealthScore - 1);
+            tellIfAway(message.sender());
             return;
         }
-        if (probe != null && probe.number == message.number() && message.about() == 0) {
+        if (probe != null && probe.number == message.sequence() && message.target() == 0) {
             // A helper tells that it was answered.
             probe = null;
             return;
         }
         for (Probe one : asked) {
-            if (one.number == message.number() && one.node == message.from()) {
+            if (one.number == message.sequence() && one.node == message.sender()) {
                 asked.remove(one);
                 send(one.askedBy, Message.Kind.ACK, one.askedNumber, 0);
                 return;
@@ -410,15 +412,15 @@
         }
     }
 
-    private void hear(Belief said) {
-        if (said.node() == terms.me()) {
+    private void hear(MemberRecord said) {
+        if (said.node() == terms.self()) {
             hearOfMe(said);
             return;
         }
         Member member = members[said.node()];
         if (said.overrides(member.belief)) {
             believe(said);
-        } else if (said.standing() == Standing.SUSPECT && said.isLike(member.belief)) {
+        } else if (said.state() == MemberState.SUSPECT && said.isLike(member.belief)) {
             confirm(member, said);
         } else if (member.belief.overrides(said)) {
             // Whoever still believes that has missed what was told since.
@@ -426,44 +428,44 @@
         }
     }
 
-    private void hearOfMe(Belief said) {
-        if (said.life() > me.life()) {
+    private void hearOfMe(MemberRecord said) {
+        if (said.generation() > me.generation()) {
             silent = true;
-            watcher.replaced(said);
+            watcher.onReplaced(said);
             return;
         }
-        if (said.life() == me.life()
+        if (said.generation() == me.generation()
                 && !leaving
-                && said.standing() != Standing.ALIVE
+                && said.state() != MemberState.ALIVE
                 && said.incarnation() >= me.incarnation()) {
             // Whoever is suspected may well be slow.
-            slow = Math.min(MOST_SLOW, slow + 1);
-            me = new Belief(me.node(), me.life(), said.incarnation() + 1, Standing.ALIVE, me.node());
-            members[terms.me()].belief = me;
+            localHealthScore = Math.min(MOST_SLOW, localHealthScore + 1);
+            me = new MemberRecord(me.node(), me.generation(), said.incarnation() + 1, MemberState.ALIVE, me.node());
+            members[terms.self()].belief = me;
             news.told(me);
         }
     }
 
-    private void believe(Belief now) {
+    private void believe(MemberRecord now) {
         Member member = members[now.node()];
-        boolean suspect = now.standing() == Standing.SUSPECT;
+        boolean suspect = now.state() == MemberState.SUSPECT;
         member.belief = now;
         member.sinceUs = nowUs;
         member.giveUpAtUs = Long.MAX_VALUE;
         member.suspecting.clear();
         if (suspect) {
             member.suspectedAtUs = nowUs;
-            member.suspecting.set(now.by());
+            member.suspecting.set(now.reporter());
             setGiveUp(member);
         }
         news.told(now);
-        watcher.changed(now);
+        watcher.onMemberChanged(now);
     }
 
     /** Another node found it so by itself; passing on what was found is no finding. */
-    private void confirm(Member member, Belief said) {
-        if (!member.suspecting.get(said.by()) && member.suspecting.cardinality() <= ENOUGH_CONFIRM) {
-            member.suspecting.set(said.by());
+    private void confirm(Member member, MemberRecord said) {
+        if (!member.suspecting.get(said.reporter()) && member.suspecting.cardinality() <= ENOUGH_CONFIRM) {
+            member.suspecting.set(said.reporter());
             setGiveUp(member);
             news.told(said);
         }
@@ -485,11 +487,15 @@
      *
      * @throws IllegalArgumentException if the text is too long or the topic or time out of range
      */
-    public void tell(int topic, int version, int forMs, byte[] text) {
-        if (topic < 0 || topic > 255 || forMs < 1 || forMs > 65_535 || text.length > Datagram.MOST_WORD) {
+    public void broadcast(int topic, int version, int forMs, byte[] text) {
+        if (topic < 0
+                || topic > 255
+                || forMs < 1
+                || forMs > 65_535
+                || text.length > Datagram.MAX_UPDATE_PAYLOAD_BYTES) {
             throw new IllegalArgumentException("topic " + topic + ", " + forMs + " ms, " + text.length + " bytes");
         }
-        news.hears(new Word(terms.me(), me.life(), topic, version, forMs, text.clone()), nowUs);
+        news.hears(new Update(terms.self(), me.generation(), topic, version, forMs, text.clone()), nowUs);
     }
 
     /** Says that this node leaves, to some at once; nothing is sent afterwards. */
@@ -499,11 +505,11 @@
             return;
         }
         leaving = true;
-        me = me.with(Standing.LEFT, me.node());
-        members[terms.me()].belief = me;
+        me = me.with(MemberState.LEFT, me.node());
+        members[terms.self()].belief = me;
         news.told(me);
         for (int i = 0; i < terms.tellings(); i++) {
-            int to = oneOf(Standing.ALIVE, new BitSet());
+            int to = oneOf(MemberState.ALIVE, new BitSet());
             if (to >= 0) {
                 send(to, Message.Kind.NACK, 0, 0);
             }
--- a/src/main/java/kitemux/scale/HollowNode.java
+++ b/src/main/java/kitemux/scale/HollowNode.java
@@ -39,9 +39,9 @@
 import kitemux.net.ServerPool;
 import kitemux.net.SocketBudget;
 import kitemux.peers.Datagram;
-import kitemux.peers.Members;
+import kitemux.peers.Membership;
+import kitemux.peers.MembershipConfig;
 import kitemux.peers.Message;
-import kitemux.peers.Terms;
 
 /**
  * A node without a request path, on a loop and a thread of its own: the watch, the reader of lists, the
@@ -63,7 +63,7 @@
     private final InetSocketAddress[] peers;
     private final int me;
     private final long seed;
-    private Members members;
+    private Membership members;
     private Channel datagrams;
     private boolean ticking;
 
@@ -202,8 +202,8 @@
                 .addListener(bound -> {
                     if (bound.isSuccess()) {
                         datagrams = ((ChannelFuture) bound).channel();
-                        members = new Members(
-                                Terms.usual(peers.length, me),
+                        members = new Membership(
+                                MembershipConfig.defaults(peers.length, me),
                                 time.nowUs() / 1_000,
                                 seed,
                                 time.nowUs(),
@@ -217,7 +217,7 @@
 
     private void heard(byte[] bytes) {
         heardDatagrams++;
-        Datagram.Read read = Datagram.read(bytes, FLEET);
+        Datagram.ReadResult read = Datagram.read(bytes, FLEET);
         if (members != null && read.message() != null) {
             members.receive(time.nowUs(), read.message());
             tick();
@@ -233,7 +233,7 @@
 
     private void count() {
         if (members != null) {
-            alive = members.alive();
+            alive = members.aliveCount();
         }
     }
 
@@ -243,7 +243,7 @@
             return;
         }
         ticking = true;
-        time.schedule(Math.max(1, members.nextAtUs() - time.nowUs()), () -> {
+        time.schedule(Math.max(1, members.nextTickAtUs() - time.nowUs()), () -> {
             ticking = false;
             members.tick(time.nowUs());
             tick();
--- a/src/main/java/kitemux/soak/Crowd.java
+++ b/src/main/java/kitemux/soak/ClientGate.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /** Where clients rest between requests: a gathering holds them all until they send at one instant. */
-final class Crowd {
+final class ClientGate {
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
     private boolean gathering;
--- a/src/main/java/kitemux/soak/Message.java
+++ b/src/main/java/kitemux/soak/HttpMessage.java
@@ -15,10 +15,10 @@
  * @param start its first line
  * @param headers by names in small letters
  */
-record Message(String start, Map<String, String> headers) {
+record HttpMessage(String start, Map<String, String> headers) {
 
     /** Reads one whole; its body is dropped. */
-    static Message read(InputStream in) throws IOException {
+    static HttpMessage read(InputStream in) throws IOException {
         String start = line(in);
         Map<String, String> headers = new TreeMap<>();
         for (String line = line(in); !line.isEmpty(); line = line(in)) {
@@ -31,7 +31,7 @@
         if (in.readNBytes(length).length < length) {
             throw new EOFException("message cut short");
         }
-        return new Message(start, headers);
+        return new HttpMessage(start, headers);
     }
 
     private static String line(InputStream in) throws IOException {
--- a/src/main/java/kitemux/soak/Soak.java
+++ b/src/main/java/kitemux/soak/Soak.java
@@ -37,7 +37,7 @@
     /** Makes the command that starts a node, anew for each start. */
     public interface Launcher {
         /** The command, with no environment of the play's yet. */
-        ProcessBuilder node() throws IOException;
+        ProcessBuilder newNodeProcess() throws IOException;
     }
 
     private final Launcher launcher;
@@ -47,9 +47,9 @@
     private final Queue<Request> requests = new ConcurrentLinkedQueue<>();
     private final Queue<SoakServer.Arrival> arrivals = new ConcurrentLinkedQueue<>();
     private final List<SoakServer> servers = new ArrayList<>();
-    private final List<SoakJudge.Killed> killed = new ArrayList<>();
+    private final List<SoakVerifier.UnannouncedKill> killed = new ArrayList<>();
     private final List<SocketChannel> holders = new ArrayList<>();
-    private final Crowd crowd = new Crowd();
+    private final ClientGate crowd = new ClientGate();
     private final AtomicLong lateMs = new AtomicLong();
     private int clientsPort;
     private int sigkills;
@@ -61,21 +61,21 @@
      * @param deadlineMs the longest deadline that it drew
      * @param requests how many were sent
      * @param sigkills processes that met SIGKILL after SIGTERM
-     * @param turnedBack requests whose connection ended before they were read
-     * @param lateMs how late the player itself was, at most
-     * @param findings a line for each rule that was broken, with the request's time-line
+     * @param unreadRequests requests whose connection ended before they were read
+     * @param maxLatenessMs how late the player itself was, at most
+     * @param violations a line for each rule that was broken, with the request's time-line
      */
     public record Result(
             long seed,
             long deadlineMs,
             int requests,
             int sigkills,
-            long turnedBack,
-            long lateMs,
-            List<String> findings) {
+            long unreadRequests,
+            long maxLatenessMs,
+            List<String> violations) {
         /** Whether the player kept its own time, so that what it found can be relied on. */
-        public boolean isPunctual() {
-            return lateMs <= MOST_LATE_MS;
+        public boolean isOnSchedule() {
+            return maxLatenessMs <= MOST_LATE_MS;
         }
     }
 
@@ -95,11 +95,11 @@
      * @param changes of processes, one after another
      * @param folder for what the processes need; not cleared
      */
-    public static Result play(
+    public static Result run(
             Launcher launcher, boolean traced, long seed, boolean upgradesOnly, int changes, Path folder)
             throws IOException, InterruptedException {
         List<Plan.Kind> kinds = upgradesOnly ? List.of(Plan.Kind.UPGRADE) : List.of(Plan.Kind.values());
-        return new Soak(launcher, traced, Plan.of(seed, kinds, changes, SERVERS), folder).play();
+        return new Soak(launcher, traced, Plan.of(seed, kinds, changes, SERVERS), folder).run();
     }
 
     /** Unix time in microseconds that never goes back. */
@@ -113,7 +113,7 @@
         thread.start();
     }
 
-    private Result play() throws IOException, InterruptedException {
+    private Result run() throws IOException, InterruptedException {
         clientsPort = hold();
         for (int i = 0; i < SERVERS; i++) {
             servers.add(new SoakServer(arrivals));
@@ -153,9 +153,9 @@
     }
 
     private Result result() throws IOException {
-        List<SoakJudge.Finding> found = SoakJudge.judge(requests, arrivals, traces(), killed);
+        List<SoakVerifier.Violation> found = SoakVerifier.judge(requests, arrivals, traces(), killed);
         List<String> lines = new ArrayList<>();
-        for (SoakJudge.Finding finding : found) {
+        for (SoakVerifier.Violation finding : found) {
             lines.add(finding.rule() + ": " + finding.request());
             finding.timeline().forEach(line -> lines.add("    " + line));
         }
@@ -164,7 +164,7 @@
                 plan.deadlineMs(),
                 requests.size(),
                 sigkills,
-                SoakJudge.turnedBackUnheard(requests, found),
+                SoakVerifier.turnedBackUnheard(requests, found),
                 lateMs.get(),
                 lines);
     }
@@ -203,7 +203,8 @@
     }
 
     private SoakNode start() throws IOException {
-        return SoakNode.start(launcher.node(), folder, clientsPort, hold(), plan.deadlineMs(), servers, traced);
+        return SoakNode.start(
+                launcher.newNodeProcess(), folder, clientsPort, hold(), plan.deadlineMs(), servers, traced);
     }
 
     // ---------------------------------------------------------------- changes of processes
@@ -230,9 +231,9 @@
     }
 
     private SoakNode kill(SoakNode old) throws IOException, InterruptedException {
-        killed.add(new SoakJudge.Killed(nowUs()));
+        killed.add(new SoakVerifier.UnannouncedKill(nowUs()));
         old.signal("KILL");
-        killed.add(new SoakJudge.Killed(nowUs()));
+        killed.add(new SoakVerifier.UnannouncedKill(nowUs()));
         old.close();
         return startAnew();
     }
--- a/src/main/java/kitemux/soak/SoakClient.java
+++ b/src/main/java/kitemux/soak/SoakClient.java
@@ -24,7 +24,7 @@
     private final boolean idle;
     private final int port;
     private final long deadlineMs;
-    private final Crowd crowd;
+    private final ClientGate crowd;
     private final Queue<Request> requests;
     private final SplittableRandom random;
     private Socket connection;
@@ -43,7 +43,7 @@
             boolean idle,
             int port,
             long deadlineMs,
-            Crowd crowd,
+            ClientGate crowd,
             Queue<Request> requests,
             SplittableRandom random) {
         this.name = name;
@@ -116,7 +116,7 @@
             connection.setSoTimeout((int) (leaves ? Math.max(1, remainingMs / 4) : remainingMs + LAST_ANSWER_MS));
             connection.getOutputStream().write(text(txn, of, remainingMs).getBytes(StandardCharsets.US_ASCII));
             writtenUs = Soak.nowUs();
-            Message answer = Message.read(connection.getInputStream());
+            HttpMessage answer = HttpMessage.read(connection.getInputStream());
             used = true;
             if (answer.isLast()) {
                 hangUp();
--- a/src/main/java/kitemux/soak/SoakNode.java
+++ b/src/main/java/kitemux/soak/SoakNode.java
@@ -112,7 +112,7 @@
             caller.setSoTimeout(1_000);
             caller.getOutputStream()
                     .write("GET /ops/readiness HTTP/1.1\r\nHost: ops\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            return Message.read(caller.getInputStream()).status() == 200;
+            return HttpMessage.read(caller.getInputStream()).status() == 200;
         } catch (IOException e) {
             return false;
         }
--- a/src/main/java/kitemux/soak/SoakServer.java
+++ b/src/main/java/kitemux/soak/SoakServer.java
@@ -64,7 +64,7 @@
     private void serve(Socket socket) {
         try (socket) {
             while (true) {
-                Message request = Message.read(socket.getInputStream());
+                HttpMessage request = HttpMessage.read(socket.getInputStream());
                 String txn = request.headers().get("x-txn");
                 if (txn != null) {
                     arrivals.add(new Arrival(txn, Soak.nowUs(), remainingUs(request)));
@@ -80,7 +80,7 @@
         }
     }
 
-    private static long remainingUs(Message request) {
+    private static long remainingUs(HttpMessage request) {
         String told = request.headers().getOrDefault("x-remaining", "0u");
         long number = Long.parseLong(told.substring(0, told.length() - 1));
         return told.endsWith("m") ? number * 1_000 : number;
--- a/src/main/java/kitemux/soak/SoakJudge.java
+++ b/src/main/java/kitemux/soak/SoakVerifier.java
@@ -9,19 +9,19 @@
 import java.util.Set;
 
 /** Holds what clients, servers and traces saw against the platform's rules. It knows nothing of the node's code. */
-final class SoakJudge {
+final class SoakVerifier {
     /** An attempt may tell its server so much more than is left to the client. */
     private static final long DEADLINE_SLACK_US = 150_000;
     /** An attempt may begin so long after its client has gone. */
     private static final long GONE_SLACK_US = 100_000;
 
     /** A process that was killed with no signal before: what it held is left to the client. Unix microseconds. */
-    record Killed(long atUs) {}
+    record UnannouncedKill(long atUs) {}
 
     /** A rule that was broken, the request and what is known of it. */
-    record Finding(String rule, Request request, List<String> timeline) {}
+    record Violation(String rule, Request request, List<String> timeline) {}
 
-    private SoakJudge() {}
+    private SoakVerifier() {}
 
     /**
      * All that is broken.
@@ -29,11 +29,11 @@
      * @param traces lines of all processes' traces
      * @param killed processes that were killed with no SIGTERM before
      */
-    static List<Finding> judge(
+    static List<Violation> judge(
             Collection<Request> requests,
             Collection<SoakServer.Arrival> arrivals,
             List<String> traces,
-            List<Killed> killed) {
+            List<UnannouncedKill> killed) {
         Map<String, List<SoakServer.Arrival>> byTxn = new HashMap<>();
         arrivals.forEach(one ->
                 byTxn.computeIfAbsent(one.txn(), txn -> new ArrayList<>()).add(one));
@@ -46,13 +46,13 @@
                 lines.computeIfAbsent(words[2], txn -> new ArrayList<>()).add(line);
             }
         }
-        List<Finding> found = new ArrayList<>();
+        List<Violation> found = new ArrayList<>();
         for (Request request : requests) {
             List<SoakServer.Arrival> attempts = byTxn.getOrDefault(request.txn(), List.of());
             List<String> timeline = lines.getOrDefault(request.txn(), List.of());
             String rule = broken(request, attempts, timeline, read.contains(request.txn()), killed);
             if (rule != null) {
-                found.add(new Finding(rule, request, timeline));
+                found.add(new Violation(rule, request, timeline));
             }
         }
         return found;
@@ -63,7 +63,7 @@
             List<SoakServer.Arrival> attempts,
             List<String> timeline,
             boolean read,
-            List<Killed> killed) {
+            List<UnannouncedKill> killed) {
         boolean unanswered =
                 request.outcome() == Request.Outcome.SILENT || request.outcome() == Request.Outcome.BROKEN && read;
         if (unanswered
@@ -88,7 +88,7 @@
     }
 
     /** Requests whose connection ended before the node had read them: priced, and no rule. */
-    static long turnedBackUnheard(Collection<Request> requests, List<Finding> found) {
+    static long turnedBackUnheard(Collection<Request> requests, List<Violation> found) {
         Set<String> lost = new HashSet<>();
         found.forEach(finding -> lost.add(finding.request().txn()));
         return requests.stream()
--- a/src/test/java/kitemux/mysql/AnswerTrackerTest.java
+++ b/src/test/java/kitemux/mysql/AnswerTrackerTest.java
@@ -11,8 +11,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import kitemux.mysql.AnswerTracker.End;
-import kitemux.mysql.AnswerTracker.Form;
+import kitemux.mysql.ResponseTracker.Completion;
+import kitemux.mysql.ResponseTracker.ResponseType;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -92,7 +92,7 @@
         return all;
     }
 
-    private static void play(AnswerTracker tracker, byte[] payload) {
+    private static void play(ResponseTracker tracker, byte[] payload) {
         int first = payload.length == 0 ? -1 : payload[0] & 0xff;
         if (tracker.begins(first, payload.length)) {
             tracker.seen(Unpooled.wrappedBuffer(payload));
@@ -106,17 +106,17 @@
             @ForAll long seed, @ForAll boolean eofs, @ForAll boolean tracks, @ForAll boolean fails) {
         long capabilities = (eofs ? 0 : Capabilities.DEPRECATE_EOF) | (tracks ? Capabilities.SESSION_TRACK : 0);
         List<byte[]> answer = results(new SplittableRandom(seed), capabilities, fails);
-        AnswerTracker tracker = new AnswerTracker(Form.RESULTS, capabilities);
+        ResponseTracker tracker = new ResponseTracker(ResponseType.RESULT_SETS, capabilities);
         assertFalse(tracker.hasBegun());
         for (byte[] payload : answer) {
             assertEquals(null, tracker.end());
             play(tracker, payload);
             assertTrue(tracker.hasBegun());
         }
-        assertEquals(fails ? End.ERROR : End.OK, tracker.end());
+        assertEquals(fails ? Completion.ERROR : Completion.OK, tracker.end());
         assertEquals(
                 fails ? 1317 : 0, tracker.error() == null ? 0 : tracker.error().code());
-        assertThrows(Fault.class, () -> tracker.begins(0, 7), "nothing comes behind the end");
+        assertThrows(ProtocolException.class, () -> tracker.begins(0, 7), "nothing comes behind the end");
     }
 
     @Property(seed = SEED)
@@ -134,19 +134,20 @@
                 answer.add(eof(STATUS));
             }
         }
-        AnswerTracker tracker = new AnswerTracker(Form.PREPARED, eofs ? 0 : Capabilities.DEPRECATE_EOF);
+        ResponseTracker tracker =
+                new ResponseTracker(ResponseType.PREPARED_STATEMENT, eofs ? 0 : Capabilities.DEPRECATE_EOF);
         for (byte[] payload : answer) {
             assertEquals(null, tracker.end());
             play(tracker, payload);
         }
-        assertEquals(End.OK, tracker.end());
+        assertEquals(Completion.OK, tracker.end());
         assertEquals(265, tracker.statementId());
     }
 
     @Example
     void aRowThatBeginsLikeAnEndIsARowIfItIsLong() {
         for (long capabilities : new long[] {0, Capabilities.DEPRECATE_EOF}) {
-            AnswerTracker tracker = new AnswerTracker(Form.RESULTS, capabilities);
+            ResponseTracker tracker = new ResponseTracker(ResponseType.RESULT_SETS, capabilities);
             play(tracker, bytes(1));
             play(tracker, bytes(3, 'd', 'e', 'f'));
             if (capabilities == 0) {
@@ -156,7 +157,7 @@
             tracker.passed();
             assertEquals(null, tracker.end());
             play(tracker, capabilities == 0 ? eof(STATUS) : ok(OkPacket.END_HEADER, STATUS, capabilities));
-            assertEquals(End.OK, tracker.end());
+            assertEquals(Completion.OK, tracker.end());
             assertEquals(STATUS, tracker.status());
         }
     }
@@ -164,32 +165,38 @@
     @Example
     void whatMayNotStandWhereItStandsIsAFault() {
         assertThrows(
-                Fault.class,
-                () -> play(new AnswerTracker(Form.RESULTS, 0), bytes(0xfb, 'f')),
+                ProtocolException.class,
+                () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(0xfb, 'f')),
                 "a server that asks for a file of the client's");
-        assertThrows(Fault.class, () -> play(new AnswerTracker(Form.PLAIN, 0), bytes(1)), "rows of a ping");
-        assertThrows(Fault.class, () -> play(new AnswerTracker(Form.RESULTS, 0), bytes()));
-        assertThrows(Fault.class, () -> play(new AnswerTracker(Form.RESULTS, 0), bytes(1, 1)));
         assertThrows(
-                Fault.class,
-                () -> play(new AnswerTracker(Form.RESULTS, 0), bytes(0xfe, 0, 0, 0, 0, 1, 0, 0, 0)),
+                ProtocolException.class,
+                () -> play(new ResponseTracker(ResponseType.STATUS_ONLY, 0), bytes(1)),
+                "rows of a ping");
+        assertThrows(ProtocolException.class, () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes()));
+        assertThrows(
+                ProtocolException.class, () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(1, 1)));
+        assertThrows(
+                ProtocolException.class,
+                () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(0xfe, 0, 0, 0, 0, 1, 0, 0, 0)),
                 "more columns than any table has");
-        AnswerTracker tracker = new AnswerTracker(Form.RESULTS, 0);
+        ResponseTracker tracker = new ResponseTracker(ResponseType.RESULT_SETS, 0);
         play(tracker, bytes(1));
         play(tracker, bytes(3, 'd', 'e', 'f'));
-        assertThrows(Fault.class, () -> play(tracker, bytes(1, 'x')), "a row where an EOF is due");
+        assertThrows(ProtocolException.class, () -> play(tracker, bytes(1, 'x')), "a row where an EOF is due");
     }
 
     @Property(seed = SEED, tries = 5_000)
     void garbageEndsOrIsAFault(
-            @ForAll @Size(max = 12) List<@Size(max = 14) byte[]> payloads, @ForAll Form form, @ForAll boolean eofs) {
-        AnswerTracker tracker = new AnswerTracker(form, eofs ? 0 : Capabilities.DEPRECATE_EOF);
+            @ForAll @Size(max = 12) List<@Size(max = 14) byte[]> payloads,
+            @ForAll ResponseType form,
+            @ForAll boolean eofs) {
+        ResponseTracker tracker = new ResponseTracker(form, eofs ? 0 : Capabilities.DEPRECATE_EOF);
         try {
             for (byte[] payload : payloads) {
                 play(tracker, payload);
             }
-        } catch (Fault fault) {
-            assertEquals(Fault.Kind.MALFORMED, fault.kind());
+        } catch (ProtocolException fault) {
+            assertEquals(ProtocolException.Kind.MALFORMED, fault.kind());
         }
     }
 }
--- a/src/test/java/kitemux/mysql/BackConnectionTest.java
+++ b/src/test/java/kitemux/mysql/BackConnectionTest.java
@@ -19,8 +19,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import kitemux.Balancer.Result;
-import kitemux.mysql.AnswerTracker.Form;
-import kitemux.mysql.BackConnection.Account;
+import kitemux.mysql.BackendConnection.Account;
+import kitemux.mysql.ResponseTracker.ResponseType;
 import kitemux.standin.OrderDatabase;
 import kitemux.standin.OrderDatabase.Fault;
 import org.junit.jupiter.api.AfterAll;
@@ -55,7 +55,7 @@
     }
 
     /** What came of a login or a command. */
-    private static final class Outcome implements BackConnection.Heard {
+    private static final class Outcome implements BackendConnection.ResponseListener {
         private final CompletableFuture<Result> result = new CompletableFuture<>();
         private ErrPacket error;
         private boolean begun;
@@ -104,8 +104,8 @@
         }
     }
 
-    private BackConnection connect(String password) throws Exception {
-        CompletableFuture<BackConnection> login = new CompletableFuture<>();
+    private BackendConnection connect(String password) throws Exception {
+        CompletableFuture<BackendConnection> login = new CompletableFuture<>();
         Bootstrap dialer = new Bootstrap().group(loops).channel(NioSocketChannel.class);
         dialer.handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -114,12 +114,12 @@
                         channel.pipeline()
                                 .addLast(
                                         decoder,
-                                        new BackConnection(
+                                        new BackendConnection(
                                                 new Account(OrderDatabase.USER, password, ""),
                                                 decoder,
-                                                new BackConnection.LoginHeard() {
+                                                new BackendConnection.LoginListener() {
                                                     @Override
-                                                    public void loggedIn(BackConnection connection) {
+                                                    public void loggedIn(BackendConnection connection) {
                                                         login.complete(connection);
                                                     }
 
@@ -134,16 +134,16 @@
         return login.get(20, TimeUnit.SECONDS);
     }
 
-    private static Outcome carry(BackConnection connection, String sql, Outcome outcome) {
+    private static Outcome carry(BackendConnection connection, String sql, Outcome outcome) {
         loops.next()
                 .execute(() -> connection.carry(
                         Unpooled.buffer().writeByte(3).writeBytes(sql.getBytes(StandardCharsets.UTF_8)),
-                        Form.RESULTS,
+                        ResponseType.RESULT_SETS,
                         outcome));
         return outcome;
     }
 
-    private static Outcome carry(BackConnection connection, String sql) {
+    private static Outcome carry(BackendConnection connection, String sql) {
         return carry(connection, sql, new Outcome());
     }
 
@@ -151,7 +151,7 @@
     @CsvSource({NATIVE + ",", SHA2 + ",", NATIVE + "," + SHA2, SHA2 + "," + NATIVE})
     void itLogsInWithEachPlugin(String plugin, String switchTo) throws Exception {
         database = OrderDatabase.start(plugin, switchTo);
-        BackConnection connection = connect(OrderDatabase.PASSWORD);
+        BackendConnection connection = connect(OrderDatabase.PASSWORD);
         assertEquals(Result.OK, carry(connection, INSERT).get());
         assertEquals(1, database.inserts("o"));
         Exception refused = org.junit.jupiter.api.Assertions.assertThrows(Exception.class, () -> connect("wrong"));
@@ -162,7 +162,7 @@
     @Test
     void rowsPassAsTheServerNumberedThemAndTheConnectionServesOn() throws Exception {
         database = OrderDatabase.start(NATIVE, null);
-        BackConnection connection = connect(OrderDatabase.PASSWORD);
+        BackendConnection connection = connect(OrderDatabase.PASSWORD);
         for (int round = 0; round < 3; round++) {
             Outcome rows = carry(connection, "SELECT 1000 ROWS");
             assertEquals(Result.OK, rows.get());
@@ -177,7 +177,7 @@
     @Test
     void aServerIsReadNoFasterThanItsClientReads() throws Exception {
         database = OrderDatabase.start(NATIVE, null);
-        BackConnection connection = connect(OrderDatabase.PASSWORD);
+        BackendConnection connection = connect(OrderDatabase.PASSWORD);
         CompletableFuture<Long> whenHeld = new CompletableFuture<>();
         Outcome rows = new Outcome();
         rows.onMore = first -> {
@@ -234,7 +234,7 @@
     @Test
     void whatIsGivenUpIsToldNoEndAndItsConnectionIsClosed() throws Exception {
         database = OrderDatabase.start(NATIVE, null);
-        BackConnection connection = connect(OrderDatabase.PASSWORD);
+        BackendConnection connection = connect(OrderDatabase.PASSWORD);
         Outcome rows = new Outcome();
         CompletableFuture<Void> given = new CompletableFuture<>();
         rows.onMore = first -> {
@@ -244,7 +244,7 @@
         };
         carry(connection, "SELECT 100000 ROWS", rows);
         given.get(20, TimeUnit.SECONDS);
-        BackConnection unwanted = connect(OrderDatabase.PASSWORD);
+        BackendConnection unwanted = connect(OrderDatabase.PASSWORD);
         Outcome late = new Outcome();
         late.wanted = false;
         carry(unwanted, "SELECT 3 ROWS", late);
--- a/src/test/java/kitemux/mysql/CodecTest.java
+++ b/src/test/java/kitemux/mysql/CodecTest.java
@@ -59,7 +59,7 @@
     private static List<byte[]> read(byte[] bytes, List<Integer> pieces, int most) {
         EmbeddedChannel channel = new EmbeddedChannel(new PacketDecoder());
         List<byte[]> payloads = new ArrayList<>();
-        try (Gatherer gatherer = new Gatherer(ALLOCATOR, most)) {
+        try (PayloadAssembler gatherer = new PayloadAssembler(ALLOCATOR, most)) {
             int at = 0;
             for (int i = 0; at < bytes.length; i++) {
                 int piece = Math.min(pieces.get(i % pieces.size()), bytes.length - at);
@@ -138,16 +138,18 @@
 
     @Property(seed = SEED)
     void aPacketOutOfTurnIsAFaultThatSaysSo(@ForAll @IntRange(min = 1, max = 255) int sequence) {
-        Fault fault = assertThrows(Fault.class, () -> read(packets(new byte[] {1}, sequence), List.of(9), 9));
-        assertEquals(Fault.Kind.OUT_OF_ORDER, fault.kind());
-        assertEquals(1156, fault.packet().code());
+        ProtocolException fault =
+                assertThrows(ProtocolException.class, () -> read(packets(new byte[] {1}, sequence), List.of(9), 9));
+        assertEquals(ProtocolException.Kind.OUT_OF_ORDER, fault.kind());
+        assertEquals(1156, fault.toErrPacket().code());
     }
 
     @Property(seed = SEED)
     void aPayloadBeyondTheBoundIsAFaultAndHoldsNothing(
             @ForAll @IntRange(min = 1, max = 500) int bound, @ForAll @IntRange(min = 1, max = 300) int piece) {
-        Fault fault = assertThrows(Fault.class, () -> read(packets(new byte[bound + 1], 0), List.of(piece), bound));
-        assertEquals(Fault.Kind.TOO_LARGE, fault.kind());
+        ProtocolException fault = assertThrows(
+                ProtocolException.class, () -> read(packets(new byte[bound + 1], 0), List.of(piece), bound));
+        assertEquals(ProtocolException.Kind.TOO_LARGE, fault.kind());
         assertEquals(1, read(packets(new byte[bound], 0), List.of(piece), bound).size());
     }
 
@@ -159,7 +161,7 @@
         assertEquals(length, bytes.length);
         for (int cut = 0; cut < bytes.length; cut++) {
             ByteBuf early = Unpooled.wrappedBuffer(bytes, 0, cut);
-            assertThrows(Fault.class, () -> Fields.lenenc(early, "it"));
+            assertThrows(ProtocolException.class, () -> Fields.lenenc(early, "it"));
         }
     }
 
@@ -178,13 +180,14 @@
             @ForAll @IntRange(max = 255) int charset,
             @ForAll @IntRange(max = 65_535) int status,
             @ForAll @AlphaChars String plugin) {
-        ServerGreeting greeting = new ServerGreeting(version, id & 0xffffffffL, nonce, ALL, charset, status, plugin);
+        InitialHandshake greeting =
+                new InitialHandshake(version, id & 0xffffffffL, nonce, ALL, charset, status, plugin);
         byte[] bytes = written(greeting::write);
-        ServerGreeting back = ServerGreeting.read(Unpooled.wrappedBuffer(bytes));
+        InitialHandshake back = InitialHandshake.read(Unpooled.wrappedBuffer(bytes));
         assertArrayEquals(nonce, back.nonce());
         assertEquals(
                 greeting,
-                new ServerGreeting(
+                new InitialHandshake(
                         back.version(),
                         back.connectionId(),
                         nonce,
@@ -192,7 +195,7 @@
                         back.charset(),
                         back.status(),
                         back.plugin()));
-        cutsAreFaults(bytes, ServerGreeting::read);
+        cutsAreFaults(bytes, InitialHandshake::read);
     }
 
     @Property(seed = SEED)
@@ -204,14 +207,14 @@
             @ForAll @Size(max = 9) Map<@AlphaChars String, @StringLength(max = 300) String> attributes,
             @ForAll boolean lenenc) {
         long capabilities = lenenc ? ALL : ALL & ~Capabilities.PLUGIN_AUTH_LENENC_DATA;
-        ClientGreeting greeting =
-                new ClientGreeting(capabilities, 1 << 24, 45, user, proof, database, plugin, attributes);
+        HandshakeResponse greeting =
+                new HandshakeResponse(capabilities, 1 << 24, 45, user, proof, database, plugin, attributes);
         byte[] bytes = written(greeting::write);
-        ClientGreeting back = ClientGreeting.read(Unpooled.wrappedBuffer(bytes), ALL);
+        HandshakeResponse back = HandshakeResponse.read(Unpooled.wrappedBuffer(bytes), ALL);
         assertArrayEquals(proof, back.proof());
         assertEquals(
                 greeting,
-                new ClientGreeting(
+                new HandshakeResponse(
                         back.capabilities(),
                         back.mostPacket(),
                         back.charset(),
@@ -224,13 +227,14 @@
 
     @Example
     void aWishForTlsHasNoUser() {
-        ClientGreeting wish = new ClientGreeting(ALL | Capabilities.SSL, 1, 45, null, new byte[0], "", "", Map.of());
+        HandshakeResponse wish =
+                new HandshakeResponse(ALL | Capabilities.SSL, 1, 45, null, new byte[0], "", "", Map.of());
         byte[] bytes = written(wish::write);
         assertEquals(32, bytes.length);
-        ClientGreeting back = ClientGreeting.read(Unpooled.wrappedBuffer(bytes), ALL | Capabilities.SSL);
+        HandshakeResponse back = HandshakeResponse.read(Unpooled.wrappedBuffer(bytes), ALL | Capabilities.SSL);
         assertEquals(null, back.user());
         // One that was not offered counts for nothing: the rest is then missing.
-        assertThrows(Fault.class, () -> ClientGreeting.read(Unpooled.wrappedBuffer(bytes), ALL));
+        assertThrows(ProtocolException.class, () -> HandshakeResponse.read(Unpooled.wrappedBuffer(bytes), ALL));
     }
 
     @Property(seed = SEED)
@@ -262,15 +266,15 @@
     private static void cutsAreFaults(byte[] bytes, Consumer<ByteBuf> reader) {
         for (int cut = 0; cut < bytes.length; cut++) {
             ByteBuf early = Unpooled.wrappedBuffer(bytes, 0, cut);
-            assertThrows(Fault.class, () -> reader.accept(early), "cut at " + cut);
+            assertThrows(ProtocolException.class, () -> reader.accept(early), "cut at " + cut);
         }
     }
 
     @Property(seed = SEED, tries = 5_000)
     void garbageIsReadOrIsAFaultAndNothingElse(@ForAll @Size(max = 200) byte[] garbage) {
         List<Consumer<ByteBuf>> readers = List.of(
-                ServerGreeting::read,
-                in -> ClientGreeting.read(in, -1L),
+                InitialHandshake::read,
+                in -> HandshakeResponse.read(in, -1L),
                 in -> OkPacket.read(in, ALL),
                 in -> OkPacket.read(in, 0),
                 ErrPacket::read,
@@ -278,14 +282,14 @@
         for (Consumer<ByteBuf> reader : readers) {
             try {
                 reader.accept(Unpooled.wrappedBuffer(garbage));
-            } catch (Fault fault) {
-                assertEquals(Fault.Kind.MALFORMED, fault.kind());
+            } catch (ProtocolException fault) {
+                assertEquals(ProtocolException.Kind.MALFORMED, fault.kind());
             }
         }
         try {
             read(garbage, List.of(7), 150);
-        } catch (Fault fault) {
-            assertTrue(fault.packet().code() > 0);
+        } catch (ProtocolException fault) {
+            assertTrue(fault.toErrPacket().code() > 0);
         }
     }
 
@@ -295,20 +299,20 @@
             @ForAll @StringLength(max = 40) String other,
             @ForAll @Size(20) byte[] nonce,
             @ForAll @IntRange(max = 19) int at) {
-        for (Scramble scramble : Scramble.values()) {
+        for (AuthPlugin scramble : AuthPlugin.values()) {
             byte[] digest = scramble.digest(password);
-            byte[] proof = scramble.proof(password, nonce);
-            assertTrue(scramble.isProof(proof, digest, nonce));
+            byte[] proof = scramble.createProof(password, nonce);
+            assertTrue(scramble.isValidProof(proof, digest, nonce));
             byte[] otherNonce = nonce.clone();
             otherNonce[at] ^= 1;
-            assertFalse(scramble.isProof(proof, digest, otherNonce));
-            assertFalse(scramble.isProof(new byte[0], digest, nonce), "no password is not this one");
+            assertFalse(scramble.isValidProof(proof, digest, otherNonce));
+            assertFalse(scramble.isValidProof(new byte[0], digest, nonce), "no password is not this one");
             if (!java.util.Arrays.equals(digest, scramble.digest(other))) {
-                assertFalse(scramble.isProof(scramble.proof(other, nonce), digest, nonce));
+                assertFalse(scramble.isValidProof(scramble.createProof(other, nonce), digest, nonce));
             }
             byte[] spoilt = proof.clone();
             spoilt[at] ^= 1;
-            assertFalse(scramble.isProof(spoilt, digest, nonce));
+            assertFalse(scramble.isValidProof(spoilt, digest, nonce));
         }
     }
 
@@ -317,6 +321,6 @@
         // What PASSWORD('mypass') of MySQL 5.7 gives, by its reference manual ("Password Hashing in MySQL").
         assertEquals(
                 "6C8989366EAF75BB670AD8EA7A7FC1176A95CEF4",
-                HexFormat.of().withUpperCase().formatHex(Scramble.NATIVE.digest("mypass")));
+                HexFormat.of().withUpperCase().formatHex(AuthPlugin.NATIVE.digest("mypass")));
     }
 }
--- a/src/test/java/kitemux/mysql/FrontLoginTest.java
+++ b/src/test/java/kitemux/mysql/FrontLoginTest.java
@@ -33,8 +33,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import kitemux.Balancer.Result;
-import kitemux.mysql.AnswerTracker.Form;
 import kitemux.mysql.PacketDecoder.Part;
+import kitemux.mysql.ResponseTracker.ResponseType;
 import kitemux.standin.OrderDatabase;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -46,13 +46,13 @@
 class FrontLoginTest {
     private static final Users USERS = new Users(Map.of(
             "both",
-            Users.User.of("both", "secret"),
+            Users.User.withPassword("both", "secret"),
             "old",
-            new Users.User("old", Map.of(Scramble.NATIVE, Scramble.NATIVE.digest("secret"))),
+            new Users.User("old", Map.of(AuthPlugin.NATIVE, AuthPlugin.NATIVE.digest("secret"))),
             "new",
-            new Users.User("new", Map.of(Scramble.CACHING_SHA2, Scramble.CACHING_SHA2.digest("secret"))),
+            new Users.User("new", Map.of(AuthPlugin.CACHING_SHA2, AuthPlugin.CACHING_SHA2.digest("secret"))),
             "open",
-            Users.User.of("open", "")));
+            Users.User.withPassword("open", "")));
 
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<String> letIn = new CopyOnWriteArrayList<>();
@@ -70,14 +70,14 @@
     private final class Relay extends ChannelInboundHandlerAdapter {
         private final Channel client;
         private final PacketDecoder decoder;
-        private final BackConnection server;
-        private final Gatherer gatherer;
+        private final BackendConnection server;
+        private final PayloadAssembler gatherer;
 
-        Relay(Channel client, PacketDecoder decoder, BackConnection server) {
+        Relay(Channel client, PacketDecoder decoder, BackendConnection server) {
             this.client = client;
             this.decoder = decoder;
             this.server = server;
-            gatherer = new Gatherer(client.alloc(), 1 << 20);
+            gatherer = new PayloadAssembler(client.alloc(), 1 << 20);
         }
 
         @Override
@@ -92,7 +92,7 @@
                 client.close();
                 return;
             }
-            server.carry(command, Form.RESULTS, new BackConnection.Heard() {
+            server.carry(command, ResponseType.RESULT_SETS, new BackendConnection.ResponseListener() {
                 @Override
                 public boolean begun() {
                     return true;
@@ -125,13 +125,13 @@
                         channel.pipeline()
                                 .addLast(
                                         back,
-                                        new BackConnection(
-                                                new BackConnection.Account(
+                                        new BackendConnection(
+                                                new BackendConnection.Account(
                                                         OrderDatabase.USER, OrderDatabase.PASSWORD, ""),
                                                 back,
-                                                new BackConnection.LoginHeard() {
+                                                new BackendConnection.LoginListener() {
                                                     @Override
-                                                    public void loggedIn(BackConnection server) {
+                                                    public void loggedIn(BackendConnection server) {
                                                         client.pipeline().addLast(new Relay(client, decoder, server));
                                                         client.config().setAutoRead(true);
                                                     }
@@ -146,7 +146,7 @@
                 .connect(database.address());
     }
 
-    private InetSocketAddress listen(Scramble greeted, long loginMs) throws Exception {
+    private InetSocketAddress listen(AuthPlugin greeted, long loginMs) throws Exception {
         database = OrderDatabase.start("caching_sha2_password", null);
         return (InetSocketAddress) new ServerBootstrap()
                 .group(loops)
@@ -158,7 +158,7 @@
                         channel.pipeline()
                                 .addLast(
                                         decoder,
-                                        new FrontLogin(
+                                        new ClientLogin(
                                                 USERS, 5, greeted, loginMs, decoder, (client, packets, greeting) -> {
                                                     letIn.add(greeting.user());
                                                     connectBack(client, packets);
@@ -193,7 +193,7 @@
         "mariadb, new, NATIVE",
         "mariadb, open, CACHING_SHA2"
     })
-    void driversLogInAndTheirCommandsAreCarried(String driver, String user, Scramble greeted) throws Exception {
+    void driversLogInAndTheirCommandsAreCarried(String driver, String user, AuthPlugin greeted) throws Exception {
         InetSocketAddress at = listen(greeted, 20_000);
         try (Connection connection = connect(driver, at, user, user.equals("open") ? "" : "secret");
                 Statement statement = connection.createStatement()) {
@@ -225,7 +225,7 @@
 
     @Test
     void aLoginThatIsNeverOverEndsWithAnErrorAndFreesItsConnection() throws Exception {
-        InetSocketAddress at = listen(Scramble.CACHING_SHA2, 30);
+        InetSocketAddress at = listen(AuthPlugin.CACHING_SHA2, 30);
         List<Socket> flood = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             flood.add(new Socket(at.getAddress(), at.getPort()));
@@ -240,13 +240,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"\5\0\0\1hello", "\5\0\0\0hello", "GET / HTTP/1.1\r\n\r\n", "\377\377\377\1"})
     void whatIsNoLoginIsAnsweredWithAnErrorAndTheEnd(String sent) throws Exception {
-        InetSocketAddress at = listen(Scramble.NATIVE, 20_000);
+        InetSocketAddress at = listen(AuthPlugin.NATIVE, 20_000);
         try (Socket client = new Socket(at.getAddress(), at.getPort())) {
             byte[] bytes = sent.getBytes(StandardCharsets.ISO_8859_1);
             client.getOutputStream().write(bytes);
             if (sent.startsWith("\377")) {
                 // A packet of 16 MiB from somebody who has shown no password; no more of it is held.
-                client.getOutputStream().write(new byte[4 * FrontLogin.MOST_PAYLOAD]);
+                client.getOutputStream().write(new byte[4 * ClientLogin.MOST_PAYLOAD]);
             }
             String answer = answered(client);
             assertTrue(answer.contains("#HY000") || answer.contains("#08S01"), answer);
--- a/src/test/java/kitemux/mysql/MysqlServersTest.java
+++ b/src/test/java/kitemux/mysql/MysqlServersTest.java
@@ -22,7 +22,7 @@
 import kitemux.engine.Observer;
 import kitemux.engine.ResponseSink;
 import kitemux.engine.SendGate;
-import kitemux.mysql.AnswerTracker.Form;
+import kitemux.mysql.ResponseTracker.ResponseType;
 import kitemux.net.EventLoopClock;
 import kitemux.net.HostList;
 import kitemux.net.NioNetwork;
@@ -149,7 +149,8 @@
                 time,
                 settings.connectTimeoutUs,
                 60_000_000,
-                new MysqlServers(new BackConnection.Account(OrderDatabase.USER, OrderDatabase.PASSWORD, ""), log));
+                new MysqlServerProtocol(
+                        new BackendConnection.Account(OrderDatabase.USER, OrderDatabase.PASSWORD, ""), log));
         engine = new Engine<>(
                 settings.maxAttempts,
                 time,
@@ -175,7 +176,7 @@
         byte[] payload = new byte[1 + text.length];
         payload[0] = 3;
         System.arraycopy(text, 0, payload, 1, text.length);
-        Command command = new Command("c" + ++asked, classIndex, -1, 4_000_000, Form.RESULTS, payload);
+        Command command = new Command("c" + ++asked, classIndex, -1, 4_000_000, ResponseType.RESULT_SETS, payload);
         Told told = new Told();
         loop.execute(() -> engine.dispatch(engine.accept(told, command)));
         return told;
--- a/src/test/java/kitemux/mysql/StatementTest.java
+++ b/src/test/java/kitemux/mysql/StatementTest.java
@@ -42,8 +42,8 @@
                 "SELECT 'a\\n' FROM t"
             })
     void reads(String sql) {
-        Statement statement = Statement.of(sql);
-        assertTrue(statement.read(), sql);
+        Statement statement = Statement.analyze(sql);
+        assertTrue(statement.isReadOnly(), sql);
         assertEquals(Set.of(), statement.traits(), sql);
     }
 
@@ -88,55 +88,56 @@
                 "garbage"
             })
     void whatIsNotSurelyARead(String sql) {
-        assertFalse(Statement.of(sql).read(), sql);
+        assertFalse(Statement.analyze(sql).isReadOnly(), sql);
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "BEGIN | BEGINS",
-                "START TRANSACTION READ ONLY | BEGINS",
-                "START REPLICA | PINS",
-                "COMMIT | ENDS",
-                "ROLLBACK | ENDS",
-                "ROLLBACK TO SAVEPOINT a | BEGINS",
-                "SAVEPOINT a | PINS",
-                "CREATE TABLE t (a INT) | ENDS",
-                "CREATE TEMPORARY TABLE t (a INT) | PINS",
-                "SET NAMES utf8mb4 | SETS",
-                "USE shop | SETS",
-                "SET autocommit = 0 | PINS",
-                "SET @@session.autocommit=0 | PINS",
-                "SET @a = 1 | PINS",
-                "SET TRANSACTION ISOLATION LEVEL READ COMMITTED | PINS",
-                "SET GLOBAL a = 1 | PINS",
-                "SELECT @a | PINS",
-                "SELECT GET_LOCK('a', 1) | PINS",
-                "LOCK TABLES t READ | PINS",
-                "PREPARE s FROM 'SELECT 1' | PINS",
-                "SELECT SQL_CALC_FOUND_ROWS * FROM t | PINS",
-                "SELECT FOUND_ROWS() | LOOKS_BACK",
-                "SELECT LAST_INSERT_ID() | LOOKS_BACK",
-                "/*!40101 SET autocommit=0 */ | PINS"
+                "BEGIN | BEGINS_TRANSACTION",
+                "START TRANSACTION READ ONLY | BEGINS_TRANSACTION",
+                "START REPLICA | PINS_SESSION",
+                "COMMIT | ENDS_TRANSACTION",
+                "ROLLBACK | ENDS_TRANSACTION",
+                "ROLLBACK TO SAVEPOINT a | BEGINS_TRANSACTION",
+                "SAVEPOINT a | PINS_SESSION",
+                "CREATE TABLE t (a INT) | ENDS_TRANSACTION",
+                "CREATE TEMPORARY TABLE t (a INT) | PINS_SESSION",
+                "SET NAMES utf8mb4 | SETS_VARIABLES",
+                "USE shop | SETS_VARIABLES",
+                "SET autocommit = 0 | PINS_SESSION",
+                "SET @@session.autocommit=0 | PINS_SESSION",
+                "SET @a = 1 | PINS_SESSION",
+                "SET TRANSACTION ISOLATION LEVEL READ COMMITTED | PINS_SESSION",
+                "SET GLOBAL a = 1 | PINS_SESSION",
+                "SELECT @a | PINS_SESSION",
+                "SELECT GET_LOCK('a', 1) | PINS_SESSION",
+                "LOCK TABLES t READ | PINS_SESSION",
+                "PREPARE s FROM 'SELECT 1' | PINS_SESSION",
+                "SELECT SQL_CALC_FOUND_ROWS * FROM t | PINS_SESSION",
+                "SELECT FOUND_ROWS() | READS_SESSION_STATE",
+                "SELECT LAST_INSERT_ID() | READS_SESSION_STATE",
+                "/*!40101 SET autocommit=0 */ | PINS_SESSION"
             })
     void whatItDoesToItsSession(String sql, Trait trait) {
-        assertEquals(Set.of(trait), Statement.of(sql).traits(), sql);
-        assertFalse(Statement.of(sql).read(), sql);
+        assertEquals(Set.of(trait), Statement.analyze(sql).traits(), sql);
+        assertFalse(Statement.analyze(sql).isReadOnly(), sql);
     }
 
     @Property(seed = SEED, tries = 2_000)
     void noTextFailsAndNothingBehindAReadMakesAWriteARead(@ForAll @StringLength(max = 60) String text) {
-        Statement.of(text);
-        assertFalse(Statement.of("INSERT INTO t VALUES (1) " + text).read());
-        assertFalse(Statement.of("SELECT 1; INSERT INTO t VALUES (1); " + text).read());
-        assertFalse(Statement.of("SELECT 1 FROM t WHERE f(1) " + text).read());
+        Statement.analyze(text);
+        assertFalse(Statement.analyze("INSERT INTO t VALUES (1) " + text).isReadOnly());
+        assertFalse(
+                Statement.analyze("SELECT 1; INSERT INTO t VALUES (1); " + text).isReadOnly());
+        assertFalse(Statement.analyze("SELECT 1 FROM t WHERE f(1) " + text).isReadOnly());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {Statement.MOST_LOOKED_AT - 20, Statement.MOST_LOOKED_AT})
     void aTextThatIsTooLongToLookAtIsNoRead(int length) {
-        Statement statement = Statement.of("SELECT 1 " + " ".repeat(length));
-        assertEquals(length < Statement.MOST_LOOKED_AT, statement.read());
+        Statement statement = Statement.analyze("SELECT 1 " + " ".repeat(length));
+        assertEquals(length < Statement.MOST_LOOKED_AT, statement.isReadOnly());
     }
 }
--- a/src/test/java/kitemux/peers/DatagramTest.java
+++ b/src/test/java/kitemux/peers/DatagramTest.java
@@ -23,17 +23,17 @@
     Arbitrary<Message> messages() {
         Arbitrary<Integer> nodes = Arbitraries.integers().between(0, 65_535);
         Arbitrary<Long> lives = Arbitraries.longs().between(0, (1L << 48) - 1);
-        Arbitrary<Belief> beliefs = Combinators.combine(
-                        nodes, lives, Arbitraries.integers(), Arbitraries.of(Standing.class), nodes)
-                .as(Belief::new);
-        Arbitrary<Word> words = Combinators.combine(
+        Arbitrary<MemberRecord> beliefs = Combinators.combine(
+                        nodes, lives, Arbitraries.integers(), Arbitraries.of(MemberState.class), nodes)
+                .as(MemberRecord::new);
+        Arbitrary<Update> words = Combinators.combine(
                         nodes,
                         lives,
                         Arbitraries.integers().between(0, 255),
                         Arbitraries.integers(),
                         nodes,
                         Arbitraries.bytes().array(byte[].class).ofMaxSize(40))
-                .as(Word::new);
+                .as(Update::new);
         return Combinators.combine(
                         Arbitraries.of(Message.Kind.class),
                         nodes,
@@ -49,7 +49,8 @@
     void whatIsWrittenIsRead(@ForAll("messages") Message message) {
         byte[] bytes = Datagram.write(message, FLEET);
         assertEquals(message, Datagram.read(bytes, FLEET).message());
-        assertEquals(Datagram.Fault.OTHER_FLEET, Datagram.read(bytes, FLEET + 1).fault());
+        assertEquals(
+                Datagram.ReadError.WRONG_FLEET, Datagram.read(bytes, FLEET + 1).error());
     }
 
     @Property(tries = 100)
@@ -58,7 +59,7 @@
         for (int i = 0; i < bytes.length; i++) {
             byte[] spoilt = bytes.clone();
             spoilt[i] ^= 0x10;
-            assertNotNull(Datagram.read(spoilt, FLEET).fault(), "byte " + i);
+            assertNotNull(Datagram.read(spoilt, FLEET).error(), "byte " + i);
             assertNull(Datagram.read(Arrays.copyOf(bytes, i), FLEET).message(), "cut at " + i);
         }
         assertNull(Datagram.read(Arrays.copyOf(bytes, bytes.length + 1), FLEET).message());
@@ -74,19 +75,22 @@
         byte[] bytes = Datagram.write(new Message(Message.Kind.PING, 1, 2, 3, 0, List.of(), List.of()), FLEET);
         assertEquals(Datagram.HEAD, bytes.length);
         bytes[0]++;
-        assertEquals(Datagram.Fault.OTHER_VERSION, Datagram.read(bytes, FLEET).fault());
-        assertEquals(Datagram.Fault.TOO_SHORT, Datagram.read(new byte[3], FLEET).fault());
+        assertEquals(
+                Datagram.ReadError.UNSUPPORTED_VERSION,
+                Datagram.read(bytes, FLEET).error());
+        assertEquals(
+                Datagram.ReadError.TOO_SHORT, Datagram.read(new byte[3], FLEET).error());
     }
 
     @Test
     void laterLivesAndIncarnationsHoldAndNobodyReturnsFromLeaving() {
-        Belief alive = new Belief(1, 10, 2, Standing.ALIVE, 1);
-        assertTrue(alive.with(Standing.SUSPECT, 0).overrides(alive));
-        assertTrue(alive.with(Standing.GONE, 0).overrides(alive.with(Standing.SUSPECT, 0)));
-        assertTrue(!alive.overrides(alive.with(Standing.SUSPECT, 0)));
-        assertTrue(new Belief(1, 10, 3, Standing.ALIVE, 1).overrides(alive.with(Standing.GONE, 0)));
-        assertTrue(!new Belief(1, 10, 9, Standing.ALIVE, 1).overrides(alive.with(Standing.LEFT, 0)));
-        assertTrue(new Belief(1, 11, 0, Standing.ALIVE, 1).overrides(alive.with(Standing.LEFT, 0)));
-        assertTrue(!new Belief(1, 9, 9, Standing.GONE, 0).overrides(alive));
+        MemberRecord alive = new MemberRecord(1, 10, 2, MemberState.ALIVE, 1);
+        assertTrue(alive.with(MemberState.SUSPECT, 0).overrides(alive));
+        assertTrue(alive.with(MemberState.GONE, 0).overrides(alive.with(MemberState.SUSPECT, 0)));
+        assertTrue(!alive.overrides(alive.with(MemberState.SUSPECT, 0)));
+        assertTrue(new MemberRecord(1, 10, 3, MemberState.ALIVE, 1).overrides(alive.with(MemberState.GONE, 0)));
+        assertTrue(!new MemberRecord(1, 10, 9, MemberState.ALIVE, 1).overrides(alive.with(MemberState.LEFT, 0)));
+        assertTrue(new MemberRecord(1, 11, 0, MemberState.ALIVE, 1).overrides(alive.with(MemberState.LEFT, 0)));
+        assertTrue(!new MemberRecord(1, 9, 9, MemberState.GONE, 0).overrides(alive));
     }
 }
--- a/src/test/java/kitemux/peers/Meeting.java
+++ b/src/test/java/kitemux/peers/Meeting.java
@@ -39,7 +39,7 @@
     interface Change {
         Change NONE = new Change() {};
 
-        default Terms terms(Terms terms) {
+        default MembershipConfig terms(MembershipConfig terms) {
             return terms;
         }
 
@@ -55,14 +55,14 @@
     /** A place in the fleet, and the process that has it. */
     final class Seat {
         final int number;
-        Members members;
+        Membership members;
         boolean running;
         boolean still;
         int process;
         long since;
         private Scheduler.Event next;
         private final ArrayDeque<byte[]> held = new ArrayDeque<>();
-        final List<Word> heard = new ArrayList<>();
+        final List<Update> heard = new ArrayList<>();
 
         Seat(int number) {
             this.number = number;
@@ -78,21 +78,21 @@
             arm();
         }
 
-        private Members process(long life) {
-            return new Members(
+        private Membership process(long life) {
+            return new Membership(
                     change.terms(terms(number)),
                     life,
                     draws.nextLong(),
                     time.nowUs(),
                     (to, message) -> send(this, to, change.sent(this, to, message)),
-                    new Members.Watcher() {
+                    new Membership.Listener() {
                         @Override
-                        public void changed(Belief now) {
+                        public void onMemberChanged(MemberRecord now) {
                             spoken.add(time.nowUs() + " " + number + " " + now);
                         }
 
                         @Override
-                        public void heard(Word word) {
+                        public void onUpdate(Update word) {
                             heard.add(word);
                         }
                     });
@@ -148,7 +148,7 @@
 
         void arm() {
             disarm();
-            long at = members.nextAtUs();
+            long at = members.nextTickAtUs();
             if (running && !still && at != Long.MAX_VALUE) {
                 next = time.scheduleAt(Math.max(at, time.nowUs()) * 1_000, () -> {
                     members.tick(time.nowUs());
@@ -169,8 +169,8 @@
         run(1_000_000);
     }
 
-    Terms terms(int number) {
-        return Terms.usual(cut.length, number);
+    MembershipConfig terms(int number) {
+        return MembershipConfig.defaults(cut.length, number);
     }
 
     private void send(Seat from, int to, Message message) {
@@ -224,12 +224,12 @@
         }
     }
 
-    Standing seen(int by, int node) {
-        return seats.get(by).members.of(node).standing();
+    MemberState seen(int by, int node) {
+        return seats.get(by).members.recordOf(node).state();
     }
 
     /** Whether all of these see a node so. */
-    boolean allSee(List<Integer> by, int node, Standing... so) {
+    boolean allSee(List<Integer> by, int node, MemberState... so) {
         return by.stream().filter(i -> i != node).allMatch(i -> List.of(so).contains(seen(i, node)));
     }
 
@@ -242,6 +242,6 @@
     }
 
     boolean allAgreeThatAllAreThere() {
-        return all().stream().allMatch(i -> allSee(all(), i, Standing.ALIVE));
+        return all().stream().allMatch(i -> allSee(all(), i, MemberState.ALIVE));
     }
 }
--- a/src/test/java/kitemux/peers/MembersTest.java
+++ b/src/test/java/kitemux/peers/MembersTest.java
@@ -26,15 +26,15 @@
         Meeting meeting = well(nodes, nodes);
         meeting.seats.get(1).die();
         assertTrue(
-                meeting.until(Promises.GIVEN_UP_US, () -> meeting.allSee(meeting.but(1), 1, Standing.GONE)) >= 0,
+                meeting.until(Promises.GIVEN_UP_US, () -> meeting.allSee(meeting.but(1), 1, MemberState.GONE)) >= 0,
                 meeting.spoken.toString());
-        assertEquals(nodes - 1, meeting.seats.get(0).members.alive());
+        assertEquals(nodes - 1, meeting.seats.get(0).members.aliveCount());
     }
 
     @Test
     void aNodeThatStartsAnewReplacesItsFormerLife() {
         Meeting meeting = well(5, 1);
-        long before = meeting.seats.get(0).members.of(2).life();
+        long before = meeting.seats.get(0).members.recordOf(2).generation();
         meeting.seats.get(2).die();
         meeting.run(300_000);
         meeting.seats.get(2).start();
@@ -45,8 +45,8 @@
                                         .allMatch(i -> meeting.seats
                                                         .get(i)
                                                         .members
-                                                        .of(2)
-                                                        .life()
+                                                        .recordOf(2)
+                                                        .generation()
                                                 > before))
                 >= 0);
     }
@@ -55,38 +55,38 @@
     void aProcessThatWokeAfterItWasGivenUpTakesThatBackAndAccusesNobody() {
         Meeting meeting = well(5, 2);
         meeting.seats.get(3).stop();
-        assertTrue(meeting.until(Promises.GIVEN_UP_US, () -> meeting.allSee(meeting.but(3), 3, Standing.GONE)) >= 0);
+        assertTrue(meeting.until(Promises.GIVEN_UP_US, () -> meeting.allSee(meeting.but(3), 3, MemberState.GONE)) >= 0);
         meeting.run(40_000_000);
         int said = meeting.spoken.size();
         meeting.seats.get(3).goOn();
         assertTrue(meeting.until(Promises.HEALED_US, meeting::allAgreeThatAllAreThere) >= 0);
         List<String> after = meeting.spoken.subList(said, meeting.spoken.size());
         assertTrue(
-                after.stream().noneMatch(line -> line.contains("SUSPECT") || line.contains("standing=GONE")),
+                after.stream().noneMatch(line -> line.contains("SUSPECT") || line.contains("state=GONE")),
                 after.toString());
     }
 
     @Test
     void anOldCopyFallsSilentOnceItHearsOfTheNewOne() {
         Meeting meeting = well(4, 3);
-        Members old = meeting.seats.get(2).members;
+        Membership old = meeting.seats.get(2).members;
         meeting.seats.get(2).start();
         meeting.run(3_000_000);
-        long life = meeting.seats.get(0).members.of(2).life();
-        assertTrue(life > old.of(2).life());
+        long life = meeting.seats.get(0).members.recordOf(2).generation();
+        assertTrue(life > old.recordOf(2).generation());
         // The old process speaks up, and is told.
         old.receive(
                 meeting.time.nowUs(),
                 new Message(
                         Message.Kind.ACK,
                         0,
-                        meeting.seats.get(0).members.of(0).life(),
+                        meeting.seats.get(0).members.recordOf(0).generation(),
                         1,
                         0,
-                        List.of(meeting.seats.get(0).members.of(2)),
+                        List.of(meeting.seats.get(0).members.recordOf(2)),
                         List.of()));
         assertTrue(old.isReplaced());
-        assertEquals(Long.MAX_VALUE, old.nextAtUs());
+        assertEquals(Long.MAX_VALUE, old.nextTickAtUs());
     }
 
     @Test
@@ -95,7 +95,7 @@
         meeting.cut[1][0] = true;
         meeting.run(60_000_000);
         assertTrue(meeting.allAgreeThatAllAreThere(), meeting.spoken.toString());
-        assertTrue(meeting.spoken.stream().noneMatch(line -> line.contains("standing=GONE")));
+        assertTrue(meeting.spoken.stream().noneMatch(line -> line.contains("state=GONE")));
     }
 
     @Test
@@ -105,8 +105,9 @@
         meeting.part(some, true);
         assertTrue(meeting.until(
                         3 * Promises.GIVEN_UP_US,
-                        () -> meeting.but(0, 1, 2).stream().allMatch(i -> meeting.allSee(some, i, Standing.GONE))
-                                && some.stream().allMatch(i -> meeting.allSee(meeting.but(0, 1, 2), i, Standing.GONE)))
+                        () -> meeting.but(0, 1, 2).stream().allMatch(i -> meeting.allSee(some, i, MemberState.GONE))
+                                && some.stream()
+                                        .allMatch(i -> meeting.allSee(meeting.but(0, 1, 2), i, MemberState.GONE)))
                 >= 0);
         assertTrue(meeting.seats.stream().allMatch(seat -> seat.members.isMinority()));
         meeting.part(some, false);
@@ -119,7 +120,7 @@
         Meeting meeting = well(5, 6);
         meeting.seats.get(4).members.leave(meeting.time.nowUs());
         meeting.seats.get(4).die();
-        assertTrue(meeting.until(3_000_000, () -> meeting.allSee(meeting.but(4), 4, Standing.LEFT)) >= 0);
+        assertTrue(meeting.until(3_000_000, () -> meeting.allSee(meeting.but(4), 4, MemberState.LEFT)) >= 0);
         assertTrue(meeting.spoken.stream().noneMatch(line -> line.contains("SUSPECT")));
         meeting.run(10_000_000);
         meeting.seats.get(4).start();
@@ -140,19 +141,19 @@
     @Test
     void aWordReachesAllOnceAndTheNewestHolds() {
         Meeting meeting = well(9, 8);
-        Members teller = meeting.seats.get(0).members;
-        teller.tell(3, 1, 60_000, new byte[] {1});
+        Membership teller = meeting.seats.get(0).members;
+        teller.broadcast(3, 1, 60_000, new byte[] {1});
         assertTrue(meeting.until(
                         15_000_000, () -> meeting.seats.stream().skip(1).allMatch(seat -> !seat.heard.isEmpty()))
                 >= 0);
-        teller.tell(3, 2, 60_000, new byte[] {2});
+        teller.broadcast(3, 2, 60_000, new byte[] {2});
         assertTrue(meeting.until(
                         15_000_000, () -> meeting.seats.stream().skip(1).allMatch(seat -> seat.heard.size() == 2))
                 >= 0);
         meeting.run(30_000_000);
         meeting.seats.stream().skip(1).forEach(seat -> {
             assertEquals(2, seat.heard.size());
-            assertArrayEquals(new byte[] {2}, seat.heard.get(1).text());
+            assertArrayEquals(new byte[] {2}, seat.heard.get(1).payload());
         });
     }
 
@@ -160,7 +161,7 @@
     void aWordWhoseTimeIsOverIsNotPassedOn() {
         Meeting meeting = well(5, 9);
         meeting.part(List.of(0), true);
-        meeting.seats.get(0).members.tell(1, 1, 500, new byte[3]);
+        meeting.seats.get(0).members.broadcast(1, 1, 500, new byte[3]);
         meeting.run(1_000_000);
         meeting.part(List.of(0), false);
         meeting.run(30_000_000);
@@ -170,10 +171,10 @@
     @Test
     void noDatagramIsLongerThanThePlatformAllows() {
         Meeting meeting = well(40, 10);
-        IntStream.range(0, 40).forEach(i -> meeting.seats.get(i).members.tell(0, 1, 60_000, new byte[100]));
+        IntStream.range(0, 40).forEach(i -> meeting.seats.get(i).members.broadcast(0, 1, 60_000, new byte[100]));
         IntStream.range(20, 40).forEach(i -> meeting.seats.get(i).die());
         meeting.run(30_000_000);
-        assertTrue(meeting.largest <= Datagram.PLATFORM_BYTES, "" + meeting.largest);
+        assertTrue(meeting.largest <= Datagram.PLATFORM_MAX_BYTES, "" + meeting.largest);
         assertTrue(meeting.largest > 200, "" + meeting.largest);
     }
 
@@ -195,22 +196,23 @@
     @Test
     void whatNobodyCouldSayIsPassedOver() {
         Meeting meeting = well(3, 12);
-        Members members = meeting.seats.get(0).members;
-        Belief nobody = new Belief(9, 5, 0, Standing.GONE, 0);
+        Membership members = meeting.seats.get(0).members;
+        MemberRecord nobody = new MemberRecord(9, 5, 0, MemberState.GONE, 0);
         members.receive(meeting.time.nowUs(), new Message(Message.Kind.PING, 9, 1, 1, 0, List.of(), List.of()));
-        members.receive(meeting.time.nowUs(), new Message(Message.Kind.ASK, 1, 1, 1, 12, List.of(), List.of()));
+        members.receive(
+                meeting.time.nowUs(), new Message(Message.Kind.PING_REQUEST, 1, 1, 1, 12, List.of(), List.of()));
         members.receive(
                 meeting.time.nowUs(),
                 new Message(Message.Kind.PING, 1, Long.MAX_VALUE >>> 16, 1, 0, List.of(nobody), List.of()));
         meeting.run(2_000_000);
         assertTrue(meeting.allAgreeThatAllAreThere());
-        assertThrows(IllegalArgumentException.class, () -> members.tell(256, 1, 10, new byte[0]));
-        assertThrows(IllegalArgumentException.class, () -> members.tell(1, 1, 10, new byte[129]));
+        assertThrows(IllegalArgumentException.class, () -> members.broadcast(256, 1, 10, new byte[0]));
+        assertThrows(IllegalArgumentException.class, () -> members.broadcast(1, 1, 10, new byte[129]));
     }
 
     @Test
     void termsThatCannotBeAreAllTold() {
-        assertEquals(7, new Terms(0, 3, 1, 1, -1, 0, 9).faults().size());
-        assertEquals(List.of(), Terms.usual(3, 0).faults());
+        assertEquals(7, new MembershipConfig(0, 3, 1, 1, -1, 0, 9).violations().size());
+        assertEquals(List.of(), MembershipConfig.defaults(3, 0).violations());
     }
 }
--- a/src/test/java/kitemux/peers/Promises.java
+++ b/src/test/java/kitemux/peers/Promises.java
@@ -44,7 +44,7 @@
                 switch (draws.nextInt(KINDS)) {
                     case 0 -> {
                         meeting.seats.get(who).die();
-                        yield meeting.until(GIVEN_UP_US, () -> meeting.allSee(others, who, Standing.GONE)) < 0
+                        yield meeting.until(GIVEN_UP_US, () -> meeting.allSee(others, who, MemberState.GONE)) < 0
                                 ? "a dead node is not given up"
                                 : null;
                     }
@@ -64,7 +64,7 @@
                     case 3 -> {
                         meeting.cut[who][others.get(0)] = true;
                         meeting.run(60_000_000);
-                        yield nodes > 3 && !meeting.spoken.stream().noneMatch(l -> l.contains("standing=GONE"))
+                        yield nodes > 3 && !meeting.spoken.stream().noneMatch(l -> l.contains("state=GONE"))
                                 ? "a cut of one direction has a node given up"
                                 : null;
                     }
@@ -72,7 +72,7 @@
                         meeting.seats.get(who).die();
                         meeting.run(draws.nextLong(30_000_000));
                         meeting.seats.get(who).start();
-                        long life = meeting.seats.get(who).members.of(who).life();
+                        long life = meeting.seats.get(who).members.recordOf(who).generation();
                         yield meeting.until(
                                                 HEALED_US,
                                                 () -> meeting.allAgreeThatAllAreThere()
@@ -80,8 +80,8 @@
                                                                 .allMatch(i -> meeting.seats
                                                                                 .get(i)
                                                                                 .members
-                                                                                .of(who)
-                                                                                .life()
+                                                                                .recordOf(who)
+                                                                                .generation()
                                                                         == life))
                                         < 0
                                 ? "a new life is not believed in"
@@ -99,7 +99,7 @@
                                 : null;
                     }
                 };
-        if (told == null && meeting.largest > Datagram.PLATFORM_BYTES) {
+        if (told == null && meeting.largest > Datagram.PLATFORM_MAX_BYTES) {
             told = "a datagram of " + meeting.largest + " bytes";
         }
         return told == null ? null : "seed " + seed + ", " + nodes + " nodes: " + told;
@@ -109,10 +109,10 @@
         long longest = 0;
         for (int by : meeting.all()) {
             for (int node : meeting.but(by)) {
-                if (meeting.seen(by, node) == Standing.GONE) {
+                if (meeting.seen(by, node) == MemberState.GONE) {
                     longest = Math.max(
                             longest,
-                            meeting.time.nowUs() - meeting.seats.get(by).members.sinceUs(node));
+                            meeting.time.nowUs() - meeting.seats.get(by).members.changedAtUs(node));
                 }
             }
         }
--- a/src/test/java/kitemux/peers/PromisesTest.java
+++ b/src/test/java/kitemux/peers/PromisesTest.java
@@ -49,27 +49,41 @@
             public Message received(Meeting.Seat by, Message message) {
                 return with(
                         message,
-                        message.beliefs().stream()
-                                .map(b -> new Belief(b.node(), b.life(), 0, b.standing(), b.by()))
+                        message.members().stream()
+                                .map(b -> new MemberRecord(b.node(), b.generation(), 0, b.state(), b.reporter()))
                                 .toList());
             }
         },
         NOBODY_IS_ASKED_FOR_HELP {
             @Override
             public Message sent(Meeting.Seat by, int to, Message message) {
-                return message.kind() == Message.Kind.ASK ? null : message;
+                return message.kind() == Message.Kind.PING_REQUEST ? null : message;
             }
         },
         SUSPECTS_ARE_NEVER_GIVEN_UP {
             @Override
-            public Terms terms(Terms t) {
-                return new Terms(t.nodes(), t.me(), t.periodUs(), t.answerUs(), t.helpers(), 100, t.mostBytes());
+            public MembershipConfig terms(MembershipConfig t) {
+                return new MembershipConfig(
+                        t.nodeCount(),
+                        t.self(),
+                        t.probePeriodUs(),
+                        t.probeTimeoutUs(),
+                        t.indirectProbes(),
+                        100,
+                        t.maxDatagramBytes());
             }
         },
         SUSPECTS_HAVE_NO_TIME {
             @Override
-            public Terms terms(Terms t) {
-                return new Terms(t.nodes(), t.me(), t.periodUs(), t.answerUs(), t.helpers(), 1, t.mostBytes());
+            public MembershipConfig terms(MembershipConfig t) {
+                return new MembershipConfig(
+                        t.nodeCount(),
+                        t.self(),
+                        t.probePeriodUs(),
+                        t.probeTimeoutUs(),
+                        t.indirectProbes(),
+                        1,
+                        t.maxDatagramBytes());
             }
 
             @Override
@@ -77,7 +91,7 @@
                 // Whoever is suspected does not hear of it.
                 return with(
                         message,
-                        message.beliefs().stream()
+                        message.members().stream()
                                 .filter(b -> b.node() != by.number)
                                 .toList());
             }
@@ -87,15 +101,16 @@
             public Message received(Meeting.Seat by, Message message) {
                 return with(
                         message,
-                        message.beliefs().stream()
-                                .map(b -> new Belief(b.node(), 1, b.incarnation(), b.standing(), b.by()))
+                        message.members().stream()
+                                .map(b -> new MemberRecord(b.node(), 1, b.incarnation(), b.state(), b.reporter()))
                                 .toList());
             }
         },
         THE_GONE_ARE_NOT_SOUGHT {
             @Override
             public Message sent(Meeting.Seat by, int to, Message message) {
-                return message.kind() == Message.Kind.PING && by.members.of(to).standing() == Standing.GONE
+                return message.kind() == Message.Kind.PING
+                                && by.members.recordOf(to).state() == MemberState.GONE
                         ? null
                         : message;
             }
@@ -105,9 +120,9 @@
             public Message sent(Meeting.Seat by, int to, Message message) {
                 return with(
                         message,
-                        message.beliefs().stream()
+                        message.members().stream()
                                 .map(b -> b.node() == by.number
-                                        ? new Belief(b.node(), b.life(), 0, b.standing(), b.by())
+                                        ? new MemberRecord(b.node(), b.generation(), 0, b.state(), b.reporter())
                                         : b)
                                 .toList());
             }
@@ -115,17 +130,18 @@
         ANSWERS_ARE_NOT_PASSED_ON {
             @Override
             public Message sent(Meeting.Seat by, int to, Message message) {
-                return message.kind() == Message.Kind.PING && message.number() % 4 == 0 ? null : message;
+                return message.kind() == Message.Kind.PING && message.sequence() % 4 == 0 ? null : message;
             }
 
             @Override
-            public Terms terms(Terms t) {
-                return new Terms(t.nodes(), t.me(), t.periodUs(), t.answerUs(), 0, 1, t.mostBytes());
+            public MembershipConfig terms(MembershipConfig t) {
+                return new MembershipConfig(
+                        t.nodeCount(), t.self(), t.probePeriodUs(), t.probeTimeoutUs(), 0, 1, t.maxDatagramBytes());
             }
         };
 
-        static Message with(Message m, List<Belief> beliefs) {
-            return new Message(m.kind(), m.from(), m.life(), m.number(), m.about(), beliefs, m.words());
+        static Message with(Message m, List<MemberRecord> beliefs) {
+            return new Message(m.kind(), m.sender(), m.generation(), m.sequence(), m.target(), beliefs, m.updates());
         }
     }
 
--- a/src/test/java/kitemux/peers/Sizes.java
+++ b/src/test/java/kitemux/peers/Sizes.java
@@ -42,9 +42,10 @@
                 bytes += (meeting.bytes - size) / 60.0 / nodes / plays;
                 meeting.seats.get(1).die();
                 long one = meeting.until(
-                        120_000_000, () -> meeting.but(1).stream().anyMatch(i -> meeting.seen(i, 1) == Standing.GONE));
+                        120_000_000,
+                        () -> meeting.but(1).stream().anyMatch(i -> meeting.seen(i, 1) == MemberState.GONE));
                 first.add(one / 1e6);
-                all.add((one + meeting.until(120_000_000, () -> meeting.allSee(meeting.but(1), 1, Standing.GONE)))
+                all.add((one + meeting.until(120_000_000, () -> meeting.allSee(meeting.but(1), 1, MemberState.GONE)))
                         / 1e6);
                 List<Integer> half = meeting.all().subList(0, nodes / 2);
                 meeting.part(half, true);
@@ -53,7 +54,7 @@
                 healed.add(meeting.until(
                                 900_000_000,
                                 () -> meeting.but(1).stream()
-                                        .allMatch(i -> meeting.allSee(meeting.but(1), i, Standing.ALIVE)))
+                                        .allMatch(i -> meeting.allSee(meeting.but(1), i, MemberState.ALIVE)))
                         / 1e6);
             }
             Collections.sort(first);
--- a/src/test/java/kitemux/soak/SoakJudgeTest.java
+++ b/src/test/java/kitemux/soak/SoakJudgeTest.java
@@ -19,8 +19,11 @@
     }
 
     private static String found(
-            Request request, List<SoakServer.Arrival> arrivals, List<String> traces, List<SoakJudge.Killed> killed) {
-        List<SoakJudge.Finding> found = SoakJudge.judge(List.of(request), arrivals, traces, killed);
+            Request request,
+            List<SoakServer.Arrival> arrivals,
+            List<String> traces,
+            List<SoakVerifier.UnannouncedKill> killed) {
+        List<SoakVerifier.Violation> found = SoakVerifier.judge(List.of(request), arrivals, traces, killed);
         return found.isEmpty() ? "nothing" : found.get(0).rule();
     }
 
@@ -37,8 +40,9 @@
     void whatAKillWithNoSignalBeforeFindsIsLeftToTheClient() {
         Request broken = request(0, Request.Outcome.BROKEN, 100_000);
         List<SoakServer.Arrival> read = List.of(arrival(1_000, TIME_US));
-        assertEquals("nothing", found(broken, read, List.of(), List.of(new SoakJudge.Killed(SENT_US + 99_000))));
-        assertEquals("lost", found(broken, read, List.of(), List.of(new SoakJudge.Killed(SENT_US - 1))));
+        assertEquals(
+                "nothing", found(broken, read, List.of(), List.of(new SoakVerifier.UnannouncedKill(SENT_US + 99_000))));
+        assertEquals("lost", found(broken, read, List.of(), List.of(new SoakVerifier.UnannouncedKill(SENT_US - 1))));
     }
 
     @Test
--- a/src/test/java/kitemux/soak/SoakTest.java
+++ b/src/test/java/kitemux/soak/SoakTest.java
@@ -31,8 +31,8 @@
     @ParameterizedTest
     @CsvSource({"2,true", "3,true", "5,true", "6,true", "2,false", "4,false"})
     void noRuleIsBrokenWhileProcessesAreChanged(long seed, boolean upgradesOnly) throws Exception {
-        Soak.Result result = Soak.play(SoakTest::node, true, seed, upgradesOnly, CHANGES, folder);
+        Soak.Result result = Soak.run(SoakTest::node, true, seed, upgradesOnly, CHANGES, folder);
         assertTrue(result.requests() > 0, "nobody asked");
-        assertEquals(List.of(), result.findings(), () -> "the player was late by " + result.lateMs() + " ms");
+        assertEquals(List.of(), result.violations(), () -> "the player was late by " + result.maxLatenessMs() + " ms");
     }
 }
