--- a/src/main/java/kitemux/mysql/AuthPlugin.java
+++ b/src/main/java/kitemux/mysql/AuthPlugin.java
@@ -64,8 +64,8 @@
         if (password.isEmpty()) {
             return new byte[0];
         }
-        byte[] once = hash(password.getBytes(StandardCharsets.UTF_8));
-        return xor(once, mask(hash(once), nonce));
+        byte[] passwordHash = hash(password.getBytes(StandardCharsets.UTF_8));
+        return xor(passwordHash, mask(hash(passwordHash), nonce));
     }
 
     /** Whether a proof is one for the password of this digest, and for this nonce. */
--- a/src/main/java/kitemux/mysql/BackendConnection.java
+++ b/src/main/java/kitemux/mysql/BackendConnection.java
@@ -19,7 +19,7 @@
  */
 final class BackendConnection extends ChannelInboundHandlerAdapter {
     /** What this program can do towards servers, and what both sides then keep to. */
-    static final long WANTED = Capabilities.LONG_PASSWORD
+    static final long REQUESTED_CAPABILITIES = Capabilities.LONG_PASSWORD
             | Capabilities.LONG_FLAG
             | Capabilities.PROTOCOL_41
             | Capabilities.TRANSACTIONS
@@ -30,33 +30,33 @@
             | Capabilities.PLUGIN_AUTH_LENENC_DATA
             | Capabilities.DEPRECATE_EOF;
 
-    private static final int MOST_PACKET = 1 << 30;
-    private static final int UTF8MB4 = 45;
-    private static final int AUTH_SWITCH = 0xfe;
-    private static final int AUTH_MORE = 0x01;
-    private static final int FAST_PATH = 3;
+    private static final int MAX_PACKET_BYTES = 1 << 30;
+    private static final int UTF8MB4_COLLATION = 45;
+    private static final int AUTH_SWITCH_HEADER = 0xfe;
+    private static final int AUTH_MORE_DATA_HEADER = 0x01;
+    private static final int FAST_AUTH_SUCCESS = 3;
 
     /** Who logs in, and where it begins; an empty database is none. */
     record Account(String user, String password, String database) {}
 
     /** Told of a connection's login: one of these, once. */
     interface LoginListener {
-        void loggedIn(BackendConnection connection);
+        void onLoginSucceeded(BackendConnection connection);
 
         /** It is closed, and nothing has run on it; the error is the server's, or null. */
-        void refused(String why, ErrPacket error);
+        void onLoginFailed(String reason, ErrPacket error);
     }
 
     /** Told of an answer. */
     interface ResponseListener {
         /** The first of it has come, and it is no error. False to break it off: no end is told then. */
-        boolean begun();
+        boolean onResponseStart();
 
         /** More of it, in packets as the server numbered them; to be released here. */
-        void more(ByteBuf packets);
+        void onResponsePackets(ByteBuf packets);
 
         /** Its one end; the error is the server's, or null. Behind a begin only OK ends it whole. */
-        void ended(Result result, ErrPacket error);
+        void onResponseEnd(Result result, ErrPacket error);
     }
 
     private enum Phase {
@@ -68,35 +68,35 @@
     }
 
     private final Account account;
-    private final LoginListener login;
+    private final LoginListener loginListener;
     private final PacketDecoder decoder;
     private Channel channel;
-    private PayloadAssembler gatherer;
+    private PayloadAssembler assembler;
     private Phase phase = Phase.GREETING;
     private byte[] nonce;
     private long capabilities;
     private int status;
 
-    private ResponseListener heard;
+    private ResponseListener listener;
     private ResponseTracker tracker;
-    private boolean written;
-    private boolean begun;
+    private boolean commandWritten;
+    private boolean responseStarted;
     /** Whether the payload that comes now is gathered, to be seen. */
-    private boolean gathers;
+    private boolean inspectsPayload;
 
-    private int firstSequence;
+    private int payloadSequence;
 
     /** A connection that is not open yet; the decoder stands in front of it. */
-    BackendConnection(Account account, PacketDecoder decoder, LoginListener login) {
+    BackendConnection(Account account, PacketDecoder decoder, LoginListener loginListener) {
         this.account = account;
         this.decoder = decoder;
-        this.login = login;
+        this.loginListener = loginListener;
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         channel = context.channel();
-        gatherer = new PayloadAssembler(channel.alloc(), ResponseTracker.MOST_SEEN);
+        assembler = new PayloadAssembler(channel.alloc(), ResponseTracker.MAX_INSPECTED_BYTES);
     }
 
     /** What both sides keep to. */
@@ -122,17 +122,17 @@
      * @param command its payload; released here
      * @return its packets, which the caller owns
      */
-    ByteBuf take(ByteBuf command, ResponseType form, ResponseListener by) {
+    ByteBuf beginCommand(ByteBuf command, ResponseType responseType, ResponseListener responseListener) {
         if (phase != Phase.IDLE) {
             command.release();
             throw new IllegalStateException("not idle but " + phase);
         }
         phase = Phase.BUSY;
-        heard = by;
-        tracker = new ResponseTracker(form, capabilities);
-        written = false;
-        begun = false;
-        decoder.expect(Packets.count(command.readableBytes()));
+        listener = responseListener;
+        tracker = new ResponseTracker(responseType, capabilities);
+        commandWritten = false;
+        responseStarted = false;
+        decoder.expectSequence(Packets.packetCount(command.readableBytes()));
         return Packets.write(channel.alloc(), command, 0);
     }
 
@@ -141,19 +141,20 @@
      *
      * @param command its payload; released here
      */
-    void carry(ByteBuf command, ResponseType form, ResponseListener by) {
-        channel.writeAndFlush(take(command, form, by)).addListener(done -> {
-            if (done.isSuccess()) {
-                written |= heard == by;
-            } else {
-                close();
-            }
-        });
+    void sendCommand(ByteBuf command, ResponseType responseType, ResponseListener responseListener) {
+        channel.writeAndFlush(beginCommand(command, responseType, responseListener))
+                .addListener(future -> {
+                    if (future.isSuccess()) {
+                        commandWritten |= listener == responseListener;
+                    } else {
+                        close();
+                    }
+                });
     }
 
     /** Whether the command that it carries may have reached its server whole. */
-    boolean isWritten() {
-        return written;
+    boolean isCommandWritten() {
+        return commandWritten;
     }
 
     /** Lets the server be read on, or not: where the client does not read, the server is to wait. */
@@ -162,8 +163,8 @@
     }
 
     /** Ends it and tells no end of what it carries: a server finds its client gone. */
-    void giveUp() {
-        heard = null;
+    void abort() {
+        listener = null;
         close();
     }
 
@@ -178,7 +179,7 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         Part part = (Part) message;
         if (phase == Phase.BUSY) {
-            answer(part);
+            handleResponsePart(part);
             return;
         }
         if (phase != Phase.GREETING && phase != Phase.LOGIN) {
@@ -187,13 +188,13 @@
             close();
             return;
         }
-        ByteBuf payload = gatherer.add(part);
+        ByteBuf payload = assembler.add(part);
         if (payload != null) {
             try {
                 if (phase == Phase.GREETING) {
-                    greeted(InitialHandshake.read(payload));
+                    handleHandshake(InitialHandshake.read(payload));
                 } else {
-                    loginGoesOn(payload);
+                    continueLogin(payload);
                 }
             } finally {
                 payload.release();
@@ -201,170 +202,170 @@
         }
     }
 
-    private void answer(Part part) {
+    private void handleResponsePart(Part part) {
         if (part.first()) {
-            firstSequence = part.sequence();
+            payloadSequence = part.sequence();
             try {
-                gathers = tracker.begins(
+                inspectsPayload = tracker.beginPayload(
                         part.bytes().isReadable()
                                 ? part.bytes().getUnsignedByte(part.bytes().readerIndex())
                                 : -1,
-                        part.wire());
-            } catch (ProtocolException fault) {
+                        part.packetLength());
+            } catch (ProtocolException exception) {
                 part.bytes().release();
-                throw fault;
+                throw exception;
             }
         }
-        if (!gathers) {
+        if (!inspectsPayload) {
             boolean last = part.last();
-            if (pass(part) && last) {
-                tracker.passed();
-                endIfOver();
+            if (forward(part) && last) {
+                tracker.skipPayload();
+                completeIfFinished();
             }
             return;
         }
-        ByteBuf payload = gatherer.add(part);
+        ByteBuf payload = assembler.add(part);
         if (payload == null) {
             return;
         }
         try {
-            tracker.seen(payload.duplicate());
+            tracker.inspect(payload.duplicate());
             status = tracker.status();
             // Behind rows an error is one more packet, and the answer's end; alone it is told as such.
-            if ((begun || tracker.end() != Completion.ERROR)
-                    && !pass(Packets.write(channel.alloc(), payload.retain(), firstSequence))) {
+            if ((responseStarted || tracker.completion() != Completion.ERROR)
+                    && !forward(Packets.write(channel.alloc(), payload.retain(), payloadSequence))) {
                 return;
             }
         } finally {
             payload.release();
         }
-        endIfOver();
+        completeIfFinished();
     }
 
-    private boolean pass(Part part) {
+    private boolean forward(Part part) {
         ByteBuf bytes = part.bytes();
-        if (part.wire() < 0) {
-            return pass(bytes);
+        if (part.packetLength() < 0) {
+            return forward(bytes);
         }
         ByteBuf header = channel.alloc()
-                .buffer(PacketDecoder.HEADER)
-                .writeMediumLE(part.wire())
+                .buffer(PacketDecoder.HEADER_BYTES)
+                .writeMediumLE(part.packetLength())
                 .writeByte(part.sequence());
-        return pass(Unpooled.wrappedBuffer(header, bytes));
+        return forward(Unpooled.wrappedBuffer(header, bytes));
     }
 
     /** False if it was broken off; the bytes are released then. */
-    private boolean pass(ByteBuf packets) {
-        ResponseListener by = heard;
-        if (by != null && !begun) {
-            begun = true;
-            if (!by.begun()) {
-                giveUp();
+    private boolean forward(ByteBuf packets) {
+        ResponseListener responseListener = listener;
+        if (responseListener != null && !responseStarted) {
+            responseStarted = true;
+            if (!responseListener.onResponseStart()) {
+                abort();
             }
         }
-        if (heard == null) {
+        if (listener == null) {
             packets.release();
             return false;
         }
-        by.more(packets);
-        return heard == by;
+        responseListener.onResponsePackets(packets);
+        return listener == responseListener;
     }
 
-    private void endIfOver() {
-        if (tracker.end() != null) {
+    private void completeIfFinished() {
+        if (tracker.completion() != null) {
             phase = Phase.IDLE;
             setReading(true);
-            end(tracker.end() == Completion.OK ? Result.OK : Result.ERROR, tracker.error());
+            complete(tracker.completion() == Completion.OK ? Result.OK : Result.ERROR, tracker.error());
         }
     }
 
-    private void end(Result result, ErrPacket error) {
-        ResponseListener over = heard;
-        heard = null;
-        if (over != null) {
-            over.ended(result, error);
+    private void complete(Result result, ErrPacket error) {
+        ResponseListener completedListener = listener;
+        listener = null;
+        if (completedListener != null) {
+            completedListener.onResponseEnd(result, error);
         }
     }
 
     // ---------------------------------------------------------------- the login
 
-    private void greeted(InitialHandshake greeting) {
-        nonce = greeting.nonce();
-        capabilities = WANTED & greeting.capabilities();
-        status = greeting.status();
+    private void handleHandshake(InitialHandshake handshake) {
+        nonce = handshake.nonce();
+        capabilities = REQUESTED_CAPABILITIES & handshake.capabilities();
+        status = handshake.status();
         if (!account.database().isEmpty()) {
             capabilities |= Capabilities.CONNECT_WITH_DB;
         }
-        AuthPlugin scramble = scramble(greeting.plugin());
+        AuthPlugin plugin = findPlugin(handshake.plugin());
         phase = Phase.LOGIN;
         ByteBuf out = channel.alloc().buffer();
         // A plugin that is not known is answered with one that is: the server then asks to switch.
-        AuthPlugin used = scramble == null ? AuthPlugin.CACHING_SHA2 : scramble;
+        AuthPlugin usedPlugin = plugin == null ? AuthPlugin.CACHING_SHA2 : plugin;
         new HandshakeResponse(
                         capabilities,
-                        MOST_PACKET,
-                        UTF8MB4,
+                        MAX_PACKET_BYTES,
+                        UTF8MB4_COLLATION,
                         account.user(),
-                        used.createProof(account.password(), nonce),
+                        usedPlugin.createProof(account.password(), nonce),
                         account.database(),
-                        used.pluginName,
+                        usedPlugin.pluginName,
                         Map.of())
                 .write(out);
         send(out);
     }
 
-    private static AuthPlugin scramble(String plugin) {
-        for (AuthPlugin each : AuthPlugin.values()) {
-            if (each.pluginName.equals(plugin)) {
-                return each;
+    private static AuthPlugin findPlugin(String pluginName) {
+        for (AuthPlugin candidate : AuthPlugin.values()) {
+            if (candidate.pluginName.equals(pluginName)) {
+                return candidate;
             }
         }
         return null;
     }
 
     private void send(ByteBuf payload) {
-        int sequence = decoder.expected();
-        decoder.expect(sequence + 1);
+        int sequence = decoder.expectedSequence();
+        decoder.expectSequence(sequence + 1);
         channel.writeAndFlush(Packets.write(channel.alloc(), payload, sequence));
     }
 
-    private void loginGoesOn(ByteBuf payload) {
-        int first = Fields.int1(payload, "the login's answer");
-        switch (first) {
+    private void continueLogin(ByteBuf payload) {
+        int header = Fields.int1(payload, "the login's answer");
+        switch (header) {
             case OkPacket.HEADER -> {
                 status = OkPacket.read(payload, capabilities).status();
                 phase = Phase.IDLE;
-                login.loggedIn(this);
+                loginListener.onLoginSucceeded(this);
             }
             case ErrPacket.HEADER -> {
                 ErrPacket error = ErrPacket.read(payload);
-                refused(error.code() + " " + error.message(), error);
+                failLogin(error.code() + " " + error.message(), error);
             }
-            case AUTH_SWITCH -> {
-                AuthPlugin scramble = scramble(Fields.nulText(payload, "the plugin's name"));
-                if (scramble == null) {
-                    refused("the server asks for a plugin that is not known", null);
+            case AUTH_SWITCH_HEADER -> {
+                AuthPlugin plugin = findPlugin(Fields.nulText(payload, "the plugin's name"));
+                if (plugin == null) {
+                    failLogin("the server asks for a plugin that is not known", null);
                     return;
                 }
                 nonce = Fields.bytes(payload, AuthPlugin.NONCE_BYTES, "the nonce");
-                send(Unpooled.wrappedBuffer(scramble.createProof(account.password(), nonce)));
+                send(Unpooled.wrappedBuffer(plugin.createProof(account.password(), nonce)));
             }
-            case AUTH_MORE -> {
-                if (Fields.int1(payload, "the login's answer") != FAST_PATH) {
+            case AUTH_MORE_DATA_HEADER -> {
+                if (Fields.int1(payload, "the login's answer") != FAST_AUTH_SUCCESS) {
                     // It wants the password itself, which goes over no plain connection.
-                    refused("the server does not know the password's digest yet: log in there once over TLS", null);
+                    failLogin("the server does not know the password's digest yet: log in there once over TLS", null);
                 }
             }
             default ->
-                throw new ProtocolException(ProtocolException.Kind.MALFORMED, "a login's answer begins with " + first);
+                throw new ProtocolException(ProtocolException.Kind.MALFORMED, "a login's answer begins with " + header);
         }
     }
 
-    private void refused(String why, ErrPacket error) {
+    private void failLogin(String reason, ErrPacket error) {
         if (phase == Phase.GREETING || phase == Phase.LOGIN) {
             phase = Phase.CLOSED;
             channel.close();
-            login.refused(why, error);
+            loginListener.onLoginFailed(reason, error);
         }
     }
 
@@ -372,18 +373,18 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        gatherer.close();
-        refused("the connection ended before the login was over", null);
+        assembler.close();
+        failLogin("the connection ended before the login was over", null);
         phase = Phase.CLOSED;
         // What was not written whole has not run: servers run nothing before they have all of it.
-        end(written ? Result.RESET : Result.CONNECT_FAILED, null);
+        complete(commandWritten ? Result.RESET : Result.CONNECT_FAILED, null);
         context.fireChannelInactive();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            refused(String.valueOf(cause.getMessage()), null);
+            failLogin(String.valueOf(cause.getMessage()), null);
         }
         close();
     }
--- a/src/main/java/kitemux/mysql/ClientLogin.java
+++ b/src/main/java/kitemux/mysql/ClientLogin.java
@@ -19,39 +19,39 @@
  */
 final class ClientLogin extends ChannelInboundHandlerAdapter {
     /** What this program can do towards clients. */
-    static final long OFFERED = BackendConnection.WANTED
+    static final long OFFERED_CAPABILITIES = BackendConnection.REQUESTED_CAPABILITIES
             | Capabilities.CONNECT_WITH_DB
             | Capabilities.CONNECT_ATTRS
             | Capabilities.MULTI_STATEMENTS;
     /** Longest payload of a client that has not logged in: a name, a proof and 64 KiB of attributes. It
      * guards memory against those who need not know any password. */
-    static final int MOST_PAYLOAD = 1 << 17;
+    static final int MAX_PAYLOAD_BYTES = 1 << 17;
 
-    static final String VERSION = "8.4.0-kitemux";
+    static final String SERVER_VERSION = "8.4.0-kitemux";
     /** How long one that was not let in may take to read why. */
     private static final long LINGER_MS = 1_000;
 
-    private static final int UTF8MB4 = 45;
+    private static final int UTF8MB4_COLLATION = 45;
     private static final SecureRandom RANDOM = new SecureRandom();
 
     private final Users users;
     private final long connectionId;
-    private final AuthPlugin greeted;
-    private final long loginMs;
+    private final AuthPlugin initialPlugin;
+    private final long loginTimeoutMs;
     private final PacketDecoder decoder;
-    private final LoginHandler entrance;
+    private final LoginHandler loginHandler;
     private Channel channel;
-    private PayloadAssembler gatherer;
-    private Future<?> patience;
-    private AuthPlugin scramble;
+    private PayloadAssembler assembler;
+    private Future<?> loginTimeout;
+    private AuthPlugin plugin;
     private byte[] nonce;
-    private HandshakeResponse greeting;
-    private boolean over;
+    private HandshakeResponse handshake;
+    private boolean finished;
 
     /** What follows a login. */
     interface LoginHandler {
         /** Takes the connection over; the OK has been written, and the next packet is a command's first. */
-        void letIn(Channel channel, PacketDecoder decoder, HandshakeResponse greeting);
+        void onLoginSucceeded(Channel channel, PacketDecoder decoder, HandshakeResponse handshake);
     }
 
     /**
@@ -65,40 +65,47 @@
     ClientLogin(
             Users users,
             long connectionId,
-            AuthPlugin greeted,
-            long loginMs,
+            AuthPlugin initialPlugin,
+            long loginTimeoutMs,
             PacketDecoder decoder,
-            LoginHandler entrance) {
+            LoginHandler loginHandler) {
         this.users = users;
         this.connectionId = connectionId;
-        this.greeted = greeted;
-        this.loginMs = loginMs;
+        this.initialPlugin = initialPlugin;
+        this.loginTimeoutMs = loginTimeoutMs;
         this.decoder = decoder;
-        this.entrance = entrance;
+        this.loginHandler = loginHandler;
     }
 
     /** Without zeros, which end it on the wire. */
     private static byte[] newNonce() {
-        byte[] fresh = new byte[AuthPlugin.NONCE_BYTES];
-        for (int i = 0; i < fresh.length; i++) {
-            fresh[i] = (byte) (1 + RANDOM.nextInt(127));
+        byte[] generated = new byte[AuthPlugin.NONCE_BYTES];
+        for (int i = 0; i < generated.length; i++) {
+            generated[i] = (byte) (1 + RANDOM.nextInt(127));
         }
-        return fresh;
+        return generated;
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         channel = context.channel();
-        gatherer = new PayloadAssembler(channel.alloc(), MOST_PAYLOAD);
-        patience = channel.eventLoop()
+        assembler = new PayloadAssembler(channel.alloc(), MAX_PAYLOAD_BYTES);
+        loginTimeout = channel.eventLoop()
                 .schedule(
-                        () -> refuse(new ErrPacket(1159, "08S01", "the login took too long")),
-                        loginMs,
+                        () -> reject(new ErrPacket(1159, "08S01", "the login took too long")),
+                        loginTimeoutMs,
                         TimeUnit.MILLISECONDS);
-        scramble = greeted;
+        plugin = initialPlugin;
         nonce = newNonce();
         ByteBuf out = channel.alloc().buffer();
-        new InitialHandshake(VERSION, connectionId, nonce, OFFERED, UTF8MB4, OkPacket.AUTOCOMMIT, greeted.pluginName)
+        new InitialHandshake(
+                        SERVER_VERSION,
+                        connectionId,
+                        nonce,
+                        OFFERED_CAPABILITIES,
+                        UTF8MB4_COLLATION,
+                        OkPacket.AUTOCOMMIT,
+                        initialPlugin.pluginName)
                 .write(out);
         send(out);
     }
@@ -106,104 +113,104 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         Part part = (Part) message;
-        if (over) {
+        if (finished) {
             part.bytes().release();
             return;
         }
-        ByteBuf payload = gatherer.add(part);
+        ByteBuf payload = assembler.add(part);
         if (payload == null) {
             return;
         }
         try {
-            if (greeting == null) {
-                answered(HandshakeResponse.read(payload, OFFERED));
+            if (handshake == null) {
+                handleHandshakeResponse(HandshakeResponse.read(payload, OFFERED_CAPABILITIES));
             } else {
                 byte[] proof = new byte[payload.readableBytes()];
                 payload.readBytes(proof);
-                check(proof);
+                verifyProof(proof);
             }
         } finally {
             payload.release();
         }
     }
 
-    private void answered(HandshakeResponse answer) {
-        greeting = answer;
-        Users.User user = users.find(answer.user());
+    private void handleHandshakeResponse(HandshakeResponse response) {
+        handshake = response;
+        Users.User user = users.find(response.user());
         // Older clients name none and mean the first there was.
-        String used = answer.plugin().isEmpty() ? AuthPlugin.NATIVE.pluginName : answer.plugin();
-        if (used.equals(scramble.pluginName) && user.digests().containsKey(scramble)) {
-            check(answer.proof());
+        String clientPlugin = response.plugin().isEmpty() ? AuthPlugin.NATIVE.pluginName : response.plugin();
+        if (clientPlugin.equals(plugin.pluginName) && user.digests().containsKey(plugin)) {
+            verifyProof(response.proof());
             return;
         }
-        if (!user.digests().containsKey(scramble)) {
-            scramble = user.digests().keySet().iterator().next();
+        if (!user.digests().containsKey(plugin)) {
+            plugin = user.digests().keySet().iterator().next();
         }
         nonce = newNonce();
         ByteBuf out = channel.alloc().buffer().writeByte(0xfe);
-        Fields.putNulText(out, scramble.pluginName);
+        Fields.putNulText(out, plugin.pluginName);
         send(out.writeBytes(nonce).writeByte(0));
     }
 
-    private void check(byte[] proof) {
-        if (!users.isProof(users.find(greeting.user()), scramble, proof, nonce)) {
-            refuse(new ErrPacket(
+    private void verifyProof(byte[] proof) {
+        if (!users.isProof(users.find(handshake.user()), plugin, proof, nonce)) {
+            reject(new ErrPacket(
                     1045,
                     "28000",
-                    "Access denied for user '" + greeting.user() + "' (using password: "
+                    "Access denied for user '" + handshake.user() + "' (using password: "
                             + (proof.length > 0 ? "YES" : "NO") + ")"));
             return;
         }
-        over = true;
-        patience.cancel(false);
-        if (scramble == AuthPlugin.CACHING_SHA2) {
+        finished = true;
+        loginTimeout.cancel(false);
+        if (plugin == AuthPlugin.CACHING_SHA2) {
             send(Unpooled.wrappedBuffer(new byte[] {1, 3}));
         }
         ByteBuf ok = channel.alloc().buffer();
-        new OkPacket(0, 0, OkPacket.AUTOCOMMIT, 0, "", null).write(ok, OkPacket.HEADER, greeting.capabilities());
+        new OkPacket(0, 0, OkPacket.AUTOCOMMIT, 0, "", null).write(ok, OkPacket.HEADER, handshake.capabilities());
         send(ok);
-        decoder.expect(0);
+        decoder.expectSequence(0);
         channel.pipeline().remove(this);
-        entrance.letIn(channel, decoder, greeting);
+        loginHandler.onLoginSucceeded(channel, decoder, handshake);
     }
 
     private void send(ByteBuf payload) {
-        int sequence = decoder.expected();
-        decoder.expect(sequence + 1);
+        int sequence = decoder.expectedSequence();
+        decoder.expectSequence(sequence + 1);
         channel.writeAndFlush(Packets.write(channel.alloc(), payload, sequence));
     }
 
-    private void refuse(ErrPacket error) {
-        if (over) {
+    private void reject(ErrPacket error) {
+        if (finished) {
             return;
         }
-        over = true;
-        patience.cancel(false);
+        finished = true;
+        loginTimeout.cancel(false);
         ByteBuf out = channel.alloc().buffer();
         error.write(out);
         // Closed with bytes unread, the system would reset the connection, and the error with it: what still
         // comes is read and dropped until the client closes, for a while.
-        channel.writeAndFlush(Packets.write(channel.alloc(), out, decoder.expected()))
+        channel.writeAndFlush(Packets.write(channel.alloc(), out, decoder.expectedSequence()))
                 .addListener(done -> ((DuplexChannel) channel).shutdownOutput());
         channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        over = true;
-        patience.cancel(false);
+        finished = true;
+        loginTimeout.cancel(false);
         context.fireChannelInactive();
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext context) {
-        gatherer.close();
+        assembler.close();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        if (cause instanceof ProtocolException fault) {
-            refuse(fault.toErrPacket());
+        if (cause instanceof ProtocolException exception) {
+            reject(exception.toErrPacket());
         } else if (cause instanceof IOException) {
             channel.close();
         } else {
--- a/src/main/java/kitemux/mysql/Command.java
+++ b/src/main/java/kitemux/mysql/Command.java
@@ -16,10 +16,10 @@
  */
 record Command(String txn, int classIndex, int tenant, long remainingUs, ResponseType responseType, byte[] payload)
         implements RequestInfo {
-    private static final byte PING_BYTE = 0x0e;
+    private static final byte COM_PING = 0x0e;
 
     /** COM_PING: what checks a server, where the settings allow probes. */
-    static final Command PING = new Command(null, -1, -1, 0, ResponseType.STATUS_ONLY, new byte[] {PING_BYTE});
+    static final Command PING = new Command(null, -1, -1, 0, ResponseType.STATUS_ONLY, new byte[] {COM_PING});
 
     @Override
     public List<byte[]> body() {
--- a/src/main/java/kitemux/mysql/ErrPacket.java
+++ b/src/main/java/kitemux/mysql/ErrPacket.java
@@ -12,7 +12,7 @@
  */
 public record ErrPacket(int code, String sqlState, String message) {
     static final int HEADER = 0xff;
-    private static final int STATE_LENGTH = 5;
+    private static final int SQL_STATE_LENGTH = 5;
 
     /** Reads one whose header byte is read. */
     static ErrPacket read(ByteBuf in) {
@@ -20,9 +20,9 @@
         String state = "HY000";
         if (in.isReadable() && in.getByte(in.readerIndex()) == '#') {
             in.skipBytes(1);
-            state = new String(Fields.bytes(in, STATE_LENGTH, "an error's state"), StandardCharsets.US_ASCII);
+            state = new String(Fields.bytes(in, SQL_STATE_LENGTH, "an error's state"), StandardCharsets.US_ASCII);
         }
-        return new ErrPacket(code, state, Fields.rest(in));
+        return new ErrPacket(code, state, Fields.remainingText(in));
     }
 
     void write(ByteBuf out) {
--- a/src/main/java/kitemux/mysql/Fields.java
+++ b/src/main/java/kitemux/mysql/Fields.java
@@ -17,31 +17,31 @@
 
     private Fields() {}
 
-    private static ProtocolException early(String what) {
+    private static ProtocolException truncated(String what) {
         return new ProtocolException(ProtocolException.Kind.MALFORMED, "the packet ends within " + what);
     }
 
-    private static void need(ByteBuf in, long bytes, String what) {
+    private static void requireBytes(ByteBuf in, long bytes, String what) {
         if (bytes < 0 || in.readableBytes() < bytes) {
-            throw early(what);
+            throw truncated(what);
         }
     }
 
     /** int&lt;1&gt;. */
     static int int1(ByteBuf in, String what) {
-        need(in, 1, what);
+        requireBytes(in, 1, what);
         return in.readUnsignedByte();
     }
 
     /** int&lt;2&gt;. */
     static int int2(ByteBuf in, String what) {
-        need(in, 2, what);
+        requireBytes(in, 2, what);
         return in.readUnsignedShortLE();
     }
 
     /** int&lt;4&gt;. */
     static long int4(ByteBuf in, String what) {
-        need(in, 4, what);
+        requireBytes(in, 4, what);
         return in.readUnsignedIntLE();
     }
 
@@ -54,10 +54,10 @@
             case TWO_BYTES:
                 return int2(in, what);
             case THREE_BYTES:
-                need(in, 3, what);
+                requireBytes(in, 3, what);
                 return in.readUnsignedMediumLE();
             case EIGHT_BYTES:
-                need(in, 8, what);
+                requireBytes(in, 8, what);
                 return in.readLongLE();
             case NULL:
             case 0xff:
@@ -83,7 +83,7 @@
 
     /** So many bytes. */
     static byte[] bytes(ByteBuf in, long count, String what) {
-        need(in, count, what);
+        requireBytes(in, count, what);
         byte[] bytes = new byte[(int) count];
         in.readBytes(bytes);
         return bytes;
@@ -114,7 +114,7 @@
     static String nulText(ByteBuf in, String what) {
         int length = in.bytesBefore((byte) 0);
         if (length < 0) {
-            throw early(what);
+            throw truncated(what);
         }
         String text = in.toString(in.readerIndex(), length, StandardCharsets.UTF_8);
         in.skipBytes(length + 1);
@@ -131,7 +131,7 @@
     }
 
     /** string&lt;EOF&gt;: all that is left, in UTF-8. */
-    static String rest(ByteBuf in) {
+    static String remainingText(ByteBuf in) {
         String text = in.toString(StandardCharsets.UTF_8);
         in.skipBytes(in.readableBytes());
         return text;
--- a/src/main/java/kitemux/mysql/HandshakeResponse.java
+++ b/src/main/java/kitemux/mysql/HandshakeResponse.java
@@ -9,7 +9,7 @@
  * wish for TLS (Protocol::SSLRequest).
  *
  * @param capabilities what it can do and wants
- * @param mostPacket the longest packet that it takes
+ * @param maxPacketBytes the longest packet that it takes
  * @param charset collation of its texts
  * @param user its name; null in a wish for TLS, in which nothing else follows
  * @param proof for the nonce and {@code plugin}
@@ -19,16 +19,16 @@
  */
 record HandshakeResponse(
         long capabilities,
-        long mostPacket,
+        long maxPacketBytes,
         int charset,
         String user,
         byte[] proof,
         String database,
         String plugin,
         Map<String, String> attributes) {
-    private static final int FILLER = 23;
+    private static final int FILLER_BYTES = 23;
     /** Attributes beyond this are a fault: servers take 64 KiB in all. */
-    private static final int MOST_ATTRIBUTES = 1 << 16;
+    private static final int MAX_ATTRIBUTES_BYTES = 1 << 16;
 
     /**
      * Reads a payload, by the capabilities that it names itself.
@@ -43,11 +43,11 @@
         }
         // Real clients name some that they were not offered; a server heeds what both have.
         capabilities &= offered;
-        long mostPacket = Fields.int4(in, "the longest packet");
+        long maxPacketBytes = Fields.int4(in, "the longest packet");
         int charset = Fields.int1(in, "the character set");
-        Fields.bytes(in, FILLER, "the filler");
+        Fields.bytes(in, FILLER_BYTES, "the filler");
         if (Capabilities.has(capabilities, Capabilities.SSL) && !in.isReadable()) {
-            return new HandshakeResponse(capabilities, mostPacket, charset, null, new byte[0], "", "", Map.of());
+            return new HandshakeResponse(capabilities, maxPacketBytes, charset, null, new byte[0], "", "", Map.of());
         }
         String user = Fields.nulText(in, "the user's name");
         byte[] proof = Capabilities.has(capabilities, Capabilities.PLUGIN_AUTH_LENENC_DATA)
@@ -62,12 +62,12 @@
         Map<String, String> attributes = Capabilities.has(capabilities, Capabilities.CONNECT_ATTRS) && in.isReadable()
                 ? attributes(in)
                 : Map.of();
-        return new HandshakeResponse(capabilities, mostPacket, charset, user, proof, database, plugin, attributes);
+        return new HandshakeResponse(capabilities, maxPacketBytes, charset, user, proof, database, plugin, attributes);
     }
 
     private static Map<String, String> attributes(ByteBuf in) {
         long length = Fields.lenenc(in, "the attributes");
-        if (length < 0 || length > MOST_ATTRIBUTES || length > in.readableBytes()) {
+        if (length < 0 || length > MAX_ATTRIBUTES_BYTES || length > in.readableBytes()) {
             throw new ProtocolException(ProtocolException.Kind.MALFORMED, "the attributes have " + length + " bytes");
         }
         ByteBuf all = in.readSlice((int) length);
@@ -81,9 +81,9 @@
 
     void write(ByteBuf out) {
         out.writeIntLE((int) capabilities)
-                .writeIntLE((int) mostPacket)
+                .writeIntLE((int) maxPacketBytes)
                 .writeByte(charset)
-                .writeZero(FILLER);
+                .writeZero(FILLER_BYTES);
         if (user == null) {
             return;
         }
--- a/src/main/java/kitemux/mysql/InitialHandshake.java
+++ b/src/main/java/kitemux/mysql/InitialHandshake.java
@@ -16,9 +16,9 @@
  */
 record InitialHandshake(
         String version, long connectionId, byte[] nonce, long capabilities, int charset, int status, String plugin) {
-    static final int PROTOCOL = 10;
-    private static final int FIRST_NONCE = 8;
-    private static final int RESERVED = 10;
+    static final int PROTOCOL_VERSION = 10;
+    private static final int FIRST_NONCE_PART_BYTES = 8;
+    private static final int RESERVED_BYTES = 10;
 
     /**
      * Reads a payload.
@@ -34,45 +34,45 @@
                     ProtocolException.Kind.MALFORMED,
                     "the server turns the connection away: " + error.code() + " " + error.message());
         }
-        if (protocol != PROTOCOL) {
+        if (protocol != PROTOCOL_VERSION) {
             throw new ProtocolException(ProtocolException.Kind.MALFORMED, "protocol " + protocol + " is not known");
         }
         String version = Fields.nulText(in, "the server's version");
         long id = Fields.int4(in, "the connection's id");
-        byte[] first = Fields.bytes(in, FIRST_NONCE, "the nonce");
+        byte[] firstPart = Fields.bytes(in, FIRST_NONCE_PART_BYTES, "the nonce");
         Fields.int1(in, "the filler");
         long capabilities = Fields.int2(in, "the capabilities");
         int charset = Fields.int1(in, "the character set");
         int status = Fields.int2(in, "the status");
         capabilities |= (long) Fields.int2(in, "the capabilities") << 16;
         int nonceLength = Fields.int1(in, "the nonce's length");
-        Fields.bytes(in, RESERVED, "what is reserved");
+        Fields.bytes(in, RESERVED_BYTES, "what is reserved");
         if (!Capabilities.has(capabilities, Capabilities.PROTOCOL_41)
                 || !Capabilities.has(capabilities, Capabilities.PLUGIN_AUTH)
                 || nonceLength != AuthPlugin.NONCE_BYTES + 1) {
             throw new ProtocolException(
                     ProtocolException.Kind.MALFORMED, "the server knows no protocol 4.1 or no plugins");
         }
-        byte[] rest = Fields.bytes(in, nonceLength - FIRST_NONCE, "the nonce");
-        byte[] nonce = Arrays.copyOf(first, AuthPlugin.NONCE_BYTES);
-        System.arraycopy(rest, 0, nonce, FIRST_NONCE, AuthPlugin.NONCE_BYTES - FIRST_NONCE);
+        byte[] secondPart = Fields.bytes(in, nonceLength - FIRST_NONCE_PART_BYTES, "the nonce");
+        byte[] nonce = Arrays.copyOf(firstPart, AuthPlugin.NONCE_BYTES);
+        System.arraycopy(secondPart, 0, nonce, FIRST_NONCE_PART_BYTES, AuthPlugin.NONCE_BYTES - FIRST_NONCE_PART_BYTES);
         return new InitialHandshake(
                 version, id, nonce, capabilities, charset, status, Fields.nulText(in, "the plugin's name"));
     }
 
     void write(ByteBuf out) {
-        out.writeByte(PROTOCOL);
+        out.writeByte(PROTOCOL_VERSION);
         Fields.putNulText(out, version);
         out.writeIntLE((int) connectionId)
-                .writeBytes(nonce, 0, FIRST_NONCE)
+                .writeBytes(nonce, 0, FIRST_NONCE_PART_BYTES)
                 .writeByte(0)
                 .writeShortLE((int) capabilities)
                 .writeByte(charset)
                 .writeShortLE(status)
                 .writeShortLE((int) (capabilities >> 16))
                 .writeByte(AuthPlugin.NONCE_BYTES + 1)
-                .writeZero(RESERVED)
-                .writeBytes(nonce, FIRST_NONCE, AuthPlugin.NONCE_BYTES - FIRST_NONCE)
+                .writeZero(RESERVED_BYTES)
+                .writeBytes(nonce, FIRST_NONCE_PART_BYTES, AuthPlugin.NONCE_BYTES - FIRST_NONCE_PART_BYTES)
                 .writeByte(0);
         Fields.putNulText(out, plugin);
     }
--- a/src/main/java/kitemux/mysql/MysqlServerProtocol.java
+++ b/src/main/java/kitemux/mysql/MysqlServerProtocol.java
@@ -23,7 +23,7 @@
      * many connections, disk full, out of memory, shutdown, user's limit, read only, offline mode, and a
      * transaction that a group's change of members ended.
      */
-    private static final Set<Integer> OF_THE_SERVER =
+    private static final Set<Integer> SERVER_ERROR_CODES =
             Set.of(1040, 1021, 1037, 1041, 1053, 1203, 1226, 1290, 1836, 3032, 3101);
 
     private final BackendConnection.Account account;
@@ -54,64 +54,64 @@
     private final class Connection extends ServerPool.ServerConnection<Command, ServerResponse>
             implements BackendConnection.LoginListener, BackendConnection.ResponseListener {
         private final PacketDecoder decoder = new PacketDecoder();
-        private final BackendConnection back = new BackendConnection(account, decoder, this);
+        private final BackendConnection backend = new BackendConnection(account, decoder, this);
         /** What is passed on, or null. */
-        private ServerResponse passing;
+        private ServerResponse streamingResponse;
 
-        private boolean free;
+        private boolean ready;
 
         @Override
         protected void onConnected() {
-            channel().pipeline().addFirst(decoder, back);
+            channel().pipeline().addFirst(decoder, backend);
             channel().config().setAutoRead(true);
         }
 
         @Override
-        public void loggedIn(BackendConnection connection) {
-            free = true;
+        public void onLoginSucceeded(BackendConnection connection) {
+            ready = true;
         }
 
         @Override
-        public void refused(String why, ErrPacket error) {
-            log.info("server " + serverId() + " lets nobody in: " + why);
+        public void onLoginFailed(String reason, ErrPacket error) {
+            log.info("server " + serverId() + " lets nobody in: " + reason);
         }
 
         @Override
         protected Object createMessage(Exchange<Command, ServerResponse> next) {
             Command command = next.request();
-            return back.take(Unpooled.wrappedBuffer(command.payload()), command.responseType(), this);
+            return backend.beginCommand(Unpooled.wrappedBuffer(command.payload()), command.responseType(), this);
         }
 
         // ------------------------------------------------------------ answers
 
         @Override
-        public boolean begun() {
-            ServerResponse begins = ServerResponse.streaming(-1, back::setReading);
-            if (exchange() == null || !startResponse(begins)) {
+        public boolean onResponseStart() {
+            ServerResponse response = ServerResponse.streaming(-1, backend::setReading);
+            if (exchange() == null || !startResponse(response)) {
                 return false;
             }
-            passing = begins;
+            streamingResponse = response;
             return true;
         }
 
         @Override
-        public void more(ByteBuf packets) {
-            passing.deliver(packets);
+        public void onResponsePackets(ByteBuf packets) {
+            streamingResponse.deliver(packets);
         }
 
         @Override
-        public void ended(Result result, ErrPacket error) {
-            boolean begun = passing != null;
-            passing = null;
+        public void onResponseEnd(Result result, ErrPacket error) {
+            boolean started = streamingResponse != null;
+            streamingResponse = null;
             if (result == Result.RESET || result == Result.CONNECT_FAILED) {
                 completeExchange(isRequestWritten() ? Result.RESET : Result.CONNECT_FAILED, null);
                 return;
             }
             // Not before all that came is read: what came behind the answer must not answer the next.
-            free = true;
-            if (begun || result == Result.OK) {
+            ready = true;
+            if (started || result == Result.OK) {
                 completeExchange(Result.OK, null);
-            } else if (OF_THE_SERVER.contains(error.code())) {
+            } else if (SERVER_ERROR_CODES.contains(error.code())) {
                 completeExchange(Result.ERROR, null);
             } else {
                 ByteBuf payload = channel().alloc().buffer();
@@ -124,16 +124,16 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            if (free) {
-                free = false;
+            if (ready) {
+                ready = false;
                 markAvailable();
             }
         }
 
         @Override
         protected void releaseResponse() {
-            free = false;
-            passing = null;
+            ready = false;
+            streamingResponse = null;
         }
     }
 }
--- a/src/main/java/kitemux/mysql/OkPacket.java
+++ b/src/main/java/kitemux/mysql/OkPacket.java
@@ -15,9 +15,9 @@
 record OkPacket(long affectedRows, long lastInsertId, int status, int warnings, String info, byte[] sessionState) {
     static final int HEADER = 0x00;
     /** Of one that ends rows, and of an EOF_Packet. */
-    static final int END_HEADER = 0xfe;
+    static final int RESULT_END_HEADER = 0xfe;
     /** EOF_Packets are shorter; a row that begins with the same byte is longer. */
-    static final int END_BOUND = 0xffffff;
+    static final int RESULT_END_BOUND_BYTES = 0xffffff;
 
     static final int IN_TRANSACTION = 1;
     static final int AUTOCOMMIT = 1 << 1;
@@ -31,7 +31,7 @@
         int status = Fields.int2(in, "the status");
         int warnings = Fields.int2(in, "the warnings");
         if (!Capabilities.has(capabilities, Capabilities.SESSION_TRACK)) {
-            return new OkPacket(rows, id, status, warnings, Fields.rest(in), null);
+            return new OkPacket(rows, id, status, warnings, Fields.remainingText(in), null);
         }
         // Servers leave both out where there is nothing to say.
         String info = in.isReadable() ? Fields.lenencText(in, "the info") : "";
--- a/src/main/java/kitemux/mysql/PacketDecoder.java
+++ b/src/main/java/kitemux/mysql/PacketDecoder.java
@@ -11,66 +11,66 @@
  * wire and is one here. Sequence numbers are checked.
  */
 final class PacketDecoder extends ByteToMessageDecoder {
-    static final int HEADER = 4;
+    static final int HEADER_BYTES = 4;
     /** Longest payload of one packet on the wire; one that has it goes on in the next. */
-    static final int MOST_PAYLOAD = 0xffffff;
+    static final int MAX_PAYLOAD_BYTES = 0xffffff;
 
     /**
      * Some bytes of a payload.
      *
      * @param first whether they are its first
      * @param last whether they are its last
-     * @param wire where they are the first of a packet on the wire, its length; else -1
+     * @param packetLength where they are the first of a packet on the wire, its length; else -1
      * @param sequence that packet's number
      * @param bytes owned by whoever gets the part; may be none
      */
-    record Part(boolean first, boolean last, int wire, int sequence, ByteBuf bytes) {}
+    record Part(boolean first, boolean last, int packetLength, int sequence, ByteBuf bytes) {}
 
-    private int expected;
-    private int left;
+    private int expectedSequence;
+    private int remainingBytes;
     private boolean inPacket;
-    private boolean goesOn;
+    private boolean continues;
     private boolean first = true;
-    private int wire = -1;
+    private int packetLength = -1;
     private int sequence;
 
     /** The next packet is the first of an exchange, or numbered so. */
-    void expect(int sequence) {
-        expected = sequence & 0xff;
+    void expectSequence(int sequence) {
+        expectedSequence = sequence & 0xff;
     }
 
     /** The number that the next packet should have, from either side. */
-    int expected() {
-        return expected;
+    int expectedSequence() {
+        return expectedSequence;
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
         if (!inPacket) {
-            if (in.readableBytes() < HEADER) {
+            if (in.readableBytes() < HEADER_BYTES) {
                 return;
             }
-            left = in.readUnsignedMediumLE();
-            wire = left;
+            remainingBytes = in.readUnsignedMediumLE();
+            packetLength = remainingBytes;
             sequence = in.readUnsignedByte();
-            if (sequence != expected) {
+            if (sequence != expectedSequence) {
                 throw new ProtocolException(
                         ProtocolException.Kind.OUT_OF_ORDER,
-                        "packet " + sequence + " came where " + expected + " was due");
+                        "packet " + sequence + " came where " + expectedSequence + " was due");
             }
-            expected = sequence + 1 & 0xff;
-            goesOn = left == MOST_PAYLOAD;
+            expectedSequence = sequence + 1 & 0xff;
+            continues = remainingBytes == MAX_PAYLOAD_BYTES;
             inPacket = true;
         }
-        int now = Math.min(left, in.readableBytes());
-        if (now == 0 && left > 0) {
+        int availableBytes = Math.min(remainingBytes, in.readableBytes());
+        if (availableBytes == 0 && remainingBytes > 0) {
             return;
         }
-        left -= now;
-        inPacket = left > 0;
-        boolean last = !inPacket && !goesOn;
-        out.add(new Part(first, last, wire, sequence, in.readRetainedSlice(now)));
+        remainingBytes -= availableBytes;
+        inPacket = remainingBytes > 0;
+        boolean last = !inPacket && !continues;
+        out.add(new Part(first, last, packetLength, sequence, in.readRetainedSlice(availableBytes)));
         first = last;
-        wire = -1;
+        packetLength = -1;
     }
 }
--- a/src/main/java/kitemux/mysql/Packets.java
+++ b/src/main/java/kitemux/mysql/Packets.java
@@ -8,8 +8,8 @@
     private Packets() {}
 
     /** How many packets a payload of so many bytes takes. */
-    static int count(int bytes) {
-        return bytes / PacketDecoder.MOST_PAYLOAD + 1;
+    static int packetCount(int payloadBytes) {
+        return payloadBytes / PacketDecoder.MAX_PAYLOAD_BYTES + 1;
     }
 
     /**
@@ -21,11 +21,11 @@
      */
     static ByteBuf write(ByteBufAllocator allocator, ByteBuf payload, int sequence) {
         try {
-            int count = count(payload.readableBytes());
-            ByteBuf out = allocator.buffer(payload.readableBytes() + count * PacketDecoder.HEADER);
-            for (int i = 0; i < count; i++) {
+            int packetCount = packetCount(payload.readableBytes());
+            ByteBuf out = allocator.buffer(payload.readableBytes() + packetCount * PacketDecoder.HEADER_BYTES);
+            for (int i = 0; i < packetCount; i++) {
                 // The last may be empty: one that is full says that another follows.
-                int length = Math.min(payload.readableBytes(), PacketDecoder.MOST_PAYLOAD);
+                int length = Math.min(payload.readableBytes(), PacketDecoder.MAX_PAYLOAD_BYTES);
                 out.writeMediumLE(length).writeByte(sequence + i).writeBytes(payload, length);
             }
             return out;
--- a/src/main/java/kitemux/mysql/PayloadAssembler.java
+++ b/src/main/java/kitemux/mysql/PayloadAssembler.java
@@ -7,7 +7,7 @@
 /** Puts the parts of a payload together that must be read as a whole, up to a bound. */
 final class PayloadAssembler implements AutoCloseable {
     private final ByteBufAllocator allocator;
-    private final int most;
+    private final int maxBytes;
     private ByteBuf payload;
 
     /**
@@ -15,9 +15,9 @@
      *
      * @param most bytes of a payload that are taken; guards memory against one that never ends
      */
-    PayloadAssembler(ByteBufAllocator allocator, int most) {
+    PayloadAssembler(ByteBufAllocator allocator, int maxBytes) {
         this.allocator = allocator;
-        this.most = most;
+        this.maxBytes = maxBytes;
     }
 
     /**
@@ -29,12 +29,12 @@
     ByteBuf add(Part part) {
         try {
             if (payload == null) {
-                payload = allocator.buffer(Math.min(most, part.bytes().readableBytes()));
+                payload = allocator.buffer(Math.min(maxBytes, part.bytes().readableBytes()));
             }
-            if (payload.readableBytes() + part.bytes().readableBytes() > most) {
+            if (payload.readableBytes() + part.bytes().readableBytes() > maxBytes) {
                 close();
                 throw new ProtocolException(
-                        ProtocolException.Kind.TOO_LARGE, "a packet has more than " + most + " bytes");
+                        ProtocolException.Kind.TOO_LARGE, "a packet has more than " + maxBytes + " bytes");
             }
             payload.writeBytes(part.bytes());
         } finally {
--- a/src/main/java/kitemux/mysql/ResponseTracker.java
+++ b/src/main/java/kitemux/mysql/ResponseTracker.java
@@ -26,41 +26,41 @@
     }
 
     /** Longest payload that is looked at whole: an OK with its session's state, an ERR, a count. */
-    static final int MOST_SEEN = 1 << 16;
+    static final int MAX_INSPECTED_BYTES = 1 << 16;
 
-    private static final int LOCAL_FILE = 0xfb;
+    private static final int LOCAL_INFILE_HEADER = 0xfb;
     /** An EOF_Packet has five bytes; a row that begins with the same has a field of 16 MiB. */
-    private static final int EOF_BOUND = 9;
+    private static final int EOF_BOUND_BYTES = 9;
 
     private enum State {
         FIRST,
         COLUMNS,
-        BEHIND_COLUMNS,
+        COLUMNS_EOF,
         ROWS,
         PARAMETERS,
-        BEHIND_PARAMETERS,
-        OVER
+        PARAMETERS_EOF,
+        COMPLETE
     }
 
-    private final ResponseType form;
+    private final ResponseType responseType;
     private final long capabilities;
     private State state = State.FIRST;
-    private long columnsLeft;
-    private long parametersLeft;
+    private long remainingColumns;
+    private long remainingParameters;
     private int status;
-    private Completion end;
+    private Completion completion;
     private ErrPacket error;
     private long statementId = -1;
-    private int first;
-    private boolean any;
+    private int currentHeader;
+    private boolean started;
 
     /** One that waits for the first payload of an answer. */
-    ResponseTracker(ResponseType form, long capabilities) {
-        this.form = form;
+    ResponseTracker(ResponseType responseType, long capabilities) {
+        this.responseType = responseType;
         this.capabilities = capabilities;
     }
 
-    private boolean hasEofs() {
+    private boolean usesEofPackets() {
         return !Capabilities.has(capabilities, Capabilities.DEPRECATE_EOF);
     }
 
@@ -69,42 +69,43 @@
      *
      * @param firstByte its first, or -1 if it has none
      * @param length of the payload; where it is longer than a packet on the wire, any number from there on
-     * @return whether it is to be gathered and handed to {@link #seen}; else {@link #passed} is due
+     * @return whether it is to be gathered and handed to {@link #inspect}; else {@link #skipPayload} is due
      * @throws ProtocolException if none may come here, or none like this
      */
-    boolean begins(int firstByte, long length) {
-        if (state == State.OVER) {
+    boolean beginPayload(int firstByte, long length) {
+        if (state == State.COMPLETE) {
             throw new ProtocolException(ProtocolException.Kind.MALFORMED, "a packet came behind the end of an answer");
         }
         if (firstByte < 0 && state != State.ROWS) {
             throw new ProtocolException(ProtocolException.Kind.MALFORMED, "an empty packet in an answer");
         }
-        first = firstByte;
+        currentHeader = firstByte;
         return switch (state) {
             case FIRST -> true;
             case COLUMNS, PARAMETERS -> firstByte == ErrPacket.HEADER;
-            case BEHIND_COLUMNS, BEHIND_PARAMETERS -> true;
+            case COLUMNS_EOF, PARAMETERS_EOF -> true;
             case ROWS ->
                 firstByte == ErrPacket.HEADER
-                        || firstByte == OkPacket.END_HEADER && length < (hasEofs() ? EOF_BOUND : OkPacket.END_BOUND);
-            case OVER -> throw new IllegalStateException();
+                        || firstByte == OkPacket.RESULT_END_HEADER
+                                && length < (usesEofPackets() ? EOF_BOUND_BYTES : OkPacket.RESULT_END_BOUND_BYTES);
+            case COMPLETE -> throw new IllegalStateException();
         };
     }
 
     /** A payload that need not be seen has come whole. */
-    void passed() {
-        any = true;
-        if (state == State.COLUMNS && --columnsLeft == 0) {
-            if (hasEofs()) {
-                state = State.BEHIND_COLUMNS;
+    void skipPayload() {
+        started = true;
+        if (state == State.COLUMNS && --remainingColumns == 0) {
+            if (usesEofPackets()) {
+                state = State.COLUMNS_EOF;
             } else {
-                behindColumns();
+                finishColumns();
             }
-        } else if (state == State.PARAMETERS && --parametersLeft == 0) {
-            if (hasEofs()) {
-                state = State.BEHIND_PARAMETERS;
+        } else if (state == State.PARAMETERS && --remainingParameters == 0) {
+            if (usesEofPackets()) {
+                state = State.PARAMETERS_EOF;
             } else {
-                columns();
+                startColumns();
             }
         }
     }
@@ -115,85 +116,85 @@
      * @param payload whole; read, and not kept
      * @throws ProtocolException if it is not what may stand here
      */
-    void seen(ByteBuf payload) {
-        any = true;
-        if (first == ErrPacket.HEADER) {
+    void inspect(ByteBuf payload) {
+        started = true;
+        if (currentHeader == ErrPacket.HEADER) {
             payload.skipBytes(1);
             error = ErrPacket.read(payload);
-            over(Completion.ERROR);
+            complete(Completion.ERROR);
             return;
         }
         switch (state) {
-            case FIRST -> first(payload);
-            case BEHIND_COLUMNS -> {
-                eof(payload);
-                behindColumns();
+            case FIRST -> inspectFirst(payload);
+            case COLUMNS_EOF -> {
+                readEof(payload);
+                finishColumns();
             }
-            case BEHIND_PARAMETERS -> {
-                eof(payload);
-                columns();
+            case PARAMETERS_EOF -> {
+                readEof(payload);
+                startColumns();
             }
             case ROWS -> {
-                if (hasEofs()) {
-                    eof(payload);
+                if (usesEofPackets()) {
+                    readEof(payload);
                 } else {
                     payload.skipBytes(1);
                     status = OkPacket.read(payload, capabilities).status();
                 }
-                resultEnds();
+                finishResult();
             }
             default -> throw new IllegalStateException("not asked for: " + state);
         }
     }
 
-    private void first(ByteBuf payload) {
-        if (first == OkPacket.HEADER && form == ResponseType.PREPARED_STATEMENT) {
+    private void inspectFirst(ByteBuf payload) {
+        if (currentHeader == OkPacket.HEADER && responseType == ResponseType.PREPARED_STATEMENT) {
             payload.skipBytes(1);
             statementId = Fields.int4(payload, "the statement's id");
-            columnsLeft = Fields.int2(payload, "the number of columns");
-            parametersLeft = Fields.int2(payload, "the number of parameters");
-            if (parametersLeft > 0) {
+            remainingColumns = Fields.int2(payload, "the number of columns");
+            remainingParameters = Fields.int2(payload, "the number of parameters");
+            if (remainingParameters > 0) {
                 state = State.PARAMETERS;
             } else {
-                columns();
+                startColumns();
             }
-        } else if (first == OkPacket.HEADER) {
+        } else if (currentHeader == OkPacket.HEADER) {
             payload.skipBytes(1);
             status = OkPacket.read(payload, capabilities).status();
-            resultEnds();
-        } else if (form != ResponseType.RESULT_SETS || first == LOCAL_FILE) {
+            finishResult();
+        } else if (responseType != ResponseType.RESULT_SETS || currentHeader == LOCAL_INFILE_HEADER) {
             // No file of the client's is ever read for a server.
             throw new ProtocolException(
-                    ProtocolException.Kind.MALFORMED, "an answer of this command cannot begin with " + first);
+                    ProtocolException.Kind.MALFORMED, "an answer of this command cannot begin with " + currentHeader);
         } else {
-            columnsLeft = Fields.lenenc(payload, "the number of columns");
-            if (columnsLeft < 1 || columnsLeft > 1 << 16 || payload.isReadable()) {
+            remainingColumns = Fields.lenenc(payload, "the number of columns");
+            if (remainingColumns < 1 || remainingColumns > 1 << 16 || payload.isReadable()) {
                 throw new ProtocolException(
-                        ProtocolException.Kind.MALFORMED, "a result has " + columnsLeft + " columns");
+                        ProtocolException.Kind.MALFORMED, "a result has " + remainingColumns + " columns");
             }
             state = State.COLUMNS;
         }
     }
 
     /** Of a statement that was prepared; there may be none. */
-    private void columns() {
-        if (columnsLeft > 0) {
+    private void startColumns() {
+        if (remainingColumns > 0) {
             state = State.COLUMNS;
         } else {
-            over(Completion.OK);
+            complete(Completion.OK);
         }
     }
 
-    private void behindColumns() {
-        if (form == ResponseType.PREPARED_STATEMENT) {
-            over(Completion.OK);
+    private void finishColumns() {
+        if (responseType == ResponseType.PREPARED_STATEMENT) {
+            complete(Completion.OK);
         } else {
             state = State.ROWS;
         }
     }
 
-    private void eof(ByteBuf payload) {
-        if (first != OkPacket.END_HEADER || payload.readableBytes() >= EOF_BOUND) {
+    private void readEof(ByteBuf payload) {
+        if (currentHeader != OkPacket.RESULT_END_HEADER || payload.readableBytes() >= EOF_BOUND_BYTES) {
             throw new ProtocolException(ProtocolException.Kind.MALFORMED, "no EOF where one is due");
         }
         payload.skipBytes(1);
@@ -201,27 +202,27 @@
         status = Fields.int2(payload, "the status");
     }
 
-    private void resultEnds() {
-        if ((status & OkPacket.MORE_RESULTS) != 0 && form == ResponseType.RESULT_SETS) {
+    private void finishResult() {
+        if ((status & OkPacket.MORE_RESULTS) != 0 && responseType == ResponseType.RESULT_SETS) {
             state = State.FIRST;
         } else {
-            over(Completion.OK);
+            complete(Completion.OK);
         }
     }
 
-    private void over(Completion how) {
-        state = State.OVER;
-        end = how;
+    private void complete(Completion result) {
+        state = State.COMPLETE;
+        completion = result;
     }
 
     /** How it ended, or null while it has not. */
-    Completion end() {
-        return end;
+    Completion completion() {
+        return completion;
     }
 
     /** Whether any payload of it has come whole. */
-    boolean hasBegun() {
-        return any;
+    boolean hasStarted() {
+        return started;
     }
 
     /** The error that it ended with, or null. */
--- a/src/main/java/kitemux/mysql/Statement.java
+++ b/src/main/java/kitemux/mysql/Statement.java
@@ -30,12 +30,12 @@
     }
 
     /** A bracket that follows a word at once, and any other. */
-    private static final String BRACKET = "(";
+    private static final String CALL_PARENTHESIS = "(";
 
-    private static final String APART = " (";
+    private static final String DETACHED_PARENTHESIS = " (";
 
     /** Longer texts are not looked at, and are no reads: it guards the loop's time. */
-    static final int MOST_LOOKED_AT = 1 << 16;
+    static final int MAX_ANALYZED_CHARS = 1 << 16;
 
     /** Words that call nothing where a bracket follows. */
     private static final Set<String> KEYWORDS = Set.of(
@@ -80,7 +80,7 @@
             "EXPLAIN",
             "IS");
     /** Functions that change nothing. With a blank before the bracket it is one of theirs that is called. */
-    private static final Set<String> FUNCTIONS = Set.of(
+    private static final Set<String> PURE_FUNCTIONS = Set.of(
             "ABS",
             "AVG",
             "CAST",
@@ -185,10 +185,10 @@
             "WEEK",
             "YEAR");
     /** What tells of the statement before, or of the connection. */
-    private static final Set<String> LOOKING_BACK =
+    private static final Set<String> SESSION_STATE_FUNCTIONS =
             Set.of("FOUND_ROWS", "ROW_COUNT", "LAST_INSERT_ID", "CONNECTION_ID");
     /** Words anywhere in a statement that keep it from being surely a read. */
-    private static final Set<String> NEVER_IN_A_READ = Set.of(
+    private static final Set<String> WRITE_KEYWORDS = Set.of(
             "INTO",
             "INSERT",
             "UPDATE",
@@ -203,9 +203,18 @@
             "NEXTVAL",
             "NEXT");
 
-    private static final Set<String> READS =
-            Set.of("SELECT", "WITH", "SHOW", "DESCRIBE", "DESC", "EXPLAIN", "VALUES", "TABLE", BRACKET, APART);
-    private static final Set<String> ENDS_IMPLICITLY = Set.of(
+    private static final Set<String> READ_VERBS = Set.of(
+            "SELECT",
+            "WITH",
+            "SHOW",
+            "DESCRIBE",
+            "DESC",
+            "EXPLAIN",
+            "VALUES",
+            "TABLE",
+            CALL_PARENTHESIS,
+            DETACHED_PARENTHESIS);
+    private static final Set<String> IMPLICIT_COMMIT_VERBS = Set.of(
             "ALTER",
             "CREATE",
             "DROP",
@@ -223,38 +232,38 @@
 
     /** Reads a statement, or several in one text. */
     public static Statement analyze(String sql) {
-        List<String> words = sql.length() > MOST_LOOKED_AT ? null : words(sql);
-        if (words == null) {
+        List<String> tokens = sql.length() > MAX_ANALYZED_CHARS ? null : tokenize(sql);
+        if (tokens == null) {
             // Not understood: it may be anything, a transaction's begin and a lock among them.
             return new Statement(false, EnumSet.of(Trait.PINS_SESSION));
         }
         Set<Trait> traits = EnumSet.noneOf(Trait.class);
-        boolean read = !words.isEmpty();
+        boolean readOnly = !tokens.isEmpty();
         int from = 0;
         int statements = 0;
-        for (int i = 0; i <= words.size(); i++) {
-            if (i == words.size() || words.get(i).equals(";")) {
+        for (int i = 0; i <= tokens.size(); i++) {
+            if (i == tokens.size() || tokens.get(i).equals(";")) {
                 if (i > from) {
-                    read &= one(words.subList(from, i), traits);
+                    readOnly &= analyzeOne(tokens.subList(from, i), traits);
                     statements++;
                 }
                 from = i + 1;
             }
         }
-        return new Statement(read && statements == 1, traits);
+        return new Statement(readOnly && statements == 1, traits);
     }
 
     /** Whether one statement is surely a read; its traits are added. */
-    private static boolean one(List<String> words, Set<Trait> traits) {
-        String verb = words.get(0);
-        String second = words.size() > 1 ? words.get(1) : "";
+    private static boolean analyzeOne(List<String> tokens, Set<Trait> traits) {
+        String verb = tokens.get(0);
+        String second = tokens.size() > 1 ? tokens.get(1) : "";
         switch (verb) {
             case "BEGIN" -> traits.add(Trait.BEGINS_TRANSACTION);
             case "START" -> traits.add(second.equals("TRANSACTION") ? Trait.BEGINS_TRANSACTION : Trait.PINS_SESSION);
             case "COMMIT" -> traits.add(Trait.ENDS_TRANSACTION);
             // To a savepoint it goes on, and so it does where a new one is chained.
-            case "ROLLBACK" -> traits.add(words.contains("TO") ? Trait.BEGINS_TRANSACTION : Trait.ENDS_TRANSACTION);
-            case "SET" -> traits.add(isReplayable(words) ? Trait.SETS_VARIABLES : Trait.PINS_SESSION);
+            case "ROLLBACK" -> traits.add(tokens.contains("TO") ? Trait.BEGINS_TRANSACTION : Trait.ENDS_TRANSACTION);
+            case "SET" -> traits.add(isReplayable(tokens) ? Trait.SETS_VARIABLES : Trait.PINS_SESSION);
             case "USE" -> traits.add(Trait.SETS_VARIABLES);
             case "LOCK",
                     "UNLOCK",
@@ -268,69 +277,70 @@
                     "DO",
                     "LOAD" -> traits.add(Trait.PINS_SESSION);
             default -> {
-                if (ENDS_IMPLICITLY.contains(verb)) {
-                    traits.add(words.contains("TEMPORARY") ? Trait.PINS_SESSION : Trait.ENDS_TRANSACTION);
+                if (IMPLICIT_COMMIT_VERBS.contains(verb)) {
+                    traits.add(tokens.contains("TEMPORARY") ? Trait.PINS_SESSION : Trait.ENDS_TRANSACTION);
                 }
             }
         }
-        if (words.contains("CHAIN") && (verb.equals("COMMIT") || verb.equals("ROLLBACK"))) {
+        if (tokens.contains("CHAIN") && (verb.equals("COMMIT") || verb.equals("ROLLBACK"))) {
             traits.add(Trait.BEGINS_TRANSACTION);
         }
-        boolean read = READS.contains(verb);
-        for (int i = 0; i < words.size(); i++) {
-            String word = words.get(i);
-            if (word.startsWith("@") && !word.startsWith("@@")) {
+        boolean readOnly = READ_VERBS.contains(verb);
+        for (int i = 0; i < tokens.size(); i++) {
+            String token = tokens.get(i);
+            if (token.startsWith("@") && !token.startsWith("@@")) {
                 // What another statement put there is only in this session.
                 traits.add(Trait.PINS_SESSION);
-                read = false;
+                readOnly = false;
             }
-            if (word.equals("SQL_CALC_FOUND_ROWS")) {
+            if (token.equals("SQL_CALC_FOUND_ROWS")) {
                 traits.add(Trait.PINS_SESSION);
             }
-            String next = i + 1 < words.size() ? words.get(i + 1) : "";
-            boolean called = next.equals(BRACKET) || next.equals(APART);
-            if (called && LOOKING_BACK.contains(word)) {
+            String next = i + 1 < tokens.size() ? tokens.get(i + 1) : "";
+            boolean called = next.equals(CALL_PARENTHESIS) || next.equals(DETACHED_PARENTHESIS);
+            if (called && SESSION_STATE_FUNCTIONS.contains(token)) {
                 traits.add(Trait.READS_SESSION_STATE);
-                read = false;
-            } else if (called && isName(word) && !isHarmless(words, i, next)) {
+                readOnly = false;
+            } else if (called && isName(token) && !isPureCall(tokens, i, next)) {
                 // It may be a function of theirs, which may do anything; a lock among it lasts.
-                read = false;
-                if (word.endsWith("_LOCK") || word.endsWith("_LOCKS")) {
+                readOnly = false;
+                if (token.endsWith("_LOCK") || token.endsWith("_LOCKS")) {
                     traits.add(Trait.PINS_SESSION);
                 }
             }
-            read &= !NEVER_IN_A_READ.contains(word)
-                    && !word.equals(":=")
-                    && !(word.equals("FOR") && !verb.equals("SHOW"));
+            readOnly &= !WRITE_KEYWORDS.contains(token)
+                    && !token.equals(":=")
+                    && !(token.equals("FOR") && !verb.equals("SHOW"));
         }
-        return read;
+        return readOnly;
     }
 
     /** Whether a word with a bracket behind it calls nothing, or what changes nothing. */
-    private static boolean isHarmless(List<String> words, int at, String bracket) {
+    private static boolean isPureCall(List<String> tokens, int at, String parenthesis) {
         // Behind a schema's name it is one of theirs, whatever it is called.
-        return (at == 0 || !words.get(at - 1).equals("."))
-                && (KEYWORDS.contains(words.get(at)) || bracket.equals(BRACKET) && FUNCTIONS.contains(words.get(at)));
+        return (at == 0 || !tokens.get(at - 1).equals("."))
+                && (KEYWORDS.contains(tokens.get(at))
+                        || parenthesis.equals(CALL_PARENTHESIS) && PURE_FUNCTIONS.contains(tokens.get(at)));
     }
 
     /** Plain settings of the session; user variables, passwords and what is global are not. */
-    private static boolean isReplayable(List<String> words) {
-        return words.stream()
-                .noneMatch(word -> word.startsWith("@") && !word.startsWith("@@")
-                        || word.equals("GLOBAL")
-                        || word.equals("PERSIST")
-                        || word.equals("PERSIST_ONLY")
-                        || word.equals("PASSWORD")
-                        || word.equals("TRANSACTION")
-                        || word.equals("AUTOCOMMIT")
-                        || word.startsWith("@@GLOBAL")
-                        || word.startsWith("@@PERSIST")
-                        || word.equals("@@AUTOCOMMIT")
-                        || word.equals("@@SESSION.AUTOCOMMIT"));
+    private static boolean isReplayable(List<String> tokens) {
+        return tokens.stream()
+                .noneMatch(token -> token.startsWith("@") && !token.startsWith("@@")
+                        || token.equals("GLOBAL")
+                        || token.equals("PERSIST")
+                        || token.equals("PERSIST_ONLY")
+                        || token.equals("PASSWORD")
+                        || token.equals("TRANSACTION")
+                        || token.equals("AUTOCOMMIT")
+                        || token.startsWith("@@GLOBAL")
+                        || token.startsWith("@@PERSIST")
+                        || token.equals("@@AUTOCOMMIT")
+                        || token.equals("@@SESSION.AUTOCOMMIT"));
     }
 
-    private static boolean isName(String word) {
-        return Character.isLetterOrDigit(word.charAt(0)) || word.charAt(0) == '_' || word.charAt(0) == '`';
+    private static boolean isName(String token) {
+        return Character.isLetterOrDigit(token.charAt(0)) || token.charAt(0) == '_' || token.charAt(0) == '`';
     }
 
     // ---------------------------------------------------------------- words
@@ -339,8 +349,8 @@
      * Words in upper case, quoted names with their first quote in front, signs one by one; literals are left
      * out. Null if the text ends within a quote or a comment, or holds a comment that is executed.
      */
-    private static List<String> words(String sql) {
-        List<String> words = new ArrayList<>();
+    private static List<String> tokenize(String sql) {
+        List<String> tokens = new ArrayList<>();
         int at = 0;
         while (at < sql.length()) {
             char c = sql.charAt(at);
@@ -362,38 +372,39 @@
                     return null;
                 }
                 if (c == '`') {
-                    words.add("`" + sql.substring(at + 1, end).toUpperCase(Locale.ROOT));
+                    tokens.add("`" + sql.substring(at + 1, end).toUpperCase(Locale.ROOT));
                 } else if (c == '"') {
                     // A text, or in some modes a name: one that is called must not pass for a text.
-                    words.add("`\"");
+                    tokens.add("`\"");
                 }
                 at = end + 1;
-            } else if (isWordPart(c) || c == '@') {
+            } else if (isIdentifierPart(c) || c == '@') {
                 int end = at + 1;
                 while (end < sql.length()
-                        && (isWordPart(sql.charAt(end))
+                        && (isIdentifierPart(sql.charAt(end))
                                 || sql.charAt(end) == '@'
                                 || sql.charAt(end) == '.' && c == '@')) {
                     end++;
                 }
                 // Names may begin with digits, too; plain numbers are left out.
                 if (!sql.substring(at, end).chars().allMatch(Character::isDigit)) {
-                    words.add(sql.substring(at, end).toUpperCase(Locale.ROOT));
+                    tokens.add(sql.substring(at, end).toUpperCase(Locale.ROOT));
                 }
                 at = end;
             } else if (sql.startsWith(":=", at)) {
-                words.add(":=");
+                tokens.add(":=");
                 at += 2;
             } else {
-                boolean apart = c == '(' && (at == 0 || !isWordPart(sql.charAt(at - 1)) && sql.charAt(at - 1) != '`');
-                words.add(apart ? APART : String.valueOf(c));
+                boolean detached =
+                        c == '(' && (at == 0 || !isIdentifierPart(sql.charAt(at - 1)) && sql.charAt(at - 1) != '`');
+                tokens.add(detached ? DETACHED_PARENTHESIS : String.valueOf(c));
                 at++;
             }
         }
-        return words;
+        return tokens;
     }
 
-    private static boolean isWordPart(char c) {
+    private static boolean isIdentifierPart(char c) {
         return Character.isLetterOrDigit(c) || c == '_' || c == '$';
     }
 
--- a/src/main/java/kitemux/mysql/Users.java
+++ b/src/main/java/kitemux/mysql/Users.java
@@ -9,7 +9,7 @@
  */
 public record Users(Map<String, User> byName) {
     /** Stands for one that is not there, so that it takes as long to find out. */
-    private static final User NOBODY = User.withPassword("", "\0");
+    private static final User UNKNOWN_USER = User.withPassword("", "\0");
 
     /**
      * A user.
@@ -39,12 +39,12 @@
 
     /** The user of this name, or one that nobody can log in as. */
     User find(String name) {
-        return byName.getOrDefault(name, NOBODY);
+        return byName.getOrDefault(name, UNKNOWN_USER);
     }
 
     /** Whether this proof shows that somebody is the user. */
-    boolean isProof(User user, AuthPlugin scramble, byte[] proof, byte[] nonce) {
-        byte[] digest = user.digests().get(scramble);
-        return digest != null && scramble.isValidProof(proof, digest, nonce) && user != NOBODY;
+    boolean isProof(User user, AuthPlugin plugin, byte[] proof, byte[] nonce) {
+        byte[] digest = user.digests().get(plugin);
+        return digest != null && plugin.isValidProof(proof, digest, nonce) && user != UNKNOWN_USER;
     }
 }
--- a/src/main/java/kitemux/peers/Datagram.java
+++ b/src/main/java/kitemux/peers/Datagram.java
@@ -16,15 +16,15 @@
     /** Bytes of a word's text. */
     public static final int MAX_UPDATE_PAYLOAD_BYTES = 128;
 
-    static final int VERSION = 1;
-    static final int HEAD = 28;
-    static final int BELIEF = 15;
-    static final int WORD = 18;
+    static final int FORMAT_VERSION = 1;
+    static final int HEADER_BYTES = 28;
+    static final int MEMBER_RECORD_BYTES = 15;
+    static final int UPDATE_HEADER_BYTES = 18;
     /** Numbers of nodes are two bytes. */
     public static final int MAX_NODE_COUNT = 65_535;
 
-    private static final int CHECKSUM_AT = 5;
-    private static final long MOST_LIFE = (1L << 48) - 1;
+    private static final int CHECKSUM_OFFSET_BYTES = 5;
+    private static final long MAX_GENERATION = (1L << 48) - 1;
 
     private Datagram() {}
 
@@ -41,74 +41,74 @@
     public record ReadResult(Message message, ReadError error) {}
 
     /** Bytes that a message takes without beliefs and words; what is left of a datagram is theirs. */
-    static int room(int mostBytes) {
-        return mostBytes - HEAD;
+    static int payloadCapacity(int maxBytes) {
+        return maxBytes - HEADER_BYTES;
     }
 
-    static int bytes(Update word) {
-        return WORD + word.payload().length;
+    static int bytes(Update update) {
+        return UPDATE_HEADER_BYTES + update.payload().length;
     }
 
     /**
      * @param fleet the fleet's name as a number; nodes of other fleets do not listen
      */
     public static byte[] write(Message message, int fleet) {
-        int size = HEAD
-                + BELIEF * message.members().size()
+        int size = HEADER_BYTES
+                + MEMBER_RECORD_BYTES * message.members().size()
                 + message.updates().stream().mapToInt(Datagram::bytes).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
-        out.put((byte) VERSION)
+        out.put((byte) FORMAT_VERSION)
                 .putInt(fleet)
                 .putInt(0)
                 .put((byte) message.kind().ordinal())
                 .putShort((short) message.sender());
-        life(out, message.generation());
+        generation(out, message.generation());
         out.putInt(message.sequence()).putShort((short) message.target());
         out.put((byte) message.members().size()).put((byte) message.updates().size());
         out.putShort((short) size);
-        for (MemberRecord belief : message.members()) {
-            out.putShort((short) belief.node());
-            life(out, belief.generation());
-            out.putInt(belief.incarnation())
-                    .put((byte) belief.state().ordinal())
-                    .putShort((short) belief.reporter());
+        for (MemberRecord member : message.members()) {
+            out.putShort((short) member.node());
+            generation(out, member.generation());
+            out.putInt(member.incarnation())
+                    .put((byte) member.state().ordinal())
+                    .putShort((short) member.reporter());
         }
-        for (Update word : message.updates()) {
-            out.putShort((short) word.origin());
-            life(out, word.generation());
-            out.put((byte) word.topic())
-                    .putInt(word.version())
-                    .putShort((short) word.remainingMs())
-                    .putShort((short) word.payload().length)
+        for (Update update : message.updates()) {
+            out.putShort((short) update.origin());
+            generation(out, update.generation());
+            out.put((byte) update.topic())
+                    .putInt(update.version())
+                    .putShort((short) update.remainingMs())
+                    .putShort((short) update.payload().length)
                     .put((byte) 0)
-                    .put(word.payload());
+                    .put(update.payload());
         }
-        out.putInt(CHECKSUM_AT, checksum(out.array()));
+        out.putInt(CHECKSUM_OFFSET_BYTES, checksum(out.array()));
         return out.array();
     }
 
-    private static void life(ByteBuffer out, long life) {
-        out.putShort((short) (life >> 32)).putInt((int) life);
+    private static void generation(ByteBuffer out, long generation) {
+        out.putShort((short) (generation >> 32)).putInt((int) generation);
     }
 
-    private static long life(ByteBuffer in) {
+    private static long generation(ByteBuffer in) {
         return (in.getShort() & 0xffffL) << 32 | in.getInt() & 0xffffffffL;
     }
 
     private static int checksum(byte[] bytes) {
         CRC32C crc = new CRC32C();
-        crc.update(bytes, 0, CHECKSUM_AT);
-        crc.update(bytes, CHECKSUM_AT + 4, bytes.length - CHECKSUM_AT - 4);
+        crc.update(bytes, 0, CHECKSUM_OFFSET_BYTES);
+        crc.update(bytes, CHECKSUM_OFFSET_BYTES + 4, bytes.length - CHECKSUM_OFFSET_BYTES - 4);
         return (int) crc.getValue();
     }
 
     /** Reads bytes that came; {@code fleet} as in {@link #write}. */
     public static ReadResult read(byte[] bytes, int fleet) {
-        if (bytes.length < HEAD) {
+        if (bytes.length < HEADER_BYTES) {
             return new ReadResult(null, ReadError.TOO_SHORT);
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        if (in.get() != VERSION) {
+        if (in.get() != FORMAT_VERSION) {
             return new ReadResult(null, ReadError.UNSUPPORTED_VERSION);
         }
         if (in.getInt() != fleet) {
@@ -118,55 +118,55 @@
             return new ReadResult(null, ReadError.CHECKSUM_MISMATCH);
         }
         try {
-            Message message = message(in, bytes.length);
+            Message message = decode(in, bytes.length);
             return new ReadResult(message, message == null ? ReadError.MALFORMED : null);
         } catch (BufferUnderflowException e) {
             return new ReadResult(null, ReadError.MALFORMED);
         }
     }
 
-    private static Message message(ByteBuffer in, int size) {
+    private static Message decode(ByteBuffer in, int size) {
         int kind = in.get() & 0xff;
-        int from = in.getShort() & 0xffff;
-        long life = life(in);
-        int number = in.getInt();
-        int about = in.getShort() & 0xffff;
-        int beliefs = in.get() & 0xff;
-        int words = in.get() & 0xff;
+        int sender = in.getShort() & 0xffff;
+        long generation = generation(in);
+        int sequence = in.getInt();
+        int target = in.getShort() & 0xffff;
+        int memberCount = in.get() & 0xff;
+        int updateCount = in.get() & 0xff;
         if (kind >= Message.Kind.values().length || (in.getShort() & 0xffff) != size) {
             return null;
         }
-        List<MemberRecord> believed = new ArrayList<>(beliefs);
-        for (int i = 0; i < beliefs; i++) {
+        List<MemberRecord> members = new ArrayList<>(memberCount);
+        for (int i = 0; i < memberCount; i++) {
             int node = in.getShort() & 0xffff;
-            long of = life(in);
+            long recordGeneration = generation(in);
             int incarnation = in.getInt();
-            int standing = in.get() & 0xff;
-            if (standing >= MemberState.values().length) {
+            int state = in.get() & 0xff;
+            if (state >= MemberState.values().length) {
                 return null;
             }
-            believed.add(
-                    new MemberRecord(node, of, incarnation, MemberState.values()[standing], in.getShort() & 0xffff));
+            members.add(new MemberRecord(
+                    node, recordGeneration, incarnation, MemberState.values()[state], in.getShort() & 0xffff));
         }
-        List<Update> said = new ArrayList<>(words);
-        for (int i = 0; i < words; i++) {
+        List<Update> updates = new ArrayList<>(updateCount);
+        for (int i = 0; i < updateCount; i++) {
             int origin = in.getShort() & 0xffff;
-            long of = life(in);
+            long updateGeneration = generation(in);
             int topic = in.get() & 0xff;
             int version = in.getInt();
-            int left = in.getShort() & 0xffff;
-            byte[] text = new byte[in.getShort() & 0xffff];
+            int remainingMs = in.getShort() & 0xffff;
+            byte[] payload = new byte[in.getShort() & 0xffff];
             in.get();
-            in.get(text);
-            said.add(new Update(origin, of, topic, version, left, text));
+            in.get(payload);
+            updates.add(new Update(origin, updateGeneration, topic, version, remainingMs, payload));
         }
         return in.hasRemaining()
                 ? null
-                : new Message(Message.Kind.values()[kind], from, life, number, about, believed, said);
+                : new Message(Message.Kind.values()[kind], sender, generation, sequence, target, members, updates);
     }
 
     /** Whether a time is one that a life's number can hold. */
-    static boolean isLife(long life) {
-        return life > 0 && life <= MOST_LIFE;
+    static boolean isValidGeneration(long generation) {
+        return generation > 0 && generation <= MAX_GENERATION;
     }
 }
--- a/src/main/java/kitemux/peers/GossipQueue.java
+++ b/src/main/java/kitemux/peers/GossipQueue.java
@@ -13,26 +13,26 @@
  */
 final class GossipQueue {
     /** Topics of one node that are kept; more are not heard. */
-    private static final int MOST_TOPICS = 8;
+    private static final int MAX_TOPIC_COUNT = 8;
 
-    private final MembershipConfig terms;
-    private final Map<Integer, Piece<MemberRecord>> beliefs = new HashMap<>();
-    private final Map<Integer, Map<Integer, Kept>> words = new HashMap<>();
-    private final List<Piece<Kept>> toTell = new ArrayList<>();
-    private long order;
+    private final MembershipConfig config;
+    private final Map<Integer, QueueEntry<MemberRecord>> memberRecords = new HashMap<>();
+    private final Map<Integer, Map<Integer, StoredUpdate>> updates = new HashMap<>();
+    private final List<QueueEntry<StoredUpdate>> pendingUpdates = new ArrayList<>();
+    private long lastOrder;
 
-    private static final class Piece<T> {
-        private final T of;
+    private static final class QueueEntry<T> {
+        private final T value;
         private final long order;
-        private int told;
+        private int transmitCount;
 
-        Piece(T of, long order) {
-            this.of = of;
+        QueueEntry(T value, long order) {
+            this.value = value;
             this.order = order;
         }
 
-        int told() {
-            return told;
+        int transmitCount() {
+            return transmitCount;
         }
 
         long order() {
@@ -40,63 +40,67 @@
         }
     }
 
-    private record Kept(Update word, long endsUs) {}
+    private record StoredUpdate(Update update, long expiresAtUs) {}
 
-    GossipQueue(MembershipConfig terms) {
-        this.terms = terms;
+    GossipQueue(MembershipConfig config) {
+        this.config = config;
     }
 
     /** To be passed on, in place of what was told of the node before. */
-    void told(MemberRecord belief) {
-        beliefs.put(belief.node(), new Piece<>(belief, - ++order));
+    void enqueue(MemberRecord memberRecord) {
+        memberRecords.put(memberRecord.node(), new QueueEntry<>(memberRecord, - ++lastOrder));
     }
 
     /** A word has come; whether it is new. */
-    boolean hears(Update word, long nowUs) {
-        Map<Integer, Kept> of = words.computeIfAbsent(word.origin(), o -> new HashMap<>());
-        Kept before = of.get(word.topic());
-        if (word.remainingMs() == 0
-                || before != null && !word.isNewerThan(before.word)
-                || before == null && of.size() >= MOST_TOPICS) {
+    boolean offer(Update update, long nowUs) {
+        Map<Integer, StoredUpdate> byTopic = updates.computeIfAbsent(update.origin(), o -> new HashMap<>());
+        StoredUpdate previous = byTopic.get(update.topic());
+        if (update.remainingMs() == 0
+                || previous != null && !update.isNewerThan(previous.update)
+                || previous == null && byTopic.size() >= MAX_TOPIC_COUNT) {
             return false;
         }
-        Kept kept = new Kept(word, nowUs + word.remainingMs() * 1_000L);
-        of.put(word.topic(), kept);
-        toTell.removeIf(piece -> piece.of.word.origin() == word.origin() && piece.of.word.topic() == word.topic());
-        toTell.add(new Piece<>(kept, - ++order));
+        StoredUpdate stored = new StoredUpdate(update, nowUs + update.remainingMs() * 1_000L);
+        byTopic.put(update.topic(), stored);
+        pendingUpdates.removeIf(entry ->
+                entry.value.update.origin() == update.origin() && entry.value.update.topic() == update.topic());
+        pendingUpdates.add(new QueueEntry<>(stored, - ++lastOrder));
         return true;
     }
 
     /** A message with as much of what is to be passed on as it holds, and what its sender says of itself. */
-    Message message(Message.Kind kind, MemberRecord me, int number, int about, long nowUs) {
-        int room = Datagram.room(terms.maxDatagramBytes()) - Datagram.BELIEF;
-        List<MemberRecord> said = new ArrayList<>();
-        said.add(me);
-        List<Piece<MemberRecord>> next = new ArrayList<>(beliefs.values());
-        next.sort(Comparator.<Piece<MemberRecord>>comparingInt(Piece::told).thenComparingLong(Piece::order));
-        for (Piece<MemberRecord> piece : next) {
-            if (room < Datagram.BELIEF) {
+    Message nextMessage(Message.Kind kind, MemberRecord self, int sequence, int target, long nowUs) {
+        int remainingBytes = Datagram.payloadCapacity(config.maxDatagramBytes()) - Datagram.MEMBER_RECORD_BYTES;
+        List<MemberRecord> records = new ArrayList<>();
+        records.add(self);
+        List<QueueEntry<MemberRecord>> queued = new ArrayList<>(memberRecords.values());
+        queued.sort(Comparator.<QueueEntry<MemberRecord>>comparingInt(QueueEntry::transmitCount)
+                .thenComparingLong(QueueEntry::order));
+        for (QueueEntry<MemberRecord> entry : queued) {
+            if (remainingBytes < Datagram.MEMBER_RECORD_BYTES) {
                 break;
             }
-            if (piece.of.node() != me.node()) {
-                room -= Datagram.BELIEF;
-                said.add(piece.of);
+            if (entry.value.node() != self.node()) {
+                remainingBytes -= Datagram.MEMBER_RECORD_BYTES;
+                records.add(entry.value);
             }
-            if (++piece.told >= terms.tellings()) {
-                beliefs.remove(piece.of.node());
+            if (++entry.transmitCount >= config.transmitLimit()) {
+                memberRecords.remove(entry.value.node());
             }
         }
-        List<Update> words = new ArrayList<>();
-        toTell.removeIf(piece -> piece.of.endsUs <= nowUs || piece.told >= terms.tellings());
-        toTell.sort(Comparator.<Piece<Kept>>comparingInt(Piece::told).thenComparingLong(Piece::order));
-        for (Piece<Kept> piece : toTell) {
-            int bytes = Datagram.bytes(piece.of.word);
-            if (bytes <= room) {
-                room -= bytes;
-                piece.told++;
-                words.add(piece.of.word.leaving((piece.of.endsUs - nowUs) / 1_000));
+        List<Update> selectedUpdates = new ArrayList<>();
+        pendingUpdates.removeIf(
+                entry -> entry.value.expiresAtUs <= nowUs || entry.transmitCount >= config.transmitLimit());
+        pendingUpdates.sort(Comparator.<QueueEntry<StoredUpdate>>comparingInt(QueueEntry::transmitCount)
+                .thenComparingLong(QueueEntry::order));
+        for (QueueEntry<StoredUpdate> entry : pendingUpdates) {
+            int encodedBytes = Datagram.bytes(entry.value.update);
+            if (encodedBytes <= remainingBytes) {
+                remainingBytes -= encodedBytes;
+                entry.transmitCount++;
+                selectedUpdates.add(entry.value.update.withRemainingMs((entry.value.expiresAtUs - nowUs) / 1_000));
             }
         }
-        return new Message(kind, me.node(), me.generation(), number, about, said, words);
+        return new Message(kind, self.node(), self.generation(), sequence, target, records, selectedUpdates);
     }
 }
--- a/src/main/java/kitemux/peers/MemberRecord.java
+++ b/src/main/java/kitemux/peers/MemberRecord.java
@@ -24,12 +24,12 @@
     }
 
     /** The same life and incarnation, seen otherwise by somebody. */
-    MemberRecord with(MemberState other, int finder) {
-        return new MemberRecord(node, generation, incarnation, other, finder);
+    MemberRecord withState(MemberState newState, int newReporter) {
+        return new MemberRecord(node, generation, incarnation, newState, newReporter);
     }
 
     /** Whether another one says the same, whoever found it. */
-    boolean isLike(MemberRecord other) {
-        return equals(other.with(other.state, reporter));
+    boolean equalsIgnoringReporter(MemberRecord other) {
+        return equals(other.withState(other.state, reporter));
     }
 }
--- a/src/main/java/kitemux/peers/Membership.java
+++ b/src/main/java/kitemux/peers/Membership.java
@@ -19,86 +19,86 @@
  */
 public final class Membership {
     /** The most by which a node takes itself to be slow, and so the most times longer that it waits. */
-    private static final int MOST_SLOW = 8;
+    private static final int MAX_LOCAL_HEALTH_SCORE = 8;
     /** Confirmations that bring a suspect's time down to the least. */
-    private static final int ENOUGH_CONFIRM = 3;
+    private static final int MAX_CONFIRMATION_COUNT = 3;
     /** One probe in so many goes to a node that was given up, where there is one,
      * and one to a suspect: it has
      * the more chances to hear of that, and is the sooner confirmed where it does not answer. */
-    private static final int SPECIAL_EVERY = 3;
+    private static final int SPECIAL_PROBE_INTERVAL = 3;
 
-    private final MembershipConfig terms;
-    private final Sender out;
-    private final Listener watcher;
+    private final MembershipConfig config;
+    private final Sender sender;
+    private final Listener listener;
     private final SplittableRandom random;
-    private final Member[] members;
-    private final GossipQueue news;
-    private final List<Probe> asked = new ArrayList<>();
-    private int[] turns = new int[0];
-    private int turn;
-    private MemberRecord me;
-    private Probe probe;
-    private long probeAtUs;
+    private final TrackedMember[] members;
+    private final GossipQueue gossip;
+    private final List<Probe> relayedProbes = new ArrayList<>();
+    private int[] probeOrder = new int[0];
+    private int probeOrderIndex;
+    private MemberRecord selfRecord;
+    private Probe currentProbe;
+    private long nextProbeAtUs;
     private long nowUs;
     /** When the next tick was due as the last one ended: one that comes a period later, or more, tells that
      * this process stood still. */
-    private long dueAtUs;
+    private long tickDueAtUs;
 
-    private int probes;
+    private int probeCount;
     private int localHealthScore;
-    private int numbers;
-    private boolean silent;
+    private int lastSequence;
+    private boolean stopped;
     private boolean leaving;
 
     /** Where messages go. */
     public interface Sender {
         /** To the node of this number; may be lost. */
-        void send(int to, Message message);
+        void send(int recipient, Message message);
     }
 
     /** Who is told of changes. */
     public interface Listener {
         /** A node is believed to stand otherwise. */
-        void onMemberChanged(MemberRecord now);
+        void onMemberChanged(MemberRecord memberRecord);
 
         /** A word that is new here; its time is not over. */
-        default void onUpdate(Update word) {}
+        default void onUpdate(Update update) {}
 
         /** Another process has this node's place: this one is silent from now on. */
-        default void onReplaced(MemberRecord by) {}
+        default void onReplaced(MemberRecord replacement) {}
     }
 
     /** One of the fleet. */
-    private static final class Member {
-        private MemberRecord belief;
-        private long sinceUs;
+    private static final class TrackedMember {
+        private MemberRecord currentRecord;
+        private long changedAtUs;
         /** While it is suspected: when it is given up, and who suspects it. */
-        private long giveUpAtUs = Long.MAX_VALUE;
+        private long suspicionEndsAtUs = Long.MAX_VALUE;
 
         private long suspectedAtUs;
-        private final BitSet suspecting = new BitSet();
+        private final BitSet suspectedBy = new BitSet();
     }
 
     /** A ping that is out. */
     private static final class Probe {
-        private final int node;
-        private final int number;
-        private final long answerAtUs;
+        private final int target;
+        private final int sequence;
+        private final long timeoutAtUs;
         private final long endsAtUs;
         /** Who asked for it and by which number; -1 for this node itself. */
-        private final int askedBy;
+        private final int requester;
 
-        private final int askedNumber;
-        private boolean helped;
-        private int nacksDue;
+        private final int requesterSequence;
+        private boolean indirectRequested;
+        private int expectedNacks;
 
-        Probe(int node, int number, long answerAtUs, long endsAtUs, int askedBy, int askedNumber) {
-            this.node = node;
-            this.number = number;
-            this.answerAtUs = answerAtUs;
+        Probe(int target, int sequence, long timeoutAtUs, long endsAtUs, int requester, int requesterSequence) {
+            this.target = target;
+            this.sequence = sequence;
+            this.timeoutAtUs = timeoutAtUs;
             this.endsAtUs = endsAtUs;
-            this.askedBy = askedBy;
-            this.askedNumber = askedNumber;
+            this.requester = requester;
+            this.requesterSequence = requesterSequence;
         }
     }
 
@@ -110,44 +110,45 @@
      * @param life when this process was started, in milliseconds of Unix time
      * @throws IllegalArgumentException if the terms cannot be
      */
-    public Membership(MembershipConfig terms, long life, long seed, long nowUs, Sender out, Listener watcher) {
-        if (!terms.violations().isEmpty() || !Datagram.isLife(life)) {
-            throw new IllegalArgumentException(terms.violations() + ", life " + life);
-        }
-        this.terms = terms;
-        this.out = out;
-        this.watcher = watcher;
+    public Membership(
+            MembershipConfig config, long generation, long seed, long nowUs, Sender sender, Listener listener) {
+        if (!config.violations().isEmpty() || !Datagram.isValidGeneration(generation)) {
+            throw new IllegalArgumentException(config.violations() + ", life " + generation);
+        }
+        this.config = config;
+        this.sender = sender;
+        this.listener = listener;
         this.nowUs = nowUs;
         random = new SplittableRandom(seed);
-        members = new Member[terms.nodeCount()];
+        members = new TrackedMember[config.nodeCount()];
         for (int i = 0; i < members.length; i++) {
-            members[i] = new Member();
-            members[i].belief = new MemberRecord(i, i == terms.self() ? life : 0, 0, MemberState.ALIVE, i);
-            members[i].sinceUs = nowUs;
+            members[i] = new TrackedMember();
+            members[i].currentRecord = new MemberRecord(i, i == config.self() ? generation : 0, 0, MemberState.ALIVE, i);
+            members[i].changedAtUs = nowUs;
         }
-        me = members[terms.self()].belief;
-        news = new GossipQueue(terms);
-        news.told(me);
+        selfRecord = members[config.self()].currentRecord;
+        gossip = new GossipQueue(config);
+        gossip.enqueue(selfRecord);
         // Nodes that start together do not ping together.
-        probeAtUs = nowUs + random.nextLong(terms.probePeriodUs());
-        dueAtUs = probeAtUs;
+        nextProbeAtUs = nowUs + random.nextLong(config.probePeriodUs());
+        tickDueAtUs = nextProbeAtUs;
     }
 
     // ---------------------------------------------------------------- what is believed
 
     /** What is believed of a node. */
     public MemberRecord recordOf(int node) {
-        return members[node].belief;
+        return members[node].currentRecord;
     }
 
     /** Since when, by this node's clock. */
     public long changedAtUs(int node) {
-        return members[node].sinceUs;
+        return members[node].changedAtUs;
     }
 
     /** Nodes that are taken to be there, this one among them, suspects too. */
     public int aliveCount() {
-        return (int) Arrays.stream(members).filter(m -> isThere(m.belief)).count();
+        return (int) Arrays.stream(members).filter(m -> isPresent(m.currentRecord)).count();
     }
 
     /** Whether this node hears half of its fleet or less, as it is described; of two halves both do. */
@@ -162,28 +163,30 @@
 
     /** Whether another process has this node's place. */
     public boolean isReplaced() {
-        return silent && !leaving;
+        return stopped && !leaving;
     }
 
-    private static boolean isThere(MemberRecord belief) {
-        return belief.state() == MemberState.ALIVE || belief.state() == MemberState.SUSPECT;
+    private static boolean isPresent(MemberRecord memberRecord) {
+        return memberRecord.state() == MemberState.ALIVE || memberRecord.state() == MemberState.SUSPECT;
     }
 
     // ---------------------------------------------------------------- time
 
     /** When {@link #tick} is to be called next. */
     public long nextTickAtUs() {
-        if (silent) {
+        if (stopped) {
             return Long.MAX_VALUE;
         }
-        long next = probe == null
-                ? probeAtUs
-                : probe.helped || terms.indirectProbes() == 0 ? probe.endsAtUs : probe.answerAtUs;
-        for (Probe one : asked) {
-            next = Math.min(next, one.answerAtUs);
+        long next = currentProbe == null
+                ? nextProbeAtUs
+                : currentProbe.indirectRequested || config.indirectProbes() == 0
+                        ? currentProbe.endsAtUs
+                        : currentProbe.timeoutAtUs;
+        for (Probe relayed : relayedProbes) {
+            next = Math.min(next, relayed.timeoutAtUs);
         }
-        for (Member member : members) {
-            next = Math.min(next, member.giveUpAtUs);
+        for (TrackedMember member : members) {
+            next = Math.min(next, member.suspicionEndsAtUs);
         }
         return next;
     }
@@ -191,140 +194,142 @@
     /** Time has passed. */
     public void tick(long now) {
         nowUs = Math.max(nowUs, now);
-        if (silent) {
+        if (stopped) {
             return;
         }
-        if (nowUs - dueAtUs > terms.probePeriodUs()) {
-            stoodStill();
+        if (nowUs - tickDueAtUs > config.probePeriodUs()) {
+            recoverFromStall();
         }
-        for (Probe one : List.copyOf(asked)) {
-            if (nowUs >= one.answerAtUs) {
-                asked.remove(one);
-                send(one.askedBy, Message.Kind.NACK, one.askedNumber, 0);
+        for (Probe relayed : List.copyOf(relayedProbes)) {
+            if (nowUs >= relayed.timeoutAtUs) {
+                relayedProbes.remove(relayed);
+                send(relayed.requester, Message.Kind.NACK, relayed.requesterSequence, 0);
             }
         }
         for (int i = 0; i < members.length; i++) {
-            if (nowUs >= members[i].giveUpAtUs) {
-                believe(members[i].belief.with(MemberState.GONE, terms.self()));
+            if (nowUs >= members[i].suspicionEndsAtUs) {
+                apply(members[i].currentRecord.withState(MemberState.GONE, config.self()));
             }
         }
-        if (probe != null && !probe.helped && nowUs >= probe.answerAtUs) {
-            askOthers();
+        if (currentProbe != null && !currentProbe.indirectRequested && nowUs >= currentProbe.timeoutAtUs) {
+            requestIndirectProbes();
         }
-        if (probe != null && nowUs >= probe.endsAtUs) {
-            unanswered();
+        if (currentProbe != null && nowUs >= currentProbe.endsAtUs) {
+            endUnansweredProbe();
         }
-        if (probe == null && nowUs >= probeAtUs) {
-            probeNext();
+        if (currentProbe == null && nowUs >= nextProbeAtUs) {
+            startNextProbe();
         }
-        dueAtUs = nextTickAtUs();
+        tickDueAtUs = nextTickAtUs();
     }
 
     /**
      * What was waited for came while nobody read it: it says nothing of others. Suspects have their time over
      * again, as their word may have come meanwhile.
      */
-    private void stoodStill() {
-        probe = null;
-        asked.clear();
-        probeAtUs = nowUs;
-        localHealthScore = Math.min(MOST_SLOW, localHealthScore + 1);
-        for (Member member : members) {
-            if (member.giveUpAtUs != Long.MAX_VALUE) {
+    private void recoverFromStall() {
+        currentProbe = null;
+        relayedProbes.clear();
+        nextProbeAtUs = nowUs;
+        localHealthScore = Math.min(MAX_LOCAL_HEALTH_SCORE, localHealthScore + 1);
+        for (TrackedMember member : members) {
+            if (member.suspicionEndsAtUs != Long.MAX_VALUE) {
                 member.suspectedAtUs = nowUs;
-                setGiveUp(member);
+                updateSuspicionDeadline(member);
             }
         }
     }
 
-    private void probeNext() {
-        probeAtUs = nowUs + terms.probePeriodUs() * (1 + localHealthScore);
-        int node = choose();
+    private void startNextProbe() {
+        nextProbeAtUs = nowUs + config.probePeriodUs() * (1 + localHealthScore);
+        int node = nextProbeTarget();
         if (node < 0) {
             return;
         }
-        tellIfAway(node);
-        probe = new Probe(node, ++numbers, nowUs + terms.probeTimeoutUs() * (1 + localHealthScore), probeAtUs, -1, 0);
-        send(node, Message.Kind.PING, probe.number, 0);
+        gossipUnlessAlive(node);
+        currentProbe = new Probe(
+                node, ++lastSequence, nowUs + config.probeTimeoutUs() * (1 + localHealthScore), nextProbeAtUs, -1, 0);
+        send(node, Message.Kind.PING, currentProbe.sequence, 0);
     }
 
     /** All that are there in turn, in an order that is drawn anew each time, but for special ones. */
-    private int choose() {
-        int kind = ++probes % SPECIAL_EVERY;
-        int special = kind == 0
-                ? oneOf(MemberState.GONE, new BitSet())
-                : kind == 1 ? oneOf(MemberState.SUSPECT, new BitSet()) : -1;
-        if (special >= 0) {
-            return special;
-        }
-        for (int looked = 0; looked <= 2 * members.length; looked++) {
-            if (turn >= turns.length) {
-                shuffle();
+    private int nextProbeTarget() {
+        int kind = ++probeCount % SPECIAL_PROBE_INTERVAL;
+        int specialTarget = kind == 0
+                ? randomMember(MemberState.GONE, new BitSet())
+                : kind == 1 ? randomMember(MemberState.SUSPECT, new BitSet()) : -1;
+        if (specialTarget >= 0) {
+            return specialTarget;
+        }
+        for (int attempts = 0; attempts <= 2 * members.length; attempts++) {
+            if (probeOrderIndex >= probeOrder.length) {
+                shuffleProbeOrder();
             }
-            int node = turns[turn++];
-            if (node != terms.self() && isThere(members[node].belief)) {
+            int node = probeOrder[probeOrderIndex++];
+            if (node != config.self() && isPresent(members[node].currentRecord)) {
                 return node;
             }
         }
-        return oneOf(MemberState.GONE, new BitSet());
+        return randomMember(MemberState.GONE, new BitSet());
     }
 
-    private void shuffle() {
-        turns = new int[members.length];
-        for (int i = 0; i < turns.length; i++) {
-            int at = random.nextInt(i + 1);
-            turns[i] = turns[at];
-            turns[at] = i;
+    private void shuffleProbeOrder() {
+        probeOrder = new int[members.length];
+        for (int i = 0; i < probeOrder.length; i++) {
+            int swapIndex = random.nextInt(i + 1);
+            probeOrder[i] = probeOrder[swapIndex];
+            probeOrder[swapIndex] = i;
         }
-        turn = 0;
+        probeOrderIndex = 0;
     }
 
     /** A node of this standing, each as likely; -1 if there is none. */
-    private int oneOf(MemberState standing, BitSet but) {
-        int found = -1;
-        int seen = 0;
+    private int randomMember(MemberState state, BitSet excluded) {
+        int chosen = -1;
+        int candidateCount = 0;
         for (int i = 0; i < members.length; i++) {
-            if (i != terms.self()
-                    && !but.get(i)
-                    && members[i].belief.state() == standing
-                    && random.nextInt(++seen) == 0) {
-                found = i;
+            if (i != config.self()
+                    && !excluded.get(i)
+                    && members[i].currentRecord.state() == state
+                    && random.nextInt(++candidateCount) == 0) {
+                chosen = i;
             }
         }
-        return found;
+        return chosen;
     }
 
-    private void askOthers() {
-        probe.helped = true;
-        if (members[probe.node].belief.state() == MemberState.GONE) {
+    private void requestIndirectProbes() {
+        currentProbe.indirectRequested = true;
+        if (members[currentProbe.target].currentRecord.state() == MemberState.GONE) {
             return;
         }
-        tellIfAway(probe.node);
+        gossipUnlessAlive(currentProbe.target);
         BitSet chosen = new BitSet();
-        chosen.set(probe.node);
-        for (int i = 0; i < terms.indirectProbes(); i++) {
-            int helper = oneOf(MemberState.ALIVE, chosen);
+        chosen.set(currentProbe.target);
+        for (int i = 0; i < config.indirectProbes(); i++) {
+            int helper = randomMember(MemberState.ALIVE, chosen);
             if (helper >= 0) {
                 chosen.set(helper);
-                probe.nacksDue++;
-                send(helper, Message.Kind.PING_REQUEST, probe.number, probe.node);
+                currentProbe.expectedNacks++;
+                send(helper, Message.Kind.PING_REQUEST, currentProbe.sequence, currentProbe.target);
             }
         }
     }
 
-    private void unanswered() {
-        Probe over = probe;
-        probe = null;
-        MemberRecord belief = members[over.node].belief;
-        if (belief.state() == MemberState.GONE) {
+    private void endUnansweredProbe() {
+        Probe expiredProbe = currentProbe;
+        currentProbe = null;
+        MemberRecord memberRecord = members[expiredProbe.target].currentRecord;
+        if (memberRecord.state() == MemberState.GONE) {
             return;
         }
         // Who did not even hear from those that it asked is likely to be slow, or cut off, itself.
-        localHealthScore = Math.min(MOST_SLOW, localHealthScore + 1 + (over.nacksDue > 0 ? 1 : 0));
-        if (belief.state() == MemberState.ALIVE) {
-            believe(belief.with(MemberState.SUSPECT, terms.self()));
-        } else if (belief.state() == MemberState.SUSPECT) {
-            confirm(members[over.node], belief.with(MemberState.SUSPECT, terms.self()));
+        localHealthScore =
+                Math.min(MAX_LOCAL_HEALTH_SCORE, localHealthScore + 1 + (expiredProbe.expectedNacks > 0 ? 1 : 0));
+        if (memberRecord.state() == MemberState.ALIVE) {
+            apply(memberRecord.withState(MemberState.SUSPECT, config.self()));
+        } else if (memberRecord.state() == MemberState.SUSPECT) {
+            confirmSuspicion(members[expiredProbe.target], memberRecord.withState(MemberState.SUSPECT, config.self()));
         }
     }
 
@@ -337,147 +342,163 @@
      */
     public void receive(long now, Message message) {
         nowUs = Math.max(nowUs, now);
-        take(message);
-        dueAtUs = nextTickAtUs();
+        handle(message);
+        tickDueAtUs = nextTickAtUs();
     }
 
-    private void take(Message message) {
-        int from = message.sender();
-        if (silent || from >= members.length || from == terms.self() || message.target() >= members.length) {
+    private void handle(Message message) {
+        int senderNode = message.sender();
+        if (stopped
+                || senderNode >= members.length
+                || senderNode == config.self()
+                || message.target() >= members.length) {
             return;
         }
-        for (MemberRecord belief : message.members()) {
-            if (belief.node() < members.length) {
-                hear(belief);
+        for (MemberRecord memberRecord : message.members()) {
+            if (memberRecord.node() < members.length) {
+                merge(memberRecord);
             }
         }
-        message.updates().forEach(word -> {
-            if (word.origin() < members.length && word.origin() != terms.self() && news.hears(word, nowUs)) {
-                watcher.onUpdate(word);
+        message.updates().forEach(update -> {
+            if (update.origin() < members.length && update.origin() != config.self() && gossip.offer(update, nowUs)) {
+                listener.onUpdate(update);
             }
         });
-        if (silent || message.generation() < members[from].belief.generation()) {
+        if (stopped || message.generation() < members[senderNode].currentRecord.generation()) {
             // An earlier life of its sender: whoever speaks so late is answered nothing but what is believed.
-            if (!silent) {
-                news.told(members[from].belief);
-                send(from, Message.Kind.NACK, 0, 0);
+            if (!stopped) {
+                gossip.enqueue(members[senderNode].currentRecord);
+                send(senderNode, Message.Kind.NACK, 0, 0);
             }
             return;
         }
         switch (message.kind()) {
             case PING -> {
-                tellIfAway(from);
-                send(from, Message.Kind.ACK, message.sequence(), 0);
+                gossipUnlessAlive(senderNode);
+                send(senderNode, Message.Kind.ACK, message.sequence(), 0);
             }
-            case ACK -> answered(message);
+            case ACK -> handleAck(message);
             case PING_REQUEST -> {
-                Probe forOther = new Probe(
-                        message.target(), ++numbers, nowUs + terms.probeTimeoutUs(), 0, from, message.sequence());
-                asked.add(forOther);
-                send(forOther.node, Message.Kind.PING, forOther.number, 0);
+                Probe relayedProbe = new Probe(
+                        message.target(),
+                        ++lastSequence,
+                        nowUs + config.probeTimeoutUs(),
+                        0,
+                        senderNode,
+                        message.sequence());
+                relayedProbes.add(relayedProbe);
+                send(relayedProbe.target, Message.Kind.PING, relayedProbe.sequence, 0);
             }
             case NACK -> {
-                if (probe != null && probe.number == message.sequence()) {
-                    probe.nacksDue--;
+                if (currentProbe != null && currentProbe.sequence == message.sequence()) {
+                    currentProbe.expectedNacks--;
                 }
             }
         }
     }
 
     /** Whoever is believed to be away hears so, and whoever is asked about it: either can take that back. */
-    private void tellIfAway(int node) {
-        if (members[node].belief.state() != MemberState.ALIVE) {
-            news.told(members[node].belief);
+    private void gossipUnlessAlive(int node) {
+        if (members[node].currentRecord.state() != MemberState.ALIVE) {
+            gossip.enqueue(members[node].currentRecord);
         }
     }
 
-    private void answered(Message message) {
-        if (probe != null && probe.number == message.sequence() && probe.node == message.sender()) {
-            probe = null;
+    private void handleAck(Message message) {
+        if (currentProbe != null
+                && currentProbe.sequence == message.sequence()
+                && currentProbe.target == message.sender()) {
+            currentProbe = null;
             localHealthScore = Math.max(0, localHealthScore - 1);
-            tellIfAway(message.sender());
+            gossipUnlessAlive(message.sender());
             return;
         }
-        if (probe != null && probe.number == message.sequence() && message.target() == 0) {
+        if (currentProbe != null && currentProbe.sequence == message.sequence() && message.target() == 0) {
             // A helper tells that it was answered.
-            probe = null;
+            currentProbe = null;
             return;
         }
-        for (Probe one : asked) {
-            if (one.number == message.sequence() && one.node == message.sender()) {
-                asked.remove(one);
-                send(one.askedBy, Message.Kind.ACK, one.askedNumber, 0);
+        for (Probe relayed : relayedProbes) {
+            if (relayed.sequence == message.sequence() && relayed.target == message.sender()) {
+                relayedProbes.remove(relayed);
+                send(relayed.requester, Message.Kind.ACK, relayed.requesterSequence, 0);
                 return;
             }
         }
     }
 
-    private void hear(MemberRecord said) {
-        if (said.node() == terms.self()) {
-            hearOfMe(said);
+    private void merge(MemberRecord received) {
+        if (received.node() == config.self()) {
+            mergeSelfRecord(received);
             return;
         }
-        Member member = members[said.node()];
-        if (said.overrides(member.belief)) {
-            believe(said);
-        } else if (said.state() == MemberState.SUSPECT && said.isLike(member.belief)) {
-            confirm(member, said);
-        } else if (member.belief.overrides(said)) {
+        TrackedMember member = members[received.node()];
+        if (received.overrides(member.currentRecord)) {
+            apply(received);
+        } else if (received.state() == MemberState.SUSPECT && received.equalsIgnoringReporter(member.currentRecord)) {
+            confirmSuspicion(member, received);
+        } else if (member.currentRecord.overrides(received)) {
             // Whoever still believes that has missed what was told since.
-            news.told(member.belief);
+            gossip.enqueue(member.currentRecord);
         }
     }
 
-    private void hearOfMe(MemberRecord said) {
-        if (said.generation() > me.generation()) {
-            silent = true;
-            watcher.onReplaced(said);
+    private void mergeSelfRecord(MemberRecord received) {
+        if (received.generation() > selfRecord.generation()) {
+            stopped = true;
+            listener.onReplaced(received);
             return;
         }
-        if (said.generation() == me.generation()
+        if (received.generation() == selfRecord.generation()
                 && !leaving
-                && said.state() != MemberState.ALIVE
-                && said.incarnation() >= me.incarnation()) {
+                && received.state() != MemberState.ALIVE
+                && received.incarnation() >= selfRecord.incarnation()) {
             // Whoever is suspected may well be slow.
-            localHealthScore = Math.min(MOST_SLOW, localHealthScore + 1);
-            me = new MemberRecord(me.node(), me.generation(), said.incarnation() + 1, MemberState.ALIVE, me.node());
-            members[terms.self()].belief = me;
-            news.told(me);
-        }
-    }
-
-    private void believe(MemberRecord now) {
-        Member member = members[now.node()];
-        boolean suspect = now.state() == MemberState.SUSPECT;
-        member.belief = now;
-        member.sinceUs = nowUs;
-        member.giveUpAtUs = Long.MAX_VALUE;
-        member.suspecting.clear();
-        if (suspect) {
+            localHealthScore = Math.min(MAX_LOCAL_HEALTH_SCORE, localHealthScore + 1);
+            selfRecord = new MemberRecord(
+                    selfRecord.node(),
+                    selfRecord.generation(),
+                    received.incarnation() + 1,
+                    MemberState.ALIVE,
+                    selfRecord.node());
+            members[config.self()].currentRecord = selfRecord;
+            gossip.enqueue(selfRecord);
+        }
+    }
+
+    private void apply(MemberRecord newRecord) {
+        TrackedMember member = members[newRecord.node()];
+        boolean suspected = newRecord.state() == MemberState.SUSPECT;
+        member.currentRecord = newRecord;
+        member.changedAtUs = nowUs;
+        member.suspicionEndsAtUs = Long.MAX_VALUE;
+        member.suspectedBy.clear();
+        if (suspected) {
             member.suspectedAtUs = nowUs;
-            member.suspecting.set(now.reporter());
-            setGiveUp(member);
+            member.suspectedBy.set(newRecord.reporter());
+            updateSuspicionDeadline(member);
         }
-        news.told(now);
-        watcher.onMemberChanged(now);
+        gossip.enqueue(newRecord);
+        listener.onMemberChanged(newRecord);
     }
 
     /** Another node found it so by itself; passing on what was found is no finding. */
-    private void confirm(Member member, MemberRecord said) {
-        if (!member.suspecting.get(said.reporter()) && member.suspecting.cardinality() <= ENOUGH_CONFIRM) {
-            member.suspecting.set(said.reporter());
-            setGiveUp(member);
-            news.told(said);
+    private void confirmSuspicion(TrackedMember member, MemberRecord received) {
+        if (!member.suspectedBy.get(received.reporter())
+                && member.suspectedBy.cardinality() <= MAX_CONFIRMATION_COUNT) {
+            member.suspectedBy.set(received.reporter());
+            updateSuspicionDeadline(member);
+            gossip.enqueue(received);
         }
     }
 
     /** The more nodes suspect it, the sooner it is given up. */
-    private void setGiveUp(Member member) {
-        long most = terms.mostSuspicionUs();
-        long least = terms.leastSuspicionUs();
-        double confirmed = Math.log(member.suspecting.cardinality()) / Math.log(ENOUGH_CONFIRM + 1.0);
-        long lasts = Math.max(least, (long) (most - (most - least) * confirmed));
-        member.giveUpAtUs = member.suspectedAtUs + lasts;
+    private void updateSuspicionDeadline(TrackedMember member) {
+        long maxUs = config.maxSuspicionUs();
+        long minUs = config.minSuspicionUs();
+        double confirmedRatio = Math.log(member.suspectedBy.cardinality()) / Math.log(MAX_CONFIRMATION_COUNT + 1.0);
+        long durationUs = Math.max(minUs, (long) (maxUs - (maxUs - minUs) * confirmedRatio));
+        member.suspicionEndsAtUs = member.suspectedAtUs + durationUs;
     }
 
     // ---------------------------------------------------------------- what is told
@@ -487,37 +508,39 @@
      *
      * @throws IllegalArgumentException if the text is too long or the topic or time out of range
      */
-    public void broadcast(int topic, int version, int forMs, byte[] text) {
+    public void broadcast(int topic, int version, int lifetimeMs, byte[] payload) {
         if (topic < 0
                 || topic > 255
-                || forMs < 1
-                || forMs > 65_535
-                || text.length > Datagram.MAX_UPDATE_PAYLOAD_BYTES) {
-            throw new IllegalArgumentException("topic " + topic + ", " + forMs + " ms, " + text.length + " bytes");
+                || lifetimeMs < 1
+                || lifetimeMs > 65_535
+                || payload.length > Datagram.MAX_UPDATE_PAYLOAD_BYTES) {
+            throw new IllegalArgumentException(
+                    "topic " + topic + ", " + lifetimeMs + " ms, " + payload.length + " bytes");
         }
-        news.hears(new Update(terms.self(), me.generation(), topic, version, forMs, text.clone()), nowUs);
+        gossip.offer(
+                new Update(config.self(), selfRecord.generation(), topic, version, lifetimeMs, payload.clone()), nowUs);
     }
 
     /** Says that this node leaves, to some at once; nothing is sent afterwards. */
     public void leave(long now) {
         nowUs = Math.max(nowUs, now);
-        if (silent) {
+        if (stopped) {
             return;
         }
         leaving = true;
-        me = me.with(MemberState.LEFT, me.node());
-        members[terms.self()].belief = me;
-        news.told(me);
-        for (int i = 0; i < terms.tellings(); i++) {
-            int to = oneOf(MemberState.ALIVE, new BitSet());
-            if (to >= 0) {
-                send(to, Message.Kind.NACK, 0, 0);
+        selfRecord = selfRecord.withState(MemberState.LEFT, selfRecord.node());
+        members[config.self()].currentRecord = selfRecord;
+        gossip.enqueue(selfRecord);
+        for (int i = 0; i < config.transmitLimit(); i++) {
+            int recipient = randomMember(MemberState.ALIVE, new BitSet());
+            if (recipient >= 0) {
+                send(recipient, Message.Kind.NACK, 0, 0);
             }
         }
-        silent = true;
+        stopped = true;
     }
 
-    private void send(int to, Message.Kind kind, int number, int about) {
-        out.send(to, news.message(kind, me, number, about, nowUs));
+    private void send(int recipient, Message.Kind kind, int sequence, int target) {
+        sender.send(recipient, gossip.nextMessage(kind, selfRecord, sequence, target, nowUs));
     }
 }
--- a/src/main/java/kitemux/peers/MembershipConfig.java
+++ b/src/main/java/kitemux/peers/MembershipConfig.java
@@ -23,52 +23,52 @@
         double suspicionMultiplier,
         int maxDatagramBytes) {
     /** Itself, whom it speaks of, and room for news. */
-    private static final int LEAST_BYTES = Datagram.HEAD + 4 * Datagram.BELIEF;
+    private static final int MIN_DATAGRAM_BYTES = Datagram.HEADER_BYTES + 4 * Datagram.MEMBER_RECORD_BYTES;
 
     /** The usual ones of a fleet: a probe a second, 400 ms for its answer. */
-    public static MembershipConfig defaults(int nodes, int me) {
-        return new MembershipConfig(nodes, me, 1_000_000, 400_000, 3, 4, Datagram.PLATFORM_MAX_BYTES);
+    public static MembershipConfig defaults(int nodeCount, int self) {
+        return new MembershipConfig(nodeCount, self, 1_000_000, 400_000, 3, 4, Datagram.PLATFORM_MAX_BYTES);
     }
 
     /** All that cannot be, one line each with field and reason; empty where there is nothing. */
     public List<String> violations() {
-        List<String> found = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         require(
-                found,
+                violations,
                 nodeCount >= 1 && nodeCount <= Datagram.MAX_NODE_COUNT,
                 "nodes: is not from 1 to " + Datagram.MAX_NODE_COUNT);
-        require(found, self >= 0 && self < nodeCount, "me: is not from 0 to nodes - 1");
-        require(found, probePeriodUs >= 10_000, "period: is under 10ms");
+        require(violations, self >= 0 && self < nodeCount, "me: is not from 0 to nodes - 1");
+        require(violations, probePeriodUs >= 10_000, "period: is under 10ms");
         require(
-                found,
+                violations,
                 probeTimeoutUs >= 1_000 && 2 * probeTimeoutUs <= probePeriodUs,
                 "answer: is not from 1ms to half a period");
-        require(found, indirectProbes >= 0 && indirectProbes <= 16, "helpers: is not from 0 to 16");
-        require(found, suspicionMultiplier >= 1 && suspicionMultiplier <= 100, "suspicion: is not from 1 to 100");
+        require(violations, indirectProbes >= 0 && indirectProbes <= 16, "helpers: is not from 0 to 16");
+        require(violations, suspicionMultiplier >= 1 && suspicionMultiplier <= 100, "suspicion: is not from 1 to 100");
         require(
-                found,
-                maxDatagramBytes >= LEAST_BYTES && maxDatagramBytes <= 65_000,
-                "most_bytes: is not from " + LEAST_BYTES + " to 65000");
-        return found;
+                violations,
+                maxDatagramBytes >= MIN_DATAGRAM_BYTES && maxDatagramBytes <= 65_000,
+                "most_bytes: is not from " + MIN_DATAGRAM_BYTES + " to 65000");
+        return violations;
     }
 
-    private static void require(List<String> found, boolean holds, String otherwise) {
-        if (!holds) {
-            found.add(otherwise);
+    private static void require(List<String> violations, boolean valid, String violation) {
+        if (!valid) {
+            violations.add(violation);
         }
     }
 
     /** How long a suspect has where many suspect it; and, below, where one does. */
-    long leastSuspicionUs() {
+    long minSuspicionUs() {
         return (long) (suspicionMultiplier * Math.max(1, Math.log10(nodeCount)) * probePeriodUs);
     }
 
-    long mostSuspicionUs() {
-        return 3 * leastSuspicionUs();
+    long maxSuspicionUs() {
+        return 3 * minSuspicionUs();
     }
 
     /** How often a piece of news is passed on by each node that hears it. */
-    int tellings() {
+    int transmitLimit() {
         return 3 * (int) Math.ceil(Math.log10(nodeCount + 1.0) + 1);
     }
 }
--- a/src/main/java/kitemux/peers/Update.java
+++ b/src/main/java/kitemux/peers/Update.java
@@ -17,19 +17,19 @@
         return generation != other.generation ? generation > other.generation : version > other.version;
     }
 
-    Update leaving(long ms) {
+    Update withRemainingMs(long ms) {
         return new Update(origin, generation, topic, version, (int) Math.max(0, ms), payload);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Update word
-                && origin == word.origin
-                && generation == word.generation
-                && topic == word.topic
-                && version == word.version
-                && remainingMs == word.remainingMs
-                && Arrays.equals(payload, word.payload);
+        return other instanceof Update update
+                && origin == update.origin
+                && generation == update.generation
+                && topic == update.topic
+                && version == update.version
+                && remainingMs == update.remainingMs
+                && Arrays.equals(payload, update.payload);
     }
 
     @Override
--- a/src/main/java/kitemux/soak/ClientGate.java
+++ b/src/main/java/kitemux/soak/ClientGate.java
@@ -7,46 +7,46 @@
 /** Where clients rest between requests: a gathering holds them all until they send at one instant. */
 final class ClientGate {
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition changed = lock.newCondition();
-    private boolean gathering;
-    private boolean over;
+    private final Condition stateChanged = lock.newCondition();
+    private boolean holding;
+    private boolean closed;
 
     /**
      * Rests for so long, or, for one that joins, until a gathering ends; false once the play is over.
      */
-    boolean rest(long ms, boolean joins) throws InterruptedException {
-        long left = TimeUnit.MILLISECONDS.toNanos(ms);
+    boolean pause(long pauseMs, boolean waitsForGate) throws InterruptedException {
+        long remainingNanos = TimeUnit.MILLISECONDS.toNanos(pauseMs);
         lock.lock();
         try {
-            while (!over && (joins && gathering || left > 0)) {
-                if (joins && gathering) {
-                    changed.await();
-                    left = gathering ? left : 0;
+            while (!closed && (waitsForGate && holding || remainingNanos > 0)) {
+                if (waitsForGate && holding) {
+                    stateChanged.await();
+                    remainingNanos = holding ? remainingNanos : 0;
                 } else {
-                    left = changed.awaitNanos(left);
+                    remainingNanos = stateChanged.awaitNanos(remainingNanos);
                 }
             }
-            return !over;
+            return !closed;
         } finally {
             lock.unlock();
         }
     }
 
     /** From now on those who rest stay, until this is called with false: then all send. */
-    void gather(boolean now) {
-        change(() -> gathering = now);
+    void setHolding(boolean enabled) {
+        update(() -> holding = enabled);
     }
 
     /** Ends the play. */
-    void end() {
-        change(() -> over = true);
+    void close() {
+        update(() -> closed = true);
     }
 
-    private void change(Runnable what) {
+    private void update(Runnable action) {
         lock.lock();
         try {
-            what.run();
-            changed.signalAll();
+            action.run();
+            stateChanged.signalAll();
         } finally {
             lock.unlock();
         }
--- a/src/main/java/kitemux/soak/HttpMessage.java
+++ b/src/main/java/kitemux/soak/HttpMessage.java
@@ -12,16 +12,16 @@
 /**
  * An HTTP/1.1 message with a length.
  *
- * @param start its first line
+ * @param startLine its first line
  * @param headers by names in small letters
  */
-record HttpMessage(String start, Map<String, String> headers) {
+record HttpMessage(String startLine, Map<String, String> headers) {
 
     /** Reads one whole; its body is dropped. */
     static HttpMessage read(InputStream in) throws IOException {
-        String start = line(in);
+        String startLine = readLine(in);
         Map<String, String> headers = new TreeMap<>();
-        for (String line = line(in); !line.isEmpty(); line = line(in)) {
+        for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
             int colon = line.indexOf(':');
             headers.put(
                     line.substring(0, colon).toLowerCase(Locale.ROOT),
@@ -31,10 +31,10 @@
         if (in.readNBytes(length).length < length) {
             throw new EOFException("message cut short");
         }
-        return new HttpMessage(start, headers);
+        return new HttpMessage(startLine, headers);
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
@@ -47,11 +47,11 @@
 
     /** The status of an answer. */
     int status() {
-        return Integer.parseInt(start.split(" ")[1]);
+        return Integer.parseInt(startLine.split(" ")[1]);
     }
 
     /** Whether the sender ends the connection behind it. */
-    boolean isLast() {
+    boolean closesConnection() {
         return "close".equalsIgnoreCase(headers.get("connection"));
     }
 }
--- a/src/main/java/kitemux/soak/Plan.java
+++ b/src/main/java/kitemux/soak/Plan.java
@@ -13,9 +13,9 @@
  * @param steps one behind the other
  */
 record Plan(long seed, long deadlineMs, List<Step> steps) {
-    private static final double LEAST_DEADLINE_MS = 250;
-    private static final double MOST_DEADLINE_MS = 3_500;
-    private static final int MOST_HANG_UPS = 4;
+    private static final double MIN_DEADLINE_MS = 250;
+    private static final double MAX_DEADLINE_MS = 3_500;
+    private static final int MAX_SIGHUP_COUNT = 4;
 
     /** How a process is changed for another. */
     enum Kind {
@@ -32,30 +32,36 @@
     /**
      * One change.
      *
-     * @param hanging how many servers hang from SIGTERM on
-     * @param crowdAfterMs when all resting clients send, counted from SIGTERM; negative for never
-     * @param hangUps SIGHUPs around SIGTERM
-     * @param termTwice whether SIGTERM is sent twice
+     * @param hangingServerCount how many servers hang from SIGTERM on
+     * @param burstAfterMs when all resting clients send, counted from SIGTERM; negative for never
+     * @param sighupCount SIGHUPs around SIGTERM
+     * @param sendsTermTwice whether SIGTERM is sent twice
      * @param termAfterMs for {@link Kind#TERM_IN_START}: when SIGTERM comes, counted from the start
      */
-    record Step(Kind kind, int hanging, long crowdAfterMs, int hangUps, boolean termTwice, long termAfterMs) {}
+    record Step(
+            Kind kind,
+            int hangingServerCount,
+            long burstAfterMs,
+            int sighupCount,
+            boolean sendsTermTwice,
+            long termAfterMs) {}
 
     /** The plan of a seed. */
-    static Plan of(long seed, List<Kind> kinds, int steps, int servers) {
+    static Plan draw(long seed, List<Kind> kinds, int stepCount, int serverCount) {
         SplittableRandom random = new SplittableRandom(seed);
-        double spread = Math.log(MOST_DEADLINE_MS / LEAST_DEADLINE_MS);
-        long deadlineMs = (long) (LEAST_DEADLINE_MS * Math.exp(random.nextDouble() * spread));
-        List<Step> drawn = new ArrayList<>();
-        for (int i = 0; i < steps; i++) {
-            long lifeMs = Math.min(deadlineMs, SoakNode.MOST_DEADLINE_MS) + SoakNode.KILL_AFTER_DEADLINE_MS;
-            drawn.add(new Step(
+        double logRange = Math.log(MAX_DEADLINE_MS / MIN_DEADLINE_MS);
+        long deadlineMs = (long) (MIN_DEADLINE_MS * Math.exp(random.nextDouble() * logRange));
+        List<Step> drawnSteps = new ArrayList<>();
+        for (int i = 0; i < stepCount; i++) {
+            long shutdownMs = Math.min(deadlineMs, SoakNode.MAX_DEADLINE_MS) + SoakNode.KILL_AFTER_DEADLINE_MS;
+            drawnSteps.add(new Step(
                     kinds.get(random.nextInt(kinds.size())),
-                    random.nextInt(servers),
-                    random.nextBoolean() ? random.nextLong(lifeMs) : -1,
-                    random.nextBoolean() ? 0 : random.nextInt(MOST_HANG_UPS) + 1,
+                    random.nextInt(serverCount),
+                    random.nextBoolean() ? random.nextLong(shutdownMs) : -1,
+                    random.nextBoolean() ? 0 : random.nextInt(MAX_SIGHUP_COUNT) + 1,
                     random.nextInt(4) == 0,
                     random.nextLong(1_000)));
         }
-        return new Plan(seed, deadlineMs, List.copyOf(drawn));
+        return new Plan(seed, deadlineMs, List.copyOf(drawnSteps));
     }
 }
--- a/src/main/java/kitemux/soak/Request.java
+++ b/src/main/java/kitemux/soak/Request.java
@@ -13,9 +13,9 @@
 record Request(
         String txn, int classIndex, long sentUs, long remainingUs, boolean usedBefore, Outcome outcome, long endedUs) {
     static final List<String> CLASSES = List.of("page", "photo", "order");
-    static final List<String> REPEATS = List.of("safe", "keyed", "unsafe");
+    static final List<String> RETRY_SAFETY = List.of("safe", "keyed", "unsafe");
     /** The index of the class that must not run twice. */
-    static final int UNSAFE = 2;
+    static final int UNSAFE_CLASS_INDEX = 2;
 
     /** What the client saw. */
     enum Outcome {
--- a/src/main/java/kitemux/soak/Soak.java
+++ b/src/main/java/kitemux/soak/Soak.java
@@ -24,15 +24,15 @@
  * open connections up to SIGKILL and servers that hang, and judges what was seen.
  */
 public final class Soak {
-    private static final int SERVERS = 3;
-    private static final int CLIENTS = 40;
+    private static final int SERVER_COUNT = 3;
+    private static final int CLIENT_COUNT = 40;
     private static final long SETTLE_MS = 300;
-    private static final long LATE_TICK_MS = 5;
+    private static final long LATENESS_TICK_MS = 5;
     /** A player that was later than this with its own waits may not be relied on. */
-    private static final long MOST_LATE_MS = 100;
+    private static final long MAX_LATENESS_MS = 100;
 
-    private static final long ORIGIN_US = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
-    private static final long ORIGIN_NANOS = System.nanoTime();
+    private static final long START_UNIX_US = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
+    private static final long START_NANOS = System.nanoTime();
 
     /** Makes the command that starts a node, anew for each start. */
     public interface Launcher {
@@ -47,11 +47,11 @@
     private final Queue<Request> requests = new ConcurrentLinkedQueue<>();
     private final Queue<SoakServer.Arrival> arrivals = new ConcurrentLinkedQueue<>();
     private final List<SoakServer> servers = new ArrayList<>();
-    private final List<SoakVerifier.UnannouncedKill> killed = new ArrayList<>();
-    private final List<SocketChannel> holders = new ArrayList<>();
-    private final ClientGate crowd = new ClientGate();
-    private final AtomicLong lateMs = new AtomicLong();
-    private int clientsPort;
+    private final List<SoakVerifier.UnannouncedKill> unannouncedKills = new ArrayList<>();
+    private final List<SocketChannel> portHolders = new ArrayList<>();
+    private final ClientGate gate = new ClientGate();
+    private final AtomicLong maxLatenessMs = new AtomicLong();
+    private int clientPort;
     private int sigkills;
 
     /**
@@ -75,7 +75,7 @@
             List<String> violations) {
         /** Whether the player kept its own time, so that what it found can be relied on. */
         public boolean isOnSchedule() {
-            return maxLatenessMs <= MOST_LATE_MS;
+            return maxLatenessMs <= MAX_LATENESS_MS;
         }
     }
 
@@ -99,77 +99,78 @@
             Launcher launcher, boolean traced, long seed, boolean upgradesOnly, int changes, Path folder)
             throws IOException, InterruptedException {
         List<Plan.Kind> kinds = upgradesOnly ? List.of(Plan.Kind.UPGRADE) : List.of(Plan.Kind.values());
-        return new Soak(launcher, traced, Plan.of(seed, kinds, changes, SERVERS), folder).run();
+        return new Soak(launcher, traced, Plan.draw(seed, kinds, changes, SERVER_COUNT), folder).run();
     }
 
     /** Unix time in microseconds that never goes back. */
     static long nowUs() {
-        return ORIGIN_US + (System.nanoTime() - ORIGIN_NANOS) / 1_000;
+        return START_UNIX_US + (System.nanoTime() - START_NANOS) / 1_000;
     }
 
-    static void daemon(String name, Runnable task) {
+    static void startDaemon(String name, Runnable task) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         thread.start();
     }
 
     private Result run() throws IOException, InterruptedException {
-        clientsPort = hold();
-        for (int i = 0; i < SERVERS; i++) {
+        clientPort = reservePort();
+        for (int i = 0; i < SERVER_COUNT; i++) {
             servers.add(new SoakServer(arrivals));
         }
         List<Thread> clients = new ArrayList<>();
         SoakNode node = start();
         try {
             node.awaitReady();
-            daemon("soak lateness", this::measureLateness);
+            startDaemon("soak lateness", this::measureLateness);
             SplittableRandom random = new SplittableRandom(plan.seed());
-            for (int i = 0; i < CLIENTS; i++) {
+            for (int i = 0; i < CLIENT_COUNT; i++) {
                 Thread client = new Thread(
                         new SoakClient(
-                                "c" + i, i % 4 != 0, clientsPort, plan.deadlineMs(), crowd, requests, random.split()),
+                                "c" + i, i % 4 != 0, clientPort, plan.deadlineMs(), gate, requests, random.split()),
                         "soak client " + i);
                 clients.add(client);
                 client.start();
             }
             for (Plan.Step step : plan.steps()) {
                 TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-                node = change(node, step);
-                servers.forEach(server -> server.hang(false));
+                node = applyStep(node, step);
+                servers.forEach(server -> server.setHanging(false));
             }
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
         } finally {
-            crowd.end();
+            gate.close();
             for (Thread client : clients) {
                 client.join();
             }
             node.close();
             servers.forEach(SoakServer::close);
-            for (SocketChannel holder : holders) {
+            for (SocketChannel holder : portHolders) {
                 holder.close();
             }
         }
-        return result();
+        return buildResult();
     }
 
-    private Result result() throws IOException {
-        List<SoakVerifier.Violation> found = SoakVerifier.judge(requests, arrivals, traces(), killed);
+    private Result buildResult() throws IOException {
+        List<SoakVerifier.Violation> violations =
+                SoakVerifier.verify(requests, arrivals, readTraces(), unannouncedKills);
         List<String> lines = new ArrayList<>();
-        for (SoakVerifier.Violation finding : found) {
-            lines.add(finding.rule() + ": " + finding.request());
-            finding.timeline().forEach(line -> lines.add("    " + line));
+        for (SoakVerifier.Violation violation : violations) {
+            lines.add(violation.rule() + ": " + violation.request());
+            violation.timeline().forEach(line -> lines.add("    " + line));
         }
         return new Result(
                 plan.seed(),
                 plan.deadlineMs(),
                 requests.size(),
                 sigkills,
-                SoakVerifier.turnedBackUnheard(requests, found),
-                lateMs.get(),
+                SoakVerifier.countUnreadRequests(requests, violations),
+                maxLatenessMs.get(),
                 lines);
     }
 
-    private List<String> traces() throws IOException {
+    private List<String> readTraces() throws IOException {
         List<String> lines = new ArrayList<>();
         Path traces = folder.resolve("traces");
         if (Files.isDirectory(traces)) {
@@ -183,99 +184,99 @@
     }
 
     private void measureLateness() {
-        long due = System.nanoTime();
+        long dueNanos = System.nanoTime();
         while (true) {
-            due += TimeUnit.MILLISECONDS.toNanos(LATE_TICK_MS);
-            LockSupport.parkNanos(due - System.nanoTime());
-            long late = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - due);
-            lateMs.accumulateAndGet(late, Math::max);
-            due = Math.max(due, System.nanoTime());
+            dueNanos += TimeUnit.MILLISECONDS.toNanos(LATENESS_TICK_MS);
+            LockSupport.parkNanos(dueNanos - System.nanoTime());
+            long latenessMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - dueNanos);
+            maxLatenessMs.accumulateAndGet(latenessMs, Math::max);
+            dueNanos = Math.max(dueNanos, System.nanoTime());
         }
     }
 
     /** A port that stays free for the processes of the node. */
-    private int hold() throws IOException {
+    private int reservePort() throws IOException {
         SocketChannel holder = SocketChannel.open()
                 .setOption(StandardSocketOptions.SO_REUSEADDR, true)
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        holders.add(holder);
+        portHolders.add(holder);
         return ((InetSocketAddress) holder.getLocalAddress()).getPort();
     }
 
     private SoakNode start() throws IOException {
         return SoakNode.start(
-                launcher.newNodeProcess(), folder, clientsPort, hold(), plan.deadlineMs(), servers, traced);
+                launcher.newNodeProcess(), folder, clientPort, reservePort(), plan.deadlineMs(), servers, traced);
     }
 
     // ---------------------------------------------------------------- changes of processes
 
-    private SoakNode change(SoakNode old, Plan.Step step) throws IOException, InterruptedException {
+    private SoakNode applyStep(SoakNode current, Plan.Step step) throws IOException, InterruptedException {
         return switch (step.kind()) {
-            case UPGRADE -> upgrade(old, step);
-            case RESTART -> restart(old, step);
-            case KILL -> kill(old);
-            case TERM_IN_START -> termInStart(old, step);
+            case UPGRADE -> upgrade(current, step);
+            case RESTART -> restart(current, step);
+            case KILL -> kill(current);
+            case TERM_IN_START -> termInStart(current, step);
         };
     }
 
-    private SoakNode upgrade(SoakNode old, Plan.Step step) throws IOException, InterruptedException {
-        SoakNode next = start();
-        next.awaitReady();
-        terminate(old, step);
-        return next;
+    private SoakNode upgrade(SoakNode current, Plan.Step step) throws IOException, InterruptedException {
+        SoakNode successor = start();
+        successor.awaitReady();
+        terminate(current, step);
+        return successor;
     }
 
-    private SoakNode restart(SoakNode old, Plan.Step step) throws IOException, InterruptedException {
-        terminate(old, step);
-        return startAnew();
+    private SoakNode restart(SoakNode current, Plan.Step step) throws IOException, InterruptedException {
+        terminate(current, step);
+        return startAndAwaitReady();
     }
 
-    private SoakNode kill(SoakNode old) throws IOException, InterruptedException {
-        killed.add(new SoakVerifier.UnannouncedKill(nowUs()));
-        old.signal("KILL");
-        killed.add(new SoakVerifier.UnannouncedKill(nowUs()));
-        old.close();
-        return startAnew();
+    private SoakNode kill(SoakNode current) throws IOException, InterruptedException {
+        unannouncedKills.add(new SoakVerifier.UnannouncedKill(nowUs()));
+        current.sendSignal("KILL");
+        unannouncedKills.add(new SoakVerifier.UnannouncedKill(nowUs()));
+        current.close();
+        return startAndAwaitReady();
     }
 
-    private SoakNode termInStart(SoakNode old, Plan.Step step) throws IOException, InterruptedException {
-        SoakNode next = start();
+    private SoakNode termInStart(SoakNode current, Plan.Step step) throws IOException, InterruptedException {
+        SoakNode successor = start();
         TimeUnit.MILLISECONDS.sleep(step.termAfterMs());
-        terminate(next, step);
-        return old;
+        terminate(successor, step);
+        return current;
     }
 
-    private SoakNode startAnew() throws IOException, InterruptedException {
-        SoakNode next = start();
-        next.awaitReady();
-        return next;
+    private SoakNode startAndAwaitReady() throws IOException, InterruptedException {
+        SoakNode successor = start();
+        successor.awaitReady();
+        return successor;
     }
 
     /** SIGTERM with what comes beside it, and SIGKILL at the earliest that the platform allows. */
     private void terminate(SoakNode node, Plan.Step step) throws IOException, InterruptedException {
-        for (int i = 0; i < step.hanging(); i++) {
-            servers.get(i).hang(true);
+        for (int i = 0; i < step.hangingServerCount(); i++) {
+            servers.get(i).setHanging(true);
         }
-        for (int i = 0; i < step.hangUps(); i++) {
-            node.signal("HUP");
+        for (int i = 0; i < step.sighupCount(); i++) {
+            node.sendSignal("HUP");
         }
-        crowd.gather(step.crowdAfterMs() >= 0);
-        node.signal("TERM");
+        gate.setHolding(step.burstAfterMs() >= 0);
+        node.sendSignal("TERM");
         long termNanos = System.nanoTime();
-        long killMs = Math.min(plan.deadlineMs(), SoakNode.MOST_DEADLINE_MS) + SoakNode.KILL_AFTER_DEADLINE_MS;
-        if (step.termTwice()) {
-            node.signal("TERM");
+        long killMs = Math.min(plan.deadlineMs(), SoakNode.MAX_DEADLINE_MS) + SoakNode.KILL_AFTER_DEADLINE_MS;
+        if (step.sendsTermTwice()) {
+            node.sendSignal("TERM");
         }
-        for (int i = 0; i < step.hangUps(); i++) {
-            node.signal("HUP");
+        for (int i = 0; i < step.sighupCount(); i++) {
+            node.sendSignal("HUP");
         }
-        if (step.crowdAfterMs() >= 0) {
-            waitUntil(termNanos, step.crowdAfterMs());
-            crowd.gather(false);
+        if (step.burstAfterMs() >= 0) {
+            waitUntil(termNanos, step.burstAfterMs());
+            gate.setHolding(false);
         }
-        if (!node.awaitEnd(killMs - sinceMs(termNanos))) {
+        if (!node.awaitExit(killMs - sinceMs(termNanos))) {
             sigkills++;
-            node.signal("KILL");
+            node.sendSignal("KILL");
         }
         node.close();
     }
--- a/src/main/java/kitemux/soak/SoakClient.java
+++ b/src/main/java/kitemux/soak/SoakClient.java
@@ -12,24 +12,24 @@
 
 /** A client that keeps its connection, uses it for one request after another, and rests in between. */
 final class SoakClient implements Runnable {
-    private static final long LAST_ANSWER_MS = 500;
-    private static final long BUSY_REST_MS = 400;
+    private static final long RESPONSE_GRACE_MS = 500;
+    private static final long MAX_BUSY_PAUSE_MS = 400;
     /** Longer than a process lives after SIGTERM. */
-    private static final long IDLE_REST_MS = 4_500;
+    private static final long MAX_IDLE_PAUSE_MS = 4_500;
 
-    private static final long DIAL_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
-    private static final int ONE_LEAVES_OF = 40;
+    private static final long RECONNECT_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+    private static final int REQUESTS_PER_ABANDON_COUNT = 40;
 
     private final String name;
-    private final boolean idle;
+    private final boolean mostlyIdle;
     private final int port;
     private final long deadlineMs;
-    private final ClientGate crowd;
+    private final ClientGate gate;
     private final Queue<Request> requests;
     private final SplittableRandom random;
     private Socket connection;
-    private boolean used;
-    private int sent;
+    private boolean connectionUsed;
+    private int sentCount;
     /** When the last byte of the request was written: its time counts from there. */
     private long writtenUs;
 
@@ -40,17 +40,17 @@
      */
     SoakClient(
             String name,
-            boolean idle,
+            boolean mostlyIdle,
             int port,
             long deadlineMs,
-            ClientGate crowd,
+            ClientGate gate,
             Queue<Request> requests,
             SplittableRandom random) {
         this.name = name;
-        this.idle = idle;
+        this.mostlyIdle = mostlyIdle;
         this.port = port;
         this.deadlineMs = deadlineMs;
-        this.crowd = crowd;
+        this.gate = gate;
         this.requests = requests;
         this.random = random;
     }
@@ -58,91 +58,93 @@
     @Override
     public void run() {
         try {
-            while (crowd.rest(random.nextLong(idle ? IDLE_REST_MS : BUSY_REST_MS), idle)) {
-                ask();
+            while (gate.pause(random.nextLong(mostlyIdle ? MAX_IDLE_PAUSE_MS : MAX_BUSY_PAUSE_MS), mostlyIdle)) {
+                sendRequest();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            hangUp();
+            closeConnection();
         }
     }
 
-    private void ask() {
-        hangUpIfClosed();
-        if (connection == null && !dial()) {
-            LockSupport.parkNanos(DIAL_AGAIN_NANOS);
+    private void sendRequest() {
+        closeIfPeerClosed();
+        if (connection == null && !connect()) {
+            LockSupport.parkNanos(RECONNECT_DELAY_NANOS);
             return;
         }
-        int of = random.nextInt(Request.CLASSES.size());
+        int classIndex = random.nextInt(Request.CLASSES.size());
         long remainingMs = Math.max(1, (long) (deadlineMs * (0.3 + 0.7 * random.nextDouble())));
-        boolean leaves = random.nextInt(ONE_LEAVES_OF) == 0;
-        String txn = name + "-" + sent++;
-        boolean usedBefore = used;
+        boolean abandons = random.nextInt(REQUESTS_PER_ABANDON_COUNT) == 0;
+        String txn = name + "-" + sentCount++;
+        boolean usedBefore = connectionUsed;
         writtenUs = Soak.nowUs();
-        Request.Outcome outcome = exchange(txn, of, remainingMs, leaves);
-        requests.add(new Request(txn, of, writtenUs, remainingMs * 1_000, usedBefore, outcome, Soak.nowUs()));
+        Request.Outcome outcome = exchange(txn, classIndex, remainingMs, abandons);
+        requests.add(new Request(txn, classIndex, writtenUs, remainingMs * 1_000, usedBefore, outcome, Soak.nowUs()));
     }
 
     /** A client does not use a connection whose end it has seen. */
-    private void hangUpIfClosed() {
+    private void closeIfPeerClosed() {
         if (connection == null) {
             return;
         }
         try {
             connection.setSoTimeout(1);
             connection.getInputStream().read();
-            hangUp();
+            closeConnection();
         } catch (SocketTimeoutException e) {
             // Still open, and nothing has come.
         } catch (IOException e) {
-            hangUp();
+            closeConnection();
         }
     }
 
-    private boolean dial() {
+    private boolean connect() {
         try {
             connection = new Socket(InetAddress.getLoopbackAddress(), port);
             connection.setTcpNoDelay(true);
-            used = false;
+            connectionUsed = false;
             return true;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private Request.Outcome exchange(String txn, int of, long remainingMs, boolean leaves) {
+    private Request.Outcome exchange(String txn, int classIndex, long remainingMs, boolean abandons) {
         try {
-            connection.setSoTimeout((int) (leaves ? Math.max(1, remainingMs / 4) : remainingMs + LAST_ANSWER_MS));
-            connection.getOutputStream().write(text(txn, of, remainingMs).getBytes(StandardCharsets.US_ASCII));
+            connection.setSoTimeout((int) (abandons ? Math.max(1, remainingMs / 4) : remainingMs + RESPONSE_GRACE_MS));
+            connection
+                    .getOutputStream()
+                    .write(formatRequest(txn, classIndex, remainingMs).getBytes(StandardCharsets.US_ASCII));
             writtenUs = Soak.nowUs();
-            HttpMessage answer = HttpMessage.read(connection.getInputStream());
-            used = true;
-            if (answer.isLast()) {
-                hangUp();
+            HttpMessage response = HttpMessage.read(connection.getInputStream());
+            connectionUsed = true;
+            if (response.closesConnection()) {
+                closeConnection();
             }
-            return answer.status() == 200
+            return response.status() == 200
                     ? Request.Outcome.SERVED
-                    : answer.status() == 429 || answer.status() == 503
+                    : response.status() == 429 || response.status() == 503
                             ? Request.Outcome.REFUSED
                             : Request.Outcome.FAILED;
         } catch (SocketTimeoutException e) {
-            hangUp();
-            return leaves ? Request.Outcome.LEFT : Request.Outcome.SILENT;
+            closeConnection();
+            return abandons ? Request.Outcome.LEFT : Request.Outcome.SILENT;
         } catch (IOException e) {
-            hangUp();
+            closeConnection();
             return Request.Outcome.BROKEN;
         }
     }
 
-    private static String text(String txn, int of, long remainingMs) {
-        return (of == 0 ? "GET" : "POST") + " /api/p HTTP/1.1\r\nHost: h\r\nX-Txn: " + txn + "\r\nX-Lane: "
-                + Request.CLASSES.get(of) + "\r\nX-Remaining: " + remainingMs + "m\r\n"
-                + (of == 1 ? "Idempotency-Key: k" + txn + "\r\n" : "")
-                + (of == 0 ? "" : "Content-Length: 0\r\n") + "\r\n";
+    private static String formatRequest(String txn, int classIndex, long remainingMs) {
+        return (classIndex == 0 ? "GET" : "POST") + " /api/p HTTP/1.1\r\nHost: h\r\nX-Txn: " + txn + "\r\nX-Lane: "
+                + Request.CLASSES.get(classIndex) + "\r\nX-Remaining: " + remainingMs + "m\r\n"
+                + (classIndex == 1 ? "Idempotency-Key: k" + txn + "\r\n" : "")
+                + (classIndex == 0 ? "" : "Content-Length: 0\r\n") + "\r\n";
     }
 
-    private void hangUp() {
+    private void closeConnection() {
         if (connection != null) {
             try {
                 connection.close();
--- a/src/main/java/kitemux/soak/SoakNode.java
+++ b/src/main/java/kitemux/soak/SoakNode.java
@@ -22,19 +22,19 @@
     /** SIGKILL comes so long after SIGTERM and the longest deadline, at the earliest. */
     static final long KILL_AFTER_DEADLINE_MS = 700;
     /** A longest deadline above this counts as this. */
-    static final long MOST_DEADLINE_MS = 3_000;
+    static final long MAX_DEADLINE_MS = 3_000;
 
-    private static final long START_S = 30;
+    private static final long START_TIMEOUT_S = 30;
 
     private final Process guard;
-    private final int operatorsPort;
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final Queue<String> lines = new ConcurrentLinkedQueue<>();
+    private final int operatorPort;
+    private final CountDownLatch exited = new CountDownLatch(1);
+    private final Queue<String> outputLines = new ConcurrentLinkedQueue<>();
 
-    private SoakNode(Process guard, int operatorsPort) {
+    private SoakNode(Process guard, int operatorPort) {
         this.guard = guard;
-        this.operatorsPort = operatorsPort;
-        Soak.daemon("lines of a node", this::read);
+        this.operatorPort = operatorPort;
+        Soak.startDaemon("lines of a node", this::readOutput);
     }
 
     /**
@@ -47,15 +47,15 @@
     static SoakNode start(
             ProcessBuilder launcher,
             Path folder,
-            int clientsPort,
-            int operatorsPort,
+            int clientPort,
+            int operatorPort,
             long deadlineMs,
             List<SoakServer> servers,
             boolean traced)
             throws IOException {
         Path config = Files.writeString(
-                folder.resolve("config-" + operatorsPort + ".json"),
-                config(clientsPort, operatorsPort, deadlineMs, servers));
+                folder.resolve("config-" + operatorPort + ".json"),
+                config(clientPort, operatorPort, deadlineMs, servers));
         launcher.environment().put("PROXY_CONFIG", config.toString());
         launcher.environment().put("TMPDIR", folder.toString());
         if (traced) {
@@ -64,10 +64,10 @@
                     "{\"trace\":{\"folder\":\"%s\"}}".formatted(folder.resolve("traces")));
             launcher.environment().put("KITEMUX_SETTINGS", settings.toString());
         }
-        return new SoakNode(Guard.before(launcher).redirectErrorStream(true).start(), operatorsPort);
+        return new SoakNode(Guard.before(launcher).redirectErrorStream(true).start(), operatorPort);
     }
 
-    private static String config(int clientsPort, int operatorsPort, long deadlineMs, List<SoakServer> servers) {
+    private static String config(int clientPort, int operatorPort, long deadlineMs, List<SoakServer> servers) {
         String targets = IntStream.range(0, servers.size())
                 .mapToObj(i -> ("{\"uid\":\"s%d\",\"endpoint\":"
                                 + "\"127.0.0.1:%d\",\"az\":\"\",\"pod_group\":0,\"state\":\"Ready\",\"capacity_hint\":1.0,"
@@ -78,48 +78,51 @@
                 .mapToObj(i -> ("{\"name\":\"%s\","
                                 + "\"onTimeUs\":%d,\"giveUpUs\":%d,\"repeat\":\"%s\",\"group\":\"all\",\"windowUs\":1200000}")
                         .formatted(
-                                Request.CLASSES.get(i), deadlineMs * 500, deadlineMs * 1_000, Request.REPEATS.get(i)))
+                                Request.CLASSES.get(i),
+                                deadlineMs * 500,
+                                deadlineMs * 1_000,
+                                Request.RETRY_SAFETY.get(i)))
                 .collect(Collectors.joining(","));
         return """
                 {"listen":"127.0.0.1:%d","mgmt":"127.0.0.1:%d","discovery":"127.0.0.1:9","seed":"1",
                  "limits":{"sockets":1024},"known":{"rev":1,"all":true,"targets":[%s]},
                  "settings":{"membershipMode":"on_request","limits":{"attemptsCap":4,"cancelling":true,
                   "parallelTries":true},"classes":[%s]}}
-                """.formatted(clientsPort, operatorsPort, targets, classes);
+                """.formatted(clientPort, operatorPort, targets, classes);
     }
 
-    private void read() {
-        try (BufferedReader from = guard.inputReader()) {
-            from.lines().forEach(lines::add);
+    private void readOutput() {
+        try (BufferedReader output = guard.inputReader()) {
+            output.lines().forEach(outputLines::add);
         } catch (IOException | UncheckedIOException e) {
-            lines.add("its output broke: " + e);
+            outputLines.add("its output broke: " + e);
         }
-        ended.countDown();
+        exited.countDown();
     }
 
     /** Returns once operators are told that it takes clients. */
     void awaitReady() throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_S);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_S);
         while (!isReady()) {
-            if (System.nanoTime() > until || ended.await(10, TimeUnit.MILLISECONDS)) {
-                throw new IOException("a node did not start: " + lines);
+            if (System.nanoTime() > deadlineNanos || exited.await(10, TimeUnit.MILLISECONDS)) {
+                throw new IOException("a node did not start: " + outputLines);
             }
         }
     }
 
     private boolean isReady() {
-        try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), operatorsPort)) {
-            caller.setSoTimeout(1_000);
-            caller.getOutputStream()
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), operatorPort)) {
+            socket.setSoTimeout(1_000);
+            socket.getOutputStream()
                     .write("GET /ops/readiness HTTP/1.1\r\nHost: ops\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            return HttpMessage.read(caller.getInputStream()).status() == 200;
+            return HttpMessage.read(socket.getInputStream()).status() == 200;
         } catch (IOException e) {
             return false;
         }
     }
 
     /** Sends a signal by its name; nothing happens where the process has ended. */
-    void signal(String name) throws IOException, InterruptedException {
+    void sendSignal(String name) throws IOException, InterruptedException {
         ProcessHandle node = guard.children().findFirst().orElse(null);
         if (node != null) {
             new ProcessBuilder("kill", "-" + name, Long.toString(node.pid()))
@@ -130,8 +133,8 @@
     }
 
     /** Waits for its end; false if it has not ended by then. */
-    boolean awaitEnd(long ms) throws InterruptedException {
-        return ended.await(Math.max(0, ms), TimeUnit.MILLISECONDS);
+    boolean awaitExit(long timeoutMs) throws InterruptedException {
+        return exited.await(Math.max(0, timeoutMs), TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/src/main/java/kitemux/soak/SoakServer.java
+++ b/src/main/java/kitemux/soak/SoakServer.java
@@ -13,7 +13,7 @@
 /** A server that answers at once, or not at all while it hangs, and notes what comes. */
 final class SoakServer implements AutoCloseable {
     private static final int BACKLOG = 512;
-    private static final byte[] ANSWER =
+    private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII);
 
     /**
@@ -25,36 +25,36 @@
     record Arrival(String txn, long atUs, long remainingUs) {}
 
     private final Queue<Arrival> arrivals;
-    private final Queue<Socket> open = new ConcurrentLinkedQueue<>();
-    private final ServerSocket listening;
-    private volatile boolean hangs;
+    private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
+    private final ServerSocket listener;
+    private volatile boolean hanging;
 
     SoakServer(Queue<Arrival> arrivals) {
         this.arrivals = arrivals;
         try {
-            listening = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+            listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        Soak.daemon("soak server", this::accept);
+        Soak.startDaemon("soak server", this::accept);
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) listening.getLocalSocketAddress();
+        return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
     /** Answers no request from now on, or all that come from now on. */
-    void hang(boolean now) {
-        hangs = now;
+    void setHanging(boolean enabled) {
+        hanging = enabled;
     }
 
     private void accept() {
         try {
             while (true) {
-                Socket socket = listening.accept();
+                Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
-                open.add(socket);
-                Soak.daemon("soak server's connection", () -> serve(socket));
+                openSockets.add(socket);
+                Soak.startDaemon("soak server's connection", () -> serve(socket));
             }
         } catch (IOException e) {
             // Closed: the play is over.
@@ -69,28 +69,28 @@
                 if (txn != null) {
                     arrivals.add(new Arrival(txn, Soak.nowUs(), remainingUs(request)));
                 }
-                if (!hangs) {
-                    socket.getOutputStream().write(ANSWER);
+                if (!hanging) {
+                    socket.getOutputStream().write(RESPONSE);
                 }
             }
         } catch (IOException e) {
             // The node has closed it, or the play is over.
         } finally {
-            open.remove(socket);
+            openSockets.remove(socket);
         }
     }
 
     private static long remainingUs(HttpMessage request) {
-        String told = request.headers().getOrDefault("x-remaining", "0u");
-        long number = Long.parseLong(told.substring(0, told.length() - 1));
-        return told.endsWith("m") ? number * 1_000 : number;
+        String remaining = request.headers().getOrDefault("x-remaining", "0u");
+        long amount = Long.parseLong(remaining.substring(0, remaining.length() - 1));
+        return remaining.endsWith("m") ? amount * 1_000 : amount;
     }
 
     @Override
     public void close() {
         try {
-            listening.close();
-            for (Socket socket : open) {
+            listener.close();
+            for (Socket socket : openSockets) {
                 socket.close();
             }
         } catch (IOException e) {
--- a/src/main/java/kitemux/soak/SoakVerifier.java
+++ b/src/main/java/kitemux/soak/SoakVerifier.java
@@ -13,7 +13,7 @@
     /** An attempt may tell its server so much more than is left to the client. */
     private static final long DEADLINE_SLACK_US = 150_000;
     /** An attempt may begin so long after its client has gone. */
-    private static final long GONE_SLACK_US = 100_000;
+    private static final long DISCONNECT_SLACK_US = 100_000;
 
     /** A process that was killed with no signal before: what it held is left to the client. Unix microseconds. */
     record UnannouncedKill(long atUs) {}
@@ -29,48 +29,48 @@
      * @param traces lines of all processes' traces
      * @param killed processes that were killed with no SIGTERM before
      */
-    static List<Violation> judge(
+    static List<Violation> verify(
             Collection<Request> requests,
             Collection<SoakServer.Arrival> arrivals,
             List<String> traces,
-            List<UnannouncedKill> killed) {
+            List<UnannouncedKill> kills) {
         Map<String, List<SoakServer.Arrival>> byTxn = new HashMap<>();
-        arrivals.forEach(one ->
-                byTxn.computeIfAbsent(one.txn(), txn -> new ArrayList<>()).add(one));
-        Set<String> read = new HashSet<>(byTxn.keySet());
-        Map<String, List<String>> lines = new HashMap<>();
+        arrivals.forEach(arrival ->
+                byTxn.computeIfAbsent(arrival.txn(), txn -> new ArrayList<>()).add(arrival));
+        Set<String> readByNode = new HashSet<>(byTxn.keySet());
+        Map<String, List<String>> traceLines = new HashMap<>();
         for (String line : traces) {
-            String[] words = line.split(" ");
-            if (words.length > 2 && words[1].equals("request")) {
-                read.add(words[2]);
-                lines.computeIfAbsent(words[2], txn -> new ArrayList<>()).add(line);
+            String[] fields = line.split(" ");
+            if (fields.length > 2 && fields[1].equals("request")) {
+                readByNode.add(fields[2]);
+                traceLines.computeIfAbsent(fields[2], txn -> new ArrayList<>()).add(line);
             }
         }
-        List<Violation> found = new ArrayList<>();
+        List<Violation> violations = new ArrayList<>();
         for (Request request : requests) {
             List<SoakServer.Arrival> attempts = byTxn.getOrDefault(request.txn(), List.of());
-            List<String> timeline = lines.getOrDefault(request.txn(), List.of());
-            String rule = broken(request, attempts, timeline, read.contains(request.txn()), killed);
+            List<String> timeline = traceLines.getOrDefault(request.txn(), List.of());
+            String rule = findBrokenRule(request, attempts, timeline, readByNode.contains(request.txn()), kills);
             if (rule != null) {
-                found.add(new Violation(rule, request, timeline));
+                violations.add(new Violation(rule, request, timeline));
             }
         }
-        return found;
+        return violations;
     }
 
-    private static String broken(
+    private static String findBrokenRule(
             Request request,
             List<SoakServer.Arrival> attempts,
             List<String> timeline,
-            boolean read,
-            List<UnannouncedKill> killed) {
-        boolean unanswered =
-                request.outcome() == Request.Outcome.SILENT || request.outcome() == Request.Outcome.BROKEN && read;
+            boolean readByNode,
+            List<UnannouncedKill> kills) {
+        boolean unanswered = request.outcome() == Request.Outcome.SILENT
+                || request.outcome() == Request.Outcome.BROKEN && readByNode;
         if (unanswered
-                && killed.stream().noneMatch(kill -> request.sentUs() <= kill.atUs && kill.atUs <= request.endedUs())) {
+                && kills.stream().noneMatch(kill -> request.sentUs() <= kill.atUs && kill.atUs <= request.endedUs())) {
             return "lost";
         }
-        if (request.classIndex() == Request.UNSAFE && attempts.size() > 1) {
+        if (request.classIndex() == Request.UNSAFE_CLASS_INDEX && attempts.size() > 1) {
             return "run twice";
         }
         if (attempts.stream()
@@ -81,16 +81,17 @@
         if (request.outcome() == Request.Outcome.LEFT
                 && timeline.stream()
                         .filter(line -> line.contains(" attempt ") && line.contains(" us left"))
-                        .anyMatch(line -> Long.parseLong(line.split(" ")[0]) > request.endedUs() + GONE_SLACK_US)) {
+                        .anyMatch(
+                                line -> Long.parseLong(line.split(" ")[0]) > request.endedUs() + DISCONNECT_SLACK_US)) {
             return "sent on after its client had left";
         }
         return null;
     }
 
     /** Requests whose connection ended before the node had read them: priced, and no rule. */
-    static long turnedBackUnheard(Collection<Request> requests, List<Violation> found) {
+    static long countUnreadRequests(Collection<Request> requests, List<Violation> violations) {
         Set<String> lost = new HashSet<>();
-        found.forEach(finding -> lost.add(finding.request().txn()));
+        violations.forEach(violation -> lost.add(violation.request().txn()));
         return requests.stream()
                 .filter(request -> request.outcome() == Request.Outcome.BROKEN)
                 .filter(request -> !lost.contains(request.txn()))
--- a/src/test/java/kitemux/mysql/AnswerTrackerTest.java
+++ b/src/test/java/kitemux/mysql/AnswerTrackerTest.java
@@ -38,7 +38,7 @@
     }
 
     private static byte[] eof(int status) {
-        return bytes(OkPacket.END_HEADER, 0, 0, status, status >> 8);
+        return bytes(OkPacket.RESULT_END_HEADER, 0, 0, status, status >> 8);
     }
 
     private static byte[] error() {
@@ -87,17 +87,17 @@
             all.add(
                     fails && i == results - 1
                             ? error()
-                            : eofs ? eof(status) : ok(OkPacket.END_HEADER, status, capabilities));
+                            : eofs ? eof(status) : ok(OkPacket.RESULT_END_HEADER, status, capabilities));
         }
         return all;
     }
 
     private static void play(ResponseTracker tracker, byte[] payload) {
         int first = payload.length == 0 ? -1 : payload[0] & 0xff;
-        if (tracker.begins(first, payload.length)) {
-            tracker.seen(Unpooled.wrappedBuffer(payload));
+        if (tracker.beginPayload(first, payload.length)) {
+            tracker.inspect(Unpooled.wrappedBuffer(payload));
         } else {
-            tracker.passed();
+            tracker.skipPayload();
         }
     }
 
@@ -107,16 +107,16 @@
         long capabilities = (eofs ? 0 : Capabilities.DEPRECATE_EOF) | (tracks ? Capabilities.SESSION_TRACK : 0);
         List<byte[]> answer = results(new SplittableRandom(seed), capabilities, fails);
         ResponseTracker tracker = new ResponseTracker(ResponseType.RESULT_SETS, capabilities);
-        assertFalse(tracker.hasBegun());
+        assertFalse(tracker.hasStarted());
         for (byte[] payload : answer) {
-            assertEquals(null, tracker.end());
+            assertEquals(null, tracker.completion());
             play(tracker, payload);
-            assertTrue(tracker.hasBegun());
+            assertTrue(tracker.hasStarted());
         }
-        assertEquals(fails ? Completion.ERROR : Completion.OK, tracker.end());
+        assertEquals(fails ? Completion.ERROR : Completion.OK, tracker.completion());
         assertEquals(
                 fails ? 1317 : 0, tracker.error() == null ? 0 : tracker.error().code());
-        assertThrows(ProtocolException.class, () -> tracker.begins(0, 7), "nothing comes behind the end");
+        assertThrows(ProtocolException.class, () -> tracker.beginPayload(0, 7), "nothing comes behind the end");
     }
 
     @Property(seed = SEED)
@@ -137,10 +137,10 @@
         ResponseTracker tracker =
                 new ResponseTracker(ResponseType.PREPARED_STATEMENT, eofs ? 0 : Capabilities.DEPRECATE_EOF);
         for (byte[] payload : answer) {
-            assertEquals(null, tracker.end());
+            assertEquals(null, tracker.completion());
             play(tracker, payload);
         }
-        assertEquals(Completion.OK, tracker.end());
+        assertEquals(Completion.OK, tracker.completion());
         assertEquals(265, tracker.statementId());
     }
 
@@ -153,11 +153,11 @@
             if (capabilities == 0) {
                 play(tracker, eof(STATUS));
             }
-            assertFalse(tracker.begins(0xfe, 1 << 25), "a field of 16 MiB and more");
-            tracker.passed();
-            assertEquals(null, tracker.end());
-            play(tracker, capabilities == 0 ? eof(STATUS) : ok(OkPacket.END_HEADER, STATUS, capabilities));
-            assertEquals(Completion.OK, tracker.end());
+            assertFalse(tracker.beginPayload(0xfe, 1 << 25), "a field of 16 MiB and more");
+            tracker.skipPayload();
+            assertEquals(null, tracker.completion());
+            play(tracker, capabilities == 0 ? eof(STATUS) : ok(OkPacket.RESULT_END_HEADER, STATUS, capabilities));
+            assertEquals(Completion.OK, tracker.completion());
             assertEquals(STATUS, tracker.status());
         }
     }
--- a/src/test/java/kitemux/mysql/BackConnectionTest.java
+++ b/src/test/java/kitemux/mysql/BackConnectionTest.java
@@ -66,7 +66,7 @@
         private Consumer<Outcome> onMore = outcome -> {};
 
         @Override
-        public boolean begun() {
+        public boolean onResponseStart() {
             assertFalse(begun, "begun once");
             begun = true;
             return wanted;
@@ -74,7 +74,7 @@
 
         /** Counts packets by walking from header to header, as a client would. */
         @Override
-        public void more(ByteBuf in) {
+        public void onResponsePackets(ByteBuf in) {
             bytes += in.readableBytes();
             while (in.isReadable()) {
                 if (skip > 0) {
@@ -82,7 +82,7 @@
                     in.skipBytes(now);
                     skip -= now;
                 } else {
-                    assertTrue(in.readableBytes() >= PacketDecoder.HEADER, "headers come whole");
+                    assertTrue(in.readableBytes() >= PacketDecoder.HEADER_BYTES, "headers come whole");
                     skip = in.readUnsignedMediumLE();
                     assertEquals(packets + 1 & 0xff, in.readUnsignedByte(), "numbered as the server does");
                     packets++;
@@ -93,7 +93,7 @@
         }
 
         @Override
-        public void ended(Result how, ErrPacket with) {
+        public void onResponseEnd(Result how, ErrPacket with) {
             assertFalse(result.isDone(), "one end");
             error = with;
             result.complete(how);
@@ -119,12 +119,12 @@
                                                 decoder,
                                                 new BackendConnection.LoginListener() {
                                                     @Override
-                                                    public void loggedIn(BackendConnection connection) {
+                                                    public void onLoginSucceeded(BackendConnection connection) {
                                                         login.complete(connection);
                                                     }
 
                                                     @Override
-                                                    public void refused(String why, ErrPacket error) {
+                                                    public void onLoginFailed(String why, ErrPacket error) {
                                                         login.completeExceptionally(new IllegalStateException(why));
                                                     }
                                                 }));
@@ -136,7 +136,7 @@
 
     private static Outcome carry(BackendConnection connection, String sql, Outcome outcome) {
         loops.next()
-                .execute(() -> connection.carry(
+                .execute(() -> connection.sendCommand(
                         Unpooled.buffer().writeByte(3).writeBytes(sql.getBytes(StandardCharsets.UTF_8)),
                         ResponseType.RESULT_SETS,
                         outcome));
@@ -239,7 +239,7 @@
         CompletableFuture<Void> given = new CompletableFuture<>();
         rows.onMore = first -> {
             rows.onMore = more -> org.junit.jupiter.api.Assertions.fail("more behind the giving up");
-            connection.giveUp();
+            connection.abort();
             given.complete(null);
         };
         carry(connection, "SELECT 100000 ROWS", rows);
--- a/src/test/java/kitemux/mysql/CodecTest.java
+++ b/src/test/java/kitemux/mysql/CodecTest.java
@@ -100,17 +100,17 @@
     @Example
     void aPayloadOfSixteenMebibytesAndMoreIsSeveralPacketsAndOnePayload() {
         for (int length : new int[] {
-            PacketDecoder.MOST_PAYLOAD - 1,
-            PacketDecoder.MOST_PAYLOAD,
-            PacketDecoder.MOST_PAYLOAD + 1,
-            2 * PacketDecoder.MOST_PAYLOAD
+            PacketDecoder.MAX_PAYLOAD_BYTES - 1,
+            PacketDecoder.MAX_PAYLOAD_BYTES,
+            PacketDecoder.MAX_PAYLOAD_BYTES + 1,
+            2 * PacketDecoder.MAX_PAYLOAD_BYTES
         }) {
             byte[] payload = new byte[length];
             new Random(length).nextBytes(payload);
             byte[] bytes = packets(payload, 254);
-            assertEquals(length + 4 * (length / PacketDecoder.MOST_PAYLOAD + 1), bytes.length);
+            assertEquals(length + 4 * (length / PacketDecoder.MAX_PAYLOAD_BYTES + 1), bytes.length);
             EmbeddedChannel channel = new EmbeddedChannel(new PacketDecoder());
-            channel.pipeline().get(PacketDecoder.class).expect(254);
+            channel.pipeline().get(PacketDecoder.class).expectSequence(254);
             int seen = 0;
             boolean last = false;
             for (int at = 0; at < bytes.length; at += 1 << 16) {
@@ -216,7 +216,7 @@
                 greeting,
                 new HandshakeResponse(
                         back.capabilities(),
-                        back.mostPacket(),
+                        back.maxPacketBytes(),
                         back.charset(),
                         back.user(),
                         proof,
--- a/src/test/java/kitemux/mysql/FrontLoginTest.java
+++ b/src/test/java/kitemux/mysql/FrontLoginTest.java
@@ -86,25 +86,25 @@
             if (command == null) {
                 return;
             }
-            decoder.expect(0);
+            decoder.expectSequence(0);
             if (command.getByte(0) == 1) {
                 command.release();
                 client.close();
                 return;
             }
-            server.carry(command, ResponseType.RESULT_SETS, new BackendConnection.ResponseListener() {
+            server.sendCommand(command, ResponseType.RESULT_SETS, new BackendConnection.ResponseListener() {
                 @Override
-                public boolean begun() {
+                public boolean onResponseStart() {
                     return true;
                 }
 
                 @Override
-                public void more(ByteBuf packets) {
+                public void onResponsePackets(ByteBuf packets) {
                     client.writeAndFlush(packets);
                 }
 
                 @Override
-                public void ended(Result result, ErrPacket error) {
+                public void onResponseEnd(Result result, ErrPacket error) {
                     if (result != Result.OK) {
                         ByteBuf out = client.alloc().buffer();
                         error.write(out);
@@ -131,13 +131,13 @@
                                                 back,
                                                 new BackendConnection.LoginListener() {
                                                     @Override
-                                                    public void loggedIn(BackendConnection server) {
+                                                    public void onLoginSucceeded(BackendConnection server) {
                                                         client.pipeline().addLast(new Relay(client, decoder, server));
                                                         client.config().setAutoRead(true);
                                                     }
 
                                                     @Override
-                                                    public void refused(String why, ErrPacket error) {
+                                                    public void onLoginFailed(String why, ErrPacket error) {
                                                         client.close();
                                                     }
                                                 }));
@@ -246,7 +246,7 @@
             client.getOutputStream().write(bytes);
             if (sent.startsWith("\377")) {
                 // A packet of 16 MiB from somebody who has shown no password; no more of it is held.
-                client.getOutputStream().write(new byte[4 * ClientLogin.MOST_PAYLOAD]);
+                client.getOutputStream().write(new byte[4 * ClientLogin.MAX_PAYLOAD_BYTES]);
             }
             String answer = answered(client);
             assertTrue(answer.contains("#HY000") || answer.contains("#08S01"), answer);
--- a/src/test/java/kitemux/mysql/MysqlServersTest.java
+++ b/src/test/java/kitemux/mysql/MysqlServersTest.java
@@ -70,7 +70,7 @@
 
         private void see(byte[] packets) {
             if (bytes == 0) {
-                firstBytes.add(packets[PacketDecoder.HEADER] & 0xff);
+                firstBytes.add(packets[PacketDecoder.HEADER_BYTES] & 0xff);
             }
             bytes += packets.length;
         }
--- a/src/test/java/kitemux/mysql/StatementTest.java
+++ b/src/test/java/kitemux/mysql/StatementTest.java
@@ -135,9 +135,9 @@
     }
 
     @ParameterizedTest
-    @ValueSource(ints = {Statement.MOST_LOOKED_AT - 20, Statement.MOST_LOOKED_AT})
+    @ValueSource(ints = {Statement.MAX_ANALYZED_CHARS - 20, Statement.MAX_ANALYZED_CHARS})
     void aTextThatIsTooLongToLookAtIsNoRead(int length) {
         Statement statement = Statement.analyze("SELECT 1 " + " ".repeat(length));
-        assertEquals(length < Statement.MOST_LOOKED_AT, statement.isReadOnly());
+        assertEquals(length < Statement.MAX_ANALYZED_CHARS, statement.isReadOnly());
     }
 }
--- a/src/test/java/kitemux/peers/DatagramTest.java
+++ b/src/test/java/kitemux/peers/DatagramTest.java
@@ -73,7 +73,7 @@
     @Test
     void anotherVersionIsToldApart() {
         byte[] bytes = Datagram.write(new Message(Message.Kind.PING, 1, 2, 3, 0, List.of(), List.of()), FLEET);
-        assertEquals(Datagram.HEAD, bytes.length);
+        assertEquals(Datagram.HEADER_BYTES, bytes.length);
         bytes[0]++;
         assertEquals(
                 Datagram.ReadError.UNSUPPORTED_VERSION,
@@ -85,12 +85,12 @@
     @Test
     void laterLivesAndIncarnationsHoldAndNobodyReturnsFromLeaving() {
         MemberRecord alive = new MemberRecord(1, 10, 2, MemberState.ALIVE, 1);
-        assertTrue(alive.with(MemberState.SUSPECT, 0).overrides(alive));
-        assertTrue(alive.with(MemberState.GONE, 0).overrides(alive.with(MemberState.SUSPECT, 0)));
-        assertTrue(!alive.overrides(alive.with(MemberState.SUSPECT, 0)));
-        assertTrue(new MemberRecord(1, 10, 3, MemberState.ALIVE, 1).overrides(alive.with(MemberState.GONE, 0)));
-        assertTrue(!new MemberRecord(1, 10, 9, MemberState.ALIVE, 1).overrides(alive.with(MemberState.LEFT, 0)));
-        assertTrue(new MemberRecord(1, 11, 0, MemberState.ALIVE, 1).overrides(alive.with(MemberState.LEFT, 0)));
+        assertTrue(alive.withState(MemberState.SUSPECT, 0).overrides(alive));
+        assertTrue(alive.withState(MemberState.GONE, 0).overrides(alive.withState(MemberState.SUSPECT, 0)));
+        assertTrue(!alive.overrides(alive.withState(MemberState.SUSPECT, 0)));
+        assertTrue(new MemberRecord(1, 10, 3, MemberState.ALIVE, 1).overrides(alive.withState(MemberState.GONE, 0)));
+        assertTrue(!new MemberRecord(1, 10, 9, MemberState.ALIVE, 1).overrides(alive.withState(MemberState.LEFT, 0)));
+        assertTrue(new MemberRecord(1, 11, 0, MemberState.ALIVE, 1).overrides(alive.withState(MemberState.LEFT, 0)));
         assertTrue(!new MemberRecord(1, 9, 9, MemberState.GONE, 0).overrides(alive));
     }
 }
--- a/src/test/java/kitemux/soak/SoakJudgeTest.java
+++ b/src/test/java/kitemux/soak/SoakJudgeTest.java
@@ -23,7 +23,7 @@
             List<SoakServer.Arrival> arrivals,
             List<String> traces,
             List<SoakVerifier.UnannouncedKill> killed) {
-        List<SoakVerifier.Violation> found = SoakVerifier.judge(List.of(request), arrivals, traces, killed);
+        List<SoakVerifier.Violation> found = SoakVerifier.verify(List.of(request), arrivals, traces, killed);
         return found.isEmpty() ? "nothing" : found.get(0).rule();
     }
 
@@ -51,7 +51,11 @@
         assertEquals("nothing", found(request(0, Request.Outcome.SERVED, 100_000), twice, List.of(), List.of()));
         assertEquals(
                 "run twice",
-                found(request(Request.UNSAFE, Request.Outcome.SERVED, 100_000), twice, List.of(), List.of()));
+                found(
+                        request(Request.UNSAFE_CLASS_INDEX, Request.Outcome.SERVED, 100_000),
+                        twice,
+                        List.of(),
+                        List.of()));
     }
 
     @Test
