--- a/src/main/java/kitemux/mysql/AuthPlugin.java
+++ b/src/main/java/kitemux/mysql/AuthPlugin.java
@@ -6,9 +6,9 @@
 import java.util.Arrays;
 
 /**
- * Proofs that somebody knows a password without telling it: those of {@code mysql_native_password} and of the
- * fast path of {@code caching_sha2_password}. Only a digest of the password is kept on this side; who reads
- * that one cannot make a proof from it.
+ * Challenge-response authentication: {@code mysql_native_password} and the fast path of {@code
+ * caching_sha2_password}. A client proves that it knows a password without sending it. Only a digest of the
+ * password is stored on this side, from which no proof can be computed.
  */
 public enum AuthPlugin {
     /** SHA1(password) XOR SHA1(nonce, SHA1(SHA1(password))). */
@@ -26,10 +26,10 @@
         }
     };
 
-    /** Bytes of a nonce; one more, a zero, ends it on the wire. */
+    /** Length of a nonce; on the wire it is followed by a zero byte. */
     public static final int NONCE_BYTES = 20;
 
-    /** The plugin's name in the protocol. */
+    /** Name of the plugin in the protocol. */
     public final String pluginName;
 
     private final String algorithm;
@@ -39,8 +39,10 @@
         this.algorithm = algorithm;
     }
 
+    /** Returns the mask that is combined with the hash of the password. */
     abstract byte[] mask(byte[] digest, byte[] nonce);
 
+    /** Hashes the concatenated parts. */
     byte[] hash(byte[]... parts) {
         try {
             MessageDigest hash = MessageDigest.getInstance(algorithm);
@@ -49,17 +51,17 @@
             }
             return hash.digest();
         } catch (NoSuchAlgorithmException e) {
-            // Every Java platform must have both.
+            // Every Java platform provides both algorithms.
             throw new IllegalStateException(e);
         }
     }
 
-    /** What is kept of a password: its hash, hashed once more. */
+    /** Returns the digest that is stored for a password: its hash, hashed once more. */
     public byte[] digest(String password) {
         return hash(hash(password.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** The proof for this nonce; empty for an empty password, as the protocol has it. */
+    /** Computes the proof for this nonce; it is empty for an empty password, as the protocol specifies. */
     public byte[] createProof(String password, byte[] nonce) {
         if (password.isEmpty()) {
             return new byte[0];
@@ -68,7 +70,7 @@
         return xor(passwordHash, mask(hash(passwordHash), nonce));
     }
 
-    /** Whether a proof is one for the password of this digest, and for this nonce. */
+    /** Whether a proof matches the password of this digest and this nonce. */
     public boolean isValidProof(byte[] proof, byte[] digest, byte[] nonce) {
         if (proof.length == 0) {
             return MessageDigest.isEqual(digest(""), digest);
--- a/src/main/java/kitemux/mysql/BackendConnection.java
+++ b/src/main/java/kitemux/mysql/BackendConnection.java
@@ -13,12 +13,12 @@
 import kitemux.mysql.ResponseTracker.ResponseType;
 
 /**
- * A connection to a server: logs in ("Connection Phase"), and then carries one command at a time. What of an
- * answer has come is passed on at once, as the server wrote it; a gigabyte of rows takes the memory of what
- * one read brought. On the loop alone.
+ * A connection to a server: it logs in ("Connection Phase") and then carries one command at a time. Responses
+ * are streamed as the server wrote them; a gigabyte of rows takes only the memory of a single read. Used on the
+ * event loop only.
  */
 final class BackendConnection extends ChannelInboundHandlerAdapter {
-    /** What this program can do towards servers, and what both sides then keep to. */
+    /** Capabilities that are requested from servers; both sides use those that they share. */
     static final long REQUESTED_CAPABILITIES = Capabilities.LONG_PASSWORD
             | Capabilities.LONG_FLAG
             | Capabilities.PROTOCOL_41
@@ -36,26 +36,38 @@
     private static final int AUTH_MORE_DATA_HEADER = 0x01;
     private static final int FAST_AUTH_SUCCESS = 3;
 
-    /** Who logs in, and where it begins; an empty database is none. */
+    /**
+     * Account for the login at servers.
+     *
+     * @param user name of the user
+     * @param password in plain text
+     * @param database initial database; empty for none
+     */
     record Account(String user, String password, String database) {}
 
-    /** Told of a connection's login: one of these, once. */
+    /** Receives the result of a login: exactly one of the calls, once. */
     interface LoginListener {
+        /** The connection is ready for commands. */
         void onLoginSucceeded(BackendConnection connection);
 
-        /** It is closed, and nothing has run on it; the error is the server's, or null. */
+        /** The connection is closed and has carried no command; the error is the server's, or null. */
         void onLoginFailed(String reason, ErrPacket error);
     }
 
-    /** Told of an answer. */
+    /** Receives the response to a command. */
     interface ResponseListener {
-        /** The first of it has come, and it is no error. False to break it off: no end is told then. */
+        /**
+         * The first payload has arrived and is no error. Returns false to abort; the end is not reported then.
+         */
         boolean onResponseStart();
 
-        /** More of it, in packets as the server numbered them; to be released here. */
+        /** Further packets with the server's sequence numbers; the receiver releases them. */
         void onResponsePackets(ByteBuf packets);
 
-        /** Its one end; the error is the server's, or null. Behind a begin only OK ends it whole. */
+        /**
+         * The end of the response, reported once; the error is the server's, or null. A response that has
+         * started is complete only if the result is OK.
+         */
         void onResponseEnd(Result result, ErrPacket error);
     }
 
@@ -81,12 +93,18 @@
     private ResponseTracker tracker;
     private boolean commandWritten;
     private boolean responseStarted;
-    /** Whether the payload that comes now is gathered, to be seen. */
+    /** Whether the current payload is assembled and passed to the tracker. */
     private boolean inspectsPayload;
 
     private int payloadSequence;
 
-    /** A connection that is not open yet; the decoder stands in front of it. */
+    /**
+     * Creates the handler of a connection that is not open yet.
+     *
+     * @param account for the login
+     * @param decoder precedes this handler in the pipeline
+     * @param loginListener receives the result of the login
+     */
     BackendConnection(Account account, PacketDecoder decoder, LoginListener loginListener) {
         this.account = account;
         this.decoder = decoder;
@@ -99,17 +117,17 @@
         assembler = new PayloadAssembler(channel.alloc(), ResponseTracker.MAX_INSPECTED_BYTES);
     }
 
-    /** What both sides keep to. */
+    /** Capabilities that both sides share. */
     long capabilities() {
         return capabilities;
     }
 
-    /** SERVER_STATUS flags as last told: a transaction may be open. */
+    /** SERVER_STATUS flags as last received; they show whether a transaction is open. */
     int status() {
         return status;
     }
 
-    /** Whether it waits for a command. */
+    /** Whether the connection is logged in and carries no command. */
     boolean isIdle() {
         return phase == Phase.IDLE;
     }
@@ -117,15 +135,18 @@
     // ---------------------------------------------------------------- commands
 
     /**
-     * Takes a command up, when idle; what it returns is to be written at once.
+     * Begins a command on an idle connection; the caller writes the returned packets at once.
      *
-     * @param command its payload; released here
-     * @return its packets, which the caller owns
+     * @param command payload of the command; released here
+     * @param responseType structure of the response
+     * @param responseListener receives the response
+     * @return the packets of the command, owned by the caller
+     * @throws IllegalStateException if the connection is not idle
      */
     ByteBuf beginCommand(ByteBuf command, ResponseType responseType, ResponseListener responseListener) {
         if (phase != Phase.IDLE) {
             command.release();
-            throw new IllegalStateException("not idle but " + phase);
+            throw new IllegalStateException("connection is not idle: phase " + phase);
         }
         phase = Phase.BUSY;
         listener = responseListener;
@@ -137,9 +158,12 @@
     }
 
     /**
-     * Sends a command, when idle.
+     * Sends a command on an idle connection.
      *
-     * @param command its payload; released here
+     * @param command payload of the command; released here
+     * @param responseType structure of the response
+     * @param responseListener receives the response
+     * @throws IllegalStateException if the connection is not idle
      */
     void sendCommand(ByteBuf command, ResponseType responseType, ResponseListener responseListener) {
         channel.writeAndFlush(beginCommand(command, responseType, responseListener))
@@ -152,28 +176,31 @@
                 });
     }
 
-    /** Whether the command that it carries may have reached its server whole. */
+    /** Whether the current command may have reached the server whole. */
     boolean isCommandWritten() {
         return commandWritten;
     }
 
-    /** Lets the server be read on, or not: where the client does not read, the server is to wait. */
+    /** Resumes or pauses reading from the server: backpressure from a client that does not read. */
     void setReading(boolean reading) {
         channel.config().setAutoRead(reading);
     }
 
-    /** Ends it and tells no end of what it carries: a server finds its client gone. */
+    /**
+     * Closes the connection without reporting an end of the current command; the server sees its client
+     * disconnect.
+     */
     void abort() {
         listener = null;
         close();
     }
 
-    /** Ends it; what it carries is told its end. */
+    /** Closes the connection; the end of the current command is reported. */
     void close() {
         channel.close();
     }
 
-    // ---------------------------------------------------------------- what comes
+    // ---------------------------------------------------------------- responses
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
@@ -183,7 +210,7 @@
             return;
         }
         if (phase != Phase.GREETING && phase != Phase.LOGIN) {
-            // Unasked for: what comes next could not be told apart from an answer.
+            // Unsolicited data: whatever follows could not be told apart from a response.
             part.bytes().release();
             close();
             return;
@@ -231,7 +258,8 @@
         try {
             tracker.inspect(payload.duplicate());
             status = tracker.status();
-            // Behind rows an error is one more packet, and the answer's end; alone it is told as such.
+            // After rows an error is forwarded as one more packet, which ends the response; without rows it is only
+            // reported through the listener.
             if ((responseStarted || tracker.completion() != Completion.ERROR)
                     && !forward(Packets.write(channel.alloc(), payload.retain(), payloadSequence))) {
                 return;
@@ -254,7 +282,7 @@
         return forward(Unpooled.wrappedBuffer(header, bytes));
     }
 
-    /** False if it was broken off; the bytes are released then. */
+    /** Returns false if the response was aborted; the bytes are released then. */
     private boolean forward(ByteBuf packets) {
         ResponseListener responseListener = listener;
         if (responseListener != null && !responseStarted) {
@@ -287,7 +315,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- the login
+    // ---------------------------------------------------------------- login
 
     private void handleHandshake(InitialHandshake handshake) {
         nonce = handshake.nonce();
@@ -299,7 +327,7 @@
         AuthPlugin plugin = findPlugin(handshake.plugin());
         phase = Phase.LOGIN;
         ByteBuf out = channel.alloc().buffer();
-        // A plugin that is not known is answered with one that is: the server then asks to switch.
+        // An unknown plugin is answered with a known one; the server then requests a switch.
         AuthPlugin usedPlugin = plugin == null ? AuthPlugin.CACHING_SHA2 : plugin;
         new HandshakeResponse(
                         capabilities,
@@ -330,7 +358,7 @@
     }
 
     private void continueLogin(ByteBuf payload) {
-        int header = Fields.int1(payload, "the login's answer");
+        int header = Fields.int1(payload, "the login response");
         switch (header) {
             case OkPacket.HEADER -> {
                 status = OkPacket.read(payload, capabilities).status();
@@ -342,22 +370,23 @@
                 failLogin(error.code() + " " + error.message(), error);
             }
             case AUTH_SWITCH_HEADER -> {
-                AuthPlugin plugin = findPlugin(Fields.nulText(payload, "the plugin's name"));
+                AuthPlugin plugin = findPlugin(Fields.nulText(payload, "the plugin name"));
                 if (plugin == null) {
-                    failLogin("the server asks for a plugin that is not known", null);
+                    failLogin("the server requires an unknown authentication plugin", null);
                     return;
                 }
                 nonce = Fields.bytes(payload, AuthPlugin.NONCE_BYTES, "the nonce");
                 send(Unpooled.wrappedBuffer(plugin.createProof(account.password(), nonce)));
             }
             case AUTH_MORE_DATA_HEADER -> {
-                if (Fields.int1(payload, "the login's answer") != FAST_AUTH_SUCCESS) {
-                    // It wants the password itself, which goes over no plain connection.
-                    failLogin("the server does not know the password's digest yet: log in there once over TLS", null);
+                if (Fields.int1(payload, "the login response") != FAST_AUTH_SUCCESS) {
+                    // The server requests the plain password, which is never sent over an unencrypted connection.
+                    failLogin("the server has not cached the password digest yet: log in there once over TLS", null);
                 }
             }
             default ->
-                throw new ProtocolException(ProtocolException.Kind.MALFORMED, "a login's answer begins with " + header);
+                throw new ProtocolException(
+                        ProtocolException.Kind.MALFORMED, "invalid login response: first byte " + header);
         }
     }
 
@@ -369,14 +398,14 @@
         }
     }
 
-    // ---------------------------------------------------------------- its end
+    // ---------------------------------------------------------------- close
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         assembler.close();
-        failLogin("the connection ended before the login was over", null);
+        failLogin("the connection was closed before the login completed", null);
         phase = Phase.CLOSED;
-        // What was not written whole has not run: servers run nothing before they have all of it.
+        // A command that was not written whole has not run: servers execute only whole commands.
         complete(commandWritten ? Result.RESET : Result.CONNECT_FAILED, null);
         context.fireChannelInactive();
     }
--- a/src/main/java/kitemux/mysql/Capabilities.java
+++ b/src/main/java/kitemux/mysql/Capabilities.java
@@ -1,6 +1,9 @@
 package kitemux.mysql;
 
-/** Capability flags that this program knows ("Capabilities Flags"); both sides keep to those they share. */
+/**
+ * Capability flags of the protocol ("Capabilities Flags") that this program knows; both sides use those that
+ * they share.
+ */
 final class Capabilities {
     static final long LONG_PASSWORD = 1;
     static final long FOUND_ROWS = 1 << 1;
--- a/src/main/java/kitemux/mysql/ClientLogin.java
+++ b/src/main/java/kitemux/mysql/ClientLogin.java
@@ -13,22 +13,24 @@
 import kitemux.mysql.PacketDecoder.Part;
 
 /**
- * Lets a client in ("Connection Phase"): greets, checks its proof, asks it to switch to a plugin that its
- * user has, and then gives its place in the pipeline to what carries commands. One that is not let in gets
- * the protocol's error and its connection ends. On the loop alone.
+ * Authenticates a client ("Connection Phase"): it sends the handshake, verifies the client's proof, requests a
+ * switch to a plugin that the user has if necessary, and then hands the connection over to the handler of
+ * commands. A rejected client receives the protocol's error and is disconnected. Used on the event loop only.
  */
 final class ClientLogin extends ChannelInboundHandlerAdapter {
-    /** What this program can do towards clients. */
+    /** Capabilities that are offered to clients. */
     static final long OFFERED_CAPABILITIES = BackendConnection.REQUESTED_CAPABILITIES
             | Capabilities.CONNECT_WITH_DB
             | Capabilities.CONNECT_ATTRS
             | Capabilities.MULTI_STATEMENTS;
-    /** Longest payload of a client that has not logged in: a name, a proof and 64 KiB of attributes. It
-     * guards memory against those who need not know any password. */
+    /**
+     * Longest payload of an unauthenticated client: a user name, a proof and 64 KiB of attributes. The limit
+     * protects memory against clients that know no password.
+     */
     static final int MAX_PAYLOAD_BYTES = 1 << 17;
 
     static final String SERVER_VERSION = "8.4.0-kitemux";
-    /** How long one that was not let in may take to read why. */
+    /** Time that a rejected client has to read the error before the connection is closed. */
     private static final long LINGER_MS = 1_000;
 
     private static final int UTF8MB4_COLLATION = 45;
@@ -48,19 +50,22 @@
     private HandshakeResponse handshake;
     private boolean finished;
 
-    /** What follows a login. */
+    /** Takes over authenticated connections. */
     interface LoginHandler {
-        /** Takes the connection over; the OK has been written, and the next packet is a command's first. */
+        /** Takes over a connection. The OK has been written; the next packet is the first of a command. */
         void onLoginSucceeded(Channel channel, PacketDecoder decoder, HandshakeResponse handshake);
     }
 
     /**
-     * One for a connection that is open.
+     * Creates the handler of an open connection.
      *
-     * @param connectionId a number for it, told to the client
-     * @param greeted the plugin that the greeting names
-     * @param loginMs a login that takes longer is ended; guards descriptors against those that never end it
-     * @param decoder stands in front of it
+     * @param users accounts that may log in
+     * @param connectionId identifier of the connection, sent to the client
+     * @param initialPlugin plugin that the handshake names
+     * @param loginTimeoutMs time limit of a login, in milliseconds; protects file descriptors against clients
+     *     that never complete it
+     * @param decoder precedes this handler in the pipeline
+     * @param loginHandler takes over authenticated connections
      */
     ClientLogin(
             Users users,
@@ -77,7 +82,7 @@
         this.loginHandler = loginHandler;
     }
 
-    /** Without zeros, which end it on the wire. */
+    /** Creates a nonce without zero bytes, which would end it on the wire. */
     private static byte[] newNonce() {
         byte[] generated = new byte[AuthPlugin.NONCE_BYTES];
         for (int i = 0; i < generated.length; i++) {
@@ -137,7 +142,7 @@
     private void handleHandshakeResponse(HandshakeResponse response) {
         handshake = response;
         Users.User user = users.find(response.user());
-        // Older clients name none and mean the first there was.
+        // Older clients name no plugin and use mysql_native_password.
         String clientPlugin = response.plugin().isEmpty() ? AuthPlugin.NATIVE.pluginName : response.plugin();
         if (clientPlugin.equals(plugin.pluginName) && user.digests().containsKey(plugin)) {
             verifyProof(response.proof());
@@ -188,8 +193,8 @@
         loginTimeout.cancel(false);
         ByteBuf out = channel.alloc().buffer();
         error.write(out);
-        // Closed with bytes unread, the system would reset the connection, and the error with it: what still
-        // comes is read and dropped until the client closes, for a while.
+        // Closing a socket with unread bytes would reset the connection and lose the error. Input is therefore read
+        // and dropped for a while, until the client closes.
         channel.writeAndFlush(Packets.write(channel.alloc(), out, decoder.expectedSequence()))
                 .addListener(done -> ((DuplexChannel) channel).shutdownOutput());
         channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/kitemux/mysql/Fields.java
+++ b/src/main/java/kitemux/mysql/Fields.java
@@ -5,20 +5,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Fields of packets: whole numbers, strings and byte strings in the protocol's forms. Each reading method
- * throws a {@link ProtocolException} where the packet ends too early, and reads nothing behind its end.
+ * Reads and writes the basic types of packet fields: integers, strings and byte strings. Each reading method
+ * throws a {@link ProtocolException} if the packet ends too early, and never reads past its end; {@code what}
+ * names the field in the message.
  */
 final class Fields {
     private static final int TWO_BYTES = 0xfc;
     private static final int THREE_BYTES = 0xfd;
     private static final int EIGHT_BYTES = 0xfe;
-    /** Stands for NULL in rows of text, and begins no number. */
+    /** Marks NULL in text rows; it never begins a length-encoded integer. */
     static final int NULL = 0xfb;
 
     private Fields() {}
 
     private static ProtocolException truncated(String what) {
-        return new ProtocolException(ProtocolException.Kind.MALFORMED, "the packet ends within " + what);
+        return new ProtocolException(ProtocolException.Kind.MALFORMED, "packet truncated within " + what);
     }
 
     private static void requireBytes(ByteBuf in, long bytes, String what) {
@@ -27,27 +28,25 @@
         }
     }
 
-    /** int&lt;1&gt;. */
+    /** Reads int&lt;1&gt;. */
     static int int1(ByteBuf in, String what) {
         requireBytes(in, 1, what);
         return in.readUnsignedByte();
     }
 
-    /** int&lt;2&gt;. */
+    /** Reads int&lt;2&gt;. */
     static int int2(ByteBuf in, String what) {
         requireBytes(in, 2, what);
         return in.readUnsignedShortLE();
     }
 
-    /** int&lt;4&gt;. */
+    /** Reads int&lt;4&gt;. */
     static long int4(ByteBuf in, String what) {
         requireBytes(in, 4, what);
         return in.readUnsignedIntLE();
     }
 
-    /**
-     * int&lt;lenenc&gt;: 0 to 2^64 - 1, the upper half as negative numbers.
-     */
+    /** Reads int&lt;lenenc&gt;: 0 to 2^64 - 1, where the upper half comes as negative numbers. */
     static long lenenc(ByteBuf in, String what) {
         int first = int1(in, what);
         switch (first) {
@@ -62,7 +61,8 @@
             case NULL:
             case 0xff:
                 throw new ProtocolException(
-                        ProtocolException.Kind.MALFORMED, "no number begins with " + first + " in " + what);
+                        ProtocolException.Kind.MALFORMED,
+                        "invalid length-encoded integer: first byte " + first + " in " + what);
             default:
                 return first;
         }
@@ -81,7 +81,7 @@
         }
     }
 
-    /** So many bytes. */
+    /** Reads a fixed number of bytes. */
     static byte[] bytes(ByteBuf in, long count, String what) {
         requireBytes(in, count, what);
         byte[] bytes = new byte[(int) count];
@@ -89,12 +89,12 @@
         return bytes;
     }
 
-    /** string&lt;lenenc&gt; as bytes. */
+    /** Reads string&lt;lenenc&gt; as bytes. */
     static byte[] lenencBytes(ByteBuf in, String what) {
         return bytes(in, lenenc(in, what), what);
     }
 
-    /** string&lt;lenenc&gt; in UTF-8. */
+    /** Reads string&lt;lenenc&gt; in UTF-8. */
     static String lenencText(ByteBuf in, String what) {
         return new String(lenencBytes(in, what), StandardCharsets.UTF_8);
     }
@@ -110,7 +110,7 @@
         putLenencBytes(out, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** string&lt;NUL&gt; in UTF-8. */
+    /** Reads string&lt;NUL&gt; in UTF-8. */
     static String nulText(ByteBuf in, String what) {
         int length = in.bytesBefore((byte) 0);
         if (length < 0) {
@@ -121,16 +121,20 @@
         return text;
     }
 
-    /** Writes string&lt;NUL&gt;; one that holds a zero byte would end early. */
+    /**
+     * Writes string&lt;NUL&gt; in UTF-8.
+     *
+     * @throws IllegalArgumentException if the text holds a zero byte, which would end it early
+     */
     static void putNulText(ByteBuf out, String text) {
         if (text.indexOf('\0') >= 0) {
-            throw new IllegalArgumentException("a zero byte in a string that ends with one");
+            throw new IllegalArgumentException("NUL-terminated string contains a zero byte");
         }
         ByteBufUtil.writeUtf8(out, text);
         out.writeByte(0);
     }
 
-    /** string&lt;EOF&gt;: all that is left, in UTF-8. */
+    /** Reads string&lt;EOF&gt;: all remaining bytes, in UTF-8. */
     static String remainingText(ByteBuf in) {
         String text = in.toString(StandardCharsets.UTF_8);
         in.skipBytes(in.readableBytes());
--- a/src/main/java/kitemux/mysql/HandshakeResponse.java
+++ b/src/main/java/kitemux/mysql/HandshakeResponse.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 
 /**
- * What a client answers (Protocol::HandshakeResponse41), or, with {@code CLIENT_SSL} and no user yet, its
- * wish for TLS (Protocol::SSLRequest).
+ * Response of a client to the handshake (Protocol::HandshakeResponse41), or, with {@code CLIENT_SSL} and no
+ * user yet, its request for TLS (Protocol::SSLRequest).
  *
- * @param capabilities what it can do and wants
- * @param maxPacketBytes the longest packet that it takes
- * @param charset collation of its texts
- * @param user its name; null in a wish for TLS, in which nothing else follows
- * @param proof for the nonce and {@code plugin}
- * @param database where it begins; empty for none
- * @param plugin how it proves who it is; empty if it does not say
- * @param attributes what it says of itself
+ * @param capabilities flags that the client supports and requests
+ * @param maxPacketBytes longest packet that the client accepts
+ * @param charset collation of the client's texts
+ * @param user name of the user; null in a request for TLS, which ends there
+ * @param proof response to the server's nonce, computed by {@code plugin}
+ * @param database initial database; empty for none
+ * @param plugin authentication plugin of the client; empty if it names none
+ * @param attributes connection attributes
  */
 record HandshakeResponse(
         long capabilities,
@@ -27,29 +27,29 @@
         String plugin,
         Map<String, String> attributes) {
     private static final int FILLER_BYTES = 23;
-    /** Attributes beyond this are a fault: servers take 64 KiB in all. */
+    /** Longer attributes are rejected: servers accept 64 KiB in all. */
     private static final int MAX_ATTRIBUTES_BYTES = 1 << 16;
 
     /**
-     * Reads a payload, by the capabilities that it names itself.
+     * Reads a payload by the capabilities that it announces.
      *
-     * @param offered what the server can do: a client may name no other
-     * @throws ProtocolException if it is something else, or of a protocol before 4.1
+     * @param offered capabilities of the server; others that the client names are ignored
+     * @throws ProtocolException if the payload is invalid, or of a protocol before 4.1
      */
     static HandshakeResponse read(ByteBuf in, long offered) {
         long capabilities = Fields.int4(in, "the capabilities");
         if (!Capabilities.has(capabilities, Capabilities.PROTOCOL_41)) {
-            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "the client knows no protocol 4.1");
+            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "the client does not support protocol 4.1");
         }
-        // Real clients name some that they were not offered; a server heeds what both have.
+        // Some clients announce flags that they were not offered; servers use the common ones.
         capabilities &= offered;
-        long maxPacketBytes = Fields.int4(in, "the longest packet");
+        long maxPacketBytes = Fields.int4(in, "the maximum packet length");
         int charset = Fields.int1(in, "the character set");
         Fields.bytes(in, FILLER_BYTES, "the filler");
         if (Capabilities.has(capabilities, Capabilities.SSL) && !in.isReadable()) {
             return new HandshakeResponse(capabilities, maxPacketBytes, charset, null, new byte[0], "", "", Map.of());
         }
-        String user = Fields.nulText(in, "the user's name");
+        String user = Fields.nulText(in, "the user name");
         byte[] proof = Capabilities.has(capabilities, Capabilities.PLUGIN_AUTH_LENENC_DATA)
                 ? Fields.lenencBytes(in, "the proof")
                 : Fields.bytes(in, Fields.int1(in, "the proof"), "the proof");
@@ -57,7 +57,7 @@
                 ? Fields.nulText(in, "the database")
                 : "";
         String plugin = Capabilities.has(capabilities, Capabilities.PLUGIN_AUTH) && in.isReadable()
-                ? Fields.nulText(in, "the plugin's name")
+                ? Fields.nulText(in, "the plugin name")
                 : "";
         Map<String, String> attributes = Capabilities.has(capabilities, Capabilities.CONNECT_ATTRS) && in.isReadable()
                 ? attributes(in)
@@ -66,19 +66,21 @@
     }
 
     private static Map<String, String> attributes(ByteBuf in) {
-        long length = Fields.lenenc(in, "the attributes");
+        long length = Fields.lenenc(in, "the connection attributes");
         if (length < 0 || length > MAX_ATTRIBUTES_BYTES || length > in.readableBytes()) {
-            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "the attributes have " + length + " bytes");
+            throw new ProtocolException(
+                    ProtocolException.Kind.MALFORMED, "invalid connection attributes: length " + length + " bytes");
         }
         ByteBuf all = in.readSlice((int) length);
         Map<String, String> attributes = new LinkedHashMap<>();
         while (all.isReadable()) {
-            String name = Fields.lenencText(all, "an attribute");
-            attributes.put(name, Fields.lenencText(all, "an attribute"));
+            String name = Fields.lenencText(all, "a connection attribute");
+            attributes.put(name, Fields.lenencText(all, "a connection attribute"));
         }
         return attributes;
     }
 
+    /** Writes the payload. */
     void write(ByteBuf out) {
         out.writeIntLE((int) capabilities)
                 .writeIntLE((int) maxPacketBytes)
--- a/src/main/java/kitemux/mysql/MysqlServerProtocol.java
+++ b/src/main/java/kitemux/mysql/MysqlServerProtocol.java
@@ -13,15 +13,15 @@
 import kitemux.net.ServerResponse;
 
 /**
- * MySQL's protocol towards servers: connections that are logged in before they carry anything, one command
- * at a time on each. An error about a statement is that statement's answer; one about the server is a
- * failure.
+ * The MySQL protocol towards servers: connections log in before they carry a command, and carry one command at
+ * a time. An error about a statement is the response to that statement; an error about the server is a failed
+ * attempt.
  */
 public final class MysqlServerProtocol implements ServerPool.Protocol<Command, ServerResponse> {
     /**
-     * Errors that say the server cannot serve, whatever it is asked (server error message reference): too
-     * many connections, disk full, out of memory, shutdown, user's limit, read only, offline mode, and a
-     * transaction that a group's change of members ended.
+     * Errors that mean that the server cannot serve any request (server error message reference): too many
+     * connections, disk full, out of memory, shutdown, user's limit, read only, offline mode, and a transaction
+     * that a membership change of the replication group ended.
      */
     private static final Set<Integer> SERVER_ERROR_CODES =
             Set.of(1040, 1021, 1037, 1041, 1053, 1203, 1226, 1290, 1836, 3032, 3101);
@@ -29,7 +29,7 @@
     private final BackendConnection.Account account;
     private final Log log;
 
-    /** Logs in at servers with this account. */
+    /** Creates the protocol for this account; failed logins are logged. */
     MysqlServerProtocol(BackendConnection.Account account, Log log) {
         this.account = account;
         this.log = log;
@@ -37,7 +37,7 @@
 
     @Override
     public void initPipeline(ChannelPipeline pipeline) {
-        // Servers speak first: nothing is read before there is somebody to hear it.
+        // Servers speak first: nothing may be read before the handlers are in place.
         pipeline.channel().config().setAutoRead(false);
     }
 
@@ -55,7 +55,7 @@
             implements BackendConnection.LoginListener, BackendConnection.ResponseListener {
         private final PacketDecoder decoder = new PacketDecoder();
         private final BackendConnection backend = new BackendConnection(account, decoder, this);
-        /** What is passed on, or null. */
+        /** Response that is being streamed, or null. */
         private ServerResponse streamingResponse;
 
         private boolean ready;
@@ -73,7 +73,7 @@
 
         @Override
         public void onLoginFailed(String reason, ErrPacket error) {
-            log.info("server " + serverId() + " lets nobody in: " + reason);
+            log.info("server " + serverId() + " refused the login: " + reason);
         }
 
         @Override
@@ -82,7 +82,7 @@
             return backend.beginCommand(Unpooled.wrappedBuffer(command.payload()), command.responseType(), this);
         }
 
-        // ------------------------------------------------------------ answers
+        // ------------------------------------------------------------ responses
 
         @Override
         public boolean onResponseStart() {
@@ -107,7 +107,8 @@
                 completeExchange(isRequestWritten() ? Result.RESET : Result.CONNECT_FAILED, null);
                 return;
             }
-            // Not before all that came is read: what came behind the answer must not answer the next.
+            // The connection becomes available only after all received data has been read: stray data after this
+            // response must not answer the next command.
             ready = true;
             if (started || result == Result.OK) {
                 completeExchange(Result.OK, null);
--- a/src/main/java/kitemux/mysql/PacketDecoder.java
+++ b/src/main/java/kitemux/mysql/PacketDecoder.java
@@ -6,23 +6,23 @@
 import java.util.List;
 
 /**
- * Cuts what is read into parts of packets ("MySQL Packets"), as they come: a packet of any length passes in
- * memory for what one read brought. A payload that is longer than 16 MiB - 1 comes in several packets on the
- * wire and is one here. Sequence numbers are checked.
+ * Splits the received bytes into parts of payloads ("MySQL Packets") as they arrive; a packet of any length
+ * takes only the memory of a single read. A payload of 16 MiB - 1 or more spans several packets on the wire and
+ * is presented as one payload here. Sequence numbers are verified.
  */
 final class PacketDecoder extends ByteToMessageDecoder {
     static final int HEADER_BYTES = 4;
-    /** Longest payload of one packet on the wire; one that has it goes on in the next. */
+    /** Longest payload of a single packet; a payload of this length continues in the next packet. */
     static final int MAX_PAYLOAD_BYTES = 0xffffff;
 
     /**
      * Some bytes of a payload.
      *
-     * @param first whether they are its first
-     * @param last whether they are its last
-     * @param packetLength where they are the first of a packet on the wire, its length; else -1
-     * @param sequence that packet's number
-     * @param bytes owned by whoever gets the part; may be none
+     * @param first whether these are the first bytes of the payload
+     * @param last whether these are the last bytes of the payload
+     * @param packetLength if these are the first bytes of a packet, the length of that packet; otherwise -1
+     * @param sequence number of that packet
+     * @param bytes owned by the receiver; may be empty
      */
     record Part(boolean first, boolean last, int packetLength, int sequence, ByteBuf bytes) {}
 
@@ -34,12 +34,12 @@
     private int packetLength = -1;
     private int sequence;
 
-    /** The next packet is the first of an exchange, or numbered so. */
+    /** Sets the expected sequence number of the next packet. */
     void expectSequence(int sequence) {
         expectedSequence = sequence & 0xff;
     }
 
-    /** The number that the next packet should have, from either side. */
+    /** Sequence number that the next packet from either side should have. */
     int expectedSequence() {
         return expectedSequence;
     }
@@ -56,7 +56,7 @@
             if (sequence != expectedSequence) {
                 throw new ProtocolException(
                         ProtocolException.Kind.OUT_OF_ORDER,
-                        "packet " + sequence + " came where " + expectedSequence + " was due");
+                        "unexpected packet sequence: got " + sequence + " where " + expectedSequence + " was expected");
             }
             expectedSequence = sequence + 1 & 0xff;
             continues = remainingBytes == MAX_PAYLOAD_BYTES;
--- a/src/main/java/kitemux/mysql/PayloadAssembler.java
+++ b/src/main/java/kitemux/mysql/PayloadAssembler.java
@@ -4,16 +4,17 @@
 import io.netty.buffer.ByteBufAllocator;
 import kitemux.mysql.PacketDecoder.Part;
 
-/** Puts the parts of a payload together that must be read as a whole, up to a bound. */
+/** Assembles the parts of a payload that must be read as a whole, up to a maximum length. */
 final class PayloadAssembler implements AutoCloseable {
     private final ByteBufAllocator allocator;
     private final int maxBytes;
     private ByteBuf payload;
 
     /**
-     * One that holds nothing.
+     * Creates an empty assembler.
      *
-     * @param most bytes of a payload that are taken; guards memory against one that never ends
+     * @param allocator of the buffer
+     * @param maxBytes maximum length of a payload; protects memory against endless payloads
      */
     PayloadAssembler(ByteBufAllocator allocator, int maxBytes) {
         this.allocator = allocator;
@@ -21,10 +22,10 @@
     }
 
     /**
-     * Takes a part over.
+     * Adds a part and releases it.
      *
-     * @return the whole payload, which the caller owns, or null if more is to come
-     * @throws ProtocolException if it is longer than what is taken; what was held is let go
+     * @return the whole payload, owned by the caller, or null if more parts follow
+     * @throws ProtocolException if the payload exceeds the maximum length; the buffered bytes are released
      */
     ByteBuf add(Part part) {
         try {
@@ -34,7 +35,7 @@
             if (payload.readableBytes() + part.bytes().readableBytes() > maxBytes) {
                 close();
                 throw new ProtocolException(
-                        ProtocolException.Kind.TOO_LARGE, "a packet has more than " + maxBytes + " bytes");
+                        ProtocolException.Kind.TOO_LARGE, "packet exceeds the limit of " + maxBytes + " bytes");
             }
             payload.writeBytes(part.bytes());
         } finally {
--- a/src/main/java/kitemux/mysql/ProtocolException.java
+++ b/src/main/java/kitemux/mysql/ProtocolException.java
@@ -2,24 +2,26 @@
 
 import io.netty.handler.codec.DecoderException;
 
-/** What came cannot be read, or is not allowed: the connection ends with the error that this tells. */
+/**
+ * Received data is invalid or not allowed. The connection ends with the error that this exception describes.
+ */
 public final class ProtocolException extends DecoderException {
     private static final long serialVersionUID = 1L;
 
-    /** What it is called in the protocol. */
+    /** Kind of error, with its code in the protocol. */
     public enum Kind {
-        /** A packet that is no packet of its kind. */
+        /** The packet is malformed. */
         MALFORMED(1835, "HY000"),
-        /** Packets that do not follow each other (ER_NET_PACKETS_OUT_OF_ORDER). */
+        /** The packet has an unexpected sequence number (ER_NET_PACKETS_OUT_OF_ORDER). */
         OUT_OF_ORDER(1156, "08S01"),
-        /** A packet that is longer than what is taken (ER_NET_PACKET_TOO_LARGE). */
+        /** The packet exceeds the accepted length (ER_NET_PACKET_TOO_LARGE). */
         TOO_LARGE(1153, "08S01"),
-        /** A command that is not carried (ER_UNKNOWN_COM_ERROR). */
+        /** The command is not supported (ER_UNKNOWN_COM_ERROR). */
         UNSUPPORTED_COMMAND(1047, "08S01");
 
-        /** Error number. */
+        /** Error number in the protocol. */
         public final int code;
-        /** SQL state. */
+        /** SQL state in the protocol. */
         public final String sqlState;
 
         Kind(int code, String sqlState) {
@@ -30,18 +32,23 @@
 
     private final Kind kind;
 
-    /** A fault with its reason, which the other side is told. */
+    /**
+     * Creates an exception.
+     *
+     * @param kind kind of error
+     * @param reason message for the other side
+     */
     public ProtocolException(Kind kind, String reason) {
         super(reason);
         this.kind = kind;
     }
 
-    /** What kind of fault. */
+    /** Returns the kind of error. */
     public Kind kind() {
         return kind;
     }
 
-    /** What the other side is told. */
+    /** Returns the error packet for the other side. */
     public ErrPacket toErrPacket() {
         return new ErrPacket(kind.code, kind.sqlState, getMessage());
     }
--- a/src/main/java/kitemux/mysql/ResponseTracker.java
+++ b/src/main/java/kitemux/mysql/ResponseTracker.java
@@ -3,33 +3,36 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Knows where the answer to a command stands, payload by payload, and so where it ends ("Command Phase",
- * "Text Resultset", "Binary Protocol Resultset", "COM_STMT_PREPARE Response"). It sees the first byte and the
- * length of each payload, and the whole only of those that it asks for, which are small: rows pass it by,
- * whatever they hold. It does no input or output.
+ * Tracks the response to a command payload by payload and detects its end ("Command Phase", "Text Resultset",
+ * "Binary Protocol Resultset", "COM_STMT_PREPARE Response"). It gets the first byte and the length of each
+ * payload, and the whole content only of the small ones that it requests; rows are skipped, whatever they
+ * contain. It performs no I/O.
  */
 final class ResponseTracker {
-    /** What a command's answer looks like. */
+    /** Structure of the response to a command. */
     enum ResponseType {
-        /** OK or ERR and nothing else. */
+        /** A single OK or ERR. */
         STATUS_ONLY,
-        /** OK, ERR or result sets, one after the other. */
+        /** OK, ERR or result sets, one after another. */
         RESULT_SETS,
-        /** What is said of a statement that was prepared. */
+        /** The response to COM_STMT_PREPARE. */
         PREPARED_STATEMENT
     }
 
-    /** How it ended. */
+    /** How a response ended. */
     enum Completion {
         OK,
         ERROR
     }
 
-    /** Longest payload that is looked at whole: an OK with its session's state, an ERR, a count. */
+    /** Longest payload that is inspected: an OK with session state, an ERR or a column count. */
     static final int MAX_INSPECTED_BYTES = 1 << 16;
 
     private static final int LOCAL_INFILE_HEADER = 0xfb;
-    /** An EOF_Packet has five bytes; a row that begins with the same has a field of 16 MiB. */
+    /**
+     * Payloads with the EOF header that are shorter than this are EOF packets, which have five bytes; a row
+     * that begins with the same byte has a field of at least 16 MiB.
+     */
     private static final int EOF_BOUND_BYTES = 9;
 
     private enum State {
@@ -54,7 +57,12 @@
     private int currentHeader;
     private boolean started;
 
-    /** One that waits for the first payload of an answer. */
+    /**
+     * Creates a tracker that expects the first payload of a response.
+     *
+     * @param responseType structure of the response
+     * @param capabilities flags that both sides share
+     */
     ResponseTracker(ResponseType responseType, long capabilities) {
         this.responseType = responseType;
         this.capabilities = capabilities;
@@ -65,19 +73,21 @@
     }
 
     /**
-     * A payload begins.
+     * Handles the beginning of a payload.
      *
-     * @param firstByte its first, or -1 if it has none
-     * @param length of the payload; where it is longer than a packet on the wire, any number from there on
-     * @return whether it is to be gathered and handed to {@link #inspect}; else {@link #skipPayload} is due
-     * @throws ProtocolException if none may come here, or none like this
+     * @param firstByte its first byte, or -1 if it is empty
+     * @param length of the payload in bytes; for one that spans several packets any number from the length of
+     *     its first packet on
+     * @return whether the payload is to be assembled and passed to {@link #inspect}; otherwise {@link
+     *     #skipPayload} is to be called once it is over
+     * @throws ProtocolException if no payload, or none of this kind, is allowed here
      */
     boolean beginPayload(int firstByte, long length) {
         if (state == State.COMPLETE) {
-            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "a packet came behind the end of an answer");
+            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "packet after the end of a response");
         }
         if (firstByte < 0 && state != State.ROWS) {
-            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "an empty packet in an answer");
+            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "empty packet in a response");
         }
         currentHeader = firstByte;
         return switch (state) {
@@ -92,7 +102,7 @@
         };
     }
 
-    /** A payload that need not be seen has come whole. */
+    /** Handles the end of a payload that is not inspected. */
     void skipPayload() {
         started = true;
         if (state == State.COLUMNS && --remainingColumns == 0) {
@@ -111,10 +121,10 @@
     }
 
     /**
-     * A payload that was to be seen.
+     * Handles a payload that {@link #beginPayload} requested.
      *
-     * @param payload whole; read, and not kept
-     * @throws ProtocolException if it is not what may stand here
+     * @param payload the whole payload; read, not retained
+     * @throws ProtocolException if it is invalid here
      */
     void inspect(ByteBuf payload) {
         started = true;
@@ -163,20 +173,22 @@
             status = OkPacket.read(payload, capabilities).status();
             finishResult();
         } else if (responseType != ResponseType.RESULT_SETS || currentHeader == LOCAL_INFILE_HEADER) {
-            // No file of the client's is ever read for a server.
+            // LOCAL INFILE is refused: no file of a client is ever read for a server.
             throw new ProtocolException(
-                    ProtocolException.Kind.MALFORMED, "an answer of this command cannot begin with " + currentHeader);
+                    ProtocolException.Kind.MALFORMED,
+                    "response to this command cannot begin with byte " + currentHeader);
         } else {
             remainingColumns = Fields.lenenc(payload, "the number of columns");
             if (remainingColumns < 1 || remainingColumns > 1 << 16 || payload.isReadable()) {
                 throw new ProtocolException(
-                        ProtocolException.Kind.MALFORMED, "a result has " + remainingColumns + " columns");
+                        ProtocolException.Kind.MALFORMED,
+                        "invalid result set: column count " + remainingColumns + " or trailing bytes");
             }
             state = State.COLUMNS;
         }
     }
 
-    /** Of a statement that was prepared; there may be none. */
+    /** Begins the columns of a prepared statement, which may have none. */
     private void startColumns() {
         if (remainingColumns > 0) {
             state = State.COLUMNS;
@@ -195,7 +207,7 @@
 
     private void readEof(ByteBuf payload) {
         if (currentHeader != OkPacket.RESULT_END_HEADER || payload.readableBytes() >= EOF_BOUND_BYTES) {
-            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "no EOF where one is due");
+            throw new ProtocolException(ProtocolException.Kind.MALFORMED, "expected an EOF packet");
         }
         payload.skipBytes(1);
         Fields.int2(payload, "the warnings");
@@ -215,27 +227,27 @@
         completion = result;
     }
 
-    /** How it ended, or null while it has not. */
+    /** How the response ended, or null if it has not ended yet. */
     Completion completion() {
         return completion;
     }
 
-    /** Whether any payload of it has come whole. */
+    /** Whether any payload of the response has been received whole. */
     boolean hasStarted() {
         return started;
     }
 
-    /** The error that it ended with, or null. */
+    /** The error that ended the response, or null. */
     ErrPacket error() {
         return error;
     }
 
-    /** SERVER_STATUS flags as last told. */
+    /** SERVER_STATUS flags as last received. */
     int status() {
         return status;
     }
 
-    /** The number of the statement that was prepared, or -1. */
+    /** Identifier of the prepared statement, or -1. */
     long statementId() {
         return statementId;
     }
--- a/src/main/java/kitemux/mysql/Statement.java
+++ b/src/main/java/kitemux/mysql/Statement.java
@@ -7,37 +7,37 @@
 import java.util.Set;
 
 /**
- * What can be said of a statement by its text alone. It errs towards what must never run twice: a statement
- * is a read only if nothing in it could be anything else. It knows no schema, so that a function it does not
- * know may write, and it does no input or output.
+ * Classification of a statement by its text alone. It errs on the side of never running a write twice: a
+ * statement counts as a read only if nothing in it could be anything else. As the schema is unknown, a function
+ * that is not known here may write. It performs no I/O.
  *
- * @param isReadOnly whether it surely changes nothing, so that it may run again
- * @param traits what it does to its session
+ * @param isReadOnly whether the statement certainly changes nothing, so that it may run again
+ * @param traits effects of the statement on its session
  */
 public record Statement(boolean isReadOnly, Set<Trait> traits) {
-    /** What a statement does to its session, or needs of it. */
+    /** Effect of a statement on its session, or its dependency on it. */
     public enum Trait {
-        /** A transaction may be open behind it. */
+        /** A transaction may be open after the statement. */
         BEGINS_TRANSACTION,
-        /** No transaction is open behind it, unless it chains one. */
+        /** No transaction is open after the statement, unless it chains one. */
         ENDS_TRANSACTION,
-        /** Its effect on the session lasts and cannot be replayed elsewhere. */
+        /** Its effect on the session lasts and cannot be replayed on another connection. */
         PINS_SESSION,
-        /** It sets variables of the session, which can be replayed. */
+        /** It sets session variables, which can be replayed on another connection. */
         SETS_VARIABLES,
-        /** It asks for what the statement before left in the session. */
+        /** It reads state that the previous statement left in the session. */
         READS_SESSION_STATE
     }
 
-    /** A bracket that follows a word at once, and any other. */
+    /** Tokens of an opening parenthesis: directly after a word, and anywhere else. */
     private static final String CALL_PARENTHESIS = "(";
 
     private static final String DETACHED_PARENTHESIS = " (";
 
-    /** Longer texts are not looked at, and are no reads: it guards the loop's time. */
+    /** Longer texts are not analyzed and count as writes; this limits the time on the event loop. */
     static final int MAX_ANALYZED_CHARS = 1 << 16;
 
-    /** Words that call nothing where a bracket follows. */
+    /** Keywords that call no function, even with a parenthesis after them. */
     private static final Set<String> KEYWORDS = Set.of(
             "ALL",
             "AND",
@@ -79,7 +79,10 @@
             "ROW",
             "EXPLAIN",
             "IS");
-    /** Functions that change nothing. With a blank before the bracket it is one of theirs that is called. */
+    /**
+     * Built-in functions without side effects. With whitespace before the parenthesis the name refers to a
+     * stored function instead.
+     */
     private static final Set<String> PURE_FUNCTIONS = Set.of(
             "ABS",
             "AVG",
@@ -184,10 +187,10 @@
             "CURRENT_USER",
             "WEEK",
             "YEAR");
-    /** What tells of the statement before, or of the connection. */
+    /** Functions that read state of the previous statement or of the connection. */
     private static final Set<String> SESSION_STATE_FUNCTIONS =
             Set.of("FOUND_ROWS", "ROW_COUNT", "LAST_INSERT_ID", "CONNECTION_ID");
-    /** Words anywhere in a statement that keep it from being surely a read. */
+    /** Keywords that may not occur anywhere in a read. */
     private static final Set<String> WRITE_KEYWORDS = Set.of(
             "INTO",
             "INSERT",
@@ -230,11 +233,11 @@
             "INSTALL",
             "UNINSTALL");
 
-    /** Reads a statement, or several in one text. */
+    /** Analyzes a text of one or several statements. */
     public static Statement analyze(String sql) {
         List<String> tokens = sql.length() > MAX_ANALYZED_CHARS ? null : tokenize(sql);
         if (tokens == null) {
-            // Not understood: it may be anything, a transaction's begin and a lock among them.
+            // The text cannot be analyzed: it may do anything, such as begin a transaction or take a lock.
             return new Statement(false, EnumSet.of(Trait.PINS_SESSION));
         }
         Set<Trait> traits = EnumSet.noneOf(Trait.class);
@@ -253,7 +256,7 @@
         return new Statement(readOnly && statements == 1, traits);
     }
 
-    /** Whether one statement is surely a read; its traits are added. */
+    /** Whether a single statement is certainly a read; its traits are added. */
     private static boolean analyzeOne(List<String> tokens, Set<Trait> traits) {
         String verb = tokens.get(0);
         String second = tokens.size() > 1 ? tokens.get(1) : "";
@@ -261,7 +264,7 @@
             case "BEGIN" -> traits.add(Trait.BEGINS_TRANSACTION);
             case "START" -> traits.add(second.equals("TRANSACTION") ? Trait.BEGINS_TRANSACTION : Trait.PINS_SESSION);
             case "COMMIT" -> traits.add(Trait.ENDS_TRANSACTION);
-            // To a savepoint it goes on, and so it does where a new one is chained.
+            // The transaction goes on after a rollback to a savepoint.
             case "ROLLBACK" -> traits.add(tokens.contains("TO") ? Trait.BEGINS_TRANSACTION : Trait.ENDS_TRANSACTION);
             case "SET" -> traits.add(isReplayable(tokens) ? Trait.SETS_VARIABLES : Trait.PINS_SESSION);
             case "USE" -> traits.add(Trait.SETS_VARIABLES);
@@ -289,7 +292,7 @@
         for (int i = 0; i < tokens.size(); i++) {
             String token = tokens.get(i);
             if (token.startsWith("@") && !token.startsWith("@@")) {
-                // What another statement put there is only in this session.
+                // User variables exist only in the session in which another statement set them.
                 traits.add(Trait.PINS_SESSION);
                 readOnly = false;
             }
@@ -302,7 +305,7 @@
                 traits.add(Trait.READS_SESSION_STATE);
                 readOnly = false;
             } else if (called && isName(token) && !isPureCall(tokens, i, next)) {
-                // It may be a function of theirs, which may do anything; a lock among it lasts.
+                // This may be a stored function, which may do anything; the lock of a locking function lasts.
                 readOnly = false;
                 if (token.endsWith("_LOCK") || token.endsWith("_LOCKS")) {
                     traits.add(Trait.PINS_SESSION);
@@ -315,15 +318,18 @@
         return readOnly;
     }
 
-    /** Whether a word with a bracket behind it calls nothing, or what changes nothing. */
+    /** Whether a word before a parenthesis calls nothing, or a function without side effects. */
     private static boolean isPureCall(List<String> tokens, int at, String parenthesis) {
-        // Behind a schema's name it is one of theirs, whatever it is called.
+        // After the name of a schema it is a stored function, whatever its name.
         return (at == 0 || !tokens.get(at - 1).equals("."))
                 && (KEYWORDS.contains(tokens.get(at))
                         || parenthesis.equals(CALL_PARENTHESIS) && PURE_FUNCTIONS.contains(tokens.get(at)));
     }
 
-    /** Plain settings of the session; user variables, passwords and what is global are not. */
+    /**
+     * Whether a SET statement only changes plain session variables; user variables, passwords, transaction
+     * settings and global variables cannot be replayed.
+     */
     private static boolean isReplayable(List<String> tokens) {
         return tokens.stream()
                 .noneMatch(token -> token.startsWith("@") && !token.startsWith("@@")
@@ -343,11 +349,12 @@
         return Character.isLetterOrDigit(token.charAt(0)) || token.charAt(0) == '_' || token.charAt(0) == '`';
     }
 
-    // ---------------------------------------------------------------- words
+    // ---------------------------------------------------------------- tokens
 
     /**
-     * Words in upper case, quoted names with their first quote in front, signs one by one; literals are left
-     * out. Null if the text ends within a quote or a comment, or holds a comment that is executed.
+     * Splits a text into tokens: words in upper case, quoted names with their opening quote, and single
+     * symbols; literals are omitted. Returns null if the text ends within a quote or a comment, or contains an
+     * executable comment.
      */
     private static List<String> tokenize(String sql) {
         List<String> tokens = new ArrayList<>();
@@ -374,7 +381,8 @@
                 if (c == '`') {
                     tokens.add("`" + sql.substring(at + 1, end).toUpperCase(Locale.ROOT));
                 } else if (c == '"') {
-                    // A text, or in some modes a name: one that is called must not pass for a text.
+                    // A string, or a quoted name in some SQL modes: a function that is called by a quoted name must
+                    // not pass for a string.
                     tokens.add("`\"");
                 }
                 at = end + 1;
@@ -386,7 +394,7 @@
                                 || sql.charAt(end) == '.' && c == '@')) {
                     end++;
                 }
-                // Names may begin with digits, too; plain numbers are left out.
+                // Names may begin with digits; plain numbers are omitted.
                 if (!sql.substring(at, end).chars().allMatch(Character::isDigit)) {
                     tokens.add(sql.substring(at, end).toUpperCase(Locale.ROOT));
                 }
@@ -408,14 +416,14 @@
         return Character.isLetterOrDigit(c) || c == '_' || c == '$';
     }
 
-    /** Where the quote that begins here ends, or -1. */
+    /** Returns the position of the closing quote, or -1 if the text does not have one for certain. */
     private static int endOfQuote(String sql, int from) {
         char quote = sql.charAt(from);
         for (int at = from + 1; at < sql.length(); at++) {
             char c = sql.charAt(at);
             if (c == '\\' && quote != '`') {
-                // Whether a backslash escapes is a mode of the server's. Where it stands before a quote the
-                // two readings differ, so nothing is said of such a text.
+                // Whether a backslash escapes depends on the SQL mode of the server. Before a quote the two
+                // interpretations differ, so such a text is not analyzed.
                 if (at + 1 < sql.length() && sql.charAt(at + 1) == quote) {
                     return -1;
                 }
--- a/src/main/java/kitemux/mysql/package-info.java
+++ b/src/main/java/kitemux/mysql/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The MySQL client/server protocol, as its public documentation has it ("MySQL Source Code
- * Documentation", "Client/Server Protocol"): packets, greetings, digests of passwords and
- * what can be said of a statement by its text.
+ * The MySQL client/server protocol as its public documentation specifies it ("MySQL Source Code Documentation",
+ * "Client/Server Protocol"): packets, handshakes, password digests and the classification of statements by
+ * their text.
  */
 package kitemux.mysql;
--- a/src/main/java/kitemux/peers/Datagram.java
+++ b/src/main/java/kitemux/peers/Datagram.java
@@ -7,20 +7,21 @@
 import java.util.zip.CRC32C;
 
 /**
- * Messages as bytes; {@code docs/peers-format.md} has the form. What is spoilt, cut off, of another fleet or
- * another version is told by a {@link ReadError}, never by an exception.
+ * Encodes messages to datagrams and decodes them; {@code docs/peers-format.md} specifies the format. Datagrams
+ * that are corrupt or truncated, or that belong to another fleet or format version, are reported by a {@link
+ * ReadError}, never by an exception.
  */
 public final class Datagram {
-    /** What a datagram of the platform may hold. */
+    /** Largest datagram that the platform allows. */
     public static final int PLATFORM_MAX_BYTES = 256;
-    /** Bytes of a word's text. */
+    /** Largest payload of an {@link Update}. */
     public static final int MAX_UPDATE_PAYLOAD_BYTES = 128;
 
     static final int FORMAT_VERSION = 1;
     static final int HEADER_BYTES = 28;
     static final int MEMBER_RECORD_BYTES = 15;
     static final int UPDATE_HEADER_BYTES = 18;
-    /** Numbers of nodes are two bytes. */
+    /** Largest fleet: node numbers take two bytes. */
     public static final int MAX_NODE_COUNT = 65_535;
 
     private static final int CHECKSUM_OFFSET_BYTES = 5;
@@ -28,7 +29,7 @@
 
     private Datagram() {}
 
-    /** Why bytes are no message. */
+    /** Reason why a datagram was rejected. */
     public enum ReadError {
         TOO_SHORT,
         UNSUPPORTED_VERSION,
@@ -37,20 +38,29 @@
         MALFORMED
     }
 
-    /** A message, or why there is none. */
+    /**
+     * Result of reading a datagram: exactly one of the two is null.
+     *
+     * @param message the message, or null if the datagram was rejected
+     * @param error why the datagram was rejected, or null
+     */
     public record ReadResult(Message message, ReadError error) {}
 
-    /** Bytes that a message takes without beliefs and words; what is left of a datagram is theirs. */
+    /** Bytes of a datagram of this size that are left for member records and updates. */
     static int payloadCapacity(int maxBytes) {
         return maxBytes - HEADER_BYTES;
     }
 
+    /** Encoded size of an update in bytes. */
     static int bytes(Update update) {
         return UPDATE_HEADER_BYTES + update.payload().length;
     }
 
     /**
-     * @param fleet the fleet's name as a number; nodes of other fleets do not listen
+     * Encodes a message.
+     *
+     * @param message what to encode
+     * @param fleet numeric identifier of the fleet; nodes of other fleets reject the datagram
      */
     public static byte[] write(Message message, int fleet) {
         int size = HEADER_BYTES
@@ -102,7 +112,12 @@
         return (int) crc.getValue();
     }
 
-    /** Reads bytes that came; {@code fleet} as in {@link #write}. */
+    /**
+     * Decodes a datagram.
+     *
+     * @param bytes the whole datagram
+     * @param fleet numeric identifier of the fleet, as for {@link #write}
+     */
     public static ReadResult read(byte[] bytes, int fleet) {
         if (bytes.length < HEADER_BYTES) {
             return new ReadResult(null, ReadError.TOO_SHORT);
@@ -165,7 +180,7 @@
                 : new Message(Message.Kind.values()[kind], sender, generation, sequence, target, members, updates);
     }
 
-    /** Whether a time is one that a life's number can hold. */
+    /** Whether a time in milliseconds is positive and fits into the 48 bits of a generation. */
     static boolean isValidGeneration(long generation) {
         return generation > 0 && generation <= MAX_GENERATION;
     }
--- a/src/main/java/kitemux/peers/GossipQueue.java
+++ b/src/main/java/kitemux/peers/GossipQueue.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * What is still to be passed on: each piece goes along with so many messages, those that were told least
- * often
- * first, beliefs before words. Bounded by nodes, and for words by nodes and topics.
+ * Member records and updates that are still to be gossiped. Each entry is attached to a limited number of
+ * messages; entries that were sent least often go first, and member records go before updates. The size is
+ * bounded by the number of nodes, and for updates by nodes and topics.
  */
 final class GossipQueue {
-    /** Topics of one node that are kept; more are not heard. */
+    /** Topics that are kept for each origin; updates on further topics are ignored. */
     private static final int MAX_TOPIC_COUNT = 8;
 
     private final MembershipConfig config;
@@ -21,6 +21,10 @@
     private final List<QueueEntry<StoredUpdate>> pendingUpdates = new ArrayList<>();
     private long lastOrder;
 
+    /**
+     * A queued value and how often it was sent. Newer entries have a lower order and go first among those that
+     * were sent equally often.
+     */
     private static final class QueueEntry<T> {
         private final T value;
         private final long order;
@@ -40,18 +44,20 @@
         }
     }
 
+    /** An update with the time at which it expires, on this node's clock in microseconds. */
     private record StoredUpdate(Update update, long expiresAtUs) {}
 
+    /** Creates an empty queue. */
     GossipQueue(MembershipConfig config) {
         this.config = config;
     }
 
-    /** To be passed on, in place of what was told of the node before. */
+    /** Queues a member record and replaces the queued record of the same node. */
     void enqueue(MemberRecord memberRecord) {
         memberRecords.put(memberRecord.node(), new QueueEntry<>(memberRecord, - ++lastOrder));
     }
 
-    /** A word has come; whether it is new. */
+    /** Queues an update if it is newer than the known one of its origin and topic; returns whether it was. */
     boolean offer(Update update, long nowUs) {
         Map<Integer, StoredUpdate> byTopic = updates.computeIfAbsent(update.origin(), o -> new HashMap<>());
         StoredUpdate previous = byTopic.get(update.topic());
@@ -68,7 +74,7 @@
         return true;
     }
 
-    /** A message with as much of what is to be passed on as it holds, and what its sender says of itself. */
+    /** Creates a message with the sender's own record and as many queued entries as its datagram holds. */
     Message nextMessage(Message.Kind kind, MemberRecord self, int sequence, int target, long nowUs) {
         int remainingBytes = Datagram.payloadCapacity(config.maxDatagramBytes()) - Datagram.MEMBER_RECORD_BYTES;
         List<MemberRecord> records = new ArrayList<>();
--- a/src/main/java/kitemux/peers/MemberRecord.java
+++ b/src/main/java/kitemux/peers/MemberRecord.java
@@ -1,16 +1,19 @@
 package kitemux.peers;
 
 /**
- * What is said of a node.
+ * What is known about the state of one node, as gossip carries it.
  *
- * @param node its number in the fleet
- * @param generation of the process: when it was started, in milliseconds of Unix time; a later life replaces all
- *     earlier ones
- * @param incarnation within that life; only the node itself raises it, to take back what is said of it
- * @param reporter who found it so: the node itself where it is there or leaves, else whoever had no answer
+ * @param node number of the node in the fleet
+ * @param generation when the node's process was started, in milliseconds of Unix time; a later generation
+ *     replaces all earlier ones
+ * @param incarnation counter within the generation; only the node itself raises it, to refute what others
+ *     report about it
+ * @param state last known state of the node
+ * @param reporter number of the node that observed the state: the node itself if it is alive or leaves,
+ *     otherwise the node that received no answer
  */
 public record MemberRecord(int node, long generation, int incarnation, MemberState state, int reporter) {
-    /** Whether this takes the place of another belief about the same node. */
+    /** Whether this record takes precedence over another record of the same node. */
     public boolean overrides(MemberRecord other) {
         if (generation != other.generation) {
             return generation > other.generation;
@@ -23,12 +26,12 @@
                 : state.ordinal() > other.state.ordinal();
     }
 
-    /** The same life and incarnation, seen otherwise by somebody. */
+    /** Returns a record of the same generation and incarnation with another state and reporter. */
     MemberRecord withState(MemberState newState, int newReporter) {
         return new MemberRecord(node, generation, incarnation, newState, newReporter);
     }
 
-    /** Whether another one says the same, whoever found it. */
+    /** Whether another record equals this one in everything but the reporter. */
     boolean equalsIgnoringReporter(MemberRecord other) {
         return equals(other.withState(other.state, reporter));
     }
--- a/src/main/java/kitemux/peers/MemberState.java
+++ b/src/main/java/kitemux/peers/MemberState.java
@@ -1,16 +1,17 @@
 package kitemux.peers;
 
 /**
- * What is believed of a node. Of two beliefs about the same life of a node the higher incarnation holds, and
- * of the same incarnation the one that is named later here.
+ * State of a node as seen by another one. Of two records of the same generation of a node the higher
+ * incarnation takes precedence; at the same incarnation the state that is declared later here does. The
+ * ordinals are sent, so the order must stay.
  */
 public enum MemberState {
-    /** It answers. */
+    /** The node answers probes. */
     ALIVE,
-    /** It did not answer somebody, and has time to say that it is there. */
+    /** A probe of the node failed; it has until the suspicion timeout to refute the suspicion. */
     SUSPECT,
-    /** It has been given up; it may come back. */
+    /** The suspicion timeout expired; the node may come back. */
     GONE,
-    /** It said that it leaves; this life of it does not come back. */
+    /** The node announced that it leaves; this generation of it does not come back. */
     LEFT
 }
--- a/src/main/java/kitemux/peers/Membership.java
+++ b/src/main/java/kitemux/peers/Membership.java
@@ -7,24 +7,27 @@
 import java.util.SplittableRandom;
 
 /**
- * What one node believes of all others of its fleet, after SWIM and Lifeguard as published: it pings one
- * after another, asks others to try where no answer comes, and suspects before it gives up; what is believed
- * is told along with what is sent anyway. A suspect has less time the more nodes suspect it; a node that is
- * slow itself, as it misses answers that others had, gives others more time.
+ * One node's view of its fleet, after SWIM and Lifeguard as published. The node probes the others in turn, asks
+ * further nodes to probe a target that does not answer, and suspects a node before it declares it gone; member
+ * records are gossiped along with the messages that are sent anyway. The suspicion timeout shrinks with the
+ * number of nodes that suspect a member. A node that misses answers that others received takes itself to be
+ * slow and extends its own timeouts.
  *
- * <p>Ours: nodes that were given up are pinged too, now and then, so that two parts of a fleet find each
- * other
- * again; a node whose process stood still drops what it was waiting for; and one that hears of a later life
- * under its own number falls silent, as another process has its place.
+ * <p>Additions to the published protocols: nodes that are gone are probed from time to time, so that two
+ * partitions of a fleet find each other again; a node whose process was stalled discards its outstanding
+ * probes; and a node that hears of a later generation under its own number stops, as another process has
+ * replaced it.
  */
 public final class Membership {
-    /** The most by which a node takes itself to be slow, and so the most times longer that it waits. */
+    /** Maximum of the local health score, which stretches the timeouts by up to this factor plus 1. */
     private static final int MAX_LOCAL_HEALTH_SCORE = 8;
-    /** Confirmations that bring a suspect's time down to the least. */
+    /** Confirmations that reduce the suspicion timeout to its minimum. */
     private static final int MAX_CONFIRMATION_COUNT = 3;
-    /** One probe in so many goes to a node that was given up, where there is one,
-     * and one to a suspect: it has
-     * the more chances to hear of that, and is the sooner confirmed where it does not answer. */
+    /**
+     * Of this many probes one goes to a node that is gone and one to a suspected node, if there are any. A
+     * suspected node thereby gets more chances to learn of the suspicion and to refute it, and is confirmed
+     * sooner if it does not answer.
+     */
     private static final int SPECIAL_PROBE_INTERVAL = 3;
 
     private final MembershipConfig config;
@@ -40,8 +43,10 @@
     private Probe currentProbe;
     private long nextProbeAtUs;
     private long nowUs;
-    /** When the next tick was due as the last one ended: one that comes a period later, or more, tells that
-     * this process stood still. */
+    /**
+     * Time for which the next tick was scheduled when the last one ended. A tick that comes more than a probe
+     * period later shows that this process was stalled.
+     */
     private long tickDueAtUs;
 
     private int probeCount;
@@ -50,42 +55,42 @@
     private boolean stopped;
     private boolean leaving;
 
-    /** Where messages go. */
+    /** Sends messages to other nodes. */
     public interface Sender {
-        /** To the node of this number; may be lost. */
+        /** Sends a message to the node with this number; the message may be lost. */
         void send(int recipient, Message message);
     }
 
-    /** Who is told of changes. */
+    /** Receives changes of the membership and updates. */
     public interface Listener {
-        /** A node is believed to stand otherwise. */
+        /** Called when the record of another node has changed. */
         void onMemberChanged(MemberRecord memberRecord);
 
-        /** A word that is new here; its time is not over. */
+        /** Called for an update that is new to this node and has not expired. */
         default void onUpdate(Update update) {}
 
-        /** Another process has this node's place: this one is silent from now on. */
+        /** Called when another process has replaced this node, which sends nothing from then on. */
         default void onReplaced(MemberRecord replacement) {}
     }
 
-    /** One of the fleet. */
+    /** A member of the fleet with the state of its suspicion. */
     private static final class TrackedMember {
         private MemberRecord currentRecord;
         private long changedAtUs;
-        /** While it is suspected: when it is given up, and who suspects it. */
+        /** When the member is declared gone; {@code Long.MAX_VALUE} unless it is suspected. */
         private long suspicionEndsAtUs = Long.MAX_VALUE;
 
         private long suspectedAtUs;
         private final BitSet suspectedBy = new BitSet();
     }
 
-    /** A ping that is out. */
+    /** A ping that awaits its answer. */
     private static final class Probe {
         private final int target;
         private final int sequence;
         private final long timeoutAtUs;
         private final long endsAtUs;
-        /** Who asked for it and by which number; -1 for this node itself. */
+        /** Node that requested this probe; -1 for a probe of this node itself. */
         private final int requester;
 
         private final int requesterSequence;
@@ -103,17 +108,21 @@
     }
 
     /**
-     * A node that has just started and has heard of nobody: the others of its fleet are taken to be alive
-     * until
-     * they do not answer.
+     * Creates the view of a node that has just started: all other nodes count as alive until they fail to
+     * answer.
      *
-     * @param life when this process was started, in milliseconds of Unix time
-     * @throws IllegalArgumentException if the terms cannot be
+     * @param config settings of the protocol
+     * @param generation when this process was started, in milliseconds of Unix time
+     * @param seed seed of the random choices
+     * @param nowUs current time in microseconds
+     * @param sender sends messages to other nodes
+     * @param listener receives changes and updates
+     * @throws IllegalArgumentException if the settings or the generation are invalid
      */
     public Membership(
             MembershipConfig config, long generation, long seed, long nowUs, Sender sender, Listener listener) {
         if (!config.violations().isEmpty() || !Datagram.isValidGeneration(generation)) {
-            throw new IllegalArgumentException(config.violations() + ", life " + generation);
+            throw new IllegalArgumentException(config.violations() + ", generation " + generation);
         }
         this.config = config;
         this.sender = sender;
@@ -123,45 +132,47 @@
         members = new TrackedMember[config.nodeCount()];
         for (int i = 0; i < members.length; i++) {
             members[i] = new TrackedMember();
-            members[i].currentRecord = new MemberRecord(i, i == config.self() ? generation : 0, 0, MemberState.ALIVE, i);
+            members[i].currentRecord =
+                    new MemberRecord(i, i == config.self() ? generation : 0, 0, MemberState.ALIVE, i);
             members[i].changedAtUs = nowUs;
         }
         selfRecord = members[config.self()].currentRecord;
         gossip = new GossipQueue(config);
         gossip.enqueue(selfRecord);
-        // Nodes that start together do not ping together.
+        // A random first delay keeps nodes that start together from probing at the same time.
         nextProbeAtUs = nowUs + random.nextLong(config.probePeriodUs());
         tickDueAtUs = nextProbeAtUs;
     }
 
-    // ---------------------------------------------------------------- what is believed
+    // ---------------------------------------------------------------- state of the members
 
-    /** What is believed of a node. */
+    /** Returns the current record of a node. */
     public MemberRecord recordOf(int node) {
         return members[node].currentRecord;
     }
 
-    /** Since when, by this node's clock. */
+    /** Returns when the record of a node last changed, on this node's clock in microseconds. */
     public long changedAtUs(int node) {
         return members[node].changedAtUs;
     }
 
-    /** Nodes that are taken to be there, this one among them, suspects too. */
+    /** Number of nodes that are alive or suspected, including this one. */
     public int aliveCount() {
-        return (int) Arrays.stream(members).filter(m -> isPresent(m.currentRecord)).count();
+        return (int)
+                Arrays.stream(members).filter(m -> isPresent(m.currentRecord)).count();
     }
 
-    /** Whether this node hears half of its fleet or less, as it is described; of two halves both do. */
+    /** Whether at most half of the configured fleet is alive; with an even split this holds on both sides. */
     public boolean isMinority() {
         return 2 * aliveCount() <= members.length && members.length > 1;
     }
 
-    /** How slow this node takes itself to be, from 0 to 8. */
+    /** Local health score of Lifeguard: from 0 (healthy) to 8 (this node answers or receives slowly). */
     public int localHealthScore() {
         return localHealthScore;
     }
 
-    /** Whether another process has this node's place. */
+    /** Whether another process has replaced this node. */
     public boolean isReplaced() {
         return stopped && !leaving;
     }
@@ -172,7 +183,7 @@
 
     // ---------------------------------------------------------------- time
 
-    /** When {@link #tick} is to be called next. */
+    /** Returns when {@link #tick} is due next, in microseconds; {@code Long.MAX_VALUE} for never. */
     public long nextTickAtUs() {
         if (stopped) {
             return Long.MAX_VALUE;
@@ -191,7 +202,7 @@
         return next;
     }
 
-    /** Time has passed. */
+    /** Handles all timeouts that are due, and starts the next probe. */
     public void tick(long now) {
         nowUs = Math.max(nowUs, now);
         if (stopped) {
@@ -224,8 +235,9 @@
     }
 
     /**
-     * What was waited for came while nobody read it: it says nothing of others. Suspects have their time over
-     * again, as their word may have come meanwhile.
+     * Recovers after this process was stalled. Answers may have arrived while nobody read them, so outstanding
+     * probes say nothing about their targets and are discarded. Suspicion timeouts start anew, as a refutation
+     * may have arrived meanwhile.
      */
     private void recoverFromStall() {
         currentProbe = null;
@@ -252,7 +264,10 @@
         send(node, Message.Kind.PING, currentProbe.sequence, 0);
     }
 
-    /** All that are there in turn, in an order that is drawn anew each time, but for special ones. */
+    /**
+     * Returns the next node to probe, or -1 if there is none. The nodes that are present are probed in turn, in
+     * an order that is shuffled for each round; some probes go to a suspected or gone node instead.
+     */
     private int nextProbeTarget() {
         int kind = ++probeCount % SPECIAL_PROBE_INTERVAL;
         int specialTarget = kind == 0
@@ -283,7 +298,7 @@
         probeOrderIndex = 0;
     }
 
-    /** A node of this standing, each as likely; -1 if there is none. */
+    /** Returns a uniformly random other node in this state that is not excluded, or -1 if there is none. */
     private int randomMember(MemberState state, BitSet excluded) {
         int chosen = -1;
         int candidateCount = 0;
@@ -323,7 +338,7 @@
         if (memberRecord.state() == MemberState.GONE) {
             return;
         }
-        // Who did not even hear from those that it asked is likely to be slow, or cut off, itself.
+        // A node that did not even receive the NACKs of its helpers is probably slow or cut off itself.
         localHealthScore =
                 Math.min(MAX_LOCAL_HEALTH_SCORE, localHealthScore + 1 + (expiredProbe.expectedNacks > 0 ? 1 : 0));
         if (memberRecord.state() == MemberState.ALIVE) {
@@ -336,9 +351,10 @@
     // ---------------------------------------------------------------- messages
 
     /**
-     * A message has come. Numbers that the fleet does not have are passed over.
+     * Handles a received message. Node numbers outside the fleet are ignored.
      *
-     * @param now not before any earlier time
+     * @param now current time in microseconds; never earlier than in a previous call
+     * @param message the received message
      */
     public void receive(long now, Message message) {
         nowUs = Math.max(nowUs, now);
@@ -365,7 +381,7 @@
             }
         });
         if (stopped || message.generation() < members[senderNode].currentRecord.generation()) {
-            // An earlier life of its sender: whoever speaks so late is answered nothing but what is believed.
+            // The message is from an earlier generation of its sender, which gets no answer but the current record.
             if (!stopped) {
                 gossip.enqueue(members[senderNode].currentRecord);
                 send(senderNode, Message.Kind.NACK, 0, 0);
@@ -397,7 +413,10 @@
         }
     }
 
-    /** Whoever is believed to be away hears so, and whoever is asked about it: either can take that back. */
+    /**
+     * Gossips the record of a node that is not alive, so that the node itself or the nodes that probe it can
+     * refute it.
+     */
     private void gossipUnlessAlive(int node) {
         if (members[node].currentRecord.state() != MemberState.ALIVE) {
             gossip.enqueue(members[node].currentRecord);
@@ -414,7 +433,7 @@
             return;
         }
         if (currentProbe != null && currentProbe.sequence == message.sequence() && message.target() == 0) {
-            // A helper tells that it was answered.
+            // A helper reports that the target answered.
             currentProbe = null;
             return;
         }
@@ -438,7 +457,7 @@
         } else if (received.state() == MemberState.SUSPECT && received.equalsIgnoringReporter(member.currentRecord)) {
             confirmSuspicion(member, received);
         } else if (member.currentRecord.overrides(received)) {
-            // Whoever still believes that has missed what was told since.
+            // The sender has missed newer gossip about this member.
             gossip.enqueue(member.currentRecord);
         }
     }
@@ -453,7 +472,7 @@
                 && !leaving
                 && received.state() != MemberState.ALIVE
                 && received.incarnation() >= selfRecord.incarnation()) {
-            // Whoever is suspected may well be slow.
+            // A node that is suspected by others is probably slow.
             localHealthScore = Math.min(MAX_LOCAL_HEALTH_SCORE, localHealthScore + 1);
             selfRecord = new MemberRecord(
                     selfRecord.node(),
@@ -482,7 +501,10 @@
         listener.onMemberChanged(newRecord);
     }
 
-    /** Another node found it so by itself; passing on what was found is no finding. */
+    /**
+     * Counts an independent observation of a suspicion; the same observation relayed by others has the same
+     * reporter and does not count again.
+     */
     private void confirmSuspicion(TrackedMember member, MemberRecord received) {
         if (!member.suspectedBy.get(received.reporter())
                 && member.suspectedBy.cardinality() <= MAX_CONFIRMATION_COUNT) {
@@ -492,7 +514,7 @@
         }
     }
 
-    /** The more nodes suspect it, the sooner it is given up. */
+    /** Shortens the suspicion timeout with the number of nodes that suspect the member. */
     private void updateSuspicionDeadline(TrackedMember member) {
         long maxUs = config.maxSuspicionUs();
         long minUs = config.minSuspicionUs();
@@ -501,12 +523,16 @@
         member.suspicionEndsAtUs = member.suspectedAtUs + durationUs;
     }
 
-    // ---------------------------------------------------------------- what is told
+    // ---------------------------------------------------------------- updates and leaving
 
     /**
-     * Tells all others something.
+     * Broadcasts an update to all other nodes.
      *
-     * @throws IllegalArgumentException if the text is too long or the topic or time out of range
+     * @param topic application-defined topic, from 0 to 255
+     * @param version must increase with each update of the topic
+     * @param lifetimeMs time after which the update expires, from 1 to 65,535 milliseconds
+     * @param payload at most {@link Datagram#MAX_UPDATE_PAYLOAD_BYTES} bytes
+     * @throws IllegalArgumentException if the payload is too long, or the topic or lifetime is out of range
      */
     public void broadcast(int topic, int version, int lifetimeMs, byte[] payload) {
         if (topic < 0
@@ -514,14 +540,14 @@
                 || lifetimeMs < 1
                 || lifetimeMs > 65_535
                 || payload.length > Datagram.MAX_UPDATE_PAYLOAD_BYTES) {
-            throw new IllegalArgumentException(
-                    "topic " + topic + ", " + lifetimeMs + " ms, " + payload.length + " bytes");
+            throw new IllegalArgumentException("update out of range: topic " + topic + ", lifetime " + lifetimeMs
+                    + " ms, payload " + payload.length + " bytes");
         }
         gossip.offer(
                 new Update(config.self(), selfRecord.generation(), topic, version, lifetimeMs, payload.clone()), nowUs);
     }
 
-    /** Says that this node leaves, to some at once; nothing is sent afterwards. */
+    /** Announces to some nodes at once that this node leaves; nothing is sent afterwards. */
     public void leave(long now) {
         nowUs = Math.max(nowUs, now);
         if (stopped) {
--- a/src/main/java/kitemux/peers/MembershipConfig.java
+++ b/src/main/java/kitemux/peers/MembershipConfig.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * How the nodes of a fleet keep in touch. Times are microseconds.
+ * Settings of the membership protocol. Times are in microseconds.
  *
- * @param nodeCount how many the fleet has, by its description
- * @param self this one's number, from 0
- * @param probePeriodUs between two probes of a node, each of another one
- * @param probeTimeoutUs after which a probe that has no answer is tried by way of others
- * @param indirectProbes how many others are asked for that
- * @param suspicionMultiplier so many times the period, and the more the larger the fleet, a suspect has to answer
- * @param maxDatagramBytes of a datagram
+ * @param nodeCount configured number of nodes in the fleet
+ * @param self number of this node, from 0
+ * @param probePeriodUs time between two probes that this node sends, each to another node
+ * @param probeTimeoutUs time without an answer after which a probe is repeated through other nodes
+ * @param indirectProbes number of other nodes that are asked to ping the target
+ * @param suspicionMultiplier factor of the minimum suspicion timeout: it is multiplied by the probe period and
+ *     by the logarithm of the fleet's size
+ * @param maxDatagramBytes largest datagram that may be sent
  */
 public record MembershipConfig(
         int nodeCount,
@@ -22,33 +23,36 @@
         int indirectProbes,
         double suspicionMultiplier,
         int maxDatagramBytes) {
-    /** Itself, whom it speaks of, and room for news. */
+    /** Room for the header, the sender, the node that a message is about, and some gossip. */
     private static final int MIN_DATAGRAM_BYTES = Datagram.HEADER_BYTES + 4 * Datagram.MEMBER_RECORD_BYTES;
 
-    /** The usual ones of a fleet: a probe a second, 400 ms for its answer. */
+    /** Returns the default settings: one probe per second and 400 ms for its answer. */
     public static MembershipConfig defaults(int nodeCount, int self) {
         return new MembershipConfig(nodeCount, self, 1_000_000, 400_000, 3, 4, Datagram.PLATFORM_MAX_BYTES);
     }
 
-    /** All that cannot be, one line each with field and reason; empty where there is nothing. */
+    /** Returns one line with field and reason for each invalid setting, or an empty list. */
     public List<String> violations() {
         List<String> violations = new ArrayList<>();
         require(
                 violations,
                 nodeCount >= 1 && nodeCount <= Datagram.MAX_NODE_COUNT,
-                "nodes: is not from 1 to " + Datagram.MAX_NODE_COUNT);
-        require(violations, self >= 0 && self < nodeCount, "me: is not from 0 to nodes - 1");
-        require(violations, probePeriodUs >= 10_000, "period: is under 10ms");
+                "nodeCount: must be from 1 to " + Datagram.MAX_NODE_COUNT);
+        require(violations, self >= 0 && self < nodeCount, "self: must be from 0 to nodeCount - 1");
+        require(violations, probePeriodUs >= 10_000, "probePeriod: must be at least 10ms");
         require(
                 violations,
                 probeTimeoutUs >= 1_000 && 2 * probeTimeoutUs <= probePeriodUs,
-                "answer: is not from 1ms to half a period");
-        require(violations, indirectProbes >= 0 && indirectProbes <= 16, "helpers: is not from 0 to 16");
-        require(violations, suspicionMultiplier >= 1 && suspicionMultiplier <= 100, "suspicion: is not from 1 to 100");
+                "probeTimeout: must be from 1ms to half the probe period");
+        require(violations, indirectProbes >= 0 && indirectProbes <= 16, "indirectProbes: must be from 0 to 16");
+        require(
+                violations,
+                suspicionMultiplier >= 1 && suspicionMultiplier <= 100,
+                "suspicionMultiplier: must be from 1 to 100");
         require(
                 violations,
                 maxDatagramBytes >= MIN_DATAGRAM_BYTES && maxDatagramBytes <= 65_000,
-                "most_bytes: is not from " + MIN_DATAGRAM_BYTES + " to 65000");
+                "maxDatagramBytes: must be from " + MIN_DATAGRAM_BYTES + " to 65000");
         return violations;
     }
 
@@ -58,16 +62,17 @@
         }
     }
 
-    /** How long a suspect has where many suspect it; and, below, where one does. */
+    /** Suspicion timeout of a node that has been suspected by several others, in microseconds. */
     long minSuspicionUs() {
         return (long) (suspicionMultiplier * Math.max(1, Math.log10(nodeCount)) * probePeriodUs);
     }
 
+    /** Suspicion timeout of a node that a single node suspects, in microseconds. */
     long maxSuspicionUs() {
         return 3 * minSuspicionUs();
     }
 
-    /** How often a piece of news is passed on by each node that hears it. */
+    /** How often each node passes on a gossip entry. */
     int transmitLimit() {
         return 3 * (int) Math.ceil(Math.log10(nodeCount + 1.0) + 1);
     }
--- a/src/main/java/kitemux/peers/Message.java
+++ b/src/main/java/kitemux/peers/Message.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * What goes from one node to another in one datagram.
+ * A message that one node sends to another in one datagram.
  *
- * @param sender the sender's number
- * @param generation of its process
- * @param sequence by which an answer names what it answers
- * @param target for ASK the node that is to be pinged, else 0
- * @param members what the sender believes of nodes, itself first
- * @param updates what nodes tell all others
+ * @param kind what the message asks for or answers
+ * @param sender number of the sending node
+ * @param generation of the sender's process, in milliseconds of Unix time
+ * @param sequence number by which an answer refers to its request
+ * @param target for {@link Kind#PING_REQUEST} the node to be pinged, otherwise 0
+ * @param members records of nodes that are gossiped along, the sender's own first
+ * @param updates application messages that are gossiped along
  */
 public record Message(
         Kind kind,
@@ -21,15 +22,18 @@
         List<MemberRecord> members,
         List<Update> updates) {
 
-    /** What it wants. */
+    /** Purpose of a message. The ordinals are sent, so the order must stay. */
     public enum Kind {
-        /** Is the receiver there? */
+        /** Asks whether the receiver is alive. */
         PING,
-        /** It is. */
+        /** Answers a {@link #PING}, or a {@link #PING_REQUEST} whose target has answered. */
         ACK,
-        /** Ping another node and tell what came of it. */
+        /** Asks the receiver to ping the target and to report the result. */
         PING_REQUEST,
-        /** That node has not answered in good time; the one who asked hears at least that. */
+        /**
+         * Reports that the target of a {@link #PING_REQUEST} did not answer in time, which shows the requester
+         * that it can still be reached. Also carries gossip that answers no request, with sequence 0.
+         */
         NACK
     }
 }
--- a/src/main/java/kitemux/peers/package-info.java
+++ b/src/main/java/kitemux/peers/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which nodes of a fleet there are, and what they tell each other. Pure: what happens is told, with the time,
- * and what is to be sent comes out; it opens no socket, reads no clock and has no thread. All of one node is
- * called on one thread.
+ * Membership of a fleet and gossip between its nodes, after SWIM and Lifeguard. The package has no side
+ * effects: events and the time are passed in and messages are handed out; it opens no socket, reads no clock
+ * and starts no thread. All calls for one node are made on one thread.
  */
 package kitemux.peers;
--- a/src/main/java/kitemux/soak/ClientGate.java
+++ b/src/main/java/kitemux/soak/ClientGate.java
@@ -4,7 +4,10 @@
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
 
-/** Where clients rest between requests: a gathering holds them all until they send at one instant. */
+/**
+ * Paces the clients between requests. While the gate is held, the clients that wait for it stay paused, so that
+ * all of them send at the same instant once it opens.
+ */
 final class ClientGate {
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition stateChanged = lock.newCondition();
@@ -12,7 +15,11 @@
     private boolean closed;
 
     /**
-     * Rests for so long, or, for one that joins, until a gathering ends; false once the play is over.
+     * Pauses the calling client.
+     *
+     * @param pauseMs length of the pause in milliseconds
+     * @param waitsForGate whether the pause lasts as long as the gate is held, and ends once it opens
+     * @return false once the run is over
      */
     boolean pause(long pauseMs, boolean waitsForGate) throws InterruptedException {
         long remainingNanos = TimeUnit.MILLISECONDS.toNanos(pauseMs);
@@ -32,12 +39,12 @@
         }
     }
 
-    /** From now on those who rest stay, until this is called with false: then all send. */
+    /** Holds the gate, or opens it so that all waiting clients go on. */
     void setHolding(boolean enabled) {
         update(() -> holding = enabled);
     }
 
-    /** Ends the play. */
+    /** Ends all pauses; the run is over. */
     void close() {
         update(() -> closed = true);
     }
--- a/src/main/java/kitemux/soak/HttpMessage.java
+++ b/src/main/java/kitemux/soak/HttpMessage.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 
 /**
- * An HTTP/1.1 message with a length.
+ * An HTTP/1.1 message whose body has a Content-Length.
  *
- * @param startLine its first line
- * @param headers by names in small letters
+ * @param startLine request line or status line
+ * @param headers values by header name in lower case
  */
 record HttpMessage(String startLine, Map<String, String> headers) {
 
-    /** Reads one whole; its body is dropped. */
+    /** Reads a whole message and discards its body. */
     static HttpMessage read(InputStream in) throws IOException {
         String startLine = readLine(in);
         Map<String, String> headers = new TreeMap<>();
@@ -29,7 +29,7 @@
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         if (in.readNBytes(length).length < length) {
-            throw new EOFException("message cut short");
+            throw new EOFException("HTTP message body truncated");
         }
         return new HttpMessage(startLine, headers);
     }
@@ -45,12 +45,12 @@
         return line.toString(StandardCharsets.UTF_8).stripTrailing();
     }
 
-    /** The status of an answer. */
+    /** Status code of a response. */
     int status() {
         return Integer.parseInt(startLine.split(" ")[1]);
     }
 
-    /** Whether the sender ends the connection behind it. */
+    /** Whether the sender closes the connection after this message. */
     boolean closesConnection() {
         return "close".equalsIgnoreCase(headers.get("connection"));
     }
--- a/src/main/java/kitemux/soak/Plan.java
+++ b/src/main/java/kitemux/soak/Plan.java
@@ -5,38 +5,41 @@
 import java.util.SplittableRandom;
 
 /**
- * What one seed plays: the longest deadline and the changes of processes, in their order. Times are in
- * milliseconds.
+ * The deadline and the sequence of process changes that a seed determines. Times are in milliseconds.
  *
- * @param seed draws all of it
- * @param deadlineMs the longest deadline of a class
- * @param steps one behind the other
+ * @param seed of the random choices
+ * @param deadlineMs longest deadline of a request class
+ * @param steps process changes in their order
  */
 record Plan(long seed, long deadlineMs, List<Step> steps) {
     private static final double MIN_DEADLINE_MS = 250;
     private static final double MAX_DEADLINE_MS = 3_500;
     private static final int MAX_SIGHUP_COUNT = 4;
 
-    /** How a process is changed for another. */
+    /** How one process of the node is replaced. */
     enum Kind {
-        /** A second process starts; SIGTERM to the first at the second's yes, then SIGKILL at the earliest. */
+        /**
+         * A second process starts; once it is ready, the first gets SIGTERM, and SIGKILL at the earliest time
+         * that the platform allows.
+         */
         UPGRADE,
-        /** SIGTERM, SIGKILL at the earliest, then a new start. */
+        /** The process gets SIGTERM, and SIGKILL at the earliest allowed time; then a new one starts. */
         RESTART,
-        /** SIGKILL, then a new start. */
+        /** The process gets SIGKILL without warning; then a new one starts. */
         KILL,
-        /** A second process gets SIGTERM while it starts; the first goes on. */
+        /** A second process gets SIGTERM while it starts; the first one keeps running. */
         TERM_IN_START
     }
 
     /**
-     * One change.
+     * One change of a process.
      *
-     * @param hangingServerCount how many servers hang from SIGTERM on
-     * @param burstAfterMs when all resting clients send, counted from SIGTERM; negative for never
-     * @param sighupCount SIGHUPs around SIGTERM
+     * @param kind how the process is replaced
+     * @param hangingServerCount number of servers that stop answering from SIGTERM on
+     * @param burstAfterMs time after SIGTERM at which all paused clients send at once; negative for never
+     * @param sighupCount number of SIGHUPs right before SIGTERM, and again right after it
      * @param sendsTermTwice whether SIGTERM is sent twice
-     * @param termAfterMs for {@link Kind#TERM_IN_START}: when SIGTERM comes, counted from the start
+     * @param termAfterMs for {@link Kind#TERM_IN_START}: time between the start and SIGTERM
      */
     record Step(
             Kind kind,
@@ -46,7 +49,14 @@
             boolean sendsTermTwice,
             long termAfterMs) {}
 
-    /** The plan of a seed. */
+    /**
+     * Draws the plan of a seed.
+     *
+     * @param seed of the random choices
+     * @param kinds changes to choose from
+     * @param stepCount number of changes
+     * @param serverCount number of servers of the run
+     */
     static Plan draw(long seed, List<Kind> kinds, int stepCount, int serverCount) {
         SplittableRandom random = new SplittableRandom(seed);
         double logRange = Math.log(MAX_DEADLINE_MS / MIN_DEADLINE_MS);
--- a/src/main/java/kitemux/soak/Request.java
+++ b/src/main/java/kitemux/soak/Request.java
@@ -3,33 +3,36 @@
 import java.util.List;
 
 /**
- * A client's request and what became of it. Times are Unix time in microseconds.
+ * A client's request and its outcome. Times are Unix time in microseconds.
  *
- * @param classIndex of {@link #CLASSES}
- * @param remainingUs how long the client said that it waits, from {@code sentUs} on
- * @param usedBefore whether its connection had carried another request
+ * @param txn unique identifier of the request
+ * @param classIndex index in {@link #CLASSES}
+ * @param sentUs when the request was written
+ * @param remainingUs how long the client announced that it waits, from {@code sentUs} on
+ * @param usedBefore whether the connection had carried another request before
+ * @param outcome what the client saw
  * @param endedUs when the client knew the outcome
  */
 record Request(
         String txn, int classIndex, long sentUs, long remainingUs, boolean usedBefore, Outcome outcome, long endedUs) {
     static final List<String> CLASSES = List.of("page", "photo", "order");
     static final List<String> RETRY_SAFETY = List.of("safe", "keyed", "unsafe");
-    /** The index of the class that must not run twice. */
+    /** Index of the class whose requests must not run twice. */
     static final int UNSAFE_CLASS_INDEX = 2;
 
-    /** What the client saw. */
+    /** Outcome of a request as the client saw it. */
     enum Outcome {
-        /** 200. */
+        /** The client received status 200. */
         SERVED,
-        /** 429 or 503. */
+        /** The client received status 429 or 503. */
         REFUSED,
-        /** Any other status. */
+        /** The client received any other status. */
         FAILED,
-        /** The connection ended with no whole answer. */
+        /** The connection ended before a whole response had arrived. */
         BROKEN,
-        /** No answer came by half a second after its time. */
+        /** No response arrived within half a second after the deadline. */
         SILENT,
-        /** The client closed while it waited. */
+        /** The client closed the connection while it waited. */
         LEFT
     }
 }
--- a/src/main/java/kitemux/soak/Soak.java
+++ b/src/main/java/kitemux/soak/Soak.java
@@ -20,23 +20,27 @@
 import java.util.stream.Stream;
 
 /**
- * Plays the lives of a node's processes on loopback, one change after another, with clients that use their
- * open connections up to SIGKILL and servers that hang, and judges what was seen.
+ * Runs a node on loopback through a seeded sequence of process changes, with clients that use their open
+ * connections until SIGKILL and with servers that stop answering, and verifies what was observed.
  */
 public final class Soak {
     private static final int SERVER_COUNT = 3;
     private static final int CLIENT_COUNT = 40;
     private static final long SETTLE_MS = 300;
     private static final long LATENESS_TICK_MS = 5;
-    /** A player that was later than this with its own waits may not be relied on. */
+    /** A run whose own waits ended later than this is unreliable. */
     private static final long MAX_LATENESS_MS = 100;
 
     private static final long START_UNIX_US = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
     private static final long START_NANOS = System.nanoTime();
 
-    /** Makes the command that starts a node, anew for each start. */
+    /** Creates the command that starts a node. */
     public interface Launcher {
-        /** The command, with no environment of the play's yet. */
+        /**
+         * Returns a new command for each start, without the environment variables that the run adds.
+         *
+         * @throws IOException if the command cannot be created
+         */
         ProcessBuilder newNodeProcess() throws IOException;
     }
 
@@ -55,15 +59,15 @@
     private int sigkills;
 
     /**
-     * What came of a seed.
+     * Result of one seed.
      *
-     * @param seed of the play
-     * @param deadlineMs the longest deadline that it drew
-     * @param requests how many were sent
-     * @param sigkills processes that met SIGKILL after SIGTERM
-     * @param unreadRequests requests whose connection ended before they were read
-     * @param maxLatenessMs how late the player itself was, at most
-     * @param violations a line for each rule that was broken, with the request's time-line
+     * @param seed of the run
+     * @param deadlineMs longest deadline that the seed drew, in milliseconds
+     * @param requests number of requests that were sent
+     * @param sigkills number of processes that got SIGKILL after SIGTERM
+     * @param unreadRequests number of requests whose connection ended before the node had read them
+     * @param maxLatenessMs largest lateness of the run's own waits, in milliseconds
+     * @param violations a line for each broken rule, followed by the request's timeline in indented lines
      */
     public record Result(
             long seed,
@@ -73,7 +77,7 @@
             long unreadRequests,
             long maxLatenessMs,
             List<String> violations) {
-        /** Whether the player kept its own time, so that what it found can be relied on. */
+        /** Whether the run kept its own schedule, so that its violations are reliable. */
         public boolean isOnSchedule() {
             return maxLatenessMs <= MAX_LATENESS_MS;
         }
@@ -87,13 +91,16 @@
     }
 
     /**
-     * Plays one seed; leaves nothing running.
+     * Runs one seed; no process is left running.
      *
-     * @param launcher the command that starts a node, made anew for each start
-     * @param traced whether the node knows the operator's section {@code trace}
-     * @param upgradesOnly whether all changes are upgrades, or all kinds are drawn
-     * @param changes of processes, one after another
-     * @param folder for what the processes need; not cleared
+     * @param launcher creates the command that starts a node
+     * @param traced whether the node supports the operator's section {@code trace}
+     * @param seed of the random choices
+     * @param upgradesOnly whether all changes are upgrades; otherwise all kinds are drawn
+     * @param changes number of process changes, one after another
+     * @param folder for the files of the processes; it is not cleared
+     * @throws IOException if a node does not start, or a file or socket fails
+     * @throws InterruptedException if the calling thread is interrupted
      */
     public static Result run(
             Launcher launcher, boolean traced, long seed, boolean upgradesOnly, int changes, Path folder)
@@ -102,11 +109,12 @@
         return new Soak(launcher, traced, Plan.draw(seed, kinds, changes, SERVER_COUNT), folder).run();
     }
 
-    /** Unix time in microseconds that never goes back. */
+    /** Unix time in microseconds; it never goes back. */
     static long nowUs() {
         return START_UNIX_US + (System.nanoTime() - START_NANOS) / 1_000;
     }
 
+    /** Starts a daemon thread. */
     static void startDaemon(String name, Runnable task) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
@@ -122,7 +130,7 @@
         SoakNode node = start();
         try {
             node.awaitReady();
-            startDaemon("soak lateness", this::measureLateness);
+            startDaemon("soak lateness monitor", this::measureLateness);
             SplittableRandom random = new SplittableRandom(plan.seed());
             for (int i = 0; i < CLIENT_COUNT; i++) {
                 Thread client = new Thread(
@@ -194,7 +202,7 @@
         }
     }
 
-    /** A port that stays free for the processes of the node. */
+    /** Reserves a port that no other program gets, so that each process of the node can bind it. */
     private int reservePort() throws IOException {
         SocketChannel holder = SocketChannel.open()
                 .setOption(StandardSocketOptions.SO_REUSEADDR, true)
@@ -208,7 +216,7 @@
                 launcher.newNodeProcess(), folder, clientPort, reservePort(), plan.deadlineMs(), servers, traced);
     }
 
-    // ---------------------------------------------------------------- changes of processes
+    // ---------------------------------------------------------------- process changes
 
     private SoakNode applyStep(SoakNode current, Plan.Step step) throws IOException, InterruptedException {
         return switch (step.kind()) {
@@ -252,7 +260,10 @@
         return successor;
     }
 
-    /** SIGTERM with what comes beside it, and SIGKILL at the earliest that the platform allows. */
+    /**
+     * Sends SIGTERM along with the other events of the step, and SIGKILL at the earliest time that the platform
+     * allows.
+     */
     private void terminate(SoakNode node, Plan.Step step) throws IOException, InterruptedException {
         for (int i = 0; i < step.hangingServerCount(); i++) {
             servers.get(i).setHanging(true);
--- a/src/main/java/kitemux/soak/SoakClient.java
+++ b/src/main/java/kitemux/soak/SoakClient.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** A client that keeps its connection, uses it for one request after another, and rests in between. */
+/** A client that sends one request after another over a persistent connection and pauses in between. */
 final class SoakClient implements Runnable {
     private static final long RESPONSE_GRACE_MS = 500;
     private static final long MAX_BUSY_PAUSE_MS = 400;
-    /** Longer than a process lives after SIGTERM. */
+    /** Longer than a process may live after SIGTERM, so that some clients pause through a whole shutdown. */
     private static final long MAX_IDLE_PAUSE_MS = 4_500;
 
     private static final long RECONNECT_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
@@ -30,13 +30,19 @@
     private Socket connection;
     private boolean connectionUsed;
     private int sentCount;
-    /** When the last byte of the request was written: its time counts from there. */
+    /** When the last byte of the request was written; the deadline counts from there. */
     private long writtenUs;
 
     /**
-     * Not connected yet.
+     * Creates a client that is not connected yet.
      *
-     * @param idle whether it rests for long, and joins crowds
+     * @param name prefix of the identifiers of its requests
+     * @param mostlyIdle whether it makes long pauses and joins bursts
+     * @param port of the node on loopback
+     * @param deadlineMs longest deadline of a request, in milliseconds
+     * @param gate paces the requests
+     * @param requests receives each request with its outcome
+     * @param random source of all random choices
      */
     SoakClient(
             String name,
@@ -84,7 +90,7 @@
         requests.add(new Request(txn, classIndex, writtenUs, remainingMs * 1_000, usedBefore, outcome, Soak.nowUs()));
     }
 
-    /** A client does not use a connection whose end it has seen. */
+    /** Drops a connection that the node has already closed, as real clients do. */
     private void closeIfPeerClosed() {
         if (connection == null) {
             return;
@@ -94,7 +100,7 @@
             connection.getInputStream().read();
             closeConnection();
         } catch (SocketTimeoutException e) {
-            // Still open, and nothing has come.
+            // The connection is open and has no unexpected data.
         } catch (IOException e) {
             closeConnection();
         }
@@ -149,7 +155,7 @@
             try {
                 connection.close();
             } catch (IOException e) {
-                // It is gone either way.
+                // The connection is unusable either way.
             }
             connection = null;
         }
--- a/src/main/java/kitemux/soak/SoakNode.java
+++ b/src/main/java/kitemux/soak/SoakNode.java
@@ -17,11 +17,11 @@
 import java.util.stream.IntStream;
 import kitemux.lab.Guard;
 
-/** One process of the node that is played, behind a guard by which it does not outlive the soak. */
+/** One process of the node under test, started behind a guard process so that it does not outlive the run. */
 final class SoakNode implements AutoCloseable {
-    /** SIGKILL comes so long after SIGTERM and the longest deadline, at the earliest. */
+    /** SIGKILL comes at the earliest this long after SIGTERM and the longest deadline. */
     static final long KILL_AFTER_DEADLINE_MS = 700;
-    /** A longest deadline above this counts as this. */
+    /** Upper limit of the deadline that delays SIGKILL. */
     static final long MAX_DEADLINE_MS = 3_000;
 
     private static final long START_TIMEOUT_S = 30;
@@ -34,15 +34,20 @@
     private SoakNode(Process guard, int operatorPort) {
         this.guard = guard;
         this.operatorPort = operatorPort;
-        Soak.startDaemon("lines of a node", this::readOutput);
+        Soak.startDaemon("soak node output", this::readOutput);
     }
 
     /**
-     * Starts a process.
+     * Starts a process and does not wait for it.
      *
      * @param launcher the command of a node
      * @param folder shared by all processes of the node
-     * @param traced whether it writes a trace to {@code traces} in the folder
+     * @param clientPort on which the node serves clients
+     * @param operatorPort on which the node serves operators
+     * @param deadlineMs longest deadline of a request, in milliseconds
+     * @param servers servers in the node's list
+     * @param traced whether the node writes a trace to {@code traces} in the folder
+     * @throws IOException if a file cannot be written or the process cannot be started
      */
     static SoakNode start(
             ProcessBuilder launcher,
@@ -95,12 +100,16 @@
         try (BufferedReader output = guard.inputReader()) {
             output.lines().forEach(outputLines::add);
         } catch (IOException | UncheckedIOException e) {
-            outputLines.add("its output broke: " + e);
+            outputLines.add("reading the output failed: " + e);
         }
         exited.countDown();
     }
 
-    /** Returns once operators are told that it takes clients. */
+    /**
+     * Waits until the node reports to operators that it is ready for clients.
+     *
+     * @throws IOException if it ends or is not ready within 30 s
+     */
     void awaitReady() throws IOException, InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_S);
         while (!isReady()) {
@@ -121,7 +130,7 @@
         }
     }
 
-    /** Sends a signal by its name; nothing happens where the process has ended. */
+    /** Sends a signal by its name, such as {@code TERM}; has no effect if the process has ended. */
     void sendSignal(String name) throws IOException, InterruptedException {
         ProcessHandle node = guard.children().findFirst().orElse(null);
         if (node != null) {
@@ -132,7 +141,7 @@
         }
     }
 
-    /** Waits for its end; false if it has not ended by then. */
+    /** Waits for the process to end; returns false if it is still running after the timeout. */
     boolean awaitExit(long timeoutMs) throws InterruptedException {
         return exited.await(Math.max(0, timeoutMs), TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/kitemux/soak/SoakServer.java
+++ b/src/main/java/kitemux/soak/SoakServer.java
@@ -10,17 +10,21 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** A server that answers at once, or not at all while it hangs, and notes what comes. */
+/**
+ * A server that answers each request at once, or not at all while it hangs, and records the attempts that
+ * arrive.
+ */
 final class SoakServer implements AutoCloseable {
     private static final int BACKLOG = 512;
     private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII);
 
     /**
-     * An attempt as it came.
+     * An attempt that reached a server.
      *
+     * @param txn identifier of the request
      * @param atUs Unix time in microseconds
-     * @param remainingUs what the node said that it will wait
+     * @param remainingUs time that the node announced to wait, in microseconds
      */
     record Arrival(String txn, long atUs, long remainingUs) {}
 
@@ -29,6 +33,7 @@
     private final ServerSocket listener;
     private volatile boolean hanging;
 
+    /** Listens on a free loopback port; attempts are added to the queue. */
     SoakServer(Queue<Arrival> arrivals) {
         this.arrivals = arrivals;
         try {
@@ -43,7 +48,7 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    /** Answers no request from now on, or all that come from now on. */
+    /** Makes the server hang, or answer the requests that arrive from now on. */
     void setHanging(boolean enabled) {
         hanging = enabled;
     }
@@ -54,10 +59,10 @@
                 Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
                 openSockets.add(socket);
-                Soak.startDaemon("soak server's connection", () -> serve(socket));
+                Soak.startDaemon("soak server connection", () -> serve(socket));
             }
         } catch (IOException e) {
-            // Closed: the play is over.
+            // The server was closed at the end of the run.
         }
     }
 
@@ -74,7 +79,7 @@
                 }
             }
         } catch (IOException e) {
-            // The node has closed it, or the play is over.
+            // The node closed the connection, or the run is over.
         } finally {
             openSockets.remove(socket);
         }
--- a/src/main/java/kitemux/soak/SoakVerifier.java
+++ b/src/main/java/kitemux/soak/SoakVerifier.java
@@ -8,26 +8,41 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Holds what clients, servers and traces saw against the platform's rules. It knows nothing of the node's code. */
+/**
+ * Checks the observations of clients, servers and traces against the rules of the platform, independently of
+ * the code of the node.
+ */
 final class SoakVerifier {
-    /** An attempt may tell its server so much more than is left to the client. */
+    /** How much more time than the client has left an attempt may announce to its server. */
     private static final long DEADLINE_SLACK_US = 150_000;
-    /** An attempt may begin so long after its client has gone. */
+    /** How long after its client has disconnected an attempt may still begin. */
     private static final long DISCONNECT_SLACK_US = 100_000;
 
-    /** A process that was killed with no signal before: what it held is left to the client. Unix microseconds. */
+    /**
+     * SIGKILL of a process without SIGTERM before; the requests that it held are the client's to retry.
+     *
+     * @param atUs Unix time in microseconds
+     */
     record UnannouncedKill(long atUs) {}
 
-    /** A rule that was broken, the request and what is known of it. */
+    /**
+     * A broken rule.
+     *
+     * @param rule what was violated
+     * @param request the request in question
+     * @param timeline trace lines of the request
+     */
     record Violation(String rule, Request request, List<String> timeline) {}
 
     private SoakVerifier() {}
 
     /**
-     * All that is broken.
+     * Returns all violations, at most one for each request.
      *
-     * @param traces lines of all processes' traces
-     * @param killed processes that were killed with no SIGTERM before
+     * @param requests all requests with their outcomes
+     * @param arrivals all attempts that reached a server
+     * @param traces trace lines of all processes
+     * @param kills kills without SIGTERM before
      */
     static List<Violation> verify(
             Collection<Request> requests,
@@ -88,7 +103,10 @@
         return null;
     }
 
-    /** Requests whose connection ended before the node had read them: priced, and no rule. */
+    /**
+     * Counts requests whose connection ended before the node had read them. This breaks no rule, but is
+     * reported as a cost.
+     */
     static long countUnreadRequests(Collection<Request> requests, List<Violation> violations) {
         Set<String> lost = new HashSet<>();
         violations.forEach(violation -> lost.add(violation.request().txn()));
--- a/src/main/java/kitemux/soak/package-info.java
+++ b/src/main/java/kitemux/soak/package-info.java
@@ -1,2 +1,5 @@
-/** A seeded soak of the lives of a node's processes on loopback: upgrades, restarts, kills, and their judge. */
+/**
+ * Seeded soak test of process changes of a node on loopback (upgrades, restarts and kills), with a verifier of
+ * the observations.
+ */
 package kitemux.soak;
