--- a/src/main/java/kitemux/soak/SoakVerifier.java
+++ b/src/main/java/kitemux/soak/SoakVerifier.java
@@ -91,14 +91,14 @@
         if (attempts.stream()
                 .anyMatch(attempt -> attempt.remainingUs()
                         > request.sentUs() + request.remainingUs() - attempt.atUs() + DEADLINE_SLACK_US)) {
-            return "deadline told too long";
+            return "announced deadline too long";
         }
         if (request.outcome() == Request.Outcome.LEFT
                 && timeline.stream()
                         .filter(line -> line.contains(" attempt ") && line.contains(" us left"))
                         .anyMatch(
                                 line -> Long.parseLong(line.split(" ")[0]) > request.endedUs() + DISCONNECT_SLACK_US)) {
-            return "sent on after its client had left";
+            return "attempt begun after the client disconnected";
         }
         return null;
     }
--- a/src/test/java/kitemux/mysql/BackConnectionTest.java
+++ b/src/test/java/kitemux/mysql/BackendConnectionTest.java
@@ -30,23 +30,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A connection to a server that drops, breaks off and misnumbers at scripted moments. */
-class BackConnectionTest {
+/** Connections to a server that drops, truncates and misnumbers its responses at scripted moments. */
+class BackendConnectionTest {
     private static final String NATIVE = "mysql_native_password";
     private static final String SHA2 = "caching_sha2_password";
     private static final String INSERT = "INSERT INTO orders (id, school) VALUES ('o', 's')";
-    private static EventLoopGroup loops;
+    private static EventLoopGroup eventLoops;
 
     private OrderDatabase database;
 
     @BeforeAll
-    static void begin() {
-        loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    static void startEventLoops() {
+        eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     }
 
     @AfterAll
-    static void end() throws Exception {
-        loops.shutdownGracefully(0, 20, TimeUnit.SECONDS).sync();
+    static void stopEventLoops() throws Exception {
+        eventLoops.shutdownGracefully(0, 20, TimeUnit.SECONDS).sync();
     }
 
     @AfterEach
@@ -54,49 +54,49 @@
         database.close();
     }
 
-    /** What came of a login or a command. */
+    /** Records the response to a command. */
     private static final class Outcome implements BackendConnection.ResponseListener {
         private final CompletableFuture<Result> result = new CompletableFuture<>();
         private ErrPacket error;
-        private boolean begun;
-        private boolean wanted = true;
+        private boolean started;
+        private boolean accepted = true;
         private long bytes;
         private long packets;
-        private long skip;
-        private Consumer<Outcome> onMore = outcome -> {};
+        private long bytesToSkip;
+        private Consumer<Outcome> onPackets = outcome -> {};
 
         @Override
         public boolean onResponseStart() {
-            assertFalse(begun, "begun once");
-            begun = true;
-            return wanted;
+            assertFalse(started, "a response starts only once");
+            started = true;
+            return accepted;
         }
 
-        /** Counts packets by walking from header to header, as a client would. */
+        /** Counts packets by following their headers, as a client would. */
         @Override
         public void onResponsePackets(ByteBuf in) {
             bytes += in.readableBytes();
             while (in.isReadable()) {
-                if (skip > 0) {
-                    int now = (int) Math.min(skip, in.readableBytes());
-                    in.skipBytes(now);
-                    skip -= now;
+                if (bytesToSkip > 0) {
+                    int skippedBytes = (int) Math.min(bytesToSkip, in.readableBytes());
+                    in.skipBytes(skippedBytes);
+                    bytesToSkip -= skippedBytes;
                 } else {
-                    assertTrue(in.readableBytes() >= PacketDecoder.HEADER_BYTES, "headers come whole");
-                    skip = in.readUnsignedMediumLE();
-                    assertEquals(packets + 1 & 0xff, in.readUnsignedByte(), "numbered as the server does");
+                    assertTrue(in.readableBytes() >= PacketDecoder.HEADER_BYTES, "headers are never split");
+                    bytesToSkip = in.readUnsignedMediumLE();
+                    assertEquals(packets + 1 & 0xff, in.readUnsignedByte(), "sequence numbers of the server are kept");
                     packets++;
                 }
             }
             in.release();
-            onMore.accept(this);
+            onPackets.accept(this);
         }
 
         @Override
-        public void onResponseEnd(Result how, ErrPacket with) {
-            assertFalse(result.isDone(), "one end");
-            error = with;
-            result.complete(how);
+        public void onResponseEnd(Result reportedResult, ErrPacket reportedError) {
+            assertFalse(result.isDone(), "a response ends only once");
+            error = reportedError;
+            result.complete(reportedResult);
         }
 
         Result get() throws Exception {
@@ -106,7 +106,7 @@
 
     private BackendConnection connect(String password) throws Exception {
         CompletableFuture<BackendConnection> login = new CompletableFuture<>();
-        Bootstrap dialer = new Bootstrap().group(loops).channel(NioSocketChannel.class);
+        Bootstrap dialer = new Bootstrap().group(eventLoops).channel(NioSocketChannel.class);
         dialer.handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -134,8 +134,9 @@
         return login.get(20, TimeUnit.SECONDS);
     }
 
-    private static Outcome carry(BackendConnection connection, String sql, Outcome outcome) {
-        loops.next()
+    private static Outcome sendCommand(BackendConnection connection, String sql, Outcome outcome) {
+        eventLoops
+                .next()
                 .execute(() -> connection.sendCommand(
                         Unpooled.buffer().writeByte(3).writeBytes(sql.getBytes(StandardCharsets.UTF_8)),
                         ResponseType.RESULT_SETS,
@@ -143,16 +144,16 @@
         return outcome;
     }
 
-    private static Outcome carry(BackendConnection connection, String sql) {
-        return carry(connection, sql, new Outcome());
+    private static Outcome sendCommand(BackendConnection connection, String sql) {
+        return sendCommand(connection, sql, new Outcome());
     }
 
     @ParameterizedTest
     @CsvSource({NATIVE + ",", SHA2 + ",", NATIVE + "," + SHA2, SHA2 + "," + NATIVE})
-    void itLogsInWithEachPlugin(String plugin, String switchTo) throws Exception {
+    void loginSucceedsWithEachPlugin(String plugin, String switchTo) throws Exception {
         database = OrderDatabase.start(plugin, switchTo);
         BackendConnection connection = connect(OrderDatabase.PASSWORD);
-        assertEquals(Result.OK, carry(connection, INSERT).get());
+        assertEquals(Result.OK, sendCommand(connection, INSERT).get());
         assertEquals(1, database.inserts("o"));
         Exception refused = org.junit.jupiter.api.Assertions.assertThrows(Exception.class, () -> connect("wrong"));
         assertTrue(refused.getMessage().contains("1045 Access denied"), refused.getMessage());
@@ -160,99 +161,99 @@
     }
 
     @Test
-    void rowsPassAsTheServerNumberedThemAndTheConnectionServesOn() throws Exception {
+    void rowsKeepServerSequenceNumbersAndConnectionStaysUsable() throws Exception {
         database = OrderDatabase.start(NATIVE, null);
         BackendConnection connection = connect(OrderDatabase.PASSWORD);
         for (int round = 0; round < 3; round++) {
-            Outcome rows = carry(connection, "SELECT 1000 ROWS");
+            Outcome rows = sendCommand(connection, "SELECT 1000 ROWS");
             assertEquals(Result.OK, rows.get());
-            assertEquals(1 + 1 + 1_000 + 1, rows.packets, "count, column, rows and their end");
-            Outcome unknown = carry(connection, "DROP TABLE orders");
+            assertEquals(1 + 1 + 1_000 + 1, rows.packets, "column count, column definition, rows and end");
+            Outcome unknown = sendCommand(connection, "DROP TABLE orders");
             assertEquals(Result.ERROR, unknown.get());
             assertEquals("42000", unknown.error.sqlState());
-            assertFalse(unknown.begun, "an error is no answer that begins");
+            assertFalse(unknown.started, "an error does not start a response");
         }
     }
 
     @Test
-    void aServerIsReadNoFasterThanItsClientReads() throws Exception {
+    void pausedReadingHoldsTheServerBack() throws Exception {
         database = OrderDatabase.start(NATIVE, null);
         BackendConnection connection = connect(OrderDatabase.PASSWORD);
-        CompletableFuture<Long> whenHeld = new CompletableFuture<>();
+        CompletableFuture<Long> bytesWhilePaused = new CompletableFuture<>();
         Outcome rows = new Outcome();
-        rows.onMore = first -> {
-            first.onMore = more -> {};
+        rows.onPackets = first -> {
+            first.onPackets = more -> {};
             connection.setReading(false);
-            // Some turns of the loop later only what was read by then has come.
-            loops.next().schedule(() -> whenHeld.complete(rows.bytes), 100, TimeUnit.MILLISECONDS);
+            // After some more iterations of the loop only what had been read by then has arrived.
+            eventLoops.next().schedule(() -> bytesWhilePaused.complete(rows.bytes), 100, TimeUnit.MILLISECONDS);
         };
-        carry(connection, "SELECT 500000 ROWS", rows);
-        long held = whenHeld.get(20, TimeUnit.SECONDS);
-        assertTrue(held < 1 << 20, held + " bytes of 5 MB were read");
+        sendCommand(connection, "SELECT 500000 ROWS", rows);
+        long bytesRead = bytesWhilePaused.get(20, TimeUnit.SECONDS);
+        assertTrue(bytesRead < 1 << 20, bytesRead + " bytes of 5 MB were read while reading was paused");
         assertFalse(rows.result.isDone());
-        loops.next().execute(() -> connection.setReading(true));
+        eventLoops.next().execute(() -> connection.setReading(true));
         assertEquals(Result.OK, rows.get());
         assertEquals(500_003, rows.packets);
     }
 
     @Test
-    void wherePacketOrByteTheAnswerBreaksOffTheOrderIsInsertedOnceAndMayHaveRun() throws Exception {
+    void truncatedResponseOfInsertReportsReset() throws Exception {
         database = OrderDatabase.start(NATIVE, null);
         int inserted = 0;
-        // The OK has 11 bytes with its header; the last of them ends it.
-        for (int at = 0; at < 11; at++) {
-            int bytes = at;
+        // The OK packet has 11 bytes with its header; only the last one completes it.
+        for (int position = 0; position < 11; position++) {
+            int bytes = position;
             database.script(sql -> new Fault.BreakOff(Long.MAX_VALUE, bytes));
-            Outcome insert = carry(connect(OrderDatabase.PASSWORD), INSERT);
-            assertEquals(Result.RESET, insert.get(), "behind byte " + at);
-            assertFalse(insert.begun, "nothing of it was passed on");
+            Outcome insert = sendCommand(connect(OrderDatabase.PASSWORD), INSERT);
+            assertEquals(Result.RESET, insert.get(), "truncated after byte " + position);
+            assertFalse(insert.started, "nothing was forwarded");
             assertEquals(++inserted, database.inserts("o"));
         }
         database.script(sql -> new Fault.Drop());
-        Outcome dropped = carry(connect(OrderDatabase.PASSWORD), INSERT);
-        assertEquals(Result.RESET, dropped.get(), "not to be told apart from the others");
+        Outcome dropped = sendCommand(connect(OrderDatabase.PASSWORD), INSERT);
+        assertEquals(Result.RESET, dropped.get(), "indistinguishable from a command that ran");
         assertEquals(inserted, database.inserts("o"));
         database.script(sql -> new Fault.Misnumber());
-        Outcome odd = carry(connect(OrderDatabase.PASSWORD), INSERT);
-        assertEquals(Result.RESET, odd.get());
-        assertFalse(odd.begun);
+        Outcome misnumbered = sendCommand(connect(OrderDatabase.PASSWORD), INSERT);
+        assertEquals(Result.RESET, misnumbered.get());
+        assertFalse(misnumbered.started);
     }
 
     @Test
-    void rowsThatBreakOffAtAnyPacketAreNeverWhole() throws Exception {
+    void truncatedRowsReportReset() throws Exception {
         database = OrderDatabase.start(NATIVE, null);
-        for (int at = 0; at < 6; at++) {
-            int packets = at;
+        for (int position = 0; position < 6; position++) {
+            int packets = position;
             database.script(sql -> new Fault.BreakOff(packets, Long.MAX_VALUE));
-            Outcome rows = carry(connect(OrderDatabase.PASSWORD), "SELECT 3 ROWS");
+            Outcome rows = sendCommand(connect(OrderDatabase.PASSWORD), "SELECT 3 ROWS");
             assertEquals(Result.RESET, rows.get());
-            assertEquals(at > 0, rows.begun);
-            assertEquals(at, rows.packets);
+            assertEquals(position > 0, rows.started);
+            assertEquals(position, rows.packets);
         }
     }
 
     @Test
-    void whatIsGivenUpIsToldNoEndAndItsConnectionIsClosed() throws Exception {
+    void abortedCommandReportsNoEndAndClosesTheConnection() throws Exception {
         database = OrderDatabase.start(NATIVE, null);
         BackendConnection connection = connect(OrderDatabase.PASSWORD);
         Outcome rows = new Outcome();
-        CompletableFuture<Void> given = new CompletableFuture<>();
-        rows.onMore = first -> {
-            rows.onMore = more -> org.junit.jupiter.api.Assertions.fail("more behind the giving up");
+        CompletableFuture<Void> abortCalled = new CompletableFuture<>();
+        rows.onPackets = first -> {
+            rows.onPackets = more -> org.junit.jupiter.api.Assertions.fail("packets after the abort");
             connection.abort();
-            given.complete(null);
+            abortCalled.complete(null);
         };
-        carry(connection, "SELECT 100000 ROWS", rows);
-        given.get(20, TimeUnit.SECONDS);
-        BackendConnection unwanted = connect(OrderDatabase.PASSWORD);
-        Outcome late = new Outcome();
-        late.wanted = false;
-        carry(unwanted, "SELECT 3 ROWS", late);
-        while (loops.next().submit(unwanted::isIdle).get() || !late.begun) {
+        sendCommand(connection, "SELECT 100000 ROWS", rows);
+        abortCalled.get(20, TimeUnit.SECONDS);
+        BackendConnection otherConnection = connect(OrderDatabase.PASSWORD);
+        Outcome aborted = new Outcome();
+        aborted.accepted = false;
+        sendCommand(otherConnection, "SELECT 3 ROWS", aborted);
+        while (eventLoops.next().submit(otherConnection::isIdle).get() || !aborted.started) {
             Thread.onSpinWait();
         }
         assertNull(rows.result.getNow(null));
-        assertNull(late.result.getNow(null));
-        assertEquals(0, late.packets, "nothing passes once it is broken off");
+        assertNull(aborted.result.getNow(null));
+        assertEquals(0, aborted.packets, "nothing is forwarded after the abort");
     }
 }
--- a/src/test/java/kitemux/mysql/FrontLoginTest.java
+++ b/src/test/java/kitemux/mysql/ClientLoginTest.java
@@ -42,8 +42,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that log in here, real drivers among them, and their commands at a stand-in of a server. */
-class FrontLoginTest {
+/** Logins of clients, including real drivers, and their commands against a stand-in database. */
+class ClientLoginTest {
     private static final Users USERS = new Users(Map.of(
             "both",
             Users.User.withPassword("both", "secret"),
@@ -54,19 +54,19 @@
             "open",
             Users.User.withPassword("open", "")));
 
-    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final List<String> letIn = new CopyOnWriteArrayList<>();
+    private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final List<String> loggedInUsers = new CopyOnWriteArrayList<>();
     private OrderDatabase database;
 
     @AfterEach
-    void end() throws Exception {
-        loops.shutdownGracefully(0, 20, TimeUnit.SECONDS).sync();
+    void close() throws Exception {
+        eventLoops.shutdownGracefully(0, 20, TimeUnit.SECONDS).sync();
         if (database != null) {
             database.close();
         }
     }
 
-    /** Carries each command of a client to a server over a connection of its own, and its answer back. */
+    /** Forwards the commands of a client over a backend connection of its own, and the responses back. */
     private final class Relay extends ChannelInboundHandlerAdapter {
         private final Channel client;
         private final PacketDecoder decoder;
@@ -115,20 +115,20 @@
         }
     }
 
-    private void connectBack(Channel client, PacketDecoder decoder) {
+    private void connectToDatabase(Channel client, PacketDecoder decoder) {
         client.config().setAutoRead(false);
         Bootstrap dialer = new Bootstrap().group(client.eventLoop()).channel(NioSocketChannel.class);
         dialer.handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        PacketDecoder back = new PacketDecoder();
+                        PacketDecoder backendDecoder = new PacketDecoder();
                         channel.pipeline()
                                 .addLast(
-                                        back,
+                                        backendDecoder,
                                         new BackendConnection(
                                                 new BackendConnection.Account(
                                                         OrderDatabase.USER, OrderDatabase.PASSWORD, ""),
-                                                back,
+                                                backendDecoder,
                                                 new BackendConnection.LoginListener() {
                                                     @Override
                                                     public void onLoginSucceeded(BackendConnection server) {
@@ -146,10 +146,10 @@
                 .connect(database.address());
     }
 
-    private InetSocketAddress listen(AuthPlugin greeted, long loginMs) throws Exception {
+    private InetSocketAddress listen(AuthPlugin initialPlugin, long loginTimeoutMs) throws Exception {
         database = OrderDatabase.start("caching_sha2_password", null);
         return (InetSocketAddress) new ServerBootstrap()
-                .group(loops)
+                .group(eventLoops)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -159,9 +159,14 @@
                                 .addLast(
                                         decoder,
                                         new ClientLogin(
-                                                USERS, 5, greeted, loginMs, decoder, (client, packets, greeting) -> {
-                                                    letIn.add(greeting.user());
-                                                    connectBack(client, packets);
+                                                USERS,
+                                                5,
+                                                initialPlugin,
+                                                loginTimeoutMs,
+                                                decoder,
+                                                (client, packets, handshake) -> {
+                                                    loggedInUsers.add(handshake.user());
+                                                    connectToDatabase(client, packets);
                                                 }));
                     }
                 })
@@ -171,10 +176,10 @@
                 .localAddress();
     }
 
-    private static Connection connect(String driver, InetSocketAddress at, String user, String password)
+    private static Connection connect(String driver, InetSocketAddress address, String user, String password)
             throws SQLException {
         return DriverManager.getConnection(
-                "jdbc:" + driver + "://127.0.0.1:" + at.getPort() + "/?"
+                "jdbc:" + driver + "://127.0.0.1:" + address.getPort() + "/?"
                         + (driver.equals("mysql") ? "sslMode=DISABLED" : "sslMode=disable"),
                 user,
                 password);
@@ -193,9 +198,9 @@
         "mariadb, new, NATIVE",
         "mariadb, open, CACHING_SHA2"
     })
-    void driversLogInAndTheirCommandsAreCarried(String driver, String user, AuthPlugin greeted) throws Exception {
-        InetSocketAddress at = listen(greeted, 20_000);
-        try (Connection connection = connect(driver, at, user, user.equals("open") ? "" : "secret");
+    void driversLogInAndRunCommands(String driver, String user, AuthPlugin initialPlugin) throws Exception {
+        InetSocketAddress address = listen(initialPlugin, 20_000);
+        try (Connection connection = connect(driver, address, user, user.equals("open") ? "" : "secret");
                 Statement statement = connection.createStatement()) {
             assertEquals(1, statement.executeUpdate("INSERT INTO orders (id, school) VALUES ('o', 's')"));
             try (ResultSet found = statement.executeQuery("SELECT id, school FROM orders")) {
@@ -208,48 +213,48 @@
             assertEquals("42000", unknown.getSQLState());
             assertTrue(connection.isValid(20));
         }
-        assertEquals(List.of(user), letIn);
+        assertEquals(List.of(user), loggedInUsers);
         assertEquals(1, database.inserts("o"));
         for (String[] other : new String[][] {{user, "wrong"}, {"nobody", "secret"}, {"nobody", ""}}) {
-            SQLException denied = assertThrows(SQLException.class, () -> connect(driver, at, other[0], other[1]));
+            SQLException denied = assertThrows(SQLException.class, () -> connect(driver, address, other[0], other[1]));
             assertEquals(1045, denied.getErrorCode(), denied.toString());
         }
-        assertEquals(List.of(user), letIn, "nobody else");
+        assertEquals(List.of(user), loggedInUsers, "no other user logged in");
     }
 
-    private static String answered(Socket client) throws Exception {
+    private static String readAll(Socket client) throws Exception {
         client.setSoTimeout(20_000);
         InputStream in = client.getInputStream();
         return new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
     @Test
-    void aLoginThatIsNeverOverEndsWithAnErrorAndFreesItsConnection() throws Exception {
-        InetSocketAddress at = listen(AuthPlugin.CACHING_SHA2, 30);
+    void incompleteLoginTimesOutWithAnError() throws Exception {
+        InetSocketAddress address = listen(AuthPlugin.CACHING_SHA2, 30);
         List<Socket> flood = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            flood.add(new Socket(at.getAddress(), at.getPort()));
+            flood.add(new Socket(address.getAddress(), address.getPort()));
         }
         for (Socket client : flood) {
-            assertTrue(answered(client).contains("#08S01the login took too long"));
+            assertTrue(readAll(client).contains("#08S01the login took too long"));
             client.close();
         }
-        assertEquals(List.of(), letIn);
+        assertEquals(List.of(), loggedInUsers);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"\5\0\0\1hello", "\5\0\0\0hello", "GET / HTTP/1.1\r\n\r\n", "\377\377\377\1"})
-    void whatIsNoLoginIsAnsweredWithAnErrorAndTheEnd(String sent) throws Exception {
-        InetSocketAddress at = listen(AuthPlugin.NATIVE, 20_000);
-        try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+    void invalidLoginIsRejectedWithAnError(String sent) throws Exception {
+        InetSocketAddress address = listen(AuthPlugin.NATIVE, 20_000);
+        try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             byte[] bytes = sent.getBytes(StandardCharsets.ISO_8859_1);
             client.getOutputStream().write(bytes);
             if (sent.startsWith("\377")) {
-                // A packet of 16 MiB from somebody who has shown no password; no more of it is held.
+                // A packet of 16 MiB from an unauthenticated client must not be buffered.
                 client.getOutputStream().write(new byte[4 * ClientLogin.MAX_PAYLOAD_BYTES]);
             }
-            String answer = answered(client);
-            assertTrue(answer.contains("#HY000") || answer.contains("#08S01"), answer);
+            String response = readAll(client);
+            assertTrue(response.contains("#HY000") || response.contains("#08S01"), response);
         }
     }
 }
--- a/src/test/java/kitemux/mysql/CodecTest.java
+++ b/src/test/java/kitemux/mysql/CodecTest.java
@@ -26,13 +26,13 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.constraints.StringLength;
 
-/** Packets and their fields: there and back, in any pieces, and with anything else in their place. */
+/** Round trips of packets and fields in any chunking, and rejection of invalid input. */
 class CodecTest {
-    /** So that each run tries the same. */
+    /** Fixed, so that each run tries the same inputs. */
     private static final String SEED = "41";
 
     private static final UnpooledByteBufAllocator ALLOCATOR = UnpooledByteBufAllocator.DEFAULT;
-    private static final long ALL = Capabilities.PROTOCOL_41
+    private static final long ALL_CAPABILITIES = Capabilities.PROTOCOL_41
             | Capabilities.PLUGIN_AUTH
             | Capabilities.PLUGIN_AUTH_LENENC_DATA
             | Capabilities.CONNECT_WITH_DB
@@ -40,31 +40,31 @@
             | Capabilities.SECURE_CONNECTION
             | Capabilities.SESSION_TRACK;
 
-    private static byte[] written(Consumer<ByteBuf> by) {
+    private static byte[] encode(Consumer<ByteBuf> writer) {
         ByteBuf out = ALLOCATOR.buffer();
-        by.accept(out);
+        writer.accept(out);
         byte[] bytes = ByteBufUtil.getBytes(out);
         out.release();
         return bytes;
     }
 
-    private static byte[] packets(byte[] payload, int sequence) {
+    private static byte[] toPackets(byte[] payload, int sequence) {
         ByteBuf out = Packets.write(ALLOCATOR, Unpooled.wrappedBuffer(payload), sequence);
         byte[] bytes = ByteBufUtil.getBytes(out);
         out.release();
         return bytes;
     }
 
-    /** Payloads that come out where the bytes go in, in pieces of these sizes in turn. */
-    private static List<byte[]> read(byte[] bytes, List<Integer> pieces, int most) {
+    /** Decodes bytes that arrive in chunks of these sizes in turn. */
+    private static List<byte[]> readPayloads(byte[] bytes, List<Integer> chunkSizes, int maxBytes) {
         EmbeddedChannel channel = new EmbeddedChannel(new PacketDecoder());
         List<byte[]> payloads = new ArrayList<>();
-        try (PayloadAssembler gatherer = new PayloadAssembler(ALLOCATOR, most)) {
-            int at = 0;
-            for (int i = 0; at < bytes.length; i++) {
-                int piece = Math.min(pieces.get(i % pieces.size()), bytes.length - at);
-                channel.writeInbound(Unpooled.copiedBuffer(bytes, at, piece));
-                at += piece;
+        try (PayloadAssembler gatherer = new PayloadAssembler(ALLOCATOR, maxBytes)) {
+            int offset = 0;
+            for (int i = 0; offset < bytes.length; i++) {
+                int chunkSize = Math.min(chunkSizes.get(i % chunkSizes.size()), bytes.length - offset);
+                channel.writeInbound(Unpooled.copiedBuffer(bytes, offset, chunkSize));
+                offset += chunkSize;
                 Part part;
                 while ((part = channel.readInbound()) != null) {
                     ByteBuf whole = gatherer.add(part);
@@ -81,24 +81,24 @@
     }
 
     @Property(seed = SEED, tries = 300)
-    void payloadsComeOutAsTheyWentInHoweverTheyAreCut(
+    void payloadsSurviveAnyChunking(
             @ForAll @Size(min = 1, max = 300) List<byte[]> payloads,
-            @ForAll @Size(min = 1, max = 9) List<@IntRange(min = 1, max = 40) Integer> pieces) {
+            @ForAll @Size(min = 1, max = 9) List<@IntRange(min = 1, max = 40) Integer> chunkSizes) {
         ByteBuf all = ALLOCATOR.buffer();
         int sequence = 0;
         for (byte[] payload : payloads) {
-            all.writeBytes(packets(payload, sequence++));
+            all.writeBytes(toPackets(payload, sequence++));
         }
-        List<byte[]> back = read(ByteBufUtil.getBytes(all), pieces, 1 << 20);
+        List<byte[]> decoded = readPayloads(ByteBufUtil.getBytes(all), chunkSizes, 1 << 20);
         all.release();
-        assertEquals(payloads.size(), back.size());
-        for (int i = 0; i < back.size(); i++) {
-            assertArrayEquals(payloads.get(i), back.get(i));
+        assertEquals(payloads.size(), decoded.size());
+        for (int i = 0; i < decoded.size(); i++) {
+            assertArrayEquals(payloads.get(i), decoded.get(i));
         }
     }
 
     @Example
-    void aPayloadOfSixteenMebibytesAndMoreIsSeveralPacketsAndOnePayload() {
+    void payloadsOfSixteenMebibytesSpanSeveralPackets() {
         for (int length : new int[] {
             PacketDecoder.MAX_PAYLOAD_BYTES - 1,
             PacketDecoder.MAX_PAYLOAD_BYTES,
@@ -107,19 +107,19 @@
         }) {
             byte[] payload = new byte[length];
             new Random(length).nextBytes(payload);
-            byte[] bytes = packets(payload, 254);
+            byte[] bytes = toPackets(payload, 254);
             assertEquals(length + 4 * (length / PacketDecoder.MAX_PAYLOAD_BYTES + 1), bytes.length);
             EmbeddedChannel channel = new EmbeddedChannel(new PacketDecoder());
             channel.pipeline().get(PacketDecoder.class).expectSequence(254);
             int seen = 0;
             boolean last = false;
-            for (int at = 0; at < bytes.length; at += 1 << 16) {
-                channel.writeInbound(Unpooled.wrappedBuffer(bytes, at, Math.min(1 << 16, bytes.length - at)));
+            for (int offset = 0; offset < bytes.length; offset += 1 << 16) {
+                channel.writeInbound(Unpooled.wrappedBuffer(bytes, offset, Math.min(1 << 16, bytes.length - offset)));
                 Part part;
                 while ((part = channel.readInbound()) != null) {
-                    assertFalse(last, "nothing comes behind the last part");
+                    assertFalse(last, "no part follows the last one");
                     assertEquals(seen == 0, part.first());
-                    assertTrue(part.bytes().readableBytes() <= 1 << 16, "no more is held than was read");
+                    assertTrue(part.bytes().readableBytes() <= 1 << 16, "no more is buffered than was read");
                     for (int i = 0; i < part.bytes().readableBytes(); i += 4_099) {
                         assertEquals(
                                 payload[seen + i],
@@ -137,108 +137,114 @@
     }
 
     @Property(seed = SEED)
-    void aPacketOutOfTurnIsAFaultThatSaysSo(@ForAll @IntRange(min = 1, max = 255) int sequence) {
-        ProtocolException fault =
-                assertThrows(ProtocolException.class, () -> read(packets(new byte[] {1}, sequence), List.of(9), 9));
+    void unexpectedSequenceNumberIsRejected(@ForAll @IntRange(min = 1, max = 255) int sequence) {
+        ProtocolException fault = assertThrows(
+                ProtocolException.class, () -> readPayloads(toPackets(new byte[] {1}, sequence), List.of(9), 9));
         assertEquals(ProtocolException.Kind.OUT_OF_ORDER, fault.kind());
         assertEquals(1156, fault.toErrPacket().code());
     }
 
     @Property(seed = SEED)
-    void aPayloadBeyondTheBoundIsAFaultAndHoldsNothing(
-            @ForAll @IntRange(min = 1, max = 500) int bound, @ForAll @IntRange(min = 1, max = 300) int piece) {
+    void payloadAboveTheLimitIsRejected(
+            @ForAll @IntRange(min = 1, max = 500) int bound, @ForAll @IntRange(min = 1, max = 300) int chunkSize) {
         ProtocolException fault = assertThrows(
-                ProtocolException.class, () -> read(packets(new byte[bound + 1], 0), List.of(piece), bound));
+                ProtocolException.class,
+                () -> readPayloads(toPackets(new byte[bound + 1], 0), List.of(chunkSize), bound));
         assertEquals(ProtocolException.Kind.TOO_LARGE, fault.kind());
-        assertEquals(1, read(packets(new byte[bound], 0), List.of(piece), bound).size());
+        assertEquals(
+                1,
+                readPayloads(toPackets(new byte[bound], 0), List.of(chunkSize), bound)
+                        .size());
     }
 
     @Property(seed = SEED)
-    void numbersComeBackInTheirShortestForm(@ForAll long value) {
-        byte[] bytes = written(out -> Fields.putLenenc(out, value));
+    void lengthEncodedIntegersRoundTripInShortestForm(@ForAll long value) {
+        byte[] bytes = encode(out -> Fields.putLenenc(out, value));
         assertEquals(value, Fields.lenenc(Unpooled.wrappedBuffer(bytes), "it"));
         int length = value < 0 || value >= 1 << 24 ? 9 : value >= 1 << 16 ? 4 : value >= 251 ? 3 : 1;
         assertEquals(length, bytes.length);
-        for (int cut = 0; cut < bytes.length; cut++) {
-            ByteBuf early = Unpooled.wrappedBuffer(bytes, 0, cut);
-            assertThrows(ProtocolException.class, () -> Fields.lenenc(early, "it"));
+        for (int truncatedLength = 0; truncatedLength < bytes.length; truncatedLength++) {
+            ByteBuf truncated = Unpooled.wrappedBuffer(bytes, 0, truncatedLength);
+            assertThrows(ProtocolException.class, () -> Fields.lenenc(truncated, "it"));
         }
     }
 
     @Example
-    void numbersAtTheirBounds() {
+    void lengthEncodedIntegersRoundTripAtTheirBounds() {
         for (long value : new long[] {0, 250, 251, 252, 65_535, 65_536, (1 << 24) - 1, 1 << 24, -1}) {
-            numbersComeBackInTheirShortestForm(value);
+            lengthEncodedIntegersRoundTripInShortestForm(value);
         }
     }
 
     @Property(seed = SEED)
-    void greetingsComeBack(
+    void initialHandshakesRoundTrip(
             @ForAll @AlphaChars String version,
             @ForAll @Size(20) byte[] nonce,
             @ForAll int id,
             @ForAll @IntRange(max = 255) int charset,
             @ForAll @IntRange(max = 65_535) int status,
             @ForAll @AlphaChars String plugin) {
-        InitialHandshake greeting =
-                new InitialHandshake(version, id & 0xffffffffL, nonce, ALL, charset, status, plugin);
-        byte[] bytes = written(greeting::write);
-        InitialHandshake back = InitialHandshake.read(Unpooled.wrappedBuffer(bytes));
-        assertArrayEquals(nonce, back.nonce());
+        InitialHandshake handshake =
+                new InitialHandshake(version, id & 0xffffffffL, nonce, ALL_CAPABILITIES, charset, status, plugin);
+        byte[] bytes = encode(handshake::write);
+        InitialHandshake decoded = InitialHandshake.read(Unpooled.wrappedBuffer(bytes));
+        assertArrayEquals(nonce, decoded.nonce());
         assertEquals(
-                greeting,
+                handshake,
                 new InitialHandshake(
-                        back.version(),
-                        back.connectionId(),
+                        decoded.version(),
+                        decoded.connectionId(),
                         nonce,
-                        back.capabilities(),
-                        back.charset(),
-                        back.status(),
-                        back.plugin()));
-        cutsAreFaults(bytes, InitialHandshake::read);
+                        decoded.capabilities(),
+                        decoded.charset(),
+                        decoded.status(),
+                        decoded.plugin()));
+        assertTruncationsAreRejected(bytes, InitialHandshake::read);
     }
 
     @Property(seed = SEED)
-    void answersToGreetingsComeBack(
+    void handshakeResponsesRoundTrip(
             @ForAll @AlphaChars String user,
             @ForAll @Size(max = 250) byte[] proof,
             @ForAll @AlphaChars String database,
             @ForAll @AlphaChars String plugin,
             @ForAll @Size(max = 9) Map<@AlphaChars String, @StringLength(max = 300) String> attributes,
             @ForAll boolean lenenc) {
-        long capabilities = lenenc ? ALL : ALL & ~Capabilities.PLUGIN_AUTH_LENENC_DATA;
-        HandshakeResponse greeting =
+        long capabilities = lenenc ? ALL_CAPABILITIES : ALL_CAPABILITIES & ~Capabilities.PLUGIN_AUTH_LENENC_DATA;
+        HandshakeResponse handshake =
                 new HandshakeResponse(capabilities, 1 << 24, 45, user, proof, database, plugin, attributes);
-        byte[] bytes = written(greeting::write);
-        HandshakeResponse back = HandshakeResponse.read(Unpooled.wrappedBuffer(bytes), ALL);
-        assertArrayEquals(proof, back.proof());
+        byte[] bytes = encode(handshake::write);
+        HandshakeResponse decoded = HandshakeResponse.read(Unpooled.wrappedBuffer(bytes), ALL_CAPABILITIES);
+        assertArrayEquals(proof, decoded.proof());
         assertEquals(
-                greeting,
+                handshake,
                 new HandshakeResponse(
-                        back.capabilities(),
-                        back.maxPacketBytes(),
-                        back.charset(),
-                        back.user(),
+                        decoded.capabilities(),
+                        decoded.maxPacketBytes(),
+                        decoded.charset(),
+                        decoded.user(),
                         proof,
-                        back.database(),
-                        back.plugin(),
-                        back.attributes()));
+                        decoded.database(),
+                        decoded.plugin(),
+                        decoded.attributes()));
     }
 
     @Example
-    void aWishForTlsHasNoUser() {
-        HandshakeResponse wish =
-                new HandshakeResponse(ALL | Capabilities.SSL, 1, 45, null, new byte[0], "", "", Map.of());
-        byte[] bytes = written(wish::write);
+    void tlsRequestHasNoUser() {
+        HandshakeResponse tlsRequest =
+                new HandshakeResponse(ALL_CAPABILITIES | Capabilities.SSL, 1, 45, null, new byte[0], "", "", Map.of());
+        byte[] bytes = encode(tlsRequest::write);
         assertEquals(32, bytes.length);
-        HandshakeResponse back = HandshakeResponse.read(Unpooled.wrappedBuffer(bytes), ALL | Capabilities.SSL);
-        assertEquals(null, back.user());
-        // One that was not offered counts for nothing: the rest is then missing.
-        assertThrows(ProtocolException.class, () -> HandshakeResponse.read(Unpooled.wrappedBuffer(bytes), ALL));
+        HandshakeResponse decoded =
+                HandshakeResponse.read(Unpooled.wrappedBuffer(bytes), ALL_CAPABILITIES | Capabilities.SSL);
+        assertEquals(null, decoded.user());
+        // A capability that was not offered is ignored, so the rest of the payload is missing.
+        assertThrows(
+                ProtocolException.class, () -> HandshakeResponse.read(Unpooled.wrappedBuffer(bytes), ALL_CAPABILITIES));
     }
 
     @Property(seed = SEED)
-    void okAndErrorsComeBack(
+    void okAndErrPacketsRoundTrip(
             @ForAll long rows,
             @ForAll long id,
             @ForAll @IntRange(max = 65_535) int warnings,
@@ -249,33 +255,34 @@
         String text = new String(
                 info.getBytes(java.nio.charset.StandardCharsets.UTF_8), java.nio.charset.StandardCharsets.UTF_8);
         OkPacket ok = new OkPacket(rows, id, OkPacket.AUTOCOMMIT, warnings, text, tracks ? state : null);
-        long capabilities = tracks ? ALL : ALL & ~Capabilities.SESSION_TRACK;
-        byte[] bytes = written(out -> ok.write(out, OkPacket.HEADER, capabilities));
-        OkPacket back = OkPacket.read(Unpooled.wrappedBuffer(bytes).skipBytes(1), capabilities);
-        assertEquals(rows, back.affectedRows());
-        assertEquals(id, back.lastInsertId());
-        assertEquals(warnings, back.warnings());
-        assertEquals(text, back.info());
-        assertEquals(tracks, (back.status() & OkPacket.SESSION_STATE_CHANGED) != 0);
-        assertArrayEquals(tracks ? state : null, back.sessionState());
+        long capabilities = tracks ? ALL_CAPABILITIES : ALL_CAPABILITIES & ~Capabilities.SESSION_TRACK;
+        byte[] bytes = encode(out -> ok.write(out, OkPacket.HEADER, capabilities));
+        OkPacket decoded = OkPacket.read(Unpooled.wrappedBuffer(bytes).skipBytes(1), capabilities);
+        assertEquals(rows, decoded.affectedRows());
+        assertEquals(id, decoded.lastInsertId());
+        assertEquals(warnings, decoded.warnings());
+        assertEquals(text, decoded.info());
+        assertEquals(tracks, (decoded.status() & OkPacket.SESSION_STATE_CHANGED) != 0);
+        assertArrayEquals(tracks ? state : null, decoded.sessionState());
         ErrPacket error = new ErrPacket(code, "42S02", text);
-        byte[] errorBytes = written(error::write);
+        byte[] errorBytes = encode(error::write);
         assertEquals(error, ErrPacket.read(Unpooled.wrappedBuffer(errorBytes).skipBytes(1)));
     }
 
-    private static void cutsAreFaults(byte[] bytes, Consumer<ByteBuf> reader) {
-        for (int cut = 0; cut < bytes.length; cut++) {
-            ByteBuf early = Unpooled.wrappedBuffer(bytes, 0, cut);
-            assertThrows(ProtocolException.class, () -> reader.accept(early), "cut at " + cut);
+    private static void assertTruncationsAreRejected(byte[] bytes, Consumer<ByteBuf> reader) {
+        for (int truncatedLength = 0; truncatedLength < bytes.length; truncatedLength++) {
+            ByteBuf truncated = Unpooled.wrappedBuffer(bytes, 0, truncatedLength);
+            assertThrows(
+                    ProtocolException.class, () -> reader.accept(truncated), "truncated to bytes " + truncatedLength);
         }
     }
 
     @Property(seed = SEED, tries = 5_000)
-    void garbageIsReadOrIsAFaultAndNothingElse(@ForAll @Size(max = 200) byte[] garbage) {
+    void arbitraryBytesAreReadOrRejected(@ForAll @Size(max = 200) byte[] garbage) {
         List<Consumer<ByteBuf>> readers = List.of(
                 InitialHandshake::read,
                 in -> HandshakeResponse.read(in, -1L),
-                in -> OkPacket.read(in, ALL),
+                in -> OkPacket.read(in, ALL_CAPABILITIES),
                 in -> OkPacket.read(in, 0),
                 ErrPacket::read,
                 in -> Fields.lenencText(in, "it"));
@@ -287,38 +294,38 @@
             }
         }
         try {
-            read(garbage, List.of(7), 150);
+            readPayloads(garbage, List.of(7), 150);
         } catch (ProtocolException fault) {
             assertTrue(fault.toErrPacket().code() > 0);
         }
     }
 
     @Property(seed = SEED)
-    void aProofHoldsForItsPasswordAndNonceAlone(
+    void proofIsValidOnlyForItsPasswordAndNonce(
             @ForAll @StringLength(min = 1, max = 40) String password,
             @ForAll @StringLength(max = 40) String other,
             @ForAll @Size(20) byte[] nonce,
-            @ForAll @IntRange(max = 19) int at) {
-        for (AuthPlugin scramble : AuthPlugin.values()) {
-            byte[] digest = scramble.digest(password);
-            byte[] proof = scramble.createProof(password, nonce);
-            assertTrue(scramble.isValidProof(proof, digest, nonce));
+            @ForAll @IntRange(max = 19) int offset) {
+        for (AuthPlugin plugin : AuthPlugin.values()) {
+            byte[] digest = plugin.digest(password);
+            byte[] proof = plugin.createProof(password, nonce);
+            assertTrue(plugin.isValidProof(proof, digest, nonce));
             byte[] otherNonce = nonce.clone();
-            otherNonce[at] ^= 1;
-            assertFalse(scramble.isValidProof(proof, digest, otherNonce));
-            assertFalse(scramble.isValidProof(new byte[0], digest, nonce), "no password is not this one");
-            if (!java.util.Arrays.equals(digest, scramble.digest(other))) {
-                assertFalse(scramble.isValidProof(scramble.createProof(other, nonce), digest, nonce));
+            otherNonce[offset] ^= 1;
+            assertFalse(plugin.isValidProof(proof, digest, otherNonce));
+            assertFalse(plugin.isValidProof(new byte[0], digest, nonce), "an empty proof does not match a password");
+            if (!java.util.Arrays.equals(digest, plugin.digest(other))) {
+                assertFalse(plugin.isValidProof(plugin.createProof(other, nonce), digest, nonce));
             }
-            byte[] spoilt = proof.clone();
-            spoilt[at] ^= 1;
-            assertFalse(scramble.isValidProof(spoilt, digest, nonce));
+            byte[] corrupted = proof.clone();
+            corrupted[offset] ^= 1;
+            assertFalse(plugin.isValidProof(corrupted, digest, nonce));
         }
     }
 
     @Example
-    void digestsAreThoseThatServersKeep() {
-        // What PASSWORD('mypass') of MySQL 5.7 gives, by its reference manual ("Password Hashing in MySQL").
+    void digestsMatchThoseOfServers() {
+        // Result of PASSWORD('mypass') in MySQL 5.7, from its reference manual ("Password Hashing in MySQL").
         assertEquals(
                 "6C8989366EAF75BB670AD8EA7A7FC1176A95CEF4",
                 HexFormat.of().withUpperCase().formatHex(AuthPlugin.NATIVE.digest("mypass")));
--- a/src/test/java/kitemux/mysql/MysqlServersTest.java
+++ b/src/test/java/kitemux/mysql/MysqlServerProtocolTest.java
@@ -37,21 +37,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Commands through the engine, the decision module and the pool to servers that fail at scripted moments. */
-class MysqlServersTest {
+/**
+ * Commands through the engine, the decision module and the connection pool to servers that fail at scripted
+ * moments.
+ */
+class MysqlServerProtocolTest {
     private static final int SAFE = 0;
     private static final int NEVER_TWICE = 1;
     private static final String NATIVE = "mysql_native_password";
     private static final String INSERT = "INSERT INTO orders (id, school) VALUES ('o', 's')";
-    /** So many that each of two servers gets some of them, whatever the seed. */
-    private static final int ASKED = 12;
+    /** Enough requests that each of two servers gets some of them, whatever the seed. */
+    private static final int REQUEST_COUNT = 12;
 
     private final SelectorLoop loop = SelectorLoop.open();
     private final List<OrderDatabase> databases = new ArrayList<>();
-    private final List<String> lines = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
     private Engine<Command, ServerResponse> engine;
     private ServerPool<Command, ServerResponse> pool;
-    private int asked;
+    private int requestCount;
 
     @AfterEach
     void close() throws Exception {
@@ -61,14 +64,14 @@
         loop.parent().shutdownGracefully(0, 20, TimeUnit.SECONDS).sync();
     }
 
-    /** What a client was told; one answer, and its bytes. */
-    private static final class Told implements ResponseSink<ServerResponse> {
-        private final CompletableFuture<String> end = new CompletableFuture<>();
+    /** Records the single response to a client and counts its bytes. */
+    private static final class RecordingClient implements ResponseSink<ServerResponse> {
+        private final CompletableFuture<String> outcome = new CompletableFuture<>();
         private final List<Integer> firstBytes = new ArrayList<>();
         private long bytes;
-        private boolean begun;
+        private boolean started;
 
-        private void see(byte[] packets) {
+        private void recordPackets(byte[] packets) {
             if (bytes == 0) {
                 firstBytes.add(packets[PacketDecoder.HEADER_BYTES] & 0xff);
             }
@@ -76,56 +79,56 @@
         }
 
         @Override
-        public void onResponseStarted(ServerResponse answer) {
-            assertFalse(begun, "begun once");
-            begun = true;
-            answer.streamTo(packets -> {
+        public void onResponseStarted(ServerResponse response) {
+            assertFalse(started, "a response starts only once");
+            started = true;
+            response.streamTo(packets -> {
                 byte[] copy = new byte[packets.readableBytes()];
                 packets.readBytes(copy);
                 packets.release();
-                see(copy);
+                recordPackets(copy);
             });
         }
 
         @Override
-        public void onServed(ServerResponse answer) {
-            if (answer != null) {
-                see(answer.body());
+        public void onServed(ServerResponse response) {
+            if (response != null) {
+                recordPackets(response.body());
             }
-            tell("served");
+            reportOutcome("served");
         }
 
         @Override
         public void onRefused(long retryAfterUs) {
-            tell("refused");
+            reportOutcome("refused");
         }
 
         @Override
         public void onFailed() {
-            tell("failed");
+            reportOutcome("failed");
         }
 
         @Override
         public void onInternalError() {
-            tell("broken");
+            reportOutcome("broken");
         }
 
-        private void tell(String what) {
-            assertTrue(end.complete(what), "one answer");
+        private void reportOutcome(String result) {
+            assertTrue(outcome.complete(result), "a request has only one outcome");
         }
 
         String get() throws Exception {
-            return end.get(20, TimeUnit.SECONDS);
+            return outcome.get(20, TimeUnit.SECONDS);
         }
     }
 
-    /** Servers s0, s1, ... on the list; a port that is 0 has nobody behind it. */
-    private void start(int servers) throws Exception {
+    /** Starts an engine with this number of servers, listed as s0, s1 and so on. */
+    private void start(int serverCount) throws Exception {
         Settings settings = new Settings();
         settings.zones.add("here");
-        for (RetrySafety repeat : List.of(RetrySafety.SAFE, RetrySafety.UNSAFE)) {
+        for (RetrySafety retrySafety : List.of(RetrySafety.SAFE, RetrySafety.UNSAFE)) {
             settings.classes.add(
-                    new RequestClass(repeat.name(), 1_000_000, 0, 5_000_000, 1, 0, repeat, null, 0, false));
+                    new RequestClass(retrySafety.name(), 1_000_000, 0, 5_000_000, 1, 0, retrySafety, null, 0, false));
         }
         settings.maxAttempts = 4;
         settings.cancellationAllowed = true;
@@ -134,12 +137,12 @@
         Log log = new Log() {
             @Override
             public void info(String text) {
-                lines.add(text);
+                logLines.add(text);
             }
 
             @Override
             public void error(String what, Throwable cause) {
-                lines.add(what + ": " + cause);
+                logLines.add(what + ": " + cause);
             }
         };
         pool = new ServerPool<>(
@@ -161,7 +164,7 @@
                 log,
                 actions -> new ServiceQBalancer(settings, 7, actions));
         List<HostList.Host> hosts = new ArrayList<>();
-        for (int i = 0; i < servers; i++) {
+        for (int i = 0; i < serverCount; i++) {
             OrderDatabase database = OrderDatabase.start(NATIVE, null);
             databases.add(database);
             hosts.add(new HostList.Host(new ServerEntry("s" + i, 0, 0, ServerState.READY, 1, 0), database.address()));
@@ -171,15 +174,16 @@
                 .sync();
     }
 
-    private Told ask(int classIndex, String sql) {
+    private RecordingClient send(int classIndex, String sql) {
         byte[] text = sql.getBytes(StandardCharsets.UTF_8);
         byte[] payload = new byte[1 + text.length];
         payload[0] = 3;
         System.arraycopy(text, 0, payload, 1, text.length);
-        Command command = new Command("c" + ++asked, classIndex, -1, 4_000_000, ResponseType.RESULT_SETS, payload);
-        Told told = new Told();
-        loop.execute(() -> engine.dispatch(engine.accept(told, command)));
-        return told;
+        Command command =
+                new Command("c" + ++requestCount, classIndex, -1, 4_000_000, ResponseType.RESULT_SETS, payload);
+        RecordingClient client = new RecordingClient();
+        loop.execute(() -> engine.dispatch(engine.accept(client, command)));
+        return client;
     }
 
     private int inserts() {
@@ -191,104 +195,104 @@
     }
 
     @Test
-    void oneAfterTheOtherGoOverOneConnectionThatLogsInOnce() throws Exception {
+    void sequentialCommandsShareOneConnection() throws Exception {
         start(1);
-        for (int i = 1; i <= ASKED; i++) {
-            Told insert = ask(NEVER_TWICE, INSERT);
+        for (int i = 1; i <= REQUEST_COUNT; i++) {
+            RecordingClient insert = send(NEVER_TWICE, INSERT);
             assertEquals("served", insert.get());
-            assertEquals(List.of(0), insert.firstBytes, "an OK");
+            assertEquals(List.of(0), insert.firstBytes, "header of an OK packet");
             assertEquals(i, inserts());
-            Told rows = ask(SAFE, "SELECT 1000 ROWS");
+            RecordingClient rows = send(SAFE, "SELECT 1000 ROWS");
             assertEquals("served", rows.get());
-            assertTrue(rows.begun && rows.bytes > 1_000, "rows came");
+            assertTrue(rows.started && rows.bytes > 1_000, "rows were received");
         }
         assertEquals(1, logins());
     }
 
     @Test
-    void anErrorAboutAStatementIsItsAnswerAndTriedNowhereElse() throws Exception {
+    void statementErrorIsTheResponseAndIsNotRetried() throws Exception {
         start(2);
-        AtomicInteger tries = new AtomicInteger();
+        AtomicInteger attemptCount = new AtomicInteger();
         for (OrderDatabase database : databases) {
             database.script(sql -> {
-                tries.incrementAndGet();
+                attemptCount.incrementAndGet();
                 return new Fault.Error(1062, "23000", "Duplicate entry");
             });
         }
-        for (int i = 1; i <= ASKED; i++) {
-            Told told = ask(i % 2, i % 2 == NEVER_TWICE ? INSERT : "SELECT 1 ROWS");
-            assertEquals("served", told.get());
-            assertEquals(List.of(0xff), told.firstBytes, "an ERR");
-            assertEquals(i, tries.get());
+        for (int i = 1; i <= REQUEST_COUNT; i++) {
+            RecordingClient client = send(i % 2, i % 2 == NEVER_TWICE ? INSERT : "SELECT 1 ROWS");
+            assertEquals("served", client.get());
+            assertEquals(List.of(0xff), client.firstBytes, "header of an ERR packet");
+            assertEquals(i, attemptCount.get());
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1053, 1290, 1226})
-    void anErrorAboutTheServerPassesAReadOnAndNoWrite(int code) throws Exception {
+    void serverErrorRetriesReadsButNotWrites(int code) throws Exception {
         start(2);
         databases.get(0).script(sql -> new Fault.Error(code, "08S01", "not here"));
-        int failed = 0;
-        for (int i = 0; i < ASKED; i++) {
-            assertEquals("served", ask(SAFE, "SELECT 1 ROWS").get());
-            // With its error it may have run all the same.
-            failed += ask(NEVER_TWICE, INSERT).get().equals("failed") ? 1 : 0;
+        int failedCount = 0;
+        for (int i = 0; i < REQUEST_COUNT; i++) {
+            assertEquals("served", send(SAFE, "SELECT 1 ROWS").get());
+            // A write may have run in spite of the error.
+            failedCount += send(NEVER_TWICE, INSERT).get().equals("failed") ? 1 : 0;
         }
-        assertTrue(failed > 0, "the bad one got some");
-        assertEquals(ASKED - failed, inserts());
+        assertTrue(failedCount > 0, "the failing server got some requests");
+        assertEquals(REQUEST_COUNT - failedCount, inserts());
     }
 
-    /** The OK has 11 bytes with its header; the last of them ends it. */
+    /** The OK packet has 11 bytes with its header; only the last one completes it. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void aWriteWhoseAnswerBreaksOffIsNeverSentTwiceAndAReadIsServedElsewhere(int bytes) throws Exception {
+    void truncatedResponseRetriesReadsButNotWrites(int bytes) throws Exception {
         start(2);
-        AtomicInteger tries = new AtomicInteger();
+        AtomicInteger attemptCount = new AtomicInteger();
         for (OrderDatabase database : databases) {
             database.script(sql -> {
-                tries.incrementAndGet();
+                attemptCount.incrementAndGet();
                 return new Fault.BreakOff(Long.MAX_VALUE, bytes);
             });
         }
-        assertEquals("failed", ask(NEVER_TWICE, INSERT).get());
-        assertEquals(1, tries.get());
-        assertEquals(1, inserts(), "the drop fell between commit and OK");
-        // A read whose first packet never came whole: the count of columns has 5 bytes with its header.
+        assertEquals("failed", send(NEVER_TWICE, INSERT).get());
+        assertEquals(1, attemptCount.get());
+        assertEquals(1, inserts(), "the connection dropped between commit and OK");
+        // A read whose first packet is truncated: the column count has 5 bytes with its header.
         databases.get(0).script(sql -> {
-            tries.incrementAndGet();
+            attemptCount.incrementAndGet();
             return new Fault.BreakOff(Long.MAX_VALUE, bytes % 5);
         });
         databases.get(1).script(sql -> new Fault.None());
-        for (int i = 0; i < ASKED; i++) {
-            assertEquals("served", ask(SAFE, "SELECT 3 ROWS").get());
+        for (int i = 0; i < REQUEST_COUNT; i++) {
+            assertEquals("served", send(SAFE, "SELECT 3 ROWS").get());
         }
-        assertTrue(tries.get() > 1, "the bad one got some");
+        assertTrue(attemptCount.get() > 1, "the failing server got some requests");
     }
 
     @Test
-    void rowsThatBreakOffOnceTheyArePassedOnAreTriedNowhereElse() throws Exception {
+    void truncatedRowsAreNotRetriedOnceStreamed() throws Exception {
         start(2);
-        for (int at = 1; at < 6; at++) {
-            int packets = at;
-            AtomicInteger tries = new AtomicInteger();
+        for (int packetIndex = 1; packetIndex < 6; packetIndex++) {
+            int packets = packetIndex;
+            AtomicInteger attemptCount = new AtomicInteger();
             for (OrderDatabase database : databases) {
                 database.script(sql -> {
-                    tries.incrementAndGet();
+                    attemptCount.incrementAndGet();
                     return new Fault.BreakOff(packets, Long.MAX_VALUE);
                 });
             }
-            Told rows = ask(SAFE, "SELECT 3 ROWS");
-            assertEquals("failed", rows.get(), "behind packet " + at);
-            assertTrue(rows.begun);
-            assertEquals(1, tries.get());
+            RecordingClient rows = send(SAFE, "SELECT 3 ROWS");
+            assertEquals("failed", rows.get(), "truncated after packet " + packetIndex);
+            assertTrue(rows.started);
+            assertEquals(1, attemptCount.get());
         }
     }
 
     @Test
-    void whereNobodyListensNothingRanAndTheRefusalSaysSo() throws Exception {
+    void unreachableServerRefusesTheCommand() throws Exception {
         start(1);
         databases.get(0).close();
-        assertEquals("refused", ask(NEVER_TWICE, INSERT).get());
+        assertEquals("refused", send(NEVER_TWICE, INSERT).get());
         assertEquals(0, inserts());
     }
 }
--- a/src/test/java/kitemux/mysql/AnswerTrackerTest.java
+++ b/src/test/java/kitemux/mysql/ResponseTrackerTest.java
@@ -18,8 +18,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 
-/** Where answers end, whatever their rows hold. */
-class AnswerTrackerTest {
+/** Detection of the end of a response, whatever its rows contain. */
+class ResponseTrackerTest {
     private static final String SEED = "43";
     private static final int STATUS = OkPacket.AUTOCOMMIT;
 
@@ -47,7 +47,7 @@
         return ByteBufUtil.getBytes(out);
     }
 
-    /** Rows of text that begin as all else may begin: NULL, an empty field, a field of 254 bytes and more. */
+    /** Text rows that begin like other packets: with NULL, an empty field, or the length of a long field. */
     private static byte[] row(SplittableRandom random) {
         return switch (random.nextInt(5)) {
             case 0 -> bytes(Fields.NULL, 0);
@@ -62,37 +62,37 @@
         };
     }
 
-    /** An answer of one to three results, as a server writes it. */
-    private static List<byte[]> results(SplittableRandom random, long capabilities, boolean fails) {
-        boolean eofs = !Capabilities.has(capabilities, Capabilities.DEPRECATE_EOF);
-        List<byte[]> all = new ArrayList<>();
+    /** A response of one to three results, as a server writes it. */
+    private static List<byte[]> results(SplittableRandom random, long capabilities, boolean endsWithError) {
+        boolean usesEofPackets = !Capabilities.has(capabilities, Capabilities.DEPRECATE_EOF);
+        List<byte[]> payloads = new ArrayList<>();
         int results = random.nextInt(1, 4);
         for (int i = 0; i < results; i++) {
             int status = STATUS | (i < results - 1 ? OkPacket.MORE_RESULTS : 0);
-            if (random.nextInt(3) == 0 && !(fails && i == results - 1)) {
-                all.add(ok(OkPacket.HEADER, status, capabilities));
+            if (random.nextInt(3) == 0 && !(endsWithError && i == results - 1)) {
+                payloads.add(ok(OkPacket.HEADER, status, capabilities));
                 continue;
             }
             int columns = random.nextInt(1, 5);
-            all.add(bytes(columns));
+            payloads.add(bytes(columns));
             for (int c = 0; c < columns; c++) {
-                all.add(bytes(3, 'd', 'e', 'f', 0));
+                payloads.add(bytes(3, 'd', 'e', 'f', 0));
             }
-            if (eofs) {
-                all.add(eof(STATUS));
+            if (usesEofPackets) {
+                payloads.add(eof(STATUS));
             }
             for (int r = random.nextInt(4); r > 0; r--) {
-                all.add(row(random));
+                payloads.add(row(random));
             }
-            all.add(
-                    fails && i == results - 1
+            payloads.add(
+                    endsWithError && i == results - 1
                             ? error()
-                            : eofs ? eof(status) : ok(OkPacket.RESULT_END_HEADER, status, capabilities));
+                            : usesEofPackets ? eof(status) : ok(OkPacket.RESULT_END_HEADER, status, capabilities));
         }
-        return all;
+        return payloads;
     }
 
-    private static void play(ResponseTracker tracker, byte[] payload) {
+    private static void feed(ResponseTracker tracker, byte[] payload) {
         int first = payload.length == 0 ? -1 : payload[0] & 0xff;
         if (tracker.beginPayload(first, payload.length)) {
             tracker.inspect(Unpooled.wrappedBuffer(payload));
@@ -102,98 +102,103 @@
     }
 
     @Property(seed = SEED, tries = 3_000)
-    void resultsEndWithTheirLastPacketAndNotBefore(
-            @ForAll long seed, @ForAll boolean eofs, @ForAll boolean tracks, @ForAll boolean fails) {
-        long capabilities = (eofs ? 0 : Capabilities.DEPRECATE_EOF) | (tracks ? Capabilities.SESSION_TRACK : 0);
-        List<byte[]> answer = results(new SplittableRandom(seed), capabilities, fails);
+    void responseEndsExactlyWithItsLastPacket(
+            @ForAll long seed,
+            @ForAll boolean usesEofPackets,
+            @ForAll boolean tracksSession,
+            @ForAll boolean endsWithError) {
+        long capabilities =
+                (usesEofPackets ? 0 : Capabilities.DEPRECATE_EOF) | (tracksSession ? Capabilities.SESSION_TRACK : 0);
+        List<byte[]> response = results(new SplittableRandom(seed), capabilities, endsWithError);
         ResponseTracker tracker = new ResponseTracker(ResponseType.RESULT_SETS, capabilities);
         assertFalse(tracker.hasStarted());
-        for (byte[] payload : answer) {
+        for (byte[] payload : response) {
             assertEquals(null, tracker.completion());
-            play(tracker, payload);
+            feed(tracker, payload);
             assertTrue(tracker.hasStarted());
         }
-        assertEquals(fails ? Completion.ERROR : Completion.OK, tracker.completion());
+        assertEquals(endsWithError ? Completion.ERROR : Completion.OK, tracker.completion());
         assertEquals(
-                fails ? 1317 : 0, tracker.error() == null ? 0 : tracker.error().code());
-        assertThrows(ProtocolException.class, () -> tracker.beginPayload(0, 7), "nothing comes behind the end");
+                endsWithError ? 1317 : 0,
+                tracker.error() == null ? 0 : tracker.error().code());
+        assertThrows(ProtocolException.class, () -> tracker.beginPayload(0, 7), "no payload may follow the end");
     }
 
     @Property(seed = SEED)
-    void whatIsSaidOfAPreparedStatementEndsWithItsColumns(@ForAll boolean eofs, @ForAll long seed) {
+    void prepareResponseEndsWithItsColumnDefinitions(@ForAll boolean usesEofPackets, @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int columns = random.nextInt(4);
         int parameters = random.nextInt(4);
-        List<byte[]> answer = new ArrayList<>();
-        answer.add(bytes(0, 9, 1, 0, 0, columns, 0, parameters, 0, 0, 0, 0));
+        List<byte[]> response = new ArrayList<>();
+        response.add(bytes(0, 9, 1, 0, 0, columns, 0, parameters, 0, 0, 0, 0));
         for (int count : new int[] {parameters, columns}) {
             for (int i = 0; i < count; i++) {
-                answer.add(bytes(3, 'd', 'e', 'f'));
+                response.add(bytes(3, 'd', 'e', 'f'));
             }
-            if (eofs && count > 0) {
-                answer.add(eof(STATUS));
+            if (usesEofPackets && count > 0) {
+                response.add(eof(STATUS));
             }
         }
         ResponseTracker tracker =
-                new ResponseTracker(ResponseType.PREPARED_STATEMENT, eofs ? 0 : Capabilities.DEPRECATE_EOF);
-        for (byte[] payload : answer) {
+                new ResponseTracker(ResponseType.PREPARED_STATEMENT, usesEofPackets ? 0 : Capabilities.DEPRECATE_EOF);
+        for (byte[] payload : response) {
             assertEquals(null, tracker.completion());
-            play(tracker, payload);
+            feed(tracker, payload);
         }
         assertEquals(Completion.OK, tracker.completion());
         assertEquals(265, tracker.statementId());
     }
 
     @Example
-    void aRowThatBeginsLikeAnEndIsARowIfItIsLong() {
+    void longRowWithTheEndHeaderIsARow() {
         for (long capabilities : new long[] {0, Capabilities.DEPRECATE_EOF}) {
             ResponseTracker tracker = new ResponseTracker(ResponseType.RESULT_SETS, capabilities);
-            play(tracker, bytes(1));
-            play(tracker, bytes(3, 'd', 'e', 'f'));
+            feed(tracker, bytes(1));
+            feed(tracker, bytes(3, 'd', 'e', 'f'));
             if (capabilities == 0) {
-                play(tracker, eof(STATUS));
+                feed(tracker, eof(STATUS));
             }
-            assertFalse(tracker.beginPayload(0xfe, 1 << 25), "a field of 16 MiB and more");
+            assertFalse(tracker.beginPayload(0xfe, 1 << 25), "a row with a field of at least 16 MiB");
             tracker.skipPayload();
             assertEquals(null, tracker.completion());
-            play(tracker, capabilities == 0 ? eof(STATUS) : ok(OkPacket.RESULT_END_HEADER, STATUS, capabilities));
+            feed(tracker, capabilities == 0 ? eof(STATUS) : ok(OkPacket.RESULT_END_HEADER, STATUS, capabilities));
             assertEquals(Completion.OK, tracker.completion());
             assertEquals(STATUS, tracker.status());
         }
     }
 
     @Example
-    void whatMayNotStandWhereItStandsIsAFault() {
+    void misplacedPayloadsAreRejected() {
         assertThrows(
                 ProtocolException.class,
-                () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(0xfb, 'f')),
-                "a server that asks for a file of the client's");
+                () -> feed(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(0xfb, 'f')),
+                "LOCAL INFILE request of a server");
         assertThrows(
                 ProtocolException.class,
-                () -> play(new ResponseTracker(ResponseType.STATUS_ONLY, 0), bytes(1)),
-                "rows of a ping");
-        assertThrows(ProtocolException.class, () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes()));
+                () -> feed(new ResponseTracker(ResponseType.STATUS_ONLY, 0), bytes(1)),
+                "result set as response to a ping");
+        assertThrows(ProtocolException.class, () -> feed(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes()));
         assertThrows(
-                ProtocolException.class, () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(1, 1)));
+                ProtocolException.class, () -> feed(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(1, 1)));
         assertThrows(
                 ProtocolException.class,
-                () -> play(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(0xfe, 0, 0, 0, 0, 1, 0, 0, 0)),
-                "more columns than any table has");
+                () -> feed(new ResponseTracker(ResponseType.RESULT_SETS, 0), bytes(0xfe, 0, 0, 0, 0, 1, 0, 0, 0)),
+                "column count above the limit");
         ResponseTracker tracker = new ResponseTracker(ResponseType.RESULT_SETS, 0);
-        play(tracker, bytes(1));
-        play(tracker, bytes(3, 'd', 'e', 'f'));
-        assertThrows(ProtocolException.class, () -> play(tracker, bytes(1, 'x')), "a row where an EOF is due");
+        feed(tracker, bytes(1));
+        feed(tracker, bytes(3, 'd', 'e', 'f'));
+        assertThrows(ProtocolException.class, () -> feed(tracker, bytes(1, 'x')), "row in place of an EOF packet");
     }
 
     @Property(seed = SEED, tries = 5_000)
-    void garbageEndsOrIsAFault(
+    void arbitraryPayloadsEndTheResponseOrAreRejected(
             @ForAll @Size(max = 12) List<@Size(max = 14) byte[]> payloads,
             @ForAll ResponseType form,
-            @ForAll boolean eofs) {
-        ResponseTracker tracker = new ResponseTracker(form, eofs ? 0 : Capabilities.DEPRECATE_EOF);
+            @ForAll boolean usesEofPackets) {
+        ResponseTracker tracker = new ResponseTracker(form, usesEofPackets ? 0 : Capabilities.DEPRECATE_EOF);
         try {
             for (byte[] payload : payloads) {
-                play(tracker, payload);
+                feed(tracker, payload);
             }
         } catch (ProtocolException fault) {
             assertEquals(ProtocolException.Kind.MALFORMED, fault.kind());
--- a/src/test/java/kitemux/mysql/StatementTest.java
+++ b/src/test/java/kitemux/mysql/StatementTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a statement's text says of whether it may run again, and of its session. */
+/** Classification of statements as reads, and their effects on the session. */
 class StatementTest {
-    /** So that each run tries the same. */
+    /** Fixed, so that each run tries the same inputs. */
     private static final String SEED = "41";
 
     @ParameterizedTest
@@ -41,7 +41,7 @@
                 "SELECT 1e5, 0x1f FROM t LIMIT 10 OFFSET 3",
                 "SELECT 'a\\n' FROM t"
             })
-    void reads(String sql) {
+    void readsAreRecognized(String sql) {
         Statement statement = Statement.analyze(sql);
         assertTrue(statement.isReadOnly(), sql);
         assertEquals(Set.of(), statement.traits(), sql);
@@ -87,7 +87,7 @@
                 "SET x = 1",
                 "garbage"
             })
-    void whatIsNotSurelyARead(String sql) {
+    void possibleWritesAreNotReads(String sql) {
         assertFalse(Statement.analyze(sql).isReadOnly(), sql);
     }
 
@@ -120,13 +120,13 @@
                 "SELECT LAST_INSERT_ID() | READS_SESSION_STATE",
                 "/*!40101 SET autocommit=0 */ | PINS_SESSION"
             })
-    void whatItDoesToItsSession(String sql, Trait trait) {
+    void sessionTraitsAreRecognized(String sql, Trait trait) {
         assertEquals(Set.of(trait), Statement.analyze(sql).traits(), sql);
         assertFalse(Statement.analyze(sql).isReadOnly(), sql);
     }
 
     @Property(seed = SEED, tries = 2_000)
-    void noTextFailsAndNothingBehindAReadMakesAWriteARead(@ForAll @StringLength(max = 60) String text) {
+    void arbitraryTextNeverTurnsAWriteIntoARead(@ForAll @StringLength(max = 60) String text) {
         Statement.analyze(text);
         assertFalse(Statement.analyze("INSERT INTO t VALUES (1) " + text).isReadOnly());
         assertFalse(
@@ -136,7 +136,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {Statement.MAX_ANALYZED_CHARS - 20, Statement.MAX_ANALYZED_CHARS})
-    void aTextThatIsTooLongToLookAtIsNoRead(int length) {
+    void overlongTextIsNotARead(int length) {
         Statement statement = Statement.analyze("SELECT 1 " + " ".repeat(length));
         assertEquals(length < Statement.MAX_ANALYZED_CHARS, statement.isReadOnly());
     }
--- a/src/test/java/kitemux/peers/DatagramTest.java
+++ b/src/test/java/kitemux/peers/DatagramTest.java
@@ -15,20 +15,20 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Messages as bytes, and bytes that are none. */
+/** Encoding and decoding of messages, and rejection of invalid datagrams. */
 class DatagramTest {
     private static final int FLEET = 42;
 
     @Provide
     Arbitrary<Message> messages() {
         Arbitrary<Integer> nodes = Arbitraries.integers().between(0, 65_535);
-        Arbitrary<Long> lives = Arbitraries.longs().between(0, (1L << 48) - 1);
-        Arbitrary<MemberRecord> beliefs = Combinators.combine(
-                        nodes, lives, Arbitraries.integers(), Arbitraries.of(MemberState.class), nodes)
+        Arbitrary<Long> generations = Arbitraries.longs().between(0, (1L << 48) - 1);
+        Arbitrary<MemberRecord> members = Combinators.combine(
+                        nodes, generations, Arbitraries.integers(), Arbitraries.of(MemberState.class), nodes)
                 .as(MemberRecord::new);
-        Arbitrary<Update> words = Combinators.combine(
+        Arbitrary<Update> updates = Combinators.combine(
                         nodes,
-                        lives,
+                        generations,
                         Arbitraries.integers().between(0, 255),
                         Arbitraries.integers(),
                         nodes,
@@ -37,16 +37,16 @@
         return Combinators.combine(
                         Arbitraries.of(Message.Kind.class),
                         nodes,
-                        lives,
+                        generations,
                         Arbitraries.integers(),
                         nodes,
-                        beliefs.list().ofMaxSize(5),
-                        words.list().ofMaxSize(2))
+                        members.list().ofMaxSize(5),
+                        updates.list().ofMaxSize(2))
                 .as(Message::new);
     }
 
     @Property(tries = 300)
-    void whatIsWrittenIsRead(@ForAll("messages") Message message) {
+    void encodedMessagesDecodeToTheSameMessage(@ForAll("messages") Message message) {
         byte[] bytes = Datagram.write(message, FLEET);
         assertEquals(message, Datagram.read(bytes, FLEET).message());
         assertEquals(
@@ -54,24 +54,24 @@
     }
 
     @Property(tries = 100)
-    void whatIsSpoiltOrCutAnywhereIsTold(@ForAll("messages") Message message) {
+    void corruptedAndTruncatedDatagramsAreRejected(@ForAll("messages") Message message) {
         byte[] bytes = Datagram.write(message, FLEET);
         for (int i = 0; i < bytes.length; i++) {
-            byte[] spoilt = bytes.clone();
-            spoilt[i] ^= 0x10;
-            assertNotNull(Datagram.read(spoilt, FLEET).error(), "byte " + i);
-            assertNull(Datagram.read(Arrays.copyOf(bytes, i), FLEET).message(), "cut at " + i);
+            byte[] corrupted = bytes.clone();
+            corrupted[i] ^= 0x10;
+            assertNotNull(Datagram.read(corrupted, FLEET).error(), "corrupted byte " + i);
+            assertNull(Datagram.read(Arrays.copyOf(bytes, i), FLEET).message(), "truncated to bytes " + i);
         }
         assertNull(Datagram.read(Arrays.copyOf(bytes, bytes.length + 1), FLEET).message());
     }
 
     @Property(tries = 500)
-    void anyBytesAreReadWithoutAnException(@ForAll byte[] bytes) {
+    void arbitraryBytesAreRejectedWithoutAnException(@ForAll byte[] bytes) {
         assertNull(Datagram.read(bytes, FLEET).message());
     }
 
     @Test
-    void anotherVersionIsToldApart() {
+    void unsupportedVersionIsReported() {
         byte[] bytes = Datagram.write(new Message(Message.Kind.PING, 1, 2, 3, 0, List.of(), List.of()), FLEET);
         assertEquals(Datagram.HEADER_BYTES, bytes.length);
         bytes[0]++;
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void laterLivesAndIncarnationsHoldAndNobodyReturnsFromLeaving() {
+    void laterGenerationsAndIncarnationsTakePrecedenceAndLeavingIsFinal() {
         MemberRecord alive = new MemberRecord(1, 10, 2, MemberState.ALIVE, 1);
         assertTrue(alive.withState(MemberState.SUSPECT, 0).overrides(alive));
         assertTrue(alive.withState(MemberState.GONE, 0).overrides(alive.withState(MemberState.SUSPECT, 0)));
--- a/src/test/java/kitemux/soak/SoakTest.java
+++ b/src/test/java/kitemux/soak/SoakTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A short soak of this build's node. */
+/** Short soak runs of this build's node. */
 class SoakTest {
-    private static final int CHANGES = 3;
+    private static final int CHANGE_COUNT = 3;
 
     @TempDir
     private Path folder;
 
-    private static ProcessBuilder node() {
+    private static ProcessBuilder newNodeProcess() {
         return new ProcessBuilder(
                 ProcessHandle.current().info().command().orElseThrow(),
                 "-XX:TieredStopAtLevel=1",
@@ -27,12 +27,15 @@
                 "node");
     }
 
-    /** Guards against requests that an ending process has read and leaves with no answer. */
+    /** Guards against requests that a terminating process has read and never answers. */
     @ParameterizedTest
     @CsvSource({"2,true", "3,true", "5,true", "6,true", "2,false", "4,false"})
-    void noRuleIsBrokenWhileProcessesAreChanged(long seed, boolean upgradesOnly) throws Exception {
-        Soak.Result result = Soak.run(SoakTest::node, true, seed, upgradesOnly, CHANGES, folder);
-        assertTrue(result.requests() > 0, "nobody asked");
-        assertEquals(List.of(), result.violations(), () -> "the player was late by " + result.maxLatenessMs() + " ms");
+    void processChangesBreakNoRule(long seed, boolean upgradesOnly) throws Exception {
+        Soak.Result result = Soak.run(SoakTest::newNodeProcess, true, seed, upgradesOnly, CHANGE_COUNT, folder);
+        assertTrue(result.requests() > 0, "no requests were sent");
+        assertEquals(
+                List.of(),
+                result.violations(),
+                () -> "the run was behind its schedule by " + result.maxLatenessMs() + " ms");
     }
 }
--- /dev/null
+++ b/src/test/java/kitemux/soak/SoakVerifierTest.java
@@ -0,0 +1,102 @@
+package kitemux.soak;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Violations that the verifier finds, and behaviour that it accepts. */
+class SoakVerifierTest {
+    private static final long SENT_US = 10_000_000;
+    private static final long DEADLINE_US = 400_000;
+
+    private static Request request(int classIndex, Request.Outcome outcome, long endedAfterUs) {
+        return new Request("t", classIndex, SENT_US, DEADLINE_US, true, outcome, SENT_US + endedAfterUs);
+    }
+
+    private static SoakServer.Arrival arrival(long afterUs, long remainingUs) {
+        return new SoakServer.Arrival("t", SENT_US + afterUs, remainingUs);
+    }
+
+    private static String findRule(
+            Request request,
+            List<SoakServer.Arrival> arrivals,
+            List<String> traces,
+            List<SoakVerifier.UnannouncedKill> kills) {
+        List<SoakVerifier.Violation> violations = SoakVerifier.verify(List.of(request), arrivals, traces, kills);
+        return violations.isEmpty() ? "nothing" : violations.get(0).rule();
+    }
+
+    @Test
+    void unansweredRequestIsLostOnlyIfTheNodeReadIt() {
+        Request brokenRequest = request(0, Request.Outcome.BROKEN, 100_000);
+        assertEquals(
+                "nothing", findRule(brokenRequest, List.of(), List.of(), List.of()), "not seen by any server or trace");
+        assertEquals("lost", findRule(brokenRequest, List.of(arrival(1_000, DEADLINE_US)), List.of(), List.of()));
+        assertEquals(
+                "lost",
+                findRule(brokenRequest, List.of(), List.of("10001000 request t taken, 400000 us left"), List.of()));
+        assertEquals("lost", findRule(request(0, Request.Outcome.SILENT, 900_000), List.of(), List.of(), List.of()));
+    }
+
+    @Test
+    void requestHeldAtAnUnannouncedKillIsNotLost() {
+        Request brokenRequest = request(0, Request.Outcome.BROKEN, 100_000);
+        List<SoakServer.Arrival> arrivals = List.of(arrival(1_000, DEADLINE_US));
+        assertEquals(
+                "nothing",
+                findRule(
+                        brokenRequest,
+                        arrivals,
+                        List.of(),
+                        List.of(new SoakVerifier.UnannouncedKill(SENT_US + 99_000))));
+        assertEquals(
+                "lost",
+                findRule(brokenRequest, arrivals, List.of(), List.of(new SoakVerifier.UnannouncedKill(SENT_US - 1))));
+    }
+
+    @Test
+    void unsafeRequestMustNotReachServersTwice() {
+        List<SoakServer.Arrival> arrivals = List.of(arrival(1_000, 300_000), arrival(50_000, 300_000));
+        assertEquals("nothing", findRule(request(0, Request.Outcome.SERVED, 100_000), arrivals, List.of(), List.of()));
+        assertEquals(
+                "run twice",
+                findRule(
+                        request(Request.UNSAFE_CLASS_INDEX, Request.Outcome.SERVED, 100_000),
+                        arrivals,
+                        List.of(),
+                        List.of()));
+    }
+
+    @Test
+    void announcedDeadlineMayExceedTheRemainingTimeByTheSlackOnly() {
+        Request served = request(0, Request.Outcome.SERVED, 300_000);
+        assertEquals("nothing", findRule(served, List.of(arrival(200_000, 350_000)), List.of(), List.of()));
+        assertEquals(
+                "announced deadline too long",
+                findRule(served, List.of(arrival(200_000, 350_001)), List.of(), List.of()));
+    }
+
+    @Test
+    void noAttemptBeginsAfterTheClientDisconnected() {
+        Request abandoned = request(0, Request.Outcome.LEFT, 100_000);
+        assertEquals(
+                "nothing",
+                findRule(
+                        abandoned,
+                        List.of(),
+                        List.of("10200000 request t attempt 1 to s0, 100000 us left"),
+                        List.of()));
+        assertEquals(
+                "attempt begun after the client disconnected",
+                findRule(
+                        abandoned,
+                        List.of(),
+                        List.of("10200001 request t attempt 1 to s0, 100000 us left"),
+                        List.of()));
+        assertEquals(
+                "nothing",
+                findRule(abandoned, List.of(), List.of("10200001 request t attempt 1 ended CANCELLED"), List.of()),
+                "the end of an attempt is not its beginning");
+    }
+}
