--- a/src/main/java/kitemux/mysql/BackendConnection.java
+++ b/src/main/java/kitemux/mysql/BackendConnection.java
@@ -72,7 +72,7 @@
     }
 
     private enum Phase {
-        GREETING,
+        HANDSHAKE,
         LOGIN,
         IDLE,
         BUSY,
@@ -84,7 +84,7 @@
     private final PacketDecoder decoder;
     private Channel channel;
     private PayloadAssembler assembler;
-    private Phase phase = Phase.GREETING;
+    private Phase phase = Phase.HANDSHAKE;
     private byte[] nonce;
     private long capabilities;
     private int status;
@@ -209,7 +209,7 @@
             handleResponsePart(part);
             return;
         }
-        if (phase != Phase.GREETING && phase != Phase.LOGIN) {
+        if (phase != Phase.HANDSHAKE && phase != Phase.LOGIN) {
             // Unsolicited data: whatever follows could not be told apart from a response.
             part.bytes().release();
             close();
@@ -218,7 +218,7 @@
         ByteBuf payload = assembler.add(part);
         if (payload != null) {
             try {
-                if (phase == Phase.GREETING) {
+                if (phase == Phase.HANDSHAKE) {
                     handleHandshake(InitialHandshake.read(payload));
                 } else {
                     continueLogin(payload);
@@ -391,7 +391,7 @@
     }
 
     private void failLogin(String reason, ErrPacket error) {
-        if (phase == Phase.GREETING || phase == Phase.LOGIN) {
+        if (phase == Phase.HANDSHAKE || phase == Phase.LOGIN) {
             phase = Phase.CLOSED;
             channel.close();
             loginListener.onLoginFailed(reason, error);
--- a/src/main/java/kitemux/mysql/Statement.java
+++ b/src/main/java/kitemux/mysql/Statement.java
@@ -29,9 +29,10 @@
         READS_SESSION_STATE
     }
 
-    /** Tokens of an opening parenthesis: directly after a word, and anywhere else. */
+    /** Token of an opening parenthesis that directly follows a word, as in a function call. */
     private static final String CALL_PARENTHESIS = "(";
 
+    /** Token of any other opening parenthesis. */
     private static final String DETACHED_PARENTHESIS = " (";
 
     /** Longer texts are not analyzed and count as writes; this limits the time on the event loop. */
--- a/src/main/java/kitemux/peers/Membership.java
+++ b/src/main/java/kitemux/peers/Membership.java
@@ -19,7 +19,7 @@
  * replaced it.
  */
 public final class Membership {
-    /** Maximum of the local health score, which stretches the timeouts by up to this factor plus 1. */
+    /** Maximum of the local health score; this node multiplies its own timeouts by the score plus 1. */
     private static final int MAX_LOCAL_HEALTH_SCORE = 8;
     /** Confirmations that reduce the suspicion timeout to its minimum. */
     private static final int MAX_CONFIRMATION_COUNT = 3;
--- a/src/main/java/kitemux/peers/MembershipConfig.java
+++ b/src/main/java/kitemux/peers/MembershipConfig.java
@@ -11,8 +11,8 @@
  * @param probePeriodUs time between two probes that this node sends, each to another node
  * @param probeTimeoutUs time without an answer after which a probe is repeated through other nodes
  * @param indirectProbes number of other nodes that are asked to ping the target
- * @param suspicionMultiplier factor of the minimum suspicion timeout: it is multiplied by the probe period and
- *     by the logarithm of the fleet's size
+ * @param suspicionMultiplier minimum suspicion timeout in probe periods; it is also multiplied by the decimal
+ *     logarithm of the fleet's size, if that is above 1
  * @param maxDatagramBytes largest datagram that may be sent
  */
 public record MembershipConfig(
--- a/src/main/java/kitemux/soak/Request.java
+++ b/src/main/java/kitemux/soak/Request.java
@@ -15,7 +15,9 @@
  */
 record Request(
         String txn, int classIndex, long sentUs, long remainingUs, boolean usedBefore, Outcome outcome, long endedUs) {
+    /** Names of the request classes. */
     static final List<String> CLASSES = List.of("page", "photo", "order");
+    /** Retry safety of each class, as in the settings of the node. */
     static final List<String> RETRY_SAFETY = List.of("safe", "keyed", "unsafe");
     /** Index of the class whose requests must not run twice. */
     static final int UNSAFE_CLASS_INDEX = 2;
--- a/src/main/java/kitemux/soak/Soak.java
+++ b/src/main/java/kitemux/soak/Soak.java
@@ -56,7 +56,7 @@
     private final ClientGate gate = new ClientGate();
     private final AtomicLong maxLatenessMs = new AtomicLong();
     private int clientPort;
-    private int sigkills;
+    private int sigkillCount;
 
     /**
      * Result of one seed.
@@ -172,7 +172,7 @@
                 plan.seed(),
                 plan.deadlineMs(),
                 requests.size(),
-                sigkills,
+                sigkillCount,
                 SoakVerifier.countUnreadRequests(requests, violations),
                 maxLatenessMs.get(),
                 lines);
@@ -286,7 +286,7 @@
             gate.setHolding(false);
         }
         if (!node.awaitExit(killMs - sinceMs(termNanos))) {
-            sigkills++;
+            sigkillCount++;
             node.sendSignal("KILL");
         }
         node.close();
--- a/src/test/java/kitemux/mysql/ClientLoginTest.java
+++ b/src/test/java/kitemux/mysql/ClientLoginTest.java
@@ -71,18 +71,18 @@
         private final Channel client;
         private final PacketDecoder decoder;
         private final BackendConnection server;
-        private final PayloadAssembler gatherer;
+        private final PayloadAssembler assembler;
 
         Relay(Channel client, PacketDecoder decoder, BackendConnection server) {
             this.client = client;
             this.decoder = decoder;
             this.server = server;
-            gatherer = new PayloadAssembler(client.alloc(), 1 << 20);
+            assembler = new PayloadAssembler(client.alloc(), 1 << 20);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
-            ByteBuf command = gatherer.add((Part) message);
+            ByteBuf command = assembler.add((Part) message);
             if (command == null) {
                 return;
             }
--- a/src/test/java/kitemux/mysql/CodecTest.java
+++ b/src/test/java/kitemux/mysql/CodecTest.java
@@ -59,7 +59,7 @@
     private static List<byte[]> readPayloads(byte[] bytes, List<Integer> chunkSizes, int maxBytes) {
         EmbeddedChannel channel = new EmbeddedChannel(new PacketDecoder());
         List<byte[]> payloads = new ArrayList<>();
-        try (PayloadAssembler gatherer = new PayloadAssembler(ALLOCATOR, maxBytes)) {
+        try (PayloadAssembler assembler = new PayloadAssembler(ALLOCATOR, maxBytes)) {
             int offset = 0;
             for (int i = 0; offset < bytes.length; i++) {
                 int chunkSize = Math.min(chunkSizes.get(i % chunkSizes.size()), bytes.length - offset);
@@ -67,7 +67,7 @@
                 offset += chunkSize;
                 Part part;
                 while ((part = channel.readInbound()) != null) {
-                    ByteBuf whole = gatherer.add(part);
+                    ByteBuf whole = assembler.add(part);
                     if (whole != null) {
                         payloads.add(ByteBufUtil.getBytes(whole));
                         whole.release();
@@ -138,19 +138,19 @@
 
     @Property(seed = SEED)
     void unexpectedSequenceNumberIsRejected(@ForAll @IntRange(min = 1, max = 255) int sequence) {
-        ProtocolException fault = assertThrows(
+        ProtocolException exception = assertThrows(
                 ProtocolException.class, () -> readPayloads(toPackets(new byte[] {1}, sequence), List.of(9), 9));
-        assertEquals(ProtocolException.Kind.OUT_OF_ORDER, fault.kind());
-        assertEquals(1156, fault.toErrPacket().code());
+        assertEquals(ProtocolException.Kind.OUT_OF_ORDER, exception.kind());
+        assertEquals(1156, exception.toErrPacket().code());
     }
 
     @Property(seed = SEED)
     void payloadAboveTheLimitIsRejected(
             @ForAll @IntRange(min = 1, max = 500) int bound, @ForAll @IntRange(min = 1, max = 300) int chunkSize) {
-        ProtocolException fault = assertThrows(
+        ProtocolException exception = assertThrows(
                 ProtocolException.class,
                 () -> readPayloads(toPackets(new byte[bound + 1], 0), List.of(chunkSize), bound));
-        assertEquals(ProtocolException.Kind.TOO_LARGE, fault.kind());
+        assertEquals(ProtocolException.Kind.TOO_LARGE, exception.kind());
         assertEquals(
                 1,
                 readPayloads(toPackets(new byte[bound], 0), List.of(chunkSize), bound)
@@ -289,14 +289,14 @@
         for (Consumer<ByteBuf> reader : readers) {
             try {
                 reader.accept(Unpooled.wrappedBuffer(garbage));
-            } catch (ProtocolException fault) {
-                assertEquals(ProtocolException.Kind.MALFORMED, fault.kind());
+            } catch (ProtocolException exception) {
+                assertEquals(ProtocolException.Kind.MALFORMED, exception.kind());
             }
         }
         try {
             readPayloads(garbage, List.of(7), 150);
-        } catch (ProtocolException fault) {
-            assertTrue(fault.toErrPacket().code() > 0);
+        } catch (ProtocolException exception) {
+            assertTrue(exception.toErrPacket().code() > 0);
         }
     }
 
--- a/src/test/java/kitemux/mysql/ResponseTrackerTest.java
+++ b/src/test/java/kitemux/mysql/ResponseTrackerTest.java
@@ -200,8 +200,8 @@
             for (byte[] payload : payloads) {
                 feed(tracker, payload);
             }
-        } catch (ProtocolException fault) {
-            assertEquals(ProtocolException.Kind.MALFORMED, fault.kind());
+        } catch (ProtocolException exception) {
+            assertEquals(ProtocolException.Kind.MALFORMED, exception.kind());
         }
     }
 }
--- a/src/test/java/kitemux/peers/MembershipTest.java
+++ b/src/test/java/kitemux/peers/MembershipTest.java
@@ -37,7 +37,7 @@
     @Test
     void restartedNodeReplacesItsFormerGeneration() {
         SimulatedFleet fleet = convergedFleet(5, 1);
-        long datagramsBefore = fleet.nodes.get(0).membership.recordOf(2).generation();
+        long generationBefore = fleet.nodes.get(0).membership.recordOf(2).generation();
         fleet.nodes.get(2).kill();
         fleet.run(300_000);
         fleet.nodes.get(2).start();
@@ -50,7 +50,7 @@
                                                         .membership
                                                         .recordOf(2)
                                                         .generation()
-                                                > datagramsBefore))
+                                                > generationBefore))
                 >= 0);
     }
 
