--- a/src/main/java/kitemux/Balancer.java
+++ b/src/main/java/kitemux/Balancer.java
@@ -275,7 +275,7 @@
          */
         public double overloadRatio = 3;
         /** For this long. */
-        public long overloadOutageUs = 2_000_000;
+        public long overloadWindowUs = 2_000_000;
         /** Price of an attempt that crosses zones; 0 if crossing is free. */
         public double crossZonePrice;
         /** Whether a server that served a key lately needs less work to serve it again. */
@@ -293,7 +293,7 @@
             require(
                     tickUs >= 0
                             && warmUpUs >= 0
-                            && overloadOutageUs >= 0
+                            && overloadWindowUs >= 0
                             && drainGraceUs >= 0
                             && connectTimeoutUs >= 0
                             && askWithinUs >= 0
--- a/src/main/java/kitemux/app/ConfigWriter.java
+++ b/src/main/java/kitemux/app/ConfigWriter.java
@@ -96,7 +96,7 @@
         set.coldCapacityRatio = app.rules().coldFrom();
         set.warmUpUs = app.rules().coldFrom() < 1 ? app.rules().coldUs() : 0;
         set.overloadRatio = app.rules().overload();
-        set.overloadOutageUs = app.rules().fallUs();
+        set.overloadWindowUs = app.rules().fallUs();
         app.tenants().forEach(tenant -> set.tenants.add(new Tenant(tenant.name(), app.quotaPerS() * tenant.share())));
         app.classes()
                 .forEach(work -> set.classes.add(new RequestClass(
--- a/src/main/java/kitemux/cli/DrillCommand.java
+++ b/src/main/java/kitemux/cli/DrillCommand.java
@@ -16,7 +16,7 @@
 import kitemux.drill.Scenario;
 import kitemux.drill.ScenarioFile;
 import kitemux.drill.Verdict;
-import kitemux.lab.Loopback;
+import kitemux.lab.LoopbackRun;
 import kitemux.standin.Builds;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -43,14 +43,14 @@
     @Spec
     private CommandSpec spec;
 
-    private final Loopback.Launcher own;
+    private final LoopbackRun.Launcher own;
 
     /** Its nodes are of this build unless another is named. */
     DrillCommand() {
         this(() -> Builds.java(List.of(), ownJar(), "node"));
     }
 
-    DrillCommand(Loopback.Launcher own) {
+    DrillCommand(LoopbackRun.Launcher own) {
         this.own = own;
     }
 
--- a/src/main/java/kitemux/cli/KeepCommand.java
+++ b/src/main/java/kitemux/cli/KeepCommand.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.keeper.KeeperFile;
+import kitemux.keeper.KeeperSettingsParser;
 import kitemux.keeper.KeeperProcess;
 import kitemux.keeper.KeeperSettings;
 import kitemux.node.StderrLog;
@@ -43,7 +43,7 @@
 
     private static KeeperSettings read(Path file, List<String> faults) {
         try {
-            return KeeperFile.read(file.toString(), Files.readString(file), faults);
+            return KeeperSettingsParser.parse(file.toString(), Files.readString(file), faults);
         } catch (IOException e) {
             faults.add(file + " cannot be read, or is not UTF-8: " + e);
             return null;
@@ -83,7 +83,7 @@
             return unusable(List.of("--keeper is not from 0 to " + MOST_NUMBER));
         }
         try {
-            say(KeeperProcess.make(folder, number, new StderrLog()));
+            say(KeeperProcess.initializeFolder(folder, number, new StderrLog()));
             return Main.DONE;
         } catch (IOException e) {
             return unusable(List.of("FOLDER cannot be used: " + e.getMessage()));
--- a/src/main/java/kitemux/cli/LabCommand.java
+++ b/src/main/java/kitemux/cli/LabCommand.java
@@ -11,14 +11,14 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.atomic.AtomicInteger;
-import kitemux.lab.Comparison;
+import kitemux.lab.ResultsComparison;
 import kitemux.lab.Experiment;
 import kitemux.lab.ExperimentFile;
-import kitemux.lab.Findings;
-import kitemux.lab.Lab;
-import kitemux.lab.Page;
+import kitemux.lab.PredictionReport;
+import kitemux.lab.ExperimentRunner;
+import kitemux.lab.ResultsPage;
 import kitemux.lab.ResultsFolder;
-import kitemux.lab.Row;
+import kitemux.lab.ResultRow;
 import kitemux.standin.Builds;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -132,22 +132,22 @@
             }
             return play(
                     experiment,
-                    ResultsFolder.of(to, kept),
-                    new Lab(
+                    ResultsFolder.openOrCreate(to, kept),
+                    new ExperimentRunner(
                             () -> Builds.java(List.of(), build, "node"),
                             jobs == 0 ? Runtime.getRuntime().availableProcessors() : jobs,
                             atOnce));
         });
     }
 
-    private int play(Experiment experiment, ResultsFolder folder, Lab lab) throws IOException, InterruptedException {
+    private int play(Experiment experiment, ResultsFolder folder, ExperimentRunner lab) throws IOException, InterruptedException {
         int all = experiment.runs().size();
         AtomicInteger over = new AtomicInteger(folder.rows().size());
-        lab.play(experiment, folder, row -> {
+        lab.runMissing(experiment, folder, row -> {
             synchronized (this) {
                 err().printf(
                                 "%d of %d: %s, %s, seed %d: %.3f in time%n",
-                                over.incrementAndGet(), all, row.variant(), row.where(), row.seed(), row.inTime());
+                                over.incrementAndGet(), all, row.variant(), row.environment(), row.seed(), row.inTimeRatio());
                 err().flush();
             }
         });
@@ -155,16 +155,16 @@
     }
 
     private int tell(Experiment experiment, ResultsFolder folder) throws IOException {
-        List<Row> rows = folder.rows();
-        Findings.table(experiment, rows).forEach(out()::println);
+        List<ResultRow> rows = folder.rows();
+        PredictionReport.table(experiment, rows).forEach(out()::println);
         out().flush();
-        return rows.stream().anyMatch(row -> row.breaks() > 0) ? Main.FOUND : Main.DONE;
+        return rows.stream().anyMatch(row -> row.violations() > 0) ? Main.FOUND : Main.DONE;
     }
 
     private static Experiment kept(ResultsFolder folder) throws IOException {
         List<String> faults = new ArrayList<>();
         Experiment experiment =
-                ExperimentFile.read(EXPERIMENT, folder.text(EXPERIMENT), path -> folder.text(FLEET), faults);
+                ExperimentFile.read(EXPERIMENT, folder.readText(EXPERIMENT), path -> folder.readText(FLEET), faults);
         if (!faults.isEmpty()) {
             throw new IOException("the experiment that was kept cannot be read: " + faults.get(0));
         }
@@ -189,9 +189,9 @@
     int chart(@Parameters(paramLabel = "FOLDER") Path from) throws Exception {
         return orUnusable(() -> {
             ResultsFolder folder = ResultsFolder.open(from);
-            Path file = folder.write(
+            Path file = folder.writeText(
                     "results.html",
-                    Page.of(from.toAbsolutePath().normalize().getFileName().toString(), kept(folder), folder.rows()));
+                    ResultsPage.render(from.toAbsolutePath().normalize().getFileName().toString(), kept(folder), folder.rows()));
             out().println(file);
             return Main.DONE;
         });
@@ -206,12 +206,12 @@
             @Parameters(paramLabel = "SECOND", index = "1") Path second)
             throws Exception {
         return orUnusable(() -> {
-            List<Comparison.Difference> differences = Comparison.of(
+            List<ResultsComparison.Difference> differences = ResultsComparison.compare(
                     ResultsFolder.open(first).rows(), ResultsFolder.open(second).rows());
             if (differences.isEmpty()) {
                 throw new IOException(first + " and " + second + " have no run in common");
             }
-            Comparison.table(differences).forEach(out()::println);
+            ResultsComparison.table(differences).forEach(out()::println);
             return Main.DONE;
         });
     }
--- a/src/main/java/kitemux/cli/PlanAnswers.java
+++ b/src/main/java/kitemux/cli/PlanAnswers.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.RunResult;
-import kitemux.lab.Template;
+import kitemux.lab.PageTemplate;
 import kitemux.plan.Estimate;
 import kitemux.plan.Planner;
 import kitemux.plan.QueueingFormulas;
@@ -167,13 +167,13 @@
             to.writeEndArray();
             to.writeEndObject();
         }
-        return Template.fill(
+        return PageTemplate.fill(
                 "/kitemux/cli/plan.html",
                 Map.of(
                         "TITLE",
-                        Template.escaped(title),
+                        PageTemplate.escapeHtml(title),
                         "ANSWERS",
-                        Template.escaped(answers.toString()),
+                        PageTemplate.escapeHtml(answers.toString()),
                         "DATA",
                         data.toString()));
     }
--- a/src/main/java/kitemux/cli/TryCommand.java
+++ b/src/main/java/kitemux/cli/TryCommand.java
@@ -18,8 +18,8 @@
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.RunResult;
-import kitemux.lab.Deeds;
-import kitemux.lab.Loopback;
+import kitemux.lab.FaultScript;
+import kitemux.lab.LoopbackRun;
 import kitemux.plan.FleetFile;
 import kitemux.standin.Builds;
 import org.jline.terminal.Attributes;
@@ -74,8 +74,8 @@
                     "what is done, a line each, such as: 3s kill old-1; without a terminal this " + "is the only way")
     private Path script;
 
-    private final Loopback.Launcher launcher;
-    private final Deque<Deeds.Timed> deeds = new ArrayDeque<>();
+    private final LoopbackRun.Launcher launcher;
+    private final Deque<FaultScript.TimedAction> deeds = new ArrayDeque<>();
     private final ConcurrentLinkedQueue<Integer> keys = new ConcurrentLinkedQueue<>();
     private final List<String> done = new ArrayList<>();
     private Fleet fleet;
@@ -88,7 +88,7 @@
         this(() -> Builds.java(List.of(), ownJar(), "node"));
     }
 
-    TryCommand(Loopback.Launcher launcher) {
+    TryCommand(LoopbackRun.Launcher launcher) {
         this.launcher = launcher;
     }
 
@@ -118,7 +118,7 @@
         if (script != null) {
             try {
                 List<String> inScript = new ArrayList<>();
-                deeds.addAll(Deeds.read(Files.readString(script), fleet, inScript));
+                deeds.addAll(FaultScript.parse(Files.readString(script), fleet, inScript));
                 inScript.forEach(fault -> faults.add(script + ": " + fault));
             } catch (IOException e) {
                 faults.add("--script: " + script + " cannot be read");
@@ -163,10 +163,10 @@
     }
 
     private RunResult play(Shown shown) throws IOException, InterruptedException {
-        return Loopback.play(fleet, 1, launcher, (live, nowUs) -> {
+        return LoopbackRun.execute(fleet, 1, launcher, (live, nowUs) -> {
                     while (!deeds.isEmpty() && deeds.peek().atUs() <= nowUs) {
-                        Deeds.Timed next = deeds.poll();
-                        act(next.deed(), next.to(), live, nowUs);
+                        FaultScript.TimedAction next = deeds.poll();
+                        act(next.action(), next.target(), live, nowUs);
                     }
                     boolean goesOn = heed(live, nowUs);
                     shown.show(live, nowUs);
@@ -175,8 +175,8 @@
                 .result();
     }
 
-    private void act(Deeds.Deed deed, String to, Emulation live, long nowUs) {
-        Deeds.act(deed, to, fleet, live);
+    private void act(FaultScript.Action deed, String to, Emulation live, long nowUs) {
+        FaultScript.apply(deed, to, fleet, live);
         done.add(String.format(
                 Locale.ROOT, "%.1f s  %s %s", nowUs / 1e6, deed.name().toLowerCase(Locale.ROOT), to));
     }
@@ -194,13 +194,13 @@
             if (key >= '1' && key < '1' + boxes.size()) {
                 chosen = key - '1';
             }
-            for (Deeds.Deed deed : Deeds.Deed.values()) {
+            for (FaultScript.Action deed : FaultScript.Action.values()) {
                 if (deed.key().charAt(0) == key) {
                     act(
                             deed,
-                            deed.isToBox()
+                            deed.targetsBox()
                                     ? boxes.get(chosen).id()
-                                    : deed == Deeds.Deed.FLOOD
+                                    : deed == FaultScript.Action.FLOOD
                                             ? fleet.tenants()
                                                     .get(fleet.tenants().size() - 1)
                                                     .name()
--- a/src/main/java/kitemux/config/ConfigText.java
+++ b/src/main/java/kitemux/config/ConfigText.java
@@ -134,7 +134,7 @@
         json.writeNumberField("coldFrom", set.coldCapacityRatio);
         json.writeNumberField("coldUs", set.warmUpUs);
         json.writeNumberField("overloadFactor", set.overloadRatio);
-        json.writeNumberField("fallUs", set.overloadOutageUs);
+        json.writeNumberField("fallUs", set.overloadWindowUs);
         json.writeEndObject();
         json.writeArrayFieldStart("realms");
         for (Tenant tenant : set.tenants) {
--- a/src/main/java/kitemux/config/SettingsReader.java
+++ b/src/main/java/kitemux/config/SettingsReader.java
@@ -72,7 +72,7 @@
         set.coldCapacityRatio = decimal("rules.coldFrom", set.coldCapacityRatio);
         set.warmUpUs = whole("rules.coldUs", set.warmUpUs);
         set.overloadRatio = decimal("rules.overloadFactor", set.overloadRatio);
-        set.overloadOutageUs = whole("rules.fallUs", set.overloadOutageUs);
+        set.overloadWindowUs = whole("rules.fallUs", set.overloadWindowUs);
         set.crossZonePrice = decimal("costs.crossZone", set.crossZonePrice);
         set.warmKeys = flag("extra.warmKeys");
         for (String field : list("report.fields")) {
--- a/src/main/java/kitemux/discovery/Discovery.java
+++ b/src/main/java/kitemux/discovery/Discovery.java
@@ -44,7 +44,7 @@
  * the new place's comes up to a second later.
  *
  * <p>What it has at its return counts as told 6 s later. The longest chain up to its word: a call that it was
- * down for is over after 4 s at most ({@link #MOST_SILENCE_US}; a dial that hangs after 1 s), the module then
+ * down for is over after 4 s at most ({@link #MAX_SILENCE_US}; a dial that hangs after 1 s), the module then
  * waits for 1 s at most, and 1 s is left for the next call's turn. A call that failed in the last instant
  * before leaves 5 s. Open: where calls stand in turn for longer, as those of many nodes after a return may,
  * that is too late.
@@ -53,20 +53,20 @@
     /** What the watch tells. */
     public interface Listener {
         /** A list has come; its version is the one to go on from. */
-        void listed(HostList list);
+        void onList(HostList list);
 
         /** The watch is over, or could not begin; it is not opened again by itself. */
-        void failed(String reason);
+        void onFailure(String reason);
 
         /** Discovery is elsewhere from now on, and a watch opens there: what failed before tells nothing of
          * that place. */
-        default void moved() {}
+        default void onMoved() {}
     }
 
     /** Discovery writes every 2 s. A watch that is silent for so long is broken: what it misses counts as
      * told 6 s after it fell silent, by when another has to be open, and what is left is for the wait before
      * it and for a call among many. */
-    public static final long MOST_SILENCE_US = 4_000_000;
+    public static final long MAX_SILENCE_US = 4_000_000;
     /** Watches fall silent at all nodes at once, and discovery takes calls in turn: each watch has a patience
      * of its own, drawn between this part of the most and the most. That is one beat missed and a quarter of
      * one for its way. Harm: where a beat comes half a second late, some nodes call for nothing. */
@@ -193,12 +193,12 @@
      * Discovery is elsewhere from now on. A watch opens there at once; no failure is told of the old one.
      * Nothing says that versions mean the same at both places, so the whole list is asked for.
      */
-    public void moveTo(InetSocketAddress to) {
+    public void setAddress(InetSocketAddress to) {
         if (!to.equals(place.address)) {
             log.info("discovery is at " + to + " now");
             place = new Place(to, 0, false);
             if (wanted) {
-                listener.moved();
+                listener.onMoved();
                 subscribe();
             }
         }
@@ -214,7 +214,7 @@
         if (current != null) {
             current.broken(UNUSABLE);
         } else {
-            listener.failed(UNUSABLE);
+            listener.onFailure(UNUSABLE);
         }
     }
 
@@ -289,7 +289,7 @@
             if (!over) {
                 end();
                 if (told) {
-                    listener.failed(reason);
+                    listener.onFailure(reason);
                 }
             }
         }
@@ -354,10 +354,10 @@
                 if (this == current && former != null) {
                     former.end();
                 }
-                listener.listed(news);
+                listener.onList(news);
                 if (current == null && wanted) {
                     // It was the former's, and no watch follows it yet: one is still to be asked for.
-                    listener.failed("no watch yet in the place of the one that told this");
+                    listener.onFailure("no watch yet in the place of the one that told this");
                 }
             }
         }
--- a/src/main/java/kitemux/discovery/PushedList.java
+++ b/src/main/java/kitemux/discovery/PushedListWatcher.java
@@ -9,7 +9,7 @@
  * asks it but the node. Where lists are asked for, the decision module says when; here nothing is decided, as
  * the agent costs nobody anything. The waits between two tries grow and are drawn, since it may be starting.
  */
-public final class PushedList {
+public final class PushedListWatcher {
     private static final long FIRST_US = 50_000;
     /** What the agent hears counts as told at once, whether or not a watch is open: half as much more, drawn,
      * is well within what drains allow. Seven calls a second that are refused cost one machine nothing. */
@@ -27,19 +27,19 @@
      *
      * @param watch opens a watch in the place of an earlier one; how it ends is told here
      */
-    public PushedList(Clock time, Runnable watch, long seed) {
+    public PushedListWatcher(Clock time, Runnable watch, long seed) {
         this.time = time;
         this.watch = watch;
         random = new SplittableRandom(seed);
     }
 
     /** Opens the first watch. */
-    public void begin() {
+    public void start() {
         watch.run();
     }
 
     /** The agent has said something, or another has taken its place and is called by now. */
-    public void heard() {
+    public void onUpdate() {
         waitUs = FIRST_US;
         if (next != null) {
             next.cancel();
@@ -48,7 +48,7 @@
     }
 
     /** The watch has ended, or did not come up. */
-    public void failed() {
+    public void onFailure() {
         if (ended || next != null) {
             return;
         }
@@ -61,7 +61,7 @@
     }
 
     /** Opens no more. */
-    public void end() {
+    public void stop() {
         ended = true;
         if (next != null) {
             next.cancel();
--- a/src/main/java/kitemux/drill/Drill.java
+++ b/src/main/java/kitemux/drill/Drill.java
@@ -28,11 +28,11 @@
 import kitemux.drill.Fault.Way;
 import kitemux.fleet.ClientTry;
 import kitemux.fleet.Fleet;
-import kitemux.lab.Between;
-import kitemux.lab.Guard;
+import kitemux.lab.RunInterceptor;
+import kitemux.lab.ProcessGuard;
 import kitemux.lab.LongAnswer;
-import kitemux.lab.LoopBeat;
-import kitemux.lab.Loopback;
+import kitemux.lab.LoopStallMonitor;
+import kitemux.lab.LoopbackRun;
 import kitemux.sim.Scheduler;
 
 /**
@@ -66,16 +66,16 @@
     private final AtomicReference<Throwable> failure = new AtomicReference<>();
     private final List<Boolean> nodeUp = new ArrayList<>();
     private final Set<String> silentBoxes = new HashSet<>();
-    private final LoopBeat beat;
+    private final LoopStallMonitor beat;
     private Timeline timeline;
-    private Loopback.Live live;
+    private LoopbackRun.RunControl live;
 
     private Drill(Scenario scenario, int place, EventLoop loop, Path file) {
         this.scenario = scenario;
         this.place = place;
         this.loop = loop;
         this.file = file;
-        beat = new LoopBeat(loop, by -> live.wasLate(by));
+        beat = new LoopStallMonitor(loop, by -> live.recordDelay(by));
         parties = new Parties(scenario.fleet());
         for (int n = 0; n < scenario.fleet().nodes().count(); n++) {
             nodeUp.add(true);
@@ -89,15 +89,15 @@
      * @param timeline the file that is written
      * @throws IOException if a node cannot be started, a socket not be opened or the file not be written
      */
-    public static void play(Scenario scenario, Loopback.Launcher launcher, Path timeline)
+    public static void play(Scenario scenario, LoopbackRun.Launcher launcher, Path timeline)
             throws IOException, InterruptedException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         Drill[] drill = new Drill[1];
         try {
-            Loopback.play(
+            LoopbackRun.execute(
                     scenario.fleet(),
                     scenario.seed(),
-                    () -> Guard.before(launcher.node()),
+                    () -> ProcessGuard.wrap(launcher.nodeCommand()),
                     place -> {
                         drill[0] = new Drill(scenario, place, (EventLoop) group.next(), timeline);
                         return drill[0].new Ways();
@@ -124,7 +124,7 @@
     }
 
     private void end() throws IOException {
-        timeline.event("end", json -> json.writeNumberField("late", live.mostLateUs()));
+        timeline.event("end", json -> json.writeNumberField("late", live.maxDelayUs()));
         if (failure.get() != null) {
             throw new IOException("the drill failed: " + failure.get(), failure.get());
         }
@@ -192,9 +192,9 @@
         switch (fault.what()) {
             case CUT -> befalls(fault.links(), cut, true);
             case SLOW -> befalls(fault.links(), slow(fault), true);
-            case FLAP -> flap(fault, cut, live.time().nowUs() + fault.forUs());
+            case FLAP -> flap(fault, cut, live.scheduler().nowUs() + fault.forUs());
             case RESET -> reset(fault.links());
-            case KILL -> fault.nodes().forEach(node -> live.fleet().killNode(node));
+            case KILL -> fault.nodes().forEach(node -> live.emulation().killNode(node));
             case STOP ->
                 fault.nodes().forEach(node -> {
                     live.signal(node, "STOP");
@@ -208,7 +208,7 @@
                 });
         }
         if (fault.what() != Fault.What.RESET) {
-            live.time().scheduleAfterUs(fault.forUs(), () -> end(fault));
+            live.scheduler().scheduleAfterUs(fault.forUs(), () -> end(fault));
         }
     }
 
@@ -222,7 +222,7 @@
         switch (fault.what()) {
             case CUT -> befalls(fault.links(), new Link.State(fault.there(), fault.back(), 0, 0, 0), false);
             case SLOW -> befalls(fault.links(), slow(fault), false);
-            case KILL -> fault.nodes().forEach(node -> live.fleet().startNode(node));
+            case KILL -> fault.nodes().forEach(node -> live.emulation().startNode(node));
             case STOP ->
                 fault.nodes().forEach(node -> {
                     live.signal(node, "CONT");
@@ -233,8 +233,8 @@
                     // Whoever held a connection to it hears now that nobody is there.
                     reset(parties.of(node));
                     befalls(parties.of(node), GONE, false);
-                    live.dealt(node, false);
-                    live.fleet().startNode(node);
+                    live.setReceivesClients(node, false);
+                    live.emulation().startNode(node);
                 });
             default -> {
                 // What flaps ends by its own clock, and what resets is over at once.
@@ -245,7 +245,7 @@
 
     private void flap(Fault fault, Link.State cut, long untilUs) {
         befalls(fault.links(), cut, true);
-        Scheduler time = live.time();
+        Scheduler time = live.scheduler();
         time.scheduleAfterUs(fault.everyUs() / 2, () -> {
             befalls(fault.links(), cut, false);
             if (time.nowUs() + fault.everyUs() / 2 < untilUs) {
@@ -258,12 +258,12 @@
     private void unseen(int node, boolean is) {
         nodeUp.set(node, !is);
         if (!is) {
-            live.dealt(node, true);
+            live.setReceivesClients(node, true);
             return;
         }
-        live.time().scheduleAfterUs(scenario.fleet().nodes().failureDetectionUs(), () -> {
+        live.scheduler().scheduleAfterUs(scenario.fleet().nodes().failureDetectionUs(), () -> {
             if (!nodeUp.get(node)) {
-                live.dealt(node, false);
+                live.setReceivesClients(node, false);
             }
         });
     }
@@ -348,35 +348,35 @@
         return (from.getAddress().getAddress()[3] & 0xff) - 1;
     }
 
-    private final class Ways implements Between {
+    private final class Ways implements RunInterceptor {
         @Override
-        public InetSocketAddress toNode(int node, InetSocketAddress listens) {
+        public InetSocketAddress nodeAddress(int node, InetSocketAddress listens) {
             return link(new Way(Parties.CLIENTS, Parties.node(node)), node, listens, TO_NODE);
         }
 
         @Override
-        public InetSocketAddress toBox(int node, String box, InetSocketAddress listens) {
+        public InetSocketAddress boxAddress(int node, String box, InetSocketAddress listens) {
             return link(new Way(Parties.node(node), box), node, listens, TO_BOX);
         }
 
         @Override
-        public InetSocketAddress toList(int node, InetSocketAddress listens) {
+        public InetSocketAddress discoveryAddress(int node, InetSocketAddress listens) {
             return link(new Way(Parties.node(node), Parties.LIST), node, listens, TO_LIST);
         }
 
         @Override
-        public void begins(Loopback.Live run) {
+        public void runStarted(LoopbackRun.RunControl run) {
             live = run;
             awaitOpen();
             try {
-                timeline = new Timeline(file, () -> run.time().nowUs());
+                timeline = new Timeline(file, () -> run.scheduler().nowUs());
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
             timeline.event("begin", Drill.this::describe);
-            loop.execute(beat::begin);
+            loop.execute(beat::start);
             for (Fault fault : scenario.faults()) {
-                run.time().scheduleAfterUs(fault.atUs(), () -> Drill.this.begin(fault));
+                run.scheduler().scheduleAfterUs(fault.atUs(), () -> Drill.this.begin(fault));
             }
         }
 
@@ -385,34 +385,34 @@
         }
 
         @Override
-        public void passedOn(Runnable then) {
-            LoopBeat.afterALook(loop, then);
+        public void runAfterPendingTraffic(Runnable then) {
+            LoopStallMonitor.runAfterSocketPoll(loop, then);
         }
 
         @Override
-        public long heldUpNanos() {
-            return beat.heldUpNanos();
+        public long totalStallNanos() {
+            return beat.totalStallNanos();
         }
 
         @Override
-        public void late(long byUs) {
+        public void runDelayed(long byUs) {
             timeline.event("late", json -> json.writeNumberField("by", byUs));
         }
 
         @Override
-        public void up(int node) {
+        public void nodeStarted(int node) {
             at(new Way(Parties.CLIENTS, Parties.node(node)), link -> link.targetListens(true));
             timeline.event("up", json -> json.writeNumberField("node", node));
         }
 
         @Override
-        public void down(int node) {
+        public void nodeStopped(int node) {
             at(new Way(Parties.CLIENTS, Parties.node(node)), link -> link.targetListens(false));
             timeline.event("down", json -> json.writeNumberField("node", node));
         }
 
         @Override
-        public void said(int node, String line) {
+        public void nodeOutput(int node, String line) {
             if (began()) {
                 timeline.event("said", json -> {
                     json.writeNumberField("node", node);
@@ -422,7 +422,7 @@
         }
 
         @Override
-        public void asked(int node, ClientTry one) {
+        public void trySubmitted(int node, ClientTry one) {
             timeline.event("ask", json -> {
                 json.writeStringField("txn", one.txn());
                 json.writeNumberField("wish", one.requestNumber());
@@ -446,7 +446,7 @@
         }
 
         @Override
-        public void gives(String box, ClientTry one) {
+        public void longAnswerStarted(String box, ClientTry one) {
             timeline.event("gives", json -> {
                 json.writeStringField("box", box);
                 json.writeStringField("txn", one.txn());
@@ -454,7 +454,7 @@
         }
 
         @Override
-        public void gave(String box, ClientTry one, LongAnswer.End how) {
+        public void longAnswerEnded(String box, ClientTry one, LongAnswer.End how) {
             timeline.event("gave", json -> {
                 json.writeStringField("box", box);
                 json.writeStringField("txn", one.txn());
@@ -463,12 +463,12 @@
         }
 
         @Override
-        public void begun(ClientTry one) {
+        public void longAnswerReceiving(ClientTry one) {
             of("begun", one);
         }
 
         @Override
-        public void cutOff(ClientTry one) {
+        public void longAnswerCutOff(ClientTry one) {
             of("cut-off", one);
         }
 
@@ -477,12 +477,12 @@
         }
 
         @Override
-        public void written(ClientTry one, boolean usedBefore) {
+        public void tryWritten(ClientTry one, boolean usedBefore) {
             of("written", one);
         }
 
         @Override
-        public void broken(ClientTry one, boolean usedBefore) {
+        public void connectionLost(ClientTry one, boolean usedBefore) {
             timeline.event("broken", json -> {
                 json.writeStringField("txn", one.txn());
                 json.writeBooleanField("again", usedBefore);
@@ -490,7 +490,7 @@
         }
 
         @Override
-        public void answered(ClientTry one, int status, long retryAfterUs) {
+        public void answerReceived(ClientTry one, int status, long retryAfterUs) {
             timeline.event("answer", json -> {
                 json.writeStringField("txn", one.txn());
                 json.writeNumberField("status", status);
@@ -499,12 +499,12 @@
         }
 
         @Override
-        public void left(ClientTry one) {
+        public void tryAbandoned(ClientTry one) {
             of("left", one);
         }
 
         @Override
-        public void connected(String box, InetSocketAddress from) {
+        public void boxConnected(String box, InetSocketAddress from) {
             timeline.event("dial", json -> {
                 json.writeStringField("box", box);
                 json.writeNumberField("node", nodeOf(from));
@@ -512,7 +512,7 @@
         }
 
         @Override
-        public void came(String box, InetSocketAddress from, ClientTry one, boolean runs) {
+        public void requestReceived(String box, InetSocketAddress from, ClientTry one, boolean runs) {
             timeline.event("try", json -> {
                 json.writeStringField("box", box);
                 json.writeNumberField("node", nodeOf(from));
@@ -523,7 +523,7 @@
         }
 
         @Override
-        public void told(String box, ClientTry one, Result result) {
+        public void requestCompleted(String box, ClientTry one, Result result) {
             timeline.event("told", json -> {
                 json.writeStringField("box", box);
                 json.writeStringField("txn", one.txn());
@@ -532,7 +532,7 @@
         }
 
         @Override
-        public void box(String box, boolean up, boolean silent) {
+        public void boxStateChanged(String box, boolean up, boolean silent) {
             if (!began()) {
                 return;
             }
@@ -558,7 +558,7 @@
         }
 
         @Override
-        public void listed(int node, List<ServerEntry> entries) {
+        public void discoveryUpdateSent(int node, List<ServerEntry> entries) {
             timeline.event("list", json -> {
                 json.writeNumberField("node", node);
                 json.writeObjectFieldStart("states");
@@ -570,7 +570,7 @@
         }
 
         @Override
-        public void called(int node, boolean watch) {
+        public void discoveryRequested(int node, boolean watch) {
             if (began()) {
                 timeline.event("call", json -> {
                     json.writeNumberField("node", node);
--- a/src/main/java/kitemux/drill/DrillPage.java
+++ b/src/main/java/kitemux/drill/DrillPage.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import kitemux.lab.Template;
+import kitemux.lab.PageTemplate;
 
 /**
  * A drill's time-line as one page that opens without a network: faults as bars, what was in time, what
@@ -52,10 +52,10 @@
             }
         }
         StringBuilder said = new StringBuilder();
-        verdict.lines().forEach(line -> said.append(Template.escaped(line)).append('\n'));
-        return Template.fill(
+        verdict.lines().forEach(line -> said.append(PageTemplate.escapeHtml(line)).append('\n'));
+        return PageTemplate.fill(
                 "/kitemux/drill/page.html",
-                Map.of("TITLE", Template.escaped(title), "VERDICT", said.toString(), "DATA", page.data()));
+                Map.of("TITLE", PageTemplate.escapeHtml(title), "VERDICT", said.toString(), "DATA", page.data()));
     }
 
     private void take(Event event) {
--- a/src/main/java/kitemux/fleet/Emulation.java
+++ b/src/main/java/kitemux/fleet/Emulation.java
@@ -167,7 +167,7 @@
                 .max()
                 .orElse(0);
         set.overloadRatio = FALL_MULTIPLE;
-        set.overloadOutageUs = FALL_US;
+        set.overloadWindowUs = FALL_US;
         return set;
     }
 
--- a/src/main/java/kitemux/http/ClientConnection.java
+++ b/src/main/java/kitemux/http/ClientConnection.java
@@ -75,7 +75,7 @@
     private ChannelHandlerContext gateContext;
 
     private HttpRequest head;
-    private Body body;
+    private RequestBody body;
     /** What is set aside for the body that comes, and for those that came and have had no answer. */
     private long comingBytes;
 
@@ -179,7 +179,7 @@
     private void drop(ByteBuf bytes) {
         dropped += bytes.readableBytes();
         bytes.release();
-        if (dropped > Limits.MOST_DROPPED && (busy || !waiting.isEmpty())) {
+        if (dropped > Limits.MAX_DISCARDED_BYTES && (busy || !waiting.isEmpty())) {
             channel.config().setAutoRead(false);
         }
     }
@@ -195,7 +195,7 @@
         bytes.release();
         boolean room = server.setAside(more);
         aheadBytes += room ? more : 0;
-        if (!room || ahead.readableBytes() >= Limits.MOST_AHEAD_BYTES) {
+        if (!room || ahead.readableBytes() >= Limits.MAX_PIPELINED_BYTES) {
             channel.config().setAutoRead(false);
         }
     }
@@ -218,7 +218,7 @@
                 aheadBytes -= more;
             }
         }
-        channel.config().setAutoRead(ahead == null || ahead.readableBytes() < Limits.MOST_AHEAD_BYTES);
+        channel.config().setAutoRead(ahead == null || ahead.readableBytes() < Limits.MAX_PIPELINED_BYTES);
     }
 
     private void forgetAhead() {
@@ -249,7 +249,7 @@
         }
         if (part instanceof HttpRequest begun) {
             head = begun;
-            body = new Body();
+            body = new RequestBody();
             HttpResponseStatus error = RequestReader.errorOf(begun);
             if (error != null) {
                 turnDown(error);
@@ -266,7 +266,7 @@
         }
         if (part instanceof HttpContent content) {
             ByteBuf bytes = content.content();
-            if (body.size() + bytes.readableBytes() > Limits.MOST_BODY) {
+            if (body.size() + bytes.readableBytes() > Limits.MAX_REQUEST_BODY_BYTES) {
                 turnDown(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                 return;
             }
@@ -298,7 +298,7 @@
 
     /** Room for so much of the body that comes; false if there is none, and nothing more is set aside. */
     private boolean setAside(long bytes) {
-        long more = bytes <= Limits.SMALL_BODY ? 0 : bytes - comingBytes;
+        long more = bytes <= Limits.SMALL_REQUEST_BODY_BYTES ? 0 : bytes - comingBytes;
         if (more > 0 && !server.setAside(more)) {
             return false;
         }
@@ -341,7 +341,7 @@
         // Sent ahead of the answer: what comes is taken apart only once it is its turn, so that what waits is
         // bounded.
         paused = true;
-        if (waiting.size() > (busy ? 0 : 1) + Limits.MOST_AHEAD && !deaf) {
+        if (waiting.size() > (busy ? 0 : 1) + Limits.MAX_PIPELINED_REQUEST_COUNT && !deaf) {
             waiting.removeLast();
             turnDown(HttpResponseStatus.BAD_REQUEST);
         }
@@ -564,12 +564,12 @@
             return;
         }
         if (busy) {
-            closeIfOlderThan(Limits.WRITING_MS, CloseReason.ANSWER_NOT_TAKEN);
+            closeIfOlderThan(Limits.WRITE_TIMEOUT_MS, CloseReason.ANSWER_NOT_TAKEN);
         } else if (!reading) {
             if (isQuiet()) {
-                closeIfOlderThan(everAsked ? Limits.IDLE_MS : Limits.READING_MS, CloseReason.IDLE);
+                closeIfOlderThan(everAsked ? Limits.IDLE_TIMEOUT_MS : Limits.REQUEST_READ_TIMEOUT_MS, CloseReason.IDLE);
             }
-        } else if (isOlderThan(Limits.READING_MS + (body == null ? 0 : body.size() / Limits.LEAST_PACE))) {
+        } else if (isOlderThan(Limits.REQUEST_READ_TIMEOUT_MS + (body == null ? 0 : body.size() / Limits.MIN_BODY_RATE_BYTES_PER_MS))) {
             turnDown(HttpResponseStatus.REQUEST_TIMEOUT);
         }
     }
--- a/src/main/java/kitemux/http/ClientServer.java
+++ b/src/main/java/kitemux/http/ClientServer.java
@@ -174,7 +174,7 @@
             acceptIfRoom();
         });
         ClientConnection client = new ClientConnection(this, taken, reader, engine, time, log, channel, earliestUs());
-        observer.accepted(taken, channel.remoteAddress());
+        observer.connectionAccepted(taken, channel.remoteAddress());
         if (!sockets.canKeepClient() && !makeRoom()) {
             // Every connection has a request open. This one may have brought one too, which is owed an
             // answer: it is served, or where even that takes too many turned away, and let go. Harm:
@@ -195,7 +195,7 @@
         channel.pipeline()
                 .addLast(
                         client.gate(),
-                        new HttpServerCodec(new HttpDecoderConfig().setMaxChunkSize(Limits.SMALL_BODY)),
+                        new HttpServerCodec(new HttpDecoderConfig().setMaxChunkSize(Limits.SMALL_REQUEST_BODY_BYTES)),
                         client);
         time.runOverdueTimers();
     }
@@ -249,7 +249,7 @@
     private boolean makeRoom() {
         if (!fresh.isEmpty()) {
             ClientConnection oldest = fresh.iterator().next();
-            if ((fresh.size() > busy.size() + idle.size() || oldest.isOlderThan(Limits.FRESH_MS))
+            if ((fresh.size() > busy.size() + idle.size() || oldest.isOlderThan(Limits.NEW_CONNECTION_GRACE_MS))
                     && closeFirst(fresh)) {
                 return true;
             }
@@ -294,11 +294,11 @@
     }
 
     void requested(ClientConnection client, ClientRequest request) {
-        observer.requested(client.number(), request.txn());
+        observer.requestReceived(client.number(), request.txn());
     }
 
     void ended(ClientConnection client, CloseReason reason) {
-        observer.closed(client.number(), reason);
+        observer.connectionClosed(client.number(), reason);
         fresh.remove(client);
         busy.remove(client);
         idle.remove(client);
@@ -311,7 +311,7 @@
      * @return false if there is no room
      */
     boolean setAside(long bytes) {
-        if (bytes > 0 && bodiesBytes + bytes > Limits.MOST_BODIES) {
+        if (bytes > 0 && bodiesBytes + bytes > Limits.MAX_TOTAL_REQUEST_BODY_BYTES) {
             return false;
         }
         bodiesBytes += bytes;
@@ -330,12 +330,12 @@
     }
 
     /** Ends what has taken too long on the clients' part. */
-    public void closeOld() {
+    public void closeExpired() {
         all().forEach(ClientConnection::closeIfLate);
         if (phase.compareTo(ShutdownPhase.CLOSING_IDLE) >= 0) {
-            closeUnused(Limits.FRESH_MS, CloseReason.SHUTDOWN);
-        } else if (awaySinceUs != Long.MAX_VALUE && time.nowUs() - awaySinceUs >= Limits.LEAVING_MS * 1_000) {
-            closeUnused(Limits.UNUSED_MS, CloseReason.SENT_AWAY);
+            closeUnused(Limits.NEW_CONNECTION_GRACE_MS, CloseReason.SHUTDOWN);
+        } else if (awaySinceUs != Long.MAX_VALUE && time.nowUs() - awaySinceUs >= Limits.IDLE_DRAIN_MS * 1_000) {
+            closeUnused(Limits.MIN_UNUSED_MS, CloseReason.SENT_AWAY);
         }
     }
 
@@ -353,7 +353,7 @@
      * Sends clients away, or no more: the front is told no, each answer ends its connection, and what stays
      * idle is closed. The listener stays open, as some still come, and all may come back.
      */
-    public void sendAway(boolean away) {
+    public void setDraining(boolean away) {
         if (away != (awaySinceUs != Long.MAX_VALUE)) {
             awaySinceUs = away ? time.nowUs() : Long.MAX_VALUE;
         }
@@ -385,7 +385,7 @@
             throw new IllegalStateException("shutdown from " + phase + " to " + next);
         }
         phase = next;
-        observer.shutdown(next);
+        observer.shutdownPhaseEntered(next);
     }
 
     /** What waits for room would be reset with the listener: that has to be taken first, while there is time. */
--- a/src/main/java/kitemux/http/ConnectionObserver.java
+++ b/src/main/java/kitemux/http/ConnectionObserver.java
@@ -11,14 +11,14 @@
     ConnectionObserver NONE = new ConnectionObserver() {};
 
     /** A connection was accepted from this client. */
-    default void accepted(long connection, SocketAddress client) {}
+    default void connectionAccepted(long connection, SocketAddress client) {}
 
     /** A request with this id was read whole and is served from now on. */
-    default void requested(long connection, String txn) {}
+    default void requestReceived(long connection, String txn) {}
 
     /** A phase of the shutdown begins. */
-    default void shutdown(ShutdownPhase phase) {}
+    default void shutdownPhaseEntered(ShutdownPhase phase) {}
 
     /** A connection has ended. */
-    default void closed(long connection, CloseReason reason) {}
+    default void connectionClosed(long connection, CloseReason reason) {}
 }
--- a/src/main/java/kitemux/http/HttpServers.java
+++ b/src/main/java/kitemux/http/HttpServers.java
@@ -47,7 +47,7 @@
 
     @Override
     public void initPipeline(ChannelPipeline pipeline) {
-        pipeline.addLast(new AnswerDecoder(), new HttpRequestEncoder());
+        pipeline.addLast(new StrictResponseDecoder(), new HttpRequestEncoder());
     }
 
     @Override
@@ -134,11 +134,11 @@
                 head = response;
                 dropBody();
                 // A length that is past all bounds spoils the answer before any of it has come.
-                if (HttpUtil.getContentLength(response, 0L) > Limits.MOST_ANSWER) {
+                if (HttpUtil.getContentLength(response, 0L) > Limits.MAX_RESPONSE_BYTES) {
                     fail();
                     return;
                 }
-                body = allocator.buffer((int) Math.min(HttpUtil.getContentLength(response, 256L), Limits.FIRST_ROOM));
+                body = allocator.buffer((int) Math.min(HttpUtil.getContentLength(response, 256L), Limits.MAX_INITIAL_BUFFER_BYTES));
             }
             if (message instanceof HttpContent content && !gather(content.content())) {
                 return;
@@ -157,7 +157,7 @@
         private boolean gather(ByteBuf more) {
             if (passing != null) {
                 passed += more.readableBytes();
-                if (passed > Limits.MOST_ANSWER) {
+                if (passed > Limits.MAX_RESPONSE_BYTES) {
                     fail();
                     return false;
                 }
@@ -166,15 +166,15 @@
             }
             int bytes = more.readableBytes();
             if (head.status().code() != 200
-                    ? body.readableBytes() + bytes > Limits.MOST_ERROR
-                    : answersBytes + bytes > Limits.MOST_ANSWERS) {
+                    ? body.readableBytes() + bytes > Limits.MAX_ERROR_BODY_BYTES
+                    : answersBytes + bytes > Limits.MAX_TOTAL_BUFFERED_RESPONSE_BYTES) {
                 fail();
                 return false;
             }
             answersBytes += bytes;
             body.writeBytes(more);
             if (head.status().code() == 200
-                    && Math.max(body.readableBytes(), HttpUtil.getContentLength(head, 0L)) > Limits.MOST_GATHERED) {
+                    && Math.max(body.readableBytes(), HttpUtil.getContentLength(head, 0L)) > Limits.MAX_BUFFERED_RESPONSE_BYTES) {
                 return passOn();
             }
             return true;
@@ -213,9 +213,9 @@
             // What has come since the loop last looked may lie unread: a loop that stood still stalls nobody.
             long lookedUs = clock.nowUs() - clock.readLagUs();
             long deadlineUs = exchange().deadlineUs();
-            boolean silent = lookedUs - readAtUs > Limits.STALLED_US
-                    || readAtUs <= deadlineUs && lookedUs - deadlineUs > Limits.LAST_WORD_US;
-            return reading && silent || lookedUs - passingSinceUs > Limits.MOST_PASSING_US;
+            boolean silent = lookedUs - readAtUs > Limits.STALL_TIMEOUT_US
+                    || readAtUs <= deadlineUs && lookedUs - deadlineUs > Limits.DEADLINE_GRACE_US;
+            return reading && silent || lookedUs - passingSinceUs > Limits.MAX_STREAMING_US;
         }
 
         /** Whether nothing but the end of the connection ends the body (RFC 9112, 6.3). */
--- a/src/main/java/kitemux/http/Body.java
+++ b/src/main/java/kitemux/http/RequestBody.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** A request's body as it comes, in parts: no long one is copied whole, nor needs its room at a stretch. */
-final class Body {
+final class RequestBody {
     private static final int FIRST = 256;
     private static final int PART = 64 << 10;
 
--- a/src/main/java/kitemux/http/RequestReader.java
+++ b/src/main/java/kitemux/http/RequestReader.java
@@ -52,7 +52,7 @@
             // Another reader might find another end of it, and in the rest another request.
             return HttpResponseStatus.BAD_REQUEST;
         }
-        return HttpUtil.getContentLength(head, 0L) > Limits.MOST_BODY
+        return HttpUtil.getContentLength(head, 0L) > Limits.MAX_REQUEST_BODY_BYTES
                 ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
                 : null;
     }
@@ -93,7 +93,7 @@
                 body,
                 classIndex,
                 tenant == null ? -1 : tenants.getOrDefault(tenant, -1),
-                Math.max(0, left(need(message, "X-Remaining")) - agoUs),
+                Math.max(0, parseRemainingUs(need(message, "X-Remaining")) - agoUs),
                 work(one(message, "X-Estimate")),
                 "1".equals(one(message, "X-Resent")),
                 key.isEmpty() ? null : key,
@@ -122,7 +122,7 @@
      *
      * @throws BadRequestException if it is anything else
      */
-    public static long left(String text) throws BadRequestException {
+    public static long parseRemainingUs(String text) throws BadRequestException {
         double unit = text.endsWith("m") ? 1_000 : text.endsWith("u") ? 1 : 0;
         double us = unit * number(text.substring(0, text.length() - 1), "X-Remaining");
         if (unit == 0 || us > MOST_LEFT_US) {
--- a/src/main/java/kitemux/http/ShutdownSchedule.java
+++ b/src/main/java/kitemux/http/ShutdownSchedule.java
@@ -31,10 +31,10 @@
         long killUs = signalUs + Math.min(longestDeadlineUs, MOST_DEADLINE_US) + KILL_AFTER_DEADLINE_US;
         long answerByUs = killUs - SIGNAL_DELAY_US - LOOP_DELAY_US;
         if (!replaced) {
-            long listenUntilUs = Math.min(signalUs + Limits.ARRIVING_MS * 1_000, answerByUs);
+            long listenUntilUs = Math.min(signalUs + Limits.LISTENER_DRAIN_MS * 1_000, answerByUs);
             return new ShutdownSchedule(listenUntilUs, listenUntilUs, answerByUs);
         }
-        long idleUntilUs = Math.min(signalUs + Limits.LEAVING_MS * 1_000, answerByUs - CROSSING_US);
+        long idleUntilUs = Math.min(signalUs + Limits.IDLE_DRAIN_MS * 1_000, answerByUs - CROSSING_US);
         return new ShutdownSchedule(signalUs, Math.max(signalUs, idleUntilUs), answerByUs);
     }
 }
--- a/src/main/java/kitemux/http/AnswerDecoder.java
+++ b/src/main/java/kitemux/http/StrictResponseDecoder.java
@@ -9,7 +9,7 @@
  * Reads servers' answers and takes none that could mean something else. Netty's decoder is kind to answers:
  * it takes a line without a colon for a header without a value, and a status with a sign for a number.
  */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class StrictResponseDecoder extends HttpResponseDecoder {
 
     @Override
     protected HttpMessage createMessage(String[] initialLine) {
--- a/src/main/java/kitemux/keeper/Keeper.java
+++ b/src/main/java/kitemux/keeper/Keeper.java
@@ -70,28 +70,28 @@
     private String stood = "";
 
     /** What a keeper stands on: one event loop, its channels, its time, and lines for operators. */
-    public record Parts(EventLoop loop, Network network, Clock time, Log log) {}
+    public record Environment(EventLoop loop, Network network, Clock clock, Log log) {}
 
     private Keeper(
             KeeperSettings settings,
             ProtocolParameters terms,
             Rules rules,
-            Parts on,
+            Environment on,
             KeeperFolder folder,
             long seed,
             Consumer<Exception> failed) {
         this.settings = settings;
         this.terms = terms;
         loop = on.loop();
-        time = on.time();
+        time = on.clock();
         log = on.log();
         me = new Voter(settings.number(), folder.identity());
         machine = new KeeperStateMachine(
-                terms, me, settings.keepers().size(), settings.voters(), rules, folder.found(), seed, time.nowUs());
+                terms, me, settings.keeperAddresses().size(), settings.initialVoters(), rules, folder.found(), seed, time.nowUs());
         this.failed = failed;
         writer = new RecordWriter(folder, loop, failed);
         server = new KeeperServer(loop, this::call);
-        calls = new KeeperCalls(loop, on.network(), settings.keepers());
+        calls = new KeeperCalls(loop, on.network(), settings.keeperAddresses());
         watches = new Watches(watch -> {
             machine.watchEnded(watch);
             arm();
@@ -111,7 +111,7 @@
             KeeperSettings settings,
             ProtocolParameters terms,
             Rules rules,
-            Parts on,
+            Environment on,
             Disk disk,
             LongSupplier random,
             Consumer<Exception> failed)
@@ -126,7 +126,7 @@
      * @return the voter as settings name it, number and identity
      * @throws IOException if it cannot be read or written, or is another keeper's
      */
-    public static String make(Disk disk, int number, LongSupplier random, Log log) throws IOException {
+    public static String initializeFolder(Disk disk, int number, LongSupplier random, Log log) throws IOException {
         KeeperFolder folder = KeeperFolder.open(disk, number, random, log::info);
         folder.close();
         return new Voter(number, folder.identity()).toString();
@@ -143,7 +143,7 @@
             tick();
             sweep();
         });
-        return server.listen(settings.listen());
+        return server.listen(settings.listenAddress());
     }
 
     /** Lets go of all sockets and timers at once; answers that wait are never given. */
@@ -390,8 +390,8 @@
         RolloutText.ParseResult<Report> read = RolloutText.readReport(call.body());
         if (!read.errors().isEmpty()) {
             faulty(call, read.errors());
-        } else if (read.value().node() >= settings.nodes()) {
-            faulty(call, List.of(new ValidationError("node", "is not from 0 to " + (settings.nodes() - 1))));
+        } else if (read.value().node() >= settings.nodeCount()) {
+            faulty(call, List.of(new ValidationError("node", "is not from 0 to " + (settings.nodeCount() - 1))));
         } else {
             machine.handleReport(time.nowUs(), read.value());
             watches.reported(read.value().node(), time.nowUs());
@@ -437,7 +437,7 @@
     private void watch(KeeperServer.Call call) {
         Query query = new Query(call, List.of("after", "life", "node"));
         long after = query.whole("after", -1, Long.MAX_VALUE - 1);
-        long node = query.whole("node", -1, settings.nodes() - 1L);
+        long node = query.whole("node", -1, settings.nodeCount() - 1L);
         query.whole("life", -1, Long.MAX_VALUE);
         if (!query.faults.isEmpty()) {
             faulty(call, query.faults);
@@ -470,13 +470,13 @@
         }
         List<List<Row>> all = new ArrayList<>(List.of(rows()));
         List<Integer> notHeard = new ArrayList<>();
-        int[] left = {settings.keepers().size()};
+        int[] left = {settings.keeperAddresses().size()};
         Runnable one = () -> {
             if (--left[0] == 0 && !stopped) {
                 tellStatus(call, rev, Inventory.merge(all), notHeard);
             }
         };
-        for (int keeper = 0; keeper < settings.keepers().size(); keeper++) {
+        for (int keeper = 0; keeper < settings.keeperAddresses().size(); keeper++) {
             int from = keeper;
             if (from == me.keeper()) {
                 one.run();
@@ -511,7 +511,7 @@
                 200,
                 StatusText.status(
                         rev,
-                        Inventory.nodesByStatus(terms, rows, settings.nodes(), rev),
+                        Inventory.nodesByStatus(terms, rows, settings.nodeCount(), rev),
                         rows,
                         new StatusText.Keeper(
                                 me.keeper(),
--- a/src/main/java/kitemux/keeper/KeeperProcess.java
+++ b/src/main/java/kitemux/keeper/KeeperProcess.java
@@ -35,9 +35,9 @@
      * @return the voter as settings name it
      * @throws IOException if it cannot be used; the message says why
      */
-    public static String make(Path folder, int number, Log log) throws IOException {
+    public static String initializeFolder(Path folder, int number, Log log) throws IOException {
         try (FolderDisk disk = folder(folder)) {
-            return Keeper.make(disk, number, new SecureRandom()::nextLong, log);
+            return Keeper.initializeFolder(disk, number, new SecureRandom()::nextLong, log);
         }
     }
 
@@ -55,7 +55,7 @@
                     settings,
                     ProtocolParameters.defaults(),
                     new ConfigRules(),
-                    new Keeper.Parts(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), log),
+                    new Keeper.Environment(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), log),
                     folder(settings.folder()),
                     new SecureRandom()::nextLong,
                     failed -> {
@@ -66,14 +66,14 @@
         } catch (IOException e) {
             throw new IOException("folder cannot be used: " + e.getMessage(), e);
         }
-        if (!settings.voters().contains(keeper.voter())) {
+        if (!settings.initialVoters().contains(keeper.voter())) {
             log.info("the settings name no voter " + keeper.voter() + ": unless a version does, it learns "
                     + "and does not vote");
         }
         ChannelFuture listens = keeper.listen().awaitUninterruptibly();
         if (!listens.isSuccess()) {
             throw new IOException(
-                    "listen " + settings.listen() + ": " + listens.cause().getMessage());
+                    "listen " + settings.listenAddress() + ": " + listens.cause().getMessage());
         }
         log.info("keeper " + keeper.voter() + " is called at "
                 + listens.channel().localAddress());
--- a/src/main/java/kitemux/keeper/KeeperFile.java
+++ b/src/main/java/kitemux/keeper/KeeperSettingsParser.java
@@ -18,11 +18,11 @@
 import kitemux.rollout.Voter;
 
 /** Reads a keeper's settings in HCL; {@code docs/operate/rollout.md} has all fields. */
-public final class KeeperFile {
+public final class KeeperSettingsParser {
     /** Numbers of keepers have three digits at most; eight machines are planned for. */
     static final int MOST_KEEPERS = 32;
 
-    private KeeperFile() {}
+    private KeeperSettingsParser() {}
 
     /**
      * @param file what faults call the file
@@ -30,7 +30,7 @@
      * @param faults gets all that is wrong, one line each with place, field and reason
      * @return the settings; null if there are faults
      */
-    public static KeeperSettings read(String file, String text, List<String> faults) {
+    public static KeeperSettings parse(String file, String text, List<String> faults) {
         Map<String, Object> parsed;
         try {
             parsed = Text.parse(text, Places.of(text));
--- a/src/main/java/kitemux/keeper/RolloutWatch.java
+++ b/src/main/java/kitemux/keeper/RolloutWatch.java
@@ -54,9 +54,9 @@
     private final EventLoop loop;
     private final Clock time;
     private final List<InetSocketAddress> keepers;
-    private final Subscriber machine;
+    private final Subscriber subscriber;
     private final String who;
-    private final InForce inForce;
+    private final ConfigurationApplier inForce;
     private final Log log;
     private final SocketBudget sockets;
     private final Bootstrap dialer;
@@ -64,15 +64,15 @@
     private final Map<Long, Watch> watches = new HashMap<>();
 
     private final Set<Channel> reports = new HashSet<>();
-    private long reportsNotSent;
+    private long droppedReports;
     private Clock.Timer timer;
     private boolean closed;
     private Subscriber.State stood;
 
     /** Has values in force. */
-    public interface InForce {
+    public interface ConfigurationApplier {
         /** From now on these are in force, whole; called between two events of the loop. */
-        void put(long rev, SortedMap<String, String> values);
+        void apply(long rev, SortedMap<String, String> values);
     }
 
     /**
@@ -92,13 +92,13 @@
             int node,
             long life,
             SocketBudget sockets,
-            InForce inForce,
+            ConfigurationApplier inForce,
             Log log) {
         this.loop = loop;
         this.sockets = sockets;
         this.time = time;
         this.keepers = List.copyOf(keepers);
-        this.machine = machine;
+        this.subscriber = machine;
         who = "&node=" + node + "&life=" + life;
         this.inForce = inForce;
         this.log = log;
@@ -117,18 +117,18 @@
     }
 
     /** Dials a keeper; from any thread. */
-    public void begin() {
+    public void start() {
         loop.execute(this::tick);
     }
 
     /** How it stands, what is in force, and counters; to be looked at on the loop. */
-    public Subscriber machine() {
-        return machine;
+    public Subscriber subscriber() {
+        return subscriber;
     }
 
     /** Reports that were not sent as too many were on their way. */
-    public long reportsNotSent() {
-        return reportsNotSent;
+    public long droppedReports() {
+        return droppedReports;
     }
 
     /** Lets go of all sockets and timers; on the loop. */
@@ -143,7 +143,7 @@
 
     private void tick() {
         timer = null;
-        carry(machine.tick(time.nowUs()));
+        carry(subscriber.tick(time.nowUs()));
     }
 
     private void carry(List<Effect> effects) {
@@ -167,27 +167,27 @@
                 throw new IllegalStateException("no effect of a node: " + effect);
             }
         }
-        if (machine.state() != stood) {
-            stood = machine.state();
+        if (subscriber.state() != stood) {
+            stood = subscriber.state();
             log.info("rollout: "
                     + switch (stood) {
-                        case CONNECTING -> "no keeper is watched; version " + machine.rev() + " stays in force";
-                        case CATCHING_UP -> "catching up from version " + machine.rev();
+                        case CONNECTING -> "no keeper is watched; version " + subscriber.rev() + " stays in force";
+                        case CATCHING_UP -> "catching up from version " + subscriber.rev();
                         case CURRENT -> "told all that its keeper knows";
                         case NO_QUORUM ->
-                            "its keeper hears no majority: there may be versions later than " + machine.rev();
+                            "its keeper hears no majority: there may be versions later than " + subscriber.rev();
                     });
         }
         if (timer != null) {
             timer.cancel();
         }
-        timer = time.schedule(Math.max(0, machine.nextAtUs() - time.nowUs()), this::tick);
+        timer = time.schedule(Math.max(0, subscriber.nextAtUs() - time.nowUs()), this::tick);
     }
 
     private void put(Effect.Apply put) {
         if (!closed) {
-            inForce.put(put.rev(), put.values());
-            carry(machine.applied(time.nowUs(), put.rev(), put.values()));
+            inForce.apply(put.rev(), put.values());
+            carry(subscriber.applied(time.nowUs(), put.rev(), put.values()));
         }
     }
 
@@ -229,7 +229,7 @@
     /** It does not matter if it is lost: the next one tells all. */
     private void report(int keeper, Report report) {
         if (reports.size() >= MOST_REPORTS) {
-            reportsNotSent++;
+            droppedReports++;
             return;
         }
         ChannelFuture opening = dialer.connect(keepers.get(keeper));
@@ -279,7 +279,7 @@
             if (isWanted()) {
                 watches.remove(number);
                 channel.close();
-                carry(machine.watchEnded(time.nowUs(), number));
+                carry(subscriber.watchEnded(time.nowUs(), number));
             }
         }
 
@@ -294,7 +294,7 @@
                     && response.status().code() != 200) {
                 ended();
             } else if (part instanceof HttpResponse) {
-                carry(machine.watchOpened(time.nowUs(), number));
+                carry(subscriber.watchOpened(time.nowUs(), number));
             } else if (part instanceof HttpContent content) {
                 read(content.content());
                 if (part instanceof LastHttpContent) {
@@ -309,7 +309,7 @@
                     case INCOMPLETE -> {
                         return;
                     }
-                    case HEARTBEAT -> carry(machine.handleEvent(time.nowUs(), number, new WatchEvent.Heartbeat()));
+                    case HEARTBEAT -> carry(subscriber.handleEvent(time.nowUs(), number, new WatchEvent.Heartbeat()));
                     case OBJECT -> line(lines.takeObject());
                     case MALFORMED -> bad(lines.malformedText());
                 }
@@ -319,7 +319,7 @@
         private void line(byte[] text) {
             RolloutText.ParseResult<WatchEvent> read = RolloutText.readWatchEvent(text);
             if (read.errors().isEmpty()) {
-                carry(machine.handleEvent(time.nowUs(), number, read.value()));
+                carry(subscriber.handleEvent(time.nowUs(), number, read.value()));
             } else {
                 bad(read.errors().get(0).toString());
             }
@@ -327,7 +327,7 @@
 
         private void bad(String what) {
             log.info("rollout: bad line: " + what);
-            carry(machine.handleMalformedEvent(time.nowUs(), number));
+            carry(subscriber.handleMalformedEvent(time.nowUs(), number));
         }
 
         @Override
--- a/src/main/java/kitemux/lab/BoxSocket.java
+++ b/src/main/java/kitemux/lab/BoxServer.java
@@ -38,7 +38,7 @@
  * warmth and crowding are those of a {@link Box}, its connections are real. While it is dead its address
  * refuses; a silent one takes connections and says nothing.
  */
-final class BoxSocket {
+final class BoxServer {
     private static final int MOST_BODY = 1 << 16;
     /** What is on its way may come this much after a drain has run out. */
     private static final long DRAIN_SLACK_US = 50_000;
@@ -47,10 +47,10 @@
 
     private final Box box;
     private final InetSocketAddress address;
-    private final RealTime time;
+    private final RealTimeScheduler time;
     private final Map<String, ClientTry> asked;
     private final double handshakeUs;
-    private final Between between;
+    private final RunInterceptor between;
     private final ServerBootstrap listener;
     private final Set<Channel> open = new LinkedHashSet<>();
     private ChannelFuture listening;
@@ -61,14 +61,14 @@
      * @param asked the tries that clients have sent, by their ids
      * @param handshakeUs work that a new connection costs, on a core of speed 1
      */
-    BoxSocket(
+    BoxServer(
             Box box,
             InetSocketAddress address,
             EventLoop loop,
-            RealTime time,
+            RealTimeScheduler time,
             Map<String, ClientTry> asked,
             double handshakeUs,
-            Between between) {
+            RunInterceptor between) {
         this.box = box;
         this.between = between;
         this.address = address;
@@ -99,19 +99,19 @@
 
     /** Its process has ended or begun. */
     private void follow() {
-        between.box(box.id(), box.isUp(), box.isSilent());
+        between.boxStateChanged(box.id(), box.isUp(), box.isSilent());
         if (box.isSilent()) {
             return;
         }
         if (!box.isUp() && listening != null) {
             listening.channel().close();
             listening = null;
-            new ArrayList<>(open).forEach(BoxSocket::reset);
+            new ArrayList<>(open).forEach(BoxServer::reset);
         } else if (box.isUp() && listening == null) {
             listening = listener.bind(address);
         } else if (box.isUp()) {
             // It was silent: whoever still holds a connection to the old process hears that it is gone.
-            new ArrayList<>(open).forEach(BoxSocket::reset);
+            new ArrayList<>(open).forEach(BoxServer::reset);
         }
     }
 
@@ -119,7 +119,7 @@
         if (listening != null) {
             listening.channel().close();
         }
-        new ArrayList<>(open).forEach(BoxSocket::reset);
+        new ArrayList<>(open).forEach(BoxServer::reset);
     }
 
     private static void reset(Channel channel) {
@@ -142,7 +142,7 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             time.happens(() -> {
-                between.connected(
+                between.boxConnected(
                         box.id(), (InetSocketAddress) context.channel().remoteAddress());
                 open.add(context.channel());
                 if (box.isUp() && !box.connect()) {
@@ -165,7 +165,7 @@
             fresh = false;
             InetSocketAddress from = (InetSocketAddress) context.channel().remoteAddress();
             time.happens(() -> {
-                between.came(box.id(), from, of, box.isUp());
+                between.requestReceived(box.id(), from, of, box.isUp());
                 if (!box.isUp()) {
                     return;
                 }
@@ -173,7 +173,7 @@
                 box.submit(of, extraUs, time.scheduler().nowUs(), new Box.ReplyHandler() {
                     @Override
                     public void completed(Result result) {
-                        between.told(box.id(), of, result);
+                        between.requestCompleted(box.id(), of, result);
                         tell(context.channel(), of, result);
                     }
 
@@ -192,11 +192,11 @@
                 return;
             }
             givenTo = of;
-            between.gives(box.id(), of);
+            between.longAnswerStarted(box.id(), of);
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.length());
+            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.lengthBytes());
             channel.write(head);
-            give(channel, LongAnswer.FIRST);
+            give(channel, LongAnswer.FIRST_PART_BYTES);
             later(channel, answer, 0);
         }
 
@@ -205,7 +205,7 @@
         }
 
         private void later(Channel channel, LongAnswer answer, int given) {
-            if (given == answer.given()) {
+            if (given == answer.sentPieces()) {
                 boolean whole = given == answer.pieces();
                 if (whole) {
                     channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
@@ -217,17 +217,17 @@
                     .schedule(
                             () -> time.happens(() -> {
                                 if (givenTo != null) {
-                                    give(channel, LongAnswer.PIECE);
+                                    give(channel, LongAnswer.PIECE_BYTES);
                                     later(channel, answer, given + 1);
                                 }
                             }),
-                            answer.everyUs(),
+                            answer.intervalUs(),
                             TimeUnit.MICROSECONDS);
         }
 
         private void gave(LongAnswer.End how) {
             if (givenTo != null) {
-                between.gave(box.id(), givenTo, how);
+                between.longAnswerEnded(box.id(), givenTo, how);
                 givenTo = null;
             }
         }
--- a/src/main/java/kitemux/lab/ListDesk.java
+++ b/src/main/java/kitemux/lab/DiscoveryStub.java
@@ -40,9 +40,9 @@
 
 /**
  * A discovery on loopback: the whole list, and a watch that tells changes as they are told here. All but
- * {@link #opening} and the figures is called on its loop.
+ * {@link #bindFuture} and the figures is called on its loop.
  */
-public final class ListDesk {
+public final class DiscoveryStub {
     private static final byte[] EMPTY_LINE = {'\n'};
     /** While nothing changes a watch has an empty line so often. */
     private static final long EMPTY_LINE_MS = 2_000;
@@ -55,7 +55,7 @@
     private final EventLoop loop;
     private final Consumer<Boolean> called;
     private final AtomicLong written = new AtomicLong();
-    private volatile int watching;
+    private volatile int watchCount;
     private long rev = 1;
     /** The whole list of this version as it is written; null where it is to be made anew. */
     private byte[] whole;
@@ -67,7 +67,7 @@
      * @param addresses where servers listen, by their ids
      * @param called told of each call, and whether it is a watch
      */
-    public ListDesk(
+    public DiscoveryStub(
             InetSocketAddress address,
             EventLoop loop,
             List<String> zones,
@@ -91,12 +91,12 @@
     }
 
     /** Done once it listens, or cannot. */
-    public ChannelFuture opening() {
+    public ChannelFuture bindFuture() {
         return listening;
     }
 
     /** Servers have changed, as all who watch hear at once. */
-    public void tell(List<ServerEntry> changed) {
+    public void publish(List<ServerEntry> changed) {
         rev++;
         whole = null;
         for (ServerEntry entry : changed) {
@@ -111,7 +111,7 @@
     }
 
     /** Ends all watches, as discovery does when it goes down; it answers whoever calls again. */
-    public void endWatches() {
+    public void closeWatches() {
         Set.copyOf(watches).forEach(Channel::close);
     }
 
@@ -121,8 +121,8 @@
     }
 
     /** How many watch; from any thread. */
-    public int watching() {
-        return watching;
+    public int watchCount() {
+        return watchCount;
     }
 
     /** Bytes of lists and empty lines that were written so far, without what HTTP adds; from any thread. */
@@ -133,7 +133,7 @@
     /** Listens no more, and ends all watches. */
     public void close() {
         listening.channel().close();
-        endWatches();
+        closeWatches();
     }
 
     private void write(Channel watch, byte[] line) {
@@ -142,7 +142,7 @@
     }
 
     /** Servers with their addresses. */
-    public static List<ConfigText.Server> placed(
+    public static List<ConfigText.Server> withAddresses(
             Collection<ServerEntry> entries, Map<String, InetSocketAddress> addresses) {
         return entries.stream()
                 .map(entry -> new ConfigText.Server(entry, NetUtil.toSocketAddressString(addresses.get(entry.id()))))
@@ -150,7 +150,7 @@
     }
 
     private byte[] text(boolean all, Collection<ServerEntry> servers) {
-        return (ConfigText.list(rev, all, zones, placed(servers, addresses)) + "\n").getBytes(StandardCharsets.UTF_8);
+        return (ConfigText.list(rev, all, zones, withAddresses(servers, addresses)) + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
     private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -175,7 +175,7 @@
             context.write(begun);
             write(context.channel(), list);
             watches.add(context.channel());
-            watching = watches.size();
+            watchCount = watches.size();
             emptyLine(context.channel());
         }
 
@@ -194,7 +194,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             watches.remove(context.channel());
-            watching = watches.size();
+            watchCount = watches.size();
         }
 
         @Override
--- a/src/main/java/kitemux/lab/ExperimentFile.java
+++ b/src/main/java/kitemux/lab/ExperimentFile.java
@@ -56,10 +56,10 @@
         double goal = all.number("goal", 0.95);
         int seeds = all.whole("seeds", 1);
         long length = all.time("length", 20_000_000);
-        List<Experiment.Where> where = new ArrayList<>();
+        List<Experiment.Environment> where = new ArrayList<>();
         for (String word : all.texts("where", List.of("emulator", "loopback"))) {
             try {
-                where.add(Experiment.Where.valueOf(word.toUpperCase(Locale.ROOT)));
+                where.add(Experiment.Environment.valueOf(word.toUpperCase(Locale.ROOT)));
             } catch (IllegalArgumentException e) {
                 faults.add("where: must hold emulator, loopback or both, not \"" + word + "\"");
             }
@@ -171,7 +171,7 @@
                 k.cost());
     }
 
-    private static void check(List<Experiment.Variant> variants, List<Experiment.Where> where, List<String> faults) {
+    private static void check(List<Experiment.Variant> variants, List<Experiment.Environment> where, List<String> faults) {
         require(
                 faults,
                 !variants.isEmpty() && variants.size() <= MOST_VARIANTS,
@@ -185,7 +185,7 @@
                     variant.name().indexOf('\t') < 0 && variant.name().indexOf('\n') < 0,
                     at + "its name holds a tab or a line's end");
             variant.fleet().validate().forEach(fault -> faults.add(at + fault));
-            if (where.contains(Experiment.Where.LOOPBACK)) {
+            if (where.contains(Experiment.Environment.LOOPBACK)) {
                 require(
                         faults,
                         variant.fleet().nodes().count() <= MOST_NODES,
--- a/src/main/java/kitemux/lab/Lab.java
+++ b/src/main/java/kitemux/lab/ExperimentRunner.java
@@ -11,8 +11,8 @@
 import kitemux.fleet.Emulation;
 
 /** Plays the runs of an experiment that its folder lacks: emulated ones first, then those over sockets. */
-public final class Lab {
-    private final Loopback.Launcher launcher;
+public final class ExperimentRunner {
+    private final LoopbackRun.Launcher launcher;
     private final int jobs;
     private final int atOnce;
 
@@ -21,7 +21,7 @@
      * @param jobs emulated runs at once
      * @param atOnce runs over sockets at once, 1 to 128: each has processes of its own and a clock to keep
      */
-    public Lab(Loopback.Launcher launcher, int jobs, int atOnce) {
+    public ExperimentRunner(LoopbackRun.Launcher launcher, int jobs, int atOnce) {
         this.launcher = launcher;
         this.jobs = jobs;
         this.atOnce = atOnce;
@@ -33,43 +33,43 @@
      * @param played told of each run that is kept
      * @throws IOException if a run cannot be played or kept; those before it are
      */
-    public void play(Experiment experiment, ResultsFolder folder, Consumer<Row> played)
+    public void runMissing(Experiment experiment, ResultsFolder folder, Consumer<ResultRow> played)
             throws IOException, InterruptedException {
-        List<Row> there = folder.rows();
+        List<ResultRow> there = folder.rows();
         List<Experiment.Run> missing = experiment.runs().stream()
-                .filter(run -> there.stream().noneMatch(row -> row.isOf(run)))
+                .filter(run -> there.stream().noneMatch(row -> row.isResultOf(run)))
                 .toList();
         playAll(
-                of(missing, Experiment.Where.EMULATOR),
+                of(missing, Experiment.Environment.EMULATOR),
                 jobs,
                 folder,
                 played,
-                run -> Row.of(run, Emulation.run(run.variant().fleet(), run.seed()), 0));
-        playAll(of(missing, Experiment.Where.LOOPBACK), atOnce, folder, played, run -> {
-            Loopback.Played over = Loopback.play(run.variant().fleet(), run.seed(), launcher);
-            return Row.of(run, over.result(), over.mostLateUs());
+                run -> ResultRow.of(run, Emulation.run(run.variant().fleet(), run.seed()), 0));
+        playAll(of(missing, Experiment.Environment.LOOPBACK), atOnce, folder, played, run -> {
+            LoopbackRun.Outcome over = LoopbackRun.execute(run.variant().fleet(), run.seed(), launcher);
+            return ResultRow.of(run, over.result(), over.maxDelayUs());
         });
     }
 
-    private static List<Experiment.Run> of(List<Experiment.Run> runs, Experiment.Where where) {
+    private static List<Experiment.Run> of(List<Experiment.Run> runs, Experiment.Environment where) {
         return runs.stream().filter(run -> run.where() == where).toList();
     }
 
     /** Plays one run. */
-    private interface Player {
-        Row play(Experiment.Run run) throws IOException, InterruptedException;
+    private interface SingleRun {
+        ResultRow play(Experiment.Run run) throws IOException, InterruptedException;
     }
 
     private static void playAll(
-            List<Experiment.Run> runs, int threads, ResultsFolder folder, Consumer<Row> played, Player player)
+            List<Experiment.Run> runs, int threads, ResultsFolder folder, Consumer<ResultRow> played, SingleRun player)
             throws IOException, InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<?>> all = new ArrayList<>();
             for (Experiment.Run run : runs) {
                 all.add(pool.submit(() -> {
-                    Row row = player.play(run);
-                    folder.add(row);
+                    ResultRow row = player.play(run);
+                    folder.append(row);
                     played.accept(row);
                     return null;
                 }));
--- a/src/main/java/kitemux/lab/Deeds.java
+++ b/src/main/java/kitemux/lab/FaultScript.java
@@ -15,7 +15,7 @@
  * {@code 8s back std-1}, {@code 10s flood school-b}. Pure: who reads keys and lets time pass is not its
  * affair.
  */
-public final class Deeds {
+public final class FaultScript {
     private static final Pattern LINE = Pattern.compile("(\\d+(?:\\.\\d+)?)s\\s+(\\w+)(?:\\s+(\\S+))?");
     /** A trouble that is not ended by hand ends by itself, so that nothing stays as it is by oversight. */
     private static final long FOR_US = 600_000_000;
@@ -25,10 +25,10 @@
     private static final double FLOOD = 10;
     private static final long FLOOD_US = 5_000_000;
 
-    private Deeds() {}
+    private FaultScript() {}
 
     /** What may be done. */
-    public enum Deed {
+    public enum Action {
         /** Its process dies. */
         KILL("k"),
         /** It says nothing more. */
@@ -48,7 +48,7 @@
 
         private final String key;
 
-        Deed(String key) {
+        Action(String key) {
             this.key = key;
         }
 
@@ -58,7 +58,7 @@
         }
 
         /** Whether it is done to a server. */
-        public boolean isToBox() {
+        public boolean targetsBox() {
             return this != RESTART && this != FLOOD;
         }
     }
@@ -66,17 +66,17 @@
     /**
      * A deed at its time.
      *
-     * @param to a server's id or a tenant's name; empty where it needs none
+     * @param target a server's id or a tenant's name; empty where it needs none
      */
-    public record Timed(long atUs, Deed deed, String to) {}
+    public record TimedAction(long atUs, Action action, String target) {}
 
     /**
      * Reads a script; empty lines and those that begin with # say nothing.
      *
      * @param faults one line is added for each, with the line's number
      */
-    public static List<Timed> read(String text, Fleet fleet, List<String> faults) {
-        List<Timed> all = new ArrayList<>();
+    public static List<TimedAction> parse(String text, Fleet fleet, List<String> faults) {
+        List<TimedAction> all = new ArrayList<>();
         List<String> boxes = new ArrayList<>();
         fleet.kinds().forEach(kind -> {
             for (int i = 0; i < kind.count(); i++) {
@@ -98,27 +98,27 @@
                 faults.add(at + "is not like \"3s kill std-1\": " + said);
                 continue;
             }
-            Deed deed = null;
-            for (Deed one : Deed.values()) {
+            Action deed = null;
+            for (Action one : Action.values()) {
                 deed = one.name().toLowerCase(Locale.ROOT).equals(parts.group(2)) ? one : deed;
             }
             String to = parts.group(3) == null ? "" : parts.group(3);
             if (deed == null) {
                 faults.add(at + "there is no deed \"" + parts.group(2) + "\"");
-            } else if (deed.isToBox() && !boxes.contains(to)) {
+            } else if (deed.targetsBox() && !boxes.contains(to)) {
                 faults.add(at + "there is no server \"" + to + "\"; there are " + String.join(", ", boxes));
-            } else if (deed == Deed.FLOOD && !tenants.contains(to)) {
+            } else if (deed == Action.FLOOD && !tenants.contains(to)) {
                 faults.add(at + "there is no tenant \"" + to + "\"; there are " + String.join(", ", tenants));
             } else {
-                all.add(new Timed(Math.round(Double.parseDouble(parts.group(1)) * 1e6), deed, to));
+                all.add(new TimedAction(Math.round(Double.parseDouble(parts.group(1)) * 1e6), deed, to));
             }
         }
-        all.sort(Comparator.comparingLong(Timed::atUs));
+        all.sort(Comparator.comparingLong(TimedAction::atUs));
         return all;
     }
 
     /** Does it to a fleet that is played. */
-    public static void act(Deed deed, String to, Fleet fleet, Emulation live) {
+    public static void apply(Action deed, String to, Fleet fleet, Emulation live) {
         switch (deed) {
             case KILL -> live.injectFault(Fleet.FaultKind.DIE, to, FOR_US, 0);
             case SILENCE -> live.injectFault(Fleet.FaultKind.VANISH, to, FOR_US, 0);
--- a/src/main/java/kitemux/lab/LongAnswer.java
+++ b/src/main/java/kitemux/lab/LongAnswer.java
@@ -5,13 +5,13 @@
  * 1,000 bytes.
  *
  * @param pieces that follow the first bytes; 1 or more
- * @param everyUs between two of them, in microseconds
- * @param given how many of them are given before it stops for good, its connection open; all of them where it
+ * @param intervalUs between two of them, in microseconds
+ * @param sentPieces how many of them are given before it stops for good, its connection open; all of them where it
  *     does not stop
  */
-public record LongAnswer(int pieces, long everyUs, int given) {
-    static final int FIRST = 70_000;
-    static final int PIECE = 1_000;
+public record LongAnswer(int pieces, long intervalUs, int sentPieces) {
+    static final int FIRST_PART_BYTES = 70_000;
+    static final int PIECE_BYTES = 1_000;
 
     /** How the giving of one ends. */
     public enum End {
@@ -25,7 +25,7 @@
         CLOSED
     }
 
-    int length() {
-        return FIRST + pieces * PIECE;
+    int lengthBytes() {
+        return FIRST_PART_BYTES + pieces * PIECE_BYTES;
     }
 }
--- a/src/main/java/kitemux/lab/LoopBeat.java
+++ b/src/main/java/kitemux/lab/LoopStallMonitor.java
@@ -9,27 +9,27 @@
  * turns: a turn that takes long, or a thread that has no processor, is a beat that comes late. Called on the
  * loop.
  */
-public final class LoopBeat {
+public final class LoopStallMonitor {
     private static final long EVERY_NANOS = 5_000_000;
     /** Under this it is the usual unevenness of timers. */
     private static final long TELL_NANOS = 15_000_000;
 
     private final EventLoop loop;
     private final LongConsumer late;
-    private volatile long heldUpNanos;
+    private volatile long totalStallNanos;
     private boolean stopped;
 
     /**
-     * Does not beat before {@link #begin}.
+     * Does not beat before {@link #start}.
      *
      * @param late told on the loop by how many nanoseconds a beat came late, where that is worth telling
      */
-    public LoopBeat(EventLoop loop, LongConsumer late) {
+    public LoopStallMonitor(EventLoop loop, LongConsumer late) {
         this.loop = loop;
         this.late = late;
     }
 
-    public void begin() {
+    public void start() {
         next();
     }
 
@@ -39,8 +39,8 @@
     }
 
     /** The sum of what was told, from any thread. */
-    public long heldUpNanos() {
-        return heldUpNanos;
+    public long totalStallNanos() {
+        return totalStallNanos;
     }
 
     private void next() {
@@ -52,7 +52,7 @@
                         return;
                     }
                     if (by > TELL_NANOS) {
-                        heldUpNanos += by;
+                        totalStallNanos += by;
                         late.accept(by);
                     }
                     next();
@@ -65,7 +65,7 @@
      * Does something after a look at the sockets that begins later than now; from any thread. A task alone
      * would not do: it may run in the turn whose look was before.
      */
-    public static void afterALook(EventLoop loop, Runnable what) {
+    public static void runAfterSocketPoll(EventLoop loop, Runnable what) {
         loop.execute(() -> loop.schedule(what, 1, TimeUnit.MILLISECONDS));
     }
 }
--- a/src/main/java/kitemux/lab/Loopback.java
+++ b/src/main/java/kitemux/lab/LoopbackRun.java
@@ -41,7 +41,7 @@
  * run
  * of the same seed is what the emulator makes of the node and the network.
  */
-public final class Loopback {
+public final class LoopbackRun {
     /** Servers are all told as of one zone. */
     private static final String ZONE = "zone-0";
 
@@ -60,37 +60,37 @@
     private final Fleet fleet;
     private final long seed;
     private final Launcher launcher;
-    private final Place place;
+    private final LoopbackSubnet place;
     private final List<NodeProcess> nodes = new ArrayList<>();
-    private final List<BoxSocket> sockets = new ArrayList<>();
+    private final List<BoxServer> sockets = new ArrayList<>();
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     private final Map<String, ClientTry> asked = new HashMap<>();
     /** One a node, as each may be told other ways to the same servers. */
-    private final List<ListDesk> desks = new ArrayList<>();
+    private final List<DiscoveryStub> desks = new ArrayList<>();
 
-    private final Between between;
+    private final RunInterceptor between;
 
     /**
      * What came of it.
      *
-     * @param mostLateUs the longest that this process was behind its own clock; a run with much of it says
+     * @param maxDelayUs the longest that this process was behind its own clock; a run with much of it says
      *     little of the nodes
      */
-    public record Played(RunResult result, long mostLateUs) {}
+    public record Outcome(RunResult result, long maxDelayUs) {}
 
     /** How a node's process is started. */
     public interface Launcher {
         /** A new command that runs one; the environment tells it the rest. */
-        ProcessBuilder node() throws IOException;
+        ProcessBuilder nodeCommand() throws IOException;
     }
 
     /** A run as it goes on, for whoever does things to it; on the run's thread. */
-    public interface Live {
+    public interface RunControl {
         /** The run's time. */
-        Scheduler time();
+        Scheduler scheduler();
 
         /** Clients, servers and their troubles. */
-        Emulation fleet();
+        Emulation emulation();
 
         /** A node's process gets a signal by its name, such as STOP. */
         void signal(int node, String name);
@@ -99,16 +99,16 @@
         void vanish(int node);
 
         /** Whether the front deals clients out to a node, whatever becomes of its process. */
-        void dealt(int node, boolean to);
+        void setReceivesClients(int node, boolean to);
 
         /** The longest that the run was behind the clock so far, in microseconds. */
-        long mostLateUs();
+        long maxDelayUs();
 
         /** What stands between the parties has passed on nothing for so long, until now; from any thread. */
-        void wasLate(long byNanos);
+        void recordDelay(long byNanos);
     }
 
-    private Loopback(Fleet fleet, long seed, Launcher launcher, Place place, Between between) {
+    private LoopbackRun(Fleet fleet, long seed, Launcher launcher, LoopbackSubnet place, RunInterceptor between) {
         this.between = between;
         // A node's process takes as long to start as it takes.
         Fleet.Nodes n = fleet.nodes();
@@ -125,8 +125,8 @@
      * @throws IllegalArgumentException if it cannot be played
      * @throws IOException if a node cannot be started or a socket not be opened
      */
-    public static Played play(Fleet fleet, long seed, Launcher launcher) throws IOException, InterruptedException {
-        return play(fleet, seed, launcher, (Watcher) null);
+    public static Outcome execute(Fleet fleet, long seed, Launcher launcher) throws IOException, InterruptedException {
+        return execute(fleet, seed, launcher, (Watcher) null);
     }
 
     /** Looks on as a run is played, and may do things to it; on the run's thread. */
@@ -137,32 +137,32 @@
          * @param nowUs since the run began
          * @return whether the run goes on
          */
-        boolean look(Emulation live, long nowUs);
+        boolean observe(Emulation live, long nowUs);
     }
 
     /** The same, which a watcher looks on, and may end early; null for none. */
-    public static Played play(Fleet fleet, long seed, Launcher launcher, Watcher watcher)
+    public static Outcome execute(Fleet fleet, long seed, Launcher launcher, Watcher watcher)
             throws IOException, InterruptedException {
-        return play(fleet, seed, launcher, place -> Between.NOBODY, watcher);
+        return execute(fleet, seed, launcher, place -> RunInterceptor.NONE, watcher);
     }
 
     /** Who stands between the parties of a run that has the addresses 127.PLACE.x.y to itself. */
-    public interface Standing {
+    public interface InterceptorFactory {
         /** Called once, before anybody listens. */
-        Between at(int place) throws IOException;
+        RunInterceptor create(int place) throws IOException;
     }
 
     /** The same, with somebody between its parties. */
-    public static Played play(Fleet fleet, long seed, Launcher launcher, Standing standing, Watcher watcher)
+    public static Outcome execute(Fleet fleet, long seed, Launcher launcher, InterceptorFactory standing, Watcher watcher)
             throws IOException, InterruptedException {
-        Place held = Place.take();
+        LoopbackSubnet held = LoopbackSubnet.acquire();
         Path folder = Files.createTempDirectory("kitemux-lab");
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Loopback run = new Loopback(fleet, seed, launcher, held, standing.at(held.number()));
+        LoopbackRun run = new LoopbackRun(fleet, seed, launcher, held, standing.create(held.number()));
         Thread cleaner = new Thread(run::endProcesses, "lab end");
         Runtime.getRuntime().addShutdownHook(cleaner);
         try {
-            return run.run((EventLoop) group.next(), folder, watcher);
+            return run.runOn((EventLoop) group.next(), folder, watcher);
         } finally {
             held.close();
             run.endProcesses();
@@ -176,9 +176,9 @@
         }
     }
 
-    private Played run(EventLoop loop, Path folder, Watcher watcher) throws InterruptedException, IOException {
-        RealTime time = new RealTime(loop, between::late);
-        LoopBeat beat = new LoopBeat(loop, by -> time.happens(() -> time.wasLate(by)));
+    private Outcome runOn(EventLoop loop, Path folder, Watcher watcher) throws InterruptedException, IOException {
+        RealTimeScheduler time = new RealTimeScheduler(loop, between::runDelayed);
+        LoopStallMonitor beat = new LoopStallMonitor(loop, by -> time.happens(() -> time.wasLate(by)));
         Emulation[] emulation = new Emulation[1];
         try {
             on(loop, () -> {
@@ -191,8 +191,8 @@
             });
             List<ChannelFuture> opening = on(loop, () -> {
                 List<ChannelFuture> all =
-                        new ArrayList<>(sockets.stream().map(BoxSocket::opening).toList());
-                desks.forEach(desk -> all.add(desk.opening()));
+                        new ArrayList<>(sockets.stream().map(BoxServer::opening).toList());
+                desks.forEach(desk -> all.add(desk.bindFuture()));
                 return all;
             });
             for (ChannelFuture one : opening) {
@@ -206,11 +206,11 @@
             }
             on(loop, () -> {
                 time.begin();
-                beat.begin();
+                beat.start();
                 // Servers that start later are cold since then by the nodes' clock, which is the system's.
                 long unixUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
                 time.happens(() -> {
-                    between.begins(live(emulation[0], time, loop));
+                    between.runStarted(live(emulation[0], time, loop));
                     emulation[0].begin(unixUs);
                 });
                 return null;
@@ -226,7 +226,7 @@
                 watched(
                         loop,
                         time,
-                        () -> watcher.look(emulation[0], time.scheduler().nowUs()),
+                        () -> watcher.observe(emulation[0], time.scheduler().nowUs()),
                         endsUs);
             }
             return on(loop, () -> {
@@ -235,20 +235,20 @@
                 if (time.failure() != null) {
                     throw new IOException("the lab failed: " + time.failure(), time.failure());
                 }
-                return new Played(result, time.mostLateUs());
+                return new Outcome(result, time.mostLateUs());
             });
         } finally {
             on(loop, () -> {
                 beat.stop();
                 time.stop();
-                sockets.forEach(BoxSocket::close);
-                desks.forEach(ListDesk::close);
+                sockets.forEach(BoxServer::close);
+                desks.forEach(DiscoveryStub::close);
                 return null;
             });
         }
     }
 
-    private static void watched(EventLoop loop, RealTime time, BooleanSupplier look, long endsUs)
+    private static void watched(EventLoop loop, RealTimeScheduler time, BooleanSupplier look, long endsUs)
             throws InterruptedException, IOException {
         boolean goesOn = true;
         while (goesOn) {
@@ -261,21 +261,21 @@
         }
     }
 
-    private NodeProcess node(int number, Emulation of, RealTime time, EventLoop loop, Path folder) {
+    private NodeProcess node(int number, Emulation of, RealTimeScheduler time, EventLoop loop, Path folder) {
         if (number == 0) {
             int boxes = 0;
             for (Box box : of.boxes()) {
                 InetSocketAddress at = place.address(boxes++, BOX_PORT);
                 addresses.put(box.id(), at);
                 sockets.add(
-                        new BoxSocket(box, at, loop, time, asked, fleet.links().handshakeWorkUs(), between));
+                        new BoxServer(box, at, loop, time, asked, fleet.links().handshakeWorkUs(), between));
             }
         }
         Map<String, InetSocketAddress> seen = new LinkedHashMap<>();
-        addresses.forEach((box, listens) -> seen.put(box, between.toBox(number, box, listens)));
+        addresses.forEach((box, listens) -> seen.put(box, between.boxAddress(number, box, listens)));
         InetSocketAddress listAt = place.address(number, LIST_PORT);
-        ListDesk desk = new ListDesk(
-                listAt, loop, List.of(ZONE), seen, watch -> time.happens(() -> between.called(number, watch)));
+        DiscoveryStub desk = new DiscoveryStub(
+                listAt, loop, List.of(ZONE), seen, watch -> time.happens(() -> between.discoveryRequested(number, watch)));
         desks.add(desk);
         List<ServerEntry> all = of.boxes().stream()
                 .map(box -> new ServerEntry(box.id(), 0, box.rack(), ServerState.READY, 1, 0))
@@ -288,41 +288,41 @@
         ConfigText.Node node = new ConfigText.Node(
                 "n" + number,
                 NetUtil.toSocketAddressString(at),
-                NetUtil.toSocketAddressString(between.toList(number, listAt)),
+                NetUtil.toSocketAddressString(between.discoveryAddress(number, listAt)),
                 Long.toHexString(seed * 31 + number),
                 SOCKETS,
                 0,
                 fleet.links().idleTimeoutUs());
         try {
-            Files.writeString(config, ConfigText.node(node, set, ListDesk.placed(all, seen)));
+            Files.writeString(config, ConfigText.node(node, set, DiscoveryStub.withAddresses(all, seen)));
             return new NodeProcess(
                     number,
-                    between.toNode(number, at),
+                    between.nodeAddress(number, at),
                     between,
                     fleet,
                     time,
                     loop,
                     asked,
                     entries -> {
-                        between.listed(number, entries);
-                        desk.tell(entries);
+                        between.discoveryUpdateSent(number, entries);
+                        desk.publish(entries);
                     },
-                    launcher.node(),
+                    launcher.nodeCommand(),
                     config);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private Live live(Emulation emulation, RealTime time, EventLoop loop) {
-        return new Live() {
+    private RunControl live(Emulation emulation, RealTimeScheduler time, EventLoop loop) {
+        return new RunControl() {
             @Override
-            public Scheduler time() {
+            public Scheduler scheduler() {
                 return time.scheduler();
             }
 
             @Override
-            public Emulation fleet() {
+            public Emulation emulation() {
                 return emulation;
             }
 
@@ -341,17 +341,17 @@
             }
 
             @Override
-            public void dealt(int node, boolean to) {
+            public void setReceivesClients(int node, boolean to) {
                 nodes.get(node).dealt(to);
             }
 
             @Override
-            public long mostLateUs() {
+            public long maxDelayUs() {
                 return time.mostLateUs();
             }
 
             @Override
-            public void wasLate(long byNanos) {
+            public void recordDelay(long byNanos) {
                 try {
                     loop.execute(() -> time.happens(() -> time.wasLate(byNanos)));
                 } catch (RejectedExecutionException e) {
--- a/src/main/java/kitemux/lab/Place.java
+++ b/src/main/java/kitemux/lab/LoopbackSubnet.java
@@ -9,14 +9,14 @@
  * The addresses 127.R.x.y that one run has to itself: runs that are played at the same time on a machine have
  * each an R of their own. Which is free is told by a socket that each holds.
  */
-public final class Place implements AutoCloseable {
+public final class LoopbackSubnet implements AutoCloseable {
     private static final int FIRST = 64;
     private static final int RUNS = 128;
     private static final int HOLD_PORT = 20_999;
 
     private final ServerSocket held;
 
-    private Place(ServerSocket held) {
+    private LoopbackSubnet(ServerSocket held) {
         this.held = held;
     }
 
@@ -25,12 +25,12 @@
      *
      * @throws IOException if there is none
      */
-    public static Place take() throws IOException {
+    public static LoopbackSubnet acquire() throws IOException {
         for (int i = 0; i < RUNS; i++) {
             ServerSocket socket = new ServerSocket();
             try {
                 socket.bind(new InetSocketAddress("127." + (FIRST + i) + ".255.254", HOLD_PORT));
-                return new Place(socket);
+                return new LoopbackSubnet(socket);
             } catch (BindException e) {
                 socket.close();
             }
--- a/src/main/java/kitemux/lab/NodeProcess.java
+++ b/src/main/java/kitemux/lab/NodeProcess.java
@@ -58,9 +58,9 @@
 
     private final int number;
     private final InetSocketAddress address;
-    private final Between between;
+    private final RunInterceptor between;
     private final Fleet fleet;
-    private final RealTime time;
+    private final RealTimeScheduler time;
     private final EventLoop loop;
     private final Map<String, ClientTry> asked;
     private final Consumer<List<ServerEntry>> listed;
@@ -94,9 +94,9 @@
     NodeProcess(
             int number,
             InetSocketAddress address,
-            Between between,
+            RunInterceptor between,
             Fleet fleet,
-            RealTime time,
+            RealTimeScheduler time,
             EventLoop loop,
             Map<String, ClientTry> asked,
             Consumer<List<ServerEntry>> listed,
@@ -169,7 +169,7 @@
     /** A line that it wrote; once the run is over nobody listens any more. */
     private void tell(String line) {
         try {
-            loop.execute(() -> time.happens(() -> between.said(number, line)));
+            loop.execute(() -> time.happens(() -> between.nodeOutput(number, line)));
         } catch (RejectedExecutionException e) {
             Thread.currentThread().interrupt();
         }
@@ -200,7 +200,7 @@
     public void start() {
         if (process != null) {
             up = true;
-            between.up(number);
+            between.nodeStarted(number);
             return;
         }
         int life = ++lives;
@@ -209,7 +209,7 @@
                     if (started != null && life == lives) {
                         process = started;
                         up = true;
-                        time.happens(() -> between.up(number));
+                        time.happens(() -> between.nodeStarted(number));
                     } else if (started != null) {
                         end(started);
                     }
@@ -224,7 +224,7 @@
             usedUs += cpuUs();
             end(process);
             process = null;
-            between.down(number);
+            between.nodeStopped(number);
         }
     }
 
@@ -274,7 +274,7 @@
 
     @Override
     public void submit(ClientTry one) {
-        between.asked(number, one);
+        between.trySubmitted(number, one);
         asked.put(one.txn(), one);
         waitsFromNow(one);
         Client free = idle.poll();
@@ -303,7 +303,7 @@
     }
 
     private void waitsFromNow(ClientTry one) {
-        since.put(one, new Since(System.nanoTime(), between.heldUpNanos()));
+        since.put(one, new Since(System.nanoTime(), between.totalStallNanos()));
     }
 
     @Override
@@ -323,11 +323,11 @@
             leaves.run();
             return;
         }
-        long waits = from.nanos + afterUs * 1_000 + between.heldUpNanos() - from.heldUpNanos - System.nanoTime();
+        long waits = from.nanos + afterUs * 1_000 + between.totalStallNanos() - from.heldUpNanos - System.nanoTime();
         if (waits > 0) {
             loop.schedule(() -> time.happens(() -> deadlineReached(one, afterUs, leaves)), waits, TimeUnit.NANOSECONDS);
         } else {
-            between.passedOn(() -> LoopBeat.afterALook(loop, () -> time.happens(leaves)));
+            between.runAfterPendingTraffic(() -> LoopStallMonitor.runAfterSocketPoll(loop, () -> time.happens(leaves)));
         }
     }
 
@@ -340,7 +340,7 @@
         since.remove(one);
         Client client = busy.get(one);
         if (client == null) {
-            between.left(one);
+            between.tryAbandoned(one);
         } else if (!client.amid) {
             // What began to come in time is waited for to its end.
             loop.schedule(
@@ -348,7 +348,7 @@
                         if (client.asks == one && !client.amid) {
                             client.asks = null;
                             busy.remove(one);
-                            between.left(one);
+                            between.tryAbandoned(one);
                             client.channel.close();
                         }
                     }),
@@ -359,7 +359,7 @@
 
     private void brokenUnder(ClientTry one, boolean usedBefore) {
         if (!one.isOver()) {
-            between.broken(one, usedBefore);
+            between.connectionLost(one, usedBefore);
         }
         one.onInternalError();
     }
@@ -414,10 +414,10 @@
                 public void channelRead(ChannelHandlerContext context, Object part) {
                     if (part instanceof HttpResponse head
                             && asks != null
-                            && HttpUtil.getContentLength(head, 0L) >= LongAnswer.FIRST) {
+                            && HttpUtil.getContentLength(head, 0L) >= LongAnswer.FIRST_PART_BYTES) {
                         ClientTry one = asks;
                         amid = true;
-                        time.happens(() -> between.begun(one));
+                        time.happens(() -> between.longAnswerReceiving(one));
                     }
                     context.fireChannelRead(part);
                 }
@@ -432,7 +432,7 @@
             asks = one;
             busy.put(one, this);
             waitsFromNow(one);
-            between.written(one, reused);
+            between.tryWritten(one, reused);
             channel.writeAndFlush(message(one));
         }
 
@@ -457,7 +457,7 @@
             String after = answer.headers().get(HttpHeaderNames.RETRY_AFTER);
             time.happens(() -> {
                 long afterUs = after == null ? 0 : (long) (Double.parseDouble(after) * 1e6);
-                between.answered(one, status, afterUs);
+                between.answerReceived(one, status, afterUs);
                 if (status == 200) {
                     one.onServed(Boolean.TRUE);
                 } else if (status == 429 || status == 503) {
@@ -479,19 +479,19 @@
             busy.remove(one);
             if (amid) {
                 time.happens(() -> {
-                    between.cutOff(one);
+                    between.longAnswerCutOff(one);
                     one.onInternalError();
                 });
                 return;
             }
             if (one.isOver()) {
                 // It waited for its final answer alone, and will not get it.
-                time.happens(() -> between.left(one));
+                time.happens(() -> between.tryAbandoned(one));
                 return;
             }
             if (reused && up) {
                 // It crossed the end of an unused connection: asked once more, on a new one.
-                time.happens(() -> between.broken(one, true));
+                time.happens(() -> between.connectionLost(one, true));
                 dial(one);
             } else {
                 time.happens(() -> brokenUnder(one, reused));
--- a/src/main/java/kitemux/lab/Template.java
+++ b/src/main/java/kitemux/lab/PageTemplate.java
@@ -13,11 +13,11 @@
  * Pages of this build with places to be filled in, such as {@code @TITLE@}; charts are put into them
  * whole.
  */
-public final class Template {
+public final class PageTemplate {
     private static final String CHARTS = "/META-INF/resources/webjars/uplot/1.6.30/dist/uPlot.";
     private static final Pattern PLACE = Pattern.compile("@([A-Z]+)@");
 
-    private Template() {}
+    private PageTemplate() {}
 
     /**
      * A page, filled in. {@code STYLE} and {@code CHARTS} are the chart library's. What is put in is not
@@ -41,7 +41,7 @@
     }
 
     /** Text as it may stand in a page. */
-    public static String escaped(String text) {
+    public static String escapeHtml(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
                 .replace(">", "&gt;")
@@ -49,7 +49,7 @@
     }
 
     private static String resource(String path) {
-        try (InputStream in = Template.class.getResourceAsStream(path)) {
+        try (InputStream in = PageTemplate.class.getResourceAsStream(path)) {
             if (in == null) {
                 throw new IOException(path + " is not in this build");
             }
--- a/src/main/java/kitemux/lab/RealTime.java
+++ b/src/main/java/kitemux/lab/RealTimeScheduler.java
@@ -11,7 +11,7 @@
  * and before anything that comes from outside. One thread has it all, so that servers and clients that were
  * written for virtual time need no locks here.
  */
-final class RealTime {
+final class RealTimeScheduler {
     /** Under this it is the usual unevenness of timers. */
     private static final long TELL_NANOS = 15_000_000;
 
@@ -29,7 +29,7 @@
     /**
      * @param late told when the run was behind by so many microseconds, where that is worth telling
      */
-    RealTime(EventLoop loop, LongConsumer late) {
+    RealTimeScheduler(EventLoop loop, LongConsumer late) {
         this.late = late;
         this.loop = loop;
     }
--- a/src/main/java/kitemux/lab/Row.java
+++ b/src/main/java/kitemux/lab/ResultRow.java
@@ -7,27 +7,27 @@
  * What is kept of a run, as a line of a table.
  *
  * @param variant its name
- * @param inTime worth answered within its aim, over the worth asked for
- * @param worstWindow the same of the worst 10 s
- * @param served requests answered 200, in time or late, over all that were wanted
- * @param behindUs the longest that the player was behind its clock; 0 where time is virtual
+ * @param inTimeRatio worth answered within its aim, over the worth asked for
+ * @param worstWindowRatio the same of the worst 10 s
+ * @param servedRatio requests answered 200, in time or late, over all that were wanted
+ * @param maxDelayUs the longest that the player was behind its clock; 0 where time is virtual
  */
-public record Row(
+public record ResultRow(
         String variant,
-        Experiment.Where where,
+        Experiment.Environment environment,
         long seed,
-        double inTime,
-        double worstWindow,
-        double served,
+        double inTimeRatio,
+        double worstWindowRatio,
+        double servedRatio,
         long p50Us,
         long p99Us,
-        double triesPerWish,
-        long wishes,
-        long breaks,
-        long behindUs) {
+        double triesPerRequest,
+        long requests,
+        long violations,
+        long maxDelayUs) {
 
     /** The names of a line's fields, as a line. */
-    public static final String HEAD = String.join(
+    public static final String HEADER = String.join(
             "\t",
             "variant",
             "where",
@@ -44,10 +44,10 @@
 
     private static final int FIELDS = 12;
 
-    static Row of(Experiment.Run run, RunResult result, long behindUs) {
+    static ResultRow of(Experiment.Run run, RunResult result, long behindUs) {
         long served =
                 result.classes().stream().mapToLong(c -> c.inTime() + c.late()).sum();
-        return new Row(
+        return new ResultRow(
                 run.variant().name(),
                 run.where(),
                 run.seed(),
@@ -63,21 +63,21 @@
     }
 
     /** As a line without its end. */
-    public String line() {
+    public String toLine() {
         return String.join(
                 "\t",
                 variant,
-                where.name().toLowerCase(Locale.ROOT),
+                environment.name().toLowerCase(Locale.ROOT),
                 Long.toString(seed),
-                Double.toString(inTime),
-                Double.toString(worstWindow),
-                Double.toString(served),
+                Double.toString(inTimeRatio),
+                Double.toString(worstWindowRatio),
+                Double.toString(servedRatio),
                 Long.toString(p50Us),
                 Long.toString(p99Us),
-                Double.toString(triesPerWish),
-                Long.toString(wishes),
-                Long.toString(breaks),
-                Long.toString(behindUs));
+                Double.toString(triesPerRequest),
+                Long.toString(requests),
+                Long.toString(violations),
+                Long.toString(maxDelayUs));
     }
 
     /**
@@ -85,14 +85,14 @@
      *
      * @throws IllegalArgumentException if it is none
      */
-    public static Row read(String line) {
+    public static ResultRow parse(String line) {
         String[] f = line.split("\t", -1);
         if (f.length != FIELDS) {
             throw new IllegalArgumentException("has " + f.length + " fields, not " + FIELDS);
         }
-        return new Row(
+        return new ResultRow(
                 f[0],
-                Experiment.Where.valueOf(f[1].toUpperCase(Locale.ROOT)),
+                Experiment.Environment.valueOf(f[1].toUpperCase(Locale.ROOT)),
                 Long.parseLong(f[2]),
                 Double.parseDouble(f[3]),
                 Double.parseDouble(f[4]),
@@ -106,7 +106,7 @@
     }
 
     /** Whether it is this run's. */
-    boolean isOf(Experiment.Run run) {
-        return variant.equals(run.variant().name()) && where == run.where() && seed == run.seed();
+    boolean isResultOf(Experiment.Run run) {
+        return variant.equals(run.variant().name()) && environment == run.where() && seed == run.seed();
     }
 }
--- a/src/main/java/kitemux/lab/Comparison.java
+++ b/src/main/java/kitemux/lab/ResultsComparison.java
@@ -14,19 +14,19 @@
  * intervals are of the mean difference, by drawing the pairs again with replacement (bootstrap, percentiles,
  * 95%).
  */
-public final class Comparison {
+public final class ResultsComparison {
     private static final int DRAWS = 10_000;
     private static final long SEED = 20_261_201L;
 
-    private Comparison() {}
+    private ResultsComparison() {}
 
     /**
      * @param pairs runs that both have
      * @param mean of the second less the first
      */
-    public record Difference(String variant, Experiment.Where where, int pairs, double mean, double low, double high) {
+    public record Difference(String variant, Experiment.Environment environment, int pairs, double mean, double low, double high) {
         /** Whether the interval lies on one side of 0; one pair alone tells nothing. */
-        public boolean isTold() {
+        public boolean isSignificant() {
             return pairs > 1 && (low > 0 || high < 0);
         }
     }
@@ -35,26 +35,26 @@
      * The share in time, by variant and place, and of all variants of a place together, which is named
      * "all".
      */
-    public static List<Difference> of(List<Row> first, List<Row> second) {
+    public static List<Difference> compare(List<ResultRow> first, List<ResultRow> second) {
         Map<String, List<Double>> pairs = new LinkedHashMap<>();
-        Map<String, Row> names = new LinkedHashMap<>();
-        for (Row a : first) {
+        Map<String, ResultRow> names = new LinkedHashMap<>();
+        for (ResultRow a : first) {
             second.stream()
-                    .filter(b -> b.variant().equals(a.variant()) && b.where() == a.where() && b.seed() == a.seed())
+                    .filter(b -> b.variant().equals(a.variant()) && b.environment() == a.environment() && b.seed() == a.seed())
                     .findFirst()
                     .ifPresent(b -> {
-                        String key = a.variant() + "\t" + a.where();
+                        String key = a.variant() + "\t" + a.environment();
                         names.putIfAbsent(key, a);
-                        pairs.computeIfAbsent(key, k -> new ArrayList<>()).add(b.inTime() - a.inTime());
+                        pairs.computeIfAbsent(key, k -> new ArrayList<>()).add(b.inTimeRatio() - a.inTimeRatio());
                     });
         }
         List<Difference> found = new ArrayList<>();
         pairs.forEach((key, of) ->
-                found.add(difference(names.get(key).variant(), names.get(key).where(), of)));
-        for (Experiment.Where where : Experiment.Where.values()) {
+                found.add(difference(names.get(key).variant(), names.get(key).environment(), of)));
+        for (Experiment.Environment where : Experiment.Environment.values()) {
             List<Double> all = new ArrayList<>();
             pairs.forEach((key, of) -> {
-                if (names.get(key).where() == where) {
+                if (names.get(key).environment() == where) {
                     all.addAll(of);
                 }
             });
@@ -65,7 +65,7 @@
         return found;
     }
 
-    private static Difference difference(String variant, Experiment.Where where, List<Double> of) {
+    private static Difference difference(String variant, Experiment.Environment where, List<Double> of) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(SEED);
         double[] means = new double[DRAWS];
         for (int i = 0; i < DRAWS; i++) {
@@ -95,12 +95,12 @@
                     Locale.ROOT,
                     "| %s | %s | %d | %+.4f (%+.4f to %+.4f) | %s |",
                     d.variant(),
-                    d.where().name().toLowerCase(Locale.ROOT),
+                    d.environment().name().toLowerCase(Locale.ROOT),
                     d.pairs(),
                     d.mean(),
                     d.low(),
                     d.high(),
-                    d.isTold() ? d.mean() > 0 ? "more" : "less" : "not to be told apart"));
+                    d.isSignificant() ? d.mean() > 0 ? "more" : "less" : "not to be told apart"));
         }
         return out;
     }
--- a/src/main/java/kitemux/lab/ResultsFolder.java
+++ b/src/main/java/kitemux/lab/ResultsFolder.java
@@ -44,7 +44,7 @@
      * says of
      *     which file
      */
-    public static ResultsFolder of(Path folder, Map<String, String> texts) throws IOException {
+    public static ResultsFolder openOrCreate(Path folder, Map<String, String> texts) throws IOException {
         Files.createDirectories(folder);
         for (Map.Entry<String, String> text : texts.entrySet()) {
             Path file = folder.resolve(text.getKey());
@@ -58,7 +58,7 @@
         }
         Path runs = folder.resolve(RUNS);
         if (!Files.exists(runs)) {
-            Files.writeString(runs, Row.HEAD + "\n");
+            Files.writeString(runs, ResultRow.HEADER + "\n");
         }
         return new ResultsFolder(folder);
     }
@@ -68,14 +68,14 @@
      *
      * @throws IOException if a line that is whole cannot be read; the message says which and why
      */
-    public List<Row> rows() throws IOException {
-        List<Row> rows = new ArrayList<>();
+    public List<ResultRow> rows() throws IOException {
+        List<ResultRow> rows = new ArrayList<>();
         String text = Files.readString(folder.resolve(RUNS));
         int whole = text.lastIndexOf('\n');
         String[] lines = whole < 0 ? new String[0] : text.substring(0, whole).split("\n");
         for (int i = 1; i < lines.length; i++) {
             try {
-                rows.add(Row.read(lines[i]));
+                rows.add(ResultRow.parse(lines[i]));
             } catch (IllegalArgumentException e) {
                 throw new IOException(folder.resolve(RUNS) + ", line " + (i + 1) + ": " + e.getMessage(), e);
             }
@@ -84,7 +84,7 @@
     }
 
     /** Keeps a run. What a cut-off one left behind the last whole line goes first. */
-    public synchronized void add(Row row) throws IOException {
+    public synchronized void append(ResultRow row) throws IOException {
         Path runs = folder.resolve(RUNS);
         byte[] there = Files.readAllBytes(runs);
         int whole = there.length;
@@ -93,7 +93,7 @@
         }
         try (FileChannel file = FileChannel.open(runs, StandardOpenOption.WRITE)) {
             file.truncate(whole);
-            ByteBuffer line = ByteBuffer.wrap((row.line() + "\n").getBytes(StandardCharsets.UTF_8));
+            ByteBuffer line = ByteBuffer.wrap((row.toLine() + "\n").getBytes(StandardCharsets.UTF_8));
             file.position(whole);
             while (line.hasRemaining()) {
                 file.write(line);
@@ -103,12 +103,12 @@
     }
 
     /** A text that is kept beside the runs. */
-    public String text(String name) throws IOException {
+    public String readText(String name) throws IOException {
         return Files.readString(folder.resolve(name));
     }
 
     /** Keeps a page or a chart beside the runs; returns where. */
-    public Path write(String name, String text) throws IOException {
+    public Path writeText(String name, String text) throws IOException {
         return Files.writeString(folder.resolve(name), text);
     }
 }
--- a/src/main/java/kitemux/lab/Page.java
+++ b/src/main/java/kitemux/lab/ResultsPage.java
@@ -11,40 +11,40 @@
 import kitemux.plan.Estimate;
 
 /** Results as one page with charts, which holds all that it needs and opens without a network. */
-public final class Page {
+public final class ResultsPage {
     private static final JsonFactory JSON = new JsonFactory();
     /** Beyond this part a prediction is marked: what the operators asked for. */
     private static final double MOST_OFF = 0.1;
 
-    private Page() {}
+    private ResultsPage() {}
 
     /**
      * A page of an experiment's results.
      *
      * @param title what it is called
      */
-    public static String of(String title, Experiment experiment, List<Row> rows) {
-        List<Findings.Line> lines = Findings.lines(experiment, rows);
+    public static String render(String title, Experiment experiment, List<ResultRow> rows) {
+        List<PredictionReport.VariantResult> lines = PredictionReport.variantResults(experiment, rows);
         StringBuilder table = new StringBuilder();
-        for (Findings.Line line : lines) {
-            boolean off = Math.abs(line.error()) > MOST_OFF;
+        for (PredictionReport.VariantResult line : lines) {
+            boolean off = Math.abs(line.relativeError()) > MOST_OFF;
             table.append("<tr><td>")
-                    .append(Template.escaped(line.variant()))
+                    .append(PageTemplate.escapeHtml(line.variant()))
                     .append("</td><td>")
-                    .append(Findings.text(line.predicted()))
+                    .append(PredictionReport.text(line.predicted()))
                     .append("</td><td>")
-                    .append(Findings.text(line.happened()))
+                    .append(PredictionReport.text(line.measured()))
                     .append(off ? "</td><td class=\"off\">" : "</td><td>")
-                    .append(Findings.percent(line.error()))
+                    .append(PredictionReport.percent(line.relativeError()))
                     .append("</td><td>")
-                    .append(line.broken())
+                    .append(line.violations())
                     .append("</td></tr>\n");
         }
-        return Template.fill(
+        return PageTemplate.fill(
                 "/kitemux/lab/page.html",
                 Map.of(
                         "TITLE",
-                        Template.escaped(title),
+                        PageTemplate.escapeHtml(title),
                         "ABOUT",
                         String.format(Locale.ROOT, "Goal %.2f, %d runs.", experiment.goal(), rows.size()),
                         "ROWS",
@@ -53,25 +53,25 @@
                         data(lines, experiment.goal())));
     }
 
-    private static String data(List<Findings.Line> lines, double goal) {
+    private static String data(List<PredictionReport.VariantResult> lines, double goal) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
             json.writeNumberField("goal", goal);
             json.writeArrayFieldStart("names");
-            for (Findings.Line line : lines) {
+            for (PredictionReport.VariantResult line : lines) {
                 // A name that ended the script would end the page.
                 json.writeString(line.variant().replace("<", " "));
             }
             json.writeEndArray();
             json.writeArrayFieldStart("predicted");
-            for (Findings.Line line : lines) {
+            for (PredictionReport.VariantResult line : lines) {
                 write(json, line.predicted());
             }
             json.writeEndArray();
             json.writeArrayFieldStart("happened");
-            for (Findings.Line line : lines) {
-                write(json, line.happened());
+            for (PredictionReport.VariantResult line : lines) {
+                write(json, line.measured());
             }
             json.writeEndArray();
             json.writeEndObject();
--- a/src/main/java/kitemux/lab/Between.java
+++ b/src/main/java/kitemux/lab/RunInterceptor.java
@@ -12,75 +12,75 @@
  * interest
  * is left as it is.
  */
-public interface Between {
+public interface RunInterceptor {
     /** Nobody: parties meet as they listen. */
-    Between NOBODY = new Between() {};
+    RunInterceptor NONE = new RunInterceptor() {};
 
     /** Where clients reach a node. */
-    default InetSocketAddress toNode(int node, InetSocketAddress listens) {
+    default InetSocketAddress nodeAddress(int node, InetSocketAddress listens) {
         return listens;
     }
 
     /** Where a node reaches a server. */
-    default InetSocketAddress toBox(int node, String box, InetSocketAddress listens) {
+    default InetSocketAddress boxAddress(int node, String box, InetSocketAddress listens) {
         return listens;
     }
 
     /** Where a node reaches discovery. */
-    default InetSocketAddress toList(int node, InetSocketAddress listens) {
+    default InetSocketAddress discoveryAddress(int node, InetSocketAddress listens) {
         return listens;
     }
 
     /** The run begins: clients come from now on. */
-    default void begins(Loopback.Live live) {}
+    default void runStarted(LoopbackRun.RunControl live) {}
 
     /** The run was behind its clock by so much, until now: what came meanwhile was seen late. */
-    default void late(long byUs) {}
+    default void runDelayed(long byUs) {}
 
     /**
      * Does something once all that has come to a way by now was passed on, on any thread.
      */
-    default void passedOn(Runnable then) {
+    default void runAfterPendingTraffic(Runnable then) {
         then.run();
     }
 
     /** For how long, in all, the ways have passed on nothing though they were to, in nanoseconds. */
-    default long heldUpNanos() {
+    default long totalStallNanos() {
         return 0;
     }
 
     /** A node's process takes clients, or takes them again. */
-    default void up(int node) {}
+    default void nodeStarted(int node) {}
 
     /** A node's process was ended. */
-    default void down(int node) {}
+    default void nodeStopped(int node) {}
 
     /** A node's process wrote a line, at some time not long ago. */
-    default void said(int node, String line) {}
+    default void nodeOutput(int node, String line) {}
 
     /** A client's try is on its way to a node. */
-    default void asked(int node, ClientTry one) {}
+    default void trySubmitted(int node, ClientTry one) {}
 
     /** A client has written a try to a connection, one that was used before or a new one. */
-    default void written(ClientTry one, boolean usedBefore) {}
+    default void tryWritten(ClientTry one, boolean usedBefore) {}
 
     /** A connection ended under a try, with no byte of an answer. */
-    default void broken(ClientTry one, boolean usedBefore) {}
+    default void connectionLost(ClientTry one, boolean usedBefore) {}
 
     /** An answer has come whole. */
-    default void answered(ClientTry one, int status, long retryAfterUs) {}
+    default void answerReceived(ClientTry one, int status, long retryAfterUs) {}
 
     /** A client waits no more for a try, and closes its connection. */
-    default void left(ClientTry one) {}
+    default void tryAbandoned(ClientTry one) {}
 
     /** A connection to a server has come up. */
-    default void connected(String box, InetSocketAddress from) {}
+    default void boxConnected(String box, InetSocketAddress from) {}
 
     /** A request has come whole to a server that runs, or to one that says nothing. */
-    default void came(String box, InetSocketAddress from, ClientTry one, boolean runs) {}
+    default void requestReceived(String box, InetSocketAddress from, ClientTry one, boolean runs) {}
 
     /** A server says how a request ended there. */
-    default void told(String box, ClientTry one, Result result) {}
+    default void requestCompleted(String box, ClientTry one, Result result) {}
 
     /** The answer that a server gives to a try that it serves, where it is a long one; else null. */
     default LongAnswer longAnswer(String box, ClientTry one) {
@@ -88,23 +88,23 @@
     }
 
     /** A server begins to give a long answer. */
-    default void gives(String box, ClientTry one) {}
+    default void longAnswerStarted(String box, ClientTry one) {}
 
     /** It gives no more of it. */
-    default void gave(String box, ClientTry one, LongAnswer.End how) {}
+    default void longAnswerEnded(String box, ClientTry one, LongAnswer.End how) {}
 
     /** A long answer begins to come to a client, which waits for the rest from now on, whatever its time. */
-    default void begun(ClientTry one) {}
+    default void longAnswerReceiving(ClientTry one) {}
 
     /** A connection ended amid a long answer that had begun to come. */
-    default void cutOff(ClientTry one) {}
+    default void longAnswerCutOff(ClientTry one) {}
 
     /** A server's process has begun, or ended, or gone on without a word. */
-    default void box(String box, boolean up, boolean silent) {}
+    default void boxStateChanged(String box, boolean up, boolean silent) {}
 
     /** Discovery writes a change to a node. */
-    default void listed(int node, List<ServerEntry> entries) {}
+    default void discoveryUpdateSent(int node, List<ServerEntry> entries) {}
 
     /** A node calls discovery, or watches it from now on. */
-    default void called(int node, boolean watch) {}
+    default void discoveryRequested(int node, boolean watch) {}
 }
--- a/src/main/java/kitemux/members/Health.java
+++ b/src/main/java/kitemux/members/Health.java
@@ -6,7 +6,7 @@
  * to and fro stays out for longer each time.
  */
 final class Health {
-    private final MemberSettings.Health how;
+    private final MemberSettings.HealthCheck how;
     private boolean down;
     private boolean fresh;
     private int inARow;
@@ -20,7 +20,7 @@
     /**
      * @param fresh whether it has just joined: it is out until a check passes
      */
-    Health(MemberSettings.Health how, boolean fresh, long nowUs) {
+    Health(MemberSettings.HealthCheck how, boolean fresh, long nowUs) {
         this.how = how;
         this.fresh = fresh;
         changedUs = nowUs;
@@ -28,7 +28,7 @@
     }
 
     /** As it was told before a restart of this process. */
-    Health(MemberSettings.Health how, boolean down, int downs, long changedUs, long startedUs) {
+    Health(MemberSettings.HealthCheck how, boolean down, int downs, long changedUs, long startedUs) {
         this.how = how;
         this.down = down;
         this.downs = downs;
@@ -53,7 +53,7 @@
             return false;
         }
         if (!down) {
-            downs = nowUs - changedUs >= how.mostHoldUs() ? 1 : downs + 1;
+            downs = nowUs - changedUs >= how.maxEjectionUs() ? 1 : downs + 1;
         } else {
             // What did not answer may have been restarted: to send it its full share at once could push it
             // over.
@@ -67,7 +67,7 @@
 
     private long holdUs() {
         // Beyond some thirty doublings the shift would overflow.
-        return Math.min(how.mostHoldUs(), how.holdUs() << Math.min(30, Math.max(0, downs - 1)));
+        return Math.min(how.maxEjectionUs(), how.baseEjectionUs() << Math.min(30, Math.max(0, downs - 1)));
     }
 
     /** Whether checks would have it out. */
--- a/src/main/java/kitemux/members/MemberText.java
+++ b/src/main/java/kitemux/members/MemberListParser.java
@@ -14,20 +14,20 @@
  * is taken
  * whole or not at all: half a list would look like servers that have gone.
  */
-public final class MemberText {
+public final class MemberListParser {
     private static final int MOST_SERVERS = 20_000;
     private static final int MOST_RACK = 1_000_000;
     /** Told of one list; the rest is counted. */
     private static final int MOST_FAULTS = 20;
 
-    private MemberText() {}
+    private MemberListParser() {}
 
     /**
      * @param allowed whether an address may be used: IPv4 and port, and within the networks that there are
      * @param faults one line is added for each, with the field and the reason; the list counts only if there
      * are none
      */
-    public static List<Member> read(byte[] text, Predicate<String> allowed, List<String> faults) {
+    public static List<Member> parse(byte[] text, Predicate<String> allowed, List<String> faults) {
         Json all;
         try {
             all = Json.read(text);
--- a/src/main/java/kitemux/members/Members.java
+++ b/src/main/java/kitemux/members/Membership.java
@@ -13,14 +13,14 @@
  * calls it;
  * times are microseconds that never go backwards.
  */
-public final class Members {
+public final class Membership {
     private final MemberSettings settings;
     private final Belief belief;
     private final Map<String, Health> health = new LinkedHashMap<>();
     /** When those came that were not there from the beginning, or came to another address. */
     private final Map<String, Joined> joined = new LinkedHashMap<>();
 
-    private List<Serving> holds = List.of();
+    private List<MemberStatus> holds = List.of();
     private boolean begun;
     private boolean open;
 
@@ -32,36 +32,36 @@
      * @param draining whether it gets nothing new: because it drains, or because checks have taken it out
      * @param startedUs when it was last seen to begin; 0 for long ago
      */
-    public record Serving(Member member, boolean draining, long startedUs) {}
+    public record MemberStatus(Member member, boolean draining, long startedUs) {}
 
     /**
      * What came of an event.
      *
-     * @param serving all servers, or null where nothing has changed
-     * @param say lines for the operators
+     * @param servers all servers, or null where nothing has changed
+     * @param messages lines for the operators
      */
-    public record Decision(List<Serving> serving, List<String> say) {}
+    public record Decision(List<MemberStatus> servers, List<String> messages) {}
 
     /** Knows nobody yet. */
-    public Members(MemberSettings settings) {
+    public Membership(MemberSettings settings) {
         this.settings = settings;
-        belief = new Belief(settings.mostLost(), settings.sureUs());
+        belief = new Belief(settings.maxLostRatio(), settings.lossConfirmationUs());
     }
 
     /** Begins with what an earlier process of the same application knew, before anything else is told. */
-    public Decision begin(long nowUs, SavedMembers saved) {
-        belief.set(saved.members().stream().map(SavedMembers.Saved::member).toList());
+    public Decision restore(long nowUs, MembershipSnapshot saved) {
+        belief.set(saved.members().stream().map(MembershipSnapshot.MemberRecord::member).toList());
         saved.members()
                 .forEach(one -> joined.put(
                         one.member().name(), new Joined(one.member().address(), Math.min(nowUs, one.startedUs()))));
-        if (settings.health() != null) {
+        if (settings.healthCheck() != null) {
             saved.members()
                     .forEach(one -> health.put(
                             one.member().name(),
                             new Health(
-                                    settings.health(),
+                                    settings.healthCheck(),
                                     one.down(),
-                                    one.downs(),
+                                    one.ejectionCount(),
                                     Math.min(nowUs, one.changedUs()),
                                     Math.min(nowUs, one.startedUs()))));
         }
@@ -70,13 +70,13 @@
     }
 
     /** The owner's own word: nothing of it is doubted. */
-    public Decision described(long nowUs, List<Member> all) {
+    public Decision replaceAll(long nowUs, List<Member> all) {
         belief.set(all);
         return decide(nowUs, new ArrayList<>());
     }
 
     /** A list or a watched file has told all servers. */
-    public Decision told(long nowUs, List<Member> all) {
+    public Decision updateFromSource(long nowUs, List<Member> all) {
         List<String> say = new ArrayList<>();
         if (begun) {
             belief.told(nowUs, all, say);
@@ -87,7 +87,7 @@
     }
 
     /** A check of a server is over; one that is no member any more is passed over. */
-    public Decision checked(long nowUs, String name, boolean passed) {
+    public Decision recordCheck(long nowUs, String name, boolean passed) {
         Health of = health.get(name);
         List<String> say = new ArrayList<>();
         if (of != null && of.checked(nowUs, passed)) {
@@ -105,7 +105,7 @@
     }
 
     /** All servers, as they were told last. */
-    public List<Serving> serving() {
+    public List<MemberStatus> servers() {
         return holds;
     }
 
@@ -115,28 +115,28 @@
     }
 
     /** When {@link #tick} has something to do next, for whoever waits; the clock's end if it has not. */
-    public long nextUs() {
+    public long nextTickUs() {
         return belief.nextUs();
     }
 
     /** Servers that are to be checked: all that have not been told to drain. */
-    public List<Member> toCheck() {
-        return settings.health() == null
+    public List<Member> serversToCheck() {
+        return settings.healthCheck() == null
                 ? List.of()
                 : belief.members().stream().filter(member -> !member.draining()).toList();
     }
 
     /** What the next process of this application may begin with. */
-    public SavedMembers save(String app, long nowUs) {
-        return new SavedMembers(
+    public MembershipSnapshot snapshot(String app, long nowUs) {
+        return new MembershipSnapshot(
                 app,
                 nowUs,
                 belief.members().stream()
                         .map(member -> {
                             Health of = health.get(member.name());
                             return of == null
-                                    ? new SavedMembers.Saved(member, false, 0, 0, startedUs(member))
-                                    : new SavedMembers.Saved(
+                                    ? new MembershipSnapshot.MemberRecord(member, false, 0, 0, startedUs(member))
+                                    : new MembershipSnapshot.MemberRecord(
                                             member, of.isDown(), of.downs(), of.changedUs(), startedUs(member));
                         })
                         .toList());
@@ -156,15 +156,15 @@
                 // Who is there as the process begins has most likely been there for long.
                 joined.put(member.name(), new Joined(member.address(), begun ? nowUs : 0));
             }
-            if (settings.health() != null && (isNew || !health.containsKey(member.name()))) {
-                health.put(member.name(), new Health(settings.health(), isNew && begun, nowUs));
+            if (settings.healthCheck() != null && (isNew || !health.containsKey(member.name()))) {
+                health.put(member.name(), new Health(settings.healthCheck(), isNew && begun, nowUs));
             }
         }
         begun |= !members.isEmpty();
         List<String> out = out(members, say);
-        List<Serving> serving = new ArrayList<>();
+        List<MemberStatus> serving = new ArrayList<>();
         for (Member member : members) {
-            serving.add(new Serving(member, member.draining() || out.contains(member.name()), startedUs(member)));
+            serving.add(new MemberStatus(member, member.draining() || out.contains(member.name()), startedUs(member)));
         }
         if (serving.equals(holds)) {
             return new Decision(null, say);
@@ -180,7 +180,7 @@
 
     /** Who is out by its checks: of too many, those that have been out for longest. */
     private List<String> out(List<Member> members, List<String> say) {
-        if (settings.health() == null) {
+        if (settings.healthCheck() == null) {
             return List.of();
         }
         List<String> ready = members.stream()
@@ -192,7 +192,7 @@
                 .sorted(Comparator.comparingLong(
                         (String name) -> health.get(name).changedUs()))
                 .toList();
-        int most = (int) Math.floor(settings.health().mostOut() * ready.size());
+        int most = (int) Math.floor(settings.healthCheck().maxEjectedRatio() * ready.size());
         boolean tooMany = failing.size() > most;
         if (tooMany != open) {
             open = tooMany;
--- a/src/main/java/kitemux/members/SavedMembers.java
+++ b/src/main/java/kitemux/members/MembershipSnapshot.java
@@ -20,40 +20,40 @@
  * @param app of which application; another's is not taken
  * @param savedUs Unix time in microseconds, as all times in it
  */
-public record SavedMembers(String app, long savedUs, List<Saved> members) {
+public record MembershipSnapshot(String app, long savedUs, List<MemberRecord> members) {
     private static final String FORM = "kitemux members";
     private static final int VERSION = 1;
     private static final int MOST_BYTES = 8 << 20;
     private static final JsonFactory JSON = new JsonFactory();
 
     /** A server and what its checks had told; see {@link Health}. */
-    public record Saved(Member member, boolean down, int downs, long changedUs, long startedUs) {}
+    public record MemberRecord(Member member, boolean down, int ejectionCount, long changedUs, long startedUs) {}
 
     /** A text that is not to be used; the message says why. */
-    public static final class UnusableException extends Exception {
+    public static final class InvalidSnapshotException extends Exception {
         private static final long serialVersionUID = 1;
 
-        UnusableException(String why) {
+        InvalidSnapshotException(String why) {
             super(why);
         }
     }
 
     /** The whole text of a file. */
-    public byte[] text() {
+    public byte[] encode() {
         StringWriter body = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(body)) {
             json.writeStartObject();
             json.writeStringField("app", app);
             json.writeNumberField("savedUs", savedUs);
             json.writeArrayFieldStart("members");
-            for (Saved one : members) {
+            for (MemberRecord one : members) {
                 json.writeStartObject();
                 json.writeStringField("name", one.member.name());
                 json.writeStringField("address", one.member.address());
                 json.writeNumberField("rack", one.member.rack());
                 json.writeBooleanField("draining", one.member.draining());
                 json.writeBooleanField("down", one.down);
-                json.writeNumberField("downs", one.downs);
+                json.writeNumberField("downs", one.ejectionCount);
                 json.writeNumberField("changedUs", one.changedUs);
                 json.writeNumberField("startedUs", one.startedUs);
                 json.writeEndObject();
@@ -77,35 +77,35 @@
      * Reads a text that an earlier process left.
      *
      * @param app whose it must be
-     * @throws UnusableException if it is not whole, of another version or of another application
+     * @throws InvalidSnapshotException if it is not whole, of another version or of another application
      */
-    public static SavedMembers read(byte[] bytes, String app) throws UnusableException {
+    public static MembershipSnapshot decode(byte[] bytes, String app) throws InvalidSnapshotException {
         if (bytes.length > MOST_BYTES) {
-            throw new UnusableException("has " + bytes.length + " bytes; at most " + MOST_BYTES + " are read");
+            throw new InvalidSnapshotException("has " + bytes.length + " bytes; at most " + MOST_BYTES + " are read");
         }
         String text = new String(bytes, StandardCharsets.UTF_8);
         int end = text.indexOf('\n');
         String[] head = end < 0 ? new String[0] : text.substring(0, end).split(" ");
         if (head.length != 4 || !FORM.equals(head[0] + " " + head[1])) {
-            throw new UnusableException("is not what a sidecar leaves");
+            throw new InvalidSnapshotException("is not what a sidecar leaves");
         }
         if (!head[2].equals(Integer.toString(VERSION))) {
-            throw new UnusableException("is of version " + head[2] + ", and this build reads " + VERSION);
+            throw new InvalidSnapshotException("is of version " + head[2] + ", and this build reads " + VERSION);
         }
         if (!text.endsWith("\n")
                 || text.length() < end + 2
                 || !checksum(text.substring(end + 1, text.length() - 1)).equals(head[3])) {
-            throw new UnusableException("is damaged or not whole");
+            throw new InvalidSnapshotException("is damaged or not whole");
         }
         try {
             Json json = Json.read(text.substring(end + 1).getBytes(StandardCharsets.UTF_8));
             if (!json.path("app").text().equals(app)) {
-                throw new UnusableException(
+                throw new InvalidSnapshotException(
                         "is of application \"" + json.path("app").text() + "\"");
             }
-            List<Saved> members = new ArrayList<>();
+            List<MemberRecord> members = new ArrayList<>();
             for (Json one : json.path("members")) {
-                members.add(new Saved(
+                members.add(new MemberRecord(
                         new Member(
                                 one.path("name").text(),
                                 one.path("address").text(),
@@ -116,9 +116,9 @@
                         one.path("changedUs").whole(0),
                         one.path("startedUs").whole(0)));
             }
-            return new SavedMembers(app, json.path("savedUs").whole(0), members);
+            return new MembershipSnapshot(app, json.path("savedUs").whole(0), members);
         } catch (IOException e) {
-            throw new UnusableException("is not JSON: " + e.getMessage());
+            throw new InvalidSnapshotException("is not JSON: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/kitemux/node/Node.java
+++ b/src/main/java/kitemux/node/Node.java
@@ -24,7 +24,7 @@
 import kitemux.config.ClassArchive;
 import kitemux.config.ConfigException;
 import kitemux.discovery.Discovery;
-import kitemux.discovery.PushedList;
+import kitemux.discovery.PushedListWatcher;
 import kitemux.engine.Engine;
 import kitemux.engine.Log;
 import kitemux.engine.Observer;
@@ -75,7 +75,7 @@
     private final ClientServer clients;
     private final Discovery discovery;
     /** Where lists are pushed; null where the module asks for them, or the file names all servers. */
-    private final PushedList pushed;
+    private final PushedListWatcher pushed;
 
     private final Engine<ClientRequest, ServerResponse> engine;
     private final EventLoopClock time;
@@ -178,22 +178,22 @@
                 config.discovery(),
                 config.settings().zones,
                 config.known().revision(),
-                Discovery.MOST_SILENCE_US,
+                Discovery.MAX_SILENCE_US,
                 config.seed(),
                 new Discovery.Listener() {
                     @Override
-                    public void listed(HostList list) {
+                    public void onList(HostList list) {
                         if (pushed != null) {
-                            pushed.heard();
+                            pushed.onUpdate();
                         }
                         list(list, list.isFull() ? ListKind.FULL : ListKind.CHANGES);
                         firstList.countDown();
                     }
 
                     @Override
-                    public void moved() {
+                    public void onMoved() {
                         if (pushed != null) {
-                            pushed.heard();
+                            pushed.onUpdate();
                         }
                         // The module waits longer with each call that fails, and these were to another place:
                         // that nothing has changed is what lets it begin anew.
@@ -201,18 +201,18 @@
                     }
 
                     @Override
-                    public void failed(String reason) {
+                    public void onFailure(String reason) {
                         log.info("discovery: " + reason);
                         engine.reportListFailure();
                         if (pushed != null) {
-                            pushed.failed();
+                            pushed.onFailure();
                         }
                     }
                 },
                 log);
         pushed = config.settings().listOnRequest || config.namesAllServers()
                 ? null
-                : new PushedList(time, discovery::subscribe, config.seed());
+                : new PushedListWatcher(time, discovery::subscribe, config.seed());
         engine = new Engine<>(
                 config.settings().maxAttempts,
                 parts.time(),
@@ -247,7 +247,7 @@
 
             @Override
             public void sendAway(boolean away) {
-                clients.sendAway(away);
+                clients.setDraining(away);
             }
 
             @Override
@@ -473,7 +473,7 @@
         loop.execute(() -> {
             list(config.known(), ListKind.CACHED);
             if (pushed != null) {
-                pushed.begin();
+                pushed.start();
             }
         });
     }
@@ -502,7 +502,7 @@
         housekeeping = loop.scheduleAtFixedRate(
                 () -> {
                     pool.closeExpiredConnections();
-                    clients.closeOld();
+                    clients.closeExpired();
                 },
                 HOUSEKEEPING_MS,
                 HOUSEKEEPING_MS,
@@ -533,7 +533,7 @@
             if (changed.namesAllServers()) {
                 list(changed.known(), ListKind.FULL);
             } else {
-                discovery.moveTo(changed.discovery());
+                discovery.setAddress(changed.discovery());
             }
             tellOfReload(true);
         });
@@ -542,7 +542,7 @@
     /** Discovery is elsewhere from now on, unless the file names all servers; on the loop. */
     private void discoveryIs(InetSocketAddress at) {
         if (!config.namesAllServers()) {
-            discovery.moveTo(at);
+            discovery.setAddress(at);
         }
     }
 
@@ -588,7 +588,7 @@
             clients.close();
             pool.close();
             if (pushed != null) {
-                pushed.end();
+                pushed.stop();
             }
             discovery.close();
             engine.close();
--- a/src/main/java/kitemux/node/RolloutLink.java
+++ b/src/main/java/kitemux/node/RolloutLink.java
@@ -67,6 +67,6 @@
                             log.info("rollout: version " + rev + " is taken in");
                         },
                         log)
-                .begin();
+                .start();
     }
 }
--- a/src/main/java/kitemux/scale/HollowNode.java
+++ b/src/main/java/kitemux/scale/HollowNode.java
@@ -135,18 +135,18 @@
                 list,
                 settings.zones,
                 0,
-                Discovery.MOST_SILENCE_US,
+                Discovery.MAX_SILENCE_US,
                 seed,
                 new Discovery.Listener() {
                     @Override
-                    public void listed(HostList told) {
+                    public void onList(HostList told) {
                         put(told, told.isFull() ? ListKind.FULL : ListKind.CHANGES);
                         readRev = told.revision();
                         heardAtUs = time.nowUs();
                     }
 
                     @Override
-                    public void failed(String reason) {
+                    public void onFailure(String reason) {
                         engine.reportListFailure();
                     }
                 },
--- a/src/main/java/kitemux/scale/RealNode.java
+++ b/src/main/java/kitemux/scale/RealNode.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import kitemux.config.ConfigText;
-import kitemux.lab.Guard;
+import kitemux.lab.ProcessGuard;
 
 /**
  * A process of the node that serves, behind a guard: it ends with this process, however that ends.
@@ -60,7 +60,7 @@
                         size.settings(0),
                         known));
         Path temporary = Files.createDirectories(folder.resolve("tmp-" + port));
-        ProcessBuilder node = Guard.before(commands.node()).redirectErrorStream(true);
+        ProcessBuilder node = ProcessGuard.wrap(commands.node()).redirectErrorStream(true);
         node.environment().put("PROXY_CONFIG", config.toString());
         node.environment().put("TMPDIR", temporary.toString());
         long began = System.nanoTime();
--- a/src/main/java/kitemux/scale/ScaleRun.java
+++ b/src/main/java/kitemux/scale/ScaleRun.java
@@ -289,7 +289,7 @@
 
     /** All watches end; the version that whoever has the list anew has, once all have called. */
     private static long wholeAgain(Stand stand) throws IOException, InterruptedException {
-        long calls = stand.calls() + stand.desk().watching();
+        long calls = stand.calls() + stand.desk().watchCount();
         long rev = stand.endWatches();
         Stand.until(() -> stand.calls() >= calls, "a node does not watch again");
         return rev;
--- a/src/main/java/kitemux/scale/Stand.java
+++ b/src/main/java/kitemux/scale/Stand.java
@@ -24,8 +24,8 @@
 import java.util.stream.Stream;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
-import kitemux.lab.ListDesk;
-import kitemux.lab.Place;
+import kitemux.lab.DiscoveryStub;
+import kitemux.lab.LoopbackSubnet;
 import kitemux.standin.BoxServer;
 
 /**
@@ -44,7 +44,7 @@
     private final Commands commands;
     private final Sized size;
     private final long seed;
-    private final Place place;
+    private final LoopbackSubnet place;
     private final Path folder;
     private final MultiThreadIoEventLoopGroup group;
     private final MultiThreadIoEventLoopGroup answering;
@@ -55,7 +55,7 @@
     private final List<AutoCloseable> nodes = new CopyOnWriteArrayList<>();
 
     private final Map<String, InetSocketAddress> addresses;
-    private final ListDesk desk;
+    private final DiscoveryStub desk;
     private final AtomicLong calls = new AtomicLong();
     private final InetSocketAddress list;
     private int started;
@@ -65,7 +65,7 @@
         this.commands = commands;
         this.size = size;
         this.seed = seed;
-        place = Place.take();
+        place = LoopbackSubnet.acquire();
         folder = Files.createTempDirectory("kitemux-scale");
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         loop = (EventLoop) group.next();
@@ -78,9 +78,9 @@
         }
         addresses = size.addresses(listening);
         list = place.address(0, LIST_PORT);
-        desk = on(() -> new ListDesk(list, loop, size.zoneNames(), addresses, watch -> calls.incrementAndGet()));
+        desk = on(() -> new DiscoveryStub(list, loop, size.zoneNames(), addresses, watch -> calls.incrementAndGet()));
         loopThread = on(() -> Thread.currentThread().getId());
-        ChannelFuture opening = desk.opening();
+        ChannelFuture opening = desk.bindFuture();
         if (!opening.await().isSuccess()) {
             throw new IOException(
                     "discovery's stand-in cannot listen: " + opening.cause().getMessage());
@@ -105,7 +105,7 @@
         return servers.get(0).address();
     }
 
-    ListDesk desk() {
+    DiscoveryStub desk() {
         return desk;
     }
 
@@ -123,17 +123,17 @@
 
     /** Starts a real node that begins with the list as it is, and waits until it watches. */
     RealNode real() throws IOException, InterruptedException {
-        int watching = desk.watching();
+        int watching = desk.watchCount();
         RealNode node = RealNode.start(
                 commands,
                 size,
                 place.address(started++, NODE_PORT),
                 list,
-                ListDesk.placed(size.all(), addresses),
+                DiscoveryStub.withAddresses(size.all(), addresses),
                 seed,
                 folder);
         nodes.add(node);
-        until(() -> desk.watching() > watching, "a node does not watch");
+        until(() -> desk.watchCount() > watching, "a node does not watch");
         return node;
     }
 
@@ -177,7 +177,7 @@
     /** Tells one line with these; the version that it has. */
     long tell(List<ServerEntry> changed) throws IOException, InterruptedException {
         return on(() -> {
-            desk.tell(changed);
+            desk.publish(changed);
             return desk.rev();
         });
     }
@@ -200,8 +200,8 @@
      */
     long endWatches() throws IOException, InterruptedException {
         return on(() -> {
-            desk.endWatches();
-            desk.tell(List.of(size.entry(0, ServerState.READY, 0)));
+            desk.closeWatches();
+            desk.publish(List.of(size.entry(0, ServerState.READY, 0)));
             return desk.rev();
         });
     }
@@ -240,7 +240,7 @@
     /** Tells them all at once; the last version. */
     long tellAll(List<List<ServerEntry>> lines) throws IOException, InterruptedException {
         return on(() -> {
-            lines.forEach(desk::tell);
+            lines.forEach(desk::publish);
             return desk.rev();
         });
     }
--- a/src/main/java/kitemux/sidecar/Sidecar.java
+++ b/src/main/java/kitemux/sidecar/Sidecar.java
@@ -24,10 +24,10 @@
 import kitemux.app.Watch;
 import kitemux.members.Member;
 import kitemux.members.MemberSettings;
-import kitemux.members.MemberText;
-import kitemux.members.Members;
-import kitemux.members.Refresh;
-import kitemux.members.SavedMembers;
+import kitemux.members.MemberListParser;
+import kitemux.members.Membership;
+import kitemux.members.RefreshSchedule;
+import kitemux.members.MembershipSnapshot;
 import kitemux.node.Node;
 
 /**
@@ -35,7 +35,7 @@
  * what it
  * knows for the next process, and tells the node. All of this is done by one thread beside the node's loop,
  * which
- * decides nothing itself: {@link Members} does.
+ * decides nothing itself: {@link Membership} does.
  */
 public final class Sidecar {
     /** A list that takes longer is no list. */
@@ -49,12 +49,12 @@
 
     private final Options options;
     private final LineLog log;
-    private final Members members;
+    private final Membership members;
     private final Watch watch;
     private final StateFolder state;
     private final Path config;
     private final Fetch fetch = new Fetch();
-    private final Refresh refresh;
+    private final RefreshSchedule refresh;
     private final ScheduledExecutorService keeper;
     private final Set<String> checking = new HashSet<>();
     private final Instant beganAt = Instant.now();
@@ -87,14 +87,14 @@
         log = new LineLog(System.err, app.logs().json(), app.logs().queue(), Instant::now);
         App.Members from = app.members();
         App.Health how = app.health();
-        members = new Members(new MemberSettings(
+        members = new Membership(new MemberSettings(
                 from.mostLost(),
                 from.sureUs(),
                 how == null
                         ? null
-                        : new MemberSettings.Health(
+                        : new MemberSettings.HealthCheck(
                                 how.fall(), how.rise(), how.mostOut(), how.holdUs(), how.mostHoldUs())));
-        refresh = new Refresh(
+        refresh = new RefreshSchedule(
                 from.refreshUs(),
                 from.backOffUs(),
                 () -> ThreadLocalRandom.current().nextDouble());
@@ -135,7 +135,7 @@
         every(options.lookMs(), this::look);
         every(STATE_EVERY_MS, this::save);
         if (!app.members().list().isEmpty()) {
-            keeper.schedule(this::askForList, refresh.answered() / 1_000, TimeUnit.MILLISECONDS);
+            keeper.schedule(this::askForList, refresh.recordSuccess() / 1_000, TimeUnit.MILLISECONDS);
         }
         if (app.health() != null) {
             every(app.health().everyUs() / 1_000, this::checkAll);
@@ -176,9 +176,9 @@
     // ---------------------------------------------------------------- which servers there are
 
     private void firstMembers() throws IOException {
-        SavedMembers left = state == null ? null : state.read(log).orElse(null);
+        MembershipSnapshot left = state == null ? null : state.read(log).orElse(null);
         if (left != null) {
-            take(members.begin(nowUs(), left));
+            take(members.restore(nowUs(), left));
         }
         if (!app.discovery().isEmpty()) {
             // The node asks for its servers itself.
@@ -186,7 +186,7 @@
             return;
         }
         if (app.source().isEmpty()) {
-            take(members.described(nowUs(), ConfigWriter.members(app)));
+            take(members.replaceAll(nowUs(), ConfigWriter.members(app)));
         } else if (!app.members().file().isEmpty()) {
             fileSeen = file();
             fileTaken = fileSeen;
@@ -208,7 +208,7 @@
                     + (nowUs() - left.savedUs()) / 1_000_000
                     + " s ago");
         }
-        tell(members.serving());
+        tell(members.servers());
     }
 
     private static String reason(Throwable failed) {
@@ -228,7 +228,7 @@
     /** A list has come, by file or by HTTP: whole and sound, or it changes nothing. */
     private boolean list(byte[] text, String from) {
         List<String> faults = new ArrayList<>();
-        List<Member> all = text == null ? List.of() : MemberText.read(text, app::allows, faults);
+        List<Member> all = text == null ? List.of() : MemberListParser.parse(text, app::allows, faults);
         if (text == null) {
             faults.add("cannot be read");
         }
@@ -240,7 +240,7 @@
             trouble = "";
             log.info(from + ": can be read again");
         }
-        take(members.told(nowUs(), all));
+        take(members.updateFromSource(nowUs(), all));
         return true;
     }
 
@@ -252,16 +252,16 @@
         }
     }
 
-    private void take(Members.Decision decision) {
-        if (decision.serving() != null) {
+    private void take(Membership.Decision decision) {
+        if (decision.servers() != null) {
             unsaved = true;
-            tell(decision.serving());
+            tell(decision.servers());
         }
         // Whoever reads that a server drains may rely on it.
-        decision.say().forEach(log::info);
+        decision.messages().forEach(log::info);
     }
 
-    private void tell(List<Members.Serving> serving) {
+    private void tell(List<Membership.MemberStatus> serving) {
         try {
             write(ConfigWriter.json(
                     app,
@@ -293,14 +293,14 @@
         if (decision.app() != null) {
             app = decision.app();
             if (app.source().isEmpty() && app.discovery().isEmpty()) {
-                take(members.described(nowUs(), ConfigWriter.members(app)));
+                take(members.replaceAll(nowUs(), ConfigWriter.members(app)));
             }
         }
         decision.say().forEach(log::info);
         if (!app.members().file().isEmpty()) {
             lookAtList();
         }
-        if (members.nextUs() <= nowUs()) {
+        if (members.nextTickUs() <= nowUs()) {
             take(members.tick(nowUs()));
         }
     }
@@ -326,9 +326,9 @@
                         (text, failed) -> guarded(() -> {
                             long pauseUs;
                             if (failed == null && list(text, from)) {
-                                pauseUs = refresh.answered();
+                                pauseUs = refresh.recordSuccess();
                             } else {
-                                pauseUs = refresh.failed();
+                                pauseUs = refresh.recordFailure();
                                 if (failed != null) {
                                     trouble(from, reason(failed));
                                 }
@@ -340,7 +340,7 @@
 
     /** Each server once, spread over the pause, and none that is being asked still. */
     private void checkAll() {
-        List<Member> all = members.toCheck();
+        List<Member> all = members.serversToCheck();
         long pauseMs = app.health().everyUs() / 1_000;
         for (int i = 0; i < all.size(); i++) {
             Member one = all.get(i);
@@ -358,7 +358,7 @@
                 .whenCompleteAsync(
                         (well, failed) -> guarded(() -> {
                             checking.remove(one.name());
-                            take(members.checked(nowUs(), one.name(), Boolean.TRUE.equals(well)));
+                            take(members.recordCheck(nowUs(), one.name(), Boolean.TRUE.equals(well)));
                         }),
                         keeper);
     }
@@ -369,7 +369,7 @@
         }
         unsaved = false;
         try {
-            state.write(members.save(app.name(), nowUs()));
+            state.write(members.snapshot(app.name(), nowUs()));
         } catch (IOException e) {
             log.info("state: cannot be written, and the next process begins without it: " + e);
         }
--- a/src/main/java/kitemux/sidecar/StateFolder.java
+++ b/src/main/java/kitemux/sidecar/StateFolder.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.Optional;
-import kitemux.members.SavedMembers;
+import kitemux.members.MembershipSnapshot;
 
 /**
  * Where a sidecar leaves for the next one which servers it believed in. A file is there whole or not at all;
@@ -27,23 +27,23 @@
     }
 
     /** What was left, where there is anything that can be used. */
-    Optional<SavedMembers> read(LineLog log) {
+    Optional<MembershipSnapshot> read(LineLog log) {
         try {
-            return Optional.of(SavedMembers.read(Files.readAllBytes(file), app));
+            return Optional.of(MembershipSnapshot.decode(Files.readAllBytes(file), app));
         } catch (NoSuchFileException e) {
             return Optional.empty();
         } catch (IOException e) {
             log.info("state: " + file + " cannot be read: " + e);
-        } catch (SavedMembers.UnusableException e) {
+        } catch (MembershipSnapshot.InvalidSnapshotException e) {
             log.info("state: " + file + " " + e.getMessage() + "; beginning without it");
         }
         return Optional.empty();
     }
 
     /** Leaves this in place of what was left before. */
-    void write(SavedMembers saved) throws IOException {
+    void write(MembershipSnapshot saved) throws IOException {
         Files.createDirectories(file.toAbsolutePath().getParent());
-        Path whole = Files.write(file.resolveSibling(file.getFileName() + ".new"), saved.text());
+        Path whole = Files.write(file.resolveSibling(file.getFileName() + ".new"), saved.encode());
         Files.move(whole, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 }
--- a/src/main/java/kitemux/soak/SoakNode.java
+++ b/src/main/java/kitemux/soak/SoakNode.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import kitemux.lab.Guard;
+import kitemux.lab.ProcessGuard;
 
 /** One process of the node under test, started behind a guard process so that it does not outlive the run. */
 final class SoakNode implements AutoCloseable {
@@ -69,7 +69,7 @@
                     "{\"trace\":{\"folder\":\"%s\"}}".formatted(folder.resolve("traces")));
             launcher.environment().put("KITEMUX_SETTINGS", settings.toString());
         }
-        return new SoakNode(Guard.before(launcher).redirectErrorStream(true).start(), operatorPort);
+        return new SoakNode(ProcessGuard.wrap(launcher).redirectErrorStream(true).start(), operatorPort);
     }
 
     private static String config(int clientPort, int operatorPort, long deadlineMs, List<SoakServer> servers) {
--- a/src/main/java/kitemux/telemetry/RequestTrace.java
+++ b/src/main/java/kitemux/telemetry/RequestTrace.java
@@ -56,22 +56,22 @@
     }
 
     @Override
-    public void accepted(long connection, SocketAddress client) {
+    public void connectionAccepted(long connection, SocketAddress client) {
         line("connection " + connection + " accepted from " + client);
     }
 
     @Override
-    public void requested(long connection, String txn) {
+    public void requestReceived(long connection, String txn) {
         line("request " + txn + " on connection " + connection);
     }
 
     @Override
-    public void closed(long connection, CloseReason reason) {
+    public void connectionClosed(long connection, CloseReason reason) {
         line("connection " + connection + " closed " + reason);
     }
 
     @Override
-    public void shutdown(ShutdownPhase phase) {
+    public void shutdownPhaseEntered(ShutdownPhase phase) {
         line("shutdown " + phase);
     }
 
--- a/src/main/java/kitemux/world/Box.java
+++ b/src/main/java/kitemux/world/Box.java
@@ -85,7 +85,7 @@
             boolean chokes) {
         this.world = world;
         this.settings = settings;
-        coldWork = new ColdStartLoad(Clients.meanWorkUs(), settings.overloadOutageUs);
+        coldWork = new ColdStartLoad(Clients.meanWorkUs(), settings.overloadWindowUs);
         this.random = random;
         this.machine = machine;
         uid = machine.name;
@@ -409,7 +409,7 @@
                         coldWork,
                         ask.workUs,
                         from.knowsStartOf(this),
-                        settings.overloadRatio * speed * warmth() * settings.overloadOutageUs);
+                        settings.overloadRatio * speed * warmth() * settings.overloadWindowUs);
     }
 
     private void watchCrowd() {
--- a/src/main/java/kitemux/world/Clients.java
+++ b/src/main/java/kitemux/world/Clients.java
@@ -370,7 +370,7 @@
         }
 
         private boolean isLongAmid() {
-            return reader.lengthAmid() > Limits.MOST_GATHERED;
+            return reader.lengthAmid() > Limits.MAX_BUFFERED_RESPONSE_BYTES;
         }
 
         /** Whether the node's machine had its last byte on a connection that the process had not let go
--- a/src/main/java/kitemux/world/Judge.java
+++ b/src/main/java/kitemux/world/Judge.java
@@ -254,7 +254,7 @@
             breach(
                     Rule.COLD,
                     box + " was sent " + Math.round(sent.recentRequests()) + " requests in "
-                            + settings.overloadOutageUs / 1_000 + " ms, in which it may get "
+                            + settings.overloadWindowUs / 1_000 + " ms, in which it may get "
                             + Math.round(allowedUs / Clients.meanWorkUs()));
         }
         return verdict != ColdStartLoad.Verdict.WITHIN_LIMIT;
--- a/src/main/java/kitemux/world/World.java
+++ b/src/main/java/kitemux/world/World.java
@@ -167,7 +167,7 @@
         set.coldCapacityRatio = 0.12;
         set.warmUpUs = 23_000_000;
         set.overloadRatio = 4;
-        set.overloadOutageUs = 2_000_000;
+        set.overloadWindowUs = 2_000_000;
         return set;
     }
 
--- a/src/test/java/kitemux/RandomEventsTest.java
+++ b/src/test/java/kitemux/RandomEventsTest.java
@@ -333,15 +333,15 @@
         judge.coldSends.forEach((start, sends) -> {
             for (long[] first : sends) {
                 List<long[]> span = sends.stream()
-                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.overloadOutageUs)
+                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.overloadWindowUs)
                         .toList();
                 double ready =
                         Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
                 double age =
-                        Math.min(1, (first[0] + set.overloadOutageUs - start.startedAtUs()) / (double) set.warmUpUs);
+                        Math.min(1, (first[0] + set.overloadWindowUs - start.startedAtUs()) / (double) set.warmUpUs);
                 double share = set.coldCapacityRatio + (1 - set.coldCapacityRatio) * age;
                 assertTrue(
-                        span.size() - 2 <= set.overloadRatio * share * rate / ready * set.overloadOutageUs / 1e6,
+                        span.size() - 2 <= set.overloadRatio * share * rate / ready * set.overloadWindowUs / 1e6,
                         "rule 4: " + span.size() + " sends in one span");
             }
         });
--- a/src/test/java/kitemux/drill/UnsoundNodeTest.java
+++ b/src/test/java/kitemux/drill/UnsoundNodeTest.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import kitemux.lab.Loopback;
+import kitemux.lab.LoopbackRun;
 import kitemux.node.UnsoundNode;
 import kitemux.node.UnsoundNode.Defect;
 import org.junit.jupiter.api.Test;
@@ -27,7 +27,7 @@
     @TempDir
     Path folder;
 
-    private static Loopback.Launcher unsound(Defect defect) {
+    private static LoopbackRun.Launcher unsound(Defect defect) {
         return () -> {
             ProcessBuilder node = Played.node();
             List<String> command = new ArrayList<>(node.command());
@@ -38,7 +38,7 @@
         };
     }
 
-    private Verdict judged(Scenario scenario, Loopback.Launcher launcher) throws Exception {
+    private Verdict judged(Scenario scenario, LoopbackRun.Launcher launcher) throws Exception {
         Verdict verdict = null;
         for (int i = 0; i < TRIES && (verdict == null || !verdict.judged()); i++) {
             Drill.play(scenario, launcher, folder.resolve("t.jsonl"));
--- a/src/test/java/kitemux/fleet/PerNodeBudgetBalancer.java
+++ b/src/test/java/kitemux/fleet/PerNodeBudgetBalancer.java
@@ -85,10 +85,10 @@
                 double age = (double) (nowUs - start.getValue()) / set.warmUpUs;
                 double share = set.coldCapacityRatio + (1 - set.coldCapacityRatio) * age;
                 ArrayDeque<Long> mine = sent.computeIfAbsent(start.getKey(), id -> new ArrayDeque<>());
-                while (!mine.isEmpty() && mine.peek() <= nowUs - set.overloadOutageUs) {
+                while (!mine.isEmpty() && mine.peek() <= nowUs - set.overloadWindowUs) {
                     mine.poll();
                 }
-                if (age < 1 && mine.size() + 1 <= set.overloadRatio * share * set.overloadOutageUs / meanWorkUs) {
+                if (age < 1 && mine.size() + 1 <= set.overloadRatio * share * set.overloadWindowUs / meanWorkUs) {
                     mine.add(nowUs);
                     return start.getKey();
                 }
--- a/src/test/java/kitemux/http/LongAnswerBoundsTest.java
+++ b/src/test/java/kitemux/http/StreamedResponseLimitsTest.java
@@ -42,7 +42,7 @@
 
 /** The bounds of an answer that is passed on, over real sockets and on a clock that is moved by hand. */
 @Timeout(60)
-class LongAnswerBoundsTest {
+class StreamedResponseLimitsTest {
     private static final long DEADLINE_US = 500_000;
     private static final int FIRST = 100_000;
     /** Between two looks at what does not go on: no bound is passed in between without being seen. */
--- a/src/test/java/kitemux/keeper/KeeperFileTest.java
+++ b/src/test/java/kitemux/keeper/KeeperSettingsParserTest.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class KeeperFileTest {
+class KeeperSettingsParserTest {
     private final List<String> faults = new ArrayList<>();
 
     private KeeperSettings read(String text) {
-        return KeeperFile.read("k.hcl", text, faults);
+        return KeeperSettingsParser.parse("k.hcl", text, faults);
     }
 
     @Test
@@ -24,10 +24,10 @@
                 nodes   = 420
                 """);
         assertEquals(List.of(), faults);
-        assertEquals("[0:9f2c, 1:77aa, 2:12ef]", read.voters().toString());
-        assertEquals(read.keepers().get(1), read.listen());
+        assertEquals("[0:9f2c, 1:77aa, 2:12ef]", read.initialVoters().toString());
+        assertEquals(read.keeperAddresses().get(1), read.listenAddress());
         assertEquals("/var/lib/keeper", read.folder().toString());
-        assertEquals(420, read.nodes());
+        assertEquals(420, read.nodeCount());
     }
 
     @Test
--- a/src/test/java/kitemux/keeper/Keepers.java
+++ b/src/test/java/kitemux/keeper/Keepers.java
@@ -89,7 +89,7 @@
             }
             if (k < voting) {
                 try (FolderDisk disk = FolderDisk.openForWriting(folder(k))) {
-                    voters.add(Voter.parse(Keeper.make(disk, k, draws::incrementAndGet, lines[k])));
+                    voters.add(Voter.parse(Keeper.initializeFolder(disk, k, draws::incrementAndGet, lines[k])));
                 }
             }
         }
@@ -125,7 +125,7 @@
                 new KeeperSettings(number, others, ANY_PORT, folder(number), voters, nodes),
                 terms,
                 new ConfigRules(),
-                new Keeper.Parts(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), lines[number]),
+                new Keeper.Environment(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), lines[number]),
                 disk.apply(disks[number]),
                 draws::incrementAndGet,
                 failed::add);
@@ -268,7 +268,7 @@
                         revs.add(rev);
                     },
                     said);
-            watch.begin();
+            watch.start();
         }
 
         /** Waits until this version or a later one is in force. */
--- a/src/test/java/kitemux/keeper/RolloutWatchTest.java
+++ b/src/test/java/kitemux/keeper/RolloutWatchTest.java
@@ -94,7 +94,7 @@
                     revs.add(rev);
                 },
                 said);
-        watch.begin();
+        watch.start();
     }
 
     @AfterEach
@@ -155,7 +155,7 @@
     }
 
     private long badLines() throws Exception {
-        return loop.submit(() -> watch.machine().malformedEvents()).get();
+        return loop.submit(() -> watch.subscriber().malformedEvents()).get();
     }
 
     @Test
--- a/src/test/java/kitemux/lab/ExperimentFileTest.java
+++ b/src/test/java/kitemux/lab/ExperimentFileTest.java
@@ -22,7 +22,7 @@
                     if (!path.equals("small.hcl")) {
                         throw new IOException("no such file");
                     }
-                    return Fleets.SMALL;
+                    return TestFleets.SMALL;
                 },
                 faults);
     }
@@ -73,7 +73,7 @@
         assertEquals(Fleet.FaultKind.DIE, lost.faults().get(0).kind());
         assertEquals(225, experiment.variants().get(3).fleet().load().ratePerS());
         assertEquals(3, experiment.variants().get(5).fleet().serverCount());
-        assertTrue(experiment.variants().get(5).more());
+        assertTrue(experiment.variants().get(5).higherIsBetter());
         assertEquals(12, experiment.runs().size());
     }
 
--- a/src/test/java/kitemux/lab/DeedsTest.java
+++ b/src/test/java/kitemux/lab/FaultScriptTest.java
@@ -13,25 +13,25 @@
 import org.junit.jupiter.api.Test;
 
 /** What is done to a fleet that is tried out: read from a script, and done to real nodes over loopback. */
-class DeedsTest {
+class FaultScriptTest {
     private final List<String> faults = new ArrayList<>();
 
-    private List<Deeds.Timed> read(String text) {
-        return Deeds.read(text, Fleets.small(), faults);
+    private List<FaultScript.TimedAction> read(String text) {
+        return FaultScript.parse(text, TestFleets.small(), faults);
     }
 
     private static String box(int number) {
-        return Fleets.small().kinds().get(0).name() + "-" + number;
+        return TestFleets.small().kinds().get(0).name() + "-" + number;
     }
 
     @Test
     void aScriptIsReadInOrderOfTimeAndAllItsFaultsAreTold() {
-        List<Deeds.Timed> deeds = read("# first the worst\n\n2.5s restart\n  1s kill " + box(0) + "\n");
+        List<FaultScript.TimedAction> deeds = read("# first the worst\n\n2.5s restart\n  1s kill " + box(0) + "\n");
         assertEquals(List.of(), faults);
         assertEquals(
                 List.of(
-                        new Deeds.Timed(1_000_000, Deeds.Deed.KILL, box(0)),
-                        new Deeds.Timed(2_500_000, Deeds.Deed.RESTART, "")),
+                        new FaultScript.TimedAction(1_000_000, FaultScript.Action.KILL, box(0)),
+                        new FaultScript.TimedAction(2_500_000, FaultScript.Action.RESTART, "")),
                 deeds);
         read("kill\n1s burn " + box(0) + "\n1s kill\n1s slow nobody\n1s flood nobody\n");
         assertEquals(5, faults.size(), faults.toString());
@@ -44,7 +44,7 @@
     @Test
     void eachDeedHasAKeyOfItsOwn() {
         Set<String> keys = new HashSet<>();
-        for (Deeds.Deed deed : Deeds.Deed.values()) {
+        for (FaultScript.Action deed : FaultScript.Action.values()) {
             assertTrue(keys.add(deed.key()) && !deed.key().matches("[0-9q]"), deed + ": " + deed.key());
         }
     }
@@ -52,25 +52,25 @@
     /** A watcher does things as time passes, sees them, and ends the run. */
     @Test
     void whatIsDoneIsSeenAndTheRunEndsWhenItIsToldTo() throws Exception {
-        Fleet fleet = Fleets.small();
+        Fleet fleet = TestFleets.small();
         Fleet longer = fleet.with(new Fleet.Load(
                 fleet.load().ratePerS(), 60_000_000, List.of(), fleet.load().quotaPerS(), 1));
-        List<Deeds.Deed> deeds = new ArrayList<>(List.of(
-                Deeds.Deed.KILL,
-                Deeds.Deed.BACK,
-                Deeds.Deed.SLOW,
-                Deeds.Deed.BACK,
-                Deeds.Deed.FAIL,
-                Deeds.Deed.BACK,
-                Deeds.Deed.SILENCE));
+        List<FaultScript.Action> deeds = new ArrayList<>(List.of(
+                FaultScript.Action.KILL,
+                FaultScript.Action.BACK,
+                FaultScript.Action.SLOW,
+                FaultScript.Action.BACK,
+                FaultScript.Action.FAIL,
+                FaultScript.Action.BACK,
+                FaultScript.Action.SILENCE));
         List<String> seen = new ArrayList<>();
-        RunResult result = Loopback.play(longer, 1, Fleets::node, (live, nowUs) -> {
+        RunResult result = LoopbackRun.execute(longer, 1, TestFleets::node, (live, nowUs) -> {
                     Emulation.BoxStatus box = live.boxStatuses().get(0);
                     seen.add(box.state());
                     if (deeds.isEmpty()) {
                         return false;
                     }
-                    Deeds.act(deeds.remove(0), box.id(), longer, live);
+                    FaultScript.apply(deeds.remove(0), box.id(), longer, live);
                     return true;
                 })
                 .result();
--- a/src/test/java/kitemux/lab/LoopbackTest.java
+++ b/src/test/java/kitemux/lab/LoopbackRunTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Described fleets over sockets, with processes of real nodes. */
-class LoopbackTest {
+class LoopbackRunTest {
 
     private static List<Long> offered(RunResult result) {
         return result.classes().stream().map(RunResult.ClassOutcome::offered).toList();
@@ -38,9 +38,9 @@
 
     @Test
     void theSameClientsAreServedAsTheEmulatorSays() throws Exception {
-        Fleet fleet = Fleets.small();
+        Fleet fleet = TestFleets.small();
         RunResult predicted = Emulation.run(fleet, 3);
-        RunResult happened = Loopback.play(fleet, 3, Fleets::node).result();
+        RunResult happened = LoopbackRun.execute(fleet, 3, TestFleets::node).result();
         assertEquals(offered(predicted), offered(happened), "the same clients come");
         assertEquals(happened.requests(), ended(happened), "each wish ends once");
         assertEquals(List.of(), happened.violations());
@@ -49,12 +49,12 @@
 
     @Test
     void whoeverAsksADeadNodeIsToldAndAReleaseBreaksNoRule() throws Exception {
-        Fleet fleet = Fleets.small()
+        Fleet fleet = TestFleets.small()
                 .withFaults(List.of(
                         new Fleet.Fault(Fleet.FaultKind.RELEASE, Fleet.FaultScope.ANY, 0, 2, 300_000, 200_000, 2),
                         new Fleet.Fault(
                                 Fleet.FaultKind.NODES_RESTART, Fleet.FaultScope.ANY, 0, 1, 1_000_000, 100_000, 1)));
-        RunResult happened = Loopback.play(fleet, 5, Fleets::node).result();
+        RunResult happened = LoopbackRun.execute(fleet, 5, TestFleets::node).result();
         assertEquals(happened.requests(), ended(happened), "each wish ends once");
         assertEquals(List.of(), happened.violations());
         // One of two nodes is gone for a second or more, which the front notices late; the other serves.
@@ -66,22 +66,22 @@
     void aNodeThatDoesNotStartIsToldWithWhatItSaid() {
         IOException told = assertThrows(
                 IOException.class,
-                () -> Loopback.play(
-                        Fleets.small(), 1, () -> new ProcessBuilder("sh", "-c", "echo no such thing; exit 3")));
+                () -> LoopbackRun.execute(
+                        TestFleets.small(), 1, () -> new ProcessBuilder("sh", "-c", "echo no such thing; exit 3")));
         assertTrue(told.getMessage().contains("no such thing"), told.getMessage());
     }
 
     /** Three times what the fleet can do: most is refused, and asked again. */
     @Test
     void whatWasWantedIsFoundAgainBehindABadAfternoon(@TempDir Path folder) throws Exception {
-        Fleet small = Fleets.small();
+        Fleet small = TestFleets.small();
         // Clients that heed no advice and are back at once.
         Fleet fleet = small.with(small.load().scaledBy(12)).with(new Fleet.Clients(700, 4, 0.4, 0.8, 10_000, 0, 0, 0));
         Path settings = Files.writeString(
                 folder.resolve("own.json"),
                 "{\"load\":{\"folder\":\"" + folder.resolve("load") + "\",\"ring\":65536}}");
-        RunResult happened = Loopback.play(fleet, 7, () -> {
-                    ProcessBuilder node = Fleets.node();
+        RunResult happened = LoopbackRun.execute(fleet, 7, () -> {
+                    ProcessBuilder node = TestFleets.node();
                     node.environment().put("KITEMUX_SETTINGS", settings.toString());
                     return node;
                 })
@@ -107,12 +107,12 @@
      */
     @Test
     void serversThatAllDieServeNobodyMeanwhile() throws Exception {
-        Fleet fleet = Fleets.small()
-                .with(Fleets.small().load().scaledBy(2))
+        Fleet fleet = TestFleets.small()
+                .with(TestFleets.small().load().scaledBy(2))
                 .withFaults(List.of(
                         new Fleet.Fault(Fleet.FaultKind.DIE, Fleet.FaultScope.ANY, 0, 0, 1_000_000, 1_000_000, 1)));
         RunResult predicted = Emulation.run(fleet, 2);
-        RunResult happened = Loopback.play(fleet, 2, Fleets::node).result();
+        RunResult happened = LoopbackRun.execute(fleet, 2, TestFleets::node).result();
         assertEquals(List.of(), happened.violations());
         assertTrue(happened.inTimeBySecond().get(1) < 0.3, "served while all were dead: " + happened.inTimeBySecond());
         assertEquals(predicted.inTimeRatio(), happened.inTimeRatio(), 0.12);
@@ -122,7 +122,7 @@
     void speedsAreFoundAgainFromWhatTheNodesCaptured(@TempDir Path folder) throws Exception {
         List<String> faults = new ArrayList<>();
         Fleet fleet = FleetFile.read(
-                Fleets.SMALL
+                TestFleets.SMALL
                         .replace("boxes \"std\" {\n  count     = 4", """
                 boxes "old" {
                   count = 2
@@ -138,8 +138,8 @@
         assertEquals(List.of(), faults);
         Path settings = Files.writeString(
                 folder.resolve("own.json"), "{\"load\":{\"folder\":\"" + folder.resolve("load") + "\"}}");
-        Loopback.play(fleet, 9, () -> {
-            ProcessBuilder node = Fleets.node();
+        LoopbackRun.execute(fleet, 9, () -> {
+            ProcessBuilder node = TestFleets.node();
             node.environment().put("KITEMUX_SETTINGS", settings.toString());
             return node;
         });
--- a/src/test/java/kitemux/lab/GuardTest.java
+++ b/src/test/java/kitemux/lab/ProcessGuardTest.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class GuardTest {
+class ProcessGuardTest {
     private static Process guarded(String script) throws Exception {
-        return Guard.before(new ProcessBuilder("sh", "-c", script))
+        return ProcessGuard.wrap(new ProcessBuilder("sh", "-c", script))
                 .redirectErrorStream(true)
                 .start();
     }
--- a/src/test/java/kitemux/lab/LatePlayerTest.java
+++ b/src/test/java/kitemux/lab/RunDelayTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A player that was late itself: it measures that, and does not hold it against nodes. */
-class LatePlayerTest {
+class RunDelayTest {
     private static final long STALL_NANOS = 500_000_000;
 
     /** The thread does nothing else for so long, as one that has no processor. */
@@ -32,13 +32,13 @@
     @Test
     void whatLiesUnreadWhileThePlayerStandsStillIsNotLost() throws Exception {
         List<String> faults = new ArrayList<>();
-        Fleet fleet = FleetFile.read(Fleets.SMALL.replace("clients {", """
+        Fleet fleet = FleetFile.read(TestFleets.SMALL.replace("clients {", """
                 clients {
                   try_from = 0.1
                   try_to   = 0.3"""), faults);
         assertEquals(List.of(), faults);
         int[] stalls = new int[1];
-        Loopback.Played played = Loopback.play(fleet, 3, Fleets::node, (live, nowUs) -> {
+        LoopbackRun.Outcome played = LoopbackRun.execute(fleet, 3, TestFleets::node, (live, nowUs) -> {
             if (nowUs > 1_000_000 * (stalls[0] + 1L) && stalls[0] < 2) {
                 stalls[0]++;
                 // What is due meanwhile comes late, all in one turn, before any socket is looked at.
@@ -49,7 +49,7 @@
         RunResult result = played.result();
         assertEquals(2, stalls[0]);
         assertEquals(List.of(), result.violations());
-        assertTrue(played.mostLateUs() > STALL_NANOS / 2_000, "late by " + played.mostLateUs() + " us");
+        assertTrue(played.maxDelayUs() > STALL_NANOS / 2_000, "late by " + played.maxDelayUs() + " us");
     }
 
     /** The step that took long was on time itself: what is due behind it is late. */
@@ -59,15 +59,15 @@
         try {
             EventLoop loop = (EventLoop) group.next();
             List<long[]> told = new ArrayList<>();
-            RealTime[] time = new RealTime[1];
+            RealTimeScheduler[] time = new RealTimeScheduler[1];
             long[] dueUs = new long[1];
             loop.submit(() -> {
-                        time[0] = new RealTime(
+                        time[0] = new RealTimeScheduler(
                                 loop,
                                 by -> told.add(new long[] {time[0].scheduler().nowUs(), by}));
                         time[0].begin();
                         time[0].happens(() -> {
-                            time[0].scheduler().scheduleAfterUs(0, LatePlayerTest::stall);
+                            time[0].scheduler().scheduleAfterUs(0, RunDelayTest::stall);
                             time[0].scheduler().scheduleAfterUs(1_000, () -> {});
                             dueUs[0] = time[0].scheduler().nowUs() + 1_000;
                         });
@@ -97,18 +97,18 @@
         try {
             EventLoop loop = (EventLoop) group.next();
             CompletableFuture<Long> told = new CompletableFuture<>();
-            LoopBeat beat = new LoopBeat(loop, by -> {
+            LoopStallMonitor beat = new LoopStallMonitor(loop, by -> {
                 if (by >= STALL_NANOS / 2) {
                     told.complete(by);
                 }
             });
             loop.submit(() -> {
-                        beat.begin();
+                        beat.start();
                         stall();
                     })
                     .sync();
             assertTrue(told.get(20, TimeUnit.SECONDS) >= STALL_NANOS - 10_000_000);
-            assertTrue(beat.heldUpNanos() >= STALL_NANOS - 10_000_000);
+            assertTrue(beat.totalStallNanos() >= STALL_NANOS - 10_000_000);
             loop.submit(beat::stop).sync();
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(20, TimeUnit.SECONDS);
--- a/src/test/java/kitemux/lab/Fleets.java
+++ b/src/test/java/kitemux/lab/TestFleets.java
@@ -8,7 +8,7 @@
 import kitemux.plan.FleetFile;
 
 /** Small fleets, and nodes of the classes under test. */
-final class Fleets {
+final class TestFleets {
     static final String SMALL = """
             racks = 2
             boxes "std" {
@@ -51,7 +51,7 @@
             }
             """;
 
-    private Fleets() {}
+    private TestFleets() {}
 
     static Fleet small() {
         List<String> faults = new ArrayList<>();
