--- a/src/test/java/kitemux/members/MembersTest.java
+++ b/src/test/java/kitemux/members/MembershipTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class MembersTest {
+class MembershipTest {
     private static final long S = 1_000_000;
     private static final long NOW = 1_790_000_000L * S;
-    private static final MemberSettings.Health CHECKED = new MemberSettings.Health(3, 2, 0.5, 5 * S, 60 * S);
+    private static final MemberSettings.HealthCheck CHECKED = new MemberSettings.HealthCheck(3, 2, 0.5, 5 * S, 60 * S);
 
-    private Members members = new Members(new MemberSettings(0.5, 30 * S, null));
+    private Membership members = new Membership(new MemberSettings(0.5, 30 * S, null));
 
     private static Member member(int number) {
         return new Member("web-" + number, "10.0.0." + number + ":80", number % 2, false);
@@ -33,12 +33,12 @@
     }
 
     private static List<Member> from(int first, int last) {
-        return IntStream.rangeClosed(first, last).mapToObj(MembersTest::member).toList();
+        return IntStream.rangeClosed(first, last).mapToObj(MembershipTest::member).toList();
     }
 
     /** Names of those that get something new, of all that are served. */
     private List<String> ready() {
-        return members.serving().stream()
+        return members.servers().stream()
                 .filter(one -> !one.draining())
                 .map(one -> one.member().name())
                 .toList();
@@ -46,7 +46,7 @@
 
     private void checks(long atUs, boolean passed, int... numbers) {
         for (int number : numbers) {
-            members.checked(atUs, "web-" + number, passed);
+            members.recordCheck(atUs, "web-" + number, passed);
         }
     }
 
@@ -54,86 +54,86 @@
 
     @Test
     void aListThatLosesMostAtOnceIsDoubtedUntilItHasSaidSoForLong() {
-        members.told(NOW, from(1, 9));
-        Members.Decision lost = members.told(NOW + S, from(1, 2));
-        assertNull(lost.serving(), "all stay");
+        members.updateFromSource(NOW, from(1, 9));
+        Membership.Decision lost = members.updateFromSource(NOW + S, from(1, 2));
+        assertNull(lost.servers(), "all stay");
         assertEquals(
                 List.of("the list of servers lacks 7 of 9 that it named, which is doubted: they "
                         + "stay for 30 s unless"
                         + " it names them again"),
-                lost.say());
+                lost.messages());
         // Said again, it is neither told again nor sooner believed.
-        assertEquals(new Members.Decision(null, List.of()), members.told(NOW + 20 * S, from(1, 2)));
-        assertEquals(NOW + 31 * S, members.nextUs());
-        assertNull(members.tick(NOW + 31 * S - 1).serving());
-        Members.Decision sure = members.tick(NOW + 31 * S);
+        assertEquals(new Membership.Decision(null, List.of()), members.updateFromSource(NOW + 20 * S, from(1, 2)));
+        assertEquals(NOW + 31 * S, members.nextTickUs());
+        assertNull(members.tick(NOW + 31 * S - 1).servers());
+        Membership.Decision sure = members.tick(NOW + 31 * S);
         assertEquals(List.of("web-1", "web-2"), ready());
         assertTrue(
-                sure.say().get(0).startsWith("7 servers that the list has lacked for 30 s are gone"), sure::toString);
-        assertEquals(Long.MAX_VALUE, members.nextUs());
+                sure.messages().get(0).startsWith("7 servers that the list has lacked for 30 s are gone"), sure::toString);
+        assertEquals(Long.MAX_VALUE, members.nextTickUs());
     }
 
     @Test
     void aSourceThatComesToItselfHasLostNobody() {
-        members.told(NOW, from(1, 9));
-        members.told(NOW + S, List.of());
+        members.updateFromSource(NOW, from(1, 9));
+        members.updateFromSource(NOW + S, List.of());
         assertEquals(9, ready().size(), "an empty list empties nothing");
-        members.told(NOW + 5 * S, from(1, 9));
-        assertEquals(Long.MAX_VALUE, members.nextUs());
+        members.updateFromSource(NOW + 5 * S, from(1, 9));
+        assertEquals(Long.MAX_VALUE, members.nextTickUs());
         members.tick(NOW + 100 * S);
         assertEquals(9, ready().size());
     }
 
     @Test
     void aFewThatGoAreGoneAtOnceAndSoAreThoseThatDrained() {
-        members.told(NOW, from(1, 9));
-        members.told(NOW + S, from(1, 5));
+        members.updateFromSource(NOW, from(1, 9));
+        members.updateFromSource(NOW + S, from(1, 5));
         assertEquals(List.of("web-1", "web-2", "web-3", "web-4", "web-5"), ready());
         List<Member> drained = new ArrayList<>(List.of(member(1)));
         IntStream.rangeClosed(2, 5).forEach(n -> drained.add(draining(n)));
-        members.told(NOW + 2 * S, drained);
+        members.updateFromSource(NOW + 2 * S, drained);
         assertEquals(List.of("web-1"), ready(), "that they drain is said of each, and holds at once");
-        members.told(NOW + 3 * S, from(1, 1));
-        assertEquals(1, members.serving().size(), "those that drained were to go");
+        members.updateFromSource(NOW + 3 * S, from(1, 1));
+        assertEquals(1, members.servers().size(), "those that drained were to go");
     }
 
     /** Four in nine are no half; four more of what is left a second later are, of what there was. */
     @Test
     void whatIsLostBitByBitIsAddedUp() {
-        members.told(NOW, from(1, 9));
-        members.told(NOW + S, from(1, 5));
-        Members.Decision more = members.told(NOW + 2 * S, from(1, 3));
-        assertNull(more.serving());
-        assertEquals(1, more.say().size());
+        members.updateFromSource(NOW, from(1, 9));
+        members.updateFromSource(NOW + S, from(1, 5));
+        Membership.Decision more = members.updateFromSource(NOW + 2 * S, from(1, 3));
+        assertNull(more.servers());
+        assertEquals(1, more.messages().size());
         // Once the first are lost for long enough, as much may go again.
-        Members later = new Members(new MemberSettings(0.5, 30 * S, null));
-        later.told(NOW, from(1, 9));
-        later.told(NOW + S, from(1, 5));
-        later.told(NOW + 40 * S, from(1, 3));
-        assertEquals(3, later.serving().size());
+        Membership later = new Membership(new MemberSettings(0.5, 30 * S, null));
+        later.updateFromSource(NOW, from(1, 9));
+        later.updateFromSource(NOW + S, from(1, 5));
+        later.updateFromSource(NOW + 40 * S, from(1, 3));
+        assertEquals(3, later.servers().size());
     }
 
     @Test
     void whatTheOwnerDescribesIsNotDoubted() {
-        members.described(NOW, from(1, 9));
-        members.described(NOW + S, from(9, 9));
+        members.replaceAll(NOW, from(1, 9));
+        members.replaceAll(NOW + S, from(9, 9));
         assertEquals(List.of("web-9"), ready());
     }
 
     @Test
     void whoJoinsOrMovesHasJustBegunAndWhoWasThereHasNot() {
-        members.told(NOW, from(1, 2));
-        members.told(NOW + S, List.of(member(1), new Member("web-2", "10.0.0.99:80", 0, false), member(3)));
+        members.updateFromSource(NOW, from(1, 2));
+        members.updateFromSource(NOW + S, List.of(member(1), new Member("web-2", "10.0.0.99:80", 0, false), member(3)));
         assertEquals(
                 List.of(0L, NOW + S, NOW + S),
-                members.serving().stream().map(Members.Serving::startedUs).toList());
+                members.servers().stream().map(Membership.MemberStatus::startedUs).toList());
     }
 
     // ---------------------------------------------------------------- checks
 
     private void checked(int servers) {
-        members = new Members(new MemberSettings(0.5, 30 * S, CHECKED));
-        members.told(NOW, from(1, servers));
+        members = new Membership(new MemberSettings(0.5, 30 * S, CHECKED));
+        members.updateFromSource(NOW, from(1, servers));
     }
 
     @Test
@@ -145,12 +145,12 @@
         assertEquals(4, ready().size(), "two in a row are not three");
         checks(NOW + 5 * S, false, 1);
         assertEquals(List.of("web-2", "web-3", "web-4"), ready());
-        assertEquals(4, members.serving().size(), "it may finish what it has");
+        assertEquals(4, members.servers().size(), "it may finish what it has");
         checks(NOW + 6 * S, true, 1, 1, 1);
         assertEquals(3, ready().size(), "it stays out for five seconds");
         checks(NOW + 10 * S, true, 1);
         assertEquals(4, ready().size());
-        assertEquals(NOW + 10 * S, members.serving().get(0).startedUs());
+        assertEquals(NOW + 10 * S, members.servers().get(0).startedUs());
     }
 
     @Test
@@ -178,14 +178,14 @@
         checked(6);
         checks(NOW + S, false, 1, 1, 1, 2, 2, 2, 3, 3, 3);
         assertEquals(List.of("web-4", "web-5", "web-6"), ready());
-        Members.Decision fourth = null;
+        Membership.Decision fourth = null;
         for (int i = 0; i < 3; i++) {
-            fourth = members.checked(NOW + 2 * S, "web-4", false);
+            fourth = members.recordCheck(NOW + 2 * S, "web-4", false);
         }
         assertEquals(3, ready().size(), "no more than half, those first that failed first");
         assertTrue(ready().contains("web-4"), members::toString);
         assertTrue(
-                fourth.say()
+                fourth.messages()
                         .contains("4 of 6 servers fail their checks: no more than 3 are taken out, as the checks may"
                                 + " be wrong"),
                 fourth::toString);
@@ -196,42 +196,42 @@
     @Test
     void whoJoinsGetsNothingBeforeACheckHasPassed() {
         checked(4);
-        members.told(NOW + S, from(1, 5));
+        members.updateFromSource(NOW + S, from(1, 5));
         assertEquals(4, ready().size());
         checks(NOW + 2 * S, false, 5, 5, 5, 5);
         assertEquals(4, ready().size());
         checks(NOW + 9 * S, true, 5);
         assertEquals(5, ready().size());
-        assertEquals(NOW + 9 * S, members.serving().get(4).startedUs());
-        assertEquals(new Members.Decision(null, List.of()), members.checked(NOW, "nobody", false));
+        assertEquals(NOW + 9 * S, members.servers().get(4).startedUs());
+        assertEquals(new Membership.Decision(null, List.of()), members.recordCheck(NOW, "nobody", false));
     }
 
     // ---------------------------------------------------------------- from one process to the next
 
     @Test
-    void theNextProcessBeginsWithWhoWasOutAndDoubtsAnEmptyList() throws SavedMembers.UnusableException {
+    void theNextProcessBeginsWithWhoWasOutAndDoubtsAnEmptyList() throws MembershipSnapshot.InvalidSnapshotException {
         checked(4);
         checks(NOW + S, false, 1, 1, 1);
-        byte[] left = members.save("desk", NOW + 2 * S).text();
-        members = new Members(new MemberSettings(0.5, 30 * S, CHECKED));
-        members.begin(NOW + 4 * S, SavedMembers.read(left, "desk"));
+        byte[] left = members.snapshot("desk", NOW + 2 * S).encode();
+        members = new Membership(new MemberSettings(0.5, 30 * S, CHECKED));
+        members.restore(NOW + 4 * S, MembershipSnapshot.decode(left, "desk"));
         assertEquals(List.of("web-2", "web-3", "web-4"), ready());
-        members.told(NOW + 4 * S, List.of());
-        assertEquals(4, members.serving().size(), "discovery has come up empty beside it");
+        members.updateFromSource(NOW + 4 * S, List.of());
+        assertEquals(4, members.servers().size(), "discovery has come up empty beside it");
         checks(NOW + 5 * S, true, 1, 1);
         assertEquals(3, ready().size(), "its five seconds run on");
         checks(NOW + 6 * S, true, 1);
         assertEquals(4, ready().size());
         assertEquals(
                 List.of(NOW + 6 * S, 0L, 0L, 0L),
-                members.serving().stream().map(Members.Serving::startedUs).toList());
+                members.servers().stream().map(Membership.MemberStatus::startedUs).toList());
     }
 
     @Test
-    void aTextThatIsCutDamagedOrForeignIsNoneAndSaysWhy() throws SavedMembers.UnusableException {
+    void aTextThatIsCutDamagedOrForeignIsNoneAndSaysWhy() throws MembershipSnapshot.InvalidSnapshotException {
         checked(3);
-        byte[] whole = members.save("desk", NOW).text();
-        assertEquals(3, SavedMembers.read(whole, "desk").members().size());
+        byte[] whole = members.snapshot("desk", NOW).encode();
+        assertEquals(3, MembershipSnapshot.decode(whole, "desk").members().size());
         for (int length = 0; length < whole.length; length++) {
             unusable(Arrays.copyOf(whole, length), "desk");
         }
@@ -247,8 +247,8 @@
 
     private static String unusable(byte[] text, String app) {
         return assertThrows(
-                        SavedMembers.UnusableException.class,
-                        () -> SavedMembers.read(text, app),
+                        MembershipSnapshot.InvalidSnapshotException.class,
+                        () -> MembershipSnapshot.decode(text, app),
                         () -> new String(text))
                 .getMessage();
     }
@@ -274,18 +274,18 @@
                             list.add(random.nextInt(4) == 0 ? draining(number) : member(number));
                         }
                     }
-                    members.told(now, list);
+                    members.updateFromSource(now, list);
                     list.forEach(one -> said.put(one.name(), one.draining()));
                 }
                 case 1 -> members.tick(now);
-                default -> members.checked(now, "web-" + (1 + random.nextInt(12)), random.nextInt(3) > 0);
+                default -> members.recordCheck(now, "web-" + (1 + random.nextInt(12)), random.nextInt(3) > 0);
             }
-            List<Members.Serving> serving = members.serving();
+            List<Membership.MemberStatus> serving = members.servers();
             long could = serving.stream()
                     .filter(one -> !said.get(one.member().name()))
                     .count();
             long gets = serving.stream().filter(one -> !one.draining()).count();
-            for (Members.Serving one : serving) {
+            for (Membership.MemberStatus one : serving) {
                 assertTrue(one.draining() || !said.get(one.member().name()), "step " + step + ": " + one);
                 assertTrue(one.startedUs() <= now, "step " + step + ": " + one);
             }
@@ -297,25 +297,25 @@
 
     @Test
     void pausesDifferByChanceDoubleWithFailuresAndEndWithAnAnswer() {
-        Refresh least = new Refresh(5 * S, 60 * S, () -> 0);
-        Refresh most = new Refresh(5 * S, 60 * S, () -> 1);
-        assertEquals(4_500_000, least.answered());
-        assertEquals(5_500_000, most.answered(), 1);
-        List<Long> pauses = IntStream.range(0, 6).mapToObj(i -> most.failed()).toList();
+        RefreshSchedule least = new RefreshSchedule(5 * S, 60 * S, () -> 0);
+        RefreshSchedule most = new RefreshSchedule(5 * S, 60 * S, () -> 1);
+        assertEquals(4_500_000, least.recordSuccess());
+        assertEquals(5_500_000, most.recordSuccess(), 1);
+        List<Long> pauses = IntStream.range(0, 6).mapToObj(i -> most.recordFailure()).toList();
         assertEquals(List.of(5 * S, 10 * S, 20 * S, 40 * S, 60 * S, 60 * S), pauses);
-        assertEquals(2_500_000, least.failed());
-        IntStream.range(0, 100).forEach(i -> least.failed());
-        assertEquals(30 * S, least.failed());
-        most.answered();
-        assertEquals(0, most.failures());
-        assertEquals(5 * S, most.failed());
+        assertEquals(2_500_000, least.recordFailure());
+        IntStream.range(0, 100).forEach(i -> least.recordFailure());
+        assertEquals(30 * S, least.recordFailure());
+        most.recordSuccess();
+        assertEquals(0, most.consecutiveFailures());
+        assertEquals(5 * S, most.recordFailure());
     }
 
     // ---------------------------------------------------------------- lists as text
 
     private static List<String> faults(String text) {
         List<String> faults = new ArrayList<>();
-        List<Member> read = MemberText.read(text.getBytes(), address -> address.startsWith("10."), faults);
+        List<Member> read = MemberListParser.parse(text.getBytes(), address -> address.startsWith("10."), faults);
         assertTrue(faults.isEmpty() != read.isEmpty() || text.contains("[]"), "a list is taken whole or not at all");
         return faults;
     }
--- a/src/test/java/kitemux/node/LeavingTest.java
+++ b/src/test/java/kitemux/node/ClientDisconnectTest.java
@@ -26,7 +26,7 @@
  * request waits then.
  */
 @Timeout(30)
-class LeavingTest {
+class ClientDisconnectTest {
     /** More than the operators allow between a client's close and an attempt. */
     private static final long GONE_MS = 200;
 
@@ -71,8 +71,8 @@
     }
 
     /** A server that holds what comes under one id until the latch opens, and then answers so. */
-    private static FarServer holding(String txn, CountDownLatch until, String answer) throws IOException {
-        return new FarServer((request, peer) -> {
+    private static ScriptedServer holding(String txn, CountDownLatch until, String answer) throws IOException {
+        return new ScriptedServer((request, peer) -> {
             if (txn.equals(request.headers().get("x-txn"))) {
                 await(until);
                 peer.write(answer);
@@ -82,7 +82,7 @@
         });
     }
 
-    private static List<String> txns(FarServer... servers) {
+    private static List<String> txns(ScriptedServer... servers) {
         return Stream.of(servers)
                 .flatMap(server -> server.requests.stream())
                 .map(request -> request.headers().get("x-txn"))
@@ -99,12 +99,12 @@
     @Test
     void whatWaitsForAPlaceIsNotSentOnceItsClientHasLeft() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = holding("first", answer, Http.ok("x"));
+        try (ScriptedServer server = holding("first", answer, Http.ok("x"));
                 Site site = oneAtATime()) {
             site.start(server);
             Socket first = site.connect();
             Site.write(first, page("first"));
-            assertEquals("first", FarServer.next(server.requests).headers().get("x-txn"));
+            assertEquals("first", ScriptedServer.next(server.requests).headers().get("x-txn"));
             Socket leaves = site.connect();
             Site.write(leaves, page("left"));
             assertEquals(200, site.ask(up()).status(), "the request before it is read by now");
@@ -121,18 +121,18 @@
     @Test
     void whatWaitsForAPlaceIsNotSentWhereItsLeavingLiesUnreadBehindTheAnswer() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = holding("first", answer, Http.ok("x"));
+        try (ScriptedServer server = holding("first", answer, Http.ok("x"));
                 Site site = oneAtATime()) {
             site.start(server);
             Socket first = site.connect();
             Site.write(first, page("first"));
-            assertEquals("first", FarServer.next(server.requests).headers().get("x-txn"));
+            assertEquals("first", ScriptedServer.next(server.requests).headers().get("x-txn"));
             Socket leaves = site.connect();
             Site.write(leaves, page("left"));
             assertEquals(200, site.ask(up()).status(), "the request before it is read by now");
             CountDownLatch release = holdUp(site.loop);
             answer.countDown();
-            FarServer.next(server.peers);
+            ScriptedServer.next(server.answeredPeers);
             leaves.close();
             letGoBy(GONE_MS);
             release.countDown();
@@ -147,25 +147,25 @@
     void whatFailedIsNotTriedAgainWhereItsLeavingLiesUnreadBehindTheFailure() throws Exception {
         CountDownLatch fails = new CountDownLatch(1);
         String failure = Http.answer("500 Failed", "", "");
-        try (FarServer one = holding("left", fails, failure);
-                FarServer two = holding("left", fails, failure);
+        try (ScriptedServer one = holding("left", fails, failure);
+                ScriptedServer two = holding("left", fails, failure);
                 Site site = Site.quiet().start(one, two)) {
             for (int i = 0; one.connections.get() == 0 || two.connections.get() == 0; i++) {
                 assertEquals(200, site.ask(page("before" + i)).status());
             }
             one.requests.clear();
             two.requests.clear();
-            one.peers.clear();
-            two.peers.clear();
+            one.answeredPeers.clear();
+            two.answeredPeers.clear();
             Socket leaves = site.connect();
             Site.write(leaves, page("left"));
             while (one.requests.isEmpty() && two.requests.isEmpty()) {
                 Thread.onSpinWait();
             }
-            FarServer has = one.requests.isEmpty() ? two : one;
+            ScriptedServer has = one.requests.isEmpty() ? two : one;
             CountDownLatch release = holdUp(site.loop);
             fails.countDown();
-            FarServer.next(has.peers);
+            ScriptedServer.next(has.answeredPeers);
             leaves.close();
             letGoBy(GONE_MS);
             release.countDown();
@@ -220,10 +220,10 @@
     /** Nothing can be sent anywhere; the list that changes that lies unread before the leaving does. */
     @Test
     void whatWaitsForAServerIsNotSentWhereItsLeavingLiesUnreadBehindTheList() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.startKnowing(Site.list(1, true));
-            FarServer.Peer watch = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer watch = ScriptedServer.next(site.discovery.answeredPeers);
             Socket leaves = site.connect();
             Site.write(leaves, page("left"));
             assertEquals(200, site.ask(up()).status(), "the request before it is read by now");
--- a/src/test/java/kitemux/node/ClientServerTest.java
+++ b/src/test/java/kitemux/node/ClientServerTest.java
@@ -28,7 +28,7 @@
 
     @Test
     void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
-        try (FarServer server = FarServer.serving("proof");
+        try (ScriptedServer server = ScriptedServer.serving("proof");
                 Site site = Site.quiet().start(server)) {
             String photo = "POST /api/7f3a?x=1&y=%20 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b1f\r\nX-Lane: photo\r\n"
                     + "X-Org: org\r\nX-Remaining: 480m\r\nIdempotency-Key: 5c0f\r\n"
@@ -36,19 +36,19 @@
             Http.Message answer = site.ask(photo);
             assertEquals(200, answer.status());
             assertEquals("proof", answer.body());
-            Http.Message sent = FarServer.next(server.requests);
-            assertEquals("POST /api/7f3a?x=1&y=%20 HTTP/1.1", sent.start());
+            Http.Message sent = ScriptedServer.next(server.requests);
+            assertEquals("POST /api/7f3a?x=1&y=%20 HTTP/1.1", sent.startLine());
             assertEquals("9b1f", sent.headers().get("x-txn"));
             assertEquals("5c0f", sent.headers().get("idempotency-key"));
             assertEquals("body", sent.body());
-            long left = RequestReader.left(sent.headers().get("x-remaining"));
+            long left = RequestReader.parseRemainingUs(sent.headers().get("x-remaining"));
             assertTrue(left > 0 && left < 480_000, "left " + left);
         }
     }
 
     @Test
     void aConnectionCarriesOneRequestAfterAnother() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             for (int i = 0; i < 3; i++) {
@@ -60,7 +60,7 @@
 
     @Test
     void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
-        try (FarServer server = new FarServer(
+        try (ScriptedServer server = new ScriptedServer(
                         (request, peer) -> peer.write(Http.ok(request.headers().get("x-txn"))));
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
@@ -89,7 +89,7 @@
                 "not http at all",
             })
     void whatCannotBeUsedGets400AndReachesNoServer(String lines) throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             assertEquals(400, site.ask(lines.replace("|", "\r\n") + "\r\n\r\n").status());
             assertEquals(0, server.connections.get());
@@ -99,7 +99,7 @@
 
     @Test
     void anUnknownPathGets404() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             assertEquals(404, site.ask(Http.page("/apis/x", "t", "400m")).status());
             assertEquals(0, server.connections.get());
@@ -119,14 +119,14 @@
     @ValueSource(ints = {1, 255, 257, 65_535, 65_536, 65_537, 200_000, 3_000_000})
     void aBodyOfAnyLengthGoesOnUnchangedHoweverItComes(int length) throws Exception {
         String body = letters(length);
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             String order = Http.order("t", "4000m");
             assertEquals(
                     200,
                     site.ask(order.replace("2\r\n\r\nab", length + "\r\n\r\n" + body))
                             .status());
-            assertEquals(body, FarServer.next(server.requests).body());
+            assertEquals(body, ScriptedServer.next(server.requests).body());
             Socket client = site.connect();
             Site.write(client, order.replace("Content-Length: 2\r\n\r\nab", "Transfer-Encoding: chunked\r\n\r\n"));
             for (int at = 0; at < length; at += 50_000) {
@@ -134,13 +134,13 @@
             }
             Site.write(client, "0\r\n\r\n");
             assertEquals(200, Http.read(client.getInputStream()).status());
-            assertEquals(body, FarServer.next(server.requests).body());
+            assertEquals(body, ScriptedServer.next(server.requests).body());
         }
     }
 
     @Test
     void aBodyOver32MiBGets413() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             assertEquals(
                     413,
@@ -152,7 +152,7 @@
 
     @Test
     void longBodiesTogetherAreBoundedAndWhoFindsNoRoomIsToldWhenToComeBack() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             String large = Http.order("t", "4000m").replace("Length: 2\r\n\r\nab", "Length: 30000000\r\n\r\n");
             Socket first = site.connect();
@@ -172,7 +172,7 @@
 
     @Test
     void theAnswerToTooLargeABodyOutlastsWhatStillComes() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(
@@ -187,13 +187,13 @@
 
     @Test
     void aClientThatClosesIsGoneAndItsAttemptGivenUp() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> {});
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {});
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/x", "t", "5000m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             client.close();
-            FarServer.next(server.ended);
+            ScriptedServer.next(server.disconnectedPeers);
         }
     }
 
@@ -201,7 +201,7 @@
     @Test
     void aNodeThatIsToldToEndAnswersAllThatWasSentAhead() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, "late");
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(
@@ -209,7 +209,7 @@
                     Http.page("/api/x", "t0", "3000m")
                             + Http.page("/api/x", "t1", "3000m")
                             + Http.page("/api/x", "t2", "3000m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             CountDownLatch done = new CountDownLatch(1);
             site.node.drain(true, done::countDown);
             site.awaitNoneTaken();
@@ -227,7 +227,7 @@
     /** Guards against a listener that stays open for as long as new connections keep coming. */
     @Test
     void aReplacedNodeClosesItsListenerHoweverManyConnectionsCome() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.sockets = 1_024;
             site.start(server);
@@ -253,13 +253,13 @@
     @Test
     void aDrainingNodeSaysSoServesWhatItHasAndEnds() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, "late");
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
                 Site site = Site.quiet().start(server)) {
             assertEquals(200, site.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
             Socket client = site.connect();
             Socket idle = site.connect();
             Site.write(client, Http.page("/api/x", "t", "5000m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             CountDownLatch done = new CountDownLatch(1);
             site.node.drain(false, done::countDown);
             Http.Message up = site.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -280,7 +280,7 @@
 
     @Test
     void clientsLeaveRoomForConnectionsToServers() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.sockets = 64;
             site.start(server);
@@ -295,7 +295,7 @@
 
     @Test
     void whatClientsKeepAndUseNoMoreIsBounded() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket usual = site.connect();
             Socket first = site.connect();
@@ -325,7 +325,7 @@
     @Timeout(4)
     void whatComesAtOnceIsBoundedToo() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, "x");
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, "x");
                 Site site = Site.quiet().start(server)) {
             int most = site.sockets / 6;
             List<Socket> clients = new ArrayList<>();
@@ -350,7 +350,7 @@
 
     @Test
     void silentConnectionsMakeRoomBeforeThoseThatAsk() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.sockets = 64;
             site.start(server);
@@ -367,7 +367,7 @@
 
     @Test
     void whoDoesNotGetOnIsCutOff() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket silent = site.connect();
             Socket headOnly = site.connect();
@@ -407,7 +407,7 @@
                 "no colon|Content-Length: 4",
             })
     void whatMayHideAnotherRequestGets400AndNothingBehindItIsServed(String framing) throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(
@@ -423,7 +423,7 @@
 
     @Test
     void behindAClientsErrorNothingIsServed() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/p", "t", "soon") + Http.page("u"));
@@ -436,11 +436,11 @@
     @Test
     void anErrorBehindAnOpenRequestDoesNotCostThatOneItsAnswer() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, "x");
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, "x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/p", "t", "5000m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             Site.write(client, Http.order("u", "4000m").replace("Length: 2", "Length: 40000000"));
             // Once a later one has its answer, the node has read this far.
             assertEquals(404, site.ask(Http.page("/nothing", "v", "1m")).status());
@@ -454,11 +454,11 @@
     @Test
     void anIdIsTakenOnceAtATime() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, "x");
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, "x");
                 Site site = Site.quiet().start(server)) {
             Socket first = site.connect();
             Site.write(first, Http.order("same", "5000m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             assertEquals(400, site.ask(Http.order("same", "5000m")).status());
             answer.countDown();
             assertEquals(200, Http.read(first.getInputStream()).status());
@@ -469,7 +469,7 @@
 
     @Test
     void whatIsSentAheadIsBounded() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             StringBuilder many = new StringBuilder();
@@ -483,7 +483,7 @@
                 served++;
             }
             assertEquals(400, answer.status());
-            assertEquals(Limits.MOST_AHEAD + 1, served);
+            assertEquals(Limits.MAX_PIPELINED_REQUEST_COUNT + 1, served);
             assertEquals(-1, client.getInputStream().read());
         }
     }
@@ -491,8 +491,8 @@
     @Test
     @Timeout(60)
     void aClientThatNeverReadsIsServedNoFurtherAndCutOff() throws Exception {
-        String large = "a".repeat(Limits.MOST_BODY);
-        try (FarServer server = FarServer.serving(large);
+        String large = "a".repeat(Limits.MAX_REQUEST_BODY_BYTES);
+        try (ScriptedServer server = ScriptedServer.serving(large);
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             int asked = 0;
@@ -514,7 +514,7 @@
     @Test
     void whoComesBeyondWhatThereIsRoomForIsAnsweredAll() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, "x");
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, "x");
                 Site site = Site.quiet()) {
             // Room for 19 that stay and 24 that are served.
             site.sockets = 128;
@@ -554,7 +554,7 @@
 
     @Test
     void refusalsSayWhenToComeBack() throws Exception {
-        try (FarServer server = new FarServer(
+        try (ScriptedServer server = new ScriptedServer(
                         (request, peer) -> peer.write(Http.answer("503 Busy", "X-Turned-Away: 1\r\n", "")));
                 Site site = Site.quiet().start(server)) {
             Http.Message answer = site.ask(Http.order("t", "300m"));
--- a/src/test/java/kitemux/node/ConfigTextTest.java
+++ b/src/test/java/kitemux/node/ConfigTextTest.java
@@ -58,7 +58,7 @@
         set.coldCapacityRatio = 0.35;
         set.warmUpUs = 11_000_003;
         set.overloadRatio = 2.25;
-        set.overloadOutageUs = 3_000_007;
+        set.overloadWindowUs = 3_000_007;
         return set;
     }
 
--- a/src/test/java/kitemux/node/CrowdTest.java
+++ b/src/test/java/kitemux/node/DescriptorExhaustionTest.java
@@ -29,7 +29,7 @@
  * Clients that hold connections and ask nothing fill the descriptors of a process that the system gives no
  * more, while discovery is down: there is room for what the node itself opens, and for one more client.
  */
-class CrowdTest {
+class DescriptorExhaustionTest {
     private static final int SOCKETS = 256;
     private static final Pattern LOADED = Pattern.compile("[/\\\\](netty|jackson|picocli)-[^/\\\\]*$");
     /** More than the limit by far: some that have asked once and stay, and some that never ask. */
@@ -40,18 +40,18 @@
     /** A node as a process, and the crowd before it. */
     private static final class Crowded implements AutoCloseable {
         /** Calls that discovery answered. */
-        final BlockingQueue<FarServer.Peer> heard = new LinkedBlockingQueue<>();
+        final BlockingQueue<ScriptedServer.Peer> heard = new LinkedBlockingQueue<>();
 
         private final CountDownLatch isBack = new CountDownLatch(1);
-        private final FarServer discovery;
+        private final ScriptedServer discovery;
         private final SocketChannel held = SocketChannel.open();
         private final Process process;
         private final int port;
         private final List<Socket> crowd = Collections.synchronizedList(new ArrayList<>());
         private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
 
-        Crowded(Path folder, FarServer server) throws Exception {
-            discovery = new FarServer((request, peer) -> {
+        Crowded(Path folder, ScriptedServer server) throws Exception {
+            discovery = new ScriptedServer((request, peer) -> {
                 if (isBack.getCount() > 0) {
                     peer.write(Http.answer("503 Down", "", ""));
                 } else {
@@ -151,11 +151,11 @@
 
     @Test
     void discoveryIsDialledAtItsReturn(@TempDir Path folder) throws Exception {
-        try (FarServer server = FarServer.serving("old");
-                FarServer joined = FarServer.serving("joined");
+        try (ScriptedServer server = ScriptedServer.serving("old");
+                ScriptedServer joined = ScriptedServer.serving("joined");
                 Crowded node = new Crowded(folder, server)) {
             node.discoveryIsBack();
-            FarServer.next(node.heard)
+            ScriptedServer.next(node.heard)
                     .write(Site.chunk(Site.list(2, true, "s1=" + joined.endpoint() + "=Ready") + "\n"));
             String body = "old";
             for (int i = 0; i < 2_000 && body.equals("old"); i++) {
@@ -167,7 +167,7 @@
 
     @Test
     void serversAreDialled(@TempDir Path folder) throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     peer.write(Http.answer("200 OK", "Connection: close\r\n", "x"));
                     peer.socket().close();
                 });
@@ -185,7 +185,7 @@
     @Test
     void oneMoreClientIsToldThatThereIsNoRoom(@TempDir Path folder) throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     if (request.path().contains("hang")) {
                         try {
                             answer.await();
--- a/src/test/java/kitemux/node/EndingsTest.java
+++ b/src/test/java/kitemux/node/DisconnectAndShutdownTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What is still owed in the instant in which something ends (docs/design/endings.md). */
-class EndingsTest {
+class DisconnectAndShutdownTest {
 
     /** A server whose connections do not come up before the system has room for one more. */
     private static final class Full implements AutoCloseable {
@@ -103,32 +103,32 @@
     @ParameterizedTest
     @CsvSource({"1, 0", "3, 0", "16, 0", "20, 0", "300, 0", "6000, 0", "60, 5000", "150, 5000"})
     void aClientThatSendsAheadAndLeavesIsGone(int ahead, int padding) throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> {});
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {});
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/p", "open", "5000m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             StringBuilder more = new StringBuilder();
             for (int i = 0; i < ahead; i++) {
                 more.append(padded(Http.page("/api/p", "ahead" + i, "5000m"), padding));
             }
             Site.write(client, more.toString());
             client.close();
-            assertNotNull(server.ended.poll(2, TimeUnit.SECONDS), "its attempt is given up");
+            assertNotNull(server.disconnectedPeers.poll(2, TimeUnit.SECONDS), "its attempt is given up");
             Site.write(site.connect(), Http.page("/api/p", "next", "5000m"));
-            assertEquals("next", FarServer.next(server.requests).headers().get("x-txn"));
+            assertEquals("next", ScriptedServer.next(server.requests).headers().get("x-txn"));
         }
     }
 
     /** Beyond what is kept of one client nothing is read of it: it waits with the system. */
     @Test
     void whatIsSentAheadWithoutEndIsBounded() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> {});
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {});
                 Site site = Site.quiet().start(server)) {
             UnpooledByteBufAllocator allocator = (UnpooledByteBufAllocator) NioNetwork.SYSTEM.allocator();
             Socket client = site.connect();
             Site.write(client, Http.page("/api/p", "open", "20000m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             long before = allocator.metric().usedHeapMemory();
             AtomicLong sent = new AtomicLong();
             Thread flood = new Thread(() -> {
@@ -163,14 +163,14 @@
     @Test
     void allThatIsSentAheadIsServedInItsTurn() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     awaitQuietly(answer);
                     peer.write(Http.ok(request.headers().get("x-txn")));
                 });
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/p", "t0", "5000m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             // More than is kept at once, and the last of it in the middle of a request.
             StringBuilder more = new StringBuilder();
             for (int i = 1; i <= 24; i++) {
@@ -200,14 +200,14 @@
     void theLastAnswerIsNotCutOffByWhatLiesUnread() throws Exception {
         String body = "b".repeat(60_000);
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, body);
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, body);
                 Site site = Site.quiet().start(server)) {
             Socket client = new Socket();
             client.setReceiveBufferSize(4_096);
             client.connect(site.connect().getRemoteSocketAddress());
             client.setSoTimeout(20_000);
             Site.write(client, Http.page("/api/p", "last", "5000m").replace("Host:", "Connection: close\r\nHost:"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             StringBuilder behind = new StringBuilder();
             for (int i = 0; i < 1_500; i++) {
                 behind.append(Http.page("/api/p", "behind" + i, "5000m"));
@@ -215,7 +215,7 @@
             Site.write(client, behind.toString());
             assertEquals(200, site.ask(up()).status());
             answer.countDown();
-            FarServer.next(server.peers);
+            ScriptedServer.next(server.answeredPeers);
             for (int i = 0; i < 20; i++) {
                 assertEquals(200, site.ask(up()).status(), "the answer is written by then");
             }
@@ -228,8 +228,8 @@
     @ParameterizedTest
     @CsvSource({"onWake, 503", "onServers, 200"})
     void aDefectThatConcernsNoRequestLeavesNobodyWaiting(String event, int status) throws Exception {
-        try (FarServer server = FarServer.serving("x");
-                FarServer discovery = new FarServer((request, peer) -> {
+        try (ScriptedServer server = ScriptedServer.serving("x");
+                ScriptedServer discovery = new ScriptedServer((request, peer) -> {
                     peer.write(Site.watchHead());
                     if (event.equals("onServers")) {
                         peer.write(Site.chunk(Site.list(2, true, "s0=" + server.endpoint() + "=Ready") + "\n"));
--- a/src/test/java/kitemux/node/DiscoveryTest.java
+++ b/src/test/java/kitemux/node/DiscoveryTest.java
@@ -36,14 +36,14 @@
                 7,
                 new Discovery.Listener() {
                     @Override
-                    public void listed(HostList list) {
+                    public void onList(HostList list) {
                         told.add(list.revision()
                                 + (list.isFull() ? " all " : " changes ")
                                 + list.hosts().size());
                     }
 
                     @Override
-                    public void failed(String reason) {
+                    public void onFailure(String reason) {
                         told.add("failed");
                     }
                 },
@@ -56,22 +56,22 @@
     void listsComeInPiecesAndTheNextWatchGoesOnFromTheLast() throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.MOST_SILENCE_US, told);
+            Discovery discovery = watch(site, Discovery.MAX_SILENCE_US, told);
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
-                    FarServer.next(site.discovery.requests).path());
-            FarServer.Peer peer = FarServer.next(site.discovery.peers);
+                    ScriptedServer.next(site.discovery.requests).path());
+            ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
             String line = Site.list(43, true, ENTRY, "s1=10.0.0.2:80=Terminating");
             peer.write(Site.chunk(line.substring(0, 20)));
             peer.write(Site.chunk(line.substring(20) + "\n\n" + Site.list(44, false, ENTRY) + "\n"));
-            assertEquals("43 all 2", FarServer.next(told));
-            assertEquals("44 changes 1", FarServer.next(told));
+            assertEquals("43 all 2", ScriptedServer.next(told));
+            assertEquals("44 changes 1", ScriptedServer.next(told));
             peer.socket().close();
-            assertEquals("failed", FarServer.next(told));
+            assertEquals("failed", ScriptedServer.next(told));
             site.loop.execute(discovery::subscribe);
             assertEquals(
                     "/discovery/hosts?watch=1&after=44",
-                    FarServer.next(site.discovery.requests).path());
+                    ScriptedServer.next(site.discovery.requests).path());
         }
     }
 
@@ -79,19 +79,19 @@
     void anOlderListTakesNothingBackUntilItsPlaceHasCaughtUp() throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.MOST_SILENCE_US, told);
-            FarServer.Peer peer = FarServer.next(site.discovery.peers);
+            Discovery discovery = watch(site, Discovery.MAX_SILENCE_US, told);
+            ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
             peer.write(Site.chunk(Site.list(45, true, "s0=10.0.0.1:80=Terminating") + "\n"));
-            assertEquals("45 all 1", FarServer.next(told));
+            assertEquals("45 all 1", ScriptedServer.next(told));
             peer.socket().close();
-            assertEquals("failed", FarServer.next(told));
+            assertEquals("failed", ScriptedServer.next(told));
             site.loop.execute(discovery::subscribe);
-            peer = FarServer.next(site.discovery.peers);
+            peer = ScriptedServer.next(site.discovery.answeredPeers);
             // It was down and knows less: that the server is ready is what was before it drained.
             peer.write(Site.chunk(Site.list(43, true, ENTRY) + "\n" + Site.list(44, false, ENTRY) + "\n"));
-            assertEquals("45 changes 0", FarServer.next(told), "the call has its answer");
+            assertEquals("45 changes 0", ScriptedServer.next(told), "the call has its answer");
             peer.write(Site.chunk(Site.list(46, false, ENTRY, "s1=10.0.0.2:80=Ready") + "\n"));
-            assertEquals("46 changes 2", FarServer.next(told));
+            assertEquals("46 changes 2", ScriptedServer.next(told));
         }
     }
 
@@ -99,9 +99,9 @@
     void aListThatANodeBeganWithMayBeFromAnotherPlace() throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, Discovery.MOST_SILENCE_US, told);
-            FarServer.next(site.discovery.peers).write(Site.chunk(Site.list(7, true, ENTRY) + "\n"));
-            assertEquals("7 all 1", FarServer.next(told), "though it began with 41");
+            watch(site, Discovery.MAX_SILENCE_US, told);
+            ScriptedServer.next(site.discovery.answeredPeers).write(Site.chunk(Site.list(7, true, ENTRY) + "\n"));
+            assertEquals("7 all 1", ScriptedServer.next(told), "though it began with 41");
         }
     }
 
@@ -109,11 +109,11 @@
     void aBeatAsTheFirstWordSaysThatNothingHasChanged() throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, Discovery.MOST_SILENCE_US, told);
-            FarServer.next(site.discovery.peers)
+            watch(site, Discovery.MAX_SILENCE_US, told);
+            ScriptedServer.next(site.discovery.answeredPeers)
                     .write(Site.chunk("\n") + Site.chunk("\n") + Site.chunk(Site.list(42, false, ENTRY) + "\n"));
-            assertEquals("41 changes 0", FarServer.next(told));
-            assertEquals("42 changes 1", FarServer.next(told));
+            assertEquals("41 changes 0", ScriptedServer.next(told));
+            assertEquals("42 changes 1", ScriptedServer.next(told));
         }
     }
 
@@ -128,11 +128,11 @@
     void aBadLineBreaksTheWatch(String line) throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, Discovery.MOST_SILENCE_US, told);
+            watch(site, Discovery.MAX_SILENCE_US, told);
             // A beat behind it: what is cut off in the middle may else have more to come.
-            FarServer.next(site.discovery.peers).write(Site.chunk(line + "\n\n"));
+            ScriptedServer.next(site.discovery.answeredPeers).write(Site.chunk(line + "\n\n"));
             assertEquals("failed", told.poll(2, TimeUnit.SECONDS), "long before it counts as silent");
-            FarServer.next(site.discovery.ended);
+            ScriptedServer.next(site.discovery.disconnectedPeers);
         }
     }
 
@@ -141,7 +141,7 @@
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
             watch(site, 400_000, told);
-            FarServer.Peer peer = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
             peer.write(Site.chunk("{\"rev\":42,"));
             String word = null;
             for (int i = 0; i < 60 && word == null; i++) {
@@ -157,9 +157,9 @@
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
             watch(site, 1_000_000, told);
-            FarServer.Peer peer = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
             peer.write(Site.chunk(Site.list(42, true, ENTRY) + "\n"));
-            assertEquals("42 all 1", FarServer.next(told));
+            assertEquals("42 all 1", ScriptedServer.next(told));
             CountDownLatch standing = new CountDownLatch(1);
             CountDownLatch goOn = new CountDownLatch(1);
             site.loop.execute(() -> {
@@ -172,7 +172,7 @@
             assertFalse(never.await(1_200, TimeUnit.MILLISECONDS), "its silence is over meanwhile");
             goOn.countDown();
             peer.write(Site.chunk(Site.list(43, false, ENTRY) + "\n"));
-            assertEquals("43 changes 1", FarServer.next(told));
+            assertEquals("43 changes 1", ScriptedServer.next(told));
         }
     }
 
@@ -189,11 +189,11 @@
     void whatASilentWatchMissesIsHeardInTime() throws Exception {
         try (Site site = Site.quiet()) {
             site.startKnowing(Site.list(41, true));
-            FarServer.Peer peer = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
             peer.write(Site.chunk("\n"));
             long silentAt = System.nanoTime();
-            FarServer.next(site.discovery.requests);
-            FarServer.next(site.discovery.requests);
+            ScriptedServer.next(site.discovery.requests);
+            ScriptedServer.next(site.discovery.requests);
             long ms = (System.nanoTime() - silentAt) / 1_000_000;
             assertTrue(ms < 5_000, "asked anew after " + ms + " ms");
             assertTrue(ms > 2_400, "no sooner than a beat is missed: " + ms + " ms");
@@ -207,14 +207,14 @@
                 line.replace(",", ",\r\n    ").replace("[{", "[\n  {\n").replace("}]}", "\n}\n]\n}");
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            watch(site, Discovery.MOST_SILENCE_US, told);
-            FarServer.Peer peer = FarServer.next(site.discovery.peers);
+            watch(site, Discovery.MAX_SILENCE_US, told);
+            ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
             for (int i = 0; i < indented.length(); i++) {
                 peer.write(Site.chunk(indented.substring(i, i + 1)));
             }
             peer.write(Site.chunk("\n\n" + indented.replace("43", "44")));
-            assertEquals("43 all 2", FarServer.next(told));
-            assertEquals("44 all 2", FarServer.next(told));
+            assertEquals("43 all 2", ScriptedServer.next(told));
+            assertEquals("44 all 2", ScriptedServer.next(told));
         }
     }
 
@@ -222,32 +222,32 @@
     void wordOfADrainHoldsInAnOlderListTooUnlessTheServerHasStartedSince() throws Exception {
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.MOST_SILENCE_US, told);
+            Discovery discovery = watch(site, Discovery.MAX_SILENCE_US, told);
             String ready = Site.list(45, true, ENTRY, "s1=10.0.0.2:80=Ready");
-            FarServer.next(site.discovery.peers)
+            ScriptedServer.next(site.discovery.answeredPeers)
                     .write(Site.chunk(ready.replaceFirst("boot_ms\":0", "boot_ms\":7000") + "\n"));
-            assertEquals("45 all 2", FarServer.next(told));
+            assertEquals("45 all 2", ScriptedServer.next(told));
             site.loop.execute(discovery::subscribe);
-            FarServer.Peer peer = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer peer = ScriptedServer.next(site.discovery.answeredPeers);
             peer.write(
                     Site.chunk(Site.list(43, true, "s0=10.0.0.1:80=Terminating", "s1=10.0.0.2:80=Terminating") + "\n"));
-            assertEquals("45 changes 1", FarServer.next(told), "s0 has started since");
+            assertEquals("45 changes 1", ScriptedServer.next(told), "s0 has started since");
             peer.write(Site.chunk(Site.list(44, false, "s1=10.0.0.2:80=Gone") + "\n"));
-            assertEquals("45 changes 1", FarServer.next(told));
+            assertEquals("45 changes 1", ScriptedServer.next(told));
         }
     }
 
     /** What a node has waited for longer and longer was another place. */
     @Test
     void afterAMoveTheWaitsBeginAnew() throws Exception {
-        FarServer.Script refusing = (request, peer) -> peer.write(Http.answer("503 Busy", "", ""));
-        try (FarServer before = new FarServer(refusing);
-                FarServer after = new FarServer(refusing);
+        ScriptedServer.Script refusing = (request, peer) -> peer.write(Http.answer("503 Busy", "", ""));
+        try (ScriptedServer before = new ScriptedServer(refusing);
+                ScriptedServer after = new ScriptedServer(refusing);
                 Site site = new Site(before)) {
             String known = Site.list(1, true);
             site.startKnowing(known);
             for (int i = 0; i < 5; i++) {
-                FarServer.next(before.requests);
+                ScriptedServer.next(before.requests);
             }
             NodeConfig old = site.config(known);
             site.node.reload(new NodeConfig(
@@ -260,7 +260,7 @@
                     old.folder(),
                     old.known(),
                     old.settings()));
-            FarServer.next(after.requests);
+            ScriptedServer.next(after.requests);
             // After five failures it would wait for 330 ms at least, after the first 75 at most.
             assertNotNull(after.requests.poll(300, TimeUnit.MILLISECONDS), "it waits as for the other place");
         }
@@ -271,7 +271,7 @@
         try (Site site = Site.quiet()) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
             watch(site, 100_000, told);
-            assertEquals("failed", FarServer.next(told));
+            assertEquals("failed", ScriptedServer.next(told));
             assertTrue(told.isEmpty());
         }
     }
@@ -279,8 +279,8 @@
     @Test
     void aNodeAsksAgainAfterARefusalAndThenUsesTheList() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (FarServer server = FarServer.serving("x");
-                FarServer discovery = new FarServer((request, peer) -> peer.write(
+        try (ScriptedServer server = ScriptedServer.serving("x");
+                ScriptedServer discovery = new ScriptedServer((request, peer) -> peer.write(
                         calls.getAndIncrement() == 0
                                 ? Http.answer("503 Busy", "", "")
                                 : Site.watchHead()
@@ -295,23 +295,23 @@
     @Test
     void aMoveAsksTheNewPlaceForAllThereIsAndTellsOfNoFailure() throws Exception {
         try (Site site = Site.quiet();
-                FarServer there = new FarServer((request, peer) ->
+                ScriptedServer there = new ScriptedServer((request, peer) ->
                         peer.write(Site.watchHead() + Site.chunk(Site.list(7, true, ENTRY) + "\n")))) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.MOST_SILENCE_US, told);
-            FarServer.next(site.discovery.requests);
+            Discovery discovery = watch(site, Discovery.MAX_SILENCE_US, told);
+            ScriptedServer.next(site.discovery.requests);
             InetSocketAddress to = Addresses.parse("discovery", there.endpoint());
-            site.loop.execute(() -> discovery.moveTo(to));
-            FarServer.next(site.discovery.ended);
+            site.loop.execute(() -> discovery.setAddress(to));
+            ScriptedServer.next(site.discovery.disconnectedPeers);
             assertEquals(
-                    "/discovery/hosts?watch=1", FarServer.next(there.requests).path());
-            assertEquals("7 all 1", FarServer.next(told));
+                    "/discovery/hosts?watch=1", ScriptedServer.next(there.requests).path());
+            assertEquals("7 all 1", ScriptedServer.next(told));
             // Told of the same place again the watch stays; a later call goes to the new place too.
-            site.loop.execute(() -> discovery.moveTo(to));
+            site.loop.execute(() -> discovery.setAddress(to));
             site.loop.execute(discovery::subscribe);
             assertEquals(
                     "/discovery/hosts?watch=1&after=7",
-                    FarServer.next(there.requests).path());
+                    ScriptedServer.next(there.requests).path());
             assertEquals(2, there.connections.get());
             assertEquals(1, site.discovery.connections.get());
         }
@@ -321,38 +321,38 @@
     @Test
     void whatTheOldPlaceTellsBeforeTheNewOneHasSpokenIsHeard() throws Exception {
         try (Site site = Site.quiet();
-                FarServer there = new FarServer((request, peer) -> peer.write(Site.watchHead()))) {
+                ScriptedServer there = new ScriptedServer((request, peer) -> peer.write(Site.watchHead()))) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            Discovery discovery = watch(site, Discovery.MOST_SILENCE_US, told);
-            FarServer.Peer before = FarServer.next(site.discovery.peers);
+            Discovery discovery = watch(site, Discovery.MAX_SILENCE_US, told);
+            ScriptedServer.Peer before = ScriptedServer.next(site.discovery.answeredPeers);
             InetSocketAddress to = Addresses.parse("discovery", there.endpoint());
-            site.loop.execute(() -> discovery.moveTo(to));
-            FarServer.Peer after = FarServer.next(there.peers);
+            site.loop.execute(() -> discovery.setAddress(to));
+            ScriptedServer.Peer after = ScriptedServer.next(there.answeredPeers);
             before.write(Site.chunk(Site.list(42, true, "s0=10.0.0.1:80=Terminating") + "\n"));
             assertEquals("42 all 1", told.poll(5, TimeUnit.SECONDS), "the answer to a call that was in turn");
             after.write(Site.chunk("\n" + Site.list(7, true, ENTRY) + "\n"));
-            assertEquals("7 all 1", FarServer.next(told), "versions of another place tell nothing here");
-            FarServer.next(site.discovery.ended);
+            assertEquals("7 all 1", ScriptedServer.next(told), "versions of another place tell nothing here");
+            ScriptedServer.next(site.discovery.disconnectedPeers);
             site.loop.execute(discovery::subscribe);
             assertEquals(
-                    "/discovery/hosts?watch=1", FarServer.next(there.requests).path());
+                    "/discovery/hosts?watch=1", ScriptedServer.next(there.requests).path());
             assertEquals(
                     "/discovery/hosts?watch=1&after=7",
-                    FarServer.next(there.requests).path());
+                    ScriptedServer.next(there.requests).path());
         }
     }
 
     @Test
     void anOldPlaceIsNotReadForLongWhereTheNewOneSaysNothing() throws Exception {
         try (Site site = Site.quiet();
-                FarServer there = new FarServer((request, peer) -> peer.write(Site.watchHead()))) {
+                ScriptedServer there = new ScriptedServer((request, peer) -> peer.write(Site.watchHead()))) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
             Discovery discovery = watch(site, 60_000_000, told);
-            FarServer.next(site.discovery.peers);
+            ScriptedServer.next(site.discovery.answeredPeers);
             InetSocketAddress to = Addresses.parse("discovery", there.endpoint());
-            site.loop.execute(() -> discovery.moveTo(to));
-            FarServer.next(there.peers);
-            assertNotNull(site.discovery.ended.poll(10, TimeUnit.SECONDS), "it is read on without an end");
+            site.loop.execute(() -> discovery.setAddress(to));
+            ScriptedServer.next(there.answeredPeers);
+            assertNotNull(site.discovery.disconnectedPeers.poll(10, TimeUnit.SECONDS), "it is read on without an end");
             assertTrue(told.isEmpty(), "its end is no failure: " + told);
         }
     }
@@ -361,12 +361,12 @@
     @Test
     void aNodeThatHearsOfTheOldPlaceGoesOnAskingTheNewOne() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (FarServer after = new FarServer((request, peer) ->
+        try (ScriptedServer after = new ScriptedServer((request, peer) ->
                         peer.write(calls.getAndIncrement() == 0 ? Http.answer("503 Busy", "", "") : Site.watchHead()));
                 Site site = Site.quiet()) {
             String known = Site.list(1, true);
             site.startKnowing(known);
-            FarServer.Peer before = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer before = ScriptedServer.next(site.discovery.answeredPeers);
             NodeConfig old = site.config(known);
             site.node.reload(new NodeConfig(
                     old.listen(),
@@ -378,9 +378,9 @@
                     old.folder(),
                     old.known(),
                     old.settings()));
-            FarServer.next(after.ended);
+            ScriptedServer.next(after.disconnectedPeers);
             before.write(Site.chunk(Site.list(2, true, ENTRY) + "\n"));
-            FarServer.next(after.requests);
+            ScriptedServer.next(after.requests);
             assertNotNull(after.requests.poll(5, TimeUnit.SECONDS), "it asks no more");
         }
     }
--- a/src/test/java/kitemux/node/BacklogTest.java
+++ b/src/test/java/kitemux/node/EventLoopStallTest.java
@@ -40,7 +40,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A node that has fallen behind: its loop stood still while clients came and went. */
-class BacklogTest {
+class EventLoopStallTest {
 
     /** Holds the loop up until the latch opens; returns once it stands still. */
     private static CountDownLatch holdUp(EventLoop loop) throws InterruptedException {
@@ -79,7 +79,7 @@
 
     @Test
     void aRequestWhoseClientHasLeftIsNotSent() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket leaves = site.connect();
             assertEquals(200, Site.ask(leaves, Http.page("before")).status());
@@ -93,10 +93,10 @@
             Site.write(stays, Http.page("stays"));
             release.countDown();
             assertEquals(200, Http.read(stays.getInputStream()).status());
-            assertEquals("before", FarServer.next(server.requests).headers().get("x-txn"));
-            assertEquals("stays", FarServer.next(server.requests).headers().get("x-txn"));
+            assertEquals("before", ScriptedServer.next(server.requests).headers().get("x-txn"));
+            assertEquals("stays", ScriptedServer.next(server.requests).headers().get("x-txn"));
             assertEquals(200, site.ask(Http.page("after")).status());
-            assertEquals("after", FarServer.next(server.requests).headers().get("x-txn"));
+            assertEquals("after", ScriptedServer.next(server.requests).headers().get("x-txn"));
         }
     }
 
@@ -104,7 +104,7 @@
     void allWhoCameMeanwhileAreTakenTogether() throws Exception {
         AtomicInteger turns = new AtomicInteger();
         AtomicBoolean counted = new AtomicBoolean();
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.module = actions -> after(new ServiceQBalancer(site.settings, 7, actions), () -> {
                 if (counted.compareAndSet(false, true)) {
@@ -133,7 +133,7 @@
     @Test
     void aConnectionOnWhichARequestWaitsUnreadIsNotClosedAsIdle() throws Exception {
         AtomicReference<Socket> asksNow = new AtomicReference<>();
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.module = actions -> after(new ServiceQBalancer(site.settings, 7, actions), () -> {
                 Socket client = asksNow.getAndSet(null);
@@ -175,7 +175,7 @@
 
     @Test
     void aRequestsTimeRunsWhileItLiesUnread() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket kept = site.connect();
             assertEquals(200, Site.ask(kept, Http.page("before")).status());
@@ -183,7 +183,7 @@
         }
     }
 
-    private static void whatLiesUnreadRunsOutOfTime(Site site, FarServer server, Socket kept, CountDownLatch release)
+    private static void whatLiesUnreadRunsOutOfTime(Site site, ScriptedServer server, Socket kept, CountDownLatch release)
             throws Exception {
         Site.write(kept, Http.page("/api/p", "on a connection that was there", "400m"));
         Socket fresh = site.connect();
@@ -232,7 +232,7 @@
     /** Timers run behind the tasks that are there before them, and before the sockets are looked at again. */
     @Test
     void aBeatThatWaitedBehindWhatHeldTheLoopUpIsNoLookAtTheSockets() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket kept = site.connect();
             assertEquals(200, Site.ask(kept, Http.page("before")).status());
@@ -245,7 +245,7 @@
     void aRequestsTimeRunsWhileTheLoopReadsAnother() throws Exception {
         CountDownLatch standing = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server);
                 ServerSocket far = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Socket kept = site.connect();
@@ -273,7 +273,7 @@
 
     @Test
     void aBurstThatWasTakenWholeCostsLaterOnesNoTime() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.sockets = 1_024;
             site.start(server);
@@ -298,7 +298,7 @@
 
     @Test
     void whoComesBeforeTheListenerClosesIsServedHoweverFarBehindTheLoopIs() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.sockets = 1_024;
             // Else what has lain unread for longer than the class's aim is refused at once, and rightly.
@@ -329,7 +329,7 @@
                 clients.add(client);
             }
             // Past the time at which the listener closes, however long that took.
-            parkFor(Limits.ARRIVING_MS + 400 - (System.nanoTime() - drainedNanos) / 1_000_000);
+            parkFor(Limits.LISTENER_DRAIN_MS + 400 - (System.nanoTime() - drainedNanos) / 1_000_000);
             release.countDown();
             for (Socket client : clients) {
                 assertEquals(200, Http.read(client.getInputStream()).status());
@@ -360,14 +360,14 @@
     void whoseTimeIsLongOverIsAnsweredBeforeThoseWhoCameMeanwhile() throws Exception {
         Queue<String> told = new ConcurrentLinkedQueue<>();
         CountDownLatch never = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(never, "x");
+        try (ScriptedServer server = ScriptedServer.servingFrom(never, "x");
                 Site site = Site.quiet()) {
             site.sockets = 1_024;
             site.module = actions -> told(new ServiceQBalancer(site.settings, 7, actions), told);
             site.start(server);
             Socket overdue = site.connect();
             Site.write(overdue, Http.page("/api/p", "overdue", "200m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 clients.add(site.connect());
@@ -400,7 +400,7 @@
     /** Guards against first requests that are refused as old since the loop was held up before it listened. */
     @Test
     void whatComesToANewListenerIsNoOlderThanTheListener() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             NodeConfig config = site.config(Site.list(1, true, "s0=" + server.endpoint() + "=Ready"));
             CompletableFuture<Socket> client = new CompletableFuture<>();
@@ -422,7 +422,7 @@
     @Test
     void aLoopThatWasHeldUpSaysSoAndOneThatKeepsUpDoesNot() throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.log = new Log() {
                 @Override
--- a/src/test/java/kitemux/node/GrowthTest.java
+++ b/src/test/java/kitemux/node/GrowthTest.java
@@ -65,13 +65,13 @@
     void nothingIsKeptOfServersClientsAndRequestsThatHaveGone() throws Exception {
         String[] statuses = {"200 OK", "500 No", "200 OK", "200 OK", "503 Busy"};
         int[] count = {0};
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     String status = statuses[count[0]++ % statuses.length];
                     peer.write(Http.answer(status, status.startsWith("503") ? "X-Turned-Away: 1\r\n" : "", "x"));
                 });
                 Site site = Site.quiet()) {
             site.startKnowing(Site.list(1, true, "s0=" + server.endpoint() + "=Ready"));
-            FarServer.Peer watch = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer watch = ScriptedServer.next(site.discovery.answeredPeers);
             Set<Integer> seen = new HashSet<>();
             for (int i = 1; i <= TURNS; i++) {
                 // The next server comes under a new id to the address of the one that goes.
--- a/src/test/java/kitemux/node/Http.java
+++ b/src/test/java/kitemux/node/Http.java
@@ -14,13 +14,13 @@
     private Http() {}
 
     /** A message; header names are in small letters. */
-    record Message(String start, Map<String, String> headers, String body) {
+    record Message(String startLine, Map<String, String> headers, String body) {
         int status() {
-            return Integer.parseInt(start.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
 
         String path() {
-            return start.split(" ")[1];
+            return startLine.split(" ")[1];
         }
     }
 
--- a/src/test/java/kitemux/node/NodeProcess.java
+++ b/src/test/java/kitemux/node/NodeProcess.java
@@ -56,7 +56,7 @@
      * @param servers the servers that it knows, s0, s1, ...
      */
     static NodeProcess start(
-            Path folder, SocketChannel clientsAt, SocketChannel operatorsAt, long deadlineMs, FarServer... servers)
+            Path folder, SocketChannel clientsAt, SocketChannel operatorsAt, long deadlineMs, ScriptedServer... servers)
             throws IOException {
         InetSocketAddress clients = (InetSocketAddress) clientsAt.getLocalAddress();
         InetSocketAddress operators = (InetSocketAddress) operatorsAt.getLocalAddress();
--- a/src/test/java/kitemux/node/NodeTest.java
+++ b/src/test/java/kitemux/node/NodeTest.java
@@ -58,7 +58,7 @@
     @ValueSource(strings = {"onRequest", "onOutcome"})
     void anExceptionCostsOneRequestAndStillAnswersIt(String event) throws Exception {
         // Neither answer is a success, so that the node owes the client its own.
-        try (FarServer server = new FarServer((request, peer) -> peer.write(Http.answer("500 No", "", "")));
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> peer.write(Http.answer("500 No", "", "")));
                 Site site = Site.quiet()) {
             site.module = actions -> breaking(new ServiceQBalancer(site.settings, 7, actions), event);
             site.start(server);
@@ -150,7 +150,7 @@
     @Test
     void aNodeThatIsToldTwiceToEndServesWhatItHas(@TempDir Path folder) throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, "late")) {
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late")) {
             Path config = knowing(folder, "s0=" + server.endpoint() + "=Ready", "on_request", "5000000");
             Process process = start(config, Map.of("PROXY_DISCOVERY", "127.0.0.1:9"));
             try {
@@ -158,7 +158,7 @@
                 Socket client = new Socket(InetAddress.getLoopbackAddress(), listeningPort(process, lines));
                 client.setSoTimeout(20_000);
                 Site.write(client, Http.page("/api/p", "t", "5000m"));
-                FarServer.next(server.requests);
+                ScriptedServer.next(server.requests);
                 process.destroy();
                 int status = 200;
                 for (int i = 0; i < 5_000 && status == 200; i++) {
@@ -183,9 +183,9 @@
     @Test
     void whereListsArePushedNoneIsServedByTheListThatAProcessBeganWith(@TempDir Path folder) throws Exception {
         CountDownLatch served = new CountDownLatch(1);
-        try (FarServer drains = FarServer.serving("drains");
-                FarServer ready = FarServer.serving("ready");
-                FarServer agent = new FarServer((request, peer) -> {
+        try (ScriptedServer drains = ScriptedServer.serving("drains");
+                ScriptedServer ready = ScriptedServer.serving("ready");
+                ScriptedServer agent = new ScriptedServer((request, peer) -> {
                     peer.write(Site.watchHead());
                     try {
                         // A node that serves before it has heard is given the time to do so.
@@ -242,15 +242,15 @@
     @ParameterizedTest
     @ValueSource(strings = {"warming up", "listening on "})
     void aReloadHoldsHoweverSoonItComes(String when, @TempDir Path folder) throws Exception {
-        FarServer.Script watch = (request, peer) -> peer.write(Site.watchHead());
-        try (FarServer before = new FarServer(watch);
-                FarServer after = new FarServer(watch)) {
+        ScriptedServer.Script watch = (request, peer) -> peer.write(Site.watchHead());
+        try (ScriptedServer before = new ScriptedServer(watch);
+                ScriptedServer after = new ScriptedServer(watch)) {
             Process process = program(configure(folder, before.endpoint()), before.endpoint());
             try {
                 awaitLine(process.inputReader(), when);
                 configure(folder, after.endpoint());
                 hangUp(process);
-                FarServer.next(after.requests);
+                ScriptedServer.next(after.requests);
                 assertTrue(process.isAlive());
             } finally {
                 process.destroyForcibly();
@@ -340,25 +340,25 @@
 
     @Test
     void onSighupTheWatchMovesToWhereTheFileSaysAndABadFileChangesNothing(@TempDir Path folder) throws Exception {
-        FarServer.Script watch = (request, peer) -> peer.write(Site.watchHead());
-        try (FarServer before = new FarServer(watch);
-                FarServer after = new FarServer(watch)) {
+        ScriptedServer.Script watch = (request, peer) -> peer.write(Site.watchHead());
+        try (ScriptedServer before = new ScriptedServer(watch);
+                ScriptedServer after = new ScriptedServer(watch)) {
             Path config = configure(folder, before.endpoint());
             Process process = program(config, before.endpoint());
             try {
                 BufferedReader lines = process.inputReader();
-                FarServer.next(before.requests);
+                ScriptedServer.next(before.requests);
                 configure(folder, after.endpoint());
                 hangUp(process);
-                FarServer.next(after.requests);
-                FarServer.next(before.ended);
+                ScriptedServer.next(after.requests);
+                ScriptedServer.next(before.disconnectedPeers);
                 Files.writeString(config, "{");
                 hangUp(process);
                 awaitLine(lines, "PROXY_CONFIG is not JSON");
                 configure(folder, before.endpoint());
                 hangUp(process);
                 hangUp(process);
-                FarServer.next(before.requests);
+                ScriptedServer.next(before.requests);
                 process.destroy();
                 hangUp(process);
                 assertTrue(process.waitFor(20, TimeUnit.SECONDS));
@@ -397,8 +397,8 @@
 
     @Test
     void aSecondProcessTakesOverWithoutARequestLostAndKnowsWhatIsOut(@TempDir Path folder) throws Exception {
-        try (FarServer in = FarServer.serving("in");
-                FarServer out = FarServer.serving("out");
+        try (ScriptedServer in = ScriptedServer.serving("in");
+                ScriptedServer out = ScriptedServer.serving("out");
                 SocketChannel clients = shared();
                 SocketChannel first = shared();
                 SocketChannel second = shared()) {
--- a/src/test/java/kitemux/node/OperatorsTest.java
+++ b/src/test/java/kitemux/node/OperatorsTest.java
@@ -51,7 +51,7 @@
 
     @Test
     void aServerThatIsOutGetsNothingNewUntilItIsCalledBack() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             assertEquals(200, site.ask(Http.page("before")).status());
             assertEquals(200, site.call("POST", "/ops/servers/down/s0").status());
@@ -70,13 +70,13 @@
     @Test
     void whatAwaitsAConnectionToAServerThatIsTakenOutGoesElsewhere() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer first = FarServer.servingFrom(answer, "late");
-                FarServer second = FarServer.serving("other");
+        try (ScriptedServer first = ScriptedServer.servingFrom(answer, "late");
+                ScriptedServer second = ScriptedServer.serving("other");
                 Site site = site().start(first, second)) {
             assertEquals(200, site.call("POST", "/ops/servers/down/s1").status());
             Socket client = site.connect();
             Site.write(client, Http.page("/api/held", "held", "4000m"));
-            FarServer.next(first.requests);
+            ScriptedServer.next(first.requests);
             assertEquals(200, site.call("POST", "/ops/servers/down/s0").status());
             answer.countDown();
             // What it has is still answered: out means that nothing new goes there.
@@ -89,8 +89,8 @@
 
     @Test
     void aServerStaysOutForTheNextProcess() throws Exception {
-        try (FarServer out = FarServer.serving("out");
-                FarServer in = FarServer.serving("in")) {
+        try (ScriptedServer out = ScriptedServer.serving("out");
+                ScriptedServer in = ScriptedServer.serving("in")) {
             try (Site first = site().start(out, in)) {
                 assertEquals(200, first.call("POST", "/ops/servers/down/s0").status());
                 first.node.close();
@@ -117,7 +117,7 @@
         "GET,/up,404"
     })
     void whatCannotBeDoneIsOwedANo(String method, String path, int status) throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             assertEquals(status, site.call(method, path).status());
             assertEquals(200, site.ask(Http.page("t")).status(), "and changes nothing");
@@ -129,11 +129,11 @@
     @Test
     void clientsAreSentAwayAndComeBack() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, "late");
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
                 Site site = site().start(server)) {
             Socket held = site.connect();
             Site.write(held, Http.page("/api/held", "held", "5000m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             Socket idle = site.connect();
             assertEquals(200, Site.ask(idle, UP).status());
             Socket silent = site.connect();
@@ -165,7 +165,7 @@
     @Test
     void figuresTellOfRequestsByClassAndOutcome() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     if (request.path().contains("held")) {
                         try {
                             answer.await();
@@ -182,7 +182,7 @@
             Socket held = site.connect();
             Site.write(held, Http.page("/api/held", "d", "5000m"));
             for (int i = 0; i < 4; i++) {
-                FarServer.next(server.requests);
+                ScriptedServer.next(server.requests);
             }
             Map<String, Long> figures = figures(site);
             assertEquals(2, figures.get("node.replies.page.success"));
@@ -207,7 +207,7 @@
     @Test
     void whoIsTurnedAwayForWantOfDescriptorsCountsAsRefused() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, "x");
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, "x");
                 Site site = site()) {
             site.sockets = 128;
             site.start(server);
@@ -230,7 +230,7 @@
 
     @Test
     void callersThatCompleteNoCallKeepNobodyOut() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
@@ -245,7 +245,7 @@
 
     @Test
     void aCallComesInPiecesOrWithABodyAndGetsOneAnswer() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             Socket caller = site.callers();
             for (String piece : List.of(
@@ -267,7 +267,7 @@
 
     @Test
     void whatIsNoHttpIsOwedANo() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             Socket caller = site.callers();
             Site.write(caller, "\u0000\u0001 what\r\n\r\n");
@@ -278,7 +278,7 @@
 
     @Test
     void aLoopThatStandsStillAnswersOnceItRuns() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = site().start(server)) {
             CountDownLatch go = new CountDownLatch(1);
             CountDownLatch stands = new CountDownLatch(1);
--- a/src/test/java/kitemux/node/PushedListTest.java
+++ b/src/test/java/kitemux/node/PushedListWatcherTest.java
@@ -6,12 +6,12 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
-import kitemux.discovery.PushedList;
+import kitemux.discovery.PushedListWatcher;
 import kitemux.engine.Clock;
 import org.junit.jupiter.api.Test;
 
 /** Lists that are pushed to an agent on the node's own machine, which only the node asks. */
-class PushedListTest {
+class PushedListWatcherTest {
 
     /** Timers that run when the test says so. */
     private static final class HandTime implements Clock {
@@ -41,12 +41,12 @@
     void theWatchIsOpenedAgainEachTimeItEndsAfterWaitsThatGrow() {
         HandTime time = new HandTime();
         int[] opened = new int[1];
-        PushedList list = new PushedList(time, () -> opened[0]++, 7);
-        list.begin();
+        PushedListWatcher list = new PushedListWatcher(time, () -> opened[0]++, 7);
+        list.start();
         for (int i = 0; i < 12; i++) {
-            list.failed();
+            list.onFailure();
             // The same end told twice opens no second watch.
-            list.failed();
+            list.onFailure();
             time.pass();
             assertEquals(i + 2, opened[0]);
         }
@@ -55,27 +55,27 @@
             long wait = Math.min(150_000, 50_000L << i);
             assertTrue(time.waits.get(i) >= wait / 2 && time.waits.get(i) < wait * 3 / 2, time.waits::toString);
         }
-        list.heard();
-        list.failed();
+        list.onUpdate();
+        list.onFailure();
         assertTrue(time.waits.get(12) < 75_000, time.waits::toString);
-        list.end();
+        list.stop();
         assertEquals(null, time.task);
-        list.failed();
+        list.onFailure();
         assertEquals(13, time.waits.size(), "it goes on after its end");
     }
 
     @Test
     void aNodeFollowsTheAgentAlsoAfterItWasGone() throws Exception {
-        try (FarServer first = FarServer.serving("first");
-                FarServer second = FarServer.serving("second");
+        try (ScriptedServer first = ScriptedServer.serving("first");
+                ScriptedServer second = ScriptedServer.serving("second");
                 Site site = Site.quiet()) {
             site.settings.listOnRequest = false;
             site.startKnowing(Site.list(1, true));
-            FarServer.Peer agent = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer agent = ScriptedServer.next(site.discovery.answeredPeers);
             agent.write(Site.chunk(Site.list(2, true, "s0=" + first.endpoint() + "=Ready") + "\n"));
             assertEquals(200, site.ask(Http.page("one")).status());
             agent.socket().close();
-            agent = FarServer.next(site.discovery.peers);
+            agent = ScriptedServer.next(site.discovery.answeredPeers);
             agent.write(Site.chunk(Site.list(3, true, "s1=" + second.endpoint() + "=Ready") + "\n"));
             Socket client = site.connect();
             String body = "";
--- a/src/test/java/kitemux/node/ReadinessTest.java
+++ b/src/test/java/kitemux/node/ReadinessTest.java
@@ -33,14 +33,14 @@
     /** Discovery with more callers than it serves, until it is let. */
     private static final class Crowded implements AutoCloseable {
         private final CountDownLatch free = new CountDownLatch(1);
-        private final FarServer calls;
+        private final ScriptedServer calls;
         private final ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<SocketChannel> filling = new ArrayList<>();
         private final String how;
 
         Crowded(String how, String list) throws IOException {
             this.how = how;
-            calls = new FarServer((request, peer) -> {
+            calls = new ScriptedServer((request, peer) -> {
                 if (how.equals("refuses")) {
                     peer.write(Http.answer("503 Busy", "", ""));
                     return;
@@ -126,7 +126,7 @@
     void processesThatStartAtOnceServeBeforeDiscoveryHasAnsweredAny(String mode, String how) throws Exception {
         List<Process> nodes = new ArrayList<>();
         List<SocketChannel> holders = new ArrayList<>();
-        try (FarServer server = FarServer.serving("served");
+        try (ScriptedServer server = ScriptedServer.serving("served");
                 Crowded discovery = new Crowded(how, Site.list(2, true))) {
             String known =
                     Site.list(1, true, "s0=" + server.endpoint() + "=Ready").replace("\"here\"", "\"\"");
--- a/src/test/java/kitemux/node/RehearsalTest.java
+++ b/src/test/java/kitemux/node/RehearsalTest.java
@@ -42,13 +42,13 @@
 
     @Test
     void aNodeThatIsClosedLeavesNothingOpen() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             assertEquals(200, Site.ask(client, Http.page("t")).status());
             site.node.close();
             assertEquals(-1, client.getInputStream().read());
-            FarServer.next(server.ended);
+            ScriptedServer.next(server.disconnectedPeers);
             site.awaitNoneTaken();
         }
     }
--- a/src/test/java/kitemux/node/FarServer.java
+++ b/src/test/java/kitemux/node/ScriptedServer.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A server, or discovery, that a test plays: it notes what comes, and a script answers. */
-final class FarServer implements AutoCloseable {
+final class ScriptedServer implements AutoCloseable {
     /** What to do about a request. */
     interface Script {
         void answer(Http.Message request, Peer peer) throws IOException;
@@ -37,27 +37,27 @@
 
     final BlockingQueue<Http.Message> requests = new LinkedBlockingQueue<>();
     /** Where a request came from, once the script has answered it: what a test writes then comes after. */
-    final BlockingQueue<Peer> peers = new LinkedBlockingQueue<>();
+    final BlockingQueue<Peer> answeredPeers = new LinkedBlockingQueue<>();
 
-    final BlockingQueue<Peer> ended = new LinkedBlockingQueue<>();
+    final BlockingQueue<Peer> disconnectedPeers = new LinkedBlockingQueue<>();
     final AtomicInteger connections = new AtomicInteger();
     private final Queue<Socket> open = new ConcurrentLinkedQueue<>();
     private final ServerSocket listening;
     private final Script script;
 
-    FarServer(Script script) throws IOException {
+    ScriptedServer(Script script) throws IOException {
         this.script = script;
         listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         daemon(this::accept);
     }
 
-    static FarServer serving(String body) throws IOException {
-        return new FarServer((request, peer) -> peer.write(Http.ok(body)));
+    static ScriptedServer serving(String body) throws IOException {
+        return new ScriptedServer((request, peer) -> peer.write(Http.ok(body)));
     }
 
     /** Answers from when the latch opens. */
-    static FarServer servingFrom(CountDownLatch start, String body) throws IOException {
-        return new FarServer((request, peer) -> {
+    static ScriptedServer servingFrom(CountDownLatch start, String body) throws IOException {
+        return new ScriptedServer((request, peer) -> {
             try {
                 start.await();
             } catch (InterruptedException e) {
@@ -96,10 +96,10 @@
                 Http.Message request = Http.read(peer.socket.getInputStream());
                 requests.add(request);
                 script.answer(request, peer);
-                peers.add(peer);
+                answeredPeers.add(peer);
             }
         } catch (IOException e) {
-            ended.add(peer);
+            disconnectedPeers.add(peer);
         }
     }
 
--- a/src/test/java/kitemux/node/ServerPoolTest.java
+++ b/src/test/java/kitemux/node/ServerPoolTest.java
@@ -42,8 +42,8 @@
 
     @Test
     void refusedConnectionIsRetriedOnAnotherServer() throws Exception {
-        try (FarServer dead = FarServer.serving("x");
-                FarServer good = FarServer.serving("x");
+        try (ScriptedServer dead = ScriptedServer.serving("x");
+                ScriptedServer good = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             dead.stop();
             site.start(dead, good);
@@ -54,9 +54,9 @@
 
     @Test
     void requestRejectedByServerIsRetriedOnAnotherServer() throws Exception {
-        try (FarServer full = new FarServer(
+        try (ScriptedServer full = new ScriptedServer(
                         (request, peer) -> peer.write(Http.answer("504 Over", "X-Turned-Away: 1\r\n", "")));
-                FarServer good = FarServer.serving("x");
+                ScriptedServer good = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(full, good)) {
             assertAllServed(site);
             assertEquals(REQUEST_COUNT, good.requests.size());
@@ -83,7 +83,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n" + "1\r\nx\r\n0\r\n\r\n",
             })
     void invalidResponseIsNeitherServedNorRetried(String response) throws Exception {
-        try (FarServer bad = new FarServer((request, peer) -> {
+        try (ScriptedServer bad = new ScriptedServer((request, peer) -> {
                     peer.write(response);
                     peer.socket().close();
                 });
@@ -95,8 +95,8 @@
 
     @Test
     void safeRequestIsRetriedAfterReset() throws Exception {
-        try (FarServer bad = new FarServer((request, peer) -> peer.reset());
-                FarServer good = FarServer.serving("x");
+        try (ScriptedServer bad = new ScriptedServer((request, peer) -> peer.reset());
+                ScriptedServer good = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(bad, good)) {
             for (int i = 0; i < REQUEST_COUNT; i++) {
                 assertEquals(
@@ -108,18 +108,18 @@
 
     @Test
     void oversizedResponseIsRejectedImmediately() throws Exception {
-        try (FarServer bad = new FarServer(
+        try (ScriptedServer bad = new ScriptedServer(
                         (request, peer) -> peer.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"));
                 Site site = Site.quiet().start(bad)) {
             assertEquals(502, site.ask(Http.order("t", "3600000m")).status());
-            FarServer.next(bad.ended);
+            ScriptedServer.next(bad.disconnectedPeers);
         }
     }
 
     @Test
     void responseLargerThanRequestLimitIsServed() throws Exception {
         String large = "photo".repeat(70_000);
-        try (FarServer server = FarServer.serving(large);
+        try (ScriptedServer server = ScriptedServer.serving(large);
                 Site site = Site.quiet().start(server)) {
             assertEquals(large, site.ask(Http.order("t", "4000m")).body());
             assertEquals(large, site.ask(Http.order("u", "4000m")).body());
@@ -146,7 +146,7 @@
     @ValueSource(ints = {1, 65_536, 65_537, 1_000_000, 20_000_000})
     void responseOfAnyLengthAndFramingIsForwardedWhole(int length) throws Exception {
         String body = "yearbook!".repeat(length / 9 + 1).substring(0, length);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     if (request.path().contains("chunked")) {
                         peer.write(chunked(body, 70_001));
                     } else if (request.path().contains("close")) {
@@ -190,7 +190,7 @@
     @ValueSource(booleans = {true, false})
     void truncatedLongResponseIsNotRetriedAndFailsVisibly(boolean chunked) throws Exception {
         String part = "p".repeat(100_000);
-        try (FarServer bad = new FarServer((request, peer) -> {
+        try (ScriptedServer bad = new ScriptedServer((request, peer) -> {
                     peer.write(
                             chunked
                                     ? Site.watchHead() + Site.chunk(part)
@@ -209,7 +209,7 @@
 
     @Test
     void resetCloseDelimitedResponseIsNotServed() throws Exception {
-        try (FarServer bad = new FarServer((request, peer) -> {
+        try (ScriptedServer bad = new ScriptedServer((request, peer) -> {
                     peer.write("HTTP/1.1 200 OK\r\n\r\nonly part of it");
                     peer.reset();
                 });
@@ -222,7 +222,7 @@
     void stalledClientAppliesBackPressureAndIsDisconnected() throws Exception {
         AtomicLong written = new AtomicLong();
         CountDownLatch serverReleased = new CountDownLatch(1);
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     if (!request.path().contains("large")) {
                         peer.write(Http.ok("x"));
                         return;
@@ -249,7 +249,7 @@
 
     @Test
     void clientDisconnectReleasesServerConnection() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> {
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> {
                     peer.write(
                             request.path().contains("large")
                                     ? "HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + "z".repeat(100_000)
@@ -260,14 +260,14 @@
             Site.write(client, Http.page("/api/large", "t", "4000m"));
             assertEquals(100_000, client.getInputStream().readNBytes(100_000).length);
             client.close();
-            FarServer.next(server.ended);
+            ScriptedServer.next(server.disconnectedPeers);
             assertEquals(200, site.ask(Http.page("after")).status());
         }
     }
 
     @Test
     void malformedLoadReportHeaderIsIgnored() throws Exception {
-        try (FarServer server = new FarServer(
+        try (ScriptedServer server = new ScriptedServer(
                         (request, peer) -> peer.write(Http.answer("200 OK", "X-Pressure: TEXT %%=;{\"\r\n", "good")));
                 Site site = Site.quiet().start(server)) {
             assertEquals("good", site.ask(Http.order("t", "4000m")).body());
@@ -307,7 +307,7 @@
 
     @Test
     void interimResponsesAreSkipped() throws Exception {
-        try (FarServer server = new FarServer((request, peer) -> peer.write("HTTP/1.1 102 Processing\r\n\r\n"
+        try (ScriptedServer server = new ScriptedServer((request, peer) -> peer.write("HTTP/1.1 102 Processing\r\n\r\n"
                         + "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + Http.ok("final")));
                 Site site = Site.quiet().start(server)) {
             assertEquals("final", site.ask(Http.page("t")).body());
@@ -316,7 +316,7 @@
 
     @Test
     void surplusBytesDoNotAnswerTheNextRequest() throws Exception {
-        try (FarServer server = new FarServer(
+        try (ScriptedServer server = new ScriptedServer(
                         (request, peer) -> peer.write(Http.ok(request.headers().get("x-txn")) + Http.ok("stray")));
                 Site site = Site.quiet().start(server)) {
             for (int i = 0; i < 3; i++) {
@@ -328,27 +328,27 @@
 
     @Test
     void timedOutAttemptClosesItsConnection() throws Exception {
-        try (FarServer silent = new FarServer((request, peer) -> {});
+        try (ScriptedServer silent = new ScriptedServer((request, peer) -> {});
                 Site site = Site.quiet().start(silent)) {
             assertEquals(502, site.ask(Http.order("t", "100m")).status());
-            FarServer.next(silent.ended);
+            ScriptedServer.next(silent.disconnectedPeers);
         }
     }
 
     @Test
     void mostRecentConnectionIsReusedAndIdleOnesAreClosed() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.connIdleUs = 200_000;
             site.start(server);
             assertEquals(200, site.ask(Http.page("a")).status());
             assertEquals(200, site.ask(Http.page("b")).status());
-            FarServer.Peer first = FarServer.next(server.peers);
-            assertEquals(first, FarServer.next(server.peers), "the connection must be reused");
+            ScriptedServer.Peer first = ScriptedServer.next(server.answeredPeers);
+            assertEquals(first, ScriptedServer.next(server.answeredPeers), "the connection must be reused");
             assertEquals(
-                    first, FarServer.next(server.ended), "the node must close the connection before the server does");
+                    first, ScriptedServer.next(server.disconnectedPeers), "the node must close the connection before the server does");
             assertEquals(200, site.ask(Http.page("c")).status());
-            assertNotEquals(first, FarServer.next(server.peers));
+            assertNotEquals(first, ScriptedServer.next(server.answeredPeers));
         }
     }
 
@@ -358,12 +358,12 @@
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket one = new Socket(hanging.getInetAddress(), hanging.getLocalPort());
                 Socket two = new Socket(hanging.getInetAddress(), hanging.getLocalPort());
-                FarServer good = FarServer.serving("x");
+                ScriptedServer good = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             assertTrue(one.isConnected() && two.isConnected());
             String hangs = "s0=127.0.0.1:" + hanging.getLocalPort();
             site.startKnowing(Site.list(1, true, hangs + "=Ready"));
-            FarServer.Peer watch = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer watch = ScriptedServer.next(site.discovery.answeredPeers);
             Socket client = site.connect();
             Site.write(client, Http.order("t", "5000m"));
             // Once a later request is answered, the order has been accepted and waits for a connection.
@@ -376,13 +376,13 @@
 
     @Test
     void changedEndpointIsUsedForNewConnections() throws Exception {
-        try (FarServer before = FarServer.serving("old");
-                FarServer after = FarServer.serving("new");
+        try (ScriptedServer before = ScriptedServer.serving("old");
+                ScriptedServer after = ScriptedServer.serving("new");
                 Site site = Site.quiet().start(before)) {
-            FarServer.Peer watch = FarServer.next(site.discovery.peers);
+            ScriptedServer.Peer watch = ScriptedServer.next(site.discovery.answeredPeers);
             assertEquals("old", site.ask(Http.page("a")).body());
             watch.write(Site.chunk(Site.list(2, false, "s0=" + after.endpoint() + "=Ready") + "\n"));
-            FarServer.next(before.ended);
+            ScriptedServer.next(before.disconnectedPeers);
             assertEquals("new", site.ask(Http.page("b")).body());
         }
     }
--- a/src/test/java/kitemux/node/SignalAtOpeningTest.java
+++ b/src/test/java/kitemux/node/SignalAtOpeningTest.java
@@ -29,7 +29,7 @@
     private Path folder;
 
     /** A node that knows one server, and the port that it is to listen on. */
-    private Debuggee node(FarServer server, SocketChannel holder) throws Exception {
+    private Debuggee node(ScriptedServer server, SocketChannel holder) throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), """
                 {"listen":"127.0.0.1:%d","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":256},
                  "known":%s,
@@ -85,7 +85,7 @@
 
     @Test
     void betweenTheHookAndTheListenerItEndsAndNeverListens() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 SocketChannel holder = holder();
                 Debuggee node = node(server, holder)) {
             node.stopAtEnd("java.lang.Runtime", "addShutdownHook");
@@ -101,7 +101,7 @@
     @Test
     void asTheListenerOpensWhoConnectsIsServed() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, "late");
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
                 SocketChannel holder = holder();
                 Debuggee node = node(server, holder)) {
             node.stopAtBegin(Opening.class.getName(), "open");
@@ -114,7 +114,7 @@
             node.process.toHandle().destroy();
             node.awaitWaiting("drain");
             bound.goOn();
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             answer.countDown();
             assertEquals("late", Http.read(client.getInputStream()).body());
             assertEnds(node);
@@ -125,14 +125,14 @@
     @Test
     void onceItListensAndHasDoneNothingElseWhoIsTakenIsServed() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (FarServer server = FarServer.servingFrom(answer, "late");
+        try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
                 SocketChannel holder = holder();
                 Debuggee node = node(server, holder)) {
             node.stopAtEnd(Opening.class.getName(), "open");
             node.stepOut(node.awaitStop(Node.class.getName()));
             Socket client = connectOnceItListens(holder);
             Site.write(client, Http.page("/api/p", "t", "15000m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             node.process.toHandle().destroy();
             node.awaitWaiting("drain");
             answer.countDown();
--- a/src/test/java/kitemux/node/Site.java
+++ b/src/test/java/kitemux/node/Site.java
@@ -29,7 +29,7 @@
 /** A node on loopback sockets with the servers that its list names and a discovery that a test plays. */
 final class Site implements AutoCloseable {
     final Settings settings = new Settings();
-    final FarServer discovery;
+    final ScriptedServer discovery;
     final PollingLoop loop = Node.newLoop();
     int sockets = 256;
     long connIdleUs = 60_000_000;
@@ -46,7 +46,7 @@
     private InetSocketAddress address;
     private final List<Socket> clients = new ArrayList<>();
 
-    Site(FarServer discovery) {
+    Site(ScriptedServer discovery) {
         this.discovery = discovery;
         module = actions -> new ServiceQBalancer(settings, 7, actions);
         settings.zones.add("here");
@@ -67,7 +67,7 @@
 
     /** A site whose discovery opens a watch and says nothing on it. */
     static Site quiet() throws IOException {
-        return new Site(new FarServer((request, peer) -> peer.write(watchHead())));
+        return new Site(new ScriptedServer((request, peer) -> peer.write(watchHead())));
     }
 
     static String watchHead() {
@@ -109,7 +109,7 @@
     }
 
     /** Starts the node with the servers s0, s1, ... */
-    Site start(FarServer... servers) throws Exception {
+    Site start(ScriptedServer... servers) throws Exception {
         String[] entries = new String[servers.length];
         for (int i = 0; i < servers.length; i++) {
             entries[i] = "s" + i + "=" + servers[i].endpoint() + "=Ready";
--- a/src/test/java/kitemux/node/LongAnswersTest.java
+++ b/src/test/java/kitemux/node/StreamedResponsesTest.java
@@ -37,7 +37,7 @@
  * whoever cuts off what a server still gives, or withholds it, has lost the request.
  */
 @Timeout(60)
-class LongAnswersTest {
+class StreamedResponsesTest {
     private static final int FIRST = 100_000;
     private static final int PIECE = 1_000;
     /** A client's time, in milliseconds: over long before the answers here are. */
@@ -64,7 +64,7 @@
             return this == CHUNKED ? Site.chunk(text) : text;
         }
 
-        void end(FarServer.Peer peer) throws IOException {
+        void end(ScriptedServer.Peer peer) throws IOException {
             if (this == CHUNKED) {
                 peer.write("0\r\n\r\n");
             } else if (this == CLOSE) {
@@ -75,11 +75,11 @@
 
     /** What a server does once the first bytes are given. */
     private interface Rest {
-        void give(FarServer.Peer peer, Framing framing) throws Exception;
+        void give(ScriptedServer.Peer peer, Framing framing) throws Exception;
     }
 
-    private static FarServer giving(Framing framing, int first, int length, Rest rest) throws IOException {
-        return new FarServer((request, peer) -> {
+    private static ScriptedServer giving(Framing framing, int first, int length, Rest rest) throws IOException {
+        return new ScriptedServer((request, peer) -> {
             if (request.path().contains("short")) {
                 peer.write(Http.ok("short"));
                 return;
@@ -96,7 +96,7 @@
     }
 
     /** Pieces at this pace, for as long as they are wanted. */
-    private static void drip(FarServer.Peer peer, Framing framing, int pieces, long everyMs) throws Exception {
+    private static void drip(ScriptedServer.Peer peer, Framing framing, int pieces, long everyMs) throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         for (int i = 0; i < pieces; i++) {
             assertFalse(never.await(everyMs, TimeUnit.MILLISECONDS));
@@ -170,7 +170,7 @@
     void whatKeepsComingIsPassedOnPastTheClientsTimeToTheLast(Framing framing, int pieces, long everyMs)
             throws Exception {
         int length = FIRST + pieces * PIECE;
-        try (FarServer server = giving(framing, FIRST, length, (peer, how) -> {
+        try (ScriptedServer server = giving(framing, FIRST, length, (peer, how) -> {
                     drip(peer, how, pieces, everyMs);
                     how.end(peer);
                 });
@@ -188,7 +188,7 @@
     @Test
     void aServerThatPausesIsHeardToTheLast() throws Exception {
         int length = FIRST + 40 * PIECE;
-        try (FarServer server = giving(Framing.CHUNKED, FIRST, length, (peer, how) -> {
+        try (ScriptedServer server = giving(Framing.CHUNKED, FIRST, length, (peer, how) -> {
                     drip(peer, how, 39, 20);
                     drip(peer, how, 1, 1_200);
                     how.end(peer);
@@ -206,21 +206,21 @@
     void aServerThatDrainsOrGoesWhileItGivesIsHeardToTheLast(String state) throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
         int length = FIRST + 40 * PIECE;
-        try (FarServer server = giving(Framing.LENGTH, FIRST, length, (peer, how) -> {
+        try (ScriptedServer server = giving(Framing.LENGTH, FIRST, length, (peer, how) -> {
                     listed.await();
                     drip(peer, how, 40, 20);
                 });
-                FarServer discovery = new FarServer((request, peer) -> {
+                ScriptedServer discovery = new ScriptedServer((request, peer) -> {
                     peer.write(Site.watchHead());
                     awaitQuietly(listed);
                 });
                 Site site = new Site(discovery).start(server)) {
             Socket client = site.connect();
             ask(client, "/api/long", "t");
-            FarServer.next(discovery.requests);
-            FarServer.next(server.requests);
+            ScriptedServer.next(discovery.requests);
+            ScriptedServer.next(server.requests);
             listed.countDown();
-            FarServer.next(discovery.peers)
+            ScriptedServer.next(discovery.answeredPeers)
                     .write(Site.chunk(Site.list(2, false, "s0=" + server.endpoint() + "=" + state) + "\n"));
             assertEquals(length, body(client).length());
         }
@@ -240,14 +240,14 @@
     @ParameterizedTest
     @CsvSource({"LENGTH, 700", "CHUNKED, 700", "CLOSE, 700"})
     void oneThatStopsEndsSoonAfterItsTime(Framing framing, long timeMs) throws Exception {
-        try (FarServer server = giving(framing, FIRST, 2 * FIRST, (peer, how) -> {});
+        try (ScriptedServer server = giving(framing, FIRST, 2 * FIRST, (peer, how) -> {});
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             long askedAt = System.nanoTime();
             Site.write(client, Http.page("/api/long", "t", timeMs + "m"));
             long ms = untilReset(client, askedAt);
             assertTrue(ms >= timeMs - 100 && ms < timeMs + GRACE_MS, "after " + ms + " ms");
-            FarServer.next(server.ended);
+            ScriptedServer.next(server.disconnectedPeers);
         }
     }
 
@@ -255,7 +255,7 @@
     @Test
     void oneThatStopsPastItsTimeEndsBeforeItPassesForWithheld() throws Exception {
         AtomicLong stoppedAt = new AtomicLong();
-        try (FarServer server = giving(Framing.CHUNKED, FIRST, 0, (peer, how) -> {
+        try (ScriptedServer server = giving(Framing.CHUNKED, FIRST, 0, (peer, how) -> {
                     drip(peer, how, 40, 20);
                     stoppedAt.set(System.nanoTime());
                 });
@@ -272,7 +272,7 @@
     @ParameterizedTest
     @CsvSource({"LENGTH", "CHUNKED", "CLOSE"})
     void oneThatIsResetPastItsTimeIsSeenToBeCut(Framing framing) throws Exception {
-        try (FarServer server = giving(framing, FIRST, 2 * FIRST, (peer, how) -> {
+        try (ScriptedServer server = giving(framing, FIRST, 2 * FIRST, (peer, how) -> {
                     drip(peer, how, 60, 20);
                     peer.reset();
                 });
@@ -292,7 +292,7 @@
     @ParameterizedTest
     @CsvSource({"CHUNKED", "CLOSE"})
     void whatDripsAndIsNeverLongEndsWithTheClientsTime(Framing framing) throws Exception {
-        try (FarServer server = giving(framing, 1_000, 0, (peer, how) -> drip(peer, how, 1_000, 20));
+        try (ScriptedServer server = giving(framing, 1_000, 0, (peer, how) -> drip(peer, how, 1_000, 20));
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             long askedAt = System.nanoTime();
@@ -300,7 +300,7 @@
             assertEquals(503, Http.read(client.getInputStream()).status(), "a page may be asked for again");
             long ms = (System.nanoTime() - askedAt) / 1_000_000;
             assertTrue(ms >= TIME_MS - 100 && ms < TIME_MS + GRACE_MS, "after " + ms + " ms");
-            FarServer.next(server.ended);
+            ScriptedServer.next(server.disconnectedPeers);
         }
     }
 
@@ -308,13 +308,13 @@
 
     @Test
     void aClientThatLeavesPastItsTimeLetsGoOfTheServer() throws Exception {
-        try (FarServer server = giving(Framing.CHUNKED, FIRST, 0, (peer, how) -> drip(peer, how, 3_000, 20));
+        try (ScriptedServer server = giving(Framing.CHUNKED, FIRST, 0, (peer, how) -> drip(peer, how, 3_000, 20));
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             ask(client, "/api/long", "t");
             assertEquals(FIRST + 40 * PIECE, client.getInputStream().readNBytes(FIRST + 40 * PIECE).length);
             client.close();
-            assertNotNull(server.ended.poll(2, TimeUnit.SECONDS), "its server is let go");
+            assertNotNull(server.disconnectedPeers.poll(2, TimeUnit.SECONDS), "its server is let go");
             assertEquals(200, site.ask(Http.page("/api/short", "next", "2000m")).status());
         }
     }
@@ -324,14 +324,14 @@
     void aNodeThatIsToldToEndPassesOnWhatItHasBegunAndLetsGo() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         int length = FIRST + 40 * PIECE;
-        try (FarServer server = giving(Framing.LENGTH, FIRST, length, (peer, how) -> {
+        try (ScriptedServer server = giving(Framing.LENGTH, FIRST, length, (peer, how) -> {
                     told.await();
                     drip(peer, how, 40, 20);
                 });
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/long", "t", "4000m"));
-            FarServer.next(server.requests);
+            ScriptedServer.next(server.requests);
             InputStream in = client.getInputStream();
             assertEquals('H', in.read(), "it has begun");
             CountDownLatch done = new CountDownLatch(1);
@@ -357,7 +357,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        try (FarServer server = giving(Framing.CLOSE, FIRST, 0, (peer, how) -> drip(peer, how, 3_000, 10))) {
+        try (ScriptedServer server = giving(Framing.CLOSE, FIRST, 0, (peer, how) -> drip(peer, how, 3_000, 10))) {
             Path config = Files.writeString(folder.resolve("config.json"), """
                     {"listen":"127.0.0.1:%d","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":256},
                      "known":%s,"settings":{"membershipMode":"on_request","limits":{"attemptsCap":1},
@@ -424,7 +424,7 @@
         long each = 10_000_000;
         AtomicLong given = new AtomicLong();
         String piece = "y".repeat(100_000);
-        try (FarServer server = giving(Framing.LENGTH, FIRST, (int) each, (peer, how) -> {
+        try (ScriptedServer server = giving(Framing.LENGTH, FIRST, (int) each, (peer, how) -> {
                     for (long at = FIRST; at < each; at += piece.length()) {
                         peer.write(piece);
                         given.addAndGet(piece.length());
@@ -438,7 +438,7 @@
             for (int i = 0; i < many; i++) {
                 clients.add(site.connect());
                 Site.write(clients.get(i), Http.page("/api/long", "t" + i, "4000m"));
-                FarServer.next(server.requests);
+                ScriptedServer.next(server.requests);
             }
             long most = 0;
             // Each round is an event of the node's loop: by then what could come on has come.
@@ -457,7 +457,7 @@
 
     @Test
     void theNextRequestOnTheConnectionIsServed() throws Exception {
-        try (FarServer server =
+        try (ScriptedServer server =
                         giving(Framing.LENGTH, FIRST, FIRST + 40 * PIECE, (peer, how) -> drip(peer, how, 40, 20));
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
--- a/src/test/java/kitemux/node/TermsTest.java
+++ b/src/test/java/kitemux/node/TermsTest.java
@@ -33,9 +33,9 @@
 @Timeout(60)
 class TermsTest {
 
-    private static FarServer failingAfter(long ms, AtomicInteger failed) throws IOException {
+    private static ScriptedServer failingAfter(long ms, AtomicInteger failed) throws IOException {
         CountDownLatch never = new CountDownLatch(1);
-        return new FarServer((request, peer) -> {
+        return new ScriptedServer((request, peer) -> {
             try {
                 if (never.await(ms, TimeUnit.MILLISECONDS)) {
                     throw new IOException("nobody opens it");
@@ -51,8 +51,8 @@
     @Test
     void aFurtherAttemptTellsWhatIsLeft() throws Exception {
         AtomicInteger failed = new AtomicInteger();
-        try (FarServer one = failingAfter(300, failed);
-                FarServer two = failingAfter(300, failed);
+        try (ScriptedServer one = failingAfter(300, failed);
+                ScriptedServer two = failingAfter(300, failed);
                 Site site = Site.quiet().start(one, two)) {
             long askedAt = System.nanoTime();
             assertEquals(200, site.ask(Http.page("/api/p", "t", "2000m")).status());
@@ -60,7 +60,7 @@
             attempts.addAll(two.requests);
             List<Long> told = new ArrayList<>();
             for (Http.Message attempt : attempts) {
-                told.add(RequestReader.left(attempt.headers().get("x-remaining")));
+                told.add(RequestReader.parseRemainingUs(attempt.headers().get("x-remaining")));
             }
             told.sort(null);
             assertEquals(2, told.size());
@@ -75,8 +75,8 @@
     @CsvSource({"50, 2, 200", "400, 1, 502"})
     void aKeyedRequestIsRepeatedWithinItsWindowOnly(long failsAfterMs, int attempts, int status) throws Exception {
         AtomicInteger failed = new AtomicInteger();
-        try (FarServer one = failingAfter(failsAfterMs, failed);
-                FarServer two = failingAfter(failsAfterMs, failed);
+        try (ScriptedServer one = failingAfter(failsAfterMs, failed);
+                ScriptedServer two = failingAfter(failsAfterMs, failed);
                 Site site = Site.quiet()) {
             site.settings.classes.set(
                     1,
@@ -133,7 +133,7 @@
     /** What comes on a resting connection once the node has ended it is not sent on. */
     @Test
     void whatComesAfterARestingConnectionWasEndedIsNotSentOn() throws Exception {
-        try (FarServer server = FarServer.serving("x");
+        try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket rests = site.connect();
             assertEquals(200, Site.ask(rests, Http.page("before")).status());
@@ -145,7 +145,7 @@
                 Http.read(rests.getInputStream());
             });
             assertTrue(done.await(20, TimeUnit.SECONDS));
-            assertEquals("before", FarServer.next(server.requests).headers().get("x-txn"));
+            assertEquals("before", ScriptedServer.next(server.requests).headers().get("x-txn"));
             assertEquals(0, server.requests.size());
         }
     }
@@ -168,7 +168,7 @@
                 AtomicLong took = new AtomicLong();
                 CountDownLatch hears = new CountDownLatch(1);
                 long seed = i;
-                Site site = new Site(new FarServer((request, peer) -> {
+                Site site = new Site(new ScriptedServer((request, peer) -> {
                     int call = calls.getAndIncrement();
                     if (call < refusals) {
                         peer.write(Http.answer("503 Busy", "", ""));
--- a/src/test/java/kitemux/node/UpgradeTest.java
+++ b/src/test/java/kitemux/node/UpgradeTest.java
@@ -67,8 +67,8 @@
         }
     }
 
-    private static FarServer hanging(CountDownLatch end) throws IOException {
-        return new FarServer((request, peer) -> {
+    private static ScriptedServer hanging(CountDownLatch end) throws IOException {
+        return new ScriptedServer((request, peer) -> {
             if (request.path().equals("/api/hangs")) {
                 try {
                     end.await();
@@ -89,8 +89,8 @@
     void whatTheOldProcessReadIsAnsweredBeforeTheEarliestKill(long deadlineMs) throws Exception {
         CountDownLatch end = new CountDownLatch(1);
         ScheduledExecutorService clock = Executors.newScheduledThreadPool(64);
-        try (FarServer first = hanging(end);
-                FarServer second = hanging(end);
+        try (ScriptedServer first = hanging(end);
+                ScriptedServer second = hanging(end);
                 SocketChannel clientsAt = NodeProcess.holder();
                 SocketChannel firstOperators = NodeProcess.holder();
                 SocketChannel secondOperators = NodeProcess.holder();
--- a/src/test/java/kitemux/telemetry/RequestTraceTest.java
+++ b/src/test/java/kitemux/telemetry/RequestTraceTest.java
@@ -63,15 +63,15 @@
     void eachStepOfARequestIsALineWithItsTimeAndId() throws Exception {
         FixedTime time = new FixedTime();
         RequestTrace trace = RequestTrace.open(new TraceSettings(folder, 64), "node", time, line -> {});
-        trace.accepted(1, InetSocketAddress.createUnresolved("client", 7));
+        trace.connectionAccepted(1, InetSocketAddress.createUnresolved("client", 7));
         trace.onRequestAccepted(9, new Page("t1"));
-        trace.requested(1, "t1");
+        trace.requestReceived(1, "t1");
         trace.onAttemptStarted(9, 0, "s0", 301_000);
         time.nowUs = 301_000;
         trace.onAttemptEnded(9, 0, Result.TIMEOUT);
         trace.onRequestAnswered(9, Observer.RequestOutcome.FAILED);
         trace.onRequestReleased(9);
-        trace.closed(1, CloseReason.LAST_ANSWER);
+        trace.connectionClosed(1, CloseReason.LAST_ANSWER);
         trace.close();
         assertEquals(
                 List.of(
@@ -91,7 +91,7 @@
         RequestTrace trace =
                 RequestTrace.open(new TraceSettings(folder, 64), "node", new FixedTime(), line -> written.countDown());
         for (int i = 0; i < 100_000; i++) {
-            trace.closed(i, CloseReason.IDLE);
+            trace.connectionClosed(i, CloseReason.IDLE);
         }
         trace.close();
         long leftOut = written().stream()
