--- a/src/main/java/kitemux/drill/Drill.java
+++ b/src/main/java/kitemux/drill/Drill.java
@@ -28,11 +28,11 @@
 import kitemux.drill.Fault.Way;
 import kitemux.fleet.ClientTry;
 import kitemux.fleet.Fleet;
-import kitemux.lab.RunInterceptor;
-import kitemux.lab.ProcessGuard;
 import kitemux.lab.LongAnswer;
 import kitemux.lab.LoopStallMonitor;
 import kitemux.lab.LoopbackRun;
+import kitemux.lab.ProcessGuard;
+import kitemux.lab.RunInterceptor;
 import kitemux.sim.Scheduler;
 
 /**
--- a/src/main/java/kitemux/keeper/Keeper.java
+++ b/src/main/java/kitemux/keeper/Keeper.java
@@ -87,7 +87,14 @@
         log = on.log();
         me = new Voter(settings.number(), folder.identity());
         machine = new KeeperStateMachine(
-                terms, me, settings.keeperAddresses().size(), settings.initialVoters(), rules, folder.found(), seed, time.nowUs());
+                terms,
+                me,
+                settings.keeperAddresses().size(),
+                settings.initialVoters(),
+                rules,
+                folder.found(),
+                seed,
+                time.nowUs());
         this.failed = failed;
         writer = new RecordWriter(folder, loop, failed);
         server = new KeeperServer(loop, this::call);
--- a/src/main/java/kitemux/rollout/Inventory.java
+++ b/src/main/java/kitemux/rollout/Inventory.java
@@ -5,54 +5,72 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Which node has what in force, by what nodes reported to this keeper, and merged with what others heard. */
+/**
+ * The configuration that each node has in force, according to the reports that this keeper received.
+ * Inventories of several keepers can be merged.
+ */
 public final class Inventory {
-    private final Map<Integer, Heard> heard = new TreeMap<>();
+    private final Map<Integer, ReceivedReport> receivedByNode = new TreeMap<>();
     private long rejectedReports;
 
-    private record Heard(Report report, long atUs) {}
+    private record ReceivedReport(Report report, long receivedAtUs) {}
 
-    /** A report, and how long ago it came, in microseconds: clocks of keepers are not compared. */
+    /**
+     * A report and its age in microseconds. Ages are exchanged instead of times, since the clocks of
+     * keepers are not synchronised.
+     */
     public record Row(Report report, long ageUs) {}
 
-    /** What counts for a node. */
+    /** The state of a node with regard to a version. */
     public enum NodeStatus {
+        /** No report of the node was received. */
         UNHEARD,
+        /** The node has an earlier version in force. */
         BEHIND,
+        /** The node has the version or a later one in force. */
         IN_FORCE,
+        /** The node has the version, but some of its values take effect only after a restart. */
         WAITS_RESTART,
+        /** The node rejects the version. */
         REFUSED,
+        /** The age of the last report of the node has reached {@link ProtocolParameters#reportTimeoutUs}. */
         SILENT
     }
 
-    /** Reports of nodes that found no room. */
+    /**
+     * Returns the number of reports rejected because {@link ProtocolParameters#MAX_NODE_COUNT} nodes are
+     * known already.
+     */
     public long rejectedReports() {
         return rejectedReports;
     }
 
-    /** A node's report came. One of an earlier life of that number does not count. */
+    /** Records a report of a node. A report of an earlier incarnation of that node is ignored. */
     public void addReport(long nowUs, Report report) {
-        Heard last = heard.get(report.node());
-        if (last == null && heard.size() >= ProtocolParameters.MAX_NODE_COUNT) {
+        ReceivedReport previous = receivedByNode.get(report.node());
+        if (previous == null && receivedByNode.size() >= ProtocolParameters.MAX_NODE_COUNT) {
             rejectedReports++;
-        } else if (last == null || report.incarnation() >= last.report.incarnation()) {
-            heard.put(report.node(), new Heard(report, nowUs));
+        } else if (previous == null || report.incarnation() >= previous.report.incarnation()) {
+            receivedByNode.put(report.node(), new ReceivedReport(report, nowUs));
         }
     }
 
-    /** All that is known here, for other keepers. */
+    /** Returns all reports with their ages, to be sent to other keepers. */
     public List<Row> rows(long nowUs) {
-        return heard.values().stream()
-                .map(h -> new Row(h.report, nowUs - h.atUs))
+        return receivedByNode.values().stream()
+                .map(received -> new Row(received.report, nowUs - received.receivedAtUs))
                 .toList();
     }
 
-    /** Rows of several keepers as one a node: the highest life counts, then the newest report. */
-    public static Map<Integer, Row> merge(List<List<Row>> all) {
-        Map<Integer, Row> best = new TreeMap<>();
-        for (List<Row> some : all) {
-            for (Row row : some) {
-                best.merge(
+    /**
+     * Merges the rows of several keepers into one row per node: that of the highest incarnation, and of two
+     * of the same incarnation the newer one.
+     */
+    public static Map<Integer, Row> merge(List<List<Row>> rowsByKeeper) {
+        Map<Integer, Row> newestByNode = new TreeMap<>();
+        for (List<Row> rows : rowsByKeeper) {
+            for (Row row : rows) {
+                newestByNode.merge(
                         row.report.node(),
                         row,
                         (a, b) -> a.report.incarnation() != b.report.incarnation()
@@ -60,36 +78,41 @@
                                 : a.ageUs <= b.ageUs ? a : b);
             }
         }
-        return best;
+        return newestByNode;
     }
 
-    /** How a node stands to a version; {@code row} null where nothing was heard. */
-    public static NodeStatus statusOf(ProtocolParameters terms, Row row, long rev) {
+    /**
+     * Returns the state of a node with regard to a version; {@code row} is null if no report was received.
+     */
+    public static NodeStatus statusOf(ProtocolParameters parameters, Row row, long rev) {
         if (row == null) {
             return NodeStatus.UNHEARD;
         }
-        if (row.ageUs >= terms.reportTimeoutUs()) {
+        if (row.ageUs >= parameters.reportTimeoutUs()) {
             return NodeStatus.SILENT;
         }
         Report report = row.report;
         if (report.rev() >= rev) {
             return report.pendingRestart().isEmpty() ? NodeStatus.IN_FORCE : NodeStatus.WAITS_RESTART;
         }
-        return report.rejections().stream().anyMatch(refusal -> refusal.rev() >= rev)
+        return report.rejections().stream().anyMatch(rejection -> rejection.rev() >= rev)
                 ? NodeStatus.REFUSED
                 : NodeStatus.BEHIND;
     }
 
-    /** Numbers of nodes by how they stand to a version, of a fleet of so many; each node once. */
+    /**
+     * Groups the nodes 0 to {@code nodeCount - 1} by their state with regard to a version. Each node is
+     * listed once.
+     */
     public static Map<NodeStatus, List<Integer>> nodesByStatus(
-            ProtocolParameters terms, Map<Integer, Row> merged, int nodes, long rev) {
-        Map<NodeStatus, List<Integer>> found = new TreeMap<>();
-        for (NodeStatus each : NodeStatus.values()) {
-            found.put(each, new ArrayList<>());
+            ProtocolParameters parameters, Map<Integer, Row> rowsByNode, int nodeCount, long rev) {
+        Map<NodeStatus, List<Integer>> nodesByStatus = new TreeMap<>();
+        for (NodeStatus status : NodeStatus.values()) {
+            nodesByStatus.put(status, new ArrayList<>());
         }
-        for (int node = 0; node < nodes; node++) {
-            found.get(statusOf(terms, merged.get(node), rev)).add(node);
+        for (int node = 0; node < nodeCount; node++) {
+            nodesByStatus.get(statusOf(parameters, rowsByNode.get(node), rev)).add(node);
         }
-        return found;
+        return nodesByStatus;
     }
 }
--- a/src/main/java/kitemux/rollout/Proposer.java
+++ b/src/main/java/kitemux/rollout/Proposer.java
@@ -8,248 +8,274 @@
 import java.util.function.Consumer;
 
 /**
- * Has changes decided, one at a time, by ballots among the voters. What is chosen is told to {@code chosen},
- * which takes it into the history before it returns.
+ * A Paxos proposer: gets changes chosen one at a time by ballots among the voters. Each chosen version is
+ * passed to a callback, which must append it to the history before it returns.
  */
 public final class Proposer {
-    private final ProtocolParameters terms;
-    private final int me;
+    private final ProtocolParameters parameters;
+    private final int self;
     private final History history;
     private final Rules rules;
-    private final Consumer<Version> chosen;
-    private final SplittableRandom draws;
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    private final Consumer<Version> onChosen;
+    private final SplittableRandom random;
+    private final ArrayDeque<QueuedChange> queue = new ArrayDeque<>();
     private State state = State.IDLE;
-    private Attempt attempt;
+    private Proposal proposal;
     private long rev;
     private Ballot ballot = Ballot.NONE;
-    private long untilUs = Long.MAX_VALUE;
-    /** Who has promised, while PREPARING; who has accepted, while ACCEPTING. */
-    private final Set<Integer> agreed = new HashSet<>();
-    /** Of what was accepted before, by those who promised, that of the highest ballot. */
-    private Ballot highest;
-    /** What is to be accepted, or null while that is not known. */
+    private long phaseDeadlineUs = Long.MAX_VALUE;
+    /** Keepers that have promised while PREPARING, or accepted while ACCEPTING. */
+    private final Set<Integer> agreedKeepers = new HashSet<>();
+    /** The highest ballot of the values that the promises report as accepted. */
+    private Ballot highestAcceptedBallot;
+    /** The value to be accepted, or null while it is not known. */
     private Change value;
 
     private long highestRound;
     private long rejectedChanges;
 
-    /** CHECKING of the design is no state: it takes no time. */
+    /** The phase of the proposal. Validation needs no state of its own, as it takes no time. */
     private enum State {
+        /** No proposal is in progress. */
         IDLE,
+        /** Promises are being collected. */
         PREPARING,
+        /** Acceptances of a value are being collected. */
         ACCEPTING
     }
 
-    private record Call(long call, Change change) {}
+    private record QueuedChange(long callId, Change change) {}
 
-    /** What is under way; own is null where another's change is finished. */
-    private static final class Attempt {
-        final Call own;
-        final long beganUs;
-        int tries;
-        /** Whether the own change may have been accepted by somebody, in the version that is open. */
-        boolean ownSent;
+    /**
+     * The proposal in progress. {@code queued} is null if it completes a value that another keeper
+     * proposed.
+     */
+    private static final class Proposal {
+        final QueuedChange queued;
+        final long startedAtUs;
+        int ballotCount;
+        /** Whether a voter may have accepted the queued change for the open version. */
+        boolean mayHaveBeenAccepted;
 
-        Attempt(Call own, long beganUs) {
-            this.own = own;
-            this.beganUs = beganUs;
+        Proposal(QueuedChange queued, long startedAtUs) {
+            this.queued = queued;
+            this.startedAtUs = startedAtUs;
         }
     }
 
     /**
-     * Nothing is proposed yet.
+     * Creates an idle proposer.
      *
-     * @param me this keeper's number
-     * @param seed of what it draws: the lengths of its phases
-     * @param chosen is told each version that it had chosen
+     * @param self number of this keeper
+     * @param seed seed of the random phase timeouts and backoffs
+     * @param onChosen receives each version that this proposer got chosen
      */
     public Proposer(
-            ProtocolParameters terms, int me, History history, Rules rules, long seed, Consumer<Version> chosen) {
-        this.terms = terms;
-        this.me = me;
+            ProtocolParameters parameters,
+            int self,
+            History history,
+            Rules rules,
+            long seed,
+            Consumer<Version> onChosen) {
+        this.parameters = parameters;
+        this.self = self;
         this.history = history;
         this.rules = rules;
-        this.draws = new SplittableRandom(seed);
-        this.chosen = chosen;
+        this.random = new SplittableRandom(seed);
+        this.onChosen = onChosen;
     }
 
-    /** Its state, whole but for times and draws: two that say the same go on alike. */
+    /** Returns the state without times and random values. Two proposers with the same text behave alike. */
     @Override
     public String toString() {
-        return state + " " + rev + " " + ballot + " " + agreed + " " + highest + " "
-                + (value == null ? "" : value.id()) + " " + highestRound + " " + waiting.size()
+        return state + " " + rev + " " + ballot + " " + agreedKeepers + " " + highestAcceptedBallot + " "
+                + (value == null ? "" : value.id()) + " " + highestRound + " " + queue.size()
                 + (isIdle()
                         ? ""
-                        : (attempt.own == null ? "" : attempt.own.change.id()) + " " + attempt.ownSent + " "
-                                + attempt.tries);
+                        : (proposal.queued == null ? "" : proposal.queued.change.id()) + " "
+                                + proposal.mayHaveBeenAccepted + " " + proposal.ballotCount);
     }
 
-    /** Whether nothing is under way. */
+    /** Returns whether no proposal is in progress. */
     public boolean isIdle() {
         return state == State.IDLE;
     }
 
-    /** Calls that were refused since too many waited. */
+    /** Returns the number of changes rejected because the queue was full. */
     public long rejectedChanges() {
         return rejectedChanges;
     }
 
-    /** When {@link #tick} is to be called, in microseconds; the clock's end while idle. */
+    /** Returns when {@link #tick} must be called, in microseconds; {@link Long#MAX_VALUE} while idle. */
     public long nextAtUs() {
-        return isIdle() ? Long.MAX_VALUE : untilUs;
+        return isIdle() ? Long.MAX_VALUE : phaseDeadlineUs;
     }
 
-    /** An operator's change; concluded by {@link Effect.Conclude}, once. */
-    public void propose(long nowUs, long call, Change change, List<Effect> out) {
-        if (waiting.size() >= ProtocolParameters.MAX_QUEUED_CHANGE_COUNT) {
+    /** Queues an operator's change. It is answered by exactly one {@link Effect.CompleteChange}. */
+    public void propose(long nowUs, long callId, Change change, List<Effect> effects) {
+        if (queue.size() >= ProtocolParameters.MAX_QUEUED_CHANGE_COUNT) {
             rejectedChanges++;
-            out.add(new Effect.CompleteChange(
-                    call, new Outcome.Unavailable(ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + " changes wait")));
+            effects.add(new Effect.CompleteChange(
+                    callId, new Outcome.Unavailable(ProtocolParameters.MAX_QUEUED_CHANGE_COUNT + " changes wait")));
             return;
         }
-        waiting.add(new Call(call, change));
-        next(nowUs, out);
+        queue.add(new QueuedChange(callId, change));
+        startNext(nowUs, effects);
     }
 
-    /** Something was accepted for the open version, and nobody said that it was chosen: it is finished. */
-    public void recoverAccepted(long nowUs, List<Effect> out) {
+    /**
+     * Proposes the value that this voter has accepted for the open version, if no proposal is in progress.
+     * It is called when this keeper has not learned for some time that the value was chosen.
+     */
+    public void recoverAccepted(long nowUs, List<Effect> effects) {
         if (isIdle()) {
-            attempt = new Attempt(null, nowUs);
-            prepare(nowUs, out);
+            proposal = new Proposal(null, nowUs);
+            prepare(nowUs, effects);
         }
     }
 
-    private void next(long nowUs, List<Effect> out) {
-        while (isIdle() && !waiting.isEmpty()) {
-            attempt = new Attempt(waiting.poll(), nowUs);
-            check(nowUs, out);
+    private void startNext(long nowUs, List<Effect> effects) {
+        while (isIdle() && !queue.isEmpty()) {
+            proposal = new Proposal(queue.poll(), nowUs);
+            validate(nowUs, effects);
         }
     }
 
-    /** CHECKING: against what is known now; the version in which it may have been accepted is decided. */
-    private void check(long nowUs, List<Effect> out) {
-        if (attempt.own == null) {
-            end(null, out);
+    /**
+     * Validates the queued change against the current history. The version for which it may have been
+     * accepted is decided by now.
+     */
+    private void validate(long nowUs, List<Effect> effects) {
+        if (proposal.queued == null) {
+            complete(null, effects);
             return;
         }
-        if (attempt.ownSent && !history.covers(rev - 1)) {
-            // It was told the whole, in which no version has a name any more.
-            end(new Outcome.Unknown(), out);
+        if (proposal.mayHaveBeenAccepted && !history.covers(rev - 1)) {
+            // The history was replaced by a snapshot, which has no ids of changes.
+            complete(new Outcome.Unknown(), effects);
             return;
         }
-        attempt.ownSent = false;
-        Outcome against = history.validate(attempt.own.change, rules);
-        if (against != null) {
-            end(against, out);
+        proposal.mayHaveBeenAccepted = false;
+        Outcome outcome = history.validate(proposal.queued.change, rules);
+        if (outcome != null) {
+            complete(outcome, effects);
         } else {
-            prepare(nowUs, out);
+            prepare(nowUs, effects);
         }
     }
 
-    private void end(Outcome outcome, List<Effect> out) {
+    private void complete(Outcome outcome, List<Effect> effects) {
         state = State.IDLE;
-        if (attempt.own != null) {
-            out.add(new Effect.CompleteChange(attempt.own.call, outcome));
+        if (proposal.queued != null) {
+            effects.add(new Effect.CompleteChange(proposal.queued.callId, outcome));
         }
     }
 
-    private void prepare(long nowUs, List<Effect> out) {
-        if (attempt.tries >= terms.maxBallots() || nowUs - attempt.beganUs >= terms.proposalTimeoutUs()) {
-            end(
-                    attempt.ownSent
+    private void prepare(long nowUs, List<Effect> effects) {
+        if (proposal.ballotCount >= parameters.maxBallots()
+                || nowUs - proposal.startedAtUs >= parameters.proposalTimeoutUs()) {
+            complete(
+                    proposal.mayHaveBeenAccepted
                             ? new Outcome.Unknown()
                             : new Outcome.Unavailable("no majority of the voters agreed in time"),
-                    out);
+                    effects);
             return;
         }
-        attempt.tries++;
-        ballot = new Ballot(++highestRound, me);
+        proposal.ballotCount++;
+        ballot = new Ballot(++highestRound, self);
         rev = history.rev() + 1;
-        highest = Ballot.NONE;
+        highestAcceptedBallot = Ballot.NONE;
         value = null;
-        begin(State.PREPARING, nowUs, new Request.Prepare(rev, ballot), out);
+        startPhase(State.PREPARING, nowUs, new Request.Prepare(rev, ballot), effects);
     }
 
-    private void begin(State phase, long nowUs, Request asked, List<Effect> out) {
+    private void startPhase(State phase, long nowUs, Request request, List<Effect> effects) {
         state = phase;
-        agreed.clear();
-        untilUs = nowUs + draws.nextLong(terms.minPhaseTimeoutUs(), terms.maxPhaseTimeoutUs());
-        history.voters().forEach(voter -> out.add(new Effect.Send(voter.keeper(), asked)));
+        agreedKeepers.clear();
+        phaseDeadlineUs = nowUs + random.nextLong(parameters.minPhaseTimeoutUs(), parameters.maxPhaseTimeoutUs());
+        history.voters().forEach(voter -> effects.add(new Effect.Send(voter.keeper(), request)));
     }
 
     private boolean isMajority() {
-        return agreed.size() > history.voters().size() / 2;
+        return agreedKeepers.size() > history.voters().size() / 2;
     }
 
-    /** An answer to what it sent; what is of another version or ballot is let pass. */
-    public void handleResponse(long nowUs, int from, Response answer, List<Effect> out) {
+    /**
+     * Handles a response to a request of this proposer. Responses for another version or ballot are
+     * ignored.
+     */
+    public void handleResponse(long nowUs, int from, Response received, List<Effect> effects) {
         if (history.voters().stream().noneMatch(voter -> voter.keeper() == from)) {
             return;
         }
-        if (answer instanceof Response.Promised a && isMine(State.PREPARING, a.rev(), a.ballot())) {
-            promised(nowUs, from, a, out);
-        } else if (answer instanceof Response.Accepted a && isMine(State.ACCEPTING, a.rev(), a.ballot())) {
-            accepted(nowUs, from, out);
-        } else if (answer instanceof Response.Rejected a) {
-            highestRound = Math.max(highestRound, a.promised().round());
-            if (isMine(state, a.rev(), a.ballot())) {
-                // Not at once, and the longer the more often it was tried: two that hinder each other would
-                // spend their tries within milliseconds. Until then the others may still agree.
-                untilUs = Math.min(
-                        untilUs,
-                        nowUs + terms.minBackoffUs() + draws.nextLong(attempt.tries * terms.minPhaseTimeoutUs() / 2));
+        if (received instanceof Response.Promised response
+                && isCurrent(State.PREPARING, response.rev(), response.ballot())) {
+            onPromised(nowUs, from, response, effects);
+        } else if (received instanceof Response.Accepted response
+                && isCurrent(State.ACCEPTING, response.rev(), response.ballot())) {
+            onAccepted(nowUs, from, effects);
+        } else if (received instanceof Response.Rejected response) {
+            highestRound = Math.max(highestRound, response.promised().round());
+            if (isCurrent(state, response.rev(), response.ballot())) {
+                // Retrying at once would let two competing proposers spend all their ballots within
+                // milliseconds, so the backoff grows with each ballot. Until then, the other voters may
+                // still agree.
+                phaseDeadlineUs = Math.min(
+                        phaseDeadlineUs,
+                        nowUs
+                                + parameters.minBackoffUs()
+                                + random.nextLong(proposal.ballotCount * parameters.minPhaseTimeoutUs() / 2));
             }
         }
-        next(nowUs, out);
+        startNext(nowUs, effects);
     }
 
-    private boolean isMine(State in, long ofRev, Ballot of) {
-        return !isIdle() && state == in && ofRev == rev && of.equals(ballot);
+    private boolean isCurrent(State expectedState, long requestRev, Ballot requestBallot) {
+        return !isIdle() && state == expectedState && requestRev == rev && requestBallot.equals(ballot);
     }
 
-    private void promised(long nowUs, int from, Response.Promised a, List<Effect> out) {
-        agreed.add(from);
-        if (a.accepted() != null && a.acceptedBallot().isGreaterThan(highest)) {
-            highest = a.acceptedBallot();
-            value = a.accepted();
+    private void onPromised(long nowUs, int from, Response.Promised response, List<Effect> effects) {
+        agreedKeepers.add(from);
+        if (response.accepted() != null && response.acceptedBallot().isGreaterThan(highestAcceptedBallot)) {
+            highestAcceptedBallot = response.acceptedBallot();
+            value = response.accepted();
         }
         if (!isMajority()) {
             return;
         }
-        if (value == null && attempt.own == null) {
-            end(null, out);
+        if (value == null && proposal.queued == null) {
+            complete(null, effects);
             return;
         }
-        value = value == null ? attempt.own.change : value;
-        attempt.ownSent |= attempt.own != null && value.equals(attempt.own.change);
-        begin(State.ACCEPTING, nowUs, new Request.Accept(rev, ballot, value), out);
+        value = value == null ? proposal.queued.change : value;
+        proposal.mayHaveBeenAccepted |= proposal.queued != null && value.equals(proposal.queued.change);
+        startPhase(State.ACCEPTING, nowUs, new Request.Accept(rev, ballot, value), effects);
     }
 
-    private void accepted(long nowUs, int from, List<Effect> out) {
-        agreed.add(from);
+    private void onAccepted(long nowUs, int from, List<Effect> effects) {
+        agreedKeepers.add(from);
         if (isMajority()) {
-            chosen.accept(new Version(rev, value));
-            // Its own is known by its id now. After another's its own follows in the next version, and it was
-            // not for want of a majority that its tries went.
-            attempt.tries = 0;
-            check(nowUs, out);
+            onChosen.accept(new Version(rev, value));
+            // The own change is found by its id now. After another keeper's value, the own change is
+            // proposed for the next version; the ballots so far did not fail for want of a majority.
+            proposal.ballotCount = 0;
+            validate(nowUs, effects);
         }
     }
 
-    /** The history has gone on, by another's word: what is under way is checked anew. */
-    public void historyAdvanced(long nowUs, List<Effect> out) {
+    /** Validates the proposal again after versions were learned from other keepers. */
+    public void historyAdvanced(long nowUs, List<Effect> effects) {
         if (!isIdle() && rev <= history.rev()) {
-            check(nowUs, out);
+            validate(nowUs, effects);
         }
-        next(nowUs, out);
+        startNext(nowUs, effects);
     }
 
-    /** Time has passed. */
-    public void tick(long nowUs, List<Effect> out) {
+    /** Starts a new ballot if the current phase has timed out, and the next queued change if idle. */
+    public void tick(long nowUs, List<Effect> effects) {
         if (nowUs >= nextAtUs()) {
-            prepare(nowUs, out);
+            prepare(nowUs, effects);
         }
-        next(nowUs, out);
+        startNext(nowUs, effects);
     }
 }
--- a/src/main/java/kitemux/sidecar/Sidecar.java
+++ b/src/main/java/kitemux/sidecar/Sidecar.java
@@ -23,11 +23,11 @@
 import kitemux.app.ConfigWriter;
 import kitemux.app.Watch;
 import kitemux.members.Member;
-import kitemux.members.MemberSettings;
 import kitemux.members.MemberListParser;
+import kitemux.members.MemberSettings;
 import kitemux.members.Membership;
-import kitemux.members.RefreshSchedule;
 import kitemux.members.MembershipSnapshot;
+import kitemux.members.RefreshSchedule;
 import kitemux.node.Node;
 
 /**
--- a/src/main/java/kitemux/soak/SoakNode.java
+++ b/src/main/java/kitemux/soak/SoakNode.java
@@ -69,7 +69,8 @@
                     "{\"trace\":{\"folder\":\"%s\"}}".formatted(folder.resolve("traces")));
             launcher.environment().put("KITEMUX_SETTINGS", settings.toString());
         }
-        return new SoakNode(ProcessGuard.wrap(launcher).redirectErrorStream(true).start(), operatorPort);
+        return new SoakNode(
+                ProcessGuard.wrap(launcher).redirectErrorStream(true).start(), operatorPort);
     }
 
     private static String config(int clientPort, int operatorPort, long deadlineMs, List<SoakServer> servers) {
