--- a/src/main/java/kitemux/app/ConfigWriter.java
+++ b/src/main/java/kitemux/app/ConfigWriter.java
@@ -7,7 +7,7 @@
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
-import kitemux.config.ConfigText;
+import kitemux.config.ConfigFormatter;
 import kitemux.members.Member;
 
 /** What a described application's node is told. */
@@ -31,14 +31,14 @@
      *
      * @throws IllegalArgumentException as {@link #json(App, String)}
      */
-    public static String json(App app, List<ConfigText.Server> servers, String seed) {
+    public static String json(App app, List<ConfigFormatter.Server> servers, String seed) {
         if (!Checks.of(app).isEmpty()) {
             throw new IllegalArgumentException("a description that breaks a rule is not written");
         }
         // Without a list elsewhere nobody asks for one: the node is its own discovery, and does not call it.
         String discovery = app.discovery().isEmpty() ? app.listen() : app.discovery();
-        return ConfigText.node(
-                new ConfigText.Node(
+        return ConfigFormatter.formatNode(
+                new ConfigFormatter.NodeDescription(
                         app.name(),
                         app.listen(),
                         discovery,
@@ -51,7 +51,7 @@
     }
 
     /** Those that are described and get anything at all, as a node is told of them. */
-    private static List<ConfigText.Server> servers(App app) {
+    private static List<ConfigFormatter.Server> servers(App app) {
         return members(app).stream().map(one -> server(one, one.draining(), 0)).toList();
     }
 
@@ -75,8 +75,8 @@
      * @param draining whether it gets nothing new
      * @param startedUs Unix time in microseconds; 0 for long ago
      */
-    public static ConfigText.Server server(Member one, boolean draining, long startedUs) {
-        return new ConfigText.Server(
+    public static ConfigFormatter.Server server(Member one, boolean draining, long startedUs) {
+        return new ConfigFormatter.Server(
                 new ServerEntry(
                         one.name(), 0, one.rack(), draining ? ServerState.DRAINING : ServerState.READY, 1, startedUs),
                 one.address());
--- a/src/main/java/kitemux/app/Migrate.java
+++ b/src/main/java/kitemux/app/Migrate.java
@@ -45,16 +45,16 @@
         line("# From a node's configuration.");
         text(
                 "name",
-                json.path("name").text().isEmpty()
+                json.path("name").asText().isEmpty()
                         ? "migrated"
-                        : json.path("name").text());
-        text("listen", json.path("listen").text());
-        if (!json.path("mgmt").text().isEmpty()) {
-            text("operators", json.path("mgmt").text());
-        }
-        if (set.path("membershipMode").text().equals("on_request")) {
-            text("discovery", json.path("discovery").text());
-        } else if (!json.path("discovery").text().equals(json.path("listen").text())) {
+                        : json.path("name").asText());
+        text("listen", json.path("listen").asText());
+        if (!json.path("mgmt").asText().isEmpty()) {
+            text("operators", json.path("mgmt").asText());
+        }
+        if (set.path("membershipMode").asText().equals("on_request")) {
+            text("discovery", json.path("discovery").asText());
+        } else if (!json.path("discovery").asText().equals(json.path("listen").asText())) {
             left.add("discovery: lists are pushed there; servers are those that the file names");
         }
         classes(set.path("classes"));
@@ -79,13 +79,13 @@
 
     private void time(String field, Json from, String name) {
         if (!from.path(name).isMissing()) {
-            text("  " + field, time(from.path(name).whole(0)));
+            text("  " + field, time(from.path(name).asLong(0)));
         }
     }
 
     private void number(String field, Json from, String name) {
         if (!from.path(name).isMissing()) {
-            line("  " + field + " = " + shown(from.path(name).decimal(0)));
+            line("  " + field + " = " + shown(from.path(name).asDouble(0)));
         }
     }
 
@@ -100,30 +100,30 @@
         long kept = 0;
         boolean rack = false;
         for (Json of : classes) {
-            String repeat = of.path("repeat").text();
-            String group = of.path("group").text();
+            String repeat = of.path("repeat").asText();
+            String group = of.path("group").asText();
             if (repeat.equals("unsafe")) {
-                never.add("\"" + of.path("name").text() + "\"");
+                never.add("\"" + of.path("name").asText() + "\"");
             }
-            line("\nclass \"" + of.path("name").text() + "\" {");
+            line("\nclass \"" + of.path("name").asText() + "\" {");
             text("  again", repeat.equals("unsafe") ? "never-twice" : repeat);
             if (repeat.equals("keyed")) {
-                kept = Math.max(kept, of.path("windowUs").whole(0));
+                kept = Math.max(kept, of.path("windowUs").asLong(0));
                 rack |= group.equals("cell");
                 text("  group", group.equals("cell") ? "rack" : "all");
                 time("window", of, "windowUs");
             }
             if (group.equals("zone")) {
-                left.add(
-                        "class " + of.path("name").text() + ": its group is a zone; a description knows racks and all");
+                left.add("class " + of.path("name").asText()
+                        + ": its group is a zone; a description knows racks and all");
             }
             time("aim", of, "onTimeUs");
             time("deadline", of, "giveUpUs");
             number("worth", of, "importance");
             number("late_worth", of, "lateWorth");
             line("}");
-            if (of.path("stream").flag() || of.path("aimStretch").decimal(0) != 0) {
-                left.add("class " + of.path("name").text() + ": stream and aimStretch");
+            if (of.path("stream").asBoolean() || of.path("aimStretch").asDouble(0) != 0) {
+                left.add("class " + of.path("name").asText() + ": stream and aimStretch");
             }
         }
         if (!never.isEmpty()) {
@@ -144,13 +144,13 @@
     private void tenants(Json realms) {
         double all = 0;
         for (Json realm : realms) {
-            all += realm.path("quotaPerS").decimal(0);
+            all += realm.path("quotaPerS").asDouble(0);
         }
         if (all > 0) {
             line("\nquota = " + shown(all));
             for (Json realm : realms) {
-                line("\ntenant \"" + realm.path("name").text() + "\" {\n  share = "
-                        + shown(realm.path("quotaPerS").decimal(0) / all) + "\n}");
+                line("\ntenant \"" + realm.path("name").asText() + "\" {\n  share = "
+                        + shown(realm.path("quotaPerS").asDouble(0) / all) + "\n}");
             }
         } else if (!realms.values().isEmpty()) {
             left.add("realms: none has a quota, and tenants are described by their shares of one");
@@ -159,13 +159,13 @@
 
     private void servers(Json targets) {
         for (Json target : targets) {
-            String state = target.path("state").text();
+            String state = target.path("state").asText();
             if (state.equals("Gone")) {
                 continue;
             }
-            line("\nserver \"" + target.path("uid").text() + "\" {");
-            text("  address", target.path("endpoint").text());
-            line("  rack = " + target.path("pod_group").whole(0));
+            line("\nserver \"" + target.path("uid").asText() + "\" {");
+            text("  address", target.path("endpoint").asText());
+            line("  rack = " + target.path("pod_group").asLong(0));
             if (state.equals("Terminating")) {
                 text("  state", "draining");
             }
@@ -177,14 +177,14 @@
         Json limits = set.path("limits");
         line("\nlimits {");
         number("attempts", limits, "attemptsCap");
-        line("  second_copies = " + limits.path("parallelTries").flag());
+        line("  second_copies = " + limits.path("parallelTries").asBoolean());
         time("connect", limits, "dialTimeoutUs");
         time("idle", limits, "connIdleUs");
         text(
                 "  retry_after",
                 time(
-                        limits.path("retryAfter").flag()
-                                ? limits.path("maxRetryAfterUs").whole(0)
+                        limits.path("retryAfter").asBoolean()
+                                ? limits.path("maxRetryAfterUs").asLong(0)
                                 : 0));
         number("sockets", json.path("limits"), "sockets");
         number("memory_mib", json.path("limits"), "memory_mb");
@@ -195,7 +195,7 @@
         line("\nrules {");
         time("drain", rules, "drainGraceUs");
         number("cold_from", rules, "coldFrom");
-        if (rules.path("coldFrom").decimal(1) < 1) {
+        if (rules.path("coldFrom").asDouble(1) < 1) {
             time("cold", rules, "coldUs");
         }
         number("overload", rules, "overloadFactor");
@@ -204,8 +204,8 @@
     }
 
     private void notCarried(Json set) {
-        if (set.path("balancers").whole(1) > 1) {
-            left.add("balancers: this was one of " + set.path("balancers").whole(1)
+        if (set.path("balancers").asLong(1) > 1) {
+            left.add("balancers: this was one of " + set.path("balancers").asLong(1)
                     + " nodes; a described one takes itself for the only one, and its limits for all "
                     + "that there are");
         }
@@ -217,7 +217,7 @@
                 left.add(field + ": a description has no words for it");
             }
         }
-        if (set.path("countedBy").text().equals("work")) {
+        if (set.path("countedBy").asText().equals("work")) {
             left.add("countedBy: worth counts for each request");
         }
     }
--- a/src/main/java/kitemux/bench/StartBench.java
+++ b/src/main/java/kitemux/bench/StartBench.java
@@ -126,7 +126,7 @@
             double wallS = (System.nanoTime() - began) / 1e9;
             double cpuS = cpuS(process.pid());
             Path proc = Path.of("/proc", Long.toString(process.pid()));
-            ClassArchive.unused(proc).ifPresent(slowed::add);
+            ClassArchive.findUnused(proc).ifPresent(slowed::add);
             long[] first = Load.first(loops, listen, CONNECTIONS, FIRST_REQUESTS);
             long inTime = Arrays.stream(first)
                     .filter(nanos -> nanos <= IN_TIME_US * 1e3)
--- a/src/main/java/kitemux/config/ClassArchive.java
+++ b/src/main/java/kitemux/config/ClassArchive.java
@@ -21,7 +21,7 @@
      * @param process its folder in proc(5)
      * @throws IOException if that cannot be read, as where there is no such file system
      */
-    public static Optional<Path> unused(Path process) throws IOException {
+    public static Optional<Path> findUnused(Path process) throws IOException {
         Path told = null;
         for (String argument : read(process.resolve("cmdline")).split("\0")) {
             if (argument.startsWith(FLAG)) {
--- a/src/main/java/kitemux/config/ConfigText.java
+++ b/src/main/java/kitemux/config/ConfigFormatter.java
@@ -20,10 +20,10 @@
  * is read
  * again as it was; the same gives the same bytes.
  */
-public final class ConfigText {
+public final class ConfigFormatter {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private ConfigText() {}
+    private ConfigFormatter() {}
 
     /**
      * A node, besides its settings.
@@ -34,14 +34,14 @@
      * @param memoryMiB of its process; 0 for no word of it
      * @param connIdleUs after which servers close idle connections
      */
-    public record Node(
+    public record NodeDescription(
             String name, String listen, String discovery, String seed, int sockets, int memoryMiB, long connIdleUs) {}
 
     /** A server and where it listens. */
     public record Server(ServerEntry entry, String endpoint) {}
 
     /** A configuration of a node that begins with these servers. */
-    public static String node(Node node, Settings set, List<Server> known) {
+    public static String formatNode(NodeDescription node, Settings set, List<Server> known) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
             // Else lines would end as the system's do, and bytes differ.
@@ -58,7 +58,7 @@
             }
             json.writeEndObject();
             json.writeFieldName("known");
-            list(json, 1, true, set.zones, known);
+            formatServerList(json, 1, true, set.zones, known);
             json.writeObjectFieldStart("settings");
             settings(json, set, node.connIdleUs);
             json.writeEndObject();
@@ -70,18 +70,18 @@
     }
 
     /** A list of servers, or changes of one, as a line without its end. */
-    public static String list(long rev, boolean all, List<String> zones, List<Server> servers) {
+    public static String formatServerList(long rev, boolean all, List<String> zones, List<Server> servers) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
-            list(json, rev, all, zones, servers);
+            formatServerList(json, rev, all, zones, servers);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return text.toString();
     }
 
-    private static void list(JsonGenerator json, long rev, boolean all, List<String> zones, List<Server> servers)
-            throws IOException {
+    private static void formatServerList(
+            JsonGenerator json, long rev, boolean all, List<String> zones, List<Server> servers) throws IOException {
         json.writeStartObject();
         json.writeNumberField("rev", rev);
         json.writeBooleanField("all", all);
--- a/src/main/java/kitemux/config/FileSection.java
+++ b/src/main/java/kitemux/config/FileSection.java
@@ -23,7 +23,7 @@
     }
 
     /** All fields besides these are faults. */
-    public void onlyKnown(Collection<String> known) {
+    public void rejectUnknownFields(Collection<String> known) {
         json.fields().keySet().stream()
                 .filter(field -> !known.contains(field))
                 .sorted()
@@ -32,10 +32,10 @@
     }
 
     /** The field {@code folder}, which must be there; null where it is not, or is no path. */
-    public Path folder() {
+    public Path readFolder() {
         try {
-            if (!json.path("folder").text().isEmpty()) {
-                return Path.of(json.path("folder").text());
+            if (!json.path("folder").asText().isEmpty()) {
+                return Path.of(json.path("folder").asText());
             }
             faults.add(name + ".folder is missing");
         } catch (InvalidPathException e) {
@@ -45,9 +45,9 @@
     }
 
     /** A whole number within a range; {@code otherwise} where it is not given. */
-    public long within(String field, long otherwise, long least, long most) {
+    public long readLong(String field, long otherwise, long least, long most) {
         Json given = json.path(field);
-        long value = given.isMissing() ? otherwise : given.isWhole() ? given.whole(-1) : -1;
+        long value = given.isMissing() ? otherwise : given.isLong() ? given.asLong(-1) : -1;
         if (value < least || value > most) {
             faults.add(name + "." + field + " is not a whole number from " + least + " to " + most);
         }
--- a/src/main/java/kitemux/config/Json.java
+++ b/src/main/java/kitemux/config/Json.java
@@ -20,24 +20,25 @@
  */
 public final class Json implements Iterable<Json> {
     /** Deeper than any configuration; else a line of brackets could use up a thread's stack. */
-    static final int MOST_NESTED = 64;
+    static final int MAX_NESTING_DEPTH = 64;
     /** What was not there, and null. */
     private static final Json MISSING = new Json("", false, false);
 
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .streamReadConstraints(
-                    StreamReadConstraints.builder().maxNestingDepth(MOST_NESTED).build())
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(MAX_NESTING_DEPTH)
+                    .build())
             .build();
 
     /** A map, a list or the text of a plain value. */
     private final Object value;
 
-    private final boolean isWhole;
+    private final boolean isLong;
     private final boolean isString;
 
     private Json(Object value, boolean isWhole, boolean isString) {
         this.value = value;
-        this.isWhole = isWhole;
+        this.isLong = isWhole;
         this.isString = isString;
     }
 
@@ -126,8 +127,8 @@
     }
 
     /** Whether it is a number written without a fraction, and a long can hold it. */
-    public boolean isWhole() {
-        return isWhole;
+    public boolean isLong() {
+        return isLong;
     }
 
     /** Whether it is a string; other plain values are numbers, true and false. */
@@ -136,23 +137,23 @@
     }
 
     /** A plain value as it is written; empty for all others. */
-    public String text() {
+    public String asText() {
         return value instanceof String text ? text : "";
     }
 
     /** A number less its fraction, also one that is written as a string. */
-    public long whole(long otherwise) {
+    public long asLong(long otherwise) {
         try {
-            return isWhole ? Long.parseLong(text()) : (long) finite(text());
+            return isLong ? Long.parseLong(asText()) : (long) finite(asText());
         } catch (NumberFormatException e) {
             return otherwise;
         }
     }
 
     /** A number, also one that is written as a string. */
-    public double decimal(double otherwise) {
+    public double asDouble(double otherwise) {
         try {
-            return finite(text());
+            return finite(asText());
         } catch (NumberFormatException e) {
             return otherwise;
         }
@@ -167,7 +168,7 @@
     }
 
     /** Whether it is true; all else is not. */
-    public boolean flag() {
-        return text().equals("true");
+    public boolean asBoolean() {
+        return asText().equals("true");
     }
 }
--- a/src/main/java/kitemux/discovery/HostListReader.java
+++ b/src/main/java/kitemux/discovery/HostListReader.java
@@ -22,7 +22,7 @@
      */
     public static HostList read(Json list, List<String> zones, String at) throws ConfigException {
         Json targets = list.path("targets");
-        if (!list.path("rev").isWhole()) {
+        if (!list.path("rev").isLong()) {
             throw new ConfigException(at + "rev", "is missing or not a whole number");
         }
         if (!targets.isList()) {
@@ -32,16 +32,16 @@
         for (Json target : targets) {
             hosts.add(host(target, zones, at + "targets[" + hosts.size() + "]."));
         }
-        return new HostList(list.path("rev").whole(0), list.path("all").flag(), hosts);
+        return new HostList(list.path("rev").asLong(0), list.path("all").asBoolean(), hosts);
     }
 
     private static HostList.Host host(Json target, List<String> zones, String at) throws ConfigException {
-        String id = target.path("uid").text();
+        String id = target.path("uid").asText();
         if (id.isEmpty()) {
             throw new ConfigException(at + "uid", "is missing");
         }
         ServerState state =
-                switch (target.path("state").text()) {
+                switch (target.path("state").asText()) {
                     case "Ready" -> ServerState.READY;
                     case "Terminating" -> ServerState.DRAINING;
                     case "Gone" -> ServerState.GONE;
@@ -50,15 +50,15 @@
         // A server that has gone needs no address; word of it must not be lost for want of one.
         InetSocketAddress endpoint = state == ServerState.GONE
                 ? null
-                : Addresses.parse(at + "endpoint", target.path("endpoint").text());
+                : Addresses.parse(at + "endpoint", target.path("endpoint").asText());
         // Boot times may lie some milliseconds off ours; the module's clock is Unix time too.
         ServerEntry entry = new ServerEntry(
                 id,
-                zones.indexOf(target.path("az").text()),
-                (int) target.path("pod_group").whole(0),
+                zones.indexOf(target.path("az").asText()),
+                (int) target.path("pod_group").asLong(0),
                 state,
-                target.path("capacity_hint").decimal(1),
-                target.path("boot_ms").whole(0) * 1_000);
+                target.path("capacity_hint").asDouble(1),
+                target.path("boot_ms").asLong(0) * 1_000);
         return new HostList.Host(entry, endpoint);
     }
 }
--- a/src/main/java/kitemux/keeper/ConfigRules.java
+++ b/src/main/java/kitemux/keeper/ConfigRules.java
@@ -92,7 +92,7 @@
     }
 
     private static void notNegative(String path, String field, Json json, List<ValidationError> faults) {
-        double value = json.decimal(Double.NaN);
+        double value = json.asDouble(Double.NaN);
         if (json.isString() || Double.isNaN(value)) {
             faults.add(new ValidationError(path, field + "is not a number"));
         } else if (value < 0) {
@@ -113,7 +113,7 @@
         Map<String, String> flat = new HashMap<>();
         flat.put("classes.count", "1");
         flat.put("classes.0.name", name);
-        json.fields().forEach((field, value) -> flat.put("classes.0." + field, value.text()));
+        json.fields().forEach((field, value) -> flat.put("classes.0." + field, value.asText()));
         try {
             SettingsReader.read(flat).validate();
         } catch (SettingsReader.BadSettingException e) {
@@ -132,7 +132,7 @@
             try {
                 SettingsReader.read(Map.of(
                                 "limits." + name,
-                                json.text(),
+                                json.asText(),
                                 "limits.retryAfter",
                                 "true",
                                 "classes.count",
@@ -156,9 +156,9 @@
 
     private static void discovery(String path, Json json, List<ValidationError> faults) {
         try {
-            Addresses.parse(path, json.text());
+            Addresses.parse(path, json.asText());
         } catch (ConfigException e) {
-            faults.add(new ValidationError(path, "is not address:port: " + json.text()));
+            faults.add(new ValidationError(path, "is not address:port: " + json.asText()));
         }
     }
 
@@ -191,7 +191,7 @@
         try {
             Json.read(value.getBytes(StandardCharsets.UTF_8)).fields().forEach((field, of) -> {
                 if (!LIVE_OF_CLASS.contains(field)) {
-                    rest.put(field, of.text());
+                    rest.put(field, of.asText());
                 }
             });
         } catch (IOException e) {
--- a/src/main/java/kitemux/keeper/KeeperFolder.java
+++ b/src/main/java/kitemux/keeper/KeeperFolder.java
@@ -227,13 +227,13 @@
         private String head(byte[] record) {
             try {
                 Json head = Json.read(record);
-                if (!head.path("form").text().equals(FORM)
-                        || head.path("version").whole(0) != VERSION
-                        || head.path("identity").text().isEmpty()) {
+                if (!head.path("form").asText().equals(FORM)
+                        || head.path("version").asLong(0) != VERSION
+                        || head.path("identity").asText().isEmpty()) {
                     return "is no first line of " + FORM + ", version " + VERSION;
                 }
-                keeper = (int) head.path("keeper").whole(-1);
-                identity = head.path("identity").text();
+                keeper = (int) head.path("keeper").asLong(-1);
+                identity = head.path("identity").asText();
                 return null;
             } catch (IOException e) {
                 return "the first line is not JSON: " + e.getMessage();
--- a/src/main/java/kitemux/lab/DiscoveryStub.java
+++ b/src/main/java/kitemux/lab/DiscoveryStub.java
@@ -36,7 +36,7 @@
 import java.util.function.Consumer;
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
-import kitemux.config.ConfigText;
+import kitemux.config.ConfigFormatter;
 
 /**
  * A discovery stand-in on a loopback address. It serves the complete list of servers, and watches that receive each
@@ -146,15 +146,16 @@
     }
 
     /** Returns the servers with their addresses. */
-    public static List<ConfigText.Server> withAddresses(
+    public static List<ConfigFormatter.Server> withAddresses(
             Collection<ServerEntry> entries, Map<String, InetSocketAddress> addresses) {
         return entries.stream()
-                .map(entry -> new ConfigText.Server(entry, NetUtil.toSocketAddressString(addresses.get(entry.id()))))
+                .map(entry ->
+                        new ConfigFormatter.Server(entry, NetUtil.toSocketAddressString(addresses.get(entry.id()))))
                 .toList();
     }
 
     private byte[] listText(boolean isSnapshot, Collection<ServerEntry> servers) {
-        return (ConfigText.list(rev, isSnapshot, zones, withAddresses(servers, addresses)) + "\n")
+        return (ConfigFormatter.formatServerList(rev, isSnapshot, zones, withAddresses(servers, addresses)) + "\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
--- a/src/main/java/kitemux/lab/LoopbackRun.java
+++ b/src/main/java/kitemux/lab/LoopbackRun.java
@@ -27,7 +27,7 @@
 import kitemux.Balancer.ServerEntry;
 import kitemux.Balancer.ServerState;
 import kitemux.Balancer.Settings;
-import kitemux.config.ConfigText;
+import kitemux.config.ConfigFormatter;
 import kitemux.fleet.Box;
 import kitemux.fleet.ClientTry;
 import kitemux.fleet.Emulation;
@@ -295,7 +295,7 @@
         Settings settings = emulation.settings(number);
         // A pushed list comes from an agent, which this run does not have.
         settings.listOnRequest = true;
-        ConfigText.Node node = new ConfigText.Node(
+        ConfigFormatter.NodeDescription node = new ConfigFormatter.NodeDescription(
                 "n" + number,
                 NetUtil.toSocketAddressString(address),
                 NetUtil.toSocketAddressString(interceptor.discoveryAddress(number, discoveryAddress)),
@@ -306,7 +306,8 @@
         try {
             Files.writeString(
                     config,
-                    ConfigText.node(node, settings, DiscoveryStub.withAddresses(initialServers, visibleAddresses)));
+                    ConfigFormatter.formatNode(
+                            node, settings, DiscoveryStub.withAddresses(initialServers, visibleAddresses)));
             return new NodeProcess(
                     number,
                     interceptor.nodeAddress(number, address),
--- a/src/main/java/kitemux/load/LoadSettings.java
+++ b/src/main/java/kitemux/load/LoadSettings.java
@@ -34,11 +34,11 @@
         }
         int faultsBefore = faults.size();
         FileSection section = new FileSection(json, "load", faults);
-        section.onlyKnown(FIELDS);
-        Path folder = section.folder();
-        long ring = section.within("ring", 8_192, 64, MAX_RING_COUNT);
-        long fileKiB = section.within("fileKiB", 4_096, 16, 1 << 20);
-        long keepMiB = section.within("keepMiB", 256, 1, MAX_TOTAL_MIB);
+        section.rejectUnknownFields(FIELDS);
+        Path folder = section.readFolder();
+        long ring = section.readLong("ring", 8_192, 64, MAX_RING_COUNT);
+        long fileKiB = section.readLong("fileKiB", 4_096, 16, 1 << 20);
+        long keepMiB = section.readLong("keepMiB", 256, 1, MAX_TOTAL_MIB);
         if (keepMiB << 10 < fileKiB) {
             faults.add("load.keepMiB must be at least the size of one file, load.fileKiB");
         }
--- a/src/main/java/kitemux/members/MemberListParser.java
+++ b/src/main/java/kitemux/members/MemberListParser.java
@@ -51,10 +51,10 @@
         for (Json one : servers) {
             String at = "servers[" + read.size() + "].";
             Member member = new Member(
-                    one.path("name").text(),
-                    one.path("address").text(),
-                    (int) Math.max(-1, Math.min(MOST_RACK, one.path("rack").whole(0))),
-                    one.path("state").text().equals("draining"));
+                    one.path("name").asText(),
+                    one.path("address").asText(),
+                    (int) Math.max(-1, Math.min(MOST_RACK, one.path("rack").asLong(0))),
+                    one.path("state").asText().equals("draining"));
             read.add(member);
             if (member.name().isEmpty()) {
                 found.add(at + "name: is missing");
@@ -69,9 +69,9 @@
             if (member.rack() < 0) {
                 found.add(at + "rack: is under 0");
             }
-            if (!List.of("", "ready", "draining").contains(one.path("state").text())) {
+            if (!List.of("", "ready", "draining").contains(one.path("state").asText())) {
                 found.add(at + "state: is neither ready nor draining: \""
-                        + one.path("state").text() + "\"");
+                        + one.path("state").asText() + "\"");
             }
         }
         faults.addAll(found.size() <= MOST_FAULTS ? found : found.subList(0, MOST_FAULTS));
--- a/src/main/java/kitemux/members/MembershipSnapshot.java
+++ b/src/main/java/kitemux/members/MembershipSnapshot.java
@@ -99,24 +99,24 @@
         }
         try {
             Json json = Json.read(text.substring(end + 1).getBytes(StandardCharsets.UTF_8));
-            if (!json.path("app").text().equals(app)) {
+            if (!json.path("app").asText().equals(app)) {
                 throw new InvalidSnapshotException(
-                        "is of application \"" + json.path("app").text() + "\"");
+                        "is of application \"" + json.path("app").asText() + "\"");
             }
             List<MemberRecord> members = new ArrayList<>();
             for (Json one : json.path("members")) {
                 members.add(new MemberRecord(
                         new Member(
-                                one.path("name").text(),
-                                one.path("address").text(),
-                                (int) one.path("rack").whole(0),
-                                one.path("draining").flag()),
-                        one.path("down").flag(),
-                        (int) one.path("downs").whole(0),
-                        one.path("changedUs").whole(0),
-                        one.path("startedUs").whole(0)));
+                                one.path("name").asText(),
+                                one.path("address").asText(),
+                                (int) one.path("rack").asLong(0),
+                                one.path("draining").asBoolean()),
+                        one.path("down").asBoolean(),
+                        (int) one.path("downs").asLong(0),
+                        one.path("changedUs").asLong(0),
+                        one.path("startedUs").asLong(0)));
             }
-            return new MembershipSnapshot(app, json.path("savedUs").whole(0), members);
+            return new MembershipSnapshot(app, json.path("savedUs").asLong(0), members);
         } catch (IOException e) {
             throw new InvalidSnapshotException("is not JSON: " + e.getMessage());
         }
--- a/src/main/java/kitemux/node/LiveSettings.java
+++ b/src/main/java/kitemux/node/LiveSettings.java
@@ -83,22 +83,22 @@
                 .filter(one -> one.name().equals(name))
                 .findFirst()
                 .orElseThrow();
-        return of.targetLatencyPerWork() == value.path("aimStretch").decimal(0)
-                && of.retrySafety().name().equalsIgnoreCase(value.path("repeat").text())
+        return of.targetLatencyPerWork() == value.path("aimStretch").asDouble(0)
+                && of.retrySafety().name().equalsIgnoreCase(value.path("repeat").asText())
                 && of.dedupScope()
                         .name()
                         .equalsIgnoreCase(
                                 value.path("group").isMissing()
                                         ? "all"
-                                        : value.path("group").text())
-                && of.dedupWindowUs() == value.path("windowUs").whole(0)
-                && of.stream() == value.path("stream").flag();
+                                        : value.path("group").asText())
+                && of.dedupWindowUs() == value.path("windowUs").asLong(0)
+                && of.stream() == value.path("stream").asBoolean();
     }
 
     private record Known(String text, Json json) {}
 
     /** These are in force from now on. */
-    void put(Map<String, String> values) {
+    void apply(Map<String, String> values) {
         Map<String, Json> now = new HashMap<>();
         values.forEach((path, value) -> {
             if (live.contains(path)) {
@@ -116,11 +116,11 @@
                             ? of
                             : new RequestClass(
                                     of.name(),
-                                    value.path("onTimeUs").whole(0),
+                                    value.path("onTimeUs").asLong(0),
                                     of.targetLatencyPerWork(),
-                                    value.path("giveUpUs").whole(0),
-                                    value.path("importance").decimal(1),
-                                    value.path("lateWorth").decimal(0),
+                                    value.path("giveUpUs").asLong(0),
+                                    value.path("importance").asDouble(1),
+                                    value.path("lateWorth").asDouble(0),
                                     of.retrySafety(),
                                     of.dedupScope(),
                                     of.dedupWindowUs(),
@@ -132,7 +132,7 @@
             nextTenants.add(
                     value == null
                             ? of
-                            : new Tenant(of.name(), value.path("quotaPerS").decimal(0)));
+                            : new Tenant(of.name(), value.path("quotaPerS").asDouble(0)));
         }
         for (int i = 0; i < nextClasses.size(); i++) {
             settings.classes.set(i, nextClasses.get(i));
@@ -141,8 +141,8 @@
             settings.tenants.set(i, nextTenants.get(i));
         }
         settings.overShareWorth =
-                now.containsKey("overShareWorth") ? now.get("overShareWorth").decimal(1) : overShareWorth;
-        String at = now.containsKey("discovery") ? now.get("discovery").text() : null;
+                now.containsKey("overShareWorth") ? now.get("overShareWorth").asDouble(1) : overShareWorth;
+        String at = now.containsKey("discovery") ? now.get("discovery").asText() : null;
         if (at != null && !at.equals(told)) {
             discovery.accept(at);
         }
--- a/src/main/java/kitemux/node/Node.java
+++ b/src/main/java/kitemux/node/Node.java
@@ -98,24 +98,24 @@
      * @param time the loop's
      * @param log for the operators
      * @param observer told what becomes of requests
-     * @param connections told what becomes of clients' connections
-     * @param gate stands before each attempt
-     * @param module makes the decision module
-     * @param transport stands before the servers' connections, or is those themselves
+     * @param connectionObserver told what becomes of clients' connections
+     * @param sendGate stands before each attempt
+     * @param balancerFactory makes the decision module
+     * @param transportDecorator stands before the servers' connections, or is those themselves
      */
-    public record Parts(
+    public record Dependencies(
             Network network,
             EventLoopClock time,
             Log log,
             Observer observer,
-            ConnectionObserver connections,
-            SendGate<ClientRequest> gate,
-            Function<Balancer.Actions, Balancer> module,
-            UnaryOperator<Transport<ClientRequest, ServerResponse>> transport) {
+            ConnectionObserver connectionObserver,
+            SendGate<ClientRequest> sendGate,
+            Function<Balancer.Actions, Balancer> balancerFactory,
+            UnaryOperator<Transport<ClientRequest, ServerResponse>> transportDecorator) {
 
         /** The system's sockets and clock, and nothing in between. */
-        static Parts real(PollingLoop loop, Log log, Function<Balancer.Actions, Balancer> module) {
-            return new Parts(
+        static Dependencies system(PollingLoop loop, Log log, Function<Balancer.Actions, Balancer> module) {
+            return new Dependencies(
                     NioNetwork.SYSTEM,
                     EventLoopClock.of(loop),
                     log,
@@ -127,29 +127,53 @@
         }
 
         /** The same with a keeper of orders, or with none where that is null. */
-        Parts with(EventLoopClock keepersTime, OrderRecorder<ClientRequest> keeper) {
+        Dependencies withOrderRecorder(EventLoopClock keepersTime, OrderRecorder<ClientRequest> keeper) {
             return keeper == null
                     ? this
-                    : new Parts(network, keepersTime, log, keeper, connections, keeper, module, transport);
+                    : new Dependencies(
+                            network,
+                            keepersTime,
+                            log,
+                            keeper,
+                            connectionObserver,
+                            keeper,
+                            balancerFactory,
+                            transportDecorator);
         }
 
         /** The same with one more who is told of requests, or with none where that is null. */
-        Parts observed(Observer also) {
+        Dependencies withObserver(Observer also) {
             return also == null
                     ? this
-                    : new Parts(network, time, log, observer.andThen(also), connections, gate, module, transport);
+                    : new Dependencies(
+                            network,
+                            time,
+                            log,
+                            observer.andThen(also),
+                            connectionObserver,
+                            sendGate,
+                            balancerFactory,
+                            transportDecorator);
         }
 
         /** The same with a trace of requests and connections, or with none where that is null. */
-        Parts traced(RequestTrace trace) {
+        Dependencies withTrace(RequestTrace trace) {
             return trace == null
                     ? this
-                    : new Parts(network, time, log, observer.andThen(trace), trace, gate, module, transport);
+                    : new Dependencies(
+                            network,
+                            time,
+                            log,
+                            observer.andThen(trace),
+                            trace,
+                            sendGate,
+                            balancerFactory,
+                            transportDecorator);
         }
     }
 
     Node(NodeConfig config, PollingLoop loop, Log log) {
-        this(config, loop, Parts.real(loop, log, module(config)));
+        this(config, loop, Dependencies.system(loop, log, module(config)));
     }
 
     private static Function<Balancer.Actions, Balancer> module(NodeConfig config) {
@@ -157,13 +181,13 @@
     }
 
     /** A node that is not started; the loop is the thread that owns it from then on. */
-    public Node(NodeConfig config, EventLoop loop, Parts parts) {
+    public Node(NodeConfig config, EventLoop loop, Dependencies parts) {
         this.config = config;
         this.loop = loop;
         log = parts.log();
         time = parts.time();
-        sockets = new SocketBudget(config.sockets());
-        operations = config.operators() == null ? null : operations(parts);
+        sockets = new SocketBudget(config.maxSockets());
+        operations = config.managementAddress() == null ? null : operations(parts);
         pool = new ServerPool<>(
                 loop,
                 parts.network(),
@@ -177,7 +201,7 @@
                 parts.network(),
                 config.discovery(),
                 config.settings().zones,
-                config.known().revision(),
+                config.initialServers().revision(),
                 Discovery.MAX_SILENCE_US,
                 config.seed(),
                 new Discovery.Listener() {
@@ -216,12 +240,12 @@
         engine = new Engine<>(
                 config.settings().maxAttempts,
                 parts.time(),
-                parts.transport().apply(pool),
+                parts.transportDecorator().apply(pool),
                 discovery,
                 operations == null ? parts.observer() : parts.observer().andThen(operations.observer()),
-                parts.gate(),
+                parts.sendGate(),
                 log,
-                parts.module());
+                parts.balancerFactory());
         clients = new ClientServer(
                 loop,
                 parts.network(),
@@ -231,37 +255,37 @@
                 parts.time(),
                 ofClass -> {
                     if (operations != null) {
-                        operations.turnedAway(ofClass);
+                        operations.recordRejectedRequest(ofClass);
                     }
                 },
-                parts.connections(),
+                parts.connectionObserver(),
                 log);
     }
 
-    private Operations operations(Parts parts) {
-        Operations.Served served = new Operations.Served() {
+    private Operations operations(Dependencies parts) {
+        Operations.NodeControl served = new Operations.NodeControl() {
             @Override
-            public void changed(List<HostList.Host> hosts) {
+            public void updateServers(List<HostList.Host> hosts) {
                 put(new HostList(0, false, hosts), ListKind.CHANGES);
             }
 
             @Override
-            public void sendAway(boolean away) {
+            public void setDraining(boolean away) {
                 clients.setDraining(away);
             }
 
             @Override
-            public boolean takesClients() {
+            public boolean isAcceptingClients() {
                 return listening && clients.isUp();
             }
 
             @Override
-            public long dispatches() {
+            public long dispatchCount() {
                 return pool.writtenRequestCount();
             }
 
             @Override
-            public int avoided() {
+            public int ejectedServerCount() {
                 return engine.ejectedServerCount();
             }
         };
@@ -273,7 +297,7 @@
                     time,
                     sockets,
                     config.settings().classes,
-                    config.folder(),
+                    config.stateFolder(),
                     config.listen(),
                     parts.log());
         } catch (IOException e) {
@@ -351,36 +375,36 @@
             node = new Node(
                     config,
                     loop,
-                    Parts.real(loop, log, module(config))
-                            .with(
+                    Dependencies.system(loop, log, module(config))
+                            .withOrderRecorder(
                                     time,
                                     orders == null ? null : orders.recorder(operator.orders(), config.settings(), time))
-                            .observed(recorder)
-                            .traced(trace));
+                            .withObserver(recorder)
+                            .withTrace(trace));
         } catch (UncheckedIOException e) {
             System.err.println("kitemux: TMPDIR cannot be used: " + e.getMessage());
             System.exit(2);
             throw new IllegalStateException("the process has ended");
         }
         Runnable reload = Reload.onHangUp(env, node, log);
-        if (config.operators() != null) {
+        if (config.managementAddress() != null) {
             // Before it warms up, so that who asks hears that it takes no clients yet.
-            orEnd("mgmt " + config.operators(), node.listenForOperators());
+            orEnd("mgmt " + config.managementAddress(), node.listenForOperators());
         }
         log.info("warming up");
         node.begin();
-        Rehearsal.play(config, loop, log);
+        WarmUp.run(config, loop, log);
         node.awaitFirstList();
         OrderJournal journal = orders;
         Runnable captureEnds = endOfCapture;
         // Before clients can connect: one that comes before it stands would be left without an answer.
-        Opening opening = new Opening(node::start);
+        StartupGate opening = new StartupGate(node::start);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
                             try {
                                 long signalUs = time.nowUs();
-                                if (opening.end()) {
+                                if (opening.close()) {
                                     CountDownLatch empty = new CountDownLatch(1);
                                     node.drain(
                                             signalUs,
@@ -410,7 +434,7 @@
             log.info("listening on " + config.listen());
         }
         if (operator.rollout() != null) {
-            RolloutLink.begin(operator.rollout().keepers(), config, loop, time, node.sockets, node::discoveryIs, log);
+            RolloutLink.start(operator.rollout().keepers(), config, loop, time, node.sockets, node::discoveryIs, log);
         }
         return reload;
     }
@@ -449,7 +473,7 @@
     /** To be called once clients can connect: the start that was slow by it is over. */
     private static void tellOfUnusedArchive(Log log) {
         try {
-            ClassArchive.unused(Path.of("/proc/self"))
+            ClassArchive.findUnused(Path.of("/proc/self"))
                     .ifPresent(archive -> log.info("the class archive "
                             + archive + " is missing, or was made from another jar or by another JVM: starts take "
                             + "more than need be until it is made anew"));
@@ -464,14 +488,14 @@
 
     /** Listens for operators, where an address is given for them; the future is done once they can call. */
     ChannelFuture listenForOperators() {
-        return operations.listen(config.operators());
+        return operations.listen(config.managementAddress());
     }
 
     /** Follows the list from now on, without serving yet. */
     private void begin() {
         begun = true;
         loop.execute(() -> {
-            list(config.known(), ListKind.CACHED);
+            list(config.initialServers(), ListKind.CACHED);
             if (pushed != null) {
                 pushed.start();
             }
@@ -511,7 +535,7 @@
         return clients.listen(config.listen(), operations != null).addListener(opened -> {
             listening = opened.isSuccess();
             if (listening && operations != null) {
-                operations.serves();
+                operations.markServing();
             }
         });
     }
@@ -531,7 +555,7 @@
     public void reload(NodeConfig changed) {
         loop.execute(() -> {
             if (changed.namesAllServers()) {
-                list(changed.known(), ListKind.FULL);
+                list(changed.initialServers(), ListKind.FULL);
             } else {
                 discovery.setAddress(changed.discovery());
             }
@@ -553,7 +577,7 @@
 
     private void tellOfReload(boolean taken) {
         if (operations != null) {
-            operations.reloaded(taken);
+            operations.recordReload(taken);
         }
     }
 
@@ -599,7 +623,7 @@
     }
 
     private void list(HostList list, ListKind kind) {
-        put(operations == null ? list : operations.told(list), kind);
+        put(operations == null ? list : operations.applyOverrides(list), kind);
     }
 
     private void put(HostList list, ListKind kind) {
--- a/src/main/java/kitemux/node/NodeConfig.java
+++ b/src/main/java/kitemux/node/NodeConfig.java
@@ -20,24 +20,24 @@
  * What a node is told at its start, by the environment and the configuration file.
  *
  * @param listen where clients connect
- * @param operators where operators call, or null
+ * @param managementAddress where operators call, or null
  * @param discovery where the server list is had
  * @param seed for random numbers, new with each start
- * @param sockets how many descriptors the process may hold
+ * @param maxSockets how many descriptors the process may hold
  * @param connIdleUs after so long servers close idle connections
- * @param folder where a process of the node leaves word for the next one, {@code $TMPDIR}
- * @param known the server list as this node last had it
+ * @param stateFolder where a process of the node leaves word for the next one, {@code $TMPDIR}
+ * @param initialServers the server list as this node last had it
  * @param settings the module's
  */
 public record NodeConfig(
         InetSocketAddress listen,
-        InetSocketAddress operators,
+        InetSocketAddress managementAddress,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
+        int maxSockets,
         long connIdleUs,
-        Path folder,
-        HostList known,
+        Path stateFolder,
+        HostList initialServers,
         Settings settings) {
 
     private static final int LEAST_SOCKETS = 64;
@@ -65,27 +65,27 @@
             throw new ConfigException("settings", "is missing or not an object");
         }
         Settings settings = settings(json.path("settings"));
-        long sockets = json.path("limits").path("sockets").whole(0);
+        long sockets = json.path("limits").path("sockets").asLong(0);
         if (sockets < LEAST_SOCKETS || sockets > Integer.MAX_VALUE) {
             throw new ConfigException("limits.sockets", "is missing or under " + LEAST_SOCKETS);
         }
-        long idle = json.path("settings").path("limits").path("connIdleUs").whole(DEFAULT_CONN_IDLE_US);
+        long idle = json.path("settings").path("limits").path("connIdleUs").asLong(DEFAULT_CONN_IDLE_US);
         if (idle <= 0) {
             throw new ConfigException("settings.limits.connIdleUs", "is not above 0");
         }
-        String listen = env.getOrDefault("PROXY_LISTEN", json.path("listen").text());
+        String listen = env.getOrDefault("PROXY_LISTEN", json.path("listen").asText());
         String discovery =
-                env.getOrDefault("PROXY_DISCOVERY", json.path("discovery").text());
-        String operators = env.getOrDefault("PROXY_MGMT", json.path("mgmt").text());
+                env.getOrDefault("PROXY_DISCOVERY", json.path("discovery").asText());
+        String operators = env.getOrDefault("PROXY_MGMT", json.path("mgmt").asText());
         return new NodeConfig(
                 Addresses.parse("listen", listen),
                 operators.isEmpty() ? null : Addresses.parse("mgmt", operators),
                 Addresses.parse("discovery", discovery),
-                seed(json.path("seed").text()),
+                seed(json.path("seed").asText()),
                 (int) sockets,
                 idle,
                 Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))),
-                known(json, settings.zones),
+                initialServers(json, settings.zones),
                 settings);
     }
 
@@ -95,7 +95,7 @@
     }
 
     /** As the file has it now: where discovery is, it says since the start, and no longer the environment. */
-    static NodeConfig reread(Map<String, String> env) throws ConfigException {
+    static NodeConfig readForReload(Map<String, String> env) throws ConfigException {
         Map<String, String> now = new HashMap<>(env);
         now.remove("PROXY_DISCOVERY");
         return read(now);
@@ -132,16 +132,16 @@
         } else if (json.isList()) {
             StringBuilder values = new StringBuilder();
             for (Json value : json) {
-                values.append(values.isEmpty() ? "" : ",").append(value.text());
+                values.append(values.isEmpty() ? "" : ",").append(value.asText());
             }
             flat.put(path, values.toString());
         } else if (!json.isMissing()) {
-            flat.put(path, json.text());
+            flat.put(path, json.asText());
         }
     }
 
     /** The same for a node that keeps to itself: on any port, with these servers and no discovery. */
-    NodeConfig apart(HostList servers) {
+    NodeConfig isolatedCopy(HostList servers) {
         Settings apart = new Settings();
         apart.zones.addAll(settings.zones);
         apart.classes.addAll(settings.classes);
@@ -150,10 +150,10 @@
         apart.cancellationAllowed = settings.cancellationAllowed;
         // It is its own discovery, so that it calls none: each start would cost the fleet's a call more.
         InetSocketAddress own = new InetSocketAddress(listen.getAddress(), 0);
-        return new NodeConfig(own, null, own, seed, sockets, connIdleUs, folder, servers, apart);
+        return new NodeConfig(own, null, own, seed, maxSockets, connIdleUs, stateFolder, servers, apart);
     }
 
-    private static HostList known(Json json, List<String> zones) throws ConfigException {
+    private static HostList initialServers(Json json, List<String> zones) throws ConfigException {
         Json known = json.path("known");
         return known.isMissing() ? new HostList(0, true, List.of()) : HostListReader.read(known, zones, "known.");
     }
--- a/src/main/java/kitemux/node/OperatorSettings.java
+++ b/src/main/java/kitemux/node/OperatorSettings.java
@@ -23,7 +23,7 @@
  */
 record OperatorSettings(OrderSettings orders, LoadSettings load, RolloutSettings rollout, TraceSettings trace) {
     /** Names the file. */
-    static final String VARIABLE = "KITEMUX_SETTINGS";
+    static final String ENVIRONMENT_VARIABLE = "KITEMUX_SETTINGS";
 
     /**
      * Reads the file that the environment names, if it names one.
@@ -32,7 +32,7 @@
      * @param faults one line is added for each that is found, with field and reason
      */
     static OperatorSettings read(Map<String, String> env, Settings settings, List<String> faults) {
-        String path = env.getOrDefault(VARIABLE, "");
+        String path = env.getOrDefault(ENVIRONMENT_VARIABLE, "");
         if (path.isEmpty()) {
             return new OperatorSettings(null, null, null, null);
         }
@@ -47,7 +47,7 @@
                     RolloutSettings.read(json.path("rollout"), faults),
                     TraceSettings.read(json.path("trace"), faults));
         } catch (IOException | InvalidPathException e) {
-            faults.add(VARIABLE + " names a file that cannot be read: " + e.getMessage());
+            faults.add(ENVIRONMENT_VARIABLE + " names a file that cannot be read: " + e.getMessage());
             return new OperatorSettings(null, null, null, null);
         }
     }
--- a/src/main/java/kitemux/node/Reload.java
+++ b/src/main/java/kitemux/node/Reload.java
@@ -27,7 +27,7 @@
     @Override
     public synchronized void run() {
         try {
-            node.reload(NodeConfig.reread(env));
+            node.reload(NodeConfig.readForReload(env));
         } catch (ConfigException e) {
             node.reloadFailed();
             log.info("reload: " + e.getMessage() + "; the configuration stays as it was");
--- a/src/main/java/kitemux/node/RolloutLink.java
+++ b/src/main/java/kitemux/node/RolloutLink.java
@@ -26,7 +26,7 @@
      * @param sockets counts those that are open
      * @param discovery told, on the loop, where discovery is from now on
      */
-    static void begin(
+    static void start(
             List<InetSocketAddress> keepers,
             NodeConfig config,
             EventLoop loop,
@@ -63,7 +63,7 @@
                         life,
                         sockets,
                         (rev, values) -> {
-                            live.put(values);
+                            live.apply(values);
                             log.info("rollout: version " + rev + " is taken in");
                         },
                         log)
--- a/src/main/java/kitemux/node/RolloutSettings.java
+++ b/src/main/java/kitemux/node/RolloutSettings.java
@@ -29,11 +29,11 @@
         if (json.isMissing()) {
             return null;
         }
-        new FileSection(json, "rollout", faults).onlyKnown(Set.of("keepers"));
+        new FileSection(json, "rollout", faults).rejectUnknownFields(Set.of("keepers"));
         List<InetSocketAddress> keepers = new ArrayList<>();
         for (Json one : json.path("keepers")) {
             try {
-                keepers.add(Addresses.parse("rollout.keepers[" + keepers.size() + "]", one.text()));
+                keepers.add(Addresses.parse("rollout.keepers[" + keepers.size() + "]", one.asText()));
             } catch (ConfigException e) {
                 keepers.add(null);
                 faults.add(e.getMessage());
--- a/src/main/java/kitemux/node/Opening.java
+++ b/src/main/java/kitemux/node/StartupGate.java
@@ -8,13 +8,13 @@
  * that runs as it is told to end. Once it ends it opens no more, and whoever ends it knows whether there may
  * be clients to serve.
  */
-final class Opening {
+final class StartupGate {
     private final Supplier<ChannelFuture> start;
     private ChannelFuture opened;
     private boolean ended;
 
     /** Nothing is open yet; {@code start} opens it, at most once. */
-    Opening(Supplier<ChannelFuture> start) {
+    StartupGate(Supplier<ChannelFuture> start) {
         this.start = start;
     }
 
@@ -27,7 +27,7 @@
     }
 
     /** Opens no more from now on; waits for what was begun. True if clients can connect. */
-    boolean end() {
+    boolean close() {
         ChannelFuture begun;
         synchronized (this) {
             ended = true;
--- a/src/main/java/kitemux/node/Rehearsal.java
+++ b/src/main/java/kitemux/node/WarmUp.java
@@ -31,13 +31,13 @@
  * its own, on the address that it may listen on. Cold code under full load stood still for up to 90 ms at a
  * time in the first second, and requests ran out of time unanswered.
  */
-final class Rehearsal {
+final class WarmUp {
     /** So many that what serves a request is compiled and not only loaded, by the thresholds that
      * deploy/compile-commands sets (50 calls for this program and its library), and the compiler is through
      * with what it was given. A node that begins cold under full load uses up its share of the core: its
      * turns last 100 ms and more, and clients that give up and ask again make it more work. With 64 a node
      * was ready sooner by a tenth of its CPU, the compiler still behind, and lost more than that by it. */
-    static final int REQUESTS = 128;
+    static final int REQUEST_COUNT = 128;
 
     private static final int CLIENTS = 4;
     /** Bytes of each body, and where a status begins in an answer. */
@@ -50,12 +50,12 @@
 
     private final PollingLoop loop;
     private final List<RequestClass> classes;
-    private final CountDownLatch left = new CountDownLatch(REQUESTS);
+    private final CountDownLatch left = new CountDownLatch(REQUEST_COUNT);
 
     private long asked;
     private volatile boolean turnedDown;
 
-    private Rehearsal(PollingLoop loop, List<RequestClass> classes) {
+    private WarmUp(PollingLoop loop, List<RequestClass> classes) {
         this.loop = loop;
         this.classes = classes;
     }
@@ -65,11 +65,11 @@
      *
      * @return how many were served; 0 if any was turned down, as then it was something else that got warm
      */
-    static long play(NodeConfig config, PollingLoop loop, Log log) {
-        return new Rehearsal(loop, config.settings().classes).play(config, log);
+    static long run(NodeConfig config, PollingLoop loop, Log log) {
+        return new WarmUp(loop, config.settings().classes).run(config, log);
     }
 
-    private long play(NodeConfig config, Log log) {
+    private long run(NodeConfig config, Log log) {
         Channel server = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -80,7 +80,7 @@
                 .channel();
         HostList.Host host = new HostList.Host(
                 new ServerEntry("rehearsal", 0, 0, ServerState.READY, 1, 0), (InetSocketAddress) server.localAddress());
-        Node node = new Node(config.apart(new HostList(0, true, List.of(host))), loop, log);
+        Node node = new Node(config.isolatedCopy(new HostList(0, true, List.of(host))), loop, log);
         Channel listening = node.start().syncUninterruptibly().channel();
         Bootstrap client = new Bootstrap()
                 .group(loop)
@@ -97,7 +97,7 @@
         }
         node.close();
         server.close();
-        return turnedDown ? 0 : REQUESTS - left.getCount();
+        return turnedDown ? 0 : REQUEST_COUNT - left.getCount();
     }
 
     /** The far sides read and write bytes by hand: what they cost is paid at each start and warms nothing. */
--- a/src/main/java/kitemux/ops/Operations.java
+++ b/src/main/java/kitemux/ops/Operations.java
@@ -21,36 +21,36 @@
  * What operators do to a node while it runs: take servers out and back, send its clients away, ask whether it
  * takes clients, and for its figures. All but {@link #isReplaced} is called on the loop, or before it runs.
  */
-public final class Operations implements OperatorServer.Calls {
+public final class Operations implements OperatorServer.CallHandler {
     private static final String PREFIX = "/ops/";
     private static final String DOWN = PREFIX + "servers/down/";
     private static final String UP = PREFIX + "servers/up/";
 
-    private final Served node;
+    private final NodeControl node;
     private final Executor onLoop;
     private final Clock time;
     private final Log log;
-    private final ServersByHand servers = new ServersByHand();
-    private final Figures figures;
+    private final ServerOverrides servers = new ServerOverrides();
+    private final RequestMetrics figures;
     private final SharedFolder folder;
     private final OperatorServer server;
 
     /** The node, as operators act on it. */
-    public interface Served {
+    public interface NodeControl {
         /** These entries of the list hold from now on. */
-        void changed(List<HostList.Host> hosts);
+        void updateServers(List<HostList.Host> hosts);
 
         /** Clients are to be sent away, or no more. */
-        void sendAway(boolean away);
+        void setDraining(boolean away);
 
         /** Whether clients can come. */
-        boolean takesClients();
+        boolean isAcceptingClients();
 
         /** Attempts written whole to servers so far. */
-        long dispatches();
+        long dispatchCount();
 
         /** Servers that the module avoids of its own choice. */
-        int avoided();
+        int ejectedServerCount();
     }
 
     /**
@@ -60,7 +60,7 @@
      * @throws IOException if that cannot be used
      */
     public Operations(
-            Served node,
+            NodeControl node,
             EventLoopGroup loop,
             Executor onLoop,
             Clock time,
@@ -74,7 +74,7 @@
         this.onLoop = onLoop;
         this.time = time;
         this.log = log;
-        figures = new Figures(classes);
+        figures = new RequestMetrics(classes);
         folder = new SharedFolder(tmp, clientsAt, out -> onLoop.execute(() -> takeOut(out)));
         servers.takeOut(folder.atFirst(), 0);
         server = new OperatorServer(loop, sockets, this);
@@ -92,7 +92,7 @@
     }
 
     /** The list that holds, given one of discovery's. */
-    public HostList told(HostList list) {
+    public HostList applyOverrides(HostList list) {
         return servers.told(list);
     }
 
@@ -100,22 +100,22 @@
         List<HostList.Host> changes = servers.takeOut(ids, time.nowUs());
         log.info("out by hand: " + ids.keySet());
         if (!changes.isEmpty()) {
-            node.changed(changes);
+            node.updateServers(changes);
         }
     }
 
     /** A request was refused before the engine had it. */
-    public void turnedAway(int classIndex) {
+    public void recordRejectedRequest(int classIndex) {
         figures.turnedAway(classIndex);
     }
 
     /** The configuration was read again, and taken or not. */
-    public void reloaded(boolean taken) {
+    public void recordReload(boolean taken) {
         figures.reloaded(taken);
     }
 
     /** Clients can connect to this process now; it takes the place of any that did before. */
-    public void serves() {
+    public void markServing() {
         folder.serves(e -> log.info("a process before this one cannot be told that it is replaced: " + e));
     }
 
@@ -133,54 +133,57 @@
     // ---------------------------------------------------------------- calls
 
     @Override
-    public void call(String method, String path, OperatorServer.Answer answer) {
+    public void handle(String method, String path, OperatorServer.Responder answer) {
         boolean reads = path.equals(PREFIX + "readiness") || path.equals(PREFIX + "stats");
         boolean acts = path.equals(PREFIX + "drain/start")
                 || path.equals(PREFIX + "drain/stop")
                 || path.startsWith(DOWN)
                 || path.startsWith(UP);
         if (!reads && !acts) {
-            answer.give(404, "no such call\n");
+            answer.respond(404, "no such call\n");
         } else if (!method.equals(reads ? "GET" : "POST")) {
-            answer.give(405, "to be called with " + (reads ? "GET" : "POST") + "\n");
+            answer.respond(405, "to be called with " + (reads ? "GET" : "POST") + "\n");
         } else if (path.endsWith("/readiness")) {
-            boolean ready = node.takesClients();
-            answer.give(ready ? 200 : 503, ready ? "takes clients\n" : "takes no clients\n");
+            boolean ready = node.isAcceptingClients();
+            answer.respond(ready ? 200 : 503, ready ? "takes clients\n" : "takes no clients\n");
         } else if (path.endsWith("/stats")) {
-            answer.give(200, figures.text(node.dispatches(), servers.listed(), servers.drained() + node.avoided()));
+            answer.respond(
+                    200,
+                    figures.text(
+                            node.dispatchCount(), servers.listed(), servers.drained() + node.ejectedServerCount()));
         } else if (path.startsWith(DOWN) || path.startsWith(UP)) {
             boolean down = path.startsWith(DOWN);
             set(path.substring((down ? DOWN : UP).length()), down, answer);
         } else {
             boolean away = path.endsWith("/start");
             log.info(away ? "clients are sent away" : "clients are sent away no more");
-            node.sendAway(away);
-            answer.give(200, away ? "sending clients away\n" : "taking clients\n");
+            node.setDraining(away);
+            answer.respond(200, away ? "sending clients away\n" : "taking clients\n");
         }
     }
 
-    private void set(String written, boolean out, OperatorServer.Answer answer) {
+    private void set(String written, boolean out, OperatorServer.Responder answer) {
         String id;
         try {
             id = QueryStringDecoder.decodeComponent(written);
         } catch (IllegalArgumentException e) {
-            answer.give(400, "the id cannot be read: " + e.getMessage() + "\n");
+            answer.respond(400, "the id cannot be read: " + e.getMessage() + "\n");
             return;
         }
         if (!servers.isKnown(id)) {
-            answer.give(404, "no server has this id\n");
+            answer.respond(404, "no server has this id\n");
         } else if (id.getBytes(StandardCharsets.UTF_8).length > SharedFolder.MOST_ID) {
-            answer.give(400, "the id has more than " + SharedFolder.MOST_ID + " bytes\n");
+            answer.respond(400, "the id has more than " + SharedFolder.MOST_ID + " bytes\n");
         } else {
             folder.set(
                     id,
                     out,
                     fault -> onLoop.execute(() -> {
                         if (fault == null) {
-                            answer.give(200, out ? "out\n" : "back\n");
+                            answer.respond(200, out ? "out\n" : "back\n");
                         } else {
                             log.info("what operators asked of server " + id + " cannot be kept: " + fault);
-                            answer.give(500, "cannot be kept, nothing has changed: " + fault + "\n");
+                            answer.respond(500, "cannot be kept, nothing has changed: " + fault + "\n");
                         }
                     }));
         }
--- a/src/main/java/kitemux/ops/OperatorServer.java
+++ b/src/main/java/kitemux/ops/OperatorServer.java
@@ -31,7 +31,7 @@
 
 /**
  * Where operators call: HTTP/1.1, one call a connection. It knows framing and callers that are slow; what a
- * call means is the {@link Calls}'.
+ * call means is the {@link CallHandler}'.
  */
 final class OperatorServer {
     /** Callers at once: few call, and a flood of silent ones must take no descriptor that clients need. */
@@ -41,25 +41,25 @@
 
     private final EventLoopGroup loop;
     private final SocketBudget sockets;
-    private final Calls calls;
+    private final CallHandler calls;
     /** Those that are open, the oldest first. */
     private final Set<Channel> callers = new LinkedHashSet<>();
 
     private Channel listening;
 
     /** What can be called. */
-    interface Calls {
+    interface CallHandler {
         /** A call has come; its one answer may be given later, on the loop's thread. */
-        void call(String method, String path, Answer answer);
+        void handle(String method, String path, Responder answer);
     }
 
     /** Takes the answer to a call. */
-    interface Answer {
+    interface Responder {
         /** A status of HTTP's, and a text for whoever called. */
-        void give(int status, String text);
+        void respond(int status, String text);
     }
 
-    OperatorServer(EventLoopGroup loop, SocketBudget sockets, Calls calls) {
+    OperatorServer(EventLoopGroup loop, SocketBudget sockets, CallHandler calls) {
         this.loop = loop;
         this.sockets = sockets;
         this.calls = calls;
@@ -123,7 +123,7 @@
             }
             if (part instanceof LastHttpContent) {
                 int end = head.uri().indexOf('?');
-                calls.call(
+                calls.handle(
                         head.method().name(),
                         end < 0 ? head.uri() : head.uri().substring(0, end),
                         (status, text) -> answer(context, status, text));
--- a/src/main/java/kitemux/ops/Figures.java
+++ b/src/main/java/kitemux/ops/RequestMetrics.java
@@ -8,7 +8,7 @@
 import kitemux.engine.RequestInfo;
 
 /** Counts what became of requests, from the start of the process. Memory: a number for each that is held. */
-final class Figures implements Observer {
+final class RequestMetrics implements Observer {
     private static final int SUCCESS = 0;
     private static final int OVERLOAD = 1;
     private static final int ERROR = 2;
@@ -22,7 +22,7 @@
     private long reloads;
     private long failedReloads;
 
-    Figures(List<RequestClass> classes) {
+    RequestMetrics(List<RequestClass> classes) {
         this.classes = classes;
         replies = new long[classes.size()][OUTCOMES.size()];
     }
--- a/src/main/java/kitemux/ops/ServersByHand.java
+++ b/src/main/java/kitemux/ops/ServerOverrides.java
@@ -14,7 +14,7 @@
  * Which servers operators have taken out by hand, laid over what discovery says of them: one that is out
  * drains, whatever the list says. It does no input or output and has no clock; one thread calls it.
  */
-final class ServersByHand {
+final class ServerOverrides {
     /** What discovery last told of each server that it lists. */
     private final Map<String, HostList.Host> listed = new HashMap<>();
     /** Since when each is out, in microseconds of Unix time. */
--- a/src/main/java/kitemux/orders/OrderSettings.java
+++ b/src/main/java/kitemux/orders/OrderSettings.java
@@ -57,15 +57,15 @@
         }
         int faultsBefore = faults.size();
         FileSection section = new FileSection(json, "orders", faults);
-        section.onlyKnown(FIELDS);
-        Path folder = section.folder();
+        section.rejectUnknownFields(FIELDS);
+        Path folder = section.readFolder();
         JournalWriter.SyncPolicy sync = readSync(json.path("sync"), faults);
-        long syncDelayMs = section.within("syncMs", 20, 1, MAX_DELAY_MS);
-        long commitTimeoutMs = section.within("lateMs", 100, 1, MAX_DELAY_MS);
-        long segmentKiB = section.within("segmentKiB", 4 << 10, MIN_SEGMENT_KIB, MAX_SEGMENT_KIB);
-        long segmentHours = section.within("segmentHours", 24, 1, 24 * MAX_AGE_DAYS);
-        long retentionDays = section.within("keepDays", 0, 0, MAX_AGE_DAYS);
-        long maxTotalMiB = section.within("keepMiB", 0, 0, MAX_TOTAL_MIB);
+        long syncDelayMs = section.readLong("syncMs", 20, 1, MAX_DELAY_MS);
+        long commitTimeoutMs = section.readLong("lateMs", 100, 1, MAX_DELAY_MS);
+        long segmentKiB = section.readLong("segmentKiB", 4 << 10, MIN_SEGMENT_KIB, MAX_SEGMENT_KIB);
+        long segmentHours = section.readLong("segmentHours", 24, 1, 24 * MAX_AGE_DAYS);
+        long retentionDays = section.readLong("keepDays", 0, 0, MAX_AGE_DAYS);
+        long maxTotalMiB = section.readLong("keepMiB", 0, 0, MAX_TOTAL_MIB);
         Set<String> classes = readClasses(json.path("classes"), knownClasses, faults);
         return faults.size() > faultsBefore
                 ? null
@@ -86,11 +86,11 @@
             return JournalWriter.SyncPolicy.EACH;
         }
         for (JournalWriter.SyncPolicy candidate : JournalWriter.SyncPolicy.values()) {
-            if (candidate.name().toLowerCase(Locale.ROOT).equals(json.text())) {
+            if (candidate.name().toLowerCase(Locale.ROOT).equals(json.asText())) {
                 return candidate;
             }
         }
-        faults.add("orders.sync must be each, timed or never, but is " + json.text());
+        faults.add("orders.sync must be each, timed or never, but is " + json.asText());
         return null;
     }
 
@@ -100,9 +100,9 @@
         }
         Set<String> names = new LinkedHashSet<>();
         for (Json name : json) {
-            names.add(name.text());
-            if (knownClasses.stream().noneMatch(candidate -> candidate.name().equals(name.text()))) {
-                faults.add("orders.classes names an unknown class: " + name.text());
+            names.add(name.asText());
+            if (knownClasses.stream().noneMatch(candidate -> candidate.name().equals(name.asText()))) {
+                faults.add("orders.classes names an unknown class: " + name.asText());
             }
         }
         return names;
--- a/src/main/java/kitemux/rollout/RolloutText.java
+++ b/src/main/java/kitemux/rollout/RolloutText.java
@@ -148,9 +148,9 @@
             }
             builder.append(separator == '[' ? "[]" : "]");
         } else if (json.isString()) {
-            quote(builder, json.text());
+            quote(builder, json.asText());
         } else {
-            builder.append(json.text());
+            builder.append(json.asText());
         }
     }
 
@@ -424,8 +424,8 @@
 
         long wholeNumber(String name, long min, long max) {
             Json field = json.path(name);
-            long value = field.isWhole() ? field.whole(min - 1) : min - 1;
-            if (!field.isWhole() || value < min || value > max) {
+            long value = field.isLong() ? field.asLong(min - 1) : min - 1;
+            if (!field.isLong() || value < min || value > max) {
                 addError(name, field.isMissing() ? "is missing" : "is not a whole number from " + min + " to " + max);
                 return min;
             }
@@ -441,21 +441,21 @@
             if (!field.isString()) {
                 addError(name, field.isMissing() ? "is missing" : "is not a string");
             }
-            return field.text();
+            return field.asText();
         }
 
         Ballot ballot(String name) {
             List<Json> pair = json.path(name).values();
             if (pair.size() != 2
-                    || !pair.get(0).isWhole()
-                    || !pair.get(1).isWhole()
-                    || pair.get(0).whole(-1) < 0
-                    || pair.get(1).whole(-2) < -1
-                    || pair.get(1).whole(-2) > Integer.MAX_VALUE) {
+                    || !pair.get(0).isLong()
+                    || !pair.get(1).isLong()
+                    || pair.get(0).asLong(-1) < 0
+                    || pair.get(1).asLong(-2) < -1
+                    || pair.get(1).asLong(-2) > Integer.MAX_VALUE) {
                 addError(name, "is not a ballot of the form [round, keeper]");
                 return Ballot.NONE;
             }
-            return new Ballot(pair.get(0).whole(0), (int) pair.get(1).whole(0));
+            return new Ballot(pair.get(0).asLong(0), (int) pair.get(1).asLong(0));
         }
 
         SortedMap<String, String> values(String name) {
@@ -491,8 +491,8 @@
             for (Json each : json(name)) {
                 if (!each.isString()) {
                     addError(name, "contains a value that is not a string: " + RolloutText.writeValue(each));
-                } else if (!strings.add(each.text())) {
-                    addError(name, "contains a duplicate: " + each.text());
+                } else if (!strings.add(each.asText())) {
+                    addError(name, "contains a duplicate: " + each.asText());
                 }
             }
             return strings;
@@ -568,7 +568,7 @@
         return read(text, (json, errors) -> {
             if (!json.path("alone").isMissing()) {
                 JsonReader fields = new JsonReader(json, "", errors, "rev", "alone");
-                if (!fields.json("alone").flag()) {
+                if (!fields.json("alone").asBoolean()) {
                     fields.addError("alone", "is not true");
                 }
                 return new WatchEvent.NoQuorum(fields.rev("rev", 0));
@@ -631,7 +631,7 @@
 
     /** Parses a request between keepers. */
     public static ParseResult<Request> readRequest(byte[] text) {
-        return read(text, (json, errors) -> switch (json.path("kind").text()) {
+        return read(text, (json, errors) -> switch (json.path("kind").asText()) {
             case "prepare" -> {
                 JsonReader fields = new JsonReader(json, "", errors, "kind", "rev", "ballot");
                 yield new Request.Prepare(fields.rev("rev", 1), fields.ballot("ballot"));
@@ -651,7 +651,7 @@
 
     /** Parses a response between keepers. */
     public static ParseResult<Response> readResponse(byte[] text) {
-        return read(text, (json, errors) -> switch (json.path("kind").text()) {
+        return read(text, (json, errors) -> switch (json.path("kind").asText()) {
             case "promised" -> {
                 JsonReader fields =
                         new JsonReader(json, "", errors, "kind", "rev", "ballot", "accepted_at", "accepted");
@@ -699,7 +699,7 @@
 
     /** Parses a record of a keeper's log. */
     public static ParseResult<LogRecord> readLogRecord(byte[] text) {
-        return read(text, (json, errors) -> switch (json.path("kind").text()) {
+        return read(text, (json, errors) -> switch (json.path("kind").asText()) {
             case "chosen" ->
                 new LogRecord.Chosen(new JsonReader(json, "", errors, "kind", "version").version("version"));
             case "whole" -> {
@@ -732,7 +732,7 @@
         Set<Integer> keepers = new HashSet<>();
         try {
             for (Json each : Json.read(value.getBytes(StandardCharsets.UTF_8))) {
-                Voter voter = Voter.parse(each.text());
+                Voter voter = Voter.parse(each.asText());
                 if (voter == null || !each.isString() || !keepers.add(voter.keeper())) {
                     return null;
                 }
--- a/src/main/java/kitemux/scale/Hollow.java
+++ b/src/main/java/kitemux/scale/Hollow.java
@@ -55,14 +55,14 @@
                             whole(json, "services"),
                             whole(json, "zones"),
                             whole(json, "tenants")),
-                    json.path("list").text(),
+                    json.path("list").asText(),
                     whole(json, "place"),
-                    json.path("peers").flag(),
-                    json.path("seed").whole(0));
+                    json.path("peers").asBoolean(),
+                    json.path("seed").asLong(0));
         }
 
         private static int whole(Json json, String field) {
-            return (int) json.path(field).whole(0);
+            return (int) json.path(field).asLong(0);
         }
     }
 
@@ -171,7 +171,7 @@
         List<HollowNode.Figures> all = new ArrayList<>();
         for (Json node : Json.read(line.getBytes(StandardCharsets.UTF_8))) {
             long[] of =
-                    node.values().stream().mapToLong(figure -> figure.whole(0)).toArray();
+                    node.values().stream().mapToLong(figure -> figure.asLong(0)).toArray();
             all.add(new HollowNode.Figures(
                     of[0], of[1], of[2], of[3], of[4], of[5], of[6], of[7], of[8], (int) of[9], (int) of[10]));
         }
--- a/src/main/java/kitemux/scale/RealNode.java
+++ b/src/main/java/kitemux/scale/RealNode.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import kitemux.config.ConfigText;
+import kitemux.config.ConfigFormatter;
 import kitemux.lab.ProcessGuard;
 
 /**
@@ -40,7 +40,7 @@
             Sized size,
             InetSocketAddress listen,
             InetSocketAddress list,
-            List<ConfigText.Server> known,
+            List<ConfigFormatter.Server> known,
             long seed,
             Path folder)
             throws IOException {
@@ -48,8 +48,8 @@
         Path config = folder.resolve("node-" + port + ".json");
         Files.writeString(
                 config,
-                ConfigText.node(
-                        new ConfigText.Node(
+                ConfigFormatter.formatNode(
+                        new ConfigFormatter.NodeDescription(
                                 "n0",
                                 NetUtil.toSocketAddressString(listen),
                                 NetUtil.toSocketAddressString(list),
--- a/src/main/java/kitemux/scale/Results.java
+++ b/src/main/java/kitemux/scale/Results.java
@@ -116,14 +116,14 @@
         } catch (IOException e) {
             throw new IOException(file(folder, stage) + ": " + e.getMessage(), e);
         }
-        if (!json.path("stage").text().equals(stage) || !json.path("rows").isObject()) {
+        if (!json.path("stage").asText().equals(stage) || !json.path("rows").isObject()) {
             throw new IOException(file(folder, stage) + ": holds no results of " + stage);
         }
         Results results = of(stage);
-        json.path("facts").fields().forEach((name, fact) -> results.facts.put(name, fact.text()));
+        json.path("facts").fields().forEach((name, fact) -> results.facts.put(name, fact.asText()));
         json.path("rows").fields().forEach((row, cells) -> {
             Map<String, Double> read = new LinkedHashMap<>();
-            cells.fields().forEach((column, cell) -> read.put(column, cell.decimal(Double.NaN)));
+            cells.fields().forEach((column, cell) -> read.put(column, cell.asDouble(Double.NaN)));
             results.rows.put(row, read);
         });
         return results;
--- a/src/main/java/kitemux/telemetry/RequestTrace.java
+++ b/src/main/java/kitemux/telemetry/RequestTrace.java
@@ -44,7 +44,7 @@
         Files.createDirectories(settings.folder());
         Path path =
                 settings.folder().resolve(name + "-" + ProcessHandle.current().pid() + ".trace");
-        return new RequestTrace(time, new TraceFile(path, settings.ring(), say));
+        return new RequestTrace(time, new TraceFile(path, settings.queueCapacity(), say));
     }
 
     private void line(String text) {
--- a/src/main/java/kitemux/telemetry/TraceSettings.java
+++ b/src/main/java/kitemux/telemetry/TraceSettings.java
@@ -10,9 +10,9 @@
  * Where a trace of connections, requests and attempts is written.
  *
  * @param folder made where it is not there; each process writes a file of its own
- * @param ring lines that wait to be written, at most; further ones are counted and left out
+ * @param queueCapacity lines that wait to be written, at most; further ones are counted and left out
  */
-public record TraceSettings(Path folder, int ring) {
+public record TraceSettings(Path folder, int queueCapacity) {
     private static final Set<String> FIELDS = Set.of("folder", "ring");
     private static final int DEFAULT_RING = 8_192;
     private static final int LEAST_RING = 64;
@@ -29,9 +29,9 @@
         }
         int before = faults.size();
         FileSection section = new FileSection(json, "trace", faults);
-        section.onlyKnown(FIELDS);
-        Path folder = section.folder();
-        long ring = section.within("ring", DEFAULT_RING, LEAST_RING, MOST_RING);
+        section.rejectUnknownFields(FIELDS);
+        Path folder = section.readFolder();
+        long ring = section.readLong("ring", DEFAULT_RING, LEAST_RING, MOST_RING);
         return faults.size() > before ? null : new TraceSettings(folder, (int) ring);
     }
 }
--- a/src/main/java/kitemux/world/NodeHost.java
+++ b/src/main/java/kitemux/world/NodeHost.java
@@ -111,7 +111,7 @@
         NodeConfig config = config(new HostList(knownRev, true, hosts));
         loop = new WorldLoop(world.time, machine, new Random(random.nextLong()));
         network = new WorldNetwork(world.fabric, machine, loop, this::soon, world.defect);
-        Node.Parts parts = new Node.Parts(
+        Node.Dependencies parts = new Node.Dependencies(
                 network,
                 EventLoopClock.startingAt(loop, world.unixUs()),
                 new TapeLog(),
--- a/src/test/java/kitemux/app/FieldsTest.java
+++ b/src/test/java/kitemux/app/FieldsTest.java
@@ -122,7 +122,7 @@
             }
             assertEquals(
                     field.why(),
-                    properties.path(field.name()).path("description").text(),
+                    properties.path(field.name()).path("description").asText(),
                     field.key());
         }
     }
@@ -156,15 +156,15 @@
         assertEquals(
                 List.of("KX301", "KX401"),
                 json.values().stream()
-                        .map(one -> one.path("code").text())
+                        .map(one -> one.path("code").asText())
                         .sorted()
                         .toList());
         for (Json one : json) {
-            assertEquals("a.hcl", one.path("file").text());
-            String line = text.lines().toList().get((int) one.path("line").whole(0) - 1);
-            assertTrue(line.contains(one.path("code").text().equals("KX301") ? "aim" : "address"), line);
-            assertTrue(!one.path("cure").text().isEmpty()
-                    && !one.path("what").text().isEmpty());
+            assertEquals("a.hcl", one.path("file").asText());
+            String line = text.lines().toList().get((int) one.path("line").asLong(0) - 1);
+            assertTrue(line.contains(one.path("code").asText().equals("KX301") ? "aim" : "address"), line);
+            assertTrue(!one.path("cure").asText().isEmpty()
+                    && !one.path("what").asText().isEmpty());
         }
         Json run = Json.read(Report.sarif(found).getBytes(StandardCharsets.UTF_8))
                 .path("runs")
@@ -174,13 +174,13 @@
         assertEquals(2, run.path("results").values().size());
         for (Json result : run.path("results")) {
             assertEquals(
-                    result.path("ruleId").text(),
-                    rules.get((int) result.path("ruleIndex").whole(-1))
+                    result.path("ruleId").asText(),
+                    rules.get((int) result.path("ruleIndex").asLong(-1))
                             .path("id")
-                            .text());
+                            .asText());
             Json place = result.path("locations").values().get(0).path("physicalLocation");
-            assertEquals("a.hcl", place.path("artifactLocation").path("uri").text());
-            assertTrue(place.path("region").path("startLine").whole(0) > 3);
+            assertEquals("a.hcl", place.path("artifactLocation").path("uri").asText());
+            assertTrue(place.path("region").path("startLine").asLong(0) > 3);
         }
     }
 }
--- a/src/test/java/kitemux/cli/PlanCommandTest.java
+++ b/src/test/java/kitemux/cli/PlanCommandTest.java
@@ -62,9 +62,9 @@
         String shorter = Files.readString(EXAMPLE).replace("length = \"40s\"", "length = \"8s\"");
         assertEquals(0, run("--fleet", file(shorter).toString(), "--ask", "holds,breaks", "--json"), err.toString());
         Json read = Json.read(out.toString().getBytes(StandardCharsets.UTF_8));
-        assertTrue(read.path("today").path("holds").flag());
-        assertTrue(read.path("today").path("inTime").path("mean").decimal(0) > 0.95);
-        assertTrue(read.path("breaks").path("breaksAt").decimal(0) > 1);
+        assertTrue(read.path("today").path("holds").asBoolean());
+        assertTrue(read.path("today").path("inTime").path("mean").asDouble(0) > 0.95);
+        assertTrue(read.path("breaks").path("breaksAt").asDouble(0) > 1);
         assertEquals(List.of(), read.path("fewest").values());
     }
 
--- a/src/test/java/kitemux/cli/SidecarMembersTest.java
+++ b/src/test/java/kitemux/cli/SidecarMembersTest.java
@@ -239,8 +239,8 @@
                 "-c",
                 "exit 7");
         Json line = Json.read(sidecar.await("has ended with exit code 7").getBytes(StandardCharsets.UTF_8));
-        assertEquals("info", line.path("level").text());
-        assertTrue(line.path("time").text().endsWith("Z"), line.path("time").text());
+        assertEquals("info", line.path("level").asText());
+        assertTrue(line.path("time").asText().endsWith("Z"), line.path("time").asText());
         assertEquals(7, sidecar.exit());
     }
 
--- a/src/test/java/kitemux/config/ClassArchiveTest.java
+++ b/src/test/java/kitemux/config/ClassArchiveTest.java
@@ -23,7 +23,7 @@
                 process.resolve("maps"),
                 "7f0000000000-7f0000001000 r--p 00000000 08:01 7     " + mapped
                         + "\n7f0000002000-7f0000003000 rw-p 00000000 00:00 0 \n");
-        return ClassArchive.unused(process);
+        return ClassArchive.findUnused(process);
     }
 
     @Test
@@ -44,6 +44,6 @@
 
     @Test
     void whereThereIsNoSuchFolderNothingIsKnown() {
-        assertThrows(IOException.class, () -> ClassArchive.unused(process.resolve("none")));
+        assertThrows(IOException.class, () -> ClassArchive.findUnused(process.resolve("none")));
     }
 }
--- a/src/test/java/kitemux/config/JsonTest.java
+++ b/src/test/java/kitemux/config/JsonTest.java
@@ -22,13 +22,13 @@
     void valuesAreHadByTheirPath() throws IOException {
         Json json = read("""
                 {"a":{"b":[1,{"c":"\\u00e9"}],"d":true,"e":null},"f":1.5,"g":-7}""");
-        assertEquals("1", json.path("a").path("b").values().get(0).text());
-        assertEquals("é", json.path("a").path("b").values().get(1).path("c").text());
-        assertTrue(json.path("a").path("d").flag());
+        assertEquals("1", json.path("a").path("b").values().get(0).asText());
+        assertEquals("é", json.path("a").path("b").values().get(1).path("c").asText());
+        assertTrue(json.path("a").path("d").asBoolean());
         assertTrue(json.path("a").path("e").isMissing());
-        assertEquals(1.5, json.path("f").decimal(0));
-        assertEquals(1, json.path("f").whole(0));
-        assertEquals(-7, json.path("g").whole(0));
+        assertEquals(1.5, json.path("f").asDouble(0));
+        assertEquals(1, json.path("f").asLong(0));
+        assertEquals(-7, json.path("g").asLong(0));
         assertEquals(List.of("a", "f", "g"), List.copyOf(json.fields().keySet()));
     }
 
@@ -36,21 +36,21 @@
     void whatIsNotThereIsMissingAllTheWayDown() throws IOException {
         Json missing = read("[1]").path("a").path("b");
         assertTrue(missing.isMissing());
-        assertFalse(missing.isObject() || missing.isList() || missing.isWhole() || missing.flag());
-        assertEquals("", missing.text());
-        assertEquals(3, missing.whole(3));
-        assertEquals(0.5, missing.decimal(0.5));
+        assertFalse(missing.isObject() || missing.isList() || missing.isLong() || missing.asBoolean());
+        assertEquals("", missing.asText());
+        assertEquals(3, missing.asLong(3));
+        assertEquals(0.5, missing.asDouble(0.5));
         assertEquals(List.of(), missing.values());
     }
 
     @Test
     void numbersInStringsAreNumbers() throws IOException {
         Json json = read("{\"n\":\"12\",\"x\":\"1e400\",\"y\":\"NaN\",\"z\":\"twelve\"}");
-        assertEquals(12, json.path("n").whole(0));
-        assertEquals(12, json.path("n").decimal(0));
-        assertEquals(9, json.path("x").decimal(9));
-        assertEquals(9, json.path("y").whole(9));
-        assertEquals(9, json.path("z").whole(9));
+        assertEquals(12, json.path("n").asLong(0));
+        assertEquals(12, json.path("n").asDouble(0));
+        assertEquals(9, json.path("x").asDouble(9));
+        assertEquals(9, json.path("y").asLong(9));
+        assertEquals(9, json.path("z").asLong(9));
     }
 
     @Test
@@ -58,13 +58,13 @@
         Json json = read("[9223372036854775807,9223372036854775808,1.0,\"1\"]");
         assertEquals(
                 List.of(true, false, false, false),
-                json.values().stream().map(Json::isWhole).toList());
-        assertEquals(Long.MAX_VALUE, json.values().get(0).whole(0));
+                json.values().stream().map(Json::isLong).toList());
+        assertEquals(Long.MAX_VALUE, json.values().get(0).asLong(0));
     }
 
     @Test
     void theLastOfTwoFieldsOfOneNameHolds() throws IOException {
-        assertEquals("2", read("{\"a\":1,\"a\":2}").path("a").text());
+        assertEquals("2", read("{\"a\":1,\"a\":2}").path("a").asText());
     }
 
     @ParameterizedTest
@@ -77,7 +77,7 @@
 
     @Test
     void aLineOfBracketsEndsBeforeTheStackDoes() throws IOException {
-        String deepest = "[".repeat(Json.MOST_NESTED) + "]".repeat(Json.MOST_NESTED);
+        String deepest = "[".repeat(Json.MAX_NESTING_DEPTH) + "]".repeat(Json.MAX_NESTING_DEPTH);
         assertTrue(read(deepest).isList());
         assertThrows(IOException.class, () -> read("[".repeat(1_000_000)));
     }
--- a/src/test/java/kitemux/keeper/KeeperTest.java
+++ b/src/test/java/kitemux/keeper/KeeperTest.java
@@ -72,14 +72,14 @@
             // The fifth node was never started; any keeper knows of all, also the one that does not vote.
             Json status = keepers.awaitInForce(3, 1, 4);
             assertEquals(
-                    "4", status.path("not_heard").path("nodes").values().get(0).text());
-            assertEquals(1, status.path("not_heard").path("count").whole(-1));
-            assertEquals("false", status.path("keeper").path("votes").text());
+                    "4", status.path("not_heard").path("nodes").values().get(0).asText());
+            assertEquals(1, status.path("not_heard").path("count").asLong(-1));
+            assertEquals("false", status.path("keeper").path("votes").asText());
             assertEquals(
                     List.of(), status.path("keeper").path("keepers_not_heard").values());
             // The same call once more is the same change.
             assertTaken(1, Keepers.of(keepers.change(2, id(1), 0, ACME)));
-            assertEquals(1, keepers.status(2, "").path("newest").whole(0));
+            assertEquals(1, keepers.status(2, "").path("newest").asLong(0));
         }
     }
 
@@ -193,8 +193,8 @@
             keepers.start(2, disk -> disk);
             keepers.lines[2].await(said, " serves; version 1");
             Json keeper = keepers.status(2, "").path("keeper");
-            assertEquals("false", keeper.path("votes").text());
-            assertTrue(!keeper.path("identity").text().equals(identity));
+            assertEquals("false", keeper.path("votes").asText());
+            assertTrue(!keeper.path("identity").asText().equals(identity));
             // Two are left of three; with one of them gone there is no majority.
             assertTaken(2, Keepers.of(keepers.change(2, id(2), 1, "{\"realms/b\":{\"quotaPerS\":1}}")));
             keepers.stop(1);
@@ -226,7 +226,7 @@
                                 .path("keepers_not_heard")
                                 .values()
                                 .get(0)
-                                .text());
+                                .asText());
                 keepers.cutOff(0, false);
                 String line = "";
                 BufferedReader in =
@@ -293,7 +293,7 @@
             }
             set.append('}');
             int rev = 0;
-            while (keepers.status(0, "").path("keeper").path("watches_unread").whole(0) == 0) {
+            while (keepers.status(0, "").path("keeper").path("watches_unread").asLong(0) == 0) {
                 assertTrue(rev < 1_000, "the watch that is not read never ends");
                 assertTaken(
                         rev + 1,
@@ -302,7 +302,7 @@
                 rev++;
                 lines(read, rev == 1 ? 1 : 0, rev);
             }
-            assertEquals(1, keepers.status(0, "").path("keeper").path("watches").whole(-1));
+            assertEquals(1, keepers.status(0, "").path("keeper").path("watches").asLong(-1));
             assertTrue(unread.getInputStream().readAllBytes().length > 0, "what came of it comes to its end");
         }
     }
@@ -338,8 +338,8 @@
             node.said.await(0, "told all");
             assertTrue(mute.getInputStream().readAllBytes().length > 0, "it ends");
             Json figures = keepers.status(0, "").path("keeper");
-            assertEquals(1, figures.path("watches_silent").whole(-1));
-            assertEquals(1, figures.path("watches").whole(-1), "the node that reports is still told");
+            assertEquals(1, figures.path("watches_silent").asLong(-1));
+            assertEquals(1, figures.path("watches").asLong(-1), "the node that reports is still told");
         }
     }
 
@@ -404,7 +404,7 @@
                 long began = System.nanoTime();
                 List<String> lines = lines(watch, 1);
                 Json first = Json.read(lines.get(0).getBytes(StandardCharsets.UTF_8));
-                int parts = (int) first.path("of").whole(0);
+                int parts = (int) first.path("of").asLong(0);
                 assertTrue(parts >= 5, lines.get(0));
                 BufferedReader in =
                         new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
@@ -421,13 +421,13 @@
                 SortedMap<String, String> told = new TreeMap<>();
                 for (int i = 0; i < parts; i++) {
                     Json part = Json.read(lines.get(i).getBytes(StandardCharsets.UTF_8));
-                    assertEquals(i + 1, part.path("part").whole(0));
-                    assertEquals(2_000, part.path("rev").whole(0));
+                    assertEquals(i + 1, part.path("part").asLong(0));
+                    assertEquals(2_000, part.path("rev").asLong(0));
                     part.path("set")
                             .fields()
                             .forEach((path, value) -> told.put(
                                     path,
-                                    "{\"quotaPerS\":" + value.path("quotaPerS").text() + "}"));
+                                    "{\"quotaPerS\":" + value.path("quotaPerS").asText() + "}"));
                 }
                 assertEquals(values, told);
                 ProtocolParameters terms = ProtocolParameters.defaults();
@@ -522,10 +522,10 @@
             assertEquals(
                     "503 {\"reason\":\"version 5 is not known here yet\"}", ahead.statusCode() + " " + ahead.body());
             Json status = keepers.status(0, "");
-            assertEquals(0, status.path("newest").whole(-1), "nothing of it was done");
+            assertEquals(0, status.path("newest").asLong(-1), "nothing of it was done");
             assertEquals(
                     bad.length + badGets.length,
-                    status.path("keeper").path("calls_faulty").whole(0));
+                    status.path("keeper").path("calls_faulty").asLong(0));
             try (Socket garbage =
                     new Socket(keepers.at(0).getAddress(), keepers.at(0).getPort())) {
                 garbage.getOutputStream().write("\1\2\3 what\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -555,10 +555,10 @@
             assertEquals("503 {\"reason\":\"210 watches are open\"}", told.statusCode() + " " + told.body());
             assertEquals(
                     1,
-                    keepers.status(0, "").path("keeper").path("watches_refused").whole(0));
+                    keepers.status(0, "").path("keeper").path("watches_refused").asLong(0));
             sockets.get(0).close();
             long until = System.nanoTime() + 30_000_000_000L;
-            while (keepers.status(0, "").path("keeper").path("watches").whole(0)
+            while (keepers.status(0, "").path("keeper").path("watches").asLong(0)
                     == ProtocolParameters.MAX_WATCH_COUNT) {
                 assertTrue(System.nanoTime() < until, "a watch that has ended makes no room");
             }
@@ -587,7 +587,7 @@
                     keepers.status(0, "")
                             .path("keeper")
                             .path("connections_turned_away")
-                            .whole(0));
+                            .asLong(0));
         } finally {
             for (Socket socket : sockets) {
                 socket.close();
@@ -609,7 +609,7 @@
             assertEquals("503 {\"reason\":\"16 changes wait\"}", first.statusCode() + " " + first.body());
             assertEquals(
                     1,
-                    keepers.status(0, "").path("keeper").path("changes_refused").whole(0));
+                    keepers.status(0, "").path("keeper").path("changes_refused").asLong(0));
         }
     }
 
--- a/src/test/java/kitemux/keeper/Keepers.java
+++ b/src/test/java/kitemux/keeper/Keepers.java
@@ -209,7 +209,7 @@
         long until = System.nanoTime() + 30_000_000_000L;
         while (true) {
             Json status = status(keeper, "?rev=" + rev);
-            if (status.path("in_force").path("count").whole(-1) == many) {
+            if (status.path("in_force").path("count").asLong(-1) == many) {
                 return status;
             }
             if (System.nanoTime() > until) {
--- a/src/test/java/kitemux/keeper/NodeFollowsTest.java
+++ b/src/test/java/kitemux/keeper/NodeFollowsTest.java
@@ -96,7 +96,7 @@
                                 .path("nodes")
                                 .values()
                                 .get(0)
-                                .text());
+                                .asText());
                 // What its file does not have waits for one that has, and is never said to be in force.
                 assertEquals(
                         "200 {\"rev\":2}",
@@ -104,11 +104,11 @@
                 awaitLine(lines, "rollout: version 2 is taken in");
                 long until = System.nanoTime() + 30_000_000_000L;
                 Json status = keepers.status(0, "?rev=2");
-                while (status.path("waits_restart").path("count").whole(0) == 0) {
+                while (status.path("waits_restart").path("count").asLong(0) == 0) {
                     assertTrue(System.nanoTime() < until, "it never said so");
                     status = keepers.status(0, "?rev=2");
                 }
-                assertEquals(0, status.path("in_force").path("count").whole(-1));
+                assertEquals(0, status.path("in_force").path("count").asLong(-1));
                 String all = Files.readString(loaded);
                 assertTrue(all.contains("kitemux.rollout.Subscriber "), "of the machines");
                 assertTrue(all.contains("kitemux.keeper.RolloutWatch "), "of what carries them");
--- a/src/test/java/kitemux/node/ConfigTextTest.java
+++ b/src/test/java/kitemux/node/ConfigFormatterTest.java
@@ -19,14 +19,14 @@
 import kitemux.Balancer.Settings;
 import kitemux.Balancer.Tenant;
 import kitemux.config.ConfigException;
-import kitemux.config.ConfigText;
-import kitemux.config.ConfigText.Server;
+import kitemux.config.ConfigFormatter;
+import kitemux.config.ConfigFormatter.Server;
 import kitemux.net.HostList;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** What is written for a node is what a node reads. */
-class ConfigTextTest {
+class ConfigFormatterTest {
     /** The simulator's alone. */
     private static final Set<String> NOT_WRITTEN =
             Set.of("worthByWork", "probes", "tickUs", "askWithinUs", "crossZonePrice", "warmKeys", "reportFields");
@@ -62,15 +62,16 @@
         return set;
     }
 
-    private NodeConfig read(ConfigText.Node node, Settings set, List<Server> servers)
+    private NodeConfig read(ConfigFormatter.NodeDescription node, Settings set, List<Server> servers)
             throws IOException, ConfigException {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, ConfigText.node(node, set, servers));
+        Files.writeString(file, ConfigFormatter.formatNode(node, set, servers));
         return NodeConfig.read(Map.of("PROXY_CONFIG", file.toString()));
     }
 
-    private static ConfigText.Node node(int memoryMiB) {
-        return new ConfigText.Node("n", "127.0.0.1:8080", "[::1]:9090", "c0ffee", 512, memoryMiB, 4_000_001);
+    private static ConfigFormatter.NodeDescription node(int memoryMiB) {
+        return new ConfigFormatter.NodeDescription(
+                "n", "127.0.0.1:8080", "[::1]:9090", "c0ffee", 512, memoryMiB, 4_000_001);
     }
 
     @Test
@@ -92,7 +93,7 @@
         assertEquals(new InetSocketAddress("127.0.0.1", 8080), read.listen());
         assertEquals(new InetSocketAddress("::1", 9090), read.discovery());
         assertEquals(0xc0ffee, read.seed());
-        assertEquals(512, read.sockets());
+        assertEquals(512, read.maxSockets());
         assertEquals(4_000_001, read.connIdleUs());
     }
 
@@ -109,7 +110,7 @@
                                 .map(each -> new Server(
                                         each, "127.0.0.1:70" + each.id().charAt(1)))
                                 .toList())
-                .known();
+                .initialServers();
         assertEquals(entries, known.entries());
         assertEquals(
                 new InetSocketAddress("127.0.0.1", 703), known.hosts().get(2).endpoint());
--- a/src/test/java/kitemux/node/DisconnectAndShutdownTest.java
+++ b/src/test/java/kitemux/node/DisconnectAndShutdownTest.java
@@ -248,7 +248,7 @@
     /** The far sides of a rehearsal end with a reset, which must not cost the first turn a page of log. */
     @Test
     void aRehearsalsFarSideEndsWithoutAWord() {
-        EmbeddedChannel channel = new EmbeddedChannel(new Rehearsal.FarServer());
+        EmbeddedChannel channel = new EmbeddedChannel(new WarmUp.FarServer());
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
         channel.checkException();
         assertTrue(!channel.isOpen());
@@ -258,10 +258,10 @@
 
     @Test
     void whatIsToldToEndBeforeItOpensOpensNoMore() {
-        Opening opening = new Opening(() -> {
+        StartupGate opening = new StartupGate(() -> {
             throw new AssertionError("it opens");
         });
-        assertTrue(!opening.end());
+        assertTrue(!opening.close());
         assertNull(opening.open());
     }
 
@@ -269,9 +269,9 @@
     void whatIsToldToEndAsItOpensHasClientsToServe() {
         EmbeddedChannel channel = new EmbeddedChannel();
         DefaultChannelPromise done = new DefaultChannelPromise(channel);
-        Opening opening = new Opening(() -> done);
+        StartupGate opening = new StartupGate(() -> done);
         assertEquals(done, opening.open());
         done.setSuccess();
-        assertTrue(opening.end());
+        assertTrue(opening.close());
     }
 }
--- a/src/test/java/kitemux/node/DiscoveryTest.java
+++ b/src/test/java/kitemux/node/DiscoveryTest.java
@@ -252,13 +252,13 @@
             NodeConfig old = site.config(known);
             site.node.reload(new NodeConfig(
                     old.listen(),
-                    old.operators(),
+                    old.managementAddress(),
                     Addresses.parse("discovery", after.endpoint()),
                     old.seed(),
-                    old.sockets(),
+                    old.maxSockets(),
                     old.connIdleUs(),
-                    old.folder(),
-                    old.known(),
+                    old.stateFolder(),
+                    old.initialServers(),
                     old.settings()));
             ScriptedServer.next(after.requests);
             // After five failures it would wait for 330 ms at least, after the first 75 at most.
@@ -372,13 +372,13 @@
             NodeConfig old = site.config(known);
             site.node.reload(new NodeConfig(
                     old.listen(),
-                    old.operators(),
+                    old.managementAddress(),
                     Addresses.parse("discovery", after.endpoint()),
                     old.seed(),
-                    old.sockets(),
+                    old.maxSockets(),
                     old.connIdleUs(),
-                    old.folder(),
-                    old.known(),
+                    old.stateFolder(),
+                    old.initialServers(),
                     old.settings()));
             ScriptedServer.next(after.disconnectedPeers);
             before.write(Site.chunk(Site.list(2, true, ENTRY) + "\n"));
--- a/src/test/java/kitemux/node/EventLoopStallTest.java
+++ b/src/test/java/kitemux/node/EventLoopStallTest.java
@@ -406,7 +406,7 @@
             NodeConfig config = site.config(Site.list(1, true, "s0=" + server.endpoint() + "=Ready"));
             CompletableFuture<Socket> client = new CompletableFuture<>();
             CountDownLatch release = holdUp(site.loop);
-            Node node = new Node(config, site.loop, Node.Parts.real(site.loop, site.log, site.module));
+            Node node = new Node(config, site.loop, Node.Dependencies.system(site.loop, site.log, site.module));
             node.start().addListener(opened -> {
                 InetSocketAddress at =
                         (InetSocketAddress) ((ChannelFuture) opened).channel().localAddress();
--- a/src/test/java/kitemux/node/LiveSettingsTest.java
+++ b/src/test/java/kitemux/node/LiveSettingsTest.java
@@ -35,7 +35,7 @@
 
     @Test
     void whatIsLiveIsInForceAndTheRestStaysAsTheFileHasIt() {
-        live.put(Map.of(
+        live.apply(Map.of(
                 "realms/b",
                 "{\"quotaPerS\":9.5}",
                 "classes/page",
@@ -58,7 +58,7 @@
         assertEquals(0.75, settings.overShareWorth);
         assertEquals(3, settings.maxAttempts);
         // What a later version does not name any more is as the file has it again.
-        live.put(Map.of());
+        live.apply(Map.of());
         assertEquals(List.of(new Tenant("a", 1), new Tenant("b", 2)), settings.tenants);
         assertEquals(List.of(PAGE, ORDER), settings.classes);
         assertEquals(0.5, settings.overShareWorth);
@@ -101,10 +101,10 @@
 
     @Test
     void discoveryMovesOnceForEachPlaceThatIsNamed() {
-        live.put(Map.of("discovery", "\"127.0.0.1:1\""));
-        live.put(Map.of("discovery", "\"127.0.0.1:1\"", "overShareWorth", "1"));
-        live.put(Map.of("discovery", "\"127.0.0.1:2\""));
-        live.put(Map.of());
+        live.apply(Map.of("discovery", "\"127.0.0.1:1\""));
+        live.apply(Map.of("discovery", "\"127.0.0.1:1\"", "overShareWorth", "1"));
+        live.apply(Map.of("discovery", "\"127.0.0.1:2\""));
+        live.apply(Map.of());
         assertEquals(List.of("127.0.0.1:1", "127.0.0.1:2"), moved);
     }
 }
--- a/src/test/java/kitemux/node/NodeConfigTest.java
+++ b/src/test/java/kitemux/node/NodeConfigTest.java
@@ -53,7 +53,7 @@
         assertEquals(8000, config.listen().getPort());
         assertEquals(8500, config.discovery().getPort());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(1024, config.sockets());
+        assertEquals(1024, config.maxSockets());
         assertEquals(60_000_000, config.connIdleUs());
         assertEquals(2, config.settings().nodes);
         assertEquals(1, config.settings().nodeIndex);
@@ -66,7 +66,7 @@
         assertEquals(RetrySafety.KEYED, config.settings().classes.get(0).retrySafety());
         assertEquals(DedupScope.CELL, config.settings().classes.get(0).dedupScope());
         assertEquals(85.0, config.settings().tenants.get(0).quotaPerS());
-        HostList.Host host = config.known().hosts().get(0);
+        HostList.Host host = config.initialServers().hosts().get(0);
         assertEquals(
                 "10.1.0.18:8000",
                 host.endpoint().getHostString() + ":" + host.endpoint().getPort());
@@ -85,15 +85,17 @@
 
     @Test
     void operatorsCallWhereTheFileSaysOrTheEnvironmentAndElseNowhere() throws Exception {
-        assertEquals(null, read(CONFIG, Map.of()).operators());
+        assertEquals(null, read(CONFIG, Map.of()).managementAddress());
         String named = CONFIG.replace("\"listen\"", "\"mgmt\":\"127.0.0.1:9100\",\"listen\"");
-        assertEquals(9100, read(named, Map.of()).operators().getPort());
+        assertEquals(9100, read(named, Map.of()).managementAddress().getPort());
         assertEquals(
                 9200,
-                read(named, Map.of("PROXY_MGMT", "127.0.0.1:9200")).operators().getPort());
+                read(named, Map.of("PROXY_MGMT", "127.0.0.1:9200"))
+                        .managementAddress()
+                        .getPort());
         ConfigException e = assertThrows(ConfigException.class, () -> read(CONFIG, Map.of("PROXY_MGMT", "here")));
         assertTrue(e.getMessage().startsWith("mgmt "), e.getMessage());
-        assertEquals(folder, read(CONFIG, Map.of("TMPDIR", folder.toString())).folder());
+        assertEquals(folder, read(CONFIG, Map.of("TMPDIR", folder.toString())).stateFolder());
     }
 
     @ParameterizedTest
--- a/src/test/java/kitemux/node/SignalAtOpeningTest.java
+++ b/src/test/java/kitemux/node/SignalAtStartupTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** SIGTERM in each of the moments in which a process begins to listen, forced by a debugger. */
-class SignalAtOpeningTest {
+class SignalAtStartupTest {
     private static final int MOST_MS = 20_000;
 
     @TempDir
@@ -104,7 +104,7 @@
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
                 SocketChannel holder = holder();
                 Debuggee node = node(server, holder)) {
-            node.stopAtBegin(Opening.class.getName(), "open");
+            node.stopAtBegin(StartupGate.class.getName(), "open");
             Debuggee.Stop opens = node.awaitStop(Node.class.getName());
             node.stopAtEnd("sun.nio.ch.ServerSocketChannelImpl", "bind");
             opens.goOn();
@@ -128,7 +128,7 @@
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late");
                 SocketChannel holder = holder();
                 Debuggee node = node(server, holder)) {
-            node.stopAtEnd(Opening.class.getName(), "open");
+            node.stopAtEnd(StartupGate.class.getName(), "open");
             node.stepOut(node.awaitStop(Node.class.getName()));
             Socket client = connectOnceItListens(holder);
             Site.write(client, Http.page("/api/p", "t", "15000m"));
--- a/src/test/java/kitemux/node/Site.java
+++ b/src/test/java/kitemux/node/Site.java
@@ -118,7 +118,7 @@
     }
 
     Site startKnowing(String known) throws Exception {
-        node = new Node(config(known), loop, Node.Parts.real(loop, log, module));
+        node = new Node(config(known), loop, Node.Dependencies.system(loop, log, module));
         if (operators != null) {
             operators = (InetSocketAddress)
                     node.listenForOperators().sync().channel().localAddress();
--- a/src/test/java/kitemux/node/UnsoundNode.java
+++ b/src/test/java/kitemux/node/UnsoundNode.java
@@ -48,14 +48,14 @@
     public static void main(String[] args) throws Exception {
         NodeConfig config = NodeConfig.read(System.getenv());
         PollingLoop loop = Node.newLoop();
-        Node.Parts sound = Node.Parts.real(
+        Node.Dependencies sound = Node.Dependencies.system(
                 loop, new StderrLog(), actions -> new ServiceQBalancer(config.settings(), config.seed(), actions));
-        Node.Parts parts =
+        Node.Dependencies parts =
                 switch (Defect.valueOf(args[0])) {
                     case SENDS_ON_LATE -> new LateSender(loop, true).in(sound);
                     case NEVER_ANSWERS -> new LateSender(loop, false).in(sound);
                     case BUDGETS_BY_NODE ->
-                        new Node.Parts(
+                        new Node.Dependencies(
                                 NioNetwork.SYSTEM,
                                 EventLoopClock.of(loop),
                                 sound.log(),
@@ -64,7 +64,7 @@
                                 SendGate.alwaysOpen(),
                                 actions -> PerNodeBudgetBalancer.create(
                                         config.settings(), config.seed(), actions, Double.parseDouble(args[1])),
-                                sound.transport());
+                                sound.transportDecorator());
                 };
         new Node(config, loop, parts).start().sync();
         System.err.println("listening on " + config.listen());
@@ -84,15 +84,15 @@
             this.sends = sends;
         }
 
-        Node.Parts in(Node.Parts sound) {
-            return new Node.Parts(
+        Node.Dependencies in(Node.Dependencies sound) {
+            return new Node.Dependencies(
                     sound.network(),
                     sound.time(),
                     sound.log(),
                     this,
-                    sound.connections(),
-                    sound.gate(),
-                    actions -> around(sound.module().apply(actions)),
+                    sound.connectionObserver(),
+                    sound.sendGate(),
+                    actions -> around(sound.balancerFactory().apply(actions)),
                     to -> {
                         transport = to;
                         return to;
--- a/src/test/java/kitemux/node/RehearsalTest.java
+++ b/src/test/java/kitemux/node/WarmUpTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What a starting process does before it listens. */
-class RehearsalTest {
+class WarmUpTest {
 
     @Test
     void requestsAreServedWithNoWordToDiscovery() throws Exception {
         try (Site site = Site.quiet()) {
-            assertTrue(Rehearsal.play(site.config(Site.list(1, true)), site.loop, new StderrLog()) > 0);
+            assertTrue(WarmUp.run(site.config(Site.list(1, true)), site.loop, new StderrLog()) > 0);
             assertEquals(0, site.discovery.connections.get());
         }
     }
@@ -34,9 +34,9 @@
                     }
                 }
             });
-            long served = Rehearsal.play(site.config(Site.list(1, true)), site.loop, new StderrLog());
+            long served = WarmUp.run(site.config(Site.list(1, true)), site.loop, new StderrLog());
             over.set(true);
-            assertEquals(Rehearsal.REQUESTS, served);
+            assertEquals(WarmUp.REQUEST_COUNT, served);
         }
     }
 
--- a/src/test/java/kitemux/node/WrittenConfigTest.java
+++ b/src/test/java/kitemux/node/WrittenConfigTest.java
@@ -92,7 +92,7 @@
         app.neverTwice().forEach(name -> assertEquals(RetrySafety.UNSAFE, classes.get(name), text));
         app.classes().forEach(work -> assertEquals(work.again(), classes.get(work.name()), text));
         boolean ready = false;
-        for (HostList.Host host : read.known().hosts()) {
+        for (HostList.Host host : read.initialServers().hosts()) {
             App.Server described = app.servers().stream()
                     .filter(s -> s.name().equals(host.entry().id()))
                     .findFirst()
--- a/src/test/java/kitemux/ops/ServersByHandTest.java
+++ b/src/test/java/kitemux/ops/ServerOverridesTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class ServersByHandTest {
+class ServerOverridesTest {
     private static Host host(String id, ServerState state, long startedAtUs) {
         return new Host(new ServerEntry(id, 0, 0, state, 1, startedAtUs), new InetSocketAddress(80));
     }
@@ -29,7 +29,7 @@
         return new HostList(1, all, List.of(hosts));
     }
 
-    private final ServersByHand servers = new ServersByHand();
+    private final ServerOverrides servers = new ServerOverrides();
 
     private ServerEntry only(List<Host> hosts) {
         assertEquals(1, hosts.size());
@@ -125,7 +125,7 @@
     /** Whatever comes in whatever order: what the changes add up to is what a plain account says. */
     @Property(tries = 500)
     void changesAddUpToWhatHolds(@ForAll @Size(max = 60) List<@IntRange(max = 39) Integer> steps) {
-        ServersByHand under = new ServersByHand();
+        ServerOverrides under = new ServerOverrides();
         Map<String, ServerState> listed = new HashMap<>();
         Map<String, Long> out = new HashMap<>();
         Map<String, ServerState> told = new HashMap<>();
--- a/src/test/java/kitemux/orders/OrderHistoryTest.java
+++ b/src/test/java/kitemux/orders/OrderHistoryTest.java
@@ -108,9 +108,9 @@
     void jsonAndCsvAgree() throws Exception {
         OrderHistory history = history(intent(0), ended(0, Result.TIMEOUT, true), answered(Answer.FAILED));
         Json json = Json.read(OrderHistoryText.toJson(history, false).getBytes(UTF_8));
-        assertEquals("unknown", json.path("state").text());
+        assertEquals("unknown", json.path("state").asText());
         assertEquals(
-                "web-0", json.path("attempts").values().get(0).path("server").text());
+                "web-0", json.path("attempts").values().get(0).path("server").asText());
         String csv = OrderHistoryText.toCsv(history, false);
         assertEquals(OrderHistoryText.CSV_HEADER.split(",").length, csv.split(",", -1).length);
         assertTrue(csv.contains(",unknown,web-0,127.0.0.1:80,"), csv);
--- a/src/test/java/kitemux/sidecar/LineLogTest.java
+++ b/src/test/java/kitemux/sidecar/LineLogTest.java
@@ -44,13 +44,13 @@
         log.error("a defect", new IllegalStateException("why"));
         log.flush();
         Json first = Json.read(lines().get(0).getBytes(StandardCharsets.UTF_8));
-        assertEquals("2026-12-01T10:00:00.123Z", first.path("time").text());
-        assertEquals("info", first.path("level").text());
-        assertEquals("a \"quoted\"\nword", first.path("text").text());
+        assertEquals("2026-12-01T10:00:00.123Z", first.path("time").asText());
+        assertEquals("info", first.path("level").asText());
+        assertEquals("a \"quoted\"\nword", first.path("text").asText());
         assertTrue(first.path("cause").isMissing());
         assertTrue(Json.read(lines().get(1).getBytes(StandardCharsets.UTF_8))
                 .path("cause")
-                .text()
+                .asText()
                 .contains("why"));
     }
 
--- a/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
+++ b/src/test/java/kitemux/world/CrowdedDiscoveryTest.java
@@ -170,7 +170,7 @@
                     Path.of(""),
                     known,
                     settings);
-            Node.Parts parts = new Node.Parts(
+            Node.Dependencies parts = new Node.Dependencies(
                     new WorldNetwork(fabric, machine, loop, this::soon, Defect.NONE),
                     EventLoopClock.startingAt(loop, UNIX_US + time.nowUs()),
                     SILENT,
