--- a/src/main/java/kitemux/app/AppFile.java
+++ b/src/main/java/kitemux/app/AppFile.java
@@ -8,9 +8,9 @@
 import java.util.function.Function;
 import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RetrySafety;
-import kitemux.hcl.Places;
+import kitemux.hcl.HclReader;
 import kitemux.hcl.Section;
-import kitemux.hcl.Text;
+import kitemux.hcl.SourceLocations;
 
 /** Reads an application's description in HCL; {@code docs/operate/config.md} has all fields. */
 public final class AppFile {
@@ -43,12 +43,12 @@
      * @param app null where the text is no HCL at all
      * @param places where things stand in the text
      */
-    public record Reading(App app, List<Finding> findings, Places places) {}
+    public record Reading(App app, List<Finding> findings, SourceLocations places) {}
 
     /** Reads a description and holds it against all rules: shape first, then meaning. */
     public static Reading read(String given) {
         String text = given.startsWith("\uFEFF") ? given.substring(1) : given;
-        Places places = Places.of(text);
+        SourceLocations places = SourceLocations.of(text);
         List<Finding> findings = new ArrayList<>();
         if (text.length() > MOST_BYTES) {
             findings.add(new Finding(
@@ -63,7 +63,7 @@
         }
         Map<String, Object> parsed;
         try {
-            parsed = Text.parse(text, places);
+            parsed = HclReader.parse(text, places);
         } catch (IOException e) {
             findings.add(new Finding(Rule.SHAPE, "", "this is not HCL: " + e.getMessage()));
             return new Reading(null, findings, places);
@@ -134,7 +134,7 @@
     private static <T> List<T> labelled(
             Section all, String type, List<Finding> beyond, BiFunction<String, Block, T> read) {
         List<T> found = new ArrayList<>();
-        all.labelled(type, type.equals("class")).forEach((label, of) -> {
+        all.labelledBlocks(type, type.equals("class")).forEach((label, of) -> {
             Block block = new Block(type, of, beyond);
             found.add(read.apply(label, block));
             block.end();
@@ -143,7 +143,7 @@
     }
 
     private static <T> T part(Section all, String type, List<Finding> beyond, Function<Block, T> read) {
-        Block block = new Block(type, all.part(type), beyond);
+        Block block = new Block(type, all.blockOrEmpty(type), beyond);
         T part = read.apply(block);
         block.end();
         return part;
--- a/src/main/java/kitemux/app/Block.java
+++ b/src/main/java/kitemux/app/Block.java
@@ -31,7 +31,8 @@
         Field field = field(name);
         // Not a number where the table's least is smaller than any: written so that it is told as well.
         if (!(value >= field.least() && value <= field.most())) {
-            beyond.add(new Finding(field.beyond(), section.at(name), "is not " + field.range() + ": " + field.why()));
+            beyond.add(
+                    new Finding(field.beyond(), section.pathOf(name), "is not " + field.range() + ": " + field.why()));
         }
         return value;
     }
@@ -47,7 +48,7 @@
     }
 
     boolean yes(String name) {
-        return section.yes(name, Boolean.parseBoolean(field(name).otherwise()));
+        return section.bool(name, Boolean.parseBoolean(field(name).otherwise()));
     }
 
     double number(String name) {
@@ -56,19 +57,20 @@
     }
 
     int whole(String name) {
-        return (int)
-                within(name, section.whole(name, Double.parseDouble(field(name).otherwise())));
+        return (int) within(
+                name, section.integer(name, Double.parseDouble(field(name).otherwise())));
     }
 
     /** Microseconds. */
     long time(String name) {
         String otherwise = field(name).otherwise();
-        return (long) within(name, section.time(name, otherwise == null ? -1 : Section.us(otherwise)));
+        return (long)
+                within(name, section.durationUs(name, otherwise == null ? -1 : Section.parseDurationUs(otherwise)));
     }
 
     <E extends Enum<E>> E word(String name, Class<E> of) {
         String otherwise = field(name).otherwise();
-        return section.word(
+        return section.enumValue(
                 name,
                 of,
                 otherwise == null
@@ -78,6 +80,6 @@
 
     /** To be called once all is read. */
     void end() {
-        section.end();
+        section.reportUnknownFields();
     }
 }
--- a/src/main/java/kitemux/app/Report.java
+++ b/src/main/java/kitemux/app/Report.java
@@ -31,7 +31,7 @@
                 .map(finding -> {
                     String line = finding.at().matches("\\d+:\\d+")
                             ? file + ":" + finding.line()
-                            : reading.places().with(file, finding.line());
+                            : reading.places().withLocation(file, finding.line());
                     Matcher place = PLACE.matcher(line);
                     boolean known = place.matches() && place.group(1).equals(file);
                     return new Found(
--- a/src/main/java/kitemux/app/Watch.java
+++ b/src/main/java/kitemux/app/Watch.java
@@ -52,7 +52,7 @@
         AppFile.Reading reading = AppFile.read(text);
         if (!reading.findings().isEmpty()) {
             List<String> say = new ArrayList<>();
-            reading.findings().forEach(f -> say.add(reading.places().with("the description", f.line())));
+            reading.findings().forEach(f -> say.add(reading.places().withLocation("the description", f.line())));
             say.add("the description has changed and is not sound; what it said before holds");
             return new Decision(null, say);
         }
--- a/src/main/java/kitemux/cli/ConfigCommand.java
+++ b/src/main/java/kitemux/cli/ConfigCommand.java
@@ -75,7 +75,7 @@
                             ? file + finding.line()
                             : isPlace
                                     ? file + ":" + finding.line()
-                                    : reading.places().with(file.toString(), finding.line()));
+                                    : reading.places().withLocation(file.toString(), finding.line()));
         }
         return reading.findings().isEmpty();
     }
--- a/src/main/java/kitemux/cli/PlanCommand.java
+++ b/src/main/java/kitemux/cli/PlanCommand.java
@@ -17,7 +17,7 @@
 import kitemux.fleet.Emulation;
 import kitemux.fleet.Fleet;
 import kitemux.fleet.RunResult;
-import kitemux.hcl.Places;
+import kitemux.hcl.SourceLocations;
 import kitemux.plan.CapturedWorkload;
 import kitemux.plan.FleetFile;
 import kitemux.plan.Planner;
@@ -106,7 +106,7 @@
             String text = Files.readString(file);
             List<String> inFile = new ArrayList<>();
             fleet = FleetFile.read(text, inFile);
-            faults.addAll(Places.placed(file.toString(), text, inFile));
+            faults.addAll(SourceLocations.faultsWithLocations(file.toString(), text, inFile));
         } catch (IOException e) {
             faults.add("--fleet: " + file + " cannot be read: " + e.getMessage());
         }
--- a/src/main/java/kitemux/drill/ScenarioFile.java
+++ b/src/main/java/kitemux/drill/ScenarioFile.java
@@ -13,8 +13,8 @@
 import kitemux.drill.Fault.Way;
 import kitemux.drill.Fault.What;
 import kitemux.fleet.Fleet;
-import kitemux.hcl.Places;
 import kitemux.hcl.Section;
+import kitemux.hcl.SourceLocations;
 import kitemux.plan.FleetFile;
 
 /** Reads a drill from its description in HCL; {@code docs/operate/drill.md} has all fields. */
@@ -53,7 +53,7 @@
         List<String> own = new ArrayList<>();
         List<String> ofFleet = new ArrayList<>();
         Scenario read = scenario(new Section("", parsed, own), seed, texts, own, ofFleet);
-        faults.addAll(Places.placed(file, text, own));
+        faults.addAll(SourceLocations.faultsWithLocations(file, text, own));
         faults.addAll(ofFleet);
         return read;
     }
@@ -61,25 +61,25 @@
     private static Scenario scenario(
             Section all, Long given, FleetFile.FileSource texts, List<String> own, List<String> ofFleet) {
         Fleet fleet = FleetFile.readNamed(all.text("fleet"), texts, own, ofFleet);
-        long seed = given == null ? all.whole("seed", 1) : given;
+        long seed = given == null ? all.integer("seed", 1) : given;
         if (given != null) {
-            all.whole("seed", 1);
+            all.integer("seed", 1);
         }
-        int nodes = all.whole("nodes", 0);
-        long length = all.time("length", 0);
-        long repeat = all.time("repeat_grace", 400_000);
-        Section limits = all.part("bounds");
-        Scenario.Bounds bounds =
-                new Scenario.Bounds(limits.whole("attempts", 0), limits.whole("dials", 0), limits.whole("calls", 0));
-        limits.end();
+        int nodes = all.integer("nodes", 0);
+        long length = all.durationUs("length", 0);
+        long repeat = all.durationUs("repeat_grace", 400_000);
+        Section limits = all.blockOrEmpty("bounds");
+        Scenario.Bounds bounds = new Scenario.Bounds(
+                limits.integer("attempts", 0), limits.integer("dials", 0), limits.integer("calls", 0));
+        limits.reportUnknownFields();
         require(
                 own,
                 bounds.attempts() >= 0 && bounds.dials() >= 0 && bounds.calls() >= 0,
                 "bounds: must not be under 0");
-        Section answers = all.part("long_answers");
+        Section answers = all.blockOrEmpty("long_answers");
         Scenario.LongAnswers longAnswers = new Scenario.LongAnswers(
-                answers.number("share", 0), answers.time("lasts", 1_000_000), answers.number("stops", 0));
-        answers.end();
+                answers.number("share", 0), answers.durationUs("lasts", 1_000_000), answers.number("stops", 0));
+        answers.reportUnknownFields();
         require(
                 own,
                 isShare(longAnswers.share()) && isShare(longAnswers.stops()),
@@ -111,20 +111,21 @@
         if (own.isEmpty()) {
             Parties parties = new Parties(fleet);
             SplittableRandom draws = new SplittableRandom(seed);
-            all.labelled("fault", false)
+            all.labelledBlocks("fault", false)
                     .forEach(
                             (name, section) -> faults.add(fault(name, section, parties, draws.split(), lengthUs, own)));
             faults.sort(Comparator.comparingLong(Fault::atUs));
         }
         List<Scenario.Phase> phases = new ArrayList<>();
-        all.labelled("phase", false).forEach((name, section) -> {
-            Scenario.Phase phase = new Scenario.Phase(name, section.time("from", -1), section.time("to", -1));
-            section.end();
+        all.labelledBlocks("phase", false).forEach((name, section) -> {
+            Scenario.Phase phase =
+                    new Scenario.Phase(name, section.durationUs("from", -1), section.durationUs("to", -1));
+            section.reportUnknownFields();
             require(own, phase.fromUs() < phase.toUs(), "phase \"" + name + "\".to: is not after from");
             phases.add(phase);
         });
         if (own.isEmpty()) {
-            all.end();
+            all.reportUnknownFields();
         }
         return new Scenario(fleet, seed, faults, phases, repeat, bounds, longAnswers);
     }
@@ -158,15 +159,15 @@
     private static Fault fault(
             String name, Section of, Parties parties, SplittableRandom draws, long lengthUs, List<String> own) {
         String path = "fault \"" + name + "\".";
-        What what = of.word("what", What.class, null);
-        long at = of.time("at", -1);
-        long lasts = what == What.RESET ? 0 : of.time("for", -1);
-        int count = of.whole("count", 0);
+        What what = of.enumValue("what", What.class, null);
+        long at = of.durationUs("at", -1);
+        long lasts = what == What.RESET ? 0 : of.durationUs("for", -1);
+        int count = of.integer("count", 0);
         List<Integer> nodes = new ArrayList<>();
         Set<Way> links = new LinkedHashSet<>();
         Direction direction = Direction.BOTH;
         if (what.isOfWays()) {
-            direction = of.word("ways", Direction.class, Direction.BOTH);
+            direction = of.enumValue("ways", Direction.class, Direction.BOTH);
             List<String> from = parties(of, path, "from", parties, own);
             List<String> to = drawn(parties(of, path, "to", parties, own), count, draws);
             for (String one : from) {
@@ -210,11 +211,11 @@
                 nodes,
                 direction != Direction.BACK,
                 direction != Direction.THERE,
-                slow ? of.time("delay", 0) : 0,
-                slow ? of.time("spread", 0) : 0,
+                slow ? of.durationUs("delay", 0) : 0,
+                slow ? of.durationUs("spread", 0) : 0,
                 slow ? of.number("bytes_per_s", 0) : 0,
-                what == What.FLAP ? of.time("every", -1) : 0);
-        of.end();
+                what == What.FLAP ? of.durationUs("every", -1) : 0);
+        of.reportUnknownFields();
         require(own, at < lengthUs, path + "at: is not within the drill's length");
         require(
                 own,
--- a/src/main/java/kitemux/hcl/Text.java
+++ b/src/main/java/kitemux/hcl/HclReader.java
@@ -12,11 +12,11 @@
  * servers. So
  * blocks with labels, of which there may be many, are read some at a time, and put together.
  */
-public final class Text {
+public final class HclReader {
     /** Blocks that are read at a time. */
     private static final int AT_A_TIME = 50;
 
-    private Text() {}
+    private HclReader() {}
 
     /**
      * What a text says, by names.
@@ -24,20 +24,20 @@
      * @param places of the same text
      * @throws IOException if it is no HCL; the message says what the library found
      */
-    public static Map<String, Object> parse(String text, Places places) throws IOException {
+    public static Map<String, Object> parse(String text, SourceLocations places) throws IOException {
         StringBuilder rest = new StringBuilder();
         int at = 0;
-        for (Places.Labelled block : places.labelled()) {
-            rest.append(text, at, block.from());
-            at = block.to();
+        for (SourceLocations.LabelledBlock block : places.labelledBlocks()) {
+            rest.append(text, at, block.start());
+            at = block.end();
         }
         rest.append(text, at, text.length());
         Map<String, Object> all = new LinkedHashMap<>();
-        List<Places.Labelled> blocks = places.labelled();
+        List<SourceLocations.LabelledBlock> blocks = places.labelledBlocks();
         for (int i = 0; i < blocks.size(); i += AT_A_TIME) {
             StringBuilder some = new StringBuilder();
-            for (Places.Labelled block : blocks.subList(i, Math.min(blocks.size(), i + AT_A_TIME))) {
-                some.append(text, block.from(), block.to()).append('\n');
+            for (SourceLocations.LabelledBlock block : blocks.subList(i, Math.min(blocks.size(), i + AT_A_TIME))) {
+                some.append(text, block.start(), block.end()).append('\n');
             }
             merge(all, read(some.toString()));
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Blocks of one type are told by their labels; what is told twice is found by {@link Places}. */
+    /** Blocks of one type are told by their labels; what is told twice is found by {@link SourceLocations}. */
     private static void merge(Map<String, Object> into, Map<?, ?> more) {
         more.forEach((key, value) -> {
             String name = key.toString();
--- a/src/main/java/kitemux/hcl/Section.java
+++ b/src/main/java/kitemux/hcl/Section.java
@@ -37,7 +37,7 @@
     }
 
     /** The path by which faults name a field. */
-    public String at(String field) {
+    public String pathOf(String field) {
         return path.isEmpty() ? field : path + "." + field;
     }
 
@@ -45,7 +45,7 @@
         read.add(field);
         Object value = fields.get(field);
         if (value == null && must) {
-            faults.add(at(field) + ": must be given");
+            faults.add(pathOf(field) + ": must be given");
         }
         return value;
     }
@@ -57,36 +57,36 @@
             return number.doubleValue();
         }
         if (value != null) {
-            faults.add(at(field) + ": must be a number, not " + shown(value));
+            faults.add(pathOf(field) + ": must be a number, not " + shown(value));
         }
         return Double.isNaN(otherwise) ? 1 : otherwise;
     }
 
     /** A whole number, as {@link #number}. */
-    public int whole(String field, double otherwise) {
+    public int integer(String field, double otherwise) {
         double number = number(field, otherwise);
         if (number != Math.rint(number) || Math.abs(number) > Integer.MAX_VALUE) {
-            faults.add(at(field) + ": must be a whole number, not " + number);
+            faults.add(pathOf(field) + ": must be a whole number, not " + number);
         }
         return (int) number;
     }
 
     /** A length of time with its unit, in microseconds; must be given where {@code otherwise} is under 0. */
-    public long time(String field, long otherwise) {
+    public long durationUs(String field, long otherwise) {
         Object value = get(field, otherwise < 0);
         if (value == null) {
             return otherwise < 0 ? 1 : otherwise;
         }
-        long us = us(value.toString());
+        long us = parseDurationUs(value.toString());
         if (us < 0) {
-            faults.add(at(field) + ": must be a time with its unit, such as \"300ms\", not " + shown(value));
+            faults.add(pathOf(field) + ": must be a time with its unit, such as \"300ms\", not " + shown(value));
             return 1;
         }
         return us;
     }
 
     /** A time with its unit, in microseconds; -1 where it is none. */
-    public static long us(String text) {
+    public static long parseDurationUs(String text) {
         Matcher read = TIME.matcher(text);
         if (!read.matches()) {
             return -1;
@@ -103,16 +103,16 @@
     }
 
     /** True or false. */
-    public boolean yes(String field, boolean otherwise) {
+    public boolean bool(String field, boolean otherwise) {
         Object value = get(field, false);
         if (value != null && !(value instanceof Boolean)) {
-            faults.add(at(field) + ": must be true or false, not " + shown(value));
+            faults.add(pathOf(field) + ": must be true or false, not " + shown(value));
         }
         return value instanceof Boolean given ? given : otherwise;
     }
 
     /** One of the words that an enum has; must be given where {@code otherwise} is null. */
-    public <E extends Enum<E>> E word(String field, Class<E> of, E otherwise) {
+    public <E extends Enum<E>> E enumValue(String field, Class<E> of, E otherwise) {
         Object value = get(field, otherwise == null);
         E[] all = of.getEnumConstants();
         if (value == null) {
@@ -126,7 +126,7 @@
                 return one;
             }
         }
-        faults.add(at(field) + ": must be one of " + String.join(", ", words) + ", not " + shown(value));
+        faults.add(pathOf(field) + ": must be one of " + String.join(", ", words) + ", not " + shown(value));
         return all[0];
     }
 
@@ -134,7 +134,7 @@
     public String text(String field) {
         Object value = get(field, true);
         if (value != null && (!(value instanceof String text) || text.isBlank())) {
-            faults.add(at(field) + ": must be a text, not " + shown(value));
+            faults.add(pathOf(field) + ": must be a text, not " + shown(value));
         }
         return value instanceof String text ? text : "";
     }
@@ -145,9 +145,9 @@
     }
 
     /** The block of this name, or one without fields where it is not there. */
-    public Section part(String name) {
+    public Section blockOrEmpty(String name) {
         Section of = block(name, false);
-        return of == null ? new Section(at(name), Map.of(), faults) : of;
+        return of == null ? new Section(pathOf(name), Map.of(), faults) : of;
     }
 
     /** A list of texts. */
@@ -164,7 +164,7 @@
             if (value instanceof Number number) {
                 found.add(number.doubleValue());
             } else {
-                faults.add(at(field) + ": must hold numbers, not " + shown(value));
+                faults.add(pathOf(field) + ": must hold numbers, not " + shown(value));
             }
         }
         return found;
@@ -173,7 +173,7 @@
     private Optional<List<?>> values(String field) {
         Object value = get(field, false);
         if (value != null && !(value instanceof List<?>)) {
-            faults.add(at(field) + ": must be a list, not " + shown(value));
+            faults.add(pathOf(field) + ": must be a list, not " + shown(value));
         }
         return value instanceof List<?> list ? Optional.of(list) : Optional.empty();
     }
@@ -184,30 +184,30 @@
         if (value == null && !must) {
             return null;
         }
-        return new Section(at(name), map(name, value), faults);
+        return new Section(pathOf(name), map(name, value), faults);
     }
 
     /** All blocks of this type, by their labels, in order. */
-    public Map<String, Section> labelled(String type, boolean must) {
+    public Map<String, Section> labelledBlocks(String type, boolean must) {
         Map<String, Section> found = new LinkedHashMap<>();
         Object value = get(type, must);
         if (value != null) {
             map(type, value).forEach((label, fieldsOf) -> {
                 String of = type + " \"" + label + "\"";
-                found.put(label, new Section(at(of), map(of, fieldsOf), faults));
+                found.put(label, new Section(pathOf(of), map(of, fieldsOf), faults));
             });
         }
         return found;
     }
 
     /** All blocks of this type, which have no label, in order. */
-    public List<Section> repeated(String type) {
+    public List<Section> repeatedBlocks(String type) {
         Object value = get(type, false);
         List<Section> found = new ArrayList<>();
         List<?> all = value == null ? List.of() : value instanceof List<?> list ? list : List.of(value);
         for (Object one : all) {
             String of = type + "[" + found.size() + "]";
-            found.add(new Section(at(of), map(of, one), faults));
+            found.add(new Section(pathOf(of), map(of, one), faults));
         }
         return found;
     }
@@ -217,16 +217,16 @@
         if (value instanceof Map<?, ?> map) {
             map.forEach((key, entry) -> found.put(key.toString(), entry));
         } else if (value != null) {
-            faults.add(at(of) + ": must be a block, not " + shown(value));
+            faults.add(pathOf(of) + ": must be a block, not " + shown(value));
         }
         return found;
     }
 
     /** To be called once all is read: what is left over is not known. */
-    public void end() {
+    public void reportUnknownFields() {
         for (String field : fields.keySet()) {
             if (!read.contains(field)) {
-                faults.add(at(field) + ": is not known here; known are " + String.join(", ", read));
+                faults.add(pathOf(field) + ": is not known here; known are " + String.join(", ", read));
             }
         }
     }
--- a/src/main/java/kitemux/hcl/Places.java
+++ b/src/main/java/kitemux/hcl/SourceLocations.java
@@ -14,13 +14,13 @@
  * places, and forgives brackets that are left open; this looks at names and brackets alone, and leaves values
  * to it.
  */
-public final class Places {
+public final class SourceLocations {
     private static final String FIRST = "[0]";
 
     private final String text;
     private final Map<String, int[]> places = new HashMap<>();
     private final List<String> faults = new ArrayList<>();
-    private final List<Labelled> labelled = new ArrayList<>();
+    private final List<LabelledBlock> labelledBlocks = new ArrayList<>();
     /** Where the statement began that is being read. */
     private int statement;
 
@@ -29,25 +29,25 @@
     private int line = 1;
     private int lineBegan;
 
-    private Places(String text) {
+    private SourceLocations(String text) {
         this.text = text;
     }
 
     /**
      * A block at the top that has a label, such as {@code server "web-1" { ... }}.
      *
-     * @param from and {@code to}: where it stands in the text, the latter behind its bracket
+     * @param start and {@code to}: where it stands in the text, the latter behind its bracket
      */
-    record Labelled(int from, int to) {}
+    record LabelledBlock(int start, int end) {}
 
     /** Blocks at the top that have a label, in order; those that are never closed are not among them. */
-    List<Labelled> labelled() {
-        return List.copyOf(labelled);
+    List<LabelledBlock> labelledBlocks() {
+        return List.copyOf(labelledBlocks);
     }
 
     /** Looks through a description. */
-    public static Places of(String text) {
-        Places places = new Places(text);
+    public static SourceLocations of(String text) {
+        SourceLocations places = new SourceLocations(text);
         places.scan();
         return places;
     }
@@ -67,11 +67,11 @@
      *
      * @param faults each begins with a field or a block, as {@link Section} names them
      */
-    public static List<String> placed(String file, String text, List<String> faults) {
-        Places places = of(text);
+    public static List<String> faultsWithLocations(String file, String text, List<String> faults) {
+        SourceLocations places = of(text);
         List<String> all = new ArrayList<>();
         places.faults().forEach(fault -> all.add(file + ":" + fault));
-        faults.forEach(fault -> all.add(places.with(file, fault)));
+        faults.forEach(fault -> all.add(places.withLocation(file, fault)));
         return all;
     }
 
@@ -83,7 +83,7 @@
      *
      * @param fault begins with a field or a block, as {@link Section} names them
      */
-    public String with(String file, String fault) {
+    public String withLocation(String file, String fault) {
         int[] best = null;
         int length = -1;
         for (Map.Entry<String, int[]> place : places.entrySet()) {
@@ -101,7 +101,7 @@
     // ---------------------------------------------------------------- the text
 
     /**
-     * @param from where a labelled block at the top begins; -1 for all others
+     * @param start where a labelled block at the top begins; -1 for all others
      */
     private record Open(char bracket, String path, int line, int column, Map<String, Integer> counts, int from) {}
 
@@ -194,7 +194,7 @@
         if (open.size() > 1) {
             Open closed = open.pop();
             if (closed.from >= 0) {
-                labelled.add(new Labelled(closed.from, at + 1));
+                labelledBlocks.add(new LabelledBlock(closed.from, at + 1));
             }
         }
     }
--- a/src/main/java/kitemux/keeper/KeeperSettingsParser.java
+++ b/src/main/java/kitemux/keeper/KeeperSettingsParser.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Set;
 import kitemux.config.ConfigException;
-import kitemux.hcl.Places;
+import kitemux.hcl.HclReader;
 import kitemux.hcl.Section;
-import kitemux.hcl.Text;
+import kitemux.hcl.SourceLocations;
 import kitemux.net.Addresses;
 import kitemux.rollout.ProtocolParameters;
 import kitemux.rollout.Voter;
@@ -33,20 +33,20 @@
     public static KeeperSettings parse(String file, String text, List<String> faults) {
         Map<String, Object> parsed;
         try {
-            parsed = Text.parse(text, Places.of(text));
+            parsed = HclReader.parse(text, SourceLocations.of(text));
         } catch (IOException e) {
             faults.add(file + ": this is not HCL: " + e.getMessage());
             return null;
         }
         List<String> own = new ArrayList<>();
         Section all = new Section("", parsed, own);
-        int number = all.whole("keeper", Double.NaN);
+        int number = all.integer("keeper", Double.NaN);
         List<InetSocketAddress> keepers = keepers(all, own);
         String listen = all.text("listen", "");
         Path folder = folder(all.text("folder"), own);
         List<Voter> voters = voters(all, keepers.size(), own);
-        int nodes = all.whole("nodes", Double.NaN);
-        all.end();
+        int nodes = all.integer("nodes", Double.NaN);
+        all.reportUnknownFields();
         if (number < 0 || all.has("keeper") && number >= keepers.size()) {
             own.add("keeper: is not from 0 to " + (keepers.size() - 1) + ", the last of keepers");
         }
@@ -54,7 +54,7 @@
             own.add("nodes: is not from 1 to " + ProtocolParameters.MAX_NODE_COUNT);
         }
         InetSocketAddress at = listen.isEmpty() ? null : address("listen", listen, own);
-        faults.addAll(Places.placed(file, text, own));
+        faults.addAll(SourceLocations.faultsWithLocations(file, text, own));
         return !faults.isEmpty()
                 ? null
                 : new KeeperSettings(number, keepers, at == null ? keepers.get(number) : at, folder, voters, nodes);
--- a/src/main/java/kitemux/lab/ExperimentFile.java
+++ b/src/main/java/kitemux/lab/ExperimentFile.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Set;
 import kitemux.fleet.Fleet;
-import kitemux.hcl.Places;
 import kitemux.hcl.Section;
+import kitemux.hcl.SourceLocations;
 import kitemux.plan.FleetFile;
 
 /** Parses the HCL description of an experiment; {@code docs/operate/lab.md} documents all fields. */
@@ -47,7 +47,7 @@
         List<String> experimentErrors = new ArrayList<>();
         List<String> fleetErrors = new ArrayList<>();
         Experiment experiment = parseExperiment(parsed, fileSource, experimentErrors, fleetErrors);
-        errors.addAll(Places.placed(file, text, experimentErrors));
+        errors.addAll(SourceLocations.faultsWithLocations(file, text, experimentErrors));
         errors.addAll(fleetErrors);
         return experiment;
     }
@@ -60,8 +60,8 @@
         Section all = new Section("", parsed, errors);
         String path = all.text("fleet");
         double goal = all.number("goal", 0.95);
-        int seeds = all.whole("seeds", 1);
-        long length = all.time("length", 20_000_000);
+        int seeds = all.integer("seeds", 1);
+        long length = all.durationUs("length", 20_000_000);
         List<Experiment.Environment> environments = new ArrayList<>();
         for (String word : all.texts("where", List.of("emulator", "loopback"))) {
             try {
@@ -75,13 +75,13 @@
         require(errors, seeds >= 1 && seeds <= MAX_SEED_COUNT, "seeds: is not from 1 to " + MAX_SEED_COUNT);
         require(errors, length >= 2_000_000 && length <= MAX_LENGTH_US, "length: is not from 2s to 10m");
         List<Experiment.Variant> variants = new ArrayList<>();
-        Map<String, Section> scenarios = all.labelled("scenario", true);
+        Map<String, Section> scenarios = all.labelledBlocks("scenario", true);
         if (base != null) {
             Fleet.Load load = base.load();
             Fleet withLength = base.with(
                     new Fleet.Load(load.ratePerS(), length, load.profile(), load.quotaPerS(), load.overShareWorth()));
             scenarios.forEach((name, of) -> addScenario(name, of, withLength, variants, errors));
-            all.end();
+            all.reportUnknownFields();
             validate(variants, environments, errors);
         }
         return new Experiment(goal, seeds, environments, variants);
@@ -94,17 +94,17 @@
         Section counts = section.block("counts", false);
         if (counts != null) {
             List<Fleet.ServerKind> kinds = new ArrayList<>();
-            fleet.kinds().forEach(kind -> kinds.add(withCount(kind, counts.whole(kind.name(), kind.count()))));
-            counts.end();
+            fleet.kinds().forEach(kind -> kinds.add(withCount(kind, counts.integer(kind.name(), kind.count()))));
+            counts.reportUnknownFields();
             fleet = fleet.withKinds(kinds);
         }
-        if (!section.yes("choke", true)) {
+        if (!section.bool("choke", true)) {
             fleet = fleet.with((Fleet.OverloadSlowdown) null);
         }
         Fleet.Clients clients = fleet.clients();
         fleet = fleet.with(new Fleet.Clients(
                 clients.oneWayUs(),
-                section.whole("retries", clients.maxRetries()),
+                section.integer("retries", clients.maxRetries()),
                 clients.minTryTimeoutRatio(),
                 clients.maxTryTimeoutRatio(),
                 clients.backoffUs(),
@@ -113,18 +113,18 @@
                 clients.nodeSkew()));
         Fleet.Nodes nodes = fleet.nodes();
         fleet = fleet.with(new Fleet.Nodes(
-                section.whole("nodes", nodes.count()),
+                section.integer("nodes", nodes.count()),
                 nodes.eventCostUs(),
                 nodes.cores(),
                 nodes.startupUs(),
                 nodes.failureDetectionUs()));
         List<Fleet.Fault> faults = new ArrayList<>(fleet.faults());
-        section.repeated("fault").forEach(fault -> faults.add(FleetFile.readFault(fault)));
+        section.repeatedBlocks("fault").forEach(fault -> faults.add(FleetFile.readFault(fault)));
         fleet = fleet.withFaults(faults);
         List<Double> loads = section.numbers("loads");
         List<Double> boxes = section.numbers("boxes");
         String kind = boxes.isEmpty() ? "" : section.text("of");
-        section.end();
+        section.reportUnknownFields();
         if (loads.isEmpty() && boxes.isEmpty()) {
             variants.add(new Experiment.Variant(name, "", 0, false, fleet));
         }
@@ -154,9 +154,9 @@
 
     private static Fleet.Load withProfile(Fleet.Load load, Section section) {
         List<Fleet.LoadPoint> profile = new ArrayList<>();
-        for (Section point : section.repeated("point")) {
-            profile.add(new Fleet.LoadPoint(point.time("at", 0), point.number("times", Double.NaN)));
-            point.end();
+        for (Section point : section.repeatedBlocks("point")) {
+            profile.add(new Fleet.LoadPoint(point.durationUs("at", 0), point.number("times", Double.NaN)));
+            point.reportUnknownFields();
         }
         return profile.isEmpty()
                 ? load
--- a/src/main/java/kitemux/plan/FleetFile.java
+++ b/src/main/java/kitemux/plan/FleetFile.java
@@ -10,8 +10,8 @@
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.RetrySafety;
 import kitemux.fleet.Fleet;
-import kitemux.hcl.Places;
 import kitemux.hcl.Section;
+import kitemux.hcl.SourceLocations;
 
 /**
  * Reads a fleet, its load and its faults from a description in HCL.
@@ -62,7 +62,7 @@
             String text = source.read(path);
             List<String> foundFaults = new ArrayList<>();
             Fleet fleet = read(text, foundFaults);
-            fleetFaults.addAll(Places.placed(path, text, foundFaults));
+            fleetFaults.addAll(SourceLocations.faultsWithLocations(path, text, foundFaults));
             return fleetFaults.isEmpty() ? fleet : null;
         } catch (IOException e) {
             referrerFaults.add("fleet: " + path + " cannot be read: " + e.getMessage());
@@ -87,13 +87,13 @@
         }
         Section root = new Section("", parsed, faults);
         List<Fleet.ServerKind> kinds = new ArrayList<>();
-        root.labelled("boxes", true).forEach((name, section) -> kinds.add(kind(name, section)));
+        root.labelledBlocks("boxes", true).forEach((name, section) -> kinds.add(kind(name, section)));
         List<Fleet.ClassWorkload> classes = new ArrayList<>();
-        root.labelled("class", true).forEach((name, section) -> classes.add(work(name, section)));
+        root.labelledBlocks("class", true).forEach((name, section) -> classes.add(work(name, section)));
         List<Fleet.TenantShare> tenants = new ArrayList<>();
-        root.labelled("tenant", false).forEach((name, section) -> {
+        root.labelledBlocks("tenant", false).forEach((name, section) -> {
             tenants.add(new Fleet.TenantShare(name, section.number("share", Double.NaN), section.number("usage", 1)));
-            section.end();
+            section.reportUnknownFields();
         });
         Fleet.Nodes nodes = nodes(root.block("nodes", true));
         Fleet.OverloadSlowdown slowdown = overloadSlowdown(root.block("choke", false));
@@ -102,13 +102,13 @@
         Fleet.Clients clients = clients(root.block("clients", true));
         Fleet.Load load = load(root.block("load", true));
         List<Fleet.Fault> injectedFaults = new ArrayList<>();
-        for (Section fault : root.repeated("fault")) {
+        for (Section fault : root.repeatedBlocks("fault")) {
             injectedFaults.add(readFault(fault));
         }
         Fleet fleet = new Fleet(
                 kinds,
-                root.whole("racks", 1),
-                zones(root.part("zones")),
+                root.integer("racks", 1),
+                zones(root.blockOrEmpty("zones")),
                 nodes,
                 slowdown,
                 links,
@@ -118,7 +118,7 @@
                 tenants,
                 load,
                 injectedFaults);
-        root.end();
+        root.reportUnknownFields();
         if (faults.isEmpty()) {
             faults.addAll(fleet.validate());
         }
@@ -128,41 +128,41 @@
     /** Reads a fault from its section of a description. */
     public static Fleet.Fault readFault(Section section) {
         Fleet.Fault fault = new Fleet.Fault(
-                section.word("trouble", Fleet.FaultKind.class, null),
-                section.word("among", Fleet.FaultScope.class, Fleet.FaultScope.ANY),
-                section.whole("which", 0),
-                section.whole("count", 0),
-                section.time("at", -1),
-                section.time("for", -1),
+                section.enumValue("trouble", Fleet.FaultKind.class, null),
+                section.enumValue("among", Fleet.FaultScope.class, Fleet.FaultScope.ANY),
+                section.integer("which", 0),
+                section.integer("count", 0),
+                section.durationUs("at", -1),
+                section.durationUs("for", -1),
                 section.number("size", 1));
-        section.end();
+        section.reportUnknownFields();
         return fault;
     }
 
     private static Fleet.ServerKind kind(String name, Section section) {
         Fleet.ServerKind kind = new Fleet.ServerKind(
                 name,
-                section.whole("count", Double.NaN),
-                section.whole("cores", 1),
+                section.integer("count", Double.NaN),
+                section.integer("cores", 1),
                 section.number("speed", 1),
                 section.number("speed_cv", 0),
-                section.whole("queue", 1_000),
+                section.integer("queue", 1_000),
                 section.number("cold_from", 1),
-                section.time("cold", 0),
-                section.yes("warms_by_work", false),
+                section.durationUs("cold", 0),
+                section.bool("warms_by_work", false),
                 section.number("cost", 1));
-        section.end();
+        section.reportUnknownFields();
         return kind;
     }
 
     private static Fleet.ClassWorkload work(String name, Section section) {
-        RepeatPolicy repeat = section.word("repeat", RepeatPolicy.class, null);
-        DeduplicationScope scope = section.word("group", DeduplicationScope.class, DeduplicationScope.ALL);
+        RepeatPolicy repeat = section.enumValue("repeat", RepeatPolicy.class, null);
+        DeduplicationScope scope = section.enumValue("group", DeduplicationScope.class, DeduplicationScope.ALL);
         RequestClass requestClass = new RequestClass(
                 name,
-                section.time("aim", -1),
+                section.durationUs("aim", -1),
                 0,
-                section.time("deadline", -1),
+                section.durationUs("deadline", -1),
                 section.number("worth", 1),
                 section.number("late_worth", 0),
                 switch (repeat) {
@@ -171,33 +171,33 @@
                     case NEVER_TWICE -> RetrySafety.UNSAFE;
                 },
                 scope == DeduplicationScope.ALL ? DedupScope.ALL : DedupScope.CELL,
-                section.time("window", 0),
+                section.durationUs("window", 0),
                 false);
         Fleet.ClassWorkload workload = new Fleet.ClassWorkload(
                 requestClass,
                 section.number("share", Double.NaN),
-                section.time("work", -1),
-                section.word("spread", Fleet.WorkDistribution.class, Fleet.WorkDistribution.EXPONENTIAL),
+                section.durationUs("work", -1),
+                section.enumValue("spread", Fleet.WorkDistribution.class, Fleet.WorkDistribution.EXPONENTIAL),
                 section.number("cv", 1));
-        section.end();
+        section.reportUnknownFields();
         return workload;
     }
 
     private static Fleet.Nodes nodes(Section section) {
         Fleet.Nodes nodes = new Fleet.Nodes(
-                section.whole("count", Double.NaN),
-                section.time("event", 60),
+                section.integer("count", Double.NaN),
+                section.durationUs("event", 60),
                 section.number("cores", 1),
-                section.time("start", 1_500_000),
-                section.time("notice", 2_000_000));
-        section.end();
+                section.durationUs("start", 1_500_000),
+                section.durationUs("notice", 2_000_000));
+        section.reportUnknownFields();
         return nodes;
     }
 
     private static Fleet.Zones zones(Section section) {
-        Fleet.Zones zones =
-                new Fleet.Zones(section.whole("count", 1), section.time("across", 0), section.number("price", 0));
-        section.end();
+        Fleet.Zones zones = new Fleet.Zones(
+                section.integer("count", 1), section.durationUs("across", 0), section.number("price", 0));
+        section.reportUnknownFields();
         return zones;
     }
 
@@ -207,66 +207,67 @@
         }
         Fleet.OverloadSlowdown slowdown = new Fleet.OverloadSlowdown(
                 section.number("at", Double.NaN),
-                section.time("over", -1),
+                section.durationUs("over", -1),
                 section.number("slower", Double.NaN),
                 section.number("below", 0.3),
-                section.time("rest", -1),
-                section.time("most", -1));
-        section.end();
+                section.durationUs("rest", -1),
+                section.durationUs("most", -1));
+        section.reportUnknownFields();
         return slowdown;
     }
 
     private static Fleet.Links links(Section section) {
         Fleet.Links links = new Fleet.Links(
-                section.time("way", 200),
+                section.durationUs("way", 200),
                 section.number("jitter", 0.2),
-                section.whole("handshakes", 2),
-                section.time("handshake", 0),
-                section.whole("most_per_core", 1_000),
-                section.time("idle", 60_000_000),
-                section.time("connect", 250_000));
-        section.end();
+                section.integer("handshakes", 2),
+                section.durationUs("handshake", 0),
+                section.integer("most_per_core", 1_000),
+                section.durationUs("idle", 60_000_000),
+                section.durationUs("connect", 250_000));
+        section.reportUnknownFields();
         return links;
     }
 
     private static Fleet.DiscoveryDelays discoveryDelays(Section configured, List<String> faults) {
         Section section = configured == null ? new Section("list", Map.of(), faults) : configured;
         Fleet.DiscoveryDelays delays = new Fleet.DiscoveryDelays(
-                new Fleet.Range(section.time("gone_from", 560_000), section.time("gone_to", 5_000_000)),
-                new Fleet.Range(section.time("silent_from", 5_000_000), section.time("silent_to", 13_000_000)),
-                new Fleet.Range(section.time("back_from", 230_000), section.time("back_to", 2_100_000)),
-                section.time("grace", 500_000));
-        section.end();
+                new Fleet.Range(section.durationUs("gone_from", 560_000), section.durationUs("gone_to", 5_000_000)),
+                new Fleet.Range(
+                        section.durationUs("silent_from", 5_000_000), section.durationUs("silent_to", 13_000_000)),
+                new Fleet.Range(section.durationUs("back_from", 230_000), section.durationUs("back_to", 2_100_000)),
+                section.durationUs("grace", 500_000));
+        section.reportUnknownFields();
         return delays;
     }
 
     private static Fleet.Clients clients(Section section) {
         Fleet.Clients clients = new Fleet.Clients(
-                section.time("way", 700),
-                section.whole("retries", 2),
+                section.durationUs("way", 700),
+                section.integer("retries", 2),
                 section.number("try_from", 0.4),
                 section.number("try_to", 0.8),
-                section.time("backoff", 20_000),
+                section.durationUs("backoff", 20_000),
                 section.number("honour", 0.85),
-                section.time("most_retry_after", 1_000_000),
+                section.durationUs("most_retry_after", 1_000_000),
                 section.number("skew", 0));
-        section.end();
+        section.reportUnknownFields();
         return clients;
     }
 
     private static Fleet.Load load(Section section) {
         List<Fleet.LoadPoint> shape = new ArrayList<>();
-        for (Section point : section.repeated("point")) {
-            shape.add(new Fleet.LoadPoint(point.time("at", 0), point.number("times", Double.NaN)));
-            point.end();
+        for (Section point : section.repeatedBlocks("point")) {
+            shape.add(new Fleet.LoadPoint(point.durationUs("at", 0), point.number("times", Double.NaN)));
+            point.reportUnknownFields();
         }
         Fleet.Load load = new Fleet.Load(
                 section.number("rate", Double.NaN),
-                section.time("length", 40_000_000),
+                section.durationUs("length", 40_000_000),
                 shape,
                 section.number("quota", 0),
                 section.number("over_share_worth", 0.1));
-        section.end();
+        section.reportUnknownFields();
         return load;
     }
 }
--- a/src/main/java/kitemux/scale/PlanFile.java
+++ b/src/main/java/kitemux/scale/PlanFile.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import kitemux.hcl.Places;
 import kitemux.hcl.Section;
+import kitemux.hcl.SourceLocations;
 
 /** Reads what is to be measured from its description in HCL; {@code docs/operate/scale.md} has all fields. */
 public final class PlanFile {
@@ -42,7 +42,7 @@
         }
         List<String> own = new ArrayList<>();
         Plan plan = new Reader(own).plan(new Section("", parsed, own));
-        faults.addAll(Places.placed(file, text, own));
+        faults.addAll(SourceLocations.faultsWithLocations(file, text, own));
         return plan;
     }
 
@@ -54,8 +54,8 @@
         }
 
         private Plan plan(Section all) {
-            long seed = all.whole("seed", 1);
-            Section of = all.part("full");
+            long seed = all.integer("seed", 1);
+            Section of = all.blockOrEmpty("full");
             Plan.Full full = new Plan.Full(
                     number(of, "nodes", 420, MOST_NODES),
                     number(of, "servers", 4_800, MOST_SERVERS),
@@ -63,20 +63,20 @@
                     number(of, "zones", 8, 100),
                     number(of, "tenants", 11_000, MOST_TENANTS),
                     number(of, "changes_a_minute", 600, 6_000));
-            of.end();
+            of.reportUnknownFields();
             List<Plan.Event> told = new ArrayList<>();
-            all.labelled("event", false).forEach((name, event) -> {
-                boolean ends = event.yes("watches_end", false);
+            all.labelledBlocks("event", false).forEach((name, event) -> {
+                boolean ends = event.bool("watches_end", false);
                 told.add(new Plan.Event(
                         name,
                         ends ? -1 : number(event, "servers", Double.NaN, full.servers()),
                         number(event, "in_line", 1, MOST_SERVERS),
-                        event.yes("drains", false),
-                        event.yes("hollow", true)));
+                        event.bool("drains", false),
+                        event.bool("hollow", true)));
                 if (!name.matches("[a-z0-9-]+")) {
                     faults.add("event \"" + name + "\": its name is not of a to z, 0 to 9 and -");
                 }
-                event.end();
+                event.reportUnknownFields();
             });
             Plan plan = new Plan(
                     seed,
@@ -91,14 +91,14 @@
                     paired(all, full, told.size()),
                     events(all, full),
                     told);
-            all.end();
+            all.reportUnknownFields();
             return plan;
         }
 
         private int number(Section of, String field, double otherwise, int most) {
-            int number = of.whole(field, otherwise);
+            int number = of.integer(field, otherwise);
             if (number < 1 || number > most) {
-                faults.add(of.at(field) + ": is not from 1 to " + most);
+                faults.add(of.pathOf(field) + ": is not from 1 to " + most);
             }
             return number;
         }
@@ -110,14 +110,14 @@
                         || number > most
                         || number != Math.rint(number)
                         || !found.isEmpty() && number <= found.get(found.size() - 1)) {
-                    faults.add(
-                            of.at(field) + ": must hold whole numbers from 1 to " + most + " that grow, not " + number);
+                    faults.add(of.pathOf(field) + ": must hold whole numbers from 1 to " + most + " that grow, not "
+                            + number);
                     return List.of(1);
                 }
                 found.add((int) number);
             }
             if (found.isEmpty()) {
-                faults.add(of.at(field) + ": must hold at least one number");
+                faults.add(of.pathOf(field) + ": must hold at least one number");
                 return List.of(1);
             }
             return found;
@@ -128,11 +128,11 @@
         }
 
         private long time(Section of, String field, long otherwise, long most) {
-            long us = of.time(field, otherwise);
+            long us = of.durationUs(field, otherwise);
             if (us < 1_000 || us > most) {
                 if (us != 1) {
                     // That is what stands for one that could not be read, of which is told already.
-                    faults.add(of.at(field) + ": is not from 1ms to " + most / 1_000_000 + "s");
+                    faults.add(of.pathOf(field) + ": is not from 1ms to " + most / 1_000_000 + "s");
                 }
                 return 1_000;
             }
@@ -146,7 +146,7 @@
 
         private void bounded(Section of, double us, long most) {
             if (us > most) {
-                faults.add(of.at("").replaceAll("\\.$", "") + ": takes " + Math.round(us / 1e6) + " s, more than "
+                faults.add(of.pathOf("").replaceAll("\\.$", "") + ": takes " + Math.round(us / 1e6) + " s, more than "
                         + most / 1_000_000);
             }
         }
@@ -163,7 +163,7 @@
                     number(of, "changes", 200, 10_000),
                     time(of, "every", 50_000),
                     number(of, "wholes", 5, 100));
-            of.end();
+            of.reportUnknownFields();
             bounded(
                     of,
                     lists.servers().size()
@@ -174,7 +174,7 @@
         private int inProcess(Section of, int nodes) {
             int inProcess = number(of, "in_process", 42, MOST_NODES);
             if (inProcess > 0 && (nodes + inProcess - 1) / inProcess > MOST_PROCESSES) {
-                faults.add(of.at("in_process") + ": makes more than " + MOST_PROCESSES + " processes");
+                faults.add(of.pathOf("in_process") + ": makes more than " + MOST_PROCESSES + " processes");
             }
             return inProcess;
         }
@@ -192,7 +192,7 @@
                     time(of, "quiet", 10_000_000),
                     number(of, "changes", 20, 10_000),
                     time(of, "every", 500_000));
-            of.end();
+            of.reportUnknownFields();
             bounded(of, nodes.size() * (stage.quietUs() + stage.changes() * (double) stage.everyUs()));
             return stage;
         }
@@ -209,7 +209,7 @@
                     inProcess(of, nodes.get(nodes.size() - 1)),
                     time(of, "most", 200_000_000),
                     time(of, "quiet", 10_000_000));
-            of.end();
+            of.reportUnknownFields();
             bounded(of, nodes.size() * (double) (stage.mostUs() + stage.quietUs()), MOST_PEERS_US);
             return stage;
         }
@@ -226,7 +226,7 @@
                     number(of, "changes", 50, 10_000),
                     time(of, "every", 50_000),
                     number(of, "rate", 117, 2_000));
-            of.end();
+            of.reportUnknownFields();
             bounded(of, stage.tenants().size() * (2.0 * stage.quietUs() + stage.changes() * (double) stage.everyUs()));
             return stage;
         }
@@ -240,7 +240,7 @@
                     numbers(of, "a_minute", 6_000),
                     number(of, "servers", full.servers(), MOST_SERVERS),
                     time(of, "length", 20_000_000));
-            of.end();
+            of.reportUnknownFields();
             bounded(of, stage.aMinute().size() * (double) stage.lengthUs());
             return stage;
         }
@@ -255,7 +255,7 @@
                     number(of, "servers", full.servers(), MOST_SERVERS),
                     number(of, "turns", 4, 100),
                     time(of, "slice", 4_000_000));
-            of.end();
+            of.reportUnknownFields();
             bounded(of, stage.rates().size() * (2.0 + events) * stage.turns() * stage.sliceUs());
             return stage;
         }
@@ -272,7 +272,7 @@
                     inProcess(of, nodes),
                     time(of, "quiet", 10_000_000),
                     number(of, "times", 3, 100));
-            of.end();
+            of.reportUnknownFields();
             return stage;
         }
     }
--- a/src/main/java/kitemux/sidecar/Beside.java
+++ b/src/main/java/kitemux/sidecar/ApplicationProcess.java
@@ -11,7 +11,7 @@
  * SIGTERM it is told first and served until it has ended, as what it still has to ask goes through the
  * sidecar.
  */
-final class Beside {
+final class ApplicationProcess {
     /** After which an application that was told to end is ended. */
     private static final long MOST_END_S = 10;
 
@@ -19,7 +19,7 @@
     private final LineLog log;
     private Process process;
 
-    Beside(List<String> command, LineLog log) {
+    ApplicationProcess(List<String> command, LineLog log) {
         this.command = command;
         this.log = log;
     }
--- a/src/main/java/kitemux/sidecar/Fetch.java
+++ b/src/main/java/kitemux/sidecar/HttpFetcher.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Asks by HTTP for lists and for servers' health, bounded in time and in length. */
-final class Fetch {
+final class HttpFetcher {
     private static final int MOST_BYTES = 8 << 20;
 
     private final HttpClient client = HttpClient.newBuilder()
@@ -37,7 +37,7 @@
     }
 
     /** Whether it answers 200 to 299 within the time; never fails. */
-    CompletableFuture<Boolean> isWell(URI uri, long withinMs) {
+    CompletableFuture<Boolean> isHealthy(URI uri, long withinMs) {
         HttpRequest ask =
                 HttpRequest.newBuilder(uri).timeout(Duration.ofMillis(withinMs)).build();
         return within(client.sendAsync(ask, HttpResponse.BodyHandlers.discarding()), withinMs)
--- a/src/main/java/kitemux/sidecar/Sidecar.java
+++ b/src/main/java/kitemux/sidecar/Sidecar.java
@@ -51,9 +51,9 @@
     private final LineLog log;
     private final Membership members;
     private final Watch watch;
-    private final StateFolder state;
+    private final SnapshotStore state;
     private final Path config;
-    private final Fetch fetch = new Fetch();
+    private final HttpFetcher fetch = new HttpFetcher();
     private final RefreshSchedule refresh;
     private final ScheduledExecutorService keeper;
     private final Set<String> checking = new HashSet<>();
@@ -70,12 +70,12 @@
     /**
      * How it was called.
      *
-     * @param file the description
-     * @param lookMs between two looks at files
+     * @param descriptionFile the description
+     * @param filePollMs between two looks at files
      * @param seed for the node's random numbers, 1 to 16 hex digits
      * @param command of the application, which is started once clients can connect; empty for none
      */
-    public record Options(Path file, long lookMs, String seed, List<String> command) {}
+    public record Options(Path descriptionFile, long filePollMs, String seed, List<String> command) {}
 
     /**
      * @param app a description that is sound
@@ -99,7 +99,7 @@
                 from.backOffUs(),
                 () -> ThreadLocalRandom.current().nextDouble());
         watch = new Watch(app, text);
-        state = from.state().isEmpty() ? null : new StateFolder(Path.of(from.state()), app.name());
+        state = from.state().isEmpty() ? null : new SnapshotStore(Path.of(from.state()), app.name());
         Path folder = Files.createTempDirectory("kitemux-sidecar");
         folder.toFile().deleteOnExit();
         config = folder.resolve("config.json");
@@ -132,7 +132,7 @@
         }
         reload = Node.run(env, log);
         Runtime.getRuntime().addShutdownHook(new Thread(this::end, "end"));
-        every(options.lookMs(), this::look);
+        every(options.filePollMs(), this::look);
         every(STATE_EVERY_MS, this::save);
         if (!app.members().list().isEmpty()) {
             keeper.schedule(this::askForList, refresh.recordSuccess() / 1_000, TimeUnit.MILLISECONDS);
@@ -144,7 +144,7 @@
             // Until SIGTERM, by which the node drains and ends the process.
             Thread.currentThread().join();
         }
-        return new Beside(options.command(), log).run();
+        return new ApplicationProcess(options.command(), log).run();
     }
 
     private void every(long ms, Runnable what) {
@@ -285,7 +285,7 @@
     private void look() {
         String text;
         try {
-            text = Files.readString(options.file());
+            text = Files.readString(options.descriptionFile());
         } catch (IOException e) {
             text = null;
         }
@@ -352,7 +352,7 @@
         if (!checking.add(one.name())) {
             return;
         }
-        fetch.isWell(
+        fetch.isHealthy(
                         URI.create("http://" + one.address() + app.health().path()),
                         app.health().timeoutUs() / 1_000)
                 .whenCompleteAsync(
--- a/src/main/java/kitemux/sidecar/StateFolder.java
+++ b/src/main/java/kitemux/sidecar/SnapshotStore.java
@@ -13,14 +13,14 @@
  * one that
  * cannot be used is passed over with a word, as a process that starts with less is better than none.
  */
-final class StateFolder {
+final class SnapshotStore {
     private final Path file;
     private final String app;
 
     /**
      * @param app the application's name, by which its file is found
      */
-    StateFolder(Path folder, String app) {
+    SnapshotStore(Path folder, String app) {
         this.app = app;
         // A name may hold what a file's may not.
         file = folder.resolve(app.replaceAll("[^A-Za-z0-9._-]", "_") + ".members");
--- a/src/test/java/kitemux/hcl/TextTest.java
+++ b/src/test/java/kitemux/hcl/HclReaderTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Texts that are read in pieces say what they say as a whole. */
-class TextTest {
+class HclReaderTest {
 
     private static Map<String, Object> parse(String text) throws IOException {
-        return Text.parse(text, Places.of(text));
+        return HclReader.parse(text, SourceLocations.of(text));
     }
 
     static List<Path> examples() throws IOException {
--- a/src/test/java/kitemux/hcl/PlacesTest.java
+++ b/src/test/java/kitemux/hcl/SourceLocationsTest.java
@@ -16,10 +16,10 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
-class PlacesTest {
+class SourceLocationsTest {
 
     private static String at(String text, String fault) {
-        return Places.of(text).with("f", fault);
+        return SourceLocations.of(text).withLocation("f", fault);
     }
 
     @Test
@@ -65,7 +65,7 @@
                 }
                 counts = { std = 3 }
                 """;
-        assertEquals(List.of(), Places.of(text).faults());
+        assertEquals(List.of(), SourceLocations.of(text).faults());
         assertEquals("f:4:5: scenario \"a\".fault[0].at: late", at(text, "scenario \"a\".fault[0].at: late"));
         assertEquals("f:8:5: scenario \"a\".fault[1].at: late", at(text, "scenario \"a\".fault[1].at: late"));
         assertEquals("f:9:5: scenario \"a\".fault[1].names: odd", at(text, "scenario \"a\".fault[1].names: odd"));
@@ -85,12 +85,13 @@
     void bracketsLeftOpenOrTooManyAreTold() {
         assertEquals(
                 List.of("2:9: the bracket { is never closed"),
-                Places.of("a = 1\nbox \"b\" {\n  c = 2\n").faults());
+                SourceLocations.of("a = 1\nbox \"b\" {\n  c = 2\n").faults());
         assertEquals(
                 List.of("1:7: the bracket ] closes nothing"),
-                Places.of("a = 1 ]").faults());
+                SourceLocations.of("a = 1 ]").faults());
         assertEquals(
-                List.of(), Places.of("a = \"}\" # }\nb = <<END\n }}} {\nEND\n").faults());
+                List.of(),
+                SourceLocations.of("a = \"}\" # }\nb = <<END\n }}} {\nEND\n").faults());
     }
 
     @Property(tries = 500)
@@ -98,6 +99,6 @@
         String text = line.chars()
                 .mapToObj(c -> c % 7 == 0 ? "\n" : String.valueOf((char) c))
                 .collect(Collectors.joining());
-        assertTrue(Places.of(text).with("f", "a.b: c").endsWith("a.b: c"));
+        assertTrue(SourceLocations.of(text).withLocation("f", "a.b: c").endsWith("a.b: c"));
     }
 }
