--- a/src/main/java/kitemux/app/App.java
+++ b/src/main/java/kitemux/app/App.java
@@ -8,25 +8,25 @@
  * An application and the servers behind it, as its owner describes them. Times are microseconds.
  *
  * @param name what it is called
- * @param listen where its clients connect
- * @param operators where operators call; empty for nowhere
- * @param discovery where the list of servers is; empty where they are described here
- * @param neverTwice classes that the owner says must never run twice, wherever else they are named
- * @param journaled whether never-twice work must be journaled before it is sent
+ * @param listenAddress where its clients connect
+ * @param operatorAddress where operators call; empty for nowhere
+ * @param discoveryAddress where the list of servers is; empty where they are described here
+ * @param neverTwiceClasses classes that the owner says must never run twice, wherever else they are named
+ * @param journalRequired whether never-twice work must be journaled before it is sent
  * @param health null where servers are not checked
- * @param beyond numbers that lie beyond their ranges, as they were read: where there is one it is not sound
+ * @param rangeFindings numbers that lie beyond their ranges, as they were read: where there is one it is not sound
  */
 public record App(
         String name,
-        String listen,
-        String operators,
-        String discovery,
+        String listenAddress,
+        String operatorAddress,
+        String discoveryAddress,
         List<String> networks,
-        List<String> neverTwice,
-        boolean journaled,
+        List<String> neverTwiceClasses,
+        boolean journalRequired,
         List<Server> servers,
         List<Pool> pools,
-        List<Work> classes,
+        List<RequestClass> classes,
         List<Tenant> tenants,
         double quotaPerS,
         Keys keys,
@@ -34,9 +34,9 @@
         Health health,
         Limits limits,
         Rules rules,
-        Journal orders,
+        Journal journal,
         Logs logs,
-        List<Finding> beyond) {
+        List<Finding> rangeFindings) {
 
     /** What a server is up to. */
     public enum State {
@@ -55,21 +55,21 @@
      * A class of requests.
      *
      * @param pool that serves it; empty for the only one
-     * @param windowUs within which a keyed one may be sent again
-     * @param attempts at most; 0 for as many as the limits allow
+     * @param dedupWindowUs within which a keyed one may be sent again
+     * @param maxAttempts at most; 0 for as many as the limits allow
      */
-    public record Work(
+    public record RequestClass(
             String name,
-            RetrySafety again,
-            DedupScope group,
-            long windowUs,
-            long aimUs,
+            RetrySafety retrySafety,
+            DedupScope dedupScope,
+            long dedupWindowUs,
+            long targetLatencyUs,
             long deadlineUs,
             double worth,
             double lateWorth,
             String pool,
-            int attempts,
-            boolean secondCopies) {}
+            int maxAttempts,
+            boolean hedgingAllowed) {}
 
     /** Who asks, and its part of the quota. */
     public record Tenant(String name, double share) {}
@@ -118,12 +118,12 @@
      * Whether a server may have this address: one that can be read, lies within networks and is not this
      * process.
      */
-    public boolean allows(String address) {
-        return !address.equals(listen) && Checks.isAllowed(address, networks);
+    public boolean isServerAddressAllowed(String address) {
+        return !address.equals(listenAddress) && AppValidator.isAllowed(address, networks);
     }
 
     /** Where lists of servers come from besides this description: a file or an address; empty for nowhere. */
-    public String source() {
+    public String serverSource() {
         return members.file().isEmpty() ? members.list() : members.file();
     }
 
--- a/src/main/java/kitemux/app/AppFile.java
+++ b/src/main/java/kitemux/app/AppParser.java
@@ -13,13 +13,13 @@
 import kitemux.hcl.SourceLocations;
 
 /** Reads an application's description in HCL; {@code docs/operate/config.md} has all fields. */
-public final class AppFile {
+public final class AppParser {
     /** More is a mistake, or a file that was mixed up. */
     private static final int MOST_BYTES = 5 << 20;
     /** Fields of these names hold secrets, wherever they stand. */
     private static final String SECRETS = "(?i).*(password|passwd|secret|token|api_?key|private_?key).*";
 
-    private AppFile() {}
+    private AppParser() {}
 
     private enum Again {
         SAFE,
@@ -43,10 +43,10 @@
      * @param app null where the text is no HCL at all
      * @param places where things stand in the text
      */
-    public record Reading(App app, List<Finding> findings, SourceLocations places) {}
+    public record Result(App app, List<Finding> findings, SourceLocations places) {}
 
     /** Reads a description and holds it against all rules: shape first, then meaning. */
-    public static Reading read(String given) {
+    public static Result parse(String given) {
         String text = given.startsWith("\uFEFF") ? given.substring(1) : given;
         SourceLocations places = SourceLocations.of(text);
         List<Finding> findings = new ArrayList<>();
@@ -55,7 +55,7 @@
                     Rule.SHAPE,
                     "",
                     "the file has " + text.length() + " characters; at most " + MOST_BYTES + " are read"));
-            return new Reading(null, findings, places);
+            return new Result(null, findings, places);
         }
         for (String fault : places.faults()) {
             int end = fault.indexOf(": ");
@@ -66,7 +66,7 @@
             parsed = HclReader.parse(text, places);
         } catch (IOException e) {
             findings.add(new Finding(Rule.SHAPE, "", "this is not HCL: " + e.getMessage()));
-            return new Reading(null, findings, places);
+            return new Result(null, findings, places);
         }
         List<String> faults = new ArrayList<>();
         List<Finding> beyond = new ArrayList<>();
@@ -77,13 +77,13 @@
         }
         secrets("", parsed).forEach(at -> findings.add(new Finding(Rule.SECRET, at, "whoever reads the file has it")));
         if (findings.isEmpty()) {
-            findings.addAll(Checks.of(app));
+            findings.addAll(AppValidator.validate(app));
         }
-        return new Reading(app, findings, places);
+        return new Result(app, findings, places);
     }
 
     private static App app(Section all, List<Finding> beyond) {
-        Block top = new Block("", all, beyond);
+        BlockReader top = new BlockReader("", all, beyond);
         String name = top.text("name");
         String listen = top.text("listen");
         String operators = top.text("operators");
@@ -98,10 +98,10 @@
                 (id, of) ->
                         new App.Server(id, of.text("address"), of.whole("rack"), of.word("state", App.State.class)));
         List<App.Pool> pools = labelled(all, "pool", beyond, (id, of) -> new App.Pool(id, of.texts("servers")));
-        List<App.Work> classes = labelled(all, "class", beyond, AppFile::work);
+        List<App.RequestClass> classes = labelled(all, "class", beyond, AppParser::work);
         List<App.Tenant> tenants = labelled(all, "tenant", beyond, (id, of) -> new App.Tenant(id, of.number("share")));
         double quota = top.number("quota");
-        App.Health health = all.has("health") ? part(all, "health", beyond, AppFile::health) : null;
+        App.Health health = all.has("health") ? part(all, "health", beyond, AppParser::health) : null;
         App app = new App(
                 name,
                 listen,
@@ -116,10 +116,10 @@
                 tenants,
                 quota,
                 part(all, "keys", beyond, of -> new App.Keys(of.time("kept"), group(of.word("shared", Shared.class)))),
-                part(all, "members", beyond, AppFile::members),
+                part(all, "members", beyond, AppParser::members),
                 health,
-                part(all, "limits", beyond, AppFile::limits),
-                part(all, "rules", beyond, AppFile::rules),
+                part(all, "limits", beyond, AppParser::limits),
+                part(all, "rules", beyond, AppParser::rules),
                 part(all, "orders", beyond, of -> new App.Journal(of.text("folder"), of.time("late"))),
                 part(
                         all,
@@ -132,25 +132,25 @@
     }
 
     private static <T> List<T> labelled(
-            Section all, String type, List<Finding> beyond, BiFunction<String, Block, T> read) {
+            Section all, String type, List<Finding> beyond, BiFunction<String, BlockReader, T> read) {
         List<T> found = new ArrayList<>();
         all.labelledBlocks(type, type.equals("class")).forEach((label, of) -> {
-            Block block = new Block(type, of, beyond);
+            BlockReader block = new BlockReader(type, of, beyond);
             found.add(read.apply(label, block));
             block.end();
         });
         return found;
     }
 
-    private static <T> T part(Section all, String type, List<Finding> beyond, Function<Block, T> read) {
-        Block block = new Block(type, all.blockOrEmpty(type), beyond);
+    private static <T> T part(Section all, String type, List<Finding> beyond, Function<BlockReader, T> read) {
+        BlockReader block = new BlockReader(type, all.blockOrEmpty(type), beyond);
         T part = read.apply(block);
         block.end();
         return part;
     }
 
-    private static App.Work work(String name, Block of) {
-        return new App.Work(
+    private static App.RequestClass work(String name, BlockReader of) {
+        return new App.RequestClass(
                 name,
                 switch (of.word("again", Again.class)) {
                     case SAFE -> RetrySafety.SAFE;
@@ -172,7 +172,7 @@
         return shared == Shared.ALL ? DedupScope.ALL : DedupScope.CELL;
     }
 
-    private static App.Members members(Block of) {
+    private static App.Members members(BlockReader of) {
         return new App.Members(
                 of.text("file"),
                 of.text("list"),
@@ -183,7 +183,7 @@
                 of.text("state"));
     }
 
-    private static App.Health health(Block of) {
+    private static App.Health health(BlockReader of) {
         return new App.Health(
                 of.text("path"),
                 of.time("every"),
@@ -195,7 +195,7 @@
                 of.time("most_hold"));
     }
 
-    private static App.Limits limits(Block of) {
+    private static App.Limits limits(BlockReader of) {
         return new App.Limits(
                 of.whole("attempts"),
                 of.yes("second_copies"),
@@ -206,7 +206,7 @@
                 of.whole("memory_mib"));
     }
 
-    private static App.Rules rules(Block of) {
+    private static App.Rules rules(BlockReader of) {
         return new App.Rules(
                 of.time("drain"), of.number("cold_from"), of.time("cold"), of.number("overload"), of.time("fall"));
     }
--- a/src/main/java/kitemux/app/Checks.java
+++ b/src/main/java/kitemux/app/AppValidator.java
@@ -14,7 +14,7 @@
 import kitemux.Balancer.RetrySafety;
 
 /** What a description that can be read means, held against all rules at once. Pure. */
-final class Checks {
+final class AppValidator {
     /** Buffers of a connection that is in use, and as much again for what it carries. */
     private static final int KIB_A_SOCKET = 32;
 
@@ -23,13 +23,13 @@
     private final App app;
     private final List<Finding> found = new ArrayList<>();
 
-    private Checks(App app) {
+    private AppValidator(App app) {
         this.app = app;
     }
 
-    static List<Finding> of(App app) {
-        Checks checks = new Checks(app);
-        checks.found.addAll(app.beyond());
+    static List<Finding> validate(App app) {
+        AppValidator checks = new AppValidator(app);
+        checks.found.addAll(app.rangeFindings());
         checks.classes();
         checks.servers();
         checks.sources();
@@ -54,67 +54,67 @@
     private void classes() {
         Set<String> names = new HashSet<>();
         app.classes().forEach(work -> names.add(work.name()));
-        for (String name : app.neverTwice()) {
+        for (String name : app.neverTwiceClasses()) {
             if (!names.contains(name)) {
                 tell(Rule.UNKNOWN, "never_twice", "there is no class \"" + name + "\"");
             }
         }
         boolean orders = false;
-        for (App.Work work : app.classes()) {
+        for (App.RequestClass work : app.classes()) {
             String at = at("class", work.name());
-            orders |= work.again() == RetrySafety.UNSAFE;
-            if (app.neverTwice().contains(work.name()) && work.again() != RetrySafety.UNSAFE) {
+            orders |= work.retrySafety() == RetrySafety.UNSAFE;
+            if (app.neverTwiceClasses().contains(work.name()) && work.retrySafety() != RetrySafety.UNSAFE) {
                 tell(
                         Rule.NEVER_TWICE,
                         at + ".again",
                         "never_twice names it, and here it may be sent again after a"
                                 + " failure: its effect could happen twice");
             }
-            if (work.again() == RetrySafety.UNSAFE) {
+            if (work.retrySafety() == RetrySafety.UNSAFE) {
                 unsafe(work, at);
             }
-            if (work.again() == RetrySafety.KEYED) {
+            if (work.retrySafety() == RetrySafety.KEYED) {
                 keyed(work, at);
             }
             times(work, at);
         }
-        if (app.journaled() && orders && app.orders().folder().isEmpty()) {
+        if (app.journalRequired() && orders && app.journal().folder().isEmpty()) {
             tell(Rule.JOURNAL, "journaled", "after a crash nobody could say whether an order was sent");
         }
     }
 
-    private void unsafe(App.Work work, String at) {
-        if (work.attempts() > 1) {
+    private void unsafe(App.RequestClass work, String at) {
+        if (work.maxAttempts() > 1) {
             tell(
                     Rule.NEVER_TWICE,
                     at + ".attempts",
-                    work.attempts() + " attempts let it be sent again where the" + " first may have run");
+                    work.maxAttempts() + " attempts let it be sent again where the" + " first may have run");
         }
-        if (work.secondCopies()) {
+        if (work.hedgingAllowed()) {
             tell(Rule.COPIES, at + ".second_copies", "two servers could each take the order");
         }
-        if (work.windowUs() > 0) {
+        if (work.dedupWindowUs() > 0) {
             tell(Rule.NEVER_TWICE, at + ".window", "a window says how long it may be sent again, and it may never");
         }
     }
 
-    private void keyed(App.Work work, String at) {
-        if (work.windowUs() == 0) {
+    private void keyed(App.RequestClass work, String at) {
+        if (work.dedupWindowUs() == 0) {
             tell(
                     Rule.WINDOW,
                     at + ".window",
                     "it is keyed and has no window: nothing says how long its key is good" + " for");
-        } else if (work.windowUs() > app.keys().keptUs()) {
+        } else if (work.dedupWindowUs() > app.keys().keptUs()) {
             tell(
                     Rule.WINDOW,
                     at + ".window",
                     app.keys().keptUs() == 0
                             ? "nothing says that servers remember keys at all: keys.kept is not given"
-                            : "it is sent again for " + work.windowUs() / 1_000
+                            : "it is sent again for " + work.dedupWindowUs() / 1_000
                                     + " ms, and servers forget its key after "
                                     + app.keys().keptUs() / 1_000 + " ms: what comes later runs a second time");
         }
-        if (work.group() == DedupScope.ALL && app.keys().shared() == DedupScope.CELL) {
+        if (work.dedupScope() == DedupScope.ALL && app.keys().shared() == DedupScope.CELL) {
             tell(
                     Rule.GROUP,
                     at + ".group",
@@ -122,8 +122,8 @@
         }
     }
 
-    private void times(App.Work work, String at) {
-        if (work.aimUs() > work.deadlineUs()) {
+    private void times(App.RequestClass work, String at) {
+        if (work.targetLatencyUs() > work.deadlineUs()) {
             tell(Rule.TIMES, at + ".aim", "its aim lies beyond its deadline: nothing could be in time");
         }
         if (app.limits().connectUs() >= work.deadlineUs()) {
@@ -132,16 +132,18 @@
                     at + ".deadline",
                     "opening one connection may take as long: a server that is gone" + " would use up all of it");
         }
-        if (work.attempts() > 0 && work.attempts() < app.limits().attempts() && work.again() != RetrySafety.UNSAFE) {
+        if (work.maxAttempts() > 0
+                && work.maxAttempts() < app.limits().attempts()
+                && work.retrySafety() != RetrySafety.UNSAFE) {
             tell(Rule.NOT_YET, at + ".attempts", "attempts are bounded for all classes together, by limits.attempts");
         }
-        if (work.secondCopies() && !app.limits().secondCopies() && work.again() != RetrySafety.UNSAFE) {
+        if (work.hedgingAllowed() && !app.limits().secondCopies() && work.retrySafety() != RetrySafety.UNSAFE) {
             tell(
                     Rule.NOT_YET,
                     at + ".second_copies",
                     "copies are turned on for all classes that may have them, by" + " limits.second_copies");
         }
-        if (work.attempts() > app.limits().attempts()) {
+        if (work.maxAttempts() > app.limits().attempts()) {
             tell(
                     Rule.LIMITS,
                     at + ".attempts",
@@ -159,14 +161,17 @@
             if (other != null) {
                 tell(Rule.TWICE, at + ".address", "\"" + other + "\" has it too: it would get twice its share");
             }
-            if (server.address().equals(app.listen())) {
+            if (server.address().equals(app.listenAddress())) {
                 tell(Rule.TWICE, at + ".address", "the program listens there itself: requests would go round");
             }
         }
-        boolean toldElsewhere = !app.discovery().isEmpty() || !app.source().isEmpty();
+        boolean toldElsewhere =
+                !app.discoveryAddress().isEmpty() || !app.serverSource().isEmpty();
         if (app.servers().isEmpty() && !toldElsewhere) {
             tell(Rule.EMPTY, "discovery", "no server is described, and nothing says where their list is");
-        } else if (!app.servers().isEmpty() && app.servers().stream().noneMatch(Checks::isReady) && !toldElsewhere) {
+        } else if (!app.servers().isEmpty()
+                && app.servers().stream().noneMatch(AppValidator::isReady)
+                && !toldElsewhere) {
             tell(Rule.EMPTY, "server", "every server drains or is gone: all requests would be refused");
         }
     }
@@ -174,7 +179,7 @@
     private void sources() {
         App.Members members = app.members();
         List<String> told = new ArrayList<>();
-        told.addAll(app.discovery().isEmpty() ? List.of() : List.of("discovery"));
+        told.addAll(app.discoveryAddress().isEmpty() ? List.of() : List.of("discovery"));
         told.addAll(members.file().isEmpty() ? List.of() : List.of("members.file"));
         told.addAll(members.list().isEmpty() ? List.of() : List.of("members.list"));
         told.addAll(app.servers().isEmpty() || told.isEmpty() ? List.of() : List.of("server"));
@@ -186,8 +191,8 @@
                     "servers come from " + String.join(" and ", told)
                             + ": when these differ nobody can say where requests go");
         }
-        if (!app.source().isEmpty() && !app.pools().isEmpty()) {
-            tell(Rule.NOT_YET, "pool", "a pool names servers, and which there are is told by " + app.source());
+        if (!app.serverSource().isEmpty() && !app.pools().isEmpty()) {
+            tell(Rule.NOT_YET, "pool", "a pool names servers, and which there are is told by " + app.serverSource());
         }
         if (!members.list().isEmpty()) {
             try {
@@ -218,7 +223,7 @@
         if (health == null) {
             return;
         }
-        if (!app.discovery().isEmpty()) {
+        if (!app.discoveryAddress().isEmpty()) {
             tell(Rule.NOT_YET, "health", "the node watches discovery by itself, and nobody checks what that tells");
         }
         if (health.timeoutUs() > health.everyUs()) {
@@ -272,7 +277,7 @@
         if (pools.size() > 1) {
             tell(Rule.NOT_YET, "pool", "one process serves one pool: " + pools.size() + " are described");
         }
-        for (App.Work work : app.classes()) {
+        for (App.RequestClass work : app.classes()) {
             String at = at("class", work.name()) + ".pool";
             if (!work.pool().isEmpty() && !pools.contains(work.pool())) {
                 tell(Rule.UNKNOWN, at, "there is no pool \"" + work.pool() + "\"");
@@ -292,16 +297,16 @@
                 networks.add(read.toPrefixBlock());
             }
         }
-        address("listen", app.listen(), List.of());
-        if (!app.operators().isEmpty()) {
-            address("operators", app.operators(), List.of());
-            if (app.operators().equals(app.listen())) {
+        address("listen", app.listenAddress(), List.of());
+        if (!app.operatorAddress().isEmpty()) {
+            address("operators", app.operatorAddress(), List.of());
+            if (app.operatorAddress().equals(app.listenAddress())) {
                 tell(Rule.TWICE, "operators", "clients connect there");
             }
         }
-        if (!app.discovery().isEmpty()) {
-            address("discovery", app.discovery(), List.of());
-            if (app.discovery().equals(app.listen())) {
+        if (!app.discoveryAddress().isEmpty()) {
+            address("discovery", app.discoveryAddress(), List.of());
+            if (app.discoveryAddress().equals(app.listenAddress())) {
                 tell(Rule.TWICE, "discovery", "the program listens there itself");
             }
         }
@@ -313,7 +318,7 @@
      *
      */
     static boolean isAllowed(String address, List<String> networks) {
-        Checks none = new Checks(null);
+        AppValidator none = new AppValidator(null);
         none.address(
                 "",
                 address,
--- a/src/main/java/kitemux/app/Block.java
+++ b/src/main/java/kitemux/app/BlockReader.java
@@ -9,7 +9,7 @@
  * lies beyond
  * its range is told.
  */
-final class Block {
+final class BlockReader {
     private final String type;
     private final Section section;
     private final List<Finding> beyond;
@@ -17,7 +17,7 @@
     /**
      * @param beyond gets a finding for each number that lies beyond its range
      */
-    Block(String type, Section section, List<Finding> beyond) {
+    BlockReader(String type, Section section, List<Finding> beyond) {
         this.type = type;
         this.section = section;
         this.beyond = beyond;
@@ -30,15 +30,15 @@
     private double within(String name, double value) {
         Field field = field(name);
         // Not a number where the table's least is smaller than any: written so that it is told as well.
-        if (!(value >= field.least() && value <= field.most())) {
-            beyond.add(
-                    new Finding(field.beyond(), section.pathOf(name), "is not " + field.range() + ": " + field.why()));
+        if (!(value >= field.min() && value <= field.max())) {
+            beyond.add(new Finding(
+                    field.rangeRule(), section.pathOf(name), "is not " + field.range() + ": " + field.description()));
         }
         return value;
     }
 
     String text(String name) {
-        String otherwise = field(name).otherwise();
+        String otherwise = field(name).defaultValue();
         return otherwise == null ? section.text(name) : section.text(name, otherwise);
     }
 
@@ -48,28 +48,28 @@
     }
 
     boolean yes(String name) {
-        return section.bool(name, Boolean.parseBoolean(field(name).otherwise()));
+        return section.bool(name, Boolean.parseBoolean(field(name).defaultValue()));
     }
 
     double number(String name) {
-        String otherwise = field(name).otherwise();
+        String otherwise = field(name).defaultValue();
         return within(name, section.number(name, otherwise == null ? Double.NaN : Double.parseDouble(otherwise)));
     }
 
     int whole(String name) {
         return (int) within(
-                name, section.integer(name, Double.parseDouble(field(name).otherwise())));
+                name, section.integer(name, Double.parseDouble(field(name).defaultValue())));
     }
 
     /** Microseconds. */
     long time(String name) {
-        String otherwise = field(name).otherwise();
+        String otherwise = field(name).defaultValue();
         return (long)
                 within(name, section.durationUs(name, otherwise == null ? -1 : Section.parseDurationUs(otherwise)));
     }
 
     <E extends Enum<E>> E word(String name, Class<E> of) {
-        String otherwise = field(name).otherwise();
+        String otherwise = field(name).defaultValue();
         return section.enumValue(
                 name,
                 of,
--- a/src/main/java/kitemux/app/Migrate.java
+++ b/src/main/java/kitemux/app/ConfigMigration.java
@@ -10,32 +10,32 @@
  * What a
  * description has no words for is told, never left out in silence.
  */
-public final class Migrate {
+public final class ConfigMigration {
     private final StringBuilder text = new StringBuilder();
     private final List<String> left = new ArrayList<>();
     private final Json json;
 
-    private Migrate(Json json) {
+    private ConfigMigration(Json json) {
         this.json = json;
     }
 
     /**
      * @param text a description, to be checked as any other
-     * @param left what was not carried over, a line each
+     * @param omitted what was not carried over, a line each
      */
-    public record Result(String text, List<String> left) {}
+    public record Result(String text, List<String> omitted) {}
 
     /**
      * Reads a configuration.
      *
      * @throws IOException if it is no JSON, or has no settings
      */
-    public static Result of(byte[] config) throws IOException {
+    public static Result migrate(byte[] config) throws IOException {
         Json json = Json.read(config);
         if (!json.path("settings").isObject()) {
             throw new IOException("settings is missing or not an object");
         }
-        Migrate one = new Migrate(json);
+        ConfigMigration one = new ConfigMigration(json);
         one.all();
         return new Result(one.text.toString(), one.left);
     }
--- a/src/main/java/kitemux/app/ConfigWriter.java
+++ b/src/main/java/kitemux/app/ConfigWriter.java
@@ -22,41 +22,43 @@
      * @param seed for random numbers, 1 to 16 hex digits
      * @throws IllegalArgumentException if the description breaks a rule: what is wrong is not written
      */
-    public static String json(App app, String seed) {
-        return json(app, servers(app), seed);
+    public static String toJson(App app, String seed) {
+        return toJson(app, servers(app), seed);
     }
 
     /**
      * The same of an application whose servers are told by somebody else than the description.
      *
-     * @throws IllegalArgumentException as {@link #json(App, String)}
+     * @throws IllegalArgumentException as {@link #toJson(App, String)}
      */
-    public static String json(App app, List<ConfigFormatter.Server> servers, String seed) {
-        if (!Checks.of(app).isEmpty()) {
+    public static String toJson(App app, List<ConfigFormatter.Server> servers, String seed) {
+        if (!AppValidator.validate(app).isEmpty()) {
             throw new IllegalArgumentException("a description that breaks a rule is not written");
         }
         // Without a list elsewhere nobody asks for one: the node is its own discovery, and does not call it.
-        String discovery = app.discovery().isEmpty() ? app.listen() : app.discovery();
+        String discovery = app.discoveryAddress().isEmpty() ? app.listenAddress() : app.discoveryAddress();
         return ConfigFormatter.formatNode(
                 new ConfigFormatter.NodeDescription(
                         app.name(),
-                        app.listen(),
+                        app.listenAddress(),
                         discovery,
                         seed,
                         app.limits().sockets(),
                         app.limits().memoryMiB(),
                         app.limits().idleUs()),
-                settings(app),
+                toSettings(app),
                 servers);
     }
 
     /** Those that are described and get anything at all, as a node is told of them. */
     private static List<ConfigFormatter.Server> servers(App app) {
-        return members(app).stream().map(one -> server(one, one.draining(), 0)).toList();
+        return describedMembers(app).stream()
+                .map(one -> toServer(one, one.draining(), 0))
+                .toList();
     }
 
     /** Those that are described and get anything at all. */
-    public static List<Member> members(App app) {
+    public static List<Member> describedMembers(App app) {
         List<Member> members = new ArrayList<>();
         for (App.Server server : app.servers()) {
             boolean inPool =
@@ -75,7 +77,7 @@
      * @param draining whether it gets nothing new
      * @param startedUs Unix time in microseconds; 0 for long ago
      */
-    public static ConfigFormatter.Server server(Member one, boolean draining, long startedUs) {
+    public static ConfigFormatter.Server toServer(Member one, boolean draining, long startedUs) {
         return new ConfigFormatter.Server(
                 new ServerEntry(
                         one.name(), 0, one.rack(), draining ? ServerState.DRAINING : ServerState.READY, 1, startedUs),
@@ -83,10 +85,10 @@
     }
 
     /** What the decision module is told. */
-    public static Settings settings(App app) {
+    public static Settings toSettings(App app) {
         Settings set = new Settings();
         set.zones.add(ZONE);
-        set.listOnRequest = !app.discovery().isEmpty();
+        set.listOnRequest = !app.discoveryAddress().isEmpty();
         set.maxAttempts = app.limits().attempts();
         set.cancellationAllowed = true;
         set.hedgingAllowed = app.limits().secondCopies();
@@ -101,14 +103,14 @@
         app.classes()
                 .forEach(work -> set.classes.add(new RequestClass(
                         work.name(),
-                        work.aimUs(),
+                        work.targetLatencyUs(),
                         0,
                         work.deadlineUs(),
                         work.worth(),
                         work.lateWorth(),
-                        work.again(),
-                        work.group(),
-                        work.windowUs(),
+                        work.retrySafety(),
+                        work.dedupScope(),
+                        work.dedupWindowUs(),
                         false)));
         return set;
     }
--- a/src/main/java/kitemux/app/Watch.java
+++ b/src/main/java/kitemux/app/DescriptionWatcher.java
@@ -11,7 +11,7 @@
  * Servers may change, all else needs a new process: half a change would be a description that nobody wrote.
  * Pure: who looks, and how often, is not its affair.
  */
-public final class Watch {
+public final class DescriptionWatcher {
     private App holds;
     private String heldText;
     private String lastText;
@@ -19,10 +19,10 @@
     /**
      * What a look leads to.
      *
-     * @param app the description to go on by, or null to go on as it is
-     * @param say lines for the operators; empty where nothing is new
+     * @param newApp the description to go on by, or null to go on as it is
+     * @param messages lines for the operators; empty where nothing is new
      */
-    public record Decision(App app, List<String> say) {
+    public record Decision(App newApp, List<String> messages) {
         private static final Decision NOTHING = new Decision(null, List.of());
     }
 
@@ -31,14 +31,14 @@
      *
      * @param text that it was read from
      */
-    public Watch(App app, String text) {
+    public DescriptionWatcher(App app, String text) {
         holds = app;
         heldText = text;
         lastText = text;
     }
 
     /** A look at the description: its text, or null where it cannot be read. */
-    public Decision look(String text) {
+    public Decision observe(String text) {
         boolean settled = Objects.equals(text, lastText);
         lastText = text;
         if (!settled || Objects.equals(text, heldText)) {
@@ -49,10 +49,10 @@
         if (text == null) {
             return new Decision(null, List.of("the description cannot be read any more; what it said holds"));
         }
-        AppFile.Reading reading = AppFile.read(text);
+        AppParser.Result reading = AppParser.parse(text);
         if (!reading.findings().isEmpty()) {
             List<String> say = new ArrayList<>();
-            reading.findings().forEach(f -> say.add(reading.places().withLocation("the description", f.line())));
+            reading.findings().forEach(f -> say.add(reading.places().withLocation("the description", f.format())));
             say.add("the description has changed and is not sound; what it said before holds");
             return new Decision(null, say);
         }
@@ -76,9 +76,9 @@
     private static List<String> needsANewProcess(App before, App next) {
         List<String> fixed = new ArrayList<>();
         differs(fixed, "name", before.name(), next.name());
-        differs(fixed, "listen", before.listen(), next.listen());
-        differs(fixed, "operators", before.operators(), next.operators());
-        differs(fixed, "discovery", before.discovery(), next.discovery());
+        differs(fixed, "listen", before.listenAddress(), next.listenAddress());
+        differs(fixed, "operators", before.operatorAddress(), next.operatorAddress());
+        differs(fixed, "discovery", before.discoveryAddress(), next.discoveryAddress());
         differs(fixed, "members", before.members(), next.members());
         differs(fixed, "health", before.health(), next.health());
         differs(fixed, "logs", before.logs(), next.logs());
@@ -87,7 +87,7 @@
         differs(fixed, "quota", before.quotaPerS(), next.quotaPerS());
         differs(fixed, "limits", before.limits(), next.limits());
         differs(fixed, "rules", before.rules(), next.rules());
-        differs(fixed, "orders", before.orders(), next.orders());
+        differs(fixed, "orders", before.journal(), next.journal());
         return fixed;
     }
 
--- a/src/main/java/kitemux/app/Differences.java
+++ b/src/main/java/kitemux/app/Differences.java
@@ -19,16 +19,16 @@
     public static List<String> between(App before, App next) {
         Differences all = new Differences();
         all.plain("name", before.name(), next.name());
-        all.plain("clients connect at", before.listen(), next.listen());
-        all.plain("operators call at", before.operators(), next.operators());
-        all.plain("the list of servers is at", before.discovery(), next.discovery());
+        all.plain("clients connect at", before.listenAddress(), next.listenAddress());
+        all.plain("operators call at", before.operatorAddress(), next.operatorAddress());
+        all.plain("the list of servers is at", before.discoveryAddress(), next.discoveryAddress());
         all.plain("servers are told by", before.members(), next.members());
         all.plain("checks of servers", before.health(), next.health());
         all.plain("logs", before.logs(), next.logs());
         all.plain("servers must lie in", before.networks(), next.networks());
-        all.plain("never twice, whatever else is said:", before.neverTwice(), next.neverTwice());
-        all.plain("orders must be journaled:", before.journaled(), next.journaled());
-        all.each("class", before.classes(), next.classes(), App.Work::name, all::work);
+        all.plain("never twice, whatever else is said:", before.neverTwiceClasses(), next.neverTwiceClasses());
+        all.plain("orders must be journaled:", before.journalRequired(), next.journalRequired());
+        all.each("class", before.classes(), next.classes(), App.RequestClass::name, all::work);
         all.each("server", before.servers(), next.servers(), App.Server::name, all::server);
         all.each(
                 "pool",
@@ -48,7 +48,7 @@
         all.plain("what servers know of keys", before.keys(), next.keys());
         all.plain("limits", before.limits(), next.limits());
         all.plain("what servers need", before.rules(), next.rules());
-        all.plain("journal", before.orders(), next.orders());
+        all.plain("journal", before.journal(), next.journal());
         return all.lines;
     }
 
@@ -95,23 +95,25 @@
         plain(of + " is in rack", before.rack(), next.rack());
     }
 
-    private void work(App.Work before, App.Work next) {
+    private void work(App.RequestClass before, App.RequestClass next) {
         String of = "class " + next.name();
-        if (before.again() != next.again()) {
-            lines.add(of + " is " + word(next.again()) + ", before " + word(before.again())
-                    + (before.again() == RetrySafety.UNSAFE
+        if (before.retrySafety() != next.retrySafety()) {
+            lines.add(of + " is " + word(next.retrySafety()) + ", before " + word(before.retrySafety())
+                    + (before.retrySafety() == RetrySafety.UNSAFE
                             ? ": it MAY BE SENT AGAIN after a failure from now on"
-                            : next.again() == RetrySafety.UNSAFE ? ": it fails where it was sent again before" : ""));
+                            : next.retrySafety() == RetrySafety.UNSAFE
+                                    ? ": it fails where it was sent again before"
+                                    : ""));
         }
-        plain(of + ": a repeat may reach", before.group(), next.group());
-        micros(of + ": it may be sent again for", before.windowUs(), next.windowUs());
-        micros(of + ": in time within", before.aimUs(), next.aimUs());
+        plain(of + ": a repeat may reach", before.dedupScope(), next.dedupScope());
+        micros(of + ": it may be sent again for", before.dedupWindowUs(), next.dedupWindowUs());
+        micros(of + ": in time within", before.targetLatencyUs(), next.targetLatencyUs());
         micros(of + ": given up after", before.deadlineUs(), next.deadlineUs());
         plain(of + ": worth", before.worth(), next.worth());
         plain(of + ": worth when late", before.lateWorth(), next.lateWorth());
         plain(of + ": served by pool", before.pool(), next.pool());
-        plain(of + ": attempts", before.attempts(), next.attempts());
-        plain(of + ": second copies", before.secondCopies(), next.secondCopies());
+        plain(of + ": attempts", before.maxAttempts(), next.maxAttempts());
+        plain(of + ": second copies", before.hedgingAllowed(), next.hedgingAllowed());
     }
 
     private void micros(String what, long before, long next) {
--- a/src/main/java/kitemux/app/Field.java
+++ b/src/main/java/kitemux/app/Field.java
@@ -8,49 +8,49 @@
  *
  * @param block where it stands; empty for the top
  * @param kind what it holds
- * @param otherwise what holds where it is not given; null where it must be
- * @param least and {@code most}: within which a number must lie; times are microseconds
- * @param words that it may be, where its kind is a word
- * @param why what it is for and, where that is no matter of course, why it is bounded
+ * @param defaultValue what holds where it is not given; null where it must be
+ * @param min and {@code most}: within which a number must lie; times are microseconds
+ * @param allowedValues that it may be, where its kind is a word
+ * @param description what it is for and, where that is no matter of course, why it is bounded
  */
 public record Field(
         String block,
         String name,
         Kind kind,
-        String otherwise,
-        double least,
-        double most,
-        List<String> words,
-        String why) {
+        String defaultValue,
+        double min,
+        double max,
+        List<String> allowedValues,
+        String description) {
 
     /** What a field holds. */
     public enum Kind {
         /** A text. */
         TEXT("text"),
         /** A list of texts. */
-        TEXTS("list of texts"),
+        TEXT_LIST("list of texts"),
         /** An IPv4 address and a port. */
         ADDRESS("address:port"),
         /** A time with its unit. */
-        TIME("time"),
+        DURATION("time"),
         /** A number. */
         NUMBER("number"),
         /** A whole number. */
-        WHOLE("whole number"),
+        INTEGER("whole number"),
         /** True or false. */
-        YES("true or false"),
+        BOOLEAN("true or false"),
         /** One of some words. */
-        WORD("word");
+        ENUM("word");
 
-        private final String shown;
+        private final String displayName;
 
         Kind(String shown) {
-            this.shown = shown;
+            this.displayName = shown;
         }
 
         /** In words. */
-        public String shown() {
-            return shown;
+        public String displayName() {
+            return displayName;
         }
     }
 
@@ -61,30 +61,28 @@
 
     /** Its range in words; empty where it has none. */
     public String range() {
-        if (kind == Kind.WORD) {
-            return String.join(", ", words);
+        if (kind == Kind.ENUM) {
+            return String.join(", ", allowedValues);
         }
-        if (Double.isInfinite(least)) {
+        if (Double.isInfinite(min)) {
             return "";
         }
-        String from = least == Double.MIN_NORMAL
+        String from = min == Double.MIN_NORMAL
                 ? "above 0"
-                : Double.isInfinite(most) ? shown(least) + " or more" : "from " + shown(least);
-        return Double.isInfinite(most)
-                ? from
-                : from + (least == Double.MIN_NORMAL ? " and up to " : " to ") + shown(most);
+                : Double.isInfinite(max) ? shown(min) + " or more" : "from " + shown(min);
+        return Double.isInfinite(max) ? from : from + (min == Double.MIN_NORMAL ? " and up to " : " to ") + shown(max);
     }
 
     /** The rule that is broken where it lies beyond its range. */
-    Rule beyond() {
+    Rule rangeRule() {
         if (key().equals("quota") || key().equals("tenant.share")) {
             return Rule.SHARES;
         }
-        return kind == Kind.TIME ? Rule.TIMES : Rule.LIMITS;
+        return kind == Kind.DURATION ? Rule.TIMES : Rule.LIMITS;
     }
 
     private String shown(double value) {
-        if (kind != Kind.TIME) {
+        if (kind != Kind.DURATION) {
             return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
         }
         long us = (long) value;
--- a/src/main/java/kitemux/app/Reference.java
+++ b/src/main/java/kitemux/app/FieldReference.java
@@ -11,26 +11,26 @@
 import java.util.Map;
 
 /** The table of fields as people and editors read it: a page, and a JSON schema of descriptions. */
-public final class Reference {
+public final class FieldReference {
     private static final String TIME = "^\\d+(\\.\\d+)?(us|ms|s|m|h)$";
     private static final String ADDRESS = "^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$";
 
-    private Reference() {}
+    private FieldReference() {}
 
     /** One field in a line, as {@code explain} tells it. */
-    public static String line(Field field) {
+    public static String describe(Field field) {
         String range = field.range();
-        return field.key() + ": " + field.kind().shown() + (range.isEmpty() ? "" : ", " + range) + ", "
-                + (field.otherwise() == null ? "must be given" : "default " + otherwise(field)) + ". "
-                + field.why();
+        return field.key() + ": " + field.kind().displayName() + (range.isEmpty() ? "" : ", " + range) + ", "
+                + (field.defaultValue() == null ? "must be given" : "default " + otherwise(field)) + ". "
+                + field.description();
     }
 
     private static String otherwise(Field field) {
-        return field.otherwise().isEmpty() ? "none" : field.otherwise();
+        return field.defaultValue().isEmpty() ? "none" : field.defaultValue();
     }
 
     /** All fields by block, as a page. */
-    public static String page() {
+    public static String toMarkdown() {
         StringBuilder page = new StringBuilder("# All fields of a description\n\nMade by `config "
                 + "reference` from the"
                 + " table that descriptions are read by. Times carry a unit: `us`, `ms`, `s`, `m`, `h`.\n");
@@ -44,17 +44,17 @@
                     .append(Character.toUpperCase(about.charAt(0)))
                     .append(about.substring(1))
                     .append(".\n\n| field | kind | range | default | |\n| --- | --- | --- |" + " --- | --- |\n");
-            for (Field field : Fields.of(block)) {
+            for (Field field : Fields.inBlock(block)) {
                 page.append("| `")
                         .append(field.name())
                         .append("` | ")
-                        .append(field.kind().shown())
+                        .append(field.kind().displayName())
                         .append(" | ")
                         .append(field.range())
                         .append(" | ")
-                        .append(field.otherwise() == null ? "must be given" : otherwise(field))
+                        .append(field.defaultValue() == null ? "must be given" : otherwise(field))
                         .append(" | ")
-                        .append(field.why())
+                        .append(field.description())
                         .append(" |\n");
             }
         });
@@ -62,7 +62,7 @@
     }
 
     /** A JSON schema (draft 2020-12) of what a description says, for editors that know HCL's JSON form. */
-    public static String schema() {
+    public static String toJsonSchema() {
         StringWriter text = new StringWriter();
         try (JsonGenerator to = new JsonFactory().createGenerator(text)) {
             to.setPrettyPrinter(new DefaultPrettyPrinter()
@@ -80,12 +80,12 @@
     }
 
     private static void block(JsonGenerator to, String name) throws IOException {
-        List<Field> fields = Fields.of(name);
+        List<Field> fields = Fields.inBlock(name);
         to.writeStringField("type", "object");
         to.writeBooleanField("additionalProperties", false);
         to.writeArrayFieldStart("required");
         for (Field field : fields) {
-            if (field.otherwise() == null) {
+            if (field.defaultValue() == null) {
                 to.writeString(field.name());
             }
         }
@@ -124,42 +124,42 @@
     }
 
     private static void field(JsonGenerator to, Field field) throws IOException {
-        to.writeStringField("description", field.why());
+        to.writeStringField("description", field.description());
         switch (field.kind()) {
             case TEXT -> to.writeStringField("type", "string");
             case ADDRESS -> pattern(to, ADDRESS);
-            case TIME -> pattern(to, TIME);
-            case YES -> to.writeStringField("type", "boolean");
-            case TEXTS -> {
+            case DURATION -> pattern(to, TIME);
+            case BOOLEAN -> to.writeStringField("type", "boolean");
+            case TEXT_LIST -> {
                 to.writeStringField("type", "array");
                 to.writeObjectFieldStart("items");
                 to.writeStringField("type", "string");
                 to.writeEndObject();
             }
-            case WORD -> {
+            case ENUM -> {
                 to.writeArrayFieldStart("enum");
-                for (String word : field.words()) {
+                for (String word : field.allowedValues()) {
                     to.writeString(word);
                 }
                 to.writeEndArray();
             }
-            case NUMBER, WHOLE -> {
-                to.writeStringField("type", field.kind() == Field.Kind.WHOLE ? "integer" : "number");
-                if (field.least() == Double.MIN_NORMAL) {
+            case NUMBER, INTEGER -> {
+                to.writeStringField("type", field.kind() == Field.Kind.INTEGER ? "integer" : "number");
+                if (field.min() == Double.MIN_NORMAL) {
                     to.writeNumberField("exclusiveMinimum", 0);
                 } else {
-                    to.writeNumberField("minimum", field.least());
+                    to.writeNumberField("minimum", field.min());
                 }
-                if (!Double.isInfinite(field.most())) {
-                    to.writeNumberField("maximum", field.most());
+                if (!Double.isInfinite(field.max())) {
+                    to.writeNumberField("maximum", field.max());
                 }
             }
         }
-        if (field.otherwise() != null && !field.otherwise().isEmpty()) {
+        if (field.defaultValue() != null && !field.defaultValue().isEmpty()) {
             switch (field.kind()) {
-                case YES -> to.writeBooleanField("default", Boolean.parseBoolean(field.otherwise()));
-                case NUMBER, WHOLE -> to.writeNumberField("default", Double.parseDouble(field.otherwise()));
-                default -> to.writeStringField("default", field.otherwise());
+                case BOOLEAN -> to.writeBooleanField("default", Boolean.parseBoolean(field.defaultValue()));
+                case NUMBER, INTEGER -> to.writeNumberField("default", Double.parseDouble(field.defaultValue()));
+                default -> to.writeStringField("default", field.defaultValue());
             }
         }
     }
--- a/src/main/java/kitemux/app/Fields.java
+++ b/src/main/java/kitemux/app/Fields.java
@@ -176,15 +176,15 @@
     }
 
     private static void texts(String block, String name, String why) {
-        add(block, name, Kind.TEXTS, "", why);
+        add(block, name, Kind.TEXT_LIST, "", why);
     }
 
     private static void yes(String block, String name, boolean otherwise, String why) {
-        add(block, name, Kind.YES, Boolean.toString(otherwise), why);
+        add(block, name, Kind.BOOLEAN, Boolean.toString(otherwise), why);
     }
 
     private static void time(String block, String name, String otherwise, double least, double most, String why) {
-        put(new Field(block, name, Kind.TIME, otherwise, least, most, List.of(), why));
+        put(new Field(block, name, Kind.DURATION, otherwise, least, most, List.of(), why));
     }
 
     private static void number(String block, String name, String otherwise, double least, double most, String why) {
@@ -192,11 +192,11 @@
     }
 
     private static void whole(String block, String name, String otherwise, double least, double most, String why) {
-        put(new Field(block, name, Kind.WHOLE, otherwise, least, most, List.of(), why));
+        put(new Field(block, name, Kind.INTEGER, otherwise, least, most, List.of(), why));
     }
 
     private static void words(String block, String name, String otherwise, String why, String... words) {
-        put(new Field(block, name, Kind.WORD, otherwise, -ANY, ANY, List.of(words), why));
+        put(new Field(block, name, Kind.ENUM, otherwise, -ANY, ANY, List.of(words), why));
     }
 
     /** All of them, in order. */
@@ -215,7 +215,7 @@
     }
 
     /** The fields of a block, in order. */
-    public static List<Field> of(String block) {
+    public static List<Field> inBlock(String block) {
         return ALL.values().stream()
                 .filter(field -> field.block().equals(block))
                 .toList();
@@ -238,7 +238,7 @@
      * Keys that somebody may have meant who wrote this one: all of a block, all that end with it, or the
      * nearest.
      */
-    public static List<Field> like(String key) {
+    public static List<Field> findSimilar(String key) {
         List<Field> found = new ArrayList<>();
         for (Field field : ALL.values()) {
             if (field.key().equals(key)) {
--- a/src/main/java/kitemux/app/Report.java
+++ b/src/main/java/kitemux/app/FindingReport.java
@@ -13,7 +13,7 @@
  * What was found in descriptions, for programs: as JSON, or as SARIF 2.1.0, which code hosts and editors
  * show.
  */
-public final class Report {
+public final class FindingReport {
     private static final Pattern PLACE = Pattern.compile("(?s)(.*):(\\d+):(\\d+): (.*)");
 
     /**
@@ -21,20 +21,20 @@
      *
      * @param line and {@code column}: from 1; 0 where they are not known
      */
-    public record Found(String file, int line, int column, Finding finding) {}
+    public record LocatedFinding(String file, int line, int column, Finding finding) {}
 
-    private Report() {}
+    private FindingReport() {}
 
     /** What was found in a file, with the places that are known. */
-    public static List<Found> of(String file, AppFile.Reading reading) {
+    public static List<LocatedFinding> locate(String file, AppParser.Result reading) {
         return reading.findings().stream()
                 .map(finding -> {
-                    String line = finding.at().matches("\\d+:\\d+")
-                            ? file + ":" + finding.line()
-                            : reading.places().withLocation(file, finding.line());
+                    String line = finding.location().matches("\\d+:\\d+")
+                            ? file + ":" + finding.format()
+                            : reading.places().withLocation(file, finding.format());
                     Matcher place = PLACE.matcher(line);
                     boolean known = place.matches() && place.group(1).equals(file);
-                    return new Found(
+                    return new LocatedFinding(
                             file,
                             known ? Integer.parseInt(place.group(2)) : 0,
                             known ? Integer.parseInt(place.group(3)) : 0,
@@ -59,19 +59,19 @@
     }
 
     /** A list of objects. */
-    public static String json(List<Found> all) {
+    public static String toJson(List<LocatedFinding> all) {
         return text(to -> {
             to.writeStartArray();
-            for (Found found : all) {
+            for (LocatedFinding found : all) {
                 Finding finding = found.finding;
                 to.writeStartObject();
                 to.writeStringField("code", finding.rule().code());
                 to.writeStringField("file", found.file);
                 to.writeNumberField("line", found.line);
                 to.writeNumberField("column", found.column);
-                to.writeStringField("field", finding.at());
-                to.writeStringField("what", finding.what());
-                to.writeStringField("cure", finding.rule().cure());
+                to.writeStringField("field", finding.location());
+                to.writeStringField("what", finding.message());
+                to.writeStringField("cure", finding.rule().remedy());
                 to.writeEndObject();
             }
             to.writeEndArray();
@@ -79,7 +79,7 @@
     }
 
     /** A log of one run. */
-    public static String sarif(List<Found> all) {
+    public static String toSarif(List<LocatedFinding> all) {
         return text(to -> {
             to.writeStartObject();
             to.writeStringField("$schema", "https://json.schemastore.org/sarif-2.1.0.json");
@@ -93,15 +93,15 @@
             for (Rule rule : Rule.values()) {
                 to.writeStartObject();
                 to.writeStringField("id", rule.code());
-                message(to, "shortDescription", rule.about());
-                message(to, "help", rule.cure());
+                message(to, "shortDescription", rule.description());
+                message(to, "help", rule.remedy());
                 to.writeEndObject();
             }
             to.writeEndArray();
             to.writeEndObject();
             to.writeEndObject();
             to.writeArrayFieldStart("results");
-            for (Found found : all) {
+            for (LocatedFinding found : all) {
                 result(to, found);
             }
             to.writeEndArray();
@@ -117,7 +117,7 @@
         to.writeEndObject();
     }
 
-    private static void result(JsonGenerator to, Found found) throws IOException {
+    private static void result(JsonGenerator to, LocatedFinding found) throws IOException {
         Finding finding = found.finding;
         to.writeStartObject();
         to.writeStringField("ruleId", finding.rule().code());
@@ -126,8 +126,8 @@
         message(
                 to,
                 "message",
-                (finding.at().isEmpty() ? "" : finding.at() + ": ") + finding.what() + "; "
-                        + finding.rule().cure());
+                (finding.location().isEmpty() ? "" : finding.location() + ": ") + finding.message() + "; "
+                        + finding.rule().remedy());
         to.writeArrayFieldStart("locations");
         to.writeStartObject();
         to.writeObjectFieldStart("physicalLocation");
--- a/src/main/java/kitemux/app/Rule.java
+++ b/src/main/java/kitemux/app/Rule.java
@@ -1,6 +1,6 @@
 package kitemux.app;
 
-/** What a description is held against. Codes stay what they are; what they stand for is in {@link #about}. */
+/** What a description is held against. Codes stay what they are; what they stand for is in {@link #description}. */
 public enum Rule {
     /** A field or block that cannot be read. */
     SHAPE("KX001", "a field is missing, unknown, or not of its kind", "see the field's line in the reference"),
@@ -50,13 +50,13 @@
     SECRET("KX701", "a secret stands in plain sight", "name a file that holds it");
 
     private final String code;
-    private final String about;
-    private final String cure;
+    private final String description;
+    private final String remedy;
 
     Rule(String code, String about, String cure) {
         this.code = code;
-        this.about = about;
-        this.cure = cure;
+        this.description = about;
+        this.remedy = cure;
     }
 
     /** Its code, such as KX101. */
@@ -65,12 +65,12 @@
     }
 
     /** What it is about, in a few words. */
-    public String about() {
-        return about;
+    public String description() {
+        return description;
     }
 
     /** How what it finds is mended. */
-    public String cure() {
-        return cure;
+    public String remedy() {
+        return remedy;
     }
 }
--- a/src/main/java/kitemux/app/Begin.java
+++ b/src/main/java/kitemux/app/StarterTemplates.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** Descriptions to begin with, for applications of some kinds: sound as they are, and to be changed. */
-public final class Begin {
+public final class StarterTemplates {
     /** The kinds that there are. */
     public static final List<String> KINDS = List.of("web", "orders");
 
@@ -64,13 +64,13 @@
             }
             """;
 
-    private Begin() {}
+    private StarterTemplates() {}
 
     /**
      * @param kind one of {@link #KINDS}
      * @throws IllegalArgumentException if it is none of these
      */
-    public static String text(String kind, String name) {
+    public static String render(String kind, String name) {
         return switch (kind) {
             case "web" -> String.format(HEAD, "An application whose requests may all run again.", name, "");
             case "orders" ->
--- a/src/main/java/kitemux/cli/ConfigCommand.java
+++ b/src/main/java/kitemux/cli/ConfigCommand.java
@@ -12,17 +12,17 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Consumer;
-import kitemux.app.AppFile;
-import kitemux.app.Begin;
+import kitemux.app.AppParser;
+import kitemux.app.ConfigMigration;
 import kitemux.app.ConfigWriter;
 import kitemux.app.Differences;
 import kitemux.app.Field;
+import kitemux.app.FieldReference;
 import kitemux.app.Fields;
 import kitemux.app.Finding;
-import kitemux.app.Migrate;
-import kitemux.app.Reference;
-import kitemux.app.Report;
+import kitemux.app.FindingReport;
 import kitemux.app.Rule;
+import kitemux.app.StarterTemplates;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -60,22 +60,22 @@
     }
 
     /** Tells what was found in a file; whether there was nothing. */
-    private boolean tell(Path file, AppFile.Reading reading) {
+    private boolean tell(Path file, AppParser.Result reading) {
         boolean sound = tell(file, reading, err()::println);
         err().flush();
         return sound;
     }
 
     /** The same, to wherever lines go. */
-    static boolean tell(Path file, AppFile.Reading reading, Consumer<String> say) {
+    static boolean tell(Path file, AppParser.Result reading, Consumer<String> say) {
         for (Finding finding : reading.findings()) {
-            boolean isPlace = finding.at().matches("\\d+:\\d+");
+            boolean isPlace = finding.location().matches("\\d+:\\d+");
             say.accept(
-                    finding.at().isEmpty()
-                            ? file + finding.line()
+                    finding.location().isEmpty()
+                            ? file + finding.format()
                             : isPlace
-                                    ? file + ":" + finding.line()
-                                    : reading.places().withLocation(file.toString(), finding.line()));
+                                    ? file + ":" + finding.format()
+                                    : reading.places().withLocation(file.toString(), finding.format()));
         }
         return reading.findings().isEmpty();
     }
@@ -89,23 +89,23 @@
                             defaultValue = "text",
                             description = "text, to standard error; json or sarif, to standard output; " + "text")
                     Form form) {
-        List<Report.Found> all = new ArrayList<>();
+        List<FindingReport.LocatedFinding> all = new ArrayList<>();
         boolean sound = true;
         for (Path file : files) {
             try {
-                AppFile.Reading reading = AppFile.read(read(file));
+                AppParser.Result reading = AppParser.parse(read(file));
                 sound &= reading.findings().isEmpty();
                 if (form == Form.text) {
                     tell(file, reading);
                 } else {
-                    all.addAll(Report.of(file.toString(), reading));
+                    all.addAll(FindingReport.locate(file.toString(), reading));
                 }
             } catch (IOException e) {
                 return unusable(e.getMessage());
             }
         }
         if (form != Form.text) {
-            out().println(form == Form.json ? Report.json(all) : Report.sarif(all));
+            out().println(form == Form.json ? FindingReport.toJson(all) : FindingReport.toSarif(all));
             out().flush();
         }
         return sound ? Main.DONE : Main.FOUND;
@@ -142,14 +142,15 @@
                             description = "of the application; my-application")
                     String name,
             @Parameters(paramLabel = "FILE", description = "where it goes") Path file) {
-        if (!Begin.KINDS.contains(kind)) {
-            return unusable("--kind is none of " + String.join(", ", Begin.KINDS) + ": " + kind);
+        if (!StarterTemplates.KINDS.contains(kind)) {
+            return unusable("--kind is none of " + String.join(", ", StarterTemplates.KINDS) + ": " + kind);
         }
         if (!name.matches("[A-Za-z0-9._-]{1,60}")) {
             return unusable("--name is not 1 to 60 letters, digits, dots, dashes and underscores");
         }
         try {
-            Files.writeString(file, Begin.text(kind, name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+            Files.writeString(
+                    file, StarterTemplates.render(kind, name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
             out().println(file + " is sound as it is; put your servers in, then: config check " + file);
             out().flush();
             return Main.DONE;
@@ -166,13 +167,13 @@
             description = "A description of a node's configuration; what it has no words for is told.")
     int migrate(@Parameters(paramLabel = "NODE.json") Path file) {
         try {
-            Migrate.Result result = Migrate.of(Files.readAllBytes(file));
+            ConfigMigration.Result result = ConfigMigration.migrate(Files.readAllBytes(file));
             out().print(result.text());
             out().flush();
-            result.left().forEach(line -> err().println("not carried over: " + line));
+            result.omitted().forEach(line -> err().println("not carried over: " + line));
             err().flush();
             // What has been edited by hand may break rules: they are told with it.
-            return tell(file, AppFile.read(result.text())) ? Main.DONE : Main.FOUND;
+            return tell(file, AppParser.parse(result.text())) ? Main.DONE : Main.FOUND;
         } catch (IOException e) {
             return unusable(file + ": " + e.getMessage());
         }
@@ -183,7 +184,7 @@
             mixinStandardHelpOptions = true,
             description = "All fields of a description, with ranges and defaults, as a page.")
     int reference() {
-        out().print(Reference.page());
+        out().print(FieldReference.toMarkdown());
         out().flush();
         return Main.DONE;
     }
@@ -193,7 +194,7 @@
             mixinStandardHelpOptions = true,
             description = "A JSON schema of descriptions, for editors.")
     int schema() {
-        out().print(Reference.schema());
+        out().print(FieldReference.toJsonSchema());
         out().flush();
         return Main.DONE;
     }
@@ -215,13 +216,13 @@
             return unusable("--seed is not 1 to 16 hex digits");
         }
         try {
-            AppFile.Reading reading = AppFile.read(read(file));
+            AppParser.Result reading = AppParser.parse(read(file));
             if (!tell(file, reading)) {
                 return Main.FOUND;
             }
             // Whoever reads it meanwhile has the old one or the new one, never a part.
             Path whole = Files.writeString(
-                    to.resolveSibling(to.getFileName() + ".new"), ConfigWriter.json(reading.app(), seed));
+                    to.resolveSibling(to.getFileName() + ".new"), ConfigWriter.toJson(reading.app(), seed));
             Files.move(whole, to, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
             return Main.DONE;
         } catch (IOException e) {
@@ -237,8 +238,8 @@
             @Parameters(paramLabel = "OLD", index = "0") Path old,
             @Parameters(paramLabel = "NEW", index = "1") Path next) {
         try {
-            AppFile.Reading before = AppFile.read(read(old));
-            AppFile.Reading after = AppFile.read(read(next));
+            AppParser.Result before = AppParser.parse(read(old));
+            AppParser.Result after = AppParser.parse(read(next));
             // Both are told, and what is broken is not compared: it may not say what was meant.
             if (!tell(old, before) | !tell(next, after)) {
                 return Main.FOUND;
@@ -258,12 +259,12 @@
             description =
                     "What a code or a field is about, such as KX102, limits.attempts or limits; " + "or all codes.")
     int explain(@Parameters(paramLabel = "KEY", arity = "0..1") String code) {
-        List<Field> fields = code == null ? List.of() : Fields.like(code);
-        fields.forEach(field -> out().println(Reference.line(field)));
+        List<Field> fields = code == null ? List.of() : Fields.findSimilar(code);
+        fields.forEach(field -> out().println(FieldReference.describe(field)));
         boolean found = !fields.isEmpty();
         for (Rule rule : Rule.values()) {
             if (code == null || rule.code().equals(code.toUpperCase(Locale.ROOT))) {
-                out().println(rule.code() + ": " + rule.about() + ". Cure: " + rule.cure() + ".");
+                out().println(rule.code() + ": " + rule.description() + ". Cure: " + rule.remedy() + ".");
                 found = true;
             }
         }
--- a/src/main/java/kitemux/cli/SidecarCommand.java
+++ b/src/main/java/kitemux/cli/SidecarCommand.java
@@ -6,7 +6,7 @@
 import java.security.SecureRandom;
 import java.util.List;
 import java.util.concurrent.Callable;
-import kitemux.app.AppFile;
+import kitemux.app.AppParser;
 import kitemux.sidecar.Sidecar;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -63,7 +63,7 @@
             System.err.println("kitemux: " + file + " cannot be read, or is not UTF-8");
             return Main.UNUSABLE;
         }
-        AppFile.Reading reading = AppFile.read(text);
+        AppParser.Result reading = AppParser.parse(text);
         if (!ConfigCommand.tell(file, reading, System.err::println)) {
             return Main.FOUND;
         }
--- a/src/main/java/kitemux/sidecar/Sidecar.java
+++ b/src/main/java/kitemux/sidecar/Sidecar.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import kitemux.app.App;
 import kitemux.app.ConfigWriter;
-import kitemux.app.Watch;
+import kitemux.app.DescriptionWatcher;
 import kitemux.members.Member;
 import kitemux.members.MemberListParser;
 import kitemux.members.MemberSettings;
@@ -50,7 +50,7 @@
     private final Options options;
     private final LineLog log;
     private final Membership members;
-    private final Watch watch;
+    private final DescriptionWatcher watch;
     private final SnapshotStore state;
     private final Path config;
     private final HttpFetcher fetch = new HttpFetcher();
@@ -98,7 +98,7 @@
                 from.refreshUs(),
                 from.backOffUs(),
                 () -> ThreadLocalRandom.current().nextDouble());
-        watch = new Watch(app, text);
+        watch = new DescriptionWatcher(app, text);
         state = from.state().isEmpty() ? null : new SnapshotStore(Path.of(from.state()), app.name());
         Path folder = Files.createTempDirectory("kitemux-sidecar");
         folder.toFile().deleteOnExit();
@@ -127,8 +127,8 @@
         // What a platform would say; here the description does.
         env.keySet().removeIf(name -> name.startsWith("PROXY_"));
         env.put("PROXY_CONFIG", config.toString());
-        if (!app.operators().isEmpty()) {
-            env.put("PROXY_MGMT", app.operators());
+        if (!app.operatorAddress().isEmpty()) {
+            env.put("PROXY_MGMT", app.operatorAddress());
         }
         reload = Node.run(env, log);
         Runtime.getRuntime().addShutdownHook(new Thread(this::end, "end"));
@@ -180,13 +180,13 @@
         if (left != null) {
             take(members.restore(nowUs(), left));
         }
-        if (!app.discovery().isEmpty()) {
+        if (!app.discoveryAddress().isEmpty()) {
             // The node asks for its servers itself.
-            write(ConfigWriter.json(app, options.seed()));
+            write(ConfigWriter.toJson(app, options.seed()));
             return;
         }
-        if (app.source().isEmpty()) {
-            take(members.replaceAll(nowUs(), ConfigWriter.members(app)));
+        if (app.serverSource().isEmpty()) {
+            take(members.replaceAll(nowUs(), ConfigWriter.describedMembers(app)));
         } else if (!app.members().file().isEmpty()) {
             fileSeen = file();
             fileTaken = fileSeen;
@@ -228,7 +228,7 @@
     /** A list has come, by file or by HTTP: whole and sound, or it changes nothing. */
     private boolean list(byte[] text, String from) {
         List<String> faults = new ArrayList<>();
-        List<Member> all = text == null ? List.of() : MemberListParser.parse(text, app::allows, faults);
+        List<Member> all = text == null ? List.of() : MemberListParser.parse(text, app::isServerAddressAllowed, faults);
         if (text == null) {
             faults.add("cannot be read");
         }
@@ -263,10 +263,10 @@
 
     private void tell(List<Membership.MemberStatus> serving) {
         try {
-            write(ConfigWriter.json(
+            write(ConfigWriter.toJson(
                     app,
                     serving.stream()
-                            .map(one -> ConfigWriter.server(one.member(), one.draining(), one.startedUs()))
+                            .map(one -> ConfigWriter.toServer(one.member(), one.draining(), one.startedUs()))
                             .toList(),
                     options.seed()));
             reload.run();
@@ -289,14 +289,14 @@
         } catch (IOException e) {
             text = null;
         }
-        Watch.Decision decision = watch.look(text);
-        if (decision.app() != null) {
-            app = decision.app();
-            if (app.source().isEmpty() && app.discovery().isEmpty()) {
-                take(members.replaceAll(nowUs(), ConfigWriter.members(app)));
+        DescriptionWatcher.Decision decision = watch.observe(text);
+        if (decision.newApp() != null) {
+            app = decision.newApp();
+            if (app.serverSource().isEmpty() && app.discoveryAddress().isEmpty()) {
+                take(members.replaceAll(nowUs(), ConfigWriter.describedMembers(app)));
             }
         }
-        decision.say().forEach(log::info);
+        decision.messages().forEach(log::info);
         if (!app.members().file().isEmpty()) {
             lookAtList();
         }
--- a/src/test/java/kitemux/app/BrokenAppsTest.java
+++ b/src/test/java/kitemux/app/BrokenAppsTest.java
@@ -360,11 +360,12 @@
     @ParameterizedTest
     @MethodSource("all")
     void eachIsCaughtByItsRule(Rule rule, String field, List<String> changes) {
-        AppFile.Reading reading = AppFile.read(changed(changes));
+        AppParser.Result reading = AppParser.parse(changed(changes));
         assertTrue(
                 reading.findings().stream()
-                        .anyMatch(f -> f.rule() == rule && f.line().contains(field)),
-                () -> "found " + reading.findings().stream().map(Finding::line).toList());
+                        .anyMatch(f -> f.rule() == rule && f.format().contains(field)),
+                () -> "found "
+                        + reading.findings().stream().map(Finding::format).toList());
         if (rule != Rule.SHAPE && rule != Rule.SECRET) {
             Set<Rule> found = EnumSet.noneOf(Rule.class);
             reading.findings().forEach(f -> found.add(f.rule()));
@@ -373,23 +374,23 @@
             assertEquals(EnumSet.of(rule), found, () -> reading.findings().toString());
         }
         if (reading.app() != null && reading.findings().stream().noneMatch(f -> f.rule() == Rule.SHAPE)) {
-            assertThrows(IllegalArgumentException.class, () -> ConfigWriter.json(reading.app(), "1"));
+            assertThrows(IllegalArgumentException.class, () -> ConfigWriter.toJson(reading.app(), "1"));
         }
     }
 
     @Test
     void theSoundOneIsSoundAndEachRuleHasABrokenOne() {
-        assertEquals(List.of(), AppFile.read(sound()).findings());
+        assertEquals(List.of(), AppParser.parse(sound()).findings());
         assertEquals(
                 List.of(),
-                AppFile.read("\uFEFF" + sound().replace("\n", "\r\n")).findings());
+                AppParser.parse("\uFEFF" + sound().replace("\n", "\r\n")).findings());
         assertTrue(all().count() >= 120, "broken ones: " + all().count());
         Set<Rule> caught = new HashSet<>();
         all().forEach(broken -> caught.add((Rule) broken.get()[0]));
         // Several pools are told before it is asked which of them a class has.
         caught.add(Rule.UNSERVED);
         assertEquals(Set.of(Rule.values()), caught);
-        AppFile.Reading pools = AppFile.read(
+        AppParser.Result pools = AppParser.parse(
                 changed(List.of("quota = 300", pool("\"web-1\"") + "\npool \"b\" {\n  servers = [\"web-2\"]\n}")));
         assertTrue(pools.findings().stream().anyMatch(f -> f.rule() == Rule.UNSERVED));
         assertTrue(pools.findings().stream().anyMatch(f -> f.rule() == Rule.NOT_YET));
@@ -397,15 +398,17 @@
 
     @Test
     void whatIsWrittenIsTheSameEachTimeAndLeavesOutWhatIsNotServed() {
-        AppFile.Reading reading = AppFile.read(sound());
-        String json = ConfigWriter.json(reading.app(), "7f");
-        assertEquals(json, ConfigWriter.json(AppFile.read(sound()).app(), "7f"));
+        AppParser.Result reading = AppParser.parse(sound());
+        String json = ConfigWriter.toJson(reading.app(), "7f");
+        assertEquals(json, ConfigWriter.toJson(AppParser.parse(sound()).app(), "7f"));
         assertTrue(json.contains("\"state\" : \"Terminating\""), json);
-        String gone = ConfigWriter.json(
-                AppFile.read(changed(List.of("\"draining\"", "\"gone\""))).app(), "7f");
+        String gone = ConfigWriter.toJson(
+                AppParser.parse(changed(List.of("\"draining\"", "\"gone\""))).app(), "7f");
         assertFalse(gone.contains("web-3"), gone);
-        String pool = ConfigWriter.json(
-                AppFile.read(changed(List.of("quota = 300", pool("\"web-2\"")))).app(), "7f");
+        String pool = ConfigWriter.toJson(
+                AppParser.parse(changed(List.of("quota = 300", pool("\"web-2\""))))
+                        .app(),
+                "7f");
         assertTrue(pool.contains("web-2") && !pool.contains("web-1"), pool);
     }
 }
--- a/src/test/java/kitemux/app/DifferencesTest.java
+++ b/src/test/java/kitemux/app/DifferencesTest.java
@@ -16,7 +16,7 @@
 
     private static List<String> to(String next) throws IOException {
         return Differences.between(
-                AppFile.read(text()).app(), AppFile.read(next).app());
+                AppParser.parse(text()).app(), AppParser.parse(next).app());
     }
 
     @Test
--- a/src/test/java/kitemux/app/FieldsTest.java
+++ b/src/test/java/kitemux/app/FieldsTest.java
@@ -44,39 +44,39 @@
     }
 
     private static String number(Field field, double value) {
-        return field.kind() == Field.Kind.TIME
+        return field.kind() == Field.Kind.DURATION
                 ? "\"" + Math.round(value) + "us\""
                 : value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
 
     static Stream<Field> bounded() {
-        return Fields.all().stream().filter(field -> !Double.isInfinite(field.least()));
+        return Fields.all().stream().filter(field -> !Double.isInfinite(field.min()));
     }
 
     private static List<String> findings(String text) {
-        return AppFile.read(text).findings().stream().map(Finding::line).toList();
+        return AppParser.parse(text).findings().stream().map(Finding::format).toList();
     }
 
     private static boolean isTold(Field field, String text) {
         return findings(text).stream()
                 .anyMatch(line ->
-                        line.contains(field.name() + ": " + field.beyond().code() + " is not " + field.range()));
+                        line.contains(field.name() + ": " + field.rangeRule().code() + " is not " + field.range()));
     }
 
     @ParameterizedTest
     @MethodSource("bounded")
     void whatLiesBeyondARangeIsToldAndItsEndsAreNot(Field field) {
         double step = field.kind() == Field.Kind.NUMBER ? 0.001 : 1;
-        double least = field.least() == Double.MIN_NORMAL ? 0.001 : field.least();
+        double least = field.min() == Double.MIN_NORMAL ? 0.001 : field.min();
         assertFalse(isTold(field, with(field, number(field, least))), () -> "least of " + field);
         // A time cannot be written that is under 0.
-        if (field.kind() != Field.Kind.TIME || field.least() > 0) {
+        if (field.kind() != Field.Kind.DURATION || field.min() > 0) {
             assertTrue(isTold(field, with(field, number(field, least - step))), () -> "under the least of " + field);
         }
-        if (!Double.isInfinite(field.most())) {
-            assertFalse(isTold(field, with(field, number(field, field.most()))), () -> "most of " + field);
+        if (!Double.isInfinite(field.max())) {
+            assertFalse(isTold(field, with(field, number(field, field.max()))), () -> "most of " + field);
             assertTrue(
-                    isTold(field, with(field, number(field, field.most() + step))), () -> "over the most of " + field);
+                    isTold(field, with(field, number(field, field.max() + step))), () -> "over the most of " + field);
         }
     }
 
@@ -84,16 +84,16 @@
     void defaultsLieInTheirRangesAndWhatMustBeGivenIsAskedFor() {
         assertEquals(List.of(), findings(LEAST));
         for (Field field : Fields.all()) {
-            if (field.otherwise() == null && field.block().isEmpty()) {
+            if (field.defaultValue() == null && field.block().isEmpty()) {
                 String without = LEAST.replaceFirst("(?m)^" + field.name() + " = .*\n", "");
                 assertTrue(
-                        findings(without).contains(field.name() + ": KX001 must be given; " + Rule.SHAPE.cure()),
+                        findings(without).contains(field.name() + ": KX001 must be given; " + Rule.SHAPE.remedy()),
                         findings(without)::toString);
             }
             String unlike =
                     switch (field.kind()) {
-                        case TEXT, ADDRESS, TIME, WORD, TEXTS -> "7";
-                        case NUMBER, WHOLE, YES -> "\"seven\"";
+                        case TEXT, ADDRESS, DURATION, ENUM, TEXT_LIST -> "7";
+                        case NUMBER, INTEGER, BOOLEAN -> "\"seven\"";
                     };
             assertTrue(
                     findings(with(field, unlike)).stream()
@@ -106,13 +106,13 @@
     void thePageAndTheSchemaInTheRepositoryAreOfThisTable() throws IOException {
         assertEquals(
                 Files.readString(Path.of("docs", "operate", "fields.md")),
-                Reference.page(),
+                FieldReference.toMarkdown(),
                 "make it anew: config reference > docs/operate/fields.md");
         assertEquals(
                 Files.readString(Path.of("docs", "schema", "application.schema.json")),
-                Reference.schema(),
+                FieldReference.toJsonSchema(),
                 "make it anew: config schema > docs/schema/application.schema.json");
-        Json schema = Json.read(Reference.schema().getBytes(StandardCharsets.UTF_8));
+        Json schema = Json.read(FieldReference.toJsonSchema().getBytes(StandardCharsets.UTF_8));
         for (Field field : Fields.all()) {
             Json properties = schema.path("properties");
             if (!field.block().isEmpty()) {
@@ -121,7 +121,7 @@
                         .path("properties");
             }
             assertEquals(
-                    field.why(),
+                    field.description(),
                     properties.path(field.name()).path("description").asText(),
                     field.key());
         }
@@ -131,28 +131,29 @@
     void aFieldIsExplainedByItsKeyItsNameOrItsBlock() {
         assertEquals(
                 "limits.attempts: whole number, from 1 to 16, default 4. of one request; more " + "would feed a storm",
-                Reference.line(Fields.get("limits.attempts")));
+                FieldReference.describe(Fields.get("limits.attempts")));
         assertEquals(
                 List.of("class.attempts", "limits.attempts"),
-                Fields.like("attempts").stream().map(Field::key).toList());
-        assertEquals(Fields.of("health"), Fields.like("health"));
-        assertEquals(List.of(), Fields.like("wisdom"));
+                Fields.findSimilar("attempts").stream().map(Field::key).toList());
+        assertEquals(Fields.inBlock("health"), Fields.findSimilar("health"));
+        assertEquals(List.of(), Fields.findSimilar("wisdom"));
         assertThrows(IllegalArgumentException.class, () -> Fields.get("wisdom"));
     }
 
     @Test
     void whatIsBegunWithIsSoundForEachKind() {
-        for (String kind : Begin.KINDS) {
-            assertEquals(List.of(), findings(Begin.text(kind, "desk")), kind);
+        for (String kind : StarterTemplates.KINDS) {
+            assertEquals(List.of(), findings(StarterTemplates.render(kind, "desk")), kind);
         }
-        assertThrows(IllegalArgumentException.class, () -> Begin.text("mysql", "desk"));
+        assertThrows(IllegalArgumentException.class, () -> StarterTemplates.render("mysql", "desk"));
     }
 
     @Test
     void whatIsFoundIsToldAsJsonAndAsSarifWithItsPlace() throws IOException {
         String text = LEAST.replace("\"200ms\"", "\"2s\"").replace("\"127.0.0.1:9001\"", "\"web:9001\"");
-        List<Report.Found> found = new ArrayList<>(Report.of("a.hcl", AppFile.read(text)));
-        Json json = Json.read(Report.json(found).getBytes(StandardCharsets.UTF_8));
+        List<FindingReport.LocatedFinding> found =
+                new ArrayList<>(FindingReport.locate("a.hcl", AppParser.parse(text)));
+        Json json = Json.read(FindingReport.toJson(found).getBytes(StandardCharsets.UTF_8));
         assertEquals(
                 List.of("KX301", "KX401"),
                 json.values().stream()
@@ -166,7 +167,7 @@
             assertTrue(!one.path("cure").asText().isEmpty()
                     && !one.path("what").asText().isEmpty());
         }
-        Json run = Json.read(Report.sarif(found).getBytes(StandardCharsets.UTF_8))
+        Json run = Json.read(FindingReport.toSarif(found).getBytes(StandardCharsets.UTF_8))
                 .path("runs")
                 .values()
                 .get(0);
--- a/src/test/java/kitemux/app/MigrateTest.java
+++ b/src/test/java/kitemux/app/MigrateTest.java
@@ -27,39 +27,41 @@
         for (int i = 0; i < changes.size(); i += 2) {
             text = text.replace(changes.get(i), changes.get(i + 1));
         }
-        App app = AppFile.read(text).app();
-        String written = ConfigWriter.json(app, "5");
-        Migrate.Result back = Migrate.of(bytes(written));
-        AppFile.Reading read = AppFile.read(back.text());
-        assertEquals(List.of(), read.findings().stream().map(Finding::line).toList(), back.text());
-        assertEquals(written, ConfigWriter.json(read.app(), "5"), back.text());
+        App app = AppParser.parse(text).app();
+        String written = ConfigWriter.toJson(app, "5");
+        ConfigMigration.Result back = ConfigMigration.migrate(bytes(written));
+        AppParser.Result read = AppParser.parse(back.text());
+        assertEquals(List.of(), read.findings().stream().map(Finding::format).toList(), back.text());
+        assertEquals(written, ConfigWriter.toJson(read.app(), "5"), back.text());
     }
 
     @Test
     void whatHasNoWordsIsToldAndWhatBreaksARuleIsFound() throws IOException {
-        Migrate.Result result = Migrate.of(bytes("{\"name\":\"n\",\"listen\":\"127.0.0.1:80\",\"discovery\":"
-                + "\"10.0.0.9:1\",\"limits\":{\"sockets\":256},\"known\":{\"rev\":1,\"targets\":[{"
-                + "\"uid\":\"a\","
-                + "\"endpoint\":\"127.0.0.1:81\",\"pod_group\":0,\"state\":\"Ready\"},{\"uid\":\"b\","
-                + "\"state\":"
-                + "\"Gone\"}]},\"settings\":{\"membershipMode\":\"pushed\",\"balancers\":5,\"zones\":"
-                + "[\"y\",\"z\"],"
-                + "\"countedBy\":\"work\",\"costs\":{\"crossZone\":1},\"realms\":[{\"name\":\"t\"}],"
-                + "\"classes\":["
-                + "{\"name\":\"c\",\"onTimeUs\":2000000,\"giveUpUs\":1000000,\"repeat\":\"safe\","
-                + "\"group\":\"zone\","
-                + "\"stream\":true}]}}"));
+        ConfigMigration.Result result =
+                ConfigMigration.migrate(bytes("{\"name\":\"n\",\"listen\":\"127.0.0.1:80\",\"discovery\":"
+                        + "\"10.0.0.9:1\",\"limits\":{\"sockets\":256},\"known\":{\"rev\":1,\"targets\":[{"
+                        + "\"uid\":\"a\","
+                        + "\"endpoint\":\"127.0.0.1:81\",\"pod_group\":0,\"state\":\"Ready\"},{\"uid\":\"b\","
+                        + "\"state\":"
+                        + "\"Gone\"}]},\"settings\":{\"membershipMode\":\"pushed\",\"balancers\":5,\"zones\":"
+                        + "[\"y\",\"z\"],"
+                        + "\"countedBy\":\"work\",\"costs\":{\"crossZone\":1},\"realms\":[{\"name\":\"t\"}],"
+                        + "\"classes\":["
+                        + "{\"name\":\"c\",\"onTimeUs\":2000000,\"giveUpUs\":1000000,\"repeat\":\"safe\","
+                        + "\"group\":\"zone\","
+                        + "\"stream\":true}]}}"));
         for (String part : List.of(
                 "discovery", "balancers", "zones", "countedBy", "costs", "realms", "group is a zone", "stream")) {
-            assertTrue(result.left().stream().anyMatch(line -> line.contains(part)), part + " in " + result.left());
+            assertTrue(
+                    result.omitted().stream().anyMatch(line -> line.contains(part)), part + " in " + result.omitted());
         }
         assertEquals(
                 List.of(Rule.TIMES),
-                AppFile.read(result.text()).findings().stream()
+                AppParser.parse(result.text()).findings().stream()
                         .map(Finding::rule)
                         .toList(),
                 result.text());
-        assertThrows(IOException.class, () -> Migrate.of(bytes("{}")));
-        assertThrows(IOException.class, () -> Migrate.of(bytes("no")));
+        assertThrows(IOException.class, () -> ConfigMigration.migrate(bytes("{}")));
+        assertThrows(IOException.class, () -> ConfigMigration.migrate(bytes("no")));
     }
 }
--- a/src/test/java/kitemux/app/SoundAppsTest.java
+++ b/src/test/java/kitemux/app/SoundAppsTest.java
@@ -155,18 +155,18 @@
             assertTrue(text.contains(changes.get(i)), "nothing to change: " + changes.get(i));
             text = text.replace(changes.get(i), changes.get(i + 1));
         }
-        AppFile.Reading reading = AppFile.read(text);
-        assertEquals(List.of(), reading.findings().stream().map(Finding::line).toList());
+        AppParser.Result reading = AppParser.parse(text);
+        assertEquals(List.of(), reading.findings().stream().map(Finding::format).toList());
         assertEquals(
-                ConfigWriter.json(reading.app(), "1"),
-                ConfigWriter.json(AppFile.read(text).app(), "1"));
+                ConfigWriter.toJson(reading.app(), "1"),
+                ConfigWriter.toJson(AppParser.parse(text).app(), "1"));
     }
 
     /** Servers from a list or a file, without one that is described. */
     @Test
     void serversMayComeFromElsewhereAltogether() {
         for (String source : List.of("list = \"http://10.1.0.9:8500/servers\"", "file = \"servers.json\"")) {
-            AppFile.Reading reading = AppFile.read("name = \"a\"\nlisten = \"127.0.0.1:80\"\nmembers {\n  "
+            AppParser.Result reading = AppParser.parse("name = \"a\"\nlisten = \"127.0.0.1:80\"\nmembers {\n  "
                     + source
                     + "\n}\nclass \"c\" {\n  again = \"safe\"\n  aim = \"1s\"\n  deadline = \"2s\"\n}\n");
             assertEquals(List.of(), reading.findings());
--- a/src/test/java/kitemux/app/WatchTest.java
+++ b/src/test/java/kitemux/app/WatchTest.java
@@ -14,26 +14,26 @@
 /** A description that changes under a process: half written, broken, gone, flapping, and sound. */
 class WatchTest {
     private String text;
-    private Watch watch;
+    private DescriptionWatcher watch;
 
     @BeforeEach
     void begin() throws IOException {
         text = Files.readString(Path.of("examples", "app", "ordering-desk.hcl"));
-        watch = new Watch(AppFile.read(text).app(), text);
+        watch = new DescriptionWatcher(AppParser.parse(text).app(), text);
     }
 
     /** Two looks at the same text: what the second leads to; the first leads to nothing. */
-    private Watch.Decision settled(String next) {
-        Watch.Decision first = watch.look(next);
-        assertNull(first.app());
-        assertEquals(List.of(), first.say());
-        return watch.look(next);
+    private DescriptionWatcher.Decision settled(String next) {
+        DescriptionWatcher.Decision first = watch.observe(next);
+        assertNull(first.newApp());
+        assertEquals(List.of(), first.messages());
+        return watch.observe(next);
     }
 
     private void nothingMoreOf(String next) {
-        Watch.Decision again = watch.look(next);
-        assertNull(again.app());
-        assertEquals(List.of(), again.say(), "it is told at each look");
+        DescriptionWatcher.Decision again = watch.observe(next);
+        assertNull(again.newApp());
+        assertEquals(List.of(), again.messages(), "it is told at each look");
     }
 
     @Test
@@ -43,65 +43,65 @@
                         "rack    = 1\n  state   = \"draining\"\n}\n\nserver \"web-4\" {\n"
                                 + "  address = \"127.0.0.1:9004\"\n}")
                 .replace("server \"web-3\"", "server \"web-5\"");
-        Watch.Decision taken = settled(next);
-        assertTrue(taken.app().servers().stream().anyMatch(one -> one.name().equals("web-4")), taken.toString());
+        DescriptionWatcher.Decision taken = settled(next);
+        assertTrue(taken.newApp().servers().stream().anyMatch(one -> one.name().equals("web-4")), taken.toString());
         assertEquals(
                 List.of(
                         "server web-2 is draining, before ready: it gets nothing new and finishes what" + " it has",
                         "server web-4 is new",
                         "server web-5 is new",
                         "server web-3 is described no more"),
-                taken.say());
+                taken.messages());
         nothingMoreOf(next);
     }
 
     @Test
     void whatIsHalfWrittenOrChangesAtEachLookIsNotRead() {
         for (int i = 0; i < 20; i++) {
-            Watch.Decision flapping = watch.look(text.substring(0, text.length() / 2 + i));
-            assertNull(flapping.app());
-            assertEquals(List.of(), flapping.say());
+            DescriptionWatcher.Decision flapping = watch.observe(text.substring(0, text.length() / 2 + i));
+            assertNull(flapping.newApp());
+            assertEquals(List.of(), flapping.messages());
         }
-        assertNull(watch.look(text).app());
+        assertNull(watch.observe(text).newApp());
         nothingMoreOf(text);
     }
 
     @Test
     void whatIsBrokenOrGoneIsToldOnceAndChangesNothing() {
-        Watch.Decision broken = settled(text.replace("again    = \"never-twice\"", "again    = \"safe\""));
-        assertNull(broken.app());
-        assertTrue(broken.say().get(0).contains("KX101"), broken.say()::toString);
+        DescriptionWatcher.Decision broken = settled(text.replace("again    = \"never-twice\"", "again    = \"safe\""));
+        assertNull(broken.newApp());
+        assertTrue(broken.messages().get(0).contains("KX101"), broken.messages()::toString);
         assertEquals(
                 "the description has changed and is not sound; what it said before holds",
-                broken.say().get(broken.say().size() - 1));
-        Watch.Decision gone = settled(null);
-        assertNull(gone.app());
-        assertEquals(List.of("the description cannot be read any more; what it said holds"), gone.say());
+                broken.messages().get(broken.messages().size() - 1));
+        DescriptionWatcher.Decision gone = settled(null);
+        assertNull(gone.newApp());
+        assertEquals(List.of("the description cannot be read any more; what it said holds"), gone.messages());
         nothingMoreOf(null);
         // It comes back as it was, and then with a change.
-        assertNull(settled(text).app());
+        assertNull(settled(text).newApp());
         assertTrue(settled(text.replace("127.0.0.1:9002", "127.0.0.1:9012"))
-                .app()
+                .newApp()
                 .toString()
                 .contains("9012"));
     }
 
     @Test
     void whatNeedsANewProcessHoldsBackAllOfAChange() {
-        Watch.Decision both = settled(text.replace("deadline = \"1s\"", "deadline = \"2s\"")
+        DescriptionWatcher.Decision both = settled(text.replace("deadline = \"1s\"", "deadline = \"2s\"")
                 .replace("quota = 300", "quota = 400")
                 .replace("127.0.0.1:9002", "127.0.0.1:9012"));
-        assertNull(both.app());
+        assertNull(both.newApp());
         assertEquals(
                 List.of("the description has changed in class, quota, which needs a new process; all of"
                         + " what it said before holds"),
-                both.say());
+                both.messages());
     }
 
     @Test
     void whatMeansTheSameChangesNothing() {
-        Watch.Decision same = settled("# a word to the next reader\n" + text);
-        assertNull(same.app());
-        assertEquals(List.of("the description reads differently and means the same"), same.say());
+        DescriptionWatcher.Decision same = settled("# a word to the next reader\n" + text);
+        assertNull(same.newApp());
+        assertEquals(List.of("the description reads differently and means the same"), same.messages());
     }
 }
--- a/src/test/java/kitemux/cli/ExamplesTest.java
+++ b/src/test/java/kitemux/cli/ExamplesTest.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import kitemux.app.AppFile;
+import kitemux.app.AppParser;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -36,7 +36,7 @@
     @MethodSource("all")
     void eachIsSoundAndStarts(Path example) throws Exception {
         String text = Files.readString(example);
-        assertEquals(List.of(), AppFile.read(text).findings());
+        assertEquals(List.of(), AppParser.parse(text).findings());
         int port = SidecarProcess.freePort();
         Path mine = Files.writeString(
                 folder.resolve("app.hcl"),
--- a/src/test/java/kitemux/node/WrittenConfigTest.java
+++ b/src/test/java/kitemux/node/WrittenConfigTest.java
@@ -15,7 +15,7 @@
 import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.ServerState;
 import kitemux.app.App;
-import kitemux.app.AppFile;
+import kitemux.app.AppParser;
 import kitemux.app.ConfigWriter;
 import kitemux.config.ConfigException;
 import kitemux.net.HostList;
@@ -89,8 +89,8 @@
                     of.targetLatencyUs() <= of.deadlineUs() && read.settings().connectTimeoutUs < of.deadlineUs(),
                     text);
         }
-        app.neverTwice().forEach(name -> assertEquals(RetrySafety.UNSAFE, classes.get(name), text));
-        app.classes().forEach(work -> assertEquals(work.again(), classes.get(work.name()), text));
+        app.neverTwiceClasses().forEach(name -> assertEquals(RetrySafety.UNSAFE, classes.get(name), text));
+        app.classes().forEach(work -> assertEquals(work.retrySafety(), classes.get(work.name()), text));
         boolean ready = false;
         for (HostList.Host host : read.initialServers().hosts()) {
             App.Server described = app.servers().stream()
@@ -100,7 +100,7 @@
             assertEquals(described.state() == App.State.READY, host.entry().state() == ServerState.READY, text);
             ready |= described.state() == App.State.READY;
         }
-        assertTrue(ready || !app.discovery().isEmpty(), text);
+        assertTrue(ready || !app.discoveryAddress().isEmpty(), text);
         double quota =
                 read.settings().tenants.stream().mapToDouble(t -> t.quotaPerS()).sum();
         assertTrue(quota <= app.quotaPerS() * (1 + 1e-6), text);
@@ -115,10 +115,10 @@
         int passed = 0;
         for (int i = 0; i < MUTANTS; i++) {
             String text = mutant(sound, random);
-            AppFile.Reading reading = AppFile.read(text);
+            AppParser.Result reading = AppParser.parse(text);
             if (reading.findings().isEmpty()) {
                 passed++;
-                Files.writeString(file, ConfigWriter.json(reading.app(), "1"));
+                Files.writeString(file, ConfigWriter.toJson(reading.app(), "1"));
                 try {
                     holds(reading.app(), NodeConfig.read(Map.of("PROXY_CONFIG", file.toString())), text);
                 } catch (ConfigException e) {
--- a/src/test/java/kitemux/world/DescribedWorldTest.java
+++ b/src/test/java/kitemux/world/DescribedWorldTest.java
@@ -13,7 +13,7 @@
 import kitemux.Balancer.RetrySafety;
 import kitemux.Balancer.Settings;
 import kitemux.app.App;
-import kitemux.app.AppFile;
+import kitemux.app.AppParser;
 import kitemux.app.ConfigWriter;
 import kitemux.app.Finding;
 import kitemux.app.Rule;
@@ -100,8 +100,8 @@
 
     /** What the owner means of each class, and how the node is told all the same. */
     private static World.Terms terms(App app) {
-        Settings told = ConfigWriter.settings(app);
-        Settings truth = ConfigWriter.settings(app);
+        Settings told = ConfigWriter.toSettings(app);
+        Settings truth = ConfigWriter.toSettings(app);
         truth.classes.replaceAll(of -> new RequestClass(
                 of.name(),
                 of.targetLatencyUs(),
@@ -109,7 +109,7 @@
                 of.deadlineUs(),
                 of.worth(),
                 of.lateWorth(),
-                app.neverTwice().contains(of.name()) ? RetrySafety.UNSAFE : of.retrySafety(),
+                app.neverTwiceClasses().contains(of.name()) ? RetrySafety.UNSAFE : of.retrySafety(),
                 app.keys().shared(),
                 of.retrySafety() == RetrySafety.KEYED ? app.keys().keptUs() : of.dedupWindowUs(),
                 false));
@@ -148,7 +148,7 @@
     /** A description that has only findings of some rules, or none, by its number. */
     private record Drawn(long seed, App app, Set<Rule> rules) {
         static Drawn of(long seed) {
-            AppFile.Reading reading = AppFile.read(description(new Random(seed)));
+            AppParser.Result reading = AppParser.parse(description(new Random(seed)));
             Set<Rule> rules = new HashSet<>();
             reading.findings().forEach((Finding f) -> rules.add(f.rule()));
             return new Drawn(seed, reading.app(), rules);
