--- a/src/main/java/kitemux/app/AppValidator.java
+++ b/src/main/java/kitemux/app/AppValidator.java
@@ -132,7 +132,9 @@
                     at + ".deadline",
                     "opening one connection may take as long: a server that is gone" + " would use up all of it");
         }
-        if (work.maxAttempts() > 0 && work.maxAttempts() < app.limits().attempts() && work.retrySafety() != RetrySafety.UNSAFE) {
+        if (work.maxAttempts() > 0
+                && work.maxAttempts() < app.limits().attempts()
+                && work.retrySafety() != RetrySafety.UNSAFE) {
             tell(Rule.NOT_YET, at + ".attempts", "attempts are bounded for all classes together, by limits.attempts");
         }
         if (work.hedgingAllowed() && !app.limits().secondCopies() && work.retrySafety() != RetrySafety.UNSAFE) {
@@ -163,10 +165,13 @@
                 tell(Rule.TWICE, at + ".address", "the program listens there itself: requests would go round");
             }
         }
-        boolean toldElsewhere = !app.discoveryAddress().isEmpty() || !app.serverSource().isEmpty();
+        boolean toldElsewhere =
+                !app.discoveryAddress().isEmpty() || !app.serverSource().isEmpty();
         if (app.servers().isEmpty() && !toldElsewhere) {
             tell(Rule.EMPTY, "discovery", "no server is described, and nothing says where their list is");
-        } else if (!app.servers().isEmpty() && app.servers().stream().noneMatch(AppValidator::isReady) && !toldElsewhere) {
+        } else if (!app.servers().isEmpty()
+                && app.servers().stream().noneMatch(AppValidator::isReady)
+                && !toldElsewhere) {
             tell(Rule.EMPTY, "server", "every server drains or is gone: all requests would be refused");
         }
     }
--- a/src/main/java/kitemux/drill/DrillPage.java
+++ b/src/main/java/kitemux/drill/DrillPage.java
@@ -52,7 +52,8 @@
             }
         }
         StringBuilder said = new StringBuilder();
-        verdict.lines().forEach(line -> said.append(PageTemplate.escapeHtml(line)).append('\n'));
+        verdict.lines()
+                .forEach(line -> said.append(PageTemplate.escapeHtml(line)).append('\n'));
         return PageTemplate.fill(
                 "/kitemux/drill/page.html",
                 Map.of("TITLE", PageTemplate.escapeHtml(title), "VERDICT", said.toString(), "DATA", page.data()));
--- a/src/main/java/kitemux/http/ClientConnection.java
+++ b/src/main/java/kitemux/http/ClientConnection.java
@@ -569,7 +569,8 @@
             if (isQuiet()) {
                 closeIfOlderThan(everAsked ? Limits.IDLE_TIMEOUT_MS : Limits.REQUEST_READ_TIMEOUT_MS, CloseReason.IDLE);
             }
-        } else if (isOlderThan(Limits.REQUEST_READ_TIMEOUT_MS + (body == null ? 0 : body.size() / Limits.MIN_BODY_RATE_BYTES_PER_MS))) {
+        } else if (isOlderThan(Limits.REQUEST_READ_TIMEOUT_MS
+                + (body == null ? 0 : body.size() / Limits.MIN_BODY_RATE_BYTES_PER_MS))) {
             turnDown(HttpResponseStatus.REQUEST_TIMEOUT);
         }
     }
--- a/src/main/java/kitemux/http/HttpServers.java
+++ b/src/main/java/kitemux/http/HttpServers.java
@@ -138,7 +138,8 @@
                     fail();
                     return;
                 }
-                body = allocator.buffer((int) Math.min(HttpUtil.getContentLength(response, 256L), Limits.MAX_INITIAL_BUFFER_BYTES));
+                body = allocator.buffer(
+                        (int) Math.min(HttpUtil.getContentLength(response, 256L), Limits.MAX_INITIAL_BUFFER_BYTES));
             }
             if (message instanceof HttpContent content && !gather(content.content())) {
                 return;
@@ -174,7 +175,8 @@
             answersBytes += bytes;
             body.writeBytes(more);
             if (head.status().code() == 200
-                    && Math.max(body.readableBytes(), HttpUtil.getContentLength(head, 0L)) > Limits.MAX_BUFFERED_RESPONSE_BYTES) {
+                    && Math.max(body.readableBytes(), HttpUtil.getContentLength(head, 0L))
+                            > Limits.MAX_BUFFERED_RESPONSE_BYTES) {
                 return passOn();
             }
             return true;
--- a/src/main/java/kitemux/node/Node.java
+++ b/src/main/java/kitemux/node/Node.java
@@ -130,21 +130,45 @@
         Dependencies withOrderRecorder(EventLoopClock keepersTime, OrderRecorder<ClientRequest> keeper) {
             return keeper == null
                     ? this
-                    : new Dependencies(network, keepersTime, log, keeper, connectionObserver, keeper, balancerFactory, transportDecorator);
+                    : new Dependencies(
+                            network,
+                            keepersTime,
+                            log,
+                            keeper,
+                            connectionObserver,
+                            keeper,
+                            balancerFactory,
+                            transportDecorator);
         }
 
         /** The same with one more who is told of requests, or with none where that is null. */
         Dependencies withObserver(Observer also) {
             return also == null
                     ? this
-                    : new Dependencies(network, time, log, observer.andThen(also), connectionObserver, sendGate, balancerFactory, transportDecorator);
+                    : new Dependencies(
+                            network,
+                            time,
+                            log,
+                            observer.andThen(also),
+                            connectionObserver,
+                            sendGate,
+                            balancerFactory,
+                            transportDecorator);
         }
 
         /** The same with a trace of requests and connections, or with none where that is null. */
         Dependencies withTrace(RequestTrace trace) {
             return trace == null
                     ? this
-                    : new Dependencies(network, time, log, observer.andThen(trace), trace, sendGate, balancerFactory, transportDecorator);
+                    : new Dependencies(
+                            network,
+                            time,
+                            log,
+                            observer.andThen(trace),
+                            trace,
+                            sendGate,
+                            balancerFactory,
+                            transportDecorator);
         }
     }
 
--- a/src/test/java/kitemux/node/ConfigFormatterTest.java
+++ b/src/test/java/kitemux/node/ConfigFormatterTest.java
@@ -70,7 +70,8 @@
     }
 
     private static ConfigFormatter.NodeDescription node(int memoryMiB) {
-        return new ConfigFormatter.NodeDescription("n", "127.0.0.1:8080", "[::1]:9090", "c0ffee", 512, memoryMiB, 4_000_001);
+        return new ConfigFormatter.NodeDescription(
+                "n", "127.0.0.1:8080", "[::1]:9090", "c0ffee", 512, memoryMiB, 4_000_001);
     }
 
     @Test
--- a/src/test/java/kitemux/node/NodeConfigTest.java
+++ b/src/test/java/kitemux/node/NodeConfigTest.java
@@ -90,7 +90,9 @@
         assertEquals(9100, read(named, Map.of()).managementAddress().getPort());
         assertEquals(
                 9200,
-                read(named, Map.of("PROXY_MGMT", "127.0.0.1:9200")).managementAddress().getPort());
+                read(named, Map.of("PROXY_MGMT", "127.0.0.1:9200"))
+                        .managementAddress()
+                        .getPort());
         ConfigException e = assertThrows(ConfigException.class, () -> read(CONFIG, Map.of("PROXY_MGMT", "here")));
         assertTrue(e.getMessage().startsWith("mgmt "), e.getMessage());
         assertEquals(folder, read(CONFIG, Map.of("TMPDIR", folder.toString())).stateFolder());
--- a/src/test/java/kitemux/node/ServerPoolTest.java
+++ b/src/test/java/kitemux/node/ServerPoolTest.java
@@ -346,7 +346,9 @@
             ScriptedServer.Peer first = ScriptedServer.next(server.answeredPeers);
             assertEquals(first, ScriptedServer.next(server.answeredPeers), "the connection must be reused");
             assertEquals(
-                    first, ScriptedServer.next(server.disconnectedPeers), "the node must close the connection before the server does");
+                    first,
+                    ScriptedServer.next(server.disconnectedPeers),
+                    "the node must close the connection before the server does");
             assertEquals(200, site.ask(Http.page("c")).status());
             assertNotEquals(first, ScriptedServer.next(server.answeredPeers));
         }
--- a/src/test/java/kitemux/node/TermsTest.java
+++ b/src/test/java/kitemux/node/TermsTest.java
@@ -145,7 +145,8 @@
                 Http.read(rests.getInputStream());
             });
             assertTrue(done.await(20, TimeUnit.SECONDS));
-            assertEquals("before", ScriptedServer.next(server.requests).headers().get("x-txn"));
+            assertEquals(
+                    "before", ScriptedServer.next(server.requests).headers().get("x-txn"));
             assertEquals(0, server.requests.size());
         }
     }
