--- a/src/main/java/kitemux/app/ConfigMigration.java
+++ b/src/main/java/kitemux/app/ConfigMigration.java
@@ -114,8 +114,8 @@
                 time("window", of, "windowUs");
             }
             if (group.equals("zone")) {
-                left.add(
-                        "class " + of.path("name").asText() + ": its group is a zone; a description knows racks and all");
+                left.add("class " + of.path("name").asText()
+                        + ": its group is a zone; a description knows racks and all");
             }
             time("aim", of, "onTimeUs");
             time("deadline", of, "giveUpUs");
--- a/src/main/java/kitemux/cli/LabCommand.java
+++ b/src/main/java/kitemux/cli/LabCommand.java
@@ -11,14 +11,14 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.atomic.AtomicInteger;
-import kitemux.lab.ResultsComparison;
 import kitemux.lab.Experiment;
 import kitemux.lab.ExperimentFile;
-import kitemux.lab.PredictionReport;
 import kitemux.lab.ExperimentRunner;
-import kitemux.lab.ResultsPage;
-import kitemux.lab.ResultsFolder;
+import kitemux.lab.PredictionReport;
 import kitemux.lab.ResultRow;
+import kitemux.lab.ResultsComparison;
+import kitemux.lab.ResultsFolder;
+import kitemux.lab.ResultsPage;
 import kitemux.standin.Builds;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -140,14 +140,20 @@
         });
     }
 
-    private int play(Experiment experiment, ResultsFolder folder, ExperimentRunner lab) throws IOException, InterruptedException {
+    private int play(Experiment experiment, ResultsFolder folder, ExperimentRunner lab)
+            throws IOException, InterruptedException {
         int all = experiment.runs().size();
         AtomicInteger over = new AtomicInteger(folder.rows().size());
         lab.runMissing(experiment, folder, row -> {
             synchronized (this) {
                 err().printf(
                                 "%d of %d: %s, %s, seed %d: %.3f in time%n",
-                                over.incrementAndGet(), all, row.variant(), row.environment(), row.seed(), row.inTimeRatio());
+                                over.incrementAndGet(),
+                                all,
+                                row.variant(),
+                                row.environment(),
+                                row.seed(),
+                                row.inTimeRatio());
                 err().flush();
             }
         });
@@ -191,7 +197,8 @@
             ResultsFolder folder = ResultsFolder.open(from);
             Path file = folder.writeText(
                     "results.html",
-                    ResultsPage.render(from.toAbsolutePath().normalize().getFileName().toString(), kept(folder), folder.rows()));
+                    ResultsPage.render(
+                            from.toAbsolutePath().normalize().getFileName().toString(), kept(folder), folder.rows()));
             out().println(file);
             return Main.DONE;
         });
--- a/src/main/java/kitemux/config/ConfigFormatter.java
+++ b/src/main/java/kitemux/config/ConfigFormatter.java
@@ -80,8 +80,8 @@
         return text.toString();
     }
 
-    private static void formatServerList(JsonGenerator json, long rev, boolean all, List<String> zones, List<Server> servers)
-            throws IOException {
+    private static void formatServerList(
+            JsonGenerator json, long rev, boolean all, List<String> zones, List<Server> servers) throws IOException {
         json.writeStartObject();
         json.writeNumberField("rev", rev);
         json.writeBooleanField("all", all);
--- a/src/main/java/kitemux/config/Json.java
+++ b/src/main/java/kitemux/config/Json.java
@@ -25,8 +25,9 @@
     private static final Json MISSING = new Json("", false, false);
 
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .streamReadConstraints(
-                    StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(MAX_NESTING_DEPTH)
+                    .build())
             .build();
 
     /** A map, a list or the text of a plain value. */
--- a/src/main/java/kitemux/keeper/KeeperFolder.java
+++ b/src/main/java/kitemux/keeper/KeeperFolder.java
@@ -15,155 +15,155 @@
 import kitemux.rollout.RolloutText;
 
 /**
- * A keeper's folder: one file of records, a line each with a checksum in front, the first of which says
- * whose it is. For one thread at a time.
+ * Storage of a keeper: one file of records, one line each with a leading checksum. The first line is a header that
+ * names the keeper. Not thread-safe.
  *
- * <p>What a crash leaves of the last record, a line without its end, was never synced and so never answered:
- * it is cut off. Anything else that is not as it was written may have been an answered promise. The folder
- * then begins anew with the versions that stand before it, no vote, and another identity, which no set of
- * voters names: that keeper learns, and does not vote.
+ * <p>A crash may leave the last record as a line without its end. That record was never synced, so no response
+ * depends on it, and it is cut off. Any other corruption may hide a promise that was already sent. The folder then
+ * starts again with the versions before the corrupt record, without votes and under a new identity, which no set of
+ * voters names. That keeper learns versions but does not vote.
  */
 final class KeeperFolder {
-    /** Name of the file. */
-    static final String FILE = "records";
-    /** A file that is longer is written anew; whole and history have 7 MB at most. */
-    static final long MOST_BYTES = 16 << 20;
+    /** Name of the records file. */
+    static final String RECORDS_FILE = "records";
+    /** A larger file is rewritten; snapshot and history take 7 MB at most. */
+    static final long MAX_FILE_BYTES = 16 << 20;
 
-    private static final String NEW = FILE + ".new";
-    private static final String FORM = "kitemux keeper";
-    private static final int VERSION = 1;
-    private static final int CHECKSUM = 8;
+    private static final String NEW_FILE = RECORDS_FILE + ".new";
+    private static final String FORMAT_NAME = "kitemux keeper";
+    private static final int FORMAT_VERSION = 1;
+    private static final int CHECKSUM_BYTES = 8;
 
     private final Disk disk;
     private final int keeper;
     private final String identity;
-    private final List<LogRecord> found;
-    private Disk.OutputFile out;
-    private long length;
+    private final List<LogRecord> recoveredRecords;
+    private Disk.OutputFile output;
+    private long fileBytes;
 
-    private KeeperFolder(Disk disk, int keeper, String identity, List<LogRecord> found) {
+    private KeeperFolder(Disk disk, int keeper, String identity, List<LogRecord> recoveredRecords) {
         this.disk = disk;
         this.keeper = keeper;
         this.identity = identity;
-        this.found = List.copyOf(found);
+        this.recoveredRecords = List.copyOf(recoveredRecords);
     }
 
     /**
-     * Opens a folder to be written to; one without records gets a new identity.
+     * Opens a folder for writing; a folder without records gets a new identity.
      *
-     * @param keeper the number of the keeper, which must be the one that it was made for
-     * @param identities random numbers
-     * @param log told of what was found spoilt, with its place
-     * @throws IOException if it cannot be read or written, or is another keeper's
+     * @param keeper number of the keeper, which must be the one in the header
+     * @param identities random numbers for new identities
+     * @param log receives a line for each corruption found, with its offset
+     * @throws IOException if the folder cannot be read or written, or belongs to another keeper
      */
     static KeeperFolder open(Disk disk, int keeper, LongSupplier identities, Consumer<String> log) throws IOException {
-        if (!disk.list().contains(FILE)) {
-            return begun(disk, keeper, identities, List.of());
+        if (!disk.list().contains(RECORDS_FILE)) {
+            return createNew(disk, keeper, identities, List.of());
         }
-        Reading reading = new Reading(disk.read(FILE));
-        if (reading.identity != null && reading.keeper != keeper) {
-            throw new IOException(FILE + " is of keeper " + reading.keeper + ", and this is keeper " + keeper);
+        FileContents contents = new FileContents(disk.read(RECORDS_FILE));
+        if (contents.identity != null && contents.keeper != keeper) {
+            throw new IOException(RECORDS_FILE + " is of keeper " + contents.keeper + ", and this is keeper " + keeper);
         }
-        if (reading.fault != null) {
-            // Never deleted: whoever looks for what was chosen may find more in it than this program does.
-            String aside = aside(disk);
-            log.accept("folder: " + FILE + ", offset " + reading.soundUpTo + ": " + reading.fault
-                    + "; it is set aside as " + aside + ", and this keeper begins anew without a vote");
-            List<LogRecord> versions = reading.kept.stream()
-                    .filter(kept -> !(kept instanceof LogRecord.Voted))
+        if (contents.error != null) {
+            // The file is kept: manual inspection may recover chosen versions that this program cannot read.
+            String spoiltName = unusedSpoiltName(disk);
+            log.accept("folder: " + RECORDS_FILE + ", offset " + contents.validBytes + ": " + contents.error
+                    + "; it is set aside as " + spoiltName + ", and this keeper starts again without a vote");
+            List<LogRecord> versions = contents.records.stream()
+                    .filter(entry -> !(entry instanceof LogRecord.Voted))
                     .toList();
-            disk.rename(FILE, aside);
-            return begun(disk, keeper, identities, versions);
+            disk.rename(RECORDS_FILE, spoiltName);
+            return createNew(disk, keeper, identities, versions);
         }
-        if (reading.torn > 0) {
-            log.accept("folder: " + FILE + ", offset " + reading.soundUpTo + ": " + reading.torn
+        if (contents.tornBytes > 0) {
+            log.accept("folder: " + RECORDS_FILE + ", offset " + contents.validBytes + ": " + contents.tornBytes
                     + " bytes of a record that was not written to its end are cut off");
         }
-        KeeperFolder folder = new KeeperFolder(disk, keeper, reading.identity, reading.kept);
-        folder.out = disk.append(FILE, reading.soundUpTo);
-        folder.length = reading.soundUpTo;
+        KeeperFolder folder = new KeeperFolder(disk, keeper, contents.identity, contents.records);
+        folder.output = disk.append(RECORDS_FILE, contents.validBytes);
+        folder.fileBytes = contents.validBytes;
         folder.sync();
         return folder;
     }
 
-    private static KeeperFolder begun(Disk disk, int keeper, LongSupplier identities, List<LogRecord> versions)
+    private static KeeperFolder createNew(Disk disk, int keeper, LongSupplier identities, List<LogRecord> versions)
             throws IOException {
         String identity = String.format("%016x", identities.getAsLong());
         KeeperFolder folder = new KeeperFolder(disk, keeper, identity, versions);
-        folder.renew(versions);
+        folder.rewrite(versions);
         return folder;
     }
 
-    private static String aside(Disk disk) throws IOException {
+    private static String unusedSpoiltName(Disk disk) throws IOException {
         List<String> names = disk.list();
         int number = 1;
-        while (names.contains(FILE + ".spoilt-" + number)) {
+        while (names.contains(RECORDS_FILE + ".spoilt-" + number)) {
             number++;
         }
-        return FILE + ".spoilt-" + number;
+        return RECORDS_FILE + ".spoilt-" + number;
     }
 
-    /** Drawn when it was made; 16 hex digits. */
+    /** Random identity of this folder, 16 hex digits; drawn when the folder was initialized. */
     String identity() {
         return identity;
     }
 
-    /** What was found in it, in order. */
-    List<LogRecord> found() {
-        return found;
+    /** Records found when the folder was opened, in order. */
+    List<LogRecord> recoveredRecords() {
+        return recoveredRecords;
     }
 
-    /** Writes records behind all others; they are safe once {@link #sync} has returned. */
-    void write(List<LogRecord> records) throws IOException {
+    /** Appends records; they are durable once {@link #sync} has returned. */
+    void append(List<LogRecord> records) throws IOException {
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
-        records.forEach(record -> lines.writeBytes(line(RolloutText.write(record))));
-        out.write(lines.toByteArray());
-        length += lines.size();
+        records.forEach(record -> lines.writeBytes(encodeLine(RolloutText.write(record))));
+        output.write(lines.toByteArray());
+        fileBytes += lines.size();
     }
 
-    /** Waits until all that was written is safe. */
+    /** Waits until all appended records are durable. */
     void sync() throws IOException {
-        out.sync();
+        output.sync();
     }
 
-    /** Whether it is time to {@link #renew}. */
-    boolean isLong() {
-        return length > MOST_BYTES;
+    /** Whether the file is larger than {@link #MAX_FILE_BYTES} and should be rewritten. */
+    boolean isOversized() {
+        return fileBytes > MAX_FILE_BYTES;
     }
 
     /**
-     * Puts records in the place of all that were written; they are safe then. At any crash one of both is
-     * there.
+     * Replaces all records; the new ones are durable on return. After a crash the file holds either the old or the
+     * new records.
      */
-    void renew(List<LogRecord> records) throws IOException {
-        if (disk.list().contains(NEW)) {
-            disk.delete(NEW);
+    void rewrite(List<LogRecord> records) throws IOException {
+        if (disk.list().contains(NEW_FILE)) {
+            disk.delete(NEW_FILE);
         }
-        Disk.OutputFile before = out;
-        out = disk.create(NEW);
-        byte[] head = line(("{\"form\":\"" + FORM + "\",\"version\":" + VERSION + ",\"keeper\":" + keeper
-                        + ",\"identity\":\"" + identity + "\"}")
+        Disk.OutputFile previousOutput = output;
+        output = disk.create(NEW_FILE);
+        byte[] header = encodeLine(("{\"form\":\"" + FORMAT_NAME + "\",\"version\":" + FORMAT_VERSION + ",\"keeper\":"
+                        + keeper + ",\"identity\":\"" + identity + "\"}")
                 .getBytes(StandardCharsets.UTF_8));
-        out.write(head);
-        length = head.length;
-        write(records);
+        output.write(header);
+        fileBytes = header.length;
+        append(records);
         sync();
-        disk.rename(NEW, FILE);
+        disk.rename(NEW_FILE, RECORDS_FILE);
         disk.syncDirectory();
-        if (before != null) {
-            before.close();
+        if (previousOutput != null) {
+            previousOutput.close();
         }
     }
 
     void close() throws IOException {
-        out.close();
+        output.close();
     }
 
-    private static byte[] line(byte[] record) {
-        byte[] check = checksum(record, 0, record.length).getBytes(StandardCharsets.US_ASCII);
-        byte[] line = Arrays.copyOf(check, CHECKSUM + 1 + record.length + 1);
-        line[CHECKSUM] = ' ';
-        System.arraycopy(record, 0, line, CHECKSUM + 1, record.length);
+    private static byte[] encodeLine(byte[] record) {
+        byte[] checksum = checksum(record, 0, record.length).getBytes(StandardCharsets.US_ASCII);
+        byte[] line = Arrays.copyOf(checksum, CHECKSUM_BYTES + 1 + record.length + 1);
+        line[CHECKSUM_BYTES] = ' ';
+        System.arraycopy(record, 0, line, CHECKSUM_BYTES + 1, record.length);
         line[line.length - 1] = '\n';
         return line;
     }
@@ -174,69 +174,70 @@
         return String.format("%08x", crc.getValue());
     }
 
-    /** What a file says, up to the first place at which it is not as it was written. */
-    private static final class Reading {
-        final List<LogRecord> kept = new ArrayList<>();
+    /** Content of a records file up to the first corrupt line. */
+    private static final class FileContents {
+        final List<LogRecord> records = new ArrayList<>();
         int keeper;
-        /** Null where the first line says none. */
+        /** Null if the header is missing or invalid. */
         String identity;
-        /** Bytes up to the end of the last record that is sound. */
-        int soundUpTo;
-        /** Bytes of a last line that has no end. */
-        int torn;
-        /** Why the line at {@link #soundUpTo} is none, or null. */
-        String fault;
-
-        Reading(byte[] file) {
-            while (soundUpTo < file.length && fault == null) {
-                int end = soundUpTo;
+        /** Number of bytes up to the end of the last valid record. */
+        int validBytes;
+        /** Number of bytes of a last line without its end. */
+        int tornBytes;
+        /** Reason why the line at {@link #validBytes} is invalid, or null. */
+        String error;
+
+        FileContents(byte[] file) {
+            while (validBytes < file.length && error == null) {
+                int end = validBytes;
                 while (end < file.length && file[end] != '\n') {
                     end++;
                 }
                 if (end == file.length && identity != null) {
-                    torn = end - soundUpTo;
+                    tornBytes = end - validBytes;
                     return;
                 }
-                fault = line(file, soundUpTo, end);
-                soundUpTo = fault == null ? end + 1 : soundUpTo;
+                error = readLine(file, validBytes, end);
+                validBytes = error == null ? end + 1 : validBytes;
             }
-            fault = fault == null && identity == null ? "has no first line" : fault;
+            error = error == null && identity == null ? "has no header line" : error;
         }
 
-        /** Takes a line in; null, or why it is none. */
-        private String line(byte[] file, int from, int end) {
-            int text = from + CHECKSUM + 1;
-            if (text > end
+        /** Reads one line; returns null, or the reason why the line is invalid. */
+        private String readLine(byte[] file, int from, int end) {
+            int textStart = from + CHECKSUM_BYTES + 1;
+            if (textStart > end
                     || end == file.length
-                    || file[text - 1] != ' '
-                    || !checksum(file, text, end).equals(new String(file, from, CHECKSUM, StandardCharsets.US_ASCII))) {
-                return (end - from) + " bytes are no record: their checksum differs";
+                    || file[textStart - 1] != ' '
+                    || !checksum(file, textStart, end)
+                            .equals(new String(file, from, CHECKSUM_BYTES, StandardCharsets.US_ASCII))) {
+                return (end - from) + " bytes are not a valid record: wrong checksum";
             }
-            byte[] record = Arrays.copyOfRange(file, text, end);
+            byte[] record = Arrays.copyOfRange(file, textStart, end);
             if (identity == null) {
-                return head(record);
+                return readHeader(record);
             }
-            RolloutText.ParseResult<LogRecord> read = RolloutText.readLogRecord(record);
-            if (!read.errors().isEmpty()) {
-                return "this program cannot read the record: " + read.errors().get(0);
+            RolloutText.ParseResult<LogRecord> parsed = RolloutText.readLogRecord(record);
+            if (!parsed.errors().isEmpty()) {
+                return "this program cannot read the record: " + parsed.errors().get(0);
             }
-            kept.add(read.value());
+            records.add(parsed.value());
             return null;
         }
 
-        private String head(byte[] record) {
+        private String readHeader(byte[] record) {
             try {
-                Json head = Json.read(record);
-                if (!head.path("form").asText().equals(FORM)
-                        || head.path("version").asLong(0) != VERSION
-                        || head.path("identity").asText().isEmpty()) {
-                    return "is no first line of " + FORM + ", version " + VERSION;
+                Json header = Json.read(record);
+                if (!header.path("form").asText().equals(FORMAT_NAME)
+                        || header.path("version").asLong(0) != FORMAT_VERSION
+                        || header.path("identity").asText().isEmpty()) {
+                    return "is not a header line of " + FORMAT_NAME + ", version " + FORMAT_VERSION;
                 }
-                keeper = (int) head.path("keeper").asLong(-1);
-                identity = head.path("identity").asText();
+                keeper = (int) header.path("keeper").asLong(-1);
+                identity = header.path("identity").asText();
                 return null;
             } catch (IOException e) {
-                return "the first line is not JSON: " + e.getMessage();
+                return "the header line is not JSON: " + e.getMessage();
             }
         }
     }
--- a/src/main/java/kitemux/members/MembershipSnapshot.java
+++ b/src/main/java/kitemux/members/MembershipSnapshot.java
@@ -12,33 +12,33 @@
 import kitemux.config.Json;
 
 /**
- * What a process leaves for the next one of the same application: which servers it believed in, and what
- * their checks
- * had told. A line that names form, version and checksum, and a line of JSON behind it. Bounded: a larger
- * text is none.
+ * State that a process saves for the next process of the same application: the known servers and their health. The
+ * encoded form is a header line with format name, version and checksum, followed by one line of JSON. Its size is
+ * bounded, and a larger input is rejected.
  *
- * @param app of which application; another's is not taken
- * @param savedUs Unix time in microseconds, as all times in it
+ * @param app name of the application; a snapshot of another application is rejected
+ * @param savedUs Unix time in microseconds, as are all times in a snapshot
+ * @param members the known servers with their health
  */
 public record MembershipSnapshot(String app, long savedUs, List<MemberRecord> members) {
-    private static final String FORM = "kitemux members";
-    private static final int VERSION = 1;
-    private static final int MOST_BYTES = 8 << 20;
+    private static final String FORMAT_NAME = "kitemux members";
+    private static final int FORMAT_VERSION = 1;
+    private static final int MAX_SNAPSHOT_BYTES = 8 << 20;
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** A server and what its checks had told; see {@link Health}. */
+    /** A server with its health; see {@link ServerHealth}. */
     public record MemberRecord(Member member, boolean down, int ejectionCount, long changedUs, long startedUs) {}
 
-    /** A text that is not to be used; the message says why. */
+    /** Thrown if a snapshot cannot be used; the message gives the reason. */
     public static final class InvalidSnapshotException extends Exception {
         private static final long serialVersionUID = 1;
 
-        InvalidSnapshotException(String why) {
-            super(why);
+        InvalidSnapshotException(String reason) {
+            super(reason);
         }
     }
 
-    /** The whole text of a file. */
+    /** Encodes this snapshot as the content of a file. */
     public byte[] encode() {
         StringWriter body = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(body)) {
@@ -46,16 +46,16 @@
             json.writeStringField("app", app);
             json.writeNumberField("savedUs", savedUs);
             json.writeArrayFieldStart("members");
-            for (MemberRecord one : members) {
+            for (MemberRecord entry : members) {
                 json.writeStartObject();
-                json.writeStringField("name", one.member.name());
-                json.writeStringField("address", one.member.address());
-                json.writeNumberField("rack", one.member.rack());
-                json.writeBooleanField("draining", one.member.draining());
-                json.writeBooleanField("down", one.down);
-                json.writeNumberField("downs", one.ejectionCount);
-                json.writeNumberField("changedUs", one.changedUs);
-                json.writeNumberField("startedUs", one.startedUs);
+                json.writeStringField("name", entry.member.name());
+                json.writeStringField("address", entry.member.address());
+                json.writeNumberField("rack", entry.member.rack());
+                json.writeBooleanField("draining", entry.member.draining());
+                json.writeBooleanField("down", entry.down);
+                json.writeNumberField("downs", entry.ejectionCount);
+                json.writeNumberField("changedUs", entry.changedUs);
+                json.writeNumberField("startedUs", entry.startedUs);
                 json.writeEndObject();
             }
             json.writeEndArray();
@@ -63,7 +63,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return (FORM + " " + VERSION + " " + checksum(body.toString()) + "\n" + body + "\n")
+        return (FORMAT_NAME + " " + FORMAT_VERSION + " " + checksum(body.toString()) + "\n" + body + "\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
@@ -74,47 +74,50 @@
     }
 
     /**
-     * Reads a text that an earlier process left.
+     * Decodes a snapshot that an earlier process saved.
      *
-     * @param app whose it must be
-     * @throws InvalidSnapshotException if it is not whole, of another version or of another application
+     * @param app name of the application to which the snapshot must belong
+     * @throws InvalidSnapshotException if it is damaged or incomplete, or of another version or application
      */
     public static MembershipSnapshot decode(byte[] bytes, String app) throws InvalidSnapshotException {
-        if (bytes.length > MOST_BYTES) {
-            throw new InvalidSnapshotException("has " + bytes.length + " bytes; at most " + MOST_BYTES + " are read");
+        if (bytes.length > MAX_SNAPSHOT_BYTES) {
+            throw new InvalidSnapshotException(
+                    "has " + bytes.length + " bytes; at most " + MAX_SNAPSHOT_BYTES + " are read");
         }
         String text = new String(bytes, StandardCharsets.UTF_8);
-        int end = text.indexOf('\n');
-        String[] head = end < 0 ? new String[0] : text.substring(0, end).split(" ");
-        if (head.length != 4 || !FORM.equals(head[0] + " " + head[1])) {
-            throw new InvalidSnapshotException("is not what a sidecar leaves");
+        int headerEnd = text.indexOf('\n');
+        String[] header =
+                headerEnd < 0 ? new String[0] : text.substring(0, headerEnd).split(" ");
+        if (header.length != 4 || !FORMAT_NAME.equals(header[0] + " " + header[1])) {
+            throw new InvalidSnapshotException("is not a membership snapshot of a sidecar");
         }
-        if (!head[2].equals(Integer.toString(VERSION))) {
-            throw new InvalidSnapshotException("is of version " + head[2] + ", and this build reads " + VERSION);
+        if (!header[2].equals(Integer.toString(FORMAT_VERSION))) {
+            throw new InvalidSnapshotException(
+                    "is of version " + header[2] + ", and this build reads " + FORMAT_VERSION);
         }
         if (!text.endsWith("\n")
-                || text.length() < end + 2
-                || !checksum(text.substring(end + 1, text.length() - 1)).equals(head[3])) {
-            throw new InvalidSnapshotException("is damaged or not whole");
+                || text.length() < headerEnd + 2
+                || !checksum(text.substring(headerEnd + 1, text.length() - 1)).equals(header[3])) {
+            throw new InvalidSnapshotException("is damaged or incomplete");
         }
         try {
-            Json json = Json.read(text.substring(end + 1).getBytes(StandardCharsets.UTF_8));
+            Json json = Json.read(text.substring(headerEnd + 1).getBytes(StandardCharsets.UTF_8));
             if (!json.path("app").asText().equals(app)) {
                 throw new InvalidSnapshotException(
                         "is of application \"" + json.path("app").asText() + "\"");
             }
             List<MemberRecord> members = new ArrayList<>();
-            for (Json one : json.path("members")) {
+            for (Json entry : json.path("members")) {
                 members.add(new MemberRecord(
                         new Member(
-                                one.path("name").asText(),
-                                one.path("address").asText(),
-                                (int) one.path("rack").asLong(0),
-                                one.path("draining").asBoolean()),
-                        one.path("down").asBoolean(),
-                        (int) one.path("downs").asLong(0),
-                        one.path("changedUs").asLong(0),
-                        one.path("startedUs").asLong(0)));
+                                entry.path("name").asText(),
+                                entry.path("address").asText(),
+                                (int) entry.path("rack").asLong(0),
+                                entry.path("draining").asBoolean()),
+                        entry.path("down").asBoolean(),
+                        (int) entry.path("downs").asLong(0),
+                        entry.path("changedUs").asLong(0),
+                        entry.path("startedUs").asLong(0)));
             }
             return new MembershipSnapshot(app, json.path("savedUs").asLong(0), members);
         } catch (IOException e) {
--- a/src/main/java/kitemux/ops/Operations.java
+++ b/src/main/java/kitemux/ops/Operations.java
@@ -147,7 +147,10 @@
             boolean ready = node.isAcceptingClients();
             answer.respond(ready ? 200 : 503, ready ? "takes clients\n" : "takes no clients\n");
         } else if (path.endsWith("/stats")) {
-            answer.respond(200, figures.text(node.dispatchCount(), servers.listed(), servers.drained() + node.ejectedServerCount()));
+            answer.respond(
+                    200,
+                    figures.text(
+                            node.dispatchCount(), servers.listed(), servers.drained() + node.ejectedServerCount()));
         } else if (path.startsWith(DOWN) || path.startsWith(UP)) {
             boolean down = path.startsWith(DOWN);
             set(path.substring((down ? DOWN : UP).length()), down, answer);
--- a/src/test/java/kitemux/app/FieldsTest.java
+++ b/src/test/java/kitemux/app/FieldsTest.java
@@ -151,7 +151,8 @@
     @Test
     void whatIsFoundIsToldAsJsonAndAsSarifWithItsPlace() throws IOException {
         String text = LEAST.replace("\"200ms\"", "\"2s\"").replace("\"127.0.0.1:9001\"", "\"web:9001\"");
-        List<FindingReport.LocatedFinding> found = new ArrayList<>(FindingReport.locate("a.hcl", AppParser.parse(text)));
+        List<FindingReport.LocatedFinding> found =
+                new ArrayList<>(FindingReport.locate("a.hcl", AppParser.parse(text)));
         Json json = Json.read(FindingReport.toJson(found).getBytes(StandardCharsets.UTF_8));
         assertEquals(
                 List.of("KX301", "KX401"),
