--- a/src/main/java/kitemux/app/AppParser.java
+++ b/src/main/java/kitemux/app/AppParser.java
@@ -8,9 +8,9 @@
 import java.util.function.Function;
 import kitemux.Balancer.DedupScope;
 import kitemux.Balancer.RetrySafety;
-import kitemux.hcl.SourceLocations;
-import kitemux.hcl.Section;
 import kitemux.hcl.HclReader;
+import kitemux.hcl.Section;
+import kitemux.hcl.SourceLocations;
 
 /** Reads an application's description in HCL; {@code docs/operate/config.md} has all fields. */
 public final class AppParser {
--- a/src/main/java/kitemux/app/BlockReader.java
+++ b/src/main/java/kitemux/app/BlockReader.java
@@ -31,7 +31,8 @@
         Field field = field(name);
         // Not a number where the table's least is smaller than any: written so that it is told as well.
         if (!(value >= field.min() && value <= field.max())) {
-            beyond.add(new Finding(field.rangeRule(), section.pathOf(name), "is not " + field.range() + ": " + field.description()));
+            beyond.add(new Finding(
+                    field.rangeRule(), section.pathOf(name), "is not " + field.range() + ": " + field.description()));
         }
         return value;
     }
@@ -56,14 +57,15 @@
     }
 
     int whole(String name) {
-        return (int)
-                within(name, section.integer(name, Double.parseDouble(field(name).defaultValue())));
+        return (int) within(
+                name, section.integer(name, Double.parseDouble(field(name).defaultValue())));
     }
 
     /** Microseconds. */
     long time(String name) {
         String otherwise = field(name).defaultValue();
-        return (long) within(name, section.durationUs(name, otherwise == null ? -1 : Section.parseDurationUs(otherwise)));
+        return (long)
+                within(name, section.durationUs(name, otherwise == null ? -1 : Section.parseDurationUs(otherwise)));
     }
 
     <E extends Enum<E>> E word(String name, Class<E> of) {
--- a/src/main/java/kitemux/app/ConfigWriter.java
+++ b/src/main/java/kitemux/app/ConfigWriter.java
@@ -52,7 +52,9 @@
 
     /** Those that are described and get anything at all, as a node is told of them. */
     private static List<ConfigFormatter.Server> servers(App app) {
-        return describedMembers(app).stream().map(one -> toServer(one, one.draining(), 0)).toList();
+        return describedMembers(app).stream()
+                .map(one -> toServer(one, one.draining(), 0))
+                .toList();
     }
 
     /** Those that are described and get anything at all. */
--- a/src/main/java/kitemux/app/Field.java
+++ b/src/main/java/kitemux/app/Field.java
@@ -70,9 +70,7 @@
         String from = min == Double.MIN_NORMAL
                 ? "above 0"
                 : Double.isInfinite(max) ? shown(min) + " or more" : "from " + shown(min);
-        return Double.isInfinite(max)
-                ? from
-                : from + (min == Double.MIN_NORMAL ? " and up to " : " to ") + shown(max);
+        return Double.isInfinite(max) ? from : from + (min == Double.MIN_NORMAL ? " and up to " : " to ") + shown(max);
     }
 
     /** The rule that is broken where it lies beyond its range. */
--- a/src/main/java/kitemux/plan/FleetFile.java
+++ b/src/main/java/kitemux/plan/FleetFile.java
@@ -10,8 +10,8 @@
 import kitemux.Balancer.RequestClass;
 import kitemux.Balancer.RetrySafety;
 import kitemux.fleet.Fleet;
-import kitemux.hcl.SourceLocations;
 import kitemux.hcl.Section;
+import kitemux.hcl.SourceLocations;
 
 /**
  * Reads a fleet, its load and its faults from a description in HCL.
@@ -195,8 +195,8 @@
     }
 
     private static Fleet.Zones zones(Section section) {
-        Fleet.Zones zones =
-                new Fleet.Zones(section.integer("count", 1), section.durationUs("across", 0), section.number("price", 0));
+        Fleet.Zones zones = new Fleet.Zones(
+                section.integer("count", 1), section.durationUs("across", 0), section.number("price", 0));
         section.reportUnknownFields();
         return zones;
     }
@@ -233,7 +233,8 @@
         Section section = configured == null ? new Section("list", Map.of(), faults) : configured;
         Fleet.DiscoveryDelays delays = new Fleet.DiscoveryDelays(
                 new Fleet.Range(section.durationUs("gone_from", 560_000), section.durationUs("gone_to", 5_000_000)),
-                new Fleet.Range(section.durationUs("silent_from", 5_000_000), section.durationUs("silent_to", 13_000_000)),
+                new Fleet.Range(
+                        section.durationUs("silent_from", 5_000_000), section.durationUs("silent_to", 13_000_000)),
                 new Fleet.Range(section.durationUs("back_from", 230_000), section.durationUs("back_to", 2_100_000)),
                 section.durationUs("grace", 500_000));
         section.reportUnknownFields();
--- a/src/main/java/kitemux/scale/PlanFile.java
+++ b/src/main/java/kitemux/scale/PlanFile.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import kitemux.hcl.SourceLocations;
 import kitemux.hcl.Section;
+import kitemux.hcl.SourceLocations;
 
 /** Reads what is to be measured from its description in HCL; {@code docs/operate/scale.md} has all fields. */
 public final class PlanFile {
@@ -110,8 +110,8 @@
                         || number > most
                         || number != Math.rint(number)
                         || !found.isEmpty() && number <= found.get(found.size() - 1)) {
-                    faults.add(
-                            of.pathOf(field) + ": must hold whole numbers from 1 to " + most + " that grow, not " + number);
+                    faults.add(of.pathOf(field) + ": must hold whole numbers from 1 to " + most + " that grow, not "
+                            + number);
                     return List.of(1);
                 }
                 found.add((int) number);
--- a/src/test/java/kitemux/app/BrokenAppsTest.java
+++ b/src/test/java/kitemux/app/BrokenAppsTest.java
@@ -364,7 +364,8 @@
         assertTrue(
                 reading.findings().stream()
                         .anyMatch(f -> f.rule() == rule && f.format().contains(field)),
-                () -> "found " + reading.findings().stream().map(Finding::format).toList());
+                () -> "found "
+                        + reading.findings().stream().map(Finding::format).toList());
         if (rule != Rule.SHAPE && rule != Rule.SECRET) {
             Set<Rule> found = EnumSet.noneOf(Rule.class);
             reading.findings().forEach(f -> found.add(f.rule()));
@@ -405,7 +406,9 @@
                 AppParser.parse(changed(List.of("\"draining\"", "\"gone\""))).app(), "7f");
         assertFalse(gone.contains("web-3"), gone);
         String pool = ConfigWriter.toJson(
-                AppParser.parse(changed(List.of("quota = 300", pool("\"web-2\"")))).app(), "7f");
+                AppParser.parse(changed(List.of("quota = 300", pool("\"web-2\""))))
+                        .app(),
+                "7f");
         assertTrue(pool.contains("web-2") && !pool.contains("web-1"), pool);
     }
 }
--- a/src/test/java/kitemux/hcl/SourceLocationsTest.java
+++ b/src/test/java/kitemux/hcl/SourceLocationsTest.java
@@ -90,7 +90,8 @@
                 List.of("1:7: the bracket ] closes nothing"),
                 SourceLocations.of("a = 1 ]").faults());
         assertEquals(
-                List.of(), SourceLocations.of("a = \"}\" # }\nb = <<END\n }}} {\nEND\n").faults());
+                List.of(),
+                SourceLocations.of("a = \"}\" # }\nb = <<END\n }}} {\nEND\n").faults());
     }
 
     @Property(tries = 500)
--- a/src/test/java/kitemux/node/WrittenConfigTest.java
+++ b/src/test/java/kitemux/node/WrittenConfigTest.java
@@ -90,7 +90,8 @@
         }
         app.neverTwiceClasses().forEach(name -> assertEquals(RetrySafety.UNSAFE, classes.get(name), text));
         app.classes()
-                .forEach(requestClass -> assertEquals(requestClass.retrySafety(), classes.get(requestClass.name()), text));
+                .forEach(requestClass ->
+                        assertEquals(requestClass.retrySafety(), classes.get(requestClass.name()), text));
         boolean ready = false;
         for (HostList.Host host : read.initialServers().hosts()) {
             App.Server described = app.servers().stream()
