--- a/src/main/java/kitemux/app/BlockReader.java
+++ b/src/main/java/kitemux/app/BlockReader.java
@@ -31,8 +31,8 @@
         Field field = field(name);
         // Not a number where the table's least is smaller than any: written so that it is told as well.
         if (!(value >= field.min() && value <= field.max())) {
-            beyond.add(
-                    new Finding(field.rangeRule(), section.pathOf(name), "is not " + field.range() + ": " + field.description()));
+            beyond.add(new Finding(
+                    field.rangeRule(), section.pathOf(name), "is not " + field.range() + ": " + field.description()));
         }
         return value;
     }
--- a/src/main/java/kitemux/app/Differences.java
+++ b/src/main/java/kitemux/app/Differences.java
@@ -101,7 +101,9 @@
             lines.add(of + " is " + word(next.retrySafety()) + ", before " + word(before.retrySafety())
                     + (before.retrySafety() == RetrySafety.UNSAFE
                             ? ": it MAY BE SENT AGAIN after a failure from now on"
-                            : next.retrySafety() == RetrySafety.UNSAFE ? ": it fails where it was sent again before" : ""));
+                            : next.retrySafety() == RetrySafety.UNSAFE
+                                    ? ": it fails where it was sent again before"
+                                    : ""));
         }
         plain(of + ": a repeat may reach", before.dedupScope(), next.dedupScope());
         micros(of + ": it may be sent again for", before.dedupWindowUs(), next.dedupWindowUs());
--- a/src/main/java/kitemux/cli/ConfigCommand.java
+++ b/src/main/java/kitemux/cli/ConfigCommand.java
@@ -13,16 +13,16 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import kitemux.app.AppParser;
-import kitemux.app.StarterTemplates;
+import kitemux.app.ConfigMigration;
 import kitemux.app.ConfigWriter;
 import kitemux.app.Differences;
 import kitemux.app.Field;
+import kitemux.app.FieldReference;
 import kitemux.app.Fields;
 import kitemux.app.Finding;
-import kitemux.app.ConfigMigration;
-import kitemux.app.FieldReference;
 import kitemux.app.FindingReport;
 import kitemux.app.Rule;
+import kitemux.app.StarterTemplates;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -149,7 +149,8 @@
             return unusable("--name is not 1 to 60 letters, digits, dots, dashes and underscores");
         }
         try {
-            Files.writeString(file, StarterTemplates.render(kind, name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+            Files.writeString(
+                    file, StarterTemplates.render(kind, name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
             out().println(file + " is sound as it is; put your servers in, then: config check " + file);
             out().flush();
             return Main.DONE;
--- a/src/main/java/kitemux/keeper/KeeperProcess.java
+++ b/src/main/java/kitemux/keeper/KeeperProcess.java
@@ -14,15 +14,15 @@
 import kitemux.net.SelectorLoop;
 import kitemux.rollout.ProtocolParameters;
 
-/** A process that is a keeper: the folder's lock, the loop, and the end. */
+/** Runs a keeper as a process: takes the lock of its folder, starts its event loop and handles shutdown. */
 public final class KeeperProcess {
-    /** Of a process that cannot write to its folder any more. */
-    private static final int CANNOT_WRITE = 1;
+    /** Exit code of a keeper that can no longer write to its folder. */
+    private static final int WRITE_FAILURE_EXIT_CODE = 1;
 
     private KeeperProcess() {}
 
-    /** Who writes to a folder holds its lock. */
-    private static FolderDisk folder(Path folder) throws IOException {
+    /** Opens a folder for writing and takes its lock, which every writer must hold. */
+    private static FolderDisk lockFolder(Path folder) throws IOException {
         if (FolderDisk.isLockedByWriter(folder)) {
             throw new IOException("another process writes to " + folder);
         }
@@ -30,21 +30,21 @@
     }
 
     /**
-     * Makes a keeper's folder; one that is there stays as it is.
+     * Initializes a keeper's folder; an initialized folder stays unchanged.
      *
-     * @return the voter as settings name it
-     * @throws IOException if it cannot be used; the message says why
+     * @return the voter as it is written in settings
+     * @throws IOException if the folder cannot be used; the message gives the reason
      */
     public static String initializeFolder(Path folder, int number, Log log) throws IOException {
-        try (FolderDisk disk = folder(folder)) {
+        try (FolderDisk disk = lockFolder(folder)) {
             return Keeper.initializeFolder(disk, number, new SecureRandom()::nextLong, log);
         }
     }
 
     /**
-     * Starts the one keeper of this process; it ends with it.
+     * Starts the only keeper of this process; it runs until the process exits.
      *
-     * @throws IOException if it cannot start; the message says why
+     * @throws IOException if the keeper cannot start; the message gives the reason
      */
     public static void start(KeeperSettings settings, Log log) throws IOException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
@@ -56,12 +56,12 @@
                     ProtocolParameters.defaults(),
                     new ConfigRules(),
                     new Keeper.Environment(loop, NioNetwork.SYSTEM, EventLoopClock.of(loop), log),
-                    folder(settings.folder()),
+                    lockFolder(settings.folder()),
                     new SecureRandom()::nextLong,
-                    failed -> {
-                        // Whoever cannot write must not answer: no hook may hold the end up.
-                        log.info("folder: cannot be written: " + failed + "; this keeper ends");
-                        Runtime.getRuntime().halt(CANNOT_WRITE);
+                    failure -> {
+                        // A keeper that cannot write must not respond, so shutdown hooks must not delay the exit.
+                        log.info("folder: cannot be written: " + failure + "; this keeper ends");
+                        Runtime.getRuntime().halt(WRITE_FAILURE_EXIT_CODE);
                     });
         } catch (IOException e) {
             throw new IOException("folder cannot be used: " + e.getMessage(), e);
@@ -70,13 +70,13 @@
             log.info("the settings name no voter " + keeper.voter() + ": unless a version does, it learns "
                     + "and does not vote");
         }
-        ChannelFuture listens = keeper.listen().awaitUninterruptibly();
-        if (!listens.isSuccess()) {
+        ChannelFuture listening = keeper.listen().awaitUninterruptibly();
+        if (!listening.isSuccess()) {
             throw new IOException("listen " + settings.listenAddress() + ": "
-                    + listens.cause().getMessage());
+                    + listening.cause().getMessage());
         }
         log.info("keeper " + keeper.voter() + " is called at "
-                + listens.channel().localAddress());
+                + listening.channel().localAddress());
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
--- a/src/main/java/kitemux/lab/DiscoveryStub.java
+++ b/src/main/java/kitemux/lab/DiscoveryStub.java
@@ -149,7 +149,8 @@
     public static List<ConfigFormatter.Server> withAddresses(
             Collection<ServerEntry> entries, Map<String, InetSocketAddress> addresses) {
         return entries.stream()
-                .map(entry -> new ConfigFormatter.Server(entry, NetUtil.toSocketAddressString(addresses.get(entry.id()))))
+                .map(entry ->
+                        new ConfigFormatter.Server(entry, NetUtil.toSocketAddressString(addresses.get(entry.id()))))
                 .toList();
     }
 
--- a/src/main/java/kitemux/mysql/BackendConnection.java
+++ b/src/main/java/kitemux/mysql/BackendConnection.java
@@ -13,13 +13,13 @@
 import kitemux.mysql.ResponseTracker.ResponseType;
 
 /**
- * A connection to a server: logs in ("Connection Phase"), and then carries one command at a time. What of an
- * answer has come is passed on at once, as the server wrote it; a gigabyte of rows takes the memory of what
- * one read brought. On the loop alone.
+ * A connection to a server: it logs in ("Connection Phase") and then carries one command at a time. Responses
+ * are streamed as the server wrote them; a gigabyte of rows takes only the memory of a single read. Used on the
+ * event loop only.
  */
 final class BackendConnection extends ChannelInboundHandlerAdapter {
-    /** What this program can do towards servers, and what both sides then keep to. */
-    static final long WANTED = Capabilities.LONG_PASSWORD
+    /** Capabilities that are requested from servers; both sides use those that they share. */
+    static final long REQUESTED_CAPABILITIES = Capabilities.LONG_PASSWORD
             | Capabilities.LONG_FLAG
             | Capabilities.PROTOCOL_41
             | Capabilities.TRANSACTIONS
@@ -30,37 +30,49 @@
             | Capabilities.PLUGIN_AUTH_LENENC_DATA
             | Capabilities.DEPRECATE_EOF;
 
-    private static final int MOST_PACKET = 1 << 30;
-    private static final int UTF8MB4 = 45;
-    private static final int AUTH_SWITCH = 0xfe;
-    private static final int AUTH_MORE = 0x01;
-    private static final int FAST_PATH = 3;
+    private static final int MAX_PACKET_BYTES = 1 << 30;
+    private static final int UTF8MB4_COLLATION = 45;
+    private static final int AUTH_SWITCH_HEADER = 0xfe;
+    private static final int AUTH_MORE_DATA_HEADER = 0x01;
+    private static final int FAST_AUTH_SUCCESS = 3;
 
-    /** Who logs in, and where it begins; an empty database is none. */
+    /**
+     * Account for the login at servers.
+     *
+     * @param user name of the user
+     * @param password in plain text
+     * @param database initial database; empty for none
+     */
     record Account(String user, String password, String database) {}
 
-    /** Told of a connection's login: one of these, once. */
+    /** Receives the result of a login: exactly one of the calls, once. */
     interface LoginListener {
-        void loggedIn(BackendConnection connection);
+        /** The connection is ready for commands. */
+        void onLoginSucceeded(BackendConnection connection);
 
-        /** It is closed, and nothing has run on it; the error is the server's, or null. */
-        void refused(String why, ErrPacket error);
+        /** The connection is closed and has carried no command; the error is the server's, or null. */
+        void onLoginFailed(String reason, ErrPacket error);
     }
 
-    /** Told of an answer. */
+    /** Receives the response to a command. */
     interface ResponseListener {
-        /** The first of it has come, and it is no error. False to break it off: no end is told then. */
-        boolean begun();
-
-        /** More of it, in packets as the server numbered them; to be released here. */
-        void more(ByteBuf packets);
-
-        /** Its one end; the error is the server's, or null. Behind a begin only OK ends it whole. */
-        void ended(Result result, ErrPacket error);
+        /**
+         * The first payload has arrived and is no error. Returns false to abort; the end is not reported then.
+         */
+        boolean onResponseStart();
+
+        /** Further packets with the server's sequence numbers; the receiver releases them. */
+        void onResponsePackets(ByteBuf packets);
+
+        /**
+         * The end of the response, reported once; the error is the server's, or null. A response that has
+         * started is complete only if the result is OK.
+         */
+        void onResponseEnd(Result result, ErrPacket error);
     }
 
     private enum Phase {
-        GREETING,
+        HANDSHAKE,
         LOGIN,
         IDLE,
         BUSY,
@@ -68,48 +80,54 @@
     }
 
     private final Account account;
-    private final LoginListener login;
+    private final LoginListener loginListener;
     private final PacketDecoder decoder;
     private Channel channel;
-    private PayloadAssembler gatherer;
-    private Phase phase = Phase.GREETING;
+    private PayloadAssembler assembler;
+    private Phase phase = Phase.HANDSHAKE;
     private byte[] nonce;
     private long capabilities;
     private int status;
 
-    private ResponseListener heard;
+    private ResponseListener listener;
     private ResponseTracker tracker;
-    private boolean written;
-    private boolean begun;
-    /** Whether the payload that comes now is gathered, to be seen. */
-    private boolean gathers;
+    private boolean commandWritten;
+    private boolean responseStarted;
+    /** Whether the current payload is assembled and passed to the tracker. */
+    private boolean inspectsPayload;
 
-    private int firstSequence;
+    private int payloadSequence;
 
-    /** A connection that is not open yet; the decoder stands in front of it. */
-    BackendConnection(Account account, PacketDecoder decoder, LoginListener login) {
+    /**
+     * Creates the handler of a connection that is not open yet.
+     *
+     * @param account for the login
+     * @param decoder precedes this handler in the pipeline
+     * @param loginListener receives the result of the login
+     */
+    BackendConnection(Account account, PacketDecoder decoder, LoginListener loginListener) {
         this.account = account;
         this.decoder = decoder;
-        this.login = login;
+        this.loginListener = loginListener;
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         channel = context.channel();
-        gatherer = new PayloadAssembler(channel.alloc(), ResponseTracker.MOST_SEEN);
+        assembler = new PayloadAssembler(channel.alloc(), ResponseTracker.MAX_INSPECTED_BYTES);
     }
 
-    /** What both sides keep to. */
+    /** Capabilities that both sides share. */
     long capabilities() {
         return capabilities;
     }
 
-    /** SERVER_STATUS flags as last told: a transaction may be open. */
+    /** SERVER_STATUS flags as last received; they show whether a transaction is open. */
     int status() {
         return status;
     }
 
-    /** Whether it waits for a command. */
+    /** Whether the connection is logged in and carries no command. */
     boolean isIdle() {
         return phase == Phase.IDLE;
     }
@@ -117,83 +135,93 @@
     // ---------------------------------------------------------------- commands
 
     /**
-     * Takes a command up, when idle; what it returns is to be written at once.
+     * Begins a command on an idle connection; the caller writes the returned packets at once.
      *
-     * @param command its payload; released here
-     * @return its packets, which the caller owns
+     * @param command payload of the command; released here
+     * @param responseType structure of the response
+     * @param responseListener receives the response
+     * @return the packets of the command, owned by the caller
+     * @throws IllegalStateException if the connection is not idle
      */
-    ByteBuf take(ByteBuf command, ResponseType form, ResponseListener by) {
+    ByteBuf beginCommand(ByteBuf command, ResponseType responseType, ResponseListener responseListener) {
         if (phase != Phase.IDLE) {
             command.release();
-            throw new IllegalStateException("not idle but " + phase);
+            throw new IllegalStateException("connection is not idle: phase " + phase);
         }
         phase = Phase.BUSY;
-        heard = by;
-        tracker = new ResponseTracker(form, capabilities);
-        written = false;
-        begun = false;
-        decoder.expect(Packets.count(command.readableBytes()));
+        listener = responseListener;
+        tracker = new ResponseTracker(responseType, capabilities);
+        commandWritten = false;
+        responseStarted = false;
+        decoder.expectSequence(Packets.packetCount(command.readableBytes()));
         return Packets.write(channel.alloc(), command, 0);
     }
 
     /**
-     * Sends a command, when idle.
+     * Sends a command on an idle connection.
      *
-     * @param command its payload; released here
+     * @param command payload of the command; released here
+     * @param responseType structure of the response
+     * @param responseListener receives the response
+     * @throws IllegalStateException if the connection is not idle
      */
-    void carry(ByteBuf command, ResponseType form, ResponseListener by) {
-        channel.writeAndFlush(take(command, form, by)).addListener(done -> {
-            if (done.isSuccess()) {
-                written |= heard == by;
-            } else {
-                close();
-            }
-        });
+    void sendCommand(ByteBuf command, ResponseType responseType, ResponseListener responseListener) {
+        channel.writeAndFlush(beginCommand(command, responseType, responseListener))
+                .addListener(future -> {
+                    if (future.isSuccess()) {
+                        commandWritten |= listener == responseListener;
+                    } else {
+                        close();
+                    }
+                });
     }
 
-    /** Whether the command that it carries may have reached its server whole. */
-    boolean isWritten() {
-        return written;
+    /** Whether the current command may have reached the server whole. */
+    boolean isCommandWritten() {
+        return commandWritten;
     }
 
-    /** Lets the server be read on, or not: where the client does not read, the server is to wait. */
+    /** Resumes or pauses reading from the server: backpressure from a client that does not read. */
     void setReading(boolean reading) {
         channel.config().setAutoRead(reading);
     }
 
-    /** Ends it and tells no end of what it carries: a server finds its client gone. */
-    void giveUp() {
-        heard = null;
+    /**
+     * Closes the connection without reporting an end of the current command; the server sees its client
+     * disconnect.
+     */
+    void abort() {
+        listener = null;
         close();
     }
 
-    /** Ends it; what it carries is told its end. */
+    /** Closes the connection; the end of the current command is reported. */
     void close() {
         channel.close();
     }
 
-    // ---------------------------------------------------------------- what comes
+    // ---------------------------------------------------------------- responses
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         Part part = (Part) message;
         if (phase == Phase.BUSY) {
-            answer(part);
+            handleResponsePart(part);
             return;
         }
-        if (phase != Phase.GREETING && phase != Phase.LOGIN) {
-            // Unasked for: what comes next could not be told apart from an answer.
+        if (phase != Phase.HANDSHAKE && phase != Phase.LOGIN) {
+            // Unsolicited data: whatever follows could not be told apart from a response.
             part.bytes().release();
             close();
             return;
         }
-        ByteBuf payload = gatherer.add(part);
+        ByteBuf payload = assembler.add(part);
         if (payload != null) {
             try {
-                if (phase == Phase.GREETING) {
-                    greeted(InitialHandshake.read(payload));
+                if (phase == Phase.HANDSHAKE) {
+                    handleHandshake(InitialHandshake.read(payload));
                 } else {
-                    loginGoesOn(payload);
+                    continueLogin(payload);
                 }
             } finally {
                 payload.release();
@@ -201,189 +229,191 @@
         }
     }
 
-    private void answer(Part part) {
+    private void handleResponsePart(Part part) {
         if (part.first()) {
-            firstSequence = part.sequence();
+            payloadSequence = part.sequence();
             try {
-                gathers = tracker.begins(
+                inspectsPayload = tracker.beginPayload(
                         part.bytes().isReadable()
                                 ? part.bytes().getUnsignedByte(part.bytes().readerIndex())
                                 : -1,
-                        part.wire());
-            } catch (ProtocolException fault) {
+                        part.packetLength());
+            } catch (ProtocolException exception) {
                 part.bytes().release();
-                throw fault;
+                throw exception;
             }
         }
-        if (!gathers) {
+        if (!inspectsPayload) {
             boolean last = part.last();
-            if (pass(part) && last) {
-                tracker.passed();
-                endIfOver();
+            if (forward(part) && last) {
+                tracker.skipPayload();
+                completeIfFinished();
             }
             return;
         }
-        ByteBuf payload = gatherer.add(part);
+        ByteBuf payload = assembler.add(part);
         if (payload == null) {
             return;
         }
         try {
-            tracker.seen(payload.duplicate());
+            tracker.inspect(payload.duplicate());
             status = tracker.status();
-            // Behind rows an error is one more packet, and the answer's end; alone it is told as such.
-            if ((begun || tracker.end() != Completion.ERROR)
-                    && !pass(Packets.write(channel.alloc(), payload.retain(), firstSequence))) {
+            // After rows an error is forwarded as one more packet, which ends the response; without rows it is only
+            // reported through the listener.
+            if ((responseStarted || tracker.completion() != Completion.ERROR)
+                    && !forward(Packets.write(channel.alloc(), payload.retain(), payloadSequence))) {
                 return;
             }
         } finally {
             payload.release();
         }
-        endIfOver();
+        completeIfFinished();
     }
 
-    private boolean pass(Part part) {
+    private boolean forward(Part part) {
         ByteBuf bytes = part.bytes();
-        if (part.wire() < 0) {
-            return pass(bytes);
+        if (part.packetLength() < 0) {
+            return forward(bytes);
         }
         ByteBuf header = channel.alloc()
-                .buffer(PacketDecoder.HEADER)
-                .writeMediumLE(part.wire())
+                .buffer(PacketDecoder.HEADER_BYTES)
+                .writeMediumLE(part.packetLength())
                 .writeByte(part.sequence());
-        return pass(Unpooled.wrappedBuffer(header, bytes));
+        return forward(Unpooled.wrappedBuffer(header, bytes));
     }
 
-    /** False if it was broken off; the bytes are released then. */
-    private boolean pass(ByteBuf packets) {
-        ResponseListener by = heard;
-        if (by != null && !begun) {
-            begun = true;
-            if (!by.begun()) {
-                giveUp();
+    /** Returns false if the response was aborted; the bytes are released then. */
+    private boolean forward(ByteBuf packets) {
+        ResponseListener responseListener = listener;
+        if (responseListener != null && !responseStarted) {
+            responseStarted = true;
+            if (!responseListener.onResponseStart()) {
+                abort();
             }
         }
-        if (heard == null) {
+        if (listener == null) {
             packets.release();
             return false;
         }
-        by.more(packets);
-        return heard == by;
+        responseListener.onResponsePackets(packets);
+        return listener == responseListener;
     }
 
-    private void endIfOver() {
-        if (tracker.end() != null) {
+    private void completeIfFinished() {
+        if (tracker.completion() != null) {
             phase = Phase.IDLE;
             setReading(true);
-            end(tracker.end() == Completion.OK ? Result.OK : Result.ERROR, tracker.error());
+            complete(tracker.completion() == Completion.OK ? Result.OK : Result.ERROR, tracker.error());
         }
     }
 
-    private void end(Result result, ErrPacket error) {
-        ResponseListener over = heard;
-        heard = null;
-        if (over != null) {
-            over.ended(result, error);
+    private void complete(Result result, ErrPacket error) {
+        ResponseListener completedListener = listener;
+        listener = null;
+        if (completedListener != null) {
+            completedListener.onResponseEnd(result, error);
         }
     }
 
-    // ---------------------------------------------------------------- the login
+    // ---------------------------------------------------------------- login
 
-    private void greeted(InitialHandshake greeting) {
-        nonce = greeting.nonce();
-        capabilities = WANTED & greeting.capabilities();
-        status = greeting.status();
+    private void handleHandshake(InitialHandshake handshake) {
+        nonce = handshake.nonce();
+        capabilities = REQUESTED_CAPABILITIES & handshake.capabilities();
+        status = handshake.status();
         if (!account.database().isEmpty()) {
             capabilities |= Capabilities.CONNECT_WITH_DB;
         }
-        AuthPlugin scramble = scramble(greeting.plugin());
+        AuthPlugin plugin = findPlugin(handshake.plugin());
         phase = Phase.LOGIN;
         ByteBuf out = channel.alloc().buffer();
-        // A plugin that is not known is answered with one that is: the server then asks to switch.
-        AuthPlugin used = scramble == null ? AuthPlugin.CACHING_SHA2 : scramble;
+        // An unknown plugin is answered with a known one; the server then requests a switch.
+        AuthPlugin usedPlugin = plugin == null ? AuthPlugin.CACHING_SHA2 : plugin;
         new HandshakeResponse(
                         capabilities,
-                        MOST_PACKET,
-                        UTF8MB4,
+                        MAX_PACKET_BYTES,
+                        UTF8MB4_COLLATION,
                         account.user(),
-                        used.createProof(account.password(), nonce),
+                        usedPlugin.createProof(account.password(), nonce),
                         account.database(),
-                        used.pluginName,
+                        usedPlugin.pluginName,
                         Map.of())
                 .write(out);
         send(out);
     }
 
-    private static AuthPlugin scramble(String plugin) {
-        for (AuthPlugin each : AuthPlugin.values()) {
-            if (each.pluginName.equals(plugin)) {
-                return each;
+    private static AuthPlugin findPlugin(String pluginName) {
+        for (AuthPlugin candidate : AuthPlugin.values()) {
+            if (candidate.pluginName.equals(pluginName)) {
+                return candidate;
             }
         }
         return null;
     }
 
     private void send(ByteBuf payload) {
-        int sequence = decoder.expected();
-        decoder.expect(sequence + 1);
+        int sequence = decoder.expectedSequence();
+        decoder.expectSequence(sequence + 1);
         channel.writeAndFlush(Packets.write(channel.alloc(), payload, sequence));
     }
 
-    private void loginGoesOn(ByteBuf payload) {
-        int first = Fields.int1(payload, "the login's answer");
-        switch (first) {
+    private void continueLogin(ByteBuf payload) {
+        int header = Fields.int1(payload, "the login response");
+        switch (header) {
             case OkPacket.HEADER -> {
                 status = OkPacket.read(payload, capabilities).status();
                 phase = Phase.IDLE;
-                login.loggedIn(this);
+                loginListener.onLoginSucceeded(this);
             }
             case ErrPacket.HEADER -> {
                 ErrPacket error = ErrPacket.read(payload);
-                refused(error.code() + " " + error.message(), error);
+                failLogin(error.code() + " " + error.message(), error);
             }
-            case AUTH_SWITCH -> {
-                AuthPlugin scramble = scramble(Fields.nulText(payload, "the plugin's name"));
-                if (scramble == null) {
-                    refused("the server asks for a plugin that is not known", null);
+            case AUTH_SWITCH_HEADER -> {
+                AuthPlugin plugin = findPlugin(Fields.nulText(payload, "the plugin name"));
+                if (plugin == null) {
+                    failLogin("the server requires an unknown authentication plugin", null);
                     return;
                 }
                 nonce = Fields.bytes(payload, AuthPlugin.NONCE_BYTES, "the nonce");
-                send(Unpooled.wrappedBuffer(scramble.createProof(account.password(), nonce)));
+                send(Unpooled.wrappedBuffer(plugin.createProof(account.password(), nonce)));
             }
-            case AUTH_MORE -> {
-                if (Fields.int1(payload, "the login's answer") != FAST_PATH) {
-                    // It wants the password itself, which goes over no plain connection.
-                    refused("the server does not know the password's digest yet: log in there once over TLS", null);
+            case AUTH_MORE_DATA_HEADER -> {
+                if (Fields.int1(payload, "the login response") != FAST_AUTH_SUCCESS) {
+                    // The server requests the plain password, which is never sent over an unencrypted connection.
+                    failLogin("the server has not cached the password digest yet: log in there once over TLS", null);
                 }
             }
             default ->
-                throw new ProtocolException(ProtocolException.Kind.MALFORMED, "a login's answer begins with " + first);
+                throw new ProtocolException(
+                        ProtocolException.Kind.MALFORMED, "invalid login response: first byte " + header);
         }
     }
 
-    private void refused(String why, ErrPacket error) {
-        if (phase == Phase.GREETING || phase == Phase.LOGIN) {
+    private void failLogin(String reason, ErrPacket error) {
+        if (phase == Phase.HANDSHAKE || phase == Phase.LOGIN) {
             phase = Phase.CLOSED;
             channel.close();
-            login.refused(why, error);
+            loginListener.onLoginFailed(reason, error);
         }
     }
 
-    // ---------------------------------------------------------------- its end
+    // ---------------------------------------------------------------- close
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        gatherer.close();
-        refused("the connection ended before the login was over", null);
+        assembler.close();
+        failLogin("the connection was closed before the login completed", null);
         phase = Phase.CLOSED;
-        // What was not written whole has not run: servers run nothing before they have all of it.
-        end(written ? Result.RESET : Result.CONNECT_FAILED, null);
+        // A command that was not written whole has not run: servers execute only whole commands.
+        complete(commandWritten ? Result.RESET : Result.CONNECT_FAILED, null);
         context.fireChannelInactive();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            refused(String.valueOf(cause.getMessage()), null);
+            failLogin(String.valueOf(cause.getMessage()), null);
         }
         close();
     }
--- a/src/main/java/kitemux/sidecar/Sidecar.java
+++ b/src/main/java/kitemux/sidecar/Sidecar.java
@@ -237,7 +237,8 @@
      */
     private boolean applyList(byte[] text, String source) {
         List<String> faults = new ArrayList<>();
-        List<Member> listed = text == null ? List.of() : MemberListParser.parse(text, app::isServerAddressAllowed, faults);
+        List<Member> listed =
+                text == null ? List.of() : MemberListParser.parse(text, app::isServerAddressAllowed, faults);
         if (text == null) {
             faults.add("cannot be read");
         }
@@ -276,7 +277,8 @@
             writeConfig(ConfigWriter.toJson(
                     app,
                     servers.stream()
-                            .map(server -> ConfigWriter.toServer(server.member(), server.draining(), server.startedUs()))
+                            .map(server ->
+                                    ConfigWriter.toServer(server.member(), server.draining(), server.startedUs()))
                             .toList(),
                     options.seed()));
             reloadNode.run();
--- a/src/main/java/kitemux/soak/HttpMessage.java
+++ b/src/main/java/kitemux/soak/HttpMessage.java
@@ -10,18 +10,18 @@
 import java.util.TreeMap;
 
 /**
- * An HTTP/1.1 message with a length.
+ * An HTTP/1.1 message whose body has a Content-Length.
  *
- * @param start its first line
- * @param headers by names in small letters
+ * @param startLine request line or status line
+ * @param headers values by header name in lower case
  */
-record HttpMessage(String start, Map<String, String> headers) {
+record HttpMessage(String startLine, Map<String, String> headers) {
 
-    /** Reads one whole; its body is dropped. */
+    /** Reads a whole message and discards its body. */
     static HttpMessage read(InputStream in) throws IOException {
-        String start = line(in);
+        String startLine = readLine(in);
         Map<String, String> headers = new TreeMap<>();
-        for (String line = line(in); !line.isEmpty(); line = line(in)) {
+        for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
             int colon = line.indexOf(':');
             headers.put(
                     line.substring(0, colon).toLowerCase(Locale.ROOT),
@@ -29,12 +29,12 @@
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         if (in.readNBytes(length).length < length) {
-            throw new EOFException("message cut short");
+            throw new EOFException("HTTP message body truncated");
         }
-        return new HttpMessage(start, headers);
+        return new HttpMessage(startLine, headers);
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
@@ -45,13 +45,13 @@
         return line.toString(StandardCharsets.UTF_8).stripTrailing();
     }
 
-    /** The status of an answer. */
+    /** Status code of a response. */
     int status() {
-        return Integer.parseInt(start.split(" ")[1]);
+        return Integer.parseInt(startLine.split(" ")[1]);
     }
 
-    /** Whether the sender ends the connection behind it. */
-    boolean isLast() {
+    /** Whether the sender closes the connection after this message. */
+    boolean closesConnection() {
         return "close".equalsIgnoreCase(headers.get("connection"));
     }
 }
--- a/src/test/java/kitemux/node/ConfigFormatterTest.java
+++ b/src/test/java/kitemux/node/ConfigFormatterTest.java
@@ -25,16 +25,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is written for a node is what a node reads. */
+/** Tests that a node reads a formatted configuration back with the same values. */
 class ConfigFormatterTest {
-    /** The simulator's alone. */
-    private static final Set<String> NOT_WRITTEN =
+    /** Fields that only the simulator uses, which are not written. */
+    private static final Set<String> SIMULATOR_ONLY_FIELDS =
             Set.of("worthByWork", "probes", "tickUs", "askWithinUs", "crossZonePrice", "warmKeys", "reportFields");
 
     @TempDir
     private Path folder;
 
-    /** No field is as it is where nothing is written. */
+    /** Returns settings in which every written field differs from its default. */
     private static Settings settings() {
         Settings set = new Settings();
         set.nodes = 7;
@@ -70,24 +70,26 @@
     }
 
     private static ConfigFormatter.NodeDescription node(int memoryMiB) {
-        return new ConfigFormatter.NodeDescription("n", "127.0.0.1:8080", "[::1]:9090", "c0ffee", 512, memoryMiB, 4_000_001);
+        return new ConfigFormatter.NodeDescription(
+                "n", "127.0.0.1:8080", "[::1]:9090", "c0ffee", 512, memoryMiB, 4_000_001);
     }
 
     @Test
-    void aNodeReadsAllSettingsAsTheyWereWritten() throws IOException, ConfigException, IllegalAccessException {
+    void nodeReadsAllSettingsAsWritten() throws IOException, ConfigException, IllegalAccessException {
         Settings written = settings();
         Settings read = read(node(64), written, List.of()).settings();
-        Settings otherwise = new Settings();
+        Settings defaults = new Settings();
         for (Field field : Settings.class.getFields()) {
-            if (!NOT_WRITTEN.contains(field.getName())) {
+            if (!SIMULATOR_ONLY_FIELDS.contains(field.getName())) {
                 assertEquals(field.get(written), field.get(read), field.getName());
-                assertNotEquals(field.get(otherwise), field.get(written), field.getName() + " would pass unwritten");
+                assertNotEquals(
+                        field.get(defaults), field.get(written), field.getName() + " would pass without being written");
             }
         }
     }
 
     @Test
-    void aNodeReadsItsAddressesSeedAndLimits() throws IOException, ConfigException {
+    void nodeReadsAddressesSeedAndLimits() throws IOException, ConfigException {
         NodeConfig read = read(node(0), settings(), List.of());
         assertEquals(new InetSocketAddress("127.0.0.1", 8080), read.listen());
         assertEquals(new InetSocketAddress("::1", 9090), read.discovery());
@@ -97,7 +99,7 @@
     }
 
     @Test
-    void aNodeReadsServersInEachState() throws IOException, ConfigException {
+    void nodeReadsServersInEachState() throws IOException, ConfigException {
         List<ServerEntry> entries = List.of(
                 new ServerEntry("b1", 0, 4, ServerState.READY, 2.5, 17_000),
                 new ServerEntry("b2", 1, 0, ServerState.DRAINING, 1, 0),
--- a/src/test/java/kitemux/node/NodeTest.java
+++ b/src/test/java/kitemux/node/NodeTest.java
@@ -33,11 +33,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A node as a whole. */
+/** Tests a whole node, in this process or as a process of its own. */
 class NodeTest {
     private static final String JAVA = ProcessHandle.current().info().command().orElseThrow();
 
-    /** A module that breaks the first time that it is told of this event. */
+    /** Returns a balancer that throws an exception on the first call of one method. */
     static Balancer breaking(Balancer sound, String event) {
         boolean[] broken = {false};
         return (Balancer) Proxy.newProxyInstance(
@@ -56,8 +56,8 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"onRequest", "onOutcome"})
-    void anExceptionCostsOneRequestAndStillAnswersIt(String event) throws Exception {
-        // Neither answer is a success, so that the node owes the client its own.
+    void exceptionInTheBalancerFailsOneRequestOnly(String event) throws Exception {
+        // Neither response is a success, so the client receives the node's own.
         try (ScriptedServer server = new ScriptedServer((request, peer) -> peer.write(Http.answer("500 No", "", "")));
                 Site site = Site.quiet()) {
             site.module = actions -> breaking(new ServiceQBalancer(site.settings, 7, actions), event);
@@ -76,8 +76,8 @@
         return Files.move(next, folder.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** A node as a process, which is told of discovery by the environment as well. */
-    private static Process program(Path config, String discovery, String... flags) throws Exception {
+    /** Starts a node process whose environment names the address of discovery too. */
+    private static Process startWithDiscovery(Path config, String discovery, String... flags) throws Exception {
         return start(config, Map.of("PROXY_DISCOVERY", discovery), flags);
     }
 
@@ -96,16 +96,16 @@
         while (line != null && !line.contains(part)) {
             line = lines.readLine();
         }
-        assertNotNull(line, "no line says " + part);
+        assertNotNull(line, "no line contains " + part);
     }
 
-    private static void hangUp(Process process) throws Exception {
+    private static void sendSighup(Process process) throws Exception {
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
     @Test
-    void theProgramEndsOnSigtermOnceNothingIsHeld(@TempDir Path folder) throws Exception {
-        Process process = program(configure(folder, "127.0.0.1:9"), "127.0.0.1:9");
+    void sigtermEndsAnIdleNode(@TempDir Path folder) throws Exception {
+        Process process = startWithDiscovery(configure(folder, "127.0.0.1:9"), "127.0.0.1:9");
         try {
             awaitLine(process.inputReader(), "listening on ");
             process.destroy();
@@ -116,9 +116,11 @@
         }
     }
 
-    /** What a JVM cannot read of them it only complains of, and goes on without. */
+    /**
+     * Guards against flags that a JVM does not understand: it reports some of them with a warning only and continues.
+     */
     @Test
-    void theDeploymentsFlagsAreAllUnderstood() throws Exception {
+    void jvmAcceptsTheDeploymentsFlags() throws Exception {
         Matcher run = Pattern.compile("^run = \"exec java (.*) -jar ", Pattern.MULTILINE)
                 .matcher(Files.readString(Path.of("deploy", "balancer.toml")));
         assertTrue(run.find());
@@ -134,8 +136,8 @@
     }
 
     @Test
-    void aNodeThatIsToldToEndWhileItWarmsUpEnds(@TempDir Path folder) throws Exception {
-        Process process = program(configure(folder, "127.0.0.1:9"), "127.0.0.1:9");
+    void sigtermDuringTheWarmUpEndsTheNode(@TempDir Path folder) throws Exception {
+        Process process = startWithDiscovery(configure(folder, "127.0.0.1:9"), "127.0.0.1:9");
         try {
             awaitLine(process.inputReader(), "warming up");
             process.destroy();
@@ -146,12 +148,12 @@
         }
     }
 
-    /** A second word that it is to end changes nothing: who is served is served to the end. */
+    /** Guards against requests cut off by a second SIGTERM: requests in flight are still answered. */
     @Test
-    void aNodeThatIsToldTwiceToEndServesWhatItHas(@TempDir Path folder) throws Exception {
+    void secondSigtermDoesNotCutRequestsOff(@TempDir Path folder) throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer server = ScriptedServer.servingFrom(answer, "late")) {
-            Path config = knowing(folder, "s0=" + server.endpoint() + "=Ready", "on_request", "5000000");
+            Path config = configureWithServer(folder, "s0=" + server.endpoint() + "=Ready", "on_request", "5000000");
             Process process = start(config, Map.of("PROXY_DISCOVERY", "127.0.0.1:9"));
             try {
                 BufferedReader lines = process.inputReader();
@@ -165,7 +167,7 @@
                     status = ask(client.getPort(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")
                             .status();
                 }
-                assertEquals(503, status, "it has heard the first time");
+                assertEquals(503, status, "the first signal must be in force");
                 new ProcessBuilder("kill", "-TERM", Long.toString(process.pid()))
                         .start()
                         .waitFor();
@@ -179,16 +181,18 @@
         }
     }
 
-    /** What the agent has counts as told from the first moment of a process: none is served before that. */
+    /**
+     * Guards against serving by an outdated list: a change counts as received from the first moment of a process on.
+     */
     @Test
-    void whereListsArePushedNoneIsServedByTheListThatAProcessBeganWith(@TempDir Path folder) throws Exception {
+    void noRequestIsServedBeforeTheFirstPushedList(@TempDir Path folder) throws Exception {
         CountDownLatch served = new CountDownLatch(1);
         try (ScriptedServer drains = ScriptedServer.serving("drains");
                 ScriptedServer ready = ScriptedServer.serving("ready");
                 ScriptedServer agent = new ScriptedServer((request, peer) -> {
                     peer.write(Site.watchHead());
                     try {
-                        // A node that serves before it has heard is given the time to do so.
+                        // Gives a node that wrongly serves before the list arrives the time to do so.
                         served.await(500, TimeUnit.MILLISECONDS);
                     } catch (InterruptedException e) {
                         throw new IOException(e);
@@ -201,10 +205,10 @@
                                     .replace("\"here\"", "\"\"")
                             + "\n"));
                 })) {
-            Path config = knowing(folder, "s0=" + drains.endpoint() + "=Ready", "pushed", "500000");
+            Path config = configureWithServer(folder, "s0=" + drains.endpoint() + "=Ready", "pushed", "500000");
             Process process = start(config, Map.of("PROXY_DISCOVERY", agent.endpoint()));
             try {
-                // The agent is called as the process warms up, which takes longer than that on some machines.
+                // The process calls the agent during its warm-up, which takes longer than that delay on some machines.
                 int port = listeningPort(process, process.inputReader());
                 assertEquals("ready", ask(port, Http.page("t")).body());
                 served.countDown();
@@ -223,9 +227,9 @@
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).strip());
     }
 
-    private static Path knowing(Path folder, String entry, String mode, String giveUpUs) throws Exception {
+    private static Path configureWithServer(Path folder, String entry, String mode, String giveUpUs) throws Exception {
         Path config = configure(folder, "127.0.0.1:9");
-        try (SocketChannel holder = shared()) {
+        try (SocketChannel holder = reserveSharedPort()) {
             return Files.writeString(
                     config,
                     Files.readString(config)
@@ -241,15 +245,15 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"warming up", "listening on "})
-    void aReloadHoldsHoweverSoonItComes(String when, @TempDir Path folder) throws Exception {
+    void reloadIsAppliedHoweverEarlyItComes(String when, @TempDir Path folder) throws Exception {
         ScriptedServer.Script watch = (request, peer) -> peer.write(Site.watchHead());
         try (ScriptedServer before = new ScriptedServer(watch);
                 ScriptedServer after = new ScriptedServer(watch)) {
-            Process process = program(configure(folder, before.endpoint()), before.endpoint());
+            Process process = startWithDiscovery(configure(folder, before.endpoint()), before.endpoint());
             try {
                 awaitLine(process.inputReader(), when);
                 configure(folder, after.endpoint());
-                hangUp(process);
+                sendSighup(process);
                 ScriptedServer.next(after.requests);
                 assertTrue(process.isAlive());
             } finally {
@@ -258,8 +262,8 @@
         }
     }
 
-    /** Made by this JVM, of its own classes alone. */
-    private static Path archive(Path folder) throws Exception {
+    /** Creates an archive with this JVM, of the JDK's classes only. */
+    private static Path createArchive(Path folder) throws Exception {
         Path archive = folder.resolve("node.jsa");
         Process dump = new ProcessBuilder(JAVA, "-Xshare:dump", "-XX:SharedArchiveFile=" + archive)
                 .redirectErrorStream(true)
@@ -269,12 +273,12 @@
         return archive;
     }
 
-    /** Another JVM's differs in the name that it puts at the front. */
-    private static void pretendAnotherJvmMadeIt(Path archive) throws Exception {
+    /** Changes the JVM's name in the archive's header, as in an archive of another JVM. */
+    private static void changeJvmName(Path archive) throws Exception {
         byte[] bytes = Files.readAllBytes(archive);
         String head = new String(bytes, 0, 4096, StandardCharsets.ISO_8859_1);
         int name = head.indexOf("64-Bit Server VM");
-        assertTrue(name > 0, "an archive names its JVM");
+        assertTrue(name > 0, "the archive's header must name its JVM");
         bytes[name] = '9';
         Files.delete(archive);
         Files.write(archive, bytes);
@@ -282,15 +286,15 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"missing", "spoilt", "another JVM's", "sound"})
-    void aNodeStartsWhateverItsClassArchiveAndSaysIfThatIsOfNoUse(String what, @TempDir Path folder) throws Exception {
-        Path archive = what.equals("missing") ? folder.resolve("none.jsa") : archive(folder);
+    void nodeStartsWithAnyClassArchiveAndReportsAnUnusedOne(String what, @TempDir Path folder) throws Exception {
+        Path archive = what.equals("missing") ? folder.resolve("none.jsa") : createArchive(folder);
         if (what.equals("spoilt")) {
             Files.delete(archive);
             Files.writeString(archive, "no archive at all");
         } else if (what.equals("another JVM's")) {
-            pretendAnotherJvmMadeIt(archive);
+            changeJvmName(archive);
         }
-        Process process = program(
+        Process process = startWithDiscovery(
                 configure(folder, "127.0.0.1:9"), "127.0.0.1:9", "-Xshare:auto", "-XX:SharedArchiveFile=" + archive);
         try {
             List<String> before = process.inputReader()
@@ -306,18 +310,18 @@
         }
     }
 
-    private static Process keeping(Path folder, String operator) throws Exception {
+    private static Process startWithOperatorFile(Path folder, String operator) throws Exception {
         Path file = Files.writeString(folder.resolve("operator.json"), operator);
         return start(configure(folder, "127.0.0.1:9"), Map.of("KITEMUX_SETTINGS", file.toString()));
     }
 
     @Test
-    void twoNodesDoNotWriteToOneJournal(@TempDir Path folder) throws Exception {
+    void secondNodeCannotOpenTheSameJournal(@TempDir Path folder) throws Exception {
         String operator = "{\"orders\":{\"folder\":\"" + folder.resolve("orders") + "\"}}";
-        Process first = keeping(folder, operator);
+        Process first = startWithOperatorFile(folder, operator);
         try {
             awaitLine(first.inputReader(), "listening on ");
-            Process second = keeping(folder, operator);
+            Process second = startWithOperatorFile(folder, operator);
             awaitLine(second.inputReader(), "orders.folder cannot be used: another node writes");
             assertEquals(2, second.waitFor());
             assertTrue(first.isAlive());
@@ -329,8 +333,8 @@
     }
 
     @Test
-    void eachFaultOfTheOperatorsFileHasItsLine(@TempDir Path folder) throws Exception {
-        Process process = keeping(folder, "{\"orders\":{\"sync\":\"x\",\"lateMs\":0},\"color\":1}");
+    void eachFaultOfTheOperatorFileIsReportedOnItsOwnLine(@TempDir Path folder) throws Exception {
+        Process process = startWithOperatorFile(folder, "{\"orders\":{\"sync\":\"x\",\"lateMs\":0},\"color\":1}");
         List<String> lines = process.inputReader().lines().toList();
         assertEquals(2, process.waitFor());
         for (String field : List.of("color", "orders.folder", "orders.sync", "orders.lateMs")) {
@@ -339,28 +343,28 @@
     }
 
     @Test
-    void onSighupTheWatchMovesToWhereTheFileSaysAndABadFileChangesNothing(@TempDir Path folder) throws Exception {
+    void sighupMovesTheWatchAndABadFileChangesNothing(@TempDir Path folder) throws Exception {
         ScriptedServer.Script watch = (request, peer) -> peer.write(Site.watchHead());
         try (ScriptedServer before = new ScriptedServer(watch);
                 ScriptedServer after = new ScriptedServer(watch)) {
             Path config = configure(folder, before.endpoint());
-            Process process = program(config, before.endpoint());
+            Process process = startWithDiscovery(config, before.endpoint());
             try {
                 BufferedReader lines = process.inputReader();
                 ScriptedServer.next(before.requests);
                 configure(folder, after.endpoint());
-                hangUp(process);
+                sendSighup(process);
                 ScriptedServer.next(after.requests);
                 ScriptedServer.next(before.disconnectedPeers);
                 Files.writeString(config, "{");
-                hangUp(process);
+                sendSighup(process);
                 awaitLine(lines, "PROXY_CONFIG is not JSON");
                 configure(folder, before.endpoint());
-                hangUp(process);
-                hangUp(process);
+                sendSighup(process);
+                sendSighup(process);
                 ScriptedServer.next(before.requests);
                 process.destroy();
-                hangUp(process);
+                sendSighup(process);
                 assertTrue(process.waitFor(20, TimeUnit.SECONDS));
                 assertEquals(143, process.exitValue(), "still ended by SIGTERM in good order");
                 assertEquals(1, after.connections.get());
@@ -370,10 +374,10 @@
         }
     }
 
-    // ---------------------------------------------------------------- a second process in place of the first
+    // ---------------------------------------------------------------- a second process that replaces the first
 
-    /** Holds a port that processes are to share, without listening at it. */
-    private static SocketChannel shared() throws Exception {
+    /** Reserves a port that several processes share, without listening on it. */
+    private static SocketChannel reserveSharedPort() throws Exception {
         SocketChannel holder = SocketChannel.open();
         return holder.setOption(StandardSocketOptions.SO_REUSEADDR, true)
                 .setOption(StandardSocketOptions.SO_REUSEPORT, true)
@@ -396,12 +400,12 @@
     }
 
     @Test
-    void aSecondProcessTakesOverWithoutARequestLostAndKnowsWhatIsOut(@TempDir Path folder) throws Exception {
+    void secondProcessTakesOverWithoutLossAndKeepsServersDrained(@TempDir Path folder) throws Exception {
         try (ScriptedServer in = ScriptedServer.serving("in");
                 ScriptedServer out = ScriptedServer.serving("out");
-                SocketChannel clients = shared();
-                SocketChannel first = shared();
-                SocketChannel second = shared()) {
+                SocketChannel clients = reserveSharedPort();
+                SocketChannel first = reserveSharedPort();
+                SocketChannel second = reserveSharedPort()) {
             Path config = configure(folder, "127.0.0.1:9");
             Files.writeString(
                     config,
@@ -450,7 +454,8 @@
                                 "in",
                                 ask(port(clients), Http.page("t" + asked++)).body());
                     } catch (IOException e) {
-                        // The system resets what waits at a listener that closes: a client asks once more.
+                        // The system resets connections in the backlog of a listener that closes, so the client
+                        // retries.
                         crossed++;
                     }
                 }
@@ -465,7 +470,7 @@
             } finally {
                 processes.forEach(Process::destroyForcibly);
             }
-            assertEquals(0, out.requests.size(), "out for both");
+            assertEquals(0, out.requests.size(), "the drained server must receive nothing from either process");
         }
     }
 }
--- a/src/test/java/kitemux/node/WrittenConfigTest.java
+++ b/src/test/java/kitemux/node/WrittenConfigTest.java
@@ -23,12 +23,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Descriptions that something has happened to: lines dropped, doubled, swapped, values scaled or taken from
- * elsewhere. Whatever of it is found sound must be: a node reads what is written, and what the rules are for
- * holds in what it read.
+ * Mutates descriptions: lines are dropped, duplicated or swapped, values scaled or replaced. A node must read the
+ * configuration written from each mutant that is found valid, and the guarantees of the rules must hold for it.
  */
 class WrittenConfigTest {
-    private static final int MUTANTS = 4_000;
+    private static final int MUTANT_COUNT = 4_000;
     private static final String[] VALUES = {
         "0",
         "-1",
@@ -55,7 +54,7 @@
     @TempDir
     private Path folder;
 
-    private static String mutant(List<String> sound, Random random) {
+    private static String mutate(List<String> sound, Random random) {
         List<String> lines = new ArrayList<>(sound);
         for (int i = 0; i <= random.nextInt(3); i++) {
             int at = random.nextInt(lines.size());
@@ -75,7 +74,7 @@
         return String.join("\n", lines);
     }
 
-    private void holds(App app, NodeConfig read, String text) {
+    private void assertInvariants(App app, NodeConfig read, String text) {
         Map<String, RetrySafety> classes = new java.util.HashMap<>();
         for (RequestClass of : read.settings().classes) {
             classes.put(of.name(), of.retrySafety());
@@ -90,7 +89,9 @@
                     text);
         }
         app.neverTwiceClasses().forEach(name -> assertEquals(RetrySafety.UNSAFE, classes.get(name), text));
-        app.classes().forEach(work -> assertEquals(work.retrySafety(), classes.get(work.name()), text));
+        app.classes()
+                .forEach(requestClass ->
+                        assertEquals(requestClass.retrySafety(), classes.get(requestClass.name()), text));
         boolean ready = false;
         for (HostList.Host host : read.initialServers().hosts()) {
             App.Server described = app.servers().stream()
@@ -107,27 +108,27 @@
     }
 
     @Test
-    void whateverIsFoundSoundIsReadByANodeAndKeepsWhatTheRulesAreFor() throws IOException, ConfigException {
+    void nodeReadsEveryValidMutantAndItsInvariantsHold() throws IOException, ConfigException {
         List<String> sound = Arrays.asList(Files.readString(Path.of("examples", "app", "ordering-desk.hcl"))
                 .split("\n"));
         Random random = new Random(20_261_201);
         Path file = folder.resolve("config.json");
         int passed = 0;
-        for (int i = 0; i < MUTANTS; i++) {
-            String text = mutant(sound, random);
+        for (int i = 0; i < MUTANT_COUNT; i++) {
+            String text = mutate(sound, random);
             AppParser.Result reading = AppParser.parse(text);
             if (reading.findings().isEmpty()) {
                 passed++;
                 Files.writeString(file, ConfigWriter.toJson(reading.app(), "1"));
                 try {
-                    holds(reading.app(), NodeConfig.read(Map.of("PROXY_CONFIG", file.toString())), text);
+                    assertInvariants(reading.app(), NodeConfig.read(Map.of("PROXY_CONFIG", file.toString())), text);
                 } catch (ConfigException e) {
                     throw new AssertionError(
-                            "found sound, and a node does not read it: " + e.getMessage() + "\n" + text, e);
+                            "found valid, but a node does not read it: " + e.getMessage() + "\n" + text, e);
                 }
             }
         }
-        assertTrue(passed > MUTANTS / 20, "only " + passed + " were found sound: the mutants are too broken to tell");
-        assertTrue(passed < MUTANTS, "nothing was found in any");
+        assertTrue(passed > MUTANT_COUNT / 20, "only " + passed + " were found valid: too few for a meaningful test");
+        assertTrue(passed < MUTANT_COUNT, "no mutant was found invalid");
     }
 }
