--- a/src/main/java/kitemux/app/BlockReader.java
+++ b/src/main/java/kitemux/app/BlockReader.java
@@ -68,7 +68,8 @@
     /** Reads a duration in microseconds. */
     long readDurationUs(String name) {
         String defaultValue = field(name).defaultValue();
-        return (long) checkRange(name, section.durationUs(name, defaultValue == null ? -1 : Section.parseDurationUs(defaultValue)));
+        return (long) checkRange(
+                name, section.durationUs(name, defaultValue == null ? -1 : Section.parseDurationUs(defaultValue)));
     }
 
     <E extends Enum<E>> E readEnum(String name, Class<E> enumType) {
--- a/src/main/java/kitemux/drill/ScenarioFile.java
+++ b/src/main/java/kitemux/drill/ScenarioFile.java
@@ -13,8 +13,8 @@
 import kitemux.drill.Fault.Way;
 import kitemux.drill.Fault.What;
 import kitemux.fleet.Fleet;
-import kitemux.hcl.SourceLocations;
 import kitemux.hcl.Section;
+import kitemux.hcl.SourceLocations;
 import kitemux.plan.FleetFile;
 
 /** Reads a drill from its description in HCL; {@code docs/operate/drill.md} has all fields. */
@@ -69,8 +69,8 @@
         long length = all.durationUs("length", 0);
         long repeat = all.durationUs("repeat_grace", 400_000);
         Section limits = all.blockOrEmpty("bounds");
-        Scenario.Bounds bounds =
-                new Scenario.Bounds(limits.integer("attempts", 0), limits.integer("dials", 0), limits.integer("calls", 0));
+        Scenario.Bounds bounds = new Scenario.Bounds(
+                limits.integer("attempts", 0), limits.integer("dials", 0), limits.integer("calls", 0));
         limits.reportUnknownFields();
         require(
                 own,
@@ -118,7 +118,8 @@
         }
         List<Scenario.Phase> phases = new ArrayList<>();
         all.labelledBlocks("phase", false).forEach((name, section) -> {
-            Scenario.Phase phase = new Scenario.Phase(name, section.durationUs("from", -1), section.durationUs("to", -1));
+            Scenario.Phase phase =
+                    new Scenario.Phase(name, section.durationUs("from", -1), section.durationUs("to", -1));
             section.reportUnknownFields();
             require(own, phase.fromUs() < phase.toUs(), "phase \"" + name + "\".to: is not after from");
             phases.add(phase);
--- a/src/main/java/kitemux/lab/ExperimentFile.java
+++ b/src/main/java/kitemux/lab/ExperimentFile.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Set;
 import kitemux.fleet.Fleet;
-import kitemux.hcl.SourceLocations;
 import kitemux.hcl.Section;
+import kitemux.hcl.SourceLocations;
 import kitemux.plan.FleetFile;
 
 /** Parses the HCL description of an experiment; {@code docs/operate/lab.md} documents all fields. */
--- a/src/main/java/kitemux/lab/LoopbackRun.java
+++ b/src/main/java/kitemux/lab/LoopbackRun.java
@@ -306,7 +306,8 @@
         try {
             Files.writeString(
                     config,
-                    ConfigFormatter.formatNode(node, settings, DiscoveryStub.withAddresses(initialServers, visibleAddresses)));
+                    ConfigFormatter.formatNode(
+                            node, settings, DiscoveryStub.withAddresses(initialServers, visibleAddresses)));
             return new NodeProcess(
                     number,
                     interceptor.nodeAddress(number, address),
--- a/src/main/java/kitemux/soak/SoakServer.java
+++ b/src/main/java/kitemux/soak/SoakServer.java
@@ -10,54 +10,59 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** A server that answers at once, or not at all while it hangs, and notes what comes. */
+/**
+ * A server that answers each request at once, or not at all while it hangs, and records the attempts that
+ * arrive.
+ */
 final class SoakServer implements AutoCloseable {
     private static final int BACKLOG = 512;
-    private static final byte[] ANSWER =
+    private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII);
 
     /**
-     * An attempt as it came.
+     * An attempt that reached a server.
      *
+     * @param txn identifier of the request
      * @param atUs Unix time in microseconds
-     * @param remainingUs what the node said that it will wait
+     * @param remainingUs time that the node announced to wait, in microseconds
      */
     record Arrival(String txn, long atUs, long remainingUs) {}
 
     private final Queue<Arrival> arrivals;
-    private final Queue<Socket> open = new ConcurrentLinkedQueue<>();
-    private final ServerSocket listening;
-    private volatile boolean hangs;
+    private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
+    private final ServerSocket listener;
+    private volatile boolean hanging;
 
+    /** Listens on a free loopback port; attempts are added to the queue. */
     SoakServer(Queue<Arrival> arrivals) {
         this.arrivals = arrivals;
         try {
-            listening = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+            listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        Soak.daemon("soak server", this::accept);
+        Soak.startDaemon("soak server", this::accept);
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) listening.getLocalSocketAddress();
+        return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    /** Answers no request from now on, or all that come from now on. */
-    void hang(boolean now) {
-        hangs = now;
+    /** Makes the server hang, or answer the requests that arrive from now on. */
+    void setHanging(boolean enabled) {
+        hanging = enabled;
     }
 
     private void accept() {
         try {
             while (true) {
-                Socket socket = listening.accept();
+                Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
-                open.add(socket);
-                Soak.daemon("soak server's connection", () -> serve(socket));
+                openSockets.add(socket);
+                Soak.startDaemon("soak server connection", () -> serve(socket));
             }
         } catch (IOException e) {
-            // Closed: the play is over.
+            // The server was closed at the end of the run.
         }
     }
 
@@ -69,28 +74,28 @@
                 if (txn != null) {
                     arrivals.add(new Arrival(txn, Soak.nowUs(), remainingUs(request)));
                 }
-                if (!hangs) {
-                    socket.getOutputStream().write(ANSWER);
+                if (!hanging) {
+                    socket.getOutputStream().write(RESPONSE);
                 }
             }
         } catch (IOException e) {
-            // The node has closed it, or the play is over.
+            // The node closed the connection, or the run is over.
         } finally {
-            open.remove(socket);
+            openSockets.remove(socket);
         }
     }
 
     private static long remainingUs(HttpMessage request) {
-        String told = request.headers().getOrDefault("x-remaining", "0u");
-        long number = Long.parseLong(told.substring(0, told.length() - 1));
-        return told.endsWith("m") ? number * 1_000 : number;
+        String remaining = request.headers().getOrDefault("x-remaining", "0u");
+        long amount = Long.parseLong(remaining.substring(0, remaining.length() - 1));
+        return remaining.endsWith("m") ? amount * 1_000 : amount;
     }
 
     @Override
     public void close() {
         try {
-            listening.close();
-            for (Socket socket : open) {
+            listener.close();
+            for (Socket socket : openSockets) {
                 socket.close();
             }
         } catch (IOException e) {
--- a/src/test/java/kitemux/keeper/Lines.java
+++ b/src/test/java/kitemux/keeper/RecordingLog.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import kitemux.engine.Log;
 
-/** What was told to operators, to be waited for. */
-final class Lines implements Log {
-    private static final long MOST_MS = 30_000;
+/** Log that records its lines and lets a test wait for them. */
+final class RecordingLog implements Log {
+    private static final long TIMEOUT_MS = 30_000;
 
     private final List<String> lines = new ArrayList<>();
 
@@ -26,9 +26,11 @@
         return lines.size();
     }
 
-    /** Waits for a line that holds this, from one on; how many lines there are up to it. */
-    synchronized int await(int from, String part) throws InterruptedException {
-        long until = System.nanoTime() + MOST_MS * 1_000_000;
+    /**
+     * Waits for a line that contains the text, starting at an index; returns the index after that line.
+     */
+    synchronized int awaitLine(int from, String part) throws InterruptedException {
+        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         int next = from;
         while (true) {
             for (; next < lines.size(); next++) {
--- a/src/test/java/kitemux/node/LiveSettingsTest.java
+++ b/src/test/java/kitemux/node/LiveSettingsTest.java
@@ -14,6 +14,7 @@
 import kitemux.Balancer.Tenant;
 import org.junit.jupiter.api.Test;
 
+/** Tests which settings of a pushed configuration a running node applies. */
 class LiveSettingsTest {
     private static final RequestClass PAGE =
             new RequestClass("page", 100, 0, 500, 1, 0, RetrySafety.SAFE, DedupScope.ALL, 0, false);
@@ -24,18 +25,18 @@
 
     private final Settings settings = new Settings();
     private final List<String> moved = new ArrayList<>();
-    private final LiveSettings live;
+    private final LiveSettings liveSettings;
 
     LiveSettingsTest() {
         settings.classes.addAll(List.of(PAGE, ORDER));
         settings.tenants.addAll(List.of(new Tenant("a", 1), new Tenant("b", 2)));
         settings.overShareWorth = 0.5;
-        live = new LiveSettings(settings, moved::add);
+        liveSettings = new LiveSettings(settings, moved::add);
     }
 
     @Test
-    void whatIsLiveIsInForceAndTheRestStaysAsTheFileHasIt() {
-        live.apply(Map.of(
+    void liveValuesApplyAndOthersKeepTheFilesValues() {
+        liveSettings.apply(Map.of(
                 "realms/b",
                 "{\"quotaPerS\":9.5}",
                 "classes/page",
@@ -57,18 +58,18 @@
         assertSame(ORDER, settings.classes.get(1));
         assertEquals(0.75, settings.overShareWorth);
         assertEquals(3, settings.maxAttempts);
-        // What a later version does not name any more is as the file has it again.
-        live.apply(Map.of());
+        // Values that a later version does not name return to the file's.
+        liveSettings.apply(Map.of());
         assertEquals(List.of(new Tenant("a", 1), new Tenant("b", 2)), settings.tenants);
         assertEquals(List.of(PAGE, ORDER), settings.classes);
         assertEquals(0.5, settings.overShareWorth);
     }
 
     @Test
-    void whatIsNotLiveIsSaidToWait() {
+    void otherPathsNeedARestart() {
         assertEquals(
                 Set.of(),
-                live.pathsNeedingRestart(
+                liveSettings.pathsNeedingRestart(
                         Map.of(),
                         Map.of(
                                 "realms/a",
@@ -83,10 +84,10 @@
                                 "[]")));
         assertEquals(
                 Set.of("realms/new", "classes/new", "limits/attemptsCap"),
-                live.pathsNeedingRestart(
+                liveSettings.pathsNeedingRestart(
                         Map.of(), Map.of("realms/new", "{}", "classes/new", FAST, "limits/attemptsCap", "9")));
         String order = "{\"repeat\":\"unsafe\",\"group\":\"cell\",\"windowUs\":7,\"stream\":true}";
-        assertEquals(Set.of(), live.pathsNeedingRestart(Map.of(), Map.of("classes/order", order)));
+        assertEquals(Set.of(), liveSettings.pathsNeedingRestart(Map.of(), Map.of("classes/order", order)));
         for (String other : List.of(
                 order.replace("unsafe", "safe"),
                 order.replace("cell", "all"),
@@ -95,16 +96,18 @@
                 order.replace("\"repeat\"", "\"aimStretch\":1,\"repeat\""),
                 order.replace("\"group\":\"cell\",", ""))) {
             assertEquals(
-                    Set.of("classes/order"), live.pathsNeedingRestart(Map.of(), Map.of("classes/order", other)), other);
+                    Set.of("classes/order"),
+                    liveSettings.pathsNeedingRestart(Map.of(), Map.of("classes/order", other)),
+                    other);
         }
     }
 
     @Test
-    void discoveryMovesOnceForEachPlaceThatIsNamed() {
-        live.apply(Map.of("discovery", "\"127.0.0.1:1\""));
-        live.apply(Map.of("discovery", "\"127.0.0.1:1\"", "overShareWorth", "1"));
-        live.apply(Map.of("discovery", "\"127.0.0.1:2\""));
-        live.apply(Map.of());
+    void discoveryMovesOnceForEachNewAddress() {
+        liveSettings.apply(Map.of("discovery", "\"127.0.0.1:1\""));
+        liveSettings.apply(Map.of("discovery", "\"127.0.0.1:1\"", "overShareWorth", "1"));
+        liveSettings.apply(Map.of("discovery", "\"127.0.0.1:2\""));
+        liveSettings.apply(Map.of());
         assertEquals(List.of("127.0.0.1:1", "127.0.0.1:2"), moved);
     }
 }
--- a/src/test/java/kitemux/node/WarmUpTest.java
+++ b/src/test/java/kitemux/node/WarmUpTest.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.Test;
 
-/** What a starting process does before it listens. */
+/** Tests the warm-up of a starting process. */
 class WarmUpTest {
 
     @Test
-    void requestsAreServedWithNoWordToDiscovery() throws Exception {
+    void requestsAreServedWithoutCallingDiscovery() throws Exception {
         try (Site site = Site.quiet()) {
             assertTrue(WarmUp.run(site.config(Site.list(1, true)), site.loop, new StderrLog()) > 0);
             assertEquals(0, site.discovery.connections.get());
@@ -21,9 +21,9 @@
     }
 
     @Test
-    void littleCpuDoesNotEndItBeforeItIsWarm() throws Exception {
+    void slowLoopStillServesAllRequests() throws Exception {
         try (Site site = Site.quiet()) {
-            // As on a part of a core: every turn of the loop takes some time more.
+            // Slows each iteration of the event loop, as on a fraction of a core.
             AtomicBoolean over = new AtomicBoolean();
             site.loop.execute(new Runnable() {
                 @Override
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aNodeThatIsClosedLeavesNothingOpen() throws Exception {
+    void closedNodeLeavesNoConnectionOpen() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
