--- a/src/main/java/kitemux/load/CaptureFile.java
+++ b/src/main/java/kitemux/load/CaptureFile.java
@@ -38,7 +38,7 @@
     public static CaptureFile read(Path path) throws IOException {
         byte[] bytes = Files.readAllBytes(path);
         if (!CaptureFormat.hasMagic(bytes)) {
-            throw new IOException(path + " is not a capture file");
+            throw new IOException(path + " is no captured load");
         }
         ByteBuffer input = ByteBuffer.wrap(bytes);
         input.position(CaptureFormat.MAGIC.length);
--- a/src/main/java/kitemux/load/LoadSummary.java
+++ b/src/main/java/kitemux/load/LoadSummary.java
@@ -128,7 +128,7 @@
             return;
         }
         if (!file.fault().isEmpty()) {
-            warnings.add("a capture file of " + file.node() + " is incomplete: " + file.fault());
+            warnings.add("a capture file of " + file.node() + " is not whole: " + file.fault());
         }
         droppedCount += file.droppedCount();
         nodes.merge(file.node(), file.requests().size(), Integer::sum);
@@ -251,7 +251,7 @@
     public List<String> warnings() {
         List<String> allWarnings = new ArrayList<>(warnings);
         if (droppedCount > 0) {
-            allWarnings.add(droppedCount + " requests were dropped during the capture, so the counts are too low");
+            allWarnings.add(droppedCount + " requests were left out as they came: what is told is less than what was");
         }
         long refused =
                 classes.values().stream().mapToLong(ClassSummary::refused).sum();
--- a/src/test/java/kitemux/load/CaptureTest.java
+++ b/src/test/java/kitemux/load/CaptureTest.java
@@ -153,7 +153,7 @@
     void otherFileIsRejectedByName() throws IOException {
         Path file = Files.writeString(folder.resolve("notes"), "dear diary");
         IOException exception = assertThrows(IOException.class, () -> CaptureFile.read(file));
-        assertTrue(exception.getMessage().endsWith("notes is not a capture file"), exception.getMessage());
+        assertTrue(exception.getMessage().endsWith("notes is no captured load"), exception.getMessage());
     }
 
     @Test
--- a/src/test/java/kitemux/load/LoadSummaryTest.java
+++ b/src/test/java/kitemux/load/LoadSummaryTest.java
@@ -161,8 +161,8 @@
         summary.add(new CaptureFile(1, "n0", NOW_US, List.of("page"), List.of(), List.of(), 12, "cut off: 3 bytes"));
         assertEquals(
                 List.of(
-                        "a capture file of n0 is incomplete: cut off: 3 bytes",
-                        "12 requests were dropped during the capture, so the counts are too low"),
+                        "a capture file of n0 is not whole: cut off: 3 bytes",
+                        "12 requests were left out as they came: what is told is less than what was"),
                 summary.warnings());
         assertEquals(0, summary.durationS());
         assertEquals(List.of(), summary.steps());
