--- a/src/main/java/kitemux/ops/Operations.java
+++ b/src/main/java/kitemux/ops/Operations.java
@@ -119,7 +119,7 @@
 
     /** Records that clients can connect to this process, which replaces any earlier process of the node. */
     public void markServing() {
-        sharedFolder.markServing(e -> log.info("the previous process cannot be notified that it is replaced: " + e));
+        sharedFolder.markServing(e -> log.info("a process before this one cannot be told that it is replaced: " + e));
     }
 
     /**
--- a/src/test/java/kitemux/node/DisconnectAndShutdownTest.java
+++ b/src/test/java/kitemux/node/DisconnectAndShutdownTest.java
@@ -160,7 +160,7 @@
                 maxBufferedBytes = Math.max(maxBufferedBytes, allocator.metric().usedHeapMemory() - before);
             }
             assertTrue(sent.get() < 1L << 30, "the client is throttled");
-            assertTrue(maxBufferedBytes < 3L << 20, "buffered bytes: " + maxBufferedBytes + " bytes");
+            assertTrue(maxBufferedBytes < 3L << 20, "buffered: " + maxBufferedBytes + " bytes");
         }
     }
 
