--- a/src/test/java/kitemux/node/ClientDisconnectTest.java
+++ b/src/test/java/kitemux/node/ClientDisconnectTest.java
@@ -22,43 +22,43 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A client that closes has gone: no attempt, first or further, begins more than 0.1 s later, wherever its
- * request waits then.
+ * Guards against attempts on behalf of clients that have disconnected: no attempt, first or retry, may begin
+ * more than 0.1 s after the disconnect, wherever the request waits then.
  */
 @Timeout(30)
 class ClientDisconnectTest {
-    /** More than the operators allow between a client's close and an attempt. */
-    private static final long GONE_MS = 200;
+    /** Time between disconnect and attempt, in milliseconds; longer than the operators allow. */
+    private static final long DISCONNECT_AGE_MS = 200;
 
-    private static String up() {
+    private static String upRequest() {
         return "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
     }
 
-    private static String page(String txn) {
+    private static String pageRequest(String txn) {
         return Http.page("/api/p", txn, "5000m");
     }
 
-    /** Holds the loop up until the latch opens; returns once it stands still. */
-    private static CountDownLatch holdUp(EventLoop loop) throws InterruptedException {
-        CountDownLatch standing = new CountDownLatch(1);
+    /** Stalls the event loop until the latch opens; returns once it is stalled. */
+    private static CountDownLatch stallLoop(EventLoop loop) throws InterruptedException {
+        CountDownLatch stalled = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
-            standing.countDown();
+            stalled.countDown();
             try {
                 release.await(20, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        standing.await();
+        stalled.await();
         return release;
     }
 
-    /** The time itself is what is forced here: so long ago its client has left. */
-    private static void letGoBy(long ms) {
-        long until = System.nanoTime() + ms * 1_000_000;
-        while (System.nanoTime() < until) {
-            LockSupport.parkNanos(until - System.nanoTime());
+    /** Waits for real time to pass, so that the disconnect is this long ago. */
+    private static void parkFor(long ms) {
+        long deadlineNanos = System.nanoTime() + ms * 1_000_000;
+        while (System.nanoTime() < deadlineNanos) {
+            LockSupport.parkNanos(deadlineNanos - System.nanoTime());
         }
     }
 
@@ -70,8 +70,11 @@
         }
     }
 
-    /** A server that holds what comes under one id until the latch opens, and then answers so. */
-    private static ScriptedServer holding(String txn, CountDownLatch until, String answer) throws IOException {
+    /**
+     * Creates a server that answers the request with this transaction id with {@code answer} once the latch
+     * opens, and all others at once.
+     */
+    private static ScriptedServer serverHolding(String txn, CountDownLatch until, String answer) throws IOException {
         return new ScriptedServer((request, peer) -> {
             if (txn.equals(request.headers().get("x-txn"))) {
                 await(until);
@@ -89,100 +92,100 @@
                 .toList();
     }
 
-    /** A site of many nodes, each of which sends a server one at a time at first. */
-    private static Site oneAtATime() throws IOException {
+    /** Creates a site with several nodes, each of which sends a server one request at a time at first. */
+    private static Site siteWithOneRequestPerServer() throws IOException {
         Site site = Site.quiet();
         site.settings.nodes = 4;
         return site;
     }
 
     @Test
-    void whatWaitsForAPlaceIsNotSentOnceItsClientHasLeft() throws Exception {
+    void queuedRequestIsNotSentAfterClientDisconnects() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (ScriptedServer server = holding("first", answer, Http.ok("x"));
-                Site site = oneAtATime()) {
+        try (ScriptedServer server = serverHolding("first", answer, Http.ok("x"));
+                Site site = siteWithOneRequestPerServer()) {
             site.start(server);
             Socket first = site.connect();
-            Site.write(first, page("first"));
+            Site.write(first, pageRequest("first"));
             assertEquals("first", ScriptedServer.next(server.requests).headers().get("x-txn"));
-            Socket leaves = site.connect();
-            Site.write(leaves, page("left"));
-            assertEquals(200, site.ask(up()).status(), "the request before it is read by now");
-            leaves.close();
-            assertEquals(200, site.ask(up()).status());
+            Socket disconnecting = site.connect();
+            Site.write(disconnecting, pageRequest("left"));
+            assertEquals(200, site.ask(upRequest()).status(), "the earlier request has been read by now");
+            disconnecting.close();
+            assertEquals(200, site.ask(upRequest()).status());
             answer.countDown();
             assertEquals(200, Http.read(first.getInputStream()).status());
-            assertEquals(200, site.ask(page("after")).status());
+            assertEquals(200, site.ask(pageRequest("after")).status());
             assertEquals(List.of("after"), txns(server));
         }
     }
 
-    /** The answer that makes room lies unread before its leaving does. */
+    /** The response that frees the server and the disconnect are both unread, in this order. */
     @Test
-    void whatWaitsForAPlaceIsNotSentWhereItsLeavingLiesUnreadBehindTheAnswer() throws Exception {
+    void queuedRequestIsNotSentWhenDisconnectIsUnreadBehindResponse() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (ScriptedServer server = holding("first", answer, Http.ok("x"));
-                Site site = oneAtATime()) {
+        try (ScriptedServer server = serverHolding("first", answer, Http.ok("x"));
+                Site site = siteWithOneRequestPerServer()) {
             site.start(server);
             Socket first = site.connect();
-            Site.write(first, page("first"));
+            Site.write(first, pageRequest("first"));
             assertEquals("first", ScriptedServer.next(server.requests).headers().get("x-txn"));
-            Socket leaves = site.connect();
-            Site.write(leaves, page("left"));
-            assertEquals(200, site.ask(up()).status(), "the request before it is read by now");
-            CountDownLatch release = holdUp(site.loop);
+            Socket disconnecting = site.connect();
+            Site.write(disconnecting, pageRequest("left"));
+            assertEquals(200, site.ask(upRequest()).status(), "the earlier request has been read by now");
+            CountDownLatch release = stallLoop(site.loop);
             answer.countDown();
             ScriptedServer.next(server.answeredPeers);
-            leaves.close();
-            letGoBy(GONE_MS);
+            disconnecting.close();
+            parkFor(DISCONNECT_AGE_MS);
             release.countDown();
             assertEquals(200, Http.read(first.getInputStream()).status());
-            assertEquals(200, site.ask(page("after")).status());
+            assertEquals(200, site.ask(pageRequest("after")).status());
             assertEquals(List.of("after"), txns(server));
         }
     }
 
-    /** Two servers with a connection each that is free; "left" is with one of them, which then fails it. */
+    /** Each of the two servers has a free connection; the request is sent to one of them, which fails it. */
     @Test
-    void whatFailedIsNotTriedAgainWhereItsLeavingLiesUnreadBehindTheFailure() throws Exception {
+    void failedRequestIsNotRetriedWhenDisconnectIsUnreadBehindFailure() throws Exception {
         CountDownLatch fails = new CountDownLatch(1);
         String failure = Http.answer("500 Failed", "", "");
-        try (ScriptedServer one = holding("left", fails, failure);
-                ScriptedServer two = holding("left", fails, failure);
+        try (ScriptedServer one = serverHolding("left", fails, failure);
+                ScriptedServer two = serverHolding("left", fails, failure);
                 Site site = Site.quiet().start(one, two)) {
             for (int i = 0; one.connections.get() == 0 || two.connections.get() == 0; i++) {
-                assertEquals(200, site.ask(page("before" + i)).status());
+                assertEquals(200, site.ask(pageRequest("before" + i)).status());
             }
             one.requests.clear();
             two.requests.clear();
             one.answeredPeers.clear();
             two.answeredPeers.clear();
-            Socket leaves = site.connect();
-            Site.write(leaves, page("left"));
+            Socket disconnecting = site.connect();
+            Site.write(disconnecting, pageRequest("left"));
             while (one.requests.isEmpty() && two.requests.isEmpty()) {
                 Thread.onSpinWait();
             }
-            ScriptedServer has = one.requests.isEmpty() ? two : one;
-            CountDownLatch release = holdUp(site.loop);
+            ScriptedServer attempted = one.requests.isEmpty() ? two : one;
+            CountDownLatch release = stallLoop(site.loop);
             fails.countDown();
-            ScriptedServer.next(has.answeredPeers);
-            leaves.close();
-            letGoBy(GONE_MS);
+            ScriptedServer.next(attempted.answeredPeers);
+            disconnecting.close();
+            parkFor(DISCONNECT_AGE_MS);
             release.countDown();
-            assertEquals(200, site.ask(page("after")).status());
+            assertEquals(200, site.ask(pageRequest("after")).status());
             assertEquals(
                     1,
                     txns(one, two).stream().filter("left"::equals).count(),
-                    () -> "attempts, of which one is a further one after the leaving: " + txns(one, two));
+                    () -> "attempts, of which one is a retry after the disconnect: " + txns(one, two));
         }
     }
 
-    /** Its connection comes up before its leaving is read, and both lie there in one turn. */
+    /** The connection is established before the disconnect is read; both events are handled in one turn. */
     @Test
-    void whatWaitsForAConnectionIsNotSentWhereItsLeavingLiesUnreadBehindThatComingUp() throws Exception {
+    void requestAwaitingConnectionIsNotSentWhenDisconnectIsUnreadBehindConnect() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Site site = Site.quiet()) {
-            // No connection comes up while the system has no room for one more.
+            // No connection is established while the listen backlog is full.
             Set<Integer> filling = new HashSet<>();
             List<SocketChannel> fillers = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
@@ -194,10 +197,13 @@
                 fillers.add(filler);
             }
             site.startKnowing(Site.list(1, true, "s0=127.0.0.1:" + full.getLocalPort() + "=Ready"));
-            Socket leaves = site.connect();
-            Site.write(leaves, page("left"));
-            assertEquals(200, site.ask(up()).status(), "it has been read, and its connection is dialled");
-            CountDownLatch release = holdUp(site.loop);
+            Socket disconnecting = site.connect();
+            Site.write(disconnecting, pageRequest("left"));
+            assertEquals(
+                    200,
+                    site.ask(upRequest()).status(),
+                    "the request has been read, and its server connection is being opened");
+            CountDownLatch release = stallLoop(site.loop);
             for (SocketChannel filler : fillers) {
                 filler.close();
             }
@@ -205,34 +211,34 @@
             while (filling.contains(peer.getPort())) {
                 peer = full.accept();
             }
-            leaves.close();
-            letGoBy(GONE_MS);
+            disconnecting.close();
+            parkFor(DISCONNECT_AGE_MS);
             release.countDown();
-            Socket stays = site.connect();
-            Site.write(stays, page("stays"));
+            Socket connected = site.connect();
+            Site.write(connected, pageRequest("stays"));
             peer.setSoTimeout(20_000);
             assertEquals("stays", Http.read(peer.getInputStream()).headers().get("x-txn"));
             peer.getOutputStream().write(Http.ok("x").getBytes(StandardCharsets.US_ASCII));
-            assertEquals(200, Http.read(stays.getInputStream()).status());
+            assertEquals(200, Http.read(connected.getInputStream()).status());
         }
     }
 
-    /** Nothing can be sent anywhere; the list that changes that lies unread before the leaving does. */
+    /** No server is available; the list that names one is unread before the disconnect. */
     @Test
-    void whatWaitsForAServerIsNotSentWhereItsLeavingLiesUnreadBehindTheList() throws Exception {
+    void requestAwaitingServerIsNotSentWhenDisconnectIsUnreadBehindList() throws Exception {
         try (ScriptedServer server = ScriptedServer.serving("x");
                 Site site = Site.quiet()) {
             site.startKnowing(Site.list(1, true));
             ScriptedServer.Peer watch = ScriptedServer.next(site.discovery.answeredPeers);
-            Socket leaves = site.connect();
-            Site.write(leaves, page("left"));
-            assertEquals(200, site.ask(up()).status(), "the request before it is read by now");
-            CountDownLatch release = holdUp(site.loop);
+            Socket disconnecting = site.connect();
+            Site.write(disconnecting, pageRequest("left"));
+            assertEquals(200, site.ask(upRequest()).status(), "the earlier request has been read by now");
+            CountDownLatch release = stallLoop(site.loop);
             watch.write(Site.chunk(Site.list(2, false, "s0=" + server.endpoint() + "=Ready") + "\n"));
-            leaves.close();
-            letGoBy(GONE_MS);
+            disconnecting.close();
+            parkFor(DISCONNECT_AGE_MS);
             release.countDown();
-            assertEquals(200, site.ask(page("after")).status());
+            assertEquals(200, site.ask(pageRequest("after")).status());
             assertEquals(List.of("after"), txns(server));
         }
     }
--- a/src/test/java/kitemux/node/PushedListWatcherTest.java
+++ b/src/test/java/kitemux/node/PushedListWatcherTest.java
@@ -10,11 +10,11 @@
 import kitemux.engine.Clock;
 import org.junit.jupiter.api.Test;
 
-/** Lists that are pushed to an agent on the node's own machine, which only the node asks. */
+/** Tests the watch on an agent on the node's own machine, to which lists are pushed. */
 class PushedListWatcherTest {
 
-    /** Timers that run when the test says so. */
-    private static final class HandTime implements Clock {
+    /** A clock whose timer runs when the test says so. */
+    private static final class ManualClock implements Clock {
         final List<Long> waits = new ArrayList<>();
         Runnable task;
 
@@ -24,48 +24,48 @@
         }
 
         @Override
-        public Timer schedule(long us, Runnable what) {
+        public Timer schedule(long us, Runnable scheduled) {
             waits.add(us);
-            task = what;
+            task = scheduled;
             return () -> task = null;
         }
 
-        void pass() {
-            Runnable now = task;
+        void runTimer() {
+            Runnable due = task;
             task = null;
-            now.run();
+            due.run();
         }
     }
 
     @Test
-    void theWatchIsOpenedAgainEachTimeItEndsAfterWaitsThatGrow() {
-        HandTime time = new HandTime();
-        int[] opened = new int[1];
-        PushedListWatcher list = new PushedListWatcher(time, () -> opened[0]++, 7);
-        list.start();
+    void watchIsReopenedWithGrowingWaits() {
+        ManualClock clock = new ManualClock();
+        int[] openCount = new int[1];
+        PushedListWatcher watcher = new PushedListWatcher(clock, () -> openCount[0]++, 7);
+        watcher.start();
         for (int i = 0; i < 12; i++) {
-            list.onFailure();
-            // The same end told twice opens no second watch.
-            list.onFailure();
-            time.pass();
-            assertEquals(i + 2, opened[0]);
+            watcher.onFailure();
+            // Reporting the same failure twice opens no second watch.
+            watcher.onFailure();
+            clock.runTimer();
+            assertEquals(i + 2, openCount[0]);
         }
-        assertEquals(12, time.waits.size());
+        assertEquals(12, clock.waits.size());
         for (int i = 0; i < 12; i++) {
             long wait = Math.min(150_000, 50_000L << i);
-            assertTrue(time.waits.get(i) >= wait / 2 && time.waits.get(i) < wait * 3 / 2, time.waits::toString);
+            assertTrue(clock.waits.get(i) >= wait / 2 && clock.waits.get(i) < wait * 3 / 2, clock.waits::toString);
         }
-        list.onUpdate();
-        list.onFailure();
-        assertTrue(time.waits.get(12) < 75_000, time.waits::toString);
-        list.stop();
-        assertEquals(null, time.task);
-        list.onFailure();
-        assertEquals(13, time.waits.size(), "it goes on after its end");
+        watcher.onUpdate();
+        watcher.onFailure();
+        assertTrue(clock.waits.get(12) < 75_000, clock.waits::toString);
+        watcher.stop();
+        assertEquals(null, clock.task);
+        watcher.onFailure();
+        assertEquals(13, clock.waits.size(), "a stopped watcher schedules no retry");
     }
 
     @Test
-    void aNodeFollowsTheAgentAlsoAfterItWasGone() throws Exception {
+    void nodeReconnectsToRestartedAgent() throws Exception {
         try (ScriptedServer first = ScriptedServer.serving("first");
                 ScriptedServer second = ScriptedServer.serving("second");
                 Site site = Site.quiet()) {
@@ -80,7 +80,7 @@
             Socket client = site.connect();
             String body = "";
             for (int i = 0; !body.equals("second"); i++) {
-                assertTrue(i < 1_000, "it never hears of the other server");
+                assertTrue(i < 1_000, "the node never uses the list of the restarted agent");
                 body = Site.ask(client, Http.page("t" + i)).body();
             }
         }
--- a/src/test/java/kitemux/node/StreamedResponsesTest.java
+++ b/src/test/java/kitemux/node/StreamedResponsesTest.java
@@ -33,19 +33,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Answers that are too long to be held and are passed on as they come: their first bytes are timed, and
- * whoever cuts off what a server still gives, or withholds it, has lost the request.
+ * Guards against lost requests with long responses. Such responses are not buffered but streamed, and the
+ * client measures their first bytes. A node that cuts off a response that its server still sends, or withholds
+ * it, has lost the request.
  */
 @Timeout(60)
 class StreamedResponsesTest {
-    private static final int FIRST = 100_000;
-    private static final int PIECE = 1_000;
-    /** A client's time, in milliseconds: over long before the answers here are. */
-    private static final long TIME_MS = 500;
-    /** From a client's time to the latest moment of its final answer, by the operators' page. */
+    private static final int FIRST_BYTES = 100_000;
+    private static final int PIECE_BYTES = 1_000;
+    /** Deadline of a client in milliseconds; the responses here end long after it. */
+    private static final long DEADLINE_MS = 500;
+    /** Time from a client's deadline to the latest moment of its final response, by the operators' page. */
     private static final long GRACE_MS = 500;
 
-    /** How the end of an answer is told (RFC 9112, 6.3). */
+    /** How the end of a response is marked (RFC 9112, section 6.3). */
     enum Framing {
         LENGTH,
         CHUNKED,
@@ -73,20 +74,21 @@
         }
     }
 
-    /** What a server does once the first bytes are given. */
-    private interface Rest {
-        void give(ScriptedServer.Peer peer, Framing framing) throws Exception;
+    /** What a server sends after the first bytes. */
+    private interface Continuation {
+        void send(ScriptedServer.Peer peer, Framing framing) throws Exception;
     }
 
-    private static ScriptedServer giving(Framing framing, int first, int length, Rest rest) throws IOException {
+    private static ScriptedServer streamingServer(
+            Framing framing, int firstBytes, int length, Continuation continuation) throws IOException {
         return new ScriptedServer((request, peer) -> {
             if (request.path().contains("short")) {
                 peer.write(Http.ok("short"));
                 return;
             }
-            peer.write(framing.head(length) + framing.piece("a".repeat(first)));
+            peer.write(framing.head(length) + framing.piece("a".repeat(firstBytes)));
             try {
-                rest.give(peer, framing);
+                continuation.send(peer, framing);
             } catch (IOException e) {
                 throw e;
             } catch (Exception e) {
@@ -95,21 +97,22 @@
         });
     }
 
-    /** Pieces at this pace, for as long as they are wanted. */
-    private static void drip(ScriptedServer.Peer peer, Framing framing, int pieces, long everyMs) throws Exception {
+    /** Sends pieces of the body at this interval. */
+    private static void sendPieces(ScriptedServer.Peer peer, Framing framing, int pieces, long intervalMs)
+            throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         for (int i = 0; i < pieces; i++) {
-            assertFalse(never.await(everyMs, TimeUnit.MILLISECONDS));
-            peer.write(framing.piece("a".repeat(PIECE)));
+            assertFalse(never.await(intervalMs, TimeUnit.MILLISECONDS));
+            peer.write(framing.piece("a".repeat(PIECE_BYTES)));
         }
     }
 
-    private static void ask(Socket client, String path, String txn) throws IOException {
-        Site.write(client, Http.page(path, txn, TIME_MS + "m"));
+    private static void sendRequest(Socket client, String path, String txn) throws IOException {
+        Site.write(client, Http.page(path, txn, DEADLINE_MS + "m"));
     }
 
-    /** The body that comes, whatever its framing; throws where its end is not that of a whole one. */
-    private static String body(Socket client) throws IOException {
+    /** Reads a body of any framing; throws if its end is not that of a complete one. */
+    private static String readBody(Socket client) throws IOException {
         InputStream in = client.getInputStream();
         String head = "";
         while (!head.endsWith("\r\n\r\n")) {
@@ -141,74 +144,81 @@
     private static int read(InputStream in) throws IOException {
         int next = in.read();
         if (next < 0) {
-            throw new IOException("it ends like a whole one");
+            throw new IOException("a truncated response looks complete");
         }
         return next;
     }
 
-    /** Reads up to the reset that tells of what is not whole; how long that took from the asking, in ms. */
-    private static long untilReset(Socket client, long askedAt) throws IOException {
+    /**
+     * Reads up to the reset that marks an incomplete response.
+     *
+     * @return the time from the request to the reset in milliseconds
+     */
+    private static long msUntilReset(Socket client, long sentAtNanos) throws IOException {
         client.setSoTimeout(10_000);
-        byte[] into = new byte[1 << 16];
+        byte[] buffer = new byte[1 << 16];
         try {
-            while (client.getInputStream().read(into) >= 0) {
-                assertTrue(System.nanoTime() - askedAt < 20_000_000_000L, "it never ends");
+            while (client.getInputStream().read(buffer) >= 0) {
+                assertTrue(System.nanoTime() - sentAtNanos < 20_000_000_000L, "the response never ends");
             }
-            throw new AssertionError("it ends like a whole one");
+            throw new AssertionError("a truncated response looks complete");
         } catch (SocketTimeoutException e) {
-            throw new AssertionError("nothing comes, and no end", e);
+            throw new AssertionError("neither data nor an end arrives", e);
         } catch (IOException e) {
-            return (System.nanoTime() - askedAt) / 1_000_000;
+            return (System.nanoTime() - sentAtNanos) / 1_000_000;
         }
     }
 
-    // ---------------------------------------------------------------- what keeps coming
+    // ---------------------------------------------------------------- responses that continue
 
-    /** Past the client's time, to the last byte; the pauses of the last case are shorter than a stall. */
+    /**
+     * The response is read past the client's deadline to its last byte. The pauses of the last case are shorter
+     * than the stall timeout.
+     */
     @ParameterizedTest
     @CsvSource({"LENGTH, 60, 20", "CHUNKED, 60, 20", "CLOSE, 60, 20", "CHUNKED, 600, 2", "LENGTH, 8, 150"})
-    void whatKeepsComingIsPassedOnPastTheClientsTimeToTheLast(Framing framing, int pieces, long everyMs)
+    void continuingResponseIsStreamedToItsEndPastDeadline(Framing framing, int pieces, long intervalMs)
             throws Exception {
-        int length = FIRST + pieces * PIECE;
-        try (ScriptedServer server = giving(framing, FIRST, length, (peer, how) -> {
-                    drip(peer, how, pieces, everyMs);
-                    how.end(peer);
+        int length = FIRST_BYTES + pieces * PIECE_BYTES;
+        try (ScriptedServer server = streamingServer(framing, FIRST_BYTES, length, (peer, responseFraming) -> {
+                    sendPieces(peer, responseFraming, pieces, intervalMs);
+                    responseFraming.end(peer);
                 });
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
-            long askedAt = System.nanoTime();
-            ask(client, "/api/long", "t");
-            assertEquals(length, body(client).length());
-            long ms = (System.nanoTime() - askedAt) / 1_000_000;
-            assertTrue(ms > TIME_MS + GRACE_MS, "it was over after " + ms + " ms");
+            long sentAtNanos = System.nanoTime();
+            sendRequest(client, "/api/long", "t");
+            assertEquals(length, readBody(client).length());
+            long ms = (System.nanoTime() - sentAtNanos) / 1_000_000;
+            assertTrue(ms > DEADLINE_MS + GRACE_MS, "the response ended after " + ms + " ms");
         }
     }
 
-    /** A pause behind the client's time is no stall, once the server has shown that it goes on. */
+    /** A pause after the client's deadline is no stall once the server has sent data after the deadline. */
     @Test
-    void aServerThatPausesIsHeardToTheLast() throws Exception {
-        int length = FIRST + 40 * PIECE;
-        try (ScriptedServer server = giving(Framing.CHUNKED, FIRST, length, (peer, how) -> {
-                    drip(peer, how, 39, 20);
-                    drip(peer, how, 1, 1_200);
-                    how.end(peer);
+    void pausingServerIsReadToTheEnd() throws Exception {
+        int length = FIRST_BYTES + 40 * PIECE_BYTES;
+        try (ScriptedServer server = streamingServer(Framing.CHUNKED, FIRST_BYTES, length, (peer, responseFraming) -> {
+                    sendPieces(peer, responseFraming, 39, 20);
+                    sendPieces(peer, responseFraming, 1, 1_200);
+                    responseFraming.end(peer);
                 });
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
-            ask(client, "/api/long", "t");
-            assertEquals(length, body(client).length());
+            sendRequest(client, "/api/long", "t");
+            assertEquals(length, readBody(client).length());
         }
     }
 
-    /** What the list says of a server is of new requests: one that is being answered goes on. */
+    /** The state in the list concerns new requests: a response that has started goes on. */
     @ParameterizedTest
     @ValueSource(strings = {"Terminating", "Gone"})
-    void aServerThatDrainsOrGoesWhileItGivesIsHeardToTheLast(String state) throws Exception {
+    void drainingOrRemovedServerIsReadToTheEnd(String state) throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
-        int length = FIRST + 40 * PIECE;
-        try (ScriptedServer server = giving(Framing.LENGTH, FIRST, length, (peer, how) -> {
+        int length = FIRST_BYTES + 40 * PIECE_BYTES;
+        try (ScriptedServer server = streamingServer(Framing.LENGTH, FIRST_BYTES, length, (peer, responseFraming) -> {
                     listed.await();
-                    drip(peer, how, 40, 20);
+                    sendPieces(peer, responseFraming, 40, 20);
                 });
                 ScriptedServer discovery = new ScriptedServer((request, peer) -> {
                     peer.write(Site.watchHead());
@@ -216,13 +226,13 @@
                 });
                 Site site = new Site(discovery).start(server)) {
             Socket client = site.connect();
-            ask(client, "/api/long", "t");
+            sendRequest(client, "/api/long", "t");
             ScriptedServer.next(discovery.requests);
             ScriptedServer.next(server.requests);
             listed.countDown();
             ScriptedServer.next(discovery.answeredPeers)
                     .write(Site.chunk(Site.list(2, false, "s0=" + server.endpoint() + "=" + state) + "\n"));
-            assertEquals(length, body(client).length());
+            assertEquals(length, readBody(client).length());
         }
     }
 
@@ -234,72 +244,74 @@
         }
     }
 
-    // ---------------------------------------------------------------- what stops, or never ends
+    // ---------------------------------------------------------------- responses that stop or never end
 
-    /** One that stops within its client's time has its end by half a second after it, as all have. */
+    /** A response that stalls before its client's deadline ends within half a second after it, like all others. */
     @ParameterizedTest
     @CsvSource({"LENGTH, 700", "CHUNKED, 700", "CLOSE, 700"})
-    void oneThatStopsEndsSoonAfterItsTime(Framing framing, long timeMs) throws Exception {
-        try (ScriptedServer server = giving(framing, FIRST, 2 * FIRST, (peer, how) -> {});
+    void stalledResponseEndsSoonAfterDeadline(Framing framing, long deadlineMs) throws Exception {
+        try (ScriptedServer server =
+                        streamingServer(framing, FIRST_BYTES, 2 * FIRST_BYTES, (peer, responseFraming) -> {});
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
-            long askedAt = System.nanoTime();
-            Site.write(client, Http.page("/api/long", "t", timeMs + "m"));
-            long ms = untilReset(client, askedAt);
-            assertTrue(ms >= timeMs - 100 && ms < timeMs + GRACE_MS, "after " + ms + " ms");
+            long sentAtNanos = System.nanoTime();
+            Site.write(client, Http.page("/api/long", "t", deadlineMs + "m"));
+            long ms = msUntilReset(client, sentAtNanos);
+            assertTrue(ms >= deadlineMs - 100 && ms < deadlineMs + GRACE_MS, "ended after " + ms + " ms");
             ScriptedServer.next(server.disconnectedPeers);
         }
     }
 
-    /** Clients take what is withheld for 2 s for lost: they are told before that. */
+    /** Clients consider a response lost once it is withheld for 2 s, so the reset has to come earlier. */
     @Test
-    void oneThatStopsPastItsTimeEndsBeforeItPassesForWithheld() throws Exception {
-        AtomicLong stoppedAt = new AtomicLong();
-        try (ScriptedServer server = giving(Framing.CHUNKED, FIRST, 0, (peer, how) -> {
-                    drip(peer, how, 40, 20);
-                    stoppedAt.set(System.nanoTime());
+    void responseStalledAfterDeadlineEndsBeforeItCountsAsWithheld() throws Exception {
+        AtomicLong stoppedAtNanos = new AtomicLong();
+        try (ScriptedServer server = streamingServer(Framing.CHUNKED, FIRST_BYTES, 0, (peer, responseFraming) -> {
+                    sendPieces(peer, responseFraming, 40, 20);
+                    stoppedAtNanos.set(System.nanoTime());
                 });
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
-            ask(client, "/api/long", "t");
-            untilReset(client, System.nanoTime());
-            long ms = (System.nanoTime() - stoppedAt.get()) / 1_000_000;
-            assertTrue(ms >= 1_700 && ms < 2_100, "after " + ms + " ms");
+            sendRequest(client, "/api/long", "t");
+            msUntilReset(client, System.nanoTime());
+            long ms = (System.nanoTime() - stoppedAtNanos.get()) / 1_000_000;
+            assertTrue(ms >= 1_700 && ms < 2_100, "ended after " + ms + " ms");
         }
     }
 
-    /** Also where nothing but the end of the connection would end it, and long after the client's time. */
+    /** This also holds if only the end of the connection marks the end of the body, and long after the deadline. */
     @ParameterizedTest
     @CsvSource({"LENGTH", "CHUNKED", "CLOSE"})
-    void oneThatIsResetPastItsTimeIsSeenToBeCut(Framing framing) throws Exception {
-        try (ScriptedServer server = giving(framing, FIRST, 2 * FIRST, (peer, how) -> {
-                    drip(peer, how, 60, 20);
+    void resetAfterDeadlineReachesClientAsReset(Framing framing) throws Exception {
+        try (ScriptedServer server = streamingServer(framing, FIRST_BYTES, 2 * FIRST_BYTES, (peer, responseFraming) -> {
+                    sendPieces(peer, responseFraming, 60, 20);
                     peer.reset();
                 });
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
-            long askedAt = System.nanoTime();
-            ask(client, "/api/long", "t");
-            assertEquals('H', client.getInputStream().read(), "it has begun");
-            int tried = server.requests.size();
-            long ms = untilReset(client, askedAt);
-            assertTrue(ms > TIME_MS + GRACE_MS, "after " + ms + " ms");
-            assertEquals(tried, server.requests.size(), "it is tried nowhere else");
+            long sentAtNanos = System.nanoTime();
+            sendRequest(client, "/api/long", "t");
+            assertEquals('H', client.getInputStream().read(), "the response has started");
+            int attemptCount = server.requests.size();
+            long ms = msUntilReset(client, sentAtNanos);
+            assertTrue(ms > DEADLINE_MS + GRACE_MS, "ended after " + ms + " ms");
+            assertEquals(attemptCount, server.requests.size(), "a started response is not retried");
         }
     }
 
-    /** It is held, so that all that is known of it when its time is over is that it is not whole. */
+    /** The response is buffered and still incomplete when the deadline passes. */
     @ParameterizedTest
     @CsvSource({"CHUNKED", "CLOSE"})
-    void whatDripsAndIsNeverLongEndsWithTheClientsTime(Framing framing) throws Exception {
-        try (ScriptedServer server = giving(framing, 1_000, 0, (peer, how) -> drip(peer, how, 1_000, 20));
+    void tricklingShortResponseEndsWithDeadline(Framing framing) throws Exception {
+        try (ScriptedServer server = streamingServer(
+                        framing, 1_000, 0, (peer, responseFraming) -> sendPieces(peer, responseFraming, 1_000, 20));
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
-            long askedAt = System.nanoTime();
-            ask(client, "/api/drip", "t");
-            assertEquals(503, Http.read(client.getInputStream()).status(), "a page may be asked for again");
-            long ms = (System.nanoTime() - askedAt) / 1_000_000;
-            assertTrue(ms >= TIME_MS - 100 && ms < TIME_MS + GRACE_MS, "after " + ms + " ms");
+            long sentAtNanos = System.nanoTime();
+            sendRequest(client, "/api/drip", "t");
+            assertEquals(503, Http.read(client.getInputStream()).status(), "a page may be requested again");
+            long ms = (System.nanoTime() - sentAtNanos) / 1_000_000;
+            assertTrue(ms >= DEADLINE_MS - 100 && ms < DEADLINE_MS + GRACE_MS, "ended after " + ms + " ms");
             ScriptedServer.next(server.disconnectedPeers);
         }
     }
@@ -307,57 +319,73 @@
     // ---------------------------------------------------------------- clients
 
     @Test
-    void aClientThatLeavesPastItsTimeLetsGoOfTheServer() throws Exception {
-        try (ScriptedServer server = giving(Framing.CHUNKED, FIRST, 0, (peer, how) -> drip(peer, how, 3_000, 20));
+    void disconnectAfterDeadlineReleasesServer() throws Exception {
+        try (ScriptedServer server = streamingServer(
+                        Framing.CHUNKED,
+                        FIRST_BYTES,
+                        0,
+                        (peer, responseFraming) -> sendPieces(peer, responseFraming, 3_000, 20));
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
-            ask(client, "/api/long", "t");
-            assertEquals(FIRST + 40 * PIECE, client.getInputStream().readNBytes(FIRST + 40 * PIECE).length);
+            sendRequest(client, "/api/long", "t");
+            assertEquals(
+                    FIRST_BYTES + 40 * PIECE_BYTES,
+                    client.getInputStream().readNBytes(FIRST_BYTES + 40 * PIECE_BYTES).length);
             client.close();
-            assertNotNull(server.disconnectedPeers.poll(2, TimeUnit.SECONDS), "its server is let go");
+            assertNotNull(server.disconnectedPeers.poll(2, TimeUnit.SECONDS), "the server connection is released");
             assertEquals(200, site.ask(Http.page("/api/short", "next", "2000m")).status());
         }
     }
 
-    /** A node that is told to end ends with the last byte, not with what its client might ask next. */
+    /**
+     * A draining node closes the connection after the last byte of the response and does not wait for another
+     * request.
+     */
     @Test
-    void aNodeThatIsToldToEndPassesOnWhatItHasBegunAndLetsGo() throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
-        int length = FIRST + 40 * PIECE;
-        try (ScriptedServer server = giving(Framing.LENGTH, FIRST, length, (peer, how) -> {
-                    told.await();
-                    drip(peer, how, 40, 20);
+    void drainingNodeFinishesStreamsAndClosesConnections() throws Exception {
+        CountDownLatch released = new CountDownLatch(1);
+        int length = FIRST_BYTES + 40 * PIECE_BYTES;
+        try (ScriptedServer server = streamingServer(Framing.LENGTH, FIRST_BYTES, length, (peer, responseFraming) -> {
+                    released.await();
+                    sendPieces(peer, responseFraming, 40, 20);
                 });
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
             Site.write(client, Http.page("/api/long", "t", "4000m"));
             ScriptedServer.next(server.requests);
             InputStream in = client.getInputStream();
-            assertEquals('H', in.read(), "it has begun");
+            assertEquals('H', in.read(), "the response has started");
             CountDownLatch done = new CountDownLatch(1);
             site.node.drain(false, done::countDown);
-            // By then all that is idle is closed, and what comes to rest later is closed by nobody.
+            // Idle connections are closed by then, and nothing else closes connections that become idle later.
             site.awaitNoneTaken();
-            told.countDown();
+            released.countDown();
             String rest = new String(in.readNBytes(length + 17), StandardCharsets.US_ASCII);
             assertTrue(rest.startsWith("TTP/1.1 200 "), rest.substring(0, 20));
             client.setSoTimeout(2_000);
             byte[] more = in.readAllBytes();
             String all = rest + new String(more, StandardCharsets.US_ASCII);
             assertEquals(length, all.length() - all.indexOf("\r\n\r\n") - 4);
-            assertTrue(done.await(2, TimeUnit.SECONDS), "no connection is left");
+            assertTrue(done.await(2, TimeUnit.SECONDS), "no connection is open");
         }
     }
 
-    /** A node that is told to end and then killed amid one leaves nobody to take a part for the whole. */
+    /**
+     * Guards against a truncated response that looks complete, when a draining node is killed while it streams
+     * one.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.0", "HTTP/1.1"})
-    void whatAKillFindsIsSeenToBeCut(String protocol, @TempDir Path folder) throws Exception {
+    void killedNodeLeavesRecognizablyTruncatedResponse(String protocol, @TempDir Path folder) throws Exception {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        try (ScriptedServer server = giving(Framing.CLOSE, FIRST, 0, (peer, how) -> drip(peer, how, 3_000, 10))) {
+        try (ScriptedServer server = streamingServer(
+                Framing.CLOSE,
+                FIRST_BYTES,
+                0,
+                (peer, responseFraming) -> sendPieces(peer, responseFraming, 3_000, 10))) {
             Path config = Files.writeString(folder.resolve("config.json"), """
                     {"listen":"127.0.0.1:%d","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":256},
                      "known":%s,"settings":{"membershipMode":"on_request","limits":{"attemptsCap":1},
@@ -382,7 +410,7 @@
                 }
                 InputStream in = null;
                 String head = "";
-                // A process that has just begun may refuse some, as its first turns take long.
+                // A process that has just started may reject some requests, as its first turns take long.
                 for (int i = 0; i < 100 && !head.startsWith("HTTP/1.1 200 "); i++) {
                     Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
                     client.setSoTimeout(20_000);
@@ -391,15 +419,15 @@
                     head = new String(in.readNBytes(13), StandardCharsets.US_ASCII);
                 }
                 assertEquals("HTTP/1.1 200 ", head);
-                assertEquals(FIRST, in.readNBytes(FIRST).length);
+                assertEquals(FIRST_BYTES, in.readNBytes(FIRST_BYTES).length);
                 process.destroy();
-                // Nothing is taken any more, and what was begun still comes.
+                // No connection is accepted any more, and the started response continues.
                 assertThrows(IOException.class, () -> {
                     while (true) {
                         new Socket(InetAddress.getLoopbackAddress(), port).close();
                     }
                 });
-                assertEquals(10 * PIECE, in.readNBytes(10 * PIECE).length);
+                assertEquals(10 * PIECE_BYTES, in.readNBytes(10 * PIECE_BYTES).length);
                 process.destroyForcibly();
                 String rest;
                 try {
@@ -407,66 +435,70 @@
                 } catch (IOException e) {
                     return;
                 }
-                assertEquals("HTTP/1.1", protocol, "it ends like a whole one");
-                assertFalse(rest.endsWith("0\r\n\r\n"), "a last chunk would say that it is whole");
+                assertEquals("HTTP/1.1", protocol, "a truncated response looks complete");
+                assertFalse(rest.endsWith("0\r\n\r\n"), "a last chunk would mark the body as complete");
             } finally {
                 process.destroyForcibly();
             }
         }
     }
 
-    // ---------------------------------------------------------------- many at once
+    // ---------------------------------------------------------------- concurrent responses
 
-    /** Whoever does not read holds its server back, and costs no more than a few reads. */
+    /** A client that does not read throttles its server, and costs no more memory than a few reads. */
     @Test
-    void manyAtOnceAreHeldBackWithinMemory() throws Exception {
-        int many = 30;
-        long each = 10_000_000;
-        AtomicLong given = new AtomicLong();
+    void concurrentStreamsAreThrottledWithinMemoryLimit() throws Exception {
+        int clientCount = 30;
+        long responseLength = 10_000_000;
+        AtomicLong sentBytes = new AtomicLong();
         String piece = "y".repeat(100_000);
-        try (ScriptedServer server = giving(Framing.LENGTH, FIRST, (int) each, (peer, how) -> {
-                    for (long at = FIRST; at < each; at += piece.length()) {
-                        peer.write(piece);
-                        given.addAndGet(piece.length());
-                    }
-                });
+        try (ScriptedServer server =
+                        streamingServer(Framing.LENGTH, FIRST_BYTES, (int) responseLength, (peer, responseFraming) -> {
+                            for (long at = FIRST_BYTES; at < responseLength; at += piece.length()) {
+                                peer.write(piece);
+                                sentBytes.addAndGet(piece.length());
+                            }
+                        });
                 Site site = Site.quiet()) {
             site.sockets = 1_024;
             site.start(server);
             UnpooledByteBufAllocator allocator = (UnpooledByteBufAllocator) NioNetwork.SYSTEM.allocator();
             List<Socket> clients = new ArrayList<>();
-            for (int i = 0; i < many; i++) {
+            for (int i = 0; i < clientCount; i++) {
                 clients.add(site.connect());
                 Site.write(clients.get(i), Http.page("/api/long", "t" + i, "4000m"));
                 ScriptedServer.next(server.requests);
             }
-            long most = 0;
-            // Each round is an event of the node's loop: by then what could come on has come.
+            long maxHeapBytes = 0;
+            // Each round is an event of the node's loop: by then all data that could arrive has arrived.
             for (int round = 0; round < 200; round++) {
                 assertEquals(
                         200, site.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
-                most = Math.max(most, allocator.metric().usedHeapMemory());
+                maxHeapBytes = Math.max(maxHeapBytes, allocator.metric().usedHeapMemory());
             }
-            assertTrue(given.get() < many * each, "they are held back");
-            assertTrue(most < many * 300_000L, "held " + most + " bytes");
-            for (int i = 0; i < many; i++) {
-                assertEquals(each, body(clients.get(i)).length(), "client " + i);
+            assertTrue(sentBytes.get() < clientCount * responseLength, "the servers are throttled");
+            assertTrue(maxHeapBytes < clientCount * 300_000L, "heap bytes in use: " + maxHeapBytes + " bytes");
+            for (int i = 0; i < clientCount; i++) {
+                assertEquals(responseLength, readBody(clients.get(i)).length(), "client " + i);
             }
         }
     }
 
     @Test
-    void theNextRequestOnTheConnectionIsServed() throws Exception {
-        try (ScriptedServer server =
-                        giving(Framing.LENGTH, FIRST, FIRST + 40 * PIECE, (peer, how) -> drip(peer, how, 40, 20));
+    void nextRequestOnConnectionIsServed() throws Exception {
+        try (ScriptedServer server = streamingServer(
+                        Framing.LENGTH,
+                        FIRST_BYTES,
+                        FIRST_BYTES + 40 * PIECE_BYTES,
+                        (peer, responseFraming) -> sendPieces(peer, responseFraming, 40, 20));
                 Site site = Site.quiet().start(server)) {
             Socket client = site.connect();
-            ask(client, "/api/long", "t");
-            assertEquals(FIRST + 40 * PIECE, body(client).length());
+            sendRequest(client, "/api/long", "t");
+            assertEquals(FIRST_BYTES + 40 * PIECE_BYTES, readBody(client).length());
             assertEquals(
                     "short",
                     Site.ask(client, Http.page("/api/short", "u", "2000m")).body());
-            assertEquals(1, server.connections.get(), "its server's connection is used again");
+            assertEquals(1, server.connections.get(), "the server connection is reused");
         }
     }
 }
